--- a/cmd/arrowhitch/crowd_test.go
+++ b/cmd/arrowhitch/crowd_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // idleClients connect without end and say nothing, so many at a time, until they are ended. What is shut on them they open anew.
--- a/cmd/arrowhitch/main.go
+++ b/cmd/arrowhitch/main.go
@@ -17,11 +17,11 @@
 	"syscall"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/discovery"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/wire"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/discovery"
+	"robindrum/internal/node"
+	"robindrum/internal/wire"
+	"robindrum/logic"
 )
 
 // config is the file's contents.
--- a/cmd/arrowhitch/main_test.go
+++ b/cmd/arrowhitch/main_test.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"testing"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // programs is where TestMain built them, once for all tests.
@@ -28,7 +28,7 @@
 			return 1
 		}
 		defer os.RemoveAll(programs)
-		if out, err := exec.Command("go", "build", "-o", programs, "arrowhitch/cmd/...").CombinedOutput(); err != nil {
+		if out, err := exec.Command("go", "build", "-o", programs, "robindrum/cmd/...").CombinedOutput(); err != nil {
 			fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 			return 1
 		}
--- a/cmd/arrowhitch/ready_test.go
+++ b/cmd/arrowhitch/ready_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 var readyOfEach = flag.Int("ready", 5, "processes that TestReadyWhateverDiscoveryDoes starts before discovery of each kind, 100 at most")
--- a/cmd/arrowhitch/signals_test.go
+++ b/cmd/arrowhitch/signals_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // process is a node as it is deployed.
--- a/cmd/robindrum/capture.go
+++ b/cmd/robindrum/capture.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/capture"
+	"robindrum/internal/capture"
 )
 
 func captureCommand() *cobra.Command {
--- a/cmd/robindrum/fleet.go
+++ b/cmd/robindrum/fleet.go
@@ -13,11 +13,11 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/gateway"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/config"
+	"robindrum/internal/fleet"
+	"robindrum/internal/gateway"
+	"robindrum/internal/members"
+	"robindrum/internal/quorum"
 )
 
 func fleetCommand() *cobra.Command {
--- a/cmd/robindrum/lab.go
+++ b/cmd/robindrum/lab.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/lab"
-	experiments "arrowhitch/lab"
+	"robindrum/internal/lab"
+	experiments "robindrum/lab"
 )
 
 func labCommand() *cobra.Command {
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -14,15 +14,15 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/origin"
 )
 
 // The platform's node stays lean: it links none of what the gateway needs.
 func TestNodeLinksNothingOfTheGateway(t *testing.T) {
 	deps := func(program string) string {
 		t.Helper()
-		out, err := exec.Command("go", "list", "-deps", "arrowhitch/cmd/"+program).Output()
+		out, err := exec.Command("go", "list", "-deps", "robindrum/cmd/"+program).Output()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,16 +37,16 @@
 			t.Error("arrowhitch can start programs")
 		}
 		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/standin", "internal/try", "internal/membership"} {
-			if strings.HasPrefix(line, "arrowhitch/"+p) {
+			if strings.HasPrefix(line, "robindrum/"+p) {
 				t.Errorf("arrowhitch links %s", line)
 			}
 		}
 	}
-	if !strings.Contains(node, "arrowhitch/logic") {
+	if !strings.Contains(node, "robindrum/logic") {
 		t.Error("the list of what is linked is not one")
 	}
 	// The same look at the gateway finds them: the test can fail.
-	for _, p := range []string{"google.golang.org/grpc", "google.golang.org/protobuf/proto", "github.com/spf13/cobra", "arrowhitch/internal/xds", "os/exec"} {
+	for _, p := range []string{"google.golang.org/grpc", "google.golang.org/protobuf/proto", "github.com/spf13/cobra", "robindrum/internal/xds", "os/exec"} {
 		if !strings.Contains(deps("robindrum"), p+"\n") {
 			t.Errorf("robindrum does not link %s", p)
 		}
--- a/cmd/robindrum/orders.go
+++ b/cmd/robindrum/orders.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
 )
 
 // Exit codes of orders that were waited for.
--- a/cmd/robindrum/plan.go
+++ b/cmd/robindrum/plan.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/lab"
+	"robindrum/internal/capture"
+	"robindrum/internal/lab"
 )
 
 func planCommand() *cobra.Command {
--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -14,11 +14,11 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
-	"arrowhitch/internal/supervise"
+	"robindrum/internal/fleet"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
+	"robindrum/internal/supervise"
 )
 
 // exitBack is a release that went back, or halts.
--- a/cmd/robindrum/serve.go
+++ b/cmd/robindrum/serve.go
@@ -17,9 +17,9 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/gateway"
-	"arrowhitch/internal/supervise"
+	"robindrum/internal/config"
+	"robindrum/internal/gateway"
+	"robindrum/internal/supervise"
 )
 
 func logger(c config.Log, w io.Writer) *slog.Logger {
--- a/cmd/robindrum/sites.go
+++ b/cmd/robindrum/sites.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/siteplan"
+	"robindrum/internal/config"
+	"robindrum/internal/siteplan"
 )
 
 func sitesCommand() *cobra.Command {
--- a/cmd/robindrum/supervise.go
+++ b/cmd/robindrum/supervise.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/supervise"
+	"robindrum/internal/supervise"
 )
 
 // exitGaveUp is a supervisor that starts nothing any more.
--- a/cmd/robindrum/try.go
+++ b/cmd/robindrum/try.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"arrowhitch/internal/try"
+	"robindrum/internal/try"
 )
 
 func tryCommand() *cobra.Command {
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"arrowhitch/internal/wire"
+	"robindrum/internal/wire"
 )
 
 func main() {
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -18,8 +18,8 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/limit"
-	"arrowhitch/logic"
+	"robindrum/internal/limit"
+	"robindrum/logic"
 )
 
 // Mode is what bounds the requests in flight.
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 const ms = time.Millisecond
--- a/internal/admit/limit.go
+++ b/internal/admit/limit.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 const (
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 // entry is a request that waits.
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 const (
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 func newPool(t testing.TB, opt Options, limit int) *Pool {
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 // One that takes all it can get leaves the other what is its own, and everything comes back.
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 // A backend sends an answer a second time, or noise, as the next request is on its way: it is no answer to that one.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/ratelimit"
-	"arrowhitch/internal/route"
+	"robindrum/internal/ratelimit"
+	"robindrum/internal/route"
 
 	"go.yaml.in/yaml/v3"
 )
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/peer"
+	"robindrum/internal/lease"
+	"robindrum/internal/peer"
 )
 
 // Fleet is this process's place among the others. Where it is missing the process knows of no other one. Changes count from
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -4,7 +4,7 @@
 	"errors"
 	"strings"
 
-	"arrowhitch/internal/siteplan"
+	"robindrum/internal/siteplan"
 )
 
 // Sites say what becomes of a site's load when the site is lost whole. It is a plan on paper: see robindrum sites plan.
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/logic"
 )
 
 // Duration is written with its unit, "150ms" or "1m30s".
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 func (c call) whole(text string) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 const (
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 func entry(uid, state string) string {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -14,7 +14,7 @@
 	"testing/synctest"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 // module is the decision module as the node runs it, as far as the list goes.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/lease"
+	"robindrum/internal/quorum"
 )
 
 // Quorum is what a Runner asks; *quorum.Client is one. sent is when what was answered was sent, by the Runner's clock.
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/lease"
+	"robindrum/internal/quorum"
 )
 
 // scripted is a quorum with one lease: it says what the table says, takes a time for it, and can be away.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,14 +20,14 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/duty"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
+	"robindrum/internal/config"
+	"robindrum/internal/duty"
+	"robindrum/internal/lease"
+	"robindrum/internal/members"
+	"robindrum/internal/order"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
 )
 
 // Fleet is one process's place. Its methods may be called by several goroutines at once.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/peer"
+	"robindrum/internal/config"
+	"robindrum/internal/fakes"
+	"robindrum/internal/members"
+	"robindrum/internal/peer"
 )
 
 // One process that is a fleet by itself: it votes, holds its duty, answers operators, and leaves nothing behind. Started again it
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
+	"robindrum/internal/members"
+	"robindrum/internal/order"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
 )
 
 const (
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -13,9 +13,9 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/share"
-	"arrowhitch/internal/zone"
+	"robindrum/internal/config"
+	"robindrum/internal/share"
+	"robindrum/internal/zone"
 )
 
 // admin is the operators' listener.
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/internal/config"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/internal/config"
+	"robindrum/logic"
 )
 
 func (s *spec) admitOptions() admit.Options {
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/capture"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/origin"
 )
 
 // four is a file of four lines before healthy servers.
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -11,10 +11,10 @@
 
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/config"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/origin"
 )
 
 // An endpoint that is removed while a request waits for the answer of another gets neither its retry nor its copy.
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/node"
+	"robindrum/internal/capture"
+	"robindrum/internal/node"
 )
 
 // ended hands a request that has its answer to the recording under way, if there is one. It is called with a core's lock
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -13,16 +13,16 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/limit"
-	"arrowhitch/internal/membership"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/xds"
-	"arrowhitch/internal/zone"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/internal/backend"
+	"robindrum/internal/config"
+	"robindrum/internal/limit"
+	"robindrum/internal/membership"
+	"robindrum/internal/node"
+	"robindrum/internal/order"
+	"robindrum/internal/xds"
+	"robindrum/internal/zone"
+	"robindrum/logic"
 )
 
 // cluster is one that is in use. Its view outlives its cores: a core that a new configuration brings begins with the
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/xds"
+	"robindrum/internal/config"
+	"robindrum/internal/xds"
 )
 
 // xdsFeed is the feed of the configuration's control planes, or of the file in their place.
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -5,14 +5,14 @@
 	"net/http"
 	"time"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/duty"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/release"
-	"arrowhitch/logic"
+	"robindrum/internal/config"
+	"robindrum/internal/duty"
+	"robindrum/internal/fleet"
+	"robindrum/internal/members"
+	"robindrum/internal/node"
+	"robindrum/internal/order"
+	"robindrum/internal/release"
+	"robindrum/logic"
 )
 
 // leaveFleet bounds how long a process that ends says so to its fleet.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,17 +21,17 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/limit"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/route"
-	"arrowhitch/internal/supervise"
-	"arrowhitch/internal/xds"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/capture"
+	"robindrum/internal/config"
+	"robindrum/internal/fleet"
+	"robindrum/internal/limit"
+	"robindrum/internal/node"
+	"robindrum/internal/order"
+	"robindrum/internal/route"
+	"robindrum/internal/supervise"
+	"robindrum/internal/xds"
+	"robindrum/logic"
 )
 
 // Gateway is one running gateway.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -20,11 +20,11 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/origin"
-	"arrowhitch/internal/xds"
+	"robindrum/internal/config"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/origin"
+	"robindrum/internal/xds"
 )
 
 func parse(t testing.TB, text string) *config.File {
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/release"
+	"robindrum/internal/fleet"
+	"robindrum/internal/node"
+	"robindrum/internal/order"
+	"robindrum/internal/release"
 )
 
 // orderWait is how long a gateway that starts waits to be told what is ordered. Then it serves without: that nobody answers must
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/ratelimit"
+	"robindrum/internal/config"
+	"robindrum/internal/node"
+	"robindrum/internal/ratelimit"
 )
 
 // rateLimit is one limit of the configuration. It outlives reloads that leave it as it is.
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -14,13 +14,13 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/duty"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/share"
-	"arrowhitch/internal/xds"
+	"robindrum/internal/config"
+	"robindrum/internal/duty"
+	"robindrum/internal/fleet"
+	"robindrum/internal/members"
+	"robindrum/internal/peer"
+	"robindrum/internal/share"
+	"robindrum/internal/xds"
 )
 
 const (
--- a/internal/gateway/shows.go
+++ b/internal/gateway/shows.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/release"
+	"robindrum/internal/node"
+	"robindrum/internal/release"
 )
 
 // mostShown bounds the classes that are counted by name. Danger: configurations bring ever new ones.
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/membership"
-	"arrowhitch/internal/node"
-	"arrowhitch/logic"
+	"robindrum/internal/fleet"
+	"robindrum/internal/membership"
+	"robindrum/internal/node"
+	"robindrum/logic"
 )
 
 // Status is what the gateway says of itself, as JSON under /status. Ages are in seconds.
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/internal/zone"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/internal/zone"
+	"robindrum/logic"
 )
 
 // orNone words a value that the configuration has, for options that take 0 for one that was left out.
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/link"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/link"
+	"robindrum/internal/standin/origin"
 )
 
 // quick are zones whose way back takes a test's time.
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -6,11 +6,11 @@
 	"strings"
 	"testing"
 
-	"arrowhitch/internal/keep"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
+	"robindrum/internal/keep"
+	"robindrum/internal/lease"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
 )
 
 // What a newer program says in messages and in what it stores goes through this one whole.
--- a/internal/lab/child.go
+++ b/internal/lab/child.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/standin/proc"
+	"robindrum/internal/standin/proc"
 )
 
 // child is a gateway: the real program as a process of its own.
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/config"
-	"arrowhitch/logic"
+	"robindrum/internal/capture"
+	"robindrum/internal/config"
+	"robindrum/logic"
 )
 
 // Experiment is the whole file.
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/config"
-	experiments "arrowhitch/lab"
+	"robindrum/internal/config"
+	experiments "robindrum/lab"
 )
 
 const small = "name: small\nlength: 3s\nload: {rate: 100}\n"
--- a/internal/lab/live_test.go
+++ b/internal/lab/live_test.go
@@ -20,8 +20,8 @@
 
 	"pgregory.net/rapid"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/config"
+	"robindrum/internal/fakes"
 )
 
 // binary builds the program once.
@@ -31,7 +31,7 @@
 		return "", err
 	}
 	path := filepath.Join(dir, "robindrum")
-	out, err := exec.Command("go", "build", "-o", path, "arrowhitch/cmd/robindrum").CombinedOutput()
+	out, err := exec.Command("go", "build", "-o", path, "robindrum/cmd/robindrum").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("%w\n%s", err, out)
 	}
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -21,8 +21,8 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/logic"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/logic"
 )
 
 // Bounds of the loopback engine: all of it runs on one machine, in real time.
--- a/internal/lab/model.go
+++ b/internal/lab/model.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"arrowhitch/internal/config"
+	"robindrum/internal/config"
 )
 
 // What both engines share: service times, speeds, arrivals and the timeline. The same seed gives both the same arrivals.
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -12,8 +12,8 @@
 	"text/tabwriter"
 	"time"
 
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/config"
+	"robindrum/internal/capture"
+	"robindrum/internal/config"
 )
 
 // Goal is what a class is to get: this part of its requests served in time.
--- a/internal/lab/plan_test.go
+++ b/internal/lab/plan_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/capture"
+	"robindrum/internal/capture"
 )
 
 // captured makes a capture: a Poisson load of two classes, with keys of a Zipf spread.
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/release"
+	"robindrum/internal/order"
+	"robindrum/internal/release"
 )
 
 // Rollout is a release of a version of the program over a simulated fleet: the quorum's own books of orders and releases, gateways
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/internal/standin/fleet"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/internal/standin/fleet"
+	"robindrum/logic"
 )
 
 // The words of the file, and what they are in the simulation.
--- a/internal/lab/trace.go
+++ b/internal/lab/trace.go
@@ -11,8 +11,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"arrowhitch/internal/capture"
-	"arrowhitch/internal/config"
+	"robindrum/internal/capture"
+	"robindrum/internal/config"
 )
 
 // Trace is a captured load as an open loop, in place of a rate.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -22,7 +22,7 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/keep"
+	"robindrum/internal/keep"
 )
 
 // Bounds of a table. Danger: names and members come from outside, and the table is in every snapshot.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -17,7 +17,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"arrowhitch/internal/peer"
+	"robindrum/internal/peer"
 )
 
 // streamKind is how memberlist's TCP connections call themselves.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/discovery"
-	"arrowhitch/logic"
+	"robindrum/internal/discovery"
+	"robindrum/logic"
 )
 
 // Health is what a source says of an endpoint, in the words of Envoy's HealthStatus.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 
 	"pgregory.net/rapid"
 )
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/backend"
+	"robindrum/internal/backend"
 )
 
 const (
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/backend"
+	"robindrum/internal/backend"
 )
 
 const (
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/discovery"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/discovery"
+	"robindrum/logic"
 )
 
 const (
--- a/internal/node/crossings_test.go
+++ b/internal/node/crossings_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // A client has sent the first bytes of another request, and then leaves: that is seen, and what it waited for is not sent.
--- a/internal/node/crowd_test.go
+++ b/internal/node/crowd_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/backend"
+	"robindrum/internal/fakes"
 )
 
 // Clients that say nothing connect faster than any of them gets old: on a clock that all but stands still. One whose request is a
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/logic"
 )
 
 // reroutes is how often a request may be routed: its core can be retired while its body comes.
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -9,8 +9,8 @@
 	"sync"
 	"testing"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/backend"
+	"robindrum/internal/fakes"
 )
 
 // holdReaders has nothing more read from the clients there are until it is ended: as on a node so busy that the goroutines
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/discovery"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/discovery"
+	"robindrum/logic"
 )
 
 // Node is the platform's balancer node: one front before one core, fed by the platform's discovery.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/discovery"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/discovery"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/node/over_test.go
+++ b/internal/node/over_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 // wholes sends to came each request that came whole, and answers it.
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/discovery"
-	"arrowhitch/internal/fakes"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/discovery"
+	"robindrum/internal/fakes"
+	"robindrum/logic"
 )
 
 // The clocks of clients and backends, and how long a busy machine may take between two of their readings.
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/keep"
+	"robindrum/internal/keep"
 )
 
 // Bounds: texts come from outside, and the book is in every snapshot.
--- a/internal/peer/cut_test.go
+++ b/internal/peer/cut_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // A node that is cut off from an address neither calls it nor has a packet come there, and others are reached; then it is whole again.
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"testing"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // What one node sends the other one gets, by calls, streams and packets, and each is counted once.
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/peer"
+	"robindrum/internal/peer"
 )
 
 // ErrNone is that no leader answered in time. Whether the command was agreed on is not known.
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/peer"
+	"robindrum/internal/fakes"
+	"robindrum/internal/peer"
 )
 
 // standIns are three voters that answer as they are told: at is which of them, n how many asks there were.
--- a/internal/quorum/former_test.go
+++ b/internal/quorum/former_test.go
@@ -11,10 +11,10 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/peer"
+	"robindrum/internal/fakes"
+	"robindrum/internal/lease"
+	"robindrum/internal/order"
+	"robindrum/internal/peer"
 )
 
 // formerFolder copies the folder of a voter that an earlier version wrote (tools/fixtures/write).
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -29,9 +29,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/release"
+	"robindrum/internal/order"
+	"robindrum/internal/peer"
+	"robindrum/internal/release"
 )
 
 // Voter is one of those that decide.
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -14,9 +14,9 @@
 	"github.com/hashicorp/raft"
 	"pgregory.net/rapid"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/peer"
+	"robindrum/internal/fakes"
+	"robindrum/internal/lease"
+	"robindrum/internal/peer"
 )
 
 // faulty is a disk that fails where it is told to.
--- a/internal/quorum/state.go
+++ b/internal/quorum/state.go
@@ -14,10 +14,10 @@
 
 	"github.com/hashicorp/raft"
 
-	"arrowhitch/internal/keep"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/release"
+	"robindrum/internal/keep"
+	"robindrum/internal/lease"
+	"robindrum/internal/order"
+	"robindrum/internal/release"
 )
 
 // Op is what a command does.
--- a/internal/release/pace.go
+++ b/internal/release/pace.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/order"
+	"robindrum/internal/order"
 )
 
 // restarts begins the ids of the orders that Pace asks for.
--- a/internal/release/pace_test.go
+++ b/internal/release/pace_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"arrowhitch/internal/order"
+	"robindrum/internal/order"
 )
 
 // programs is a fleet of supervised gateways with both books.
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -18,8 +18,8 @@
 	"strings"
 	"time"
 
-	"arrowhitch/internal/keep"
-	"arrowhitch/internal/order"
+	"robindrum/internal/keep"
+	"robindrum/internal/order"
 )
 
 // Bounds: texts come from outside, and the book is in every snapshot.
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -10,7 +10,7 @@
 import (
 	"time"
 
-	"arrowhitch/internal/lease"
+	"robindrum/internal/lease"
 )
 
 // Options are the times.
--- a/internal/standin/cluster/audit.go
+++ b/internal/standin/cluster/audit.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/lease"
+	"robindrum/internal/fleet"
+	"robindrum/internal/lease"
 )
 
 // Act is one post that came.
--- a/internal/standin/cluster/build.go
+++ b/internal/standin/cluster/build.go
@@ -63,7 +63,7 @@
 }
 
 func build(ctx context.Context, path string, tags []string) (string, error) {
-	out, err := exec.CommandContext(ctx, "go", "build", "-tags", strings.Join(tags, ","), "-o", path, "arrowhitch/cmd/robindrum").CombinedOutput()
+	out, err := exec.CommandContext(ctx, "go", "build", "-tags", strings.Join(tags, ","), "-o", path, "robindrum/cmd/robindrum").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("building robindrum: %w\n%s", err, out)
 	}
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -17,11 +17,11 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/gateway"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/standin/proc"
+	"robindrum/internal/fleet"
+	"robindrum/internal/gateway"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/standin/proc"
 )
 
 // Options are what a cluster is made of.
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/fakes"
+	"robindrum/internal/fleet"
+	"robindrum/internal/lease"
+	"robindrum/internal/members"
+	"robindrum/internal/quorum"
 )
 
 // folder has the built programs.
--- a/internal/standin/cluster/drains.go
+++ b/internal/standin/cluster/drains.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/order"
+	"robindrum/internal/order"
 )
 
 // DrainOptions are how schedules of drains are played.
--- a/internal/standin/cluster/history.go
+++ b/internal/standin/cluster/history.go
@@ -11,10 +11,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/fleet"
+	"robindrum/internal/lease"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
 )
 
 // asked is one operation of a history: a command that one voter was asked for once.
--- a/internal/standin/cluster/orders_test.go
+++ b/internal/standin/cluster/orders_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
+	"robindrum/internal/fakes"
+	"robindrum/internal/fleet"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
 )
 
 // Drains of gateways and endpoints under load, within what may be out: asked for by all at once, with one dead, through a kill and a
--- a/internal/standin/cluster/releases.go
+++ b/internal/standin/cluster/releases.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
+	"robindrum/internal/fleet"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
 )
 
 // ReleaseVerdict is what came of one schedule of releases.
--- a/internal/standin/cluster/releases/releases_test.go
+++ b/internal/standin/cluster/releases/releases_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
-	"arrowhitch/internal/standin/cluster"
+	"robindrum/internal/fakes"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
+	"robindrum/internal/standin/cluster"
 )
 
 // The longest that what has to come may take, and the lease of all tests.
--- a/internal/standin/cluster/site.go
+++ b/internal/standin/cluster/site.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/origin"
 )
 
 // Site is gateways of one site, before the same servers and under the same control plane.
--- a/internal/standin/fleet/admission.go
+++ b/internal/standin/fleet/admission.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/logic"
 )
 
 // Admit gives the admissions of Options.Admission: a Controller each, with the classes of o.
--- a/internal/standin/fleet/admission_test.go
+++ b/internal/standin/fleet/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/logic"
 )
 
 const ms = time.Millisecond
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
-	"arrowhitch/internal/zone"
-	"arrowhitch/logic"
+	"robindrum/internal/zone"
+	"robindrum/logic"
 )
 
 // Mode is how gateways choose among zones.
--- a/internal/standin/fleet/restart.go
+++ b/internal/standin/fleet/restart.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 // Source is what tells gateways the list. One that starts has to ask it and is not ready before it was told; those that
--- a/internal/standin/hollow/askers.go
+++ b/internal/standin/hollow/askers.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/duty"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/duty"
+	"robindrum/internal/fleet"
+	"robindrum/internal/lease"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
 )
 
 // AskersOptions are what Askers are made of.
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
+	"robindrum/internal/config"
+	"robindrum/internal/fleet"
+	"robindrum/internal/members"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
 )
 
 // Options are what a Fleet is made of.
--- a/internal/standin/hollow/gateways.go
+++ b/internal/standin/hollow/gateways.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/release"
-	"arrowhitch/internal/share"
+	"robindrum/internal/fleet"
+	"robindrum/internal/order"
+	"robindrum/internal/peer"
+	"robindrum/internal/release"
+	"robindrum/internal/share"
 )
 
 // Gateways are hollow members that take orders and the subscription's news as gateways do, and serve nothing. Prepare is for
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/standin/hollow/hollow_test.go
@@ -12,13 +12,13 @@
 	"testing/synctest"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/members"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/share"
-	"arrowhitch/internal/standin/memnet"
+	"robindrum/internal/fakes"
+	"robindrum/internal/members"
+	"robindrum/internal/order"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
+	"robindrum/internal/share"
+	"robindrum/internal/standin/memnet"
 )
 
 // Bounds of the slopes: counts and bytes, never times. Each is some 1.4 times what was measured, so that twice as much is over it.
--- a/internal/standin/hollow/members.go
+++ b/internal/standin/hollow/members.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"arrowhitch/internal/members"
+	"robindrum/internal/members"
 )
 
 // MembersRow is what membership comes to at one size. A probe's time is the unit of rates, as all of membership's timers follow from it.
--- a/internal/standin/hollow/outage.go
+++ b/internal/standin/hollow/outage.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/internal/members"
+	"robindrum/internal/members"
 )
 
 // Outage is that many members are lost at once, and are back later.
--- a/internal/standin/hollow/outage_test.go
+++ b/internal/standin/hollow/outage_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/members"
+	"robindrum/internal/members"
 )
 
 // Bounds of what a member sends for each one that is lost, and for each that is back, beyond what it sends idle: some 1.4 times the most
--- a/internal/standin/hollow/sizes_test.go
+++ b/internal/standin/hollow/sizes_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/standin/memnet"
+	"robindrum/internal/standin/memnet"
 )
 
 var (
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/origin"
 )
 
 func TestLink(t *testing.T) {
--- a/internal/try/lease.go
+++ b/internal/try/lease.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"arrowhitch/internal/standin/cluster"
+	"robindrum/internal/standin/cluster"
 )
 
 // leaseLength is short enough to watch.
--- a/internal/try/loss.go
+++ b/internal/try/loss.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"strings"
 
-	"arrowhitch/internal/gateway"
+	"robindrum/internal/gateway"
 )
 
 // loss is the story of a zone that goes dark and comes back.
--- a/internal/try/overload.go
+++ b/internal/try/overload.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"arrowhitch/internal/gateway"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/gateway"
+	"robindrum/internal/standin/origin"
 )
 
 // What two servers of four workers do, 25 ms a request, and the parts of the play between which they are asked for three
--- a/internal/try/release.go
+++ b/internal/try/release.go
@@ -8,10 +8,10 @@
 	"os"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
-	"arrowhitch/internal/standin/cluster"
+	"robindrum/internal/fleet"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
+	"robindrum/internal/standin/cluster"
 )
 
 // goodSections are released: they change nothing for clients.
--- a/internal/try/try.go
+++ b/internal/try/try.go
@@ -21,10 +21,10 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/gateway"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/config"
+	"robindrum/internal/gateway"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/origin"
 )
 
 // configuration is the gateway's; the control plane's address stands for the %s.
--- a/internal/try/try_test.go
+++ b/internal/try/try_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // The play goes through all its scenes and breaks no rule, on a terminal and elsewhere.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 // Batch is one line of input.
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -11,8 +11,8 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	"arrowhitch/internal/fakes"
-	"arrowhitch/internal/standin/controlplane"
+	"robindrum/internal/fakes"
+	"robindrum/internal/standin/controlplane"
 )
 
 // table of what a client told its sink.
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 func fileOf(ports ...int) string {
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"pgregory.net/rapid"
 
-	"arrowhitch/internal/standin/controlplane"
+	"robindrum/internal/standin/controlplane"
 )
 
 const sec = time.Second
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -25,7 +25,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"arrowhitch/internal/membership"
+	"robindrum/internal/membership"
 )
 
 // Type is a resource type's URL.
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"arrowhitch/internal/membership"
-	"arrowhitch/internal/route"
+	"robindrum/internal/membership"
+	"robindrum/internal/route"
 )
 
 func read[M proto.Message](t testing.TB, m M, text string) M {
--- a/internal/xds/routes.go
+++ b/internal/xds/routes.go
@@ -9,7 +9,7 @@
 	routev3 "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
 	matcherv3 "github.com/envoyproxy/go-control-plane/envoy/type/matcher/v3"
 
-	"arrowhitch/internal/route"
+	"robindrum/internal/route"
 )
 
 // Routes is a RouteConfiguration in the words of package route.
--- a/internal/zone/place.go
+++ b/internal/zone/place.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 // place is a locality as the book knows it.
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -18,8 +18,8 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/limit"
-	"arrowhitch/logic"
+	"robindrum/internal/limit"
+	"robindrum/logic"
 )
 
 // State is what a locality is taken to be.
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 const ms = time.Millisecond
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/logic"
+	"robindrum/logic"
 )
 
 // printer is a Host that tells what it was asked to do.
--- a/tools/measure/capacity.go
+++ b/tools/measure/capacity.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"arrowhitch/internal/standin/hollow"
+	"robindrum/internal/standin/hollow"
 )
 
 // target is the size that the figures are told for.
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -8,13 +8,13 @@
 	"strconv"
 	"time"
 
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
-	"arrowhitch/internal/standin/cluster"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/hollow"
+	"robindrum/internal/fleet"
+	"robindrum/internal/order"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
+	"robindrum/internal/standin/cluster"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/hollow"
 )
 
 // program makes a folder with the program, for processes.
--- a/tools/measure/capacity_limits.go
+++ b/tools/measure/capacity_limits.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/internal/order"
-	"arrowhitch/internal/standin/cluster"
-	"arrowhitch/internal/standin/controlplane"
+	"robindrum/internal/order"
+	"robindrum/internal/standin/cluster"
+	"robindrum/internal/standin/controlplane"
 )
 
 // capacityLimits asks for a drain where a site has so many clusters of the users' 29 endpoints: sizes are clusters. The quorum's book has
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -18,8 +18,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"arrowhitch/internal/lab"
-	"arrowhitch/internal/standin/controlplane"
+	"robindrum/internal/lab"
+	"robindrum/internal/standin/controlplane"
 )
 
 // The users' size, of one gateway.
--- a/tools/measure/capacity_test.go
+++ b/tools/measure/capacity_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"arrowhitch/internal/fakes"
+	"robindrum/internal/fakes"
 )
 
 // TestMain is the program itself where it is started as a child, or to be interrupted.
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"arrowhitch/internal/standin/cluster"
+	"robindrum/internal/standin/cluster"
 )
 
 // mostSchedules bounds a campaign.
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -15,13 +15,13 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"arrowhitch/internal/duty"
-	"arrowhitch/internal/fleet"
-	"arrowhitch/internal/lease"
-	"arrowhitch/internal/peer"
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/standin/cluster"
-	"arrowhitch/internal/standin/origin"
+	"robindrum/internal/duty"
+	"robindrum/internal/fleet"
+	"robindrum/internal/lease"
+	"robindrum/internal/peer"
+	"robindrum/internal/quorum"
+	"robindrum/internal/standin/cluster"
+	"robindrum/internal/standin/origin"
 )
 
 // built makes a folder with the program.
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -46,14 +46,14 @@
 	"syscall"
 	"time"
 
-	"arrowhitch/internal/backend"
-	"arrowhitch/internal/config"
-	"arrowhitch/internal/discovery"
-	"arrowhitch/internal/gateway"
-	"arrowhitch/internal/node"
-	"arrowhitch/internal/standin/controlplane"
-	"arrowhitch/internal/standin/origin"
-	"arrowhitch/logic"
+	"robindrum/internal/backend"
+	"robindrum/internal/config"
+	"robindrum/internal/discovery"
+	"robindrum/internal/gateway"
+	"robindrum/internal/node"
+	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/standin/origin"
+	"robindrum/logic"
 )
 
 func main() {
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"arrowhitch/internal/admit"
-	"arrowhitch/internal/standin/fleet"
-	"arrowhitch/logic"
+	"robindrum/internal/admit"
+	"robindrum/internal/standin/fleet"
+	"robindrum/logic"
 )
 
 // overload plays bursts and overloads on simulated time, each way of admission beside the others. The figures are the same
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -10,9 +10,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"arrowhitch/internal/quorum"
-	"arrowhitch/internal/release"
-	"arrowhitch/internal/standin/cluster"
+	"robindrum/internal/quorum"
+	"robindrum/internal/release"
+	"robindrum/internal/standin/cluster"
 )
 
 // Of the measurement of releases over processes.
--- a/tools/measure/zone.go
+++ b/tools/measure/zone.go
@@ -5,7 +5,7 @@
 	"os"
 	"time"
 
-	"arrowhitch/internal/standin/fleet"
+	"robindrum/internal/standin/fleet"
 )
 
 // zones plays the loss and the return of a zone on simulated time, side by side: tiers, none, plain failover. The figures
