--- a/cmd/arrowhitch/main.go
+++ b/cmd/robindrum-node/main.go
@@ -1,4 +1,4 @@
-// Arrowhitch is one load-balancer node. It is told everything by the file that PROXY_CONFIG names.
+// Robindrum-node is one load-balancer node. It is told everything by the file that PROXY_CONFIG names.
 package main
 
 import (
@@ -204,7 +204,7 @@
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "arrowhitch:", err)
+		fmt.Fprintln(os.Stderr, "robindrum-node:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/arrowhitch/main_test.go
+++ b/cmd/robindrum-node/main_test.go
@@ -23,7 +23,7 @@
 func TestMain(m *testing.M) {
 	os.Exit(func() int {
 		var err error
-		if programs, err = os.MkdirTemp("", "arrowhitch"); err != nil {
+		if programs, err = os.MkdirTemp("", "robindrum-node"); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
@@ -56,14 +56,14 @@
 			t.Errorf("%q %v", out, err)
 		}
 	})
-	t.Run("arrowhitch", func(t *testing.T) {
+	t.Run("robindrum-node", func(t *testing.T) {
 		b := fakes.NewBackend(t, func(fakes.Seen, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
 		listen := fakes.Refusing(t)
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(configText("", b.Addr, settings)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := exec.Command(filepath.Join(programs, "arrowhitch"))
+		cmd := exec.Command(filepath.Join(programs, "robindrum-node"))
 		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_LISTEN="+listen)
 		var log bytes.Buffer
 		cmd.Stderr = &log
@@ -114,10 +114,10 @@
 					t.Fatal(err)
 				}
 			}
-			cmd := exec.Command(filepath.Join(programs, "arrowhitch"))
+			cmd := exec.Command(filepath.Join(programs, "robindrum-node"))
 			cmd.Env = []string{"PROXY_CONFIG=" + path}
 			out, err := cmd.CombinedOutput()
-			if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "arrowhitch: ") {
+			if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "robindrum-node: ") {
 				t.Errorf("%s: %v, said %q", name, err, out)
 			}
 		}
@@ -155,7 +155,7 @@
 		return strings.Replace(configText(listen, b.Addr, settings), "127.0.0.1:1", addr, 1)
 	}
 	write(at(discovery("first")))
-	cmd := exec.Command(filepath.Join(programs, "arrowhitch"))
+	cmd := exec.Command(filepath.Join(programs, "robindrum-node"))
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
--- a/cmd/arrowhitch/signals_test.go
+++ b/cmd/robindrum-node/signals_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	p := &process{listen: fakes.Refusing(t), path: filepath.Join(t.TempDir(), "config.json")}
 	p.write(t, text(p.listen))
-	p.Cmd = command(filepath.Join(programs, "arrowhitch"))
+	p.Cmd = command(filepath.Join(programs, "robindrum-node"))
 	p.Env = append(os.Environ(), "PROXY_CONFIG="+p.path)
 	p.Stderr = &p.log
 	if err := p.Start(); err != nil {
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -28,17 +28,17 @@
 		}
 		return string(out)
 	}
-	node := deps("arrowhitch")
+	node := deps("robindrum-node")
 	for line := range strings.SplitSeq(node, "\n") {
 		if first, _, _ := strings.Cut(line, "/"); strings.Contains(first, ".") && !strings.HasPrefix(line, "vendor/") {
-			t.Errorf("arrowhitch links %s", line)
+			t.Errorf("robindrum-node links %s", line)
 		}
 		if line == "os/exec" { // the platform refuses to start other programs
-			t.Error("arrowhitch can start programs")
+			t.Error("robindrum-node can start programs")
 		}
 		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/standin", "internal/try", "internal/membership"} {
 			if strings.HasPrefix(line, "robindrum/"+p) {
-				t.Errorf("arrowhitch links %s", line)
+				t.Errorf("robindrum-node links %s", line)
 			}
 		}
 	}
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -281,7 +281,7 @@
 		if err := os.WriteFile(path, []byte(strings.Join(l, "\n")), 0o600); err != nil {
 			return err
 		}
-		p, err := start("arrowhitch", "@"+path)
+		p, err := start("robindrum-node", "@"+path)
 		if err != nil {
 			return err
 		}
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -1,6 +1,6 @@
 // Measure is the gateway's figures that anyone can take again, on loopback and in bounded time:
 //
-//	go run ./tools/measure proxy   requests a second and CPU a request: robindrum, arrowhitch, httputil.ReverseProxy
+//	go run ./tools/measure proxy   requests a second and CPU a request: robindrum, robindrum-node, httputil.ReverseProxy
 //	go run ./tools/measure push    time from a push to the last request that a removed endpoint gets
 //	go run ./tools/measure flood   memory and CPU under 200 updates a second for 10 s
 //	go run ./tools/measure size    memory and CPU by the number of clusters and endpoints
@@ -199,7 +199,7 @@
 		if err != nil {
 			return err
 		}
-		if args = []string{string(text)}; kind == "arrowhitch" {
+		if args = []string{string(text)}; kind == "robindrum-node" {
 			args = strings.Fields(args[0])
 		}
 	}
@@ -220,7 +220,7 @@
 		go func() { _ = s.Serve(l) }()
 		fmt.Println(l.Addr())
 		end = func() { s.Close() }
-	case "arrowhitch":
+	case "robindrum-node":
 		budget := backend.NewBudget(1024)
 		set := logic.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelTries: true,
 			Classes: []logic.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Effect: logic.Safe, Worth: 1}}}
@@ -362,7 +362,7 @@
 	kinds := []struct {
 		name string
 		args []string
-	}{{"robindrum", []string{conf}}, {"arrowhitch", origins}, {"reverse", origins[:1]}}
+	}{{"robindrum", []string{conf}}, {"robindrum-node", origins}, {"reverse", origins[:1]}}
 	type figure struct {
 		rate, cpu float64
 		refused   int64
