--- a/cmd/robindrum-node/main_test.go
+++ b/cmd/robindrum-node/main_test.go
@@ -49,8 +49,8 @@
 
 // Both programs, as they are deployed: each gives an answer, and the node ends well when it is told to.
 func TestPrograms(t *testing.T) {
-	t.Run("simhost", func(t *testing.T) {
-		cmd := exec.Command(filepath.Join(programs, "simhost"))
+	t.Run("robindrum-sim", func(t *testing.T) {
+		cmd := exec.Command(filepath.Join(programs, "robindrum-sim"))
 		cmd.Stdin = strings.NewReader(`{"now":1,"nodes":[]}` + "\n")
 		if out, err := cmd.Output(); err != nil || string(out) != `{"nodes":[]}`+"\n" {
 			t.Errorf("%q %v", out, err)
--- /dev/null
+++ b/cmd/robindrum-sim/main.go
@@ -0,0 +1,16 @@
+// Robindrum-sim hosts balancers on the simulator's wire: batches on standard input, replies on standard output.
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"robindrum/internal/wire"
+)
+
+func main() {
+	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "robindrum-sim:", err)
+		os.Exit(1)
+	}
+}
