--- a/cmd/robindrum/lab.go
+++ b/cmd/robindrum/lab.go
@@ -147,7 +147,7 @@
 	var page, plots string
 	c := &cobra.Command{Use: "run FILE|NAME", Short: "Run an experiment, from a file or by the name of one that comes with the program", Args: exactly(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			e, err := experiment(args[0], sets...)
+			e, err := openExperiment(args[0], sets...)
 			if err != nil {
 				return err
 			}
@@ -244,7 +244,7 @@
 			}
 			var l []lab.Calibration
 			for _, name := range args {
-				e, err := experiment(name)
+				e, err := openExperiment(name)
 				if err != nil {
 					return err
 				}
@@ -276,7 +276,7 @@
 	if strings.HasSuffix(name, ".json") {
 		return lab.ReadReport(name)
 	}
-	e, err := experiment(name, sets...)
+	e, err := openExperiment(name, sets...)
 	if err != nil {
 		return nil, err
 	}
@@ -284,7 +284,7 @@
 }
 
 // experiment reads a file, or one of those that come with the program where there is no such file, with some fields changed.
-func experiment(name string, sets ...string) (*lab.Experiment, error) {
+func openExperiment(name string, sets ...string) (*lab.Experiment, error) {
 	text, shipped := experiments.Read(name)
 	path := name + ".yaml"
 	if _, err := os.Stat(name); !shipped || err == nil {
@@ -305,7 +305,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, n := range experiments.Names() {
-				e, err := experiment(n)
+				e, err := openExperiment(n)
 				if err != nil {
 					return err
 				}
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -39,32 +39,32 @@
 
 func (g *Gateway) takeOrders(v order.View) {
 	var held []order.Target
-	var drain *order.Order
+	var own *order.Order
 	for i := range v.Out {
 		o := &v.Out[i]
 		switch {
 		case !o.State.Out():
 		case g.mine(o):
-			if drain == nil || drain.Restart == "" {
-				drain = o
+			if own == nil || own.Restart == "" {
+				own = o
 			}
 		case !o.Target.OfGateways():
 			held = append(held, o.Target)
 		}
 	}
-	if g.drain == nil && drain != nil {
+	if g.drain == nil && own != nil {
 		g.drainAt, g.expired = g.Now(), false
-		g.log.Info("taken out of service by an order", "id", drain.ID, "owner", drain.Owner, "reason", drain.Reason, "token", drain.Token)
+		g.log.Info("taken out of service by an order", "id", own.ID, "owner", own.Owner, "reason", own.Reason, "token", own.Token)
 	}
-	if g.drain != nil && drain == nil {
+	if g.drain != nil && own == nil {
 		g.log.Info("in service again", "id", g.drain.ID)
 	}
-	if drain != nil && drain.Restart != "" && (drain.State == order.Done || drain.State == order.Overdue) {
-		g.fleet.Restart(drain.Restart)
+	if own != nil && own.Restart != "" && (own.State == order.Done || own.State == order.Overdue) {
+		g.fleet.Restart(own.Restart)
 	}
-	g.drain = drain
-	g.front.Closing(drain != nil)
-	g.refuses.Store(drain != nil && g.Now()-g.drainAt >= drain.Notice)
+	g.drain = own
+	g.front.Closing(own != nil)
+	g.refuses.Store(own != nil && g.Now()-g.drainAt >= own.Notice)
 	old := g.held
 	g.held = held
 	if slices.Equal(old, held) {
--- a/internal/standin/cluster/orders_test.go
+++ b/internal/standin/cluster/orders_test.go
@@ -59,12 +59,12 @@
 			return false
 		})
 	}
-	drain := func(id string, at int, t order.Target) (order.Order, error) {
+	orderDrain := func(id string, at int, t order.Target) (order.Order, error) {
 		return s.Nodes[at].Order("drain", order.Order{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
 	}
 	gateway := func(i int) order.Target { return order.Target{Gateway: s.Nodes[i].Name} }
 	comes(t, "the gateways to be known", func() bool {
-		o, err := drain("first", 0, gateway(4))
+		o, err := orderDrain("first", 0, gateway(4))
 		return err == nil && o.State != order.Asked && o.State != order.Refused
 	})
 	gets("first", order.Done)
@@ -75,7 +75,7 @@
 	// All at once: one more may be out, whoever asks.
 	var work sync.WaitGroup
 	for i := range 4 {
-		work.Go(func() { _, _ = drain(fmt.Sprint("all", i), i, gateway(i)) })
+		work.Go(func() { _, _ = orderDrain(fmt.Sprint("all", i), i, gateway(i)) })
 	}
 	work.Wait()
 	granted := ""
@@ -127,7 +127,7 @@
 		var l quorum.Orders
 		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && len(l.Budgets[0].Out) == 2
 	})
-	if o, err := drain("more", 0, gateway(0)); err != nil || o.State != order.Asked {
+	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != order.Asked {
 		t.Errorf("with two out: %+v, %v", o, err)
 	}
 	if o, _ := s.Nodes[0].Orders(); !strings.Contains(o["more"].Why, "2 of 5 are out") && !strings.Contains(o["more"].Why, "budget g") {
@@ -155,7 +155,7 @@
 	// An endpoint: nothing new within a second, also from a gateway that was cut off and comes back.
 	s.Alone(s.Nodes[4], Way{Cut: true})
 	e := order.Target{Cluster: "c", Endpoint: s.Origins[0].Addr}
-	o, err := drain("e", 0, e)
+	o, err := orderDrain("e", 0, e)
 	if err != nil || o.State == order.Refused {
 		t.Fatalf("%+v, %v", o, err)
 	}
@@ -166,7 +166,7 @@
 	if n := s.Origins[0].After(healed.Add(time.Second)); n != 0 {
 		t.Errorf("%d requests to an endpoint that is out", n)
 	}
-	if o, err := drain("f", 1, order.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != order.Asked {
+	if o, err := orderDrain("f", 1, order.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != order.Asked {
 		t.Errorf("a second one: %+v, %v", o, err)
 	}
 	if _, err := s.Nodes[2].Order("undrain", order.Order{ID: "e"}); err != nil {
@@ -180,7 +180,7 @@
 	for _, n := range s.Nodes[:2] {
 		n.Kill()
 	}
-	if o, err := drain("none", 2, gateway(4)); err == nil {
+	if o, err := orderDrain("none", 2, gateway(4)); err == nil {
 		t.Errorf("granted without a quorum: %+v", o)
 	}
 	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
--- a/internal/standin/cluster/releases/releases_test.go
+++ b/internal/standin/cluster/releases/releases_test.go
@@ -94,7 +94,7 @@
 		before, _ := a.Last()
 		comes(t, "an act, "+what, func() bool { x, _ := a.Last(); return x.At > before.At })
 	}
-	drain := func(by int, id string) (order.Order, error) {
+	orderDrain := func(by int, id string) (order.Order, error) {
 		return s.Nodes[by].Order("drain", order.Order{ID: id, Target: order.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
 	}
 	restart := func(n *cluster.Node, binary string) {
@@ -118,7 +118,7 @@
 		comes(t, "an order to be refused for it", func() bool {
 			tries++
 			id := fmt.Sprint("early", tries)
-			_, err := drain(0, id)
+			_, err := orderDrain(0, id)
 			if err == nil {
 				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].Order("undrain", order.Order{ID: id}); return err == nil })
 				restart(s.Nodes[2], old)
@@ -127,7 +127,7 @@
 		})
 		comes(t, "nothing to be out", s.Nodes[3].Ready)
 	}
-	comes(t, "an order to be taken", func() bool { _, err := drain(1, "late"); return err == nil })
+	comes(t, "an order to be taken", func() bool { _, err := orderDrain(1, "late"); return err == nil })
 	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == order.Done })
 	if _, err := s.Nodes[2].Order("undrain", order.Order{ID: "late"}); err != nil {
 		t.Fatal(err)
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -69,7 +69,7 @@
 	var err error
 	switch flag.Arg(0) {
 	case "proxy":
-		err = proxy(min(*requests, 200000), min(*rounds, 20))
+		err = measureProxy(min(*requests, 200000), min(*rounds, 20))
 	case "push":
 		err = push(min(*updates, 5000))
 	case "flood":
@@ -346,7 +346,7 @@
 	return took, no.Load(), err
 }
 
-func proxy(n, rounds int) error {
+func measureProxy(n, rounds int) error {
 	machine()
 	var origins []string
 	for range 2 {
