--- a/logic/admission.go
+++ b/balancer/admission.go
@@ -1,6 +1,6 @@
 // What the module is told where something else says which requests may start. It decides nothing here: it asks.
 
-package logic
+package balancer
 
 import "time"
 
--- a/logic/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package logic decides where a proxy sends each HTTP request: two ready servers are drawn at random and the
+// Package balancer decides where a proxy sends each HTTP request: two ready servers are drawn at random and the
 // one with fewer of this proxy's own requests in flight is taken.
 //
 // # Who calls what
@@ -12,7 +12,7 @@
 // A Balancer starts no goroutine, reads no clock and keeps no global state. It must be called from one
 // goroutine at a time, and the Host must not call back into it. The same settings, seed and events give the
 // same actions. The clock is a reading that never goes back; its origin does not matter.
-package logic
+package balancer
 
 import (
 	"errors"
--- a/logic/cold_test.go
+++ b/balancer/cold_test.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import (
 	"fmt"
--- /dev/null
+++ b/balancer/example_test.go
@@ -0,0 +1,30 @@
+package balancer_test
+
+import (
+	"fmt"
+	"time"
+
+	"robindrum/balancer"
+)
+
+// printer is a Host that tells what it was asked to do.
+type printer struct{ balancer.Host }
+
+func (printer) Send(id, server string, _ time.Duration)    { fmt.Println("send", id, "to", server) }
+func (printer) SetTimer(token uint64, after time.Duration) {}
+
+func Example() {
+	b, err := balancer.New(balancer.Settings{
+		Classes: []balancer.Class{{Name: "page", Aim: 100 * time.Millisecond, Deadline: time.Second}},
+	}, 1, printer{})
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	now := 5 * time.Second // any clock that does not go back
+	b.Fleet(now, balancer.FleetUpdate{Kind: balancer.FleetRemembered, Servers: []balancer.Server{{ID: "a", Weight: 1}}})
+	b.Request(now, balancer.Request{ID: "r1", Class: "page", Left: time.Second})
+	now += 20 * time.Millisecond
+	b.Outcome(now, balancer.Outcome{ID: "r1", Result: balancer.Served, Took: 20 * time.Millisecond, Done: true})
+	// Output: send r1 to a
+}
--- a/logic/logic.go
+++ b/balancer/logic.go
@@ -1,4 +1,4 @@
-package logic // the interface (settings, events, actions) is in api.go, plain records are in state.go
+package balancer // the interface (settings, events, actions) is in api.go, plain records are in state.go
 
 import (
 	"cmp"
--- a/logic/state.go
+++ b/balancer/state.go
@@ -1,6 +1,6 @@
-// The records that logic.go keeps. Nothing is decided here.
+// The records that balancer.go keeps. Nothing is decided here.
 
-package logic
+package balancer
 
 import (
 	"math"
--- a/logic/tiers.go
+++ b/balancer/tiers.go
@@ -1,6 +1,6 @@
 // What the module is told where zones have tiers of preference. It decides nothing here: it asks.
 
-package logic
+package balancer
 
 import "time"
 
--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -17,11 +17,11 @@
 	"syscall"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
 	"robindrum/internal/node"
 	"robindrum/internal/wire"
-	"robindrum/logic"
 )
 
 // config is the file's contents.
@@ -167,8 +167,8 @@
 	budget := backend.NewBudget(sockets - spareSockets)
 	pool := backend.NewPool(backend.Options{ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.ConnIdle, Rest: answerRest}, budget)
 	opt := node.Options{Settings: settings, Seed: seed, MaxOpen: c.Settings.Caps.MaxOpen, BodyBytes: memory * 3 / 10,
-		Budget: budget, ProbePath: "/health/live", LoadReports: settings.Report != logic.ReportNone}
-	if settings.Report == logic.ReportProbes {
+		Budget: budget, ProbePath: "/health/live", LoadReports: settings.Report != balancer.ReportNone}
+	if settings.Report == balancer.ReportProbes {
 		opt.ProbePath = "/stats"
 	}
 	n, err := node.New(opt, pool)
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -42,7 +42,7 @@
 			}
 		}
 	}
-	if !strings.Contains(node, "robindrum/logic") {
+	if !strings.Contains(node, "robindrum/balancer") {
 		t.Error("the list of what is linked is not one")
 	}
 	// The same look at the gateway finds them: the test can fail.
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -18,8 +18,8 @@
 	"slices"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/limit"
-	"robindrum/logic"
 )
 
 // Mode is what bounds the requests in flight.
@@ -287,24 +287,24 @@
 }
 
 // Arrive decides about a request.
-func (c *Controller) Arrive(now time.Duration, a logic.Arrival) (logic.Verdict, time.Duration) {
+func (c *Controller) Arrive(now time.Duration, a balancer.Arrival) (balancer.Verdict, time.Duration) {
 	now = c.tick(now)
 	c.retries.earn(now)
 	k, p := c.class(a.Class, a.High), c.of(a.High)
 	k.arrivals.add(now)
 	if p.waiting == 0 && c.room(a.High) {
 		c.start(now, a.High)
-		return logic.Start, 0
+		return balancer.Start, 0
 	}
 	wait := c.mayWait(k, a.Left)
 	if standing := k.waiting > 0 && now-k.since > wait; standing {
 		wait /= 8 // it is not a burst that passes
 	}
 	if c.prospect(now, k, a.Tenant) > wait {
-		return logic.Refuse, c.refuse(now, k, NoProspect)
+		return balancer.Refuse, c.refuse(now, k, NoProspect)
 	}
 	if !c.fits(k, a.Size) || p.waiting >= p.MaxPending && !c.displace(now, k, a.Tenant) {
-		return logic.Refuse, c.refuse(now, k, QueueFull)
+		return balancer.Refuse, c.refuse(now, k, QueueFull)
 	}
 	if k.waiting == 0 {
 		k.since = now
@@ -317,7 +317,7 @@
 	}
 	c.queue.add(k, a, now+wait)
 	p.waiting++
-	return logic.Wait, wait
+	return balancer.Wait, wait
 }
 
 func (c *Controller) start(now time.Duration, high bool) {
@@ -491,7 +491,7 @@
 }
 
 // Next gives a request that waited and is to start, or to be refused.
-func (c *Controller) Next(now time.Duration) (uint64, logic.Verdict, time.Duration, bool) {
+func (c *Controller) Next(now time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
 	now = c.tick(now)
 	c.Short(now)
 	for e := c.queue.overdue(now); e != nil; e = c.queue.overdue(now) {
@@ -500,7 +500,7 @@
 	if n := len(c.queue.dropped); n > 0 {
 		d := c.queue.dropped[n-1]
 		c.queue.dropped = c.queue.dropped[:n-1]
-		return d.seq, logic.Refuse, d.after, true
+		return d.seq, balancer.Refuse, d.after, true
 	}
 	k := c.turn()
 	if k == nil {
@@ -512,7 +512,7 @@
 	c.queue.free(e)
 	c.queued++
 	c.start(now, k.highPriority)
-	return seq, logic.Start, 0, true
+	return seq, balancer.Start, 0, true
 }
 
 // remove takes a request out of those that wait.
@@ -570,13 +570,13 @@
 }
 
 // Ended takes how an attempt went.
-func (c *Controller) Ended(now time.Duration, s logic.Sample) {
+func (c *Controller) Ended(now time.Duration, s balancer.Sample) {
 	now = c.tick(now)
 	if s.Retry {
 		p := c.of(s.High)
 		p.retries = max(p.retries-1, 0)
 	}
-	if s.Result == logic.Cancelled || s.Result == logic.NotSent {
+	if s.Result == balancer.Cancelled || s.Result == balancer.NotSent {
 		return
 	}
 	k := c.class(s.Class, s.High)
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 const ms = time.Millisecond
@@ -30,15 +30,15 @@
 	return c
 }
 
-func (c *Controller) ask(now time.Duration, seq uint64, class, tenant string) logic.Verdict {
-	v, _ := c.Arrive(now, logic.Arrival{Seq: seq, Class: class, Tenant: tenant, Left: 2 * time.Second})
+func (c *Controller) ask(now time.Duration, seq uint64, class, tenant string) balancer.Verdict {
+	v, _ := c.Arrive(now, balancer.Arrival{Seq: seq, Class: class, Tenant: tenant, Left: 2 * time.Second})
 	return v
 }
 
 func (c *Controller) answered(t *testing.T, now, took time.Duration, class string) {
 	t.Helper()
 	c.Done(now, false)
-	c.Ended(now, logic.Sample{Class: class, Sent: now - took, Took: took, Result: logic.Served})
+	c.Ended(now, balancer.Sample{Class: class, Sent: now - took, Took: took, Result: balancer.Served})
 }
 
 // starts gives what starts until nothing more may.
@@ -48,7 +48,7 @@
 		if !ok {
 			return l
 		}
-		if v == logic.Start {
+		if v == balancer.Start {
 			l = append(l, seq)
 		}
 	}
@@ -60,7 +60,7 @@
 	c.ask(0, 1, "map", "")
 	for i := range uint64(60) {
 		for j, class := range []string{"map", "hold", "pay"} {
-			if v := c.ask(0, 10+3*i+uint64(j), class, ""); v != logic.Wait {
+			if v := c.ask(0, 10+3*i+uint64(j), class, ""); v != balancer.Wait {
 				t.Fatalf("verdict %d", v)
 			}
 		}
@@ -84,11 +84,11 @@
 	for i := range uint64(40) {
 		c.ask(0, 100+i, "map", "flood")
 	}
-	if v := c.ask(0, 200, "map", "flood"); v != logic.Refuse {
+	if v := c.ask(0, 200, "map", "flood"); v != balancer.Refuse {
 		t.Errorf("one more of those that flood: verdict %d", v)
 	}
 	for i := range uint64(5) {
-		if v := c.ask(0, 300+i, "map", "small"); v != logic.Wait {
+		if v := c.ask(0, 300+i, "map", "small"); v != balancer.Wait {
 			t.Fatalf("a small tenant beside a flood: verdict %d", v)
 		}
 	}
@@ -104,7 +104,7 @@
 	if small != 5 || c.refused[Displaced] != 5 {
 		t.Errorf("%d of 5 starts in 10, %d displaced", small, c.refused[Displaced])
 	}
-	if v := c.ask(0, 400, "pay", "flood"); v != logic.Wait {
+	if v := c.ask(0, 400, "pay", "flood"); v != balancer.Wait {
 		t.Errorf("what is worth more: verdict %d", v)
 	}
 }
@@ -118,7 +118,7 @@
 	if l := c.starts(260 * ms); len(l) != 0 {
 		t.Errorf("%v start while one is in flight", l)
 	}
-	if seq, v, after, ok := c.Next(271 * ms); !ok || seq != 2 || v != logic.Refuse || after <= 0 {
+	if seq, v, after, ok := c.Next(271 * ms); !ok || seq != 2 || v != balancer.Refuse || after <= 0 {
 		t.Errorf("%d: verdict %d, come back in %v", seq, v, after)
 	}
 	if c.refused[Waited] != 1 || c.queue.n != 1 {
@@ -200,7 +200,7 @@
 			c.answered(t, now, now-sent, "map")
 		}
 		if i%5 == 0 { // 200 a second, one of eight long: 125 in flight
-			if v := c.ask(now, uint64(i+1), "map", ""); v != logic.Start {
+			if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Start {
 				t.Fatalf("verdict %d at %v, limit %d, %d in flight", v, now, c.bound(), c.active)
 			}
 			at := now + 5*ms
@@ -243,11 +243,11 @@
 	before := c.bound()
 	for i := range 20000 {
 		now := time.Duration(i+1) * ms
-		if v := c.ask(now, uint64(i+1), "map", ""); v != logic.Start {
+		if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Start {
 			t.Fatalf("verdict %d", v)
 		}
 		c.Done(now+ms, false)
-		c.Ended(now+ms, logic.Sample{Class: "map", Sent: now, Took: ms, Result: []logic.Result{logic.Errored, logic.ConnLost, logic.NotConnected}[i%3]})
+		c.Ended(now+ms, balancer.Sample{Class: "map", Sent: now, Took: ms, Result: []balancer.Result{balancer.Errored, balancer.ConnLost, balancer.NotConnected}[i%3]})
 	}
 	if c.bound() != before {
 		t.Errorf("limit %d, %d before", c.bound(), before)
@@ -267,7 +267,7 @@
 		if !ok {
 			break
 		}
-		if v == logic.Refuse && after > 0 && after <= c.opt.MostAdvice {
+		if v == balancer.Refuse && after > 0 && after <= c.opt.MostAdvice {
 			refused++
 		}
 	}
@@ -280,7 +280,7 @@
 	if c.bound() < before || c.active != 0 {
 		t.Errorf("limit %d, %d in flight", c.bound(), c.active)
 	}
-	c.Arrive(ms, logic.Arrival{Seq: 99, Class: "map", Left: time.Second}) // time that goes back
+	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", Left: time.Second}) // time that goes back
 	if c.now != now {
 		t.Errorf("the time went back to %v", c.now)
 	}
@@ -316,7 +316,7 @@
 		if n := spend(0); n != 3 {
 			t.Errorf("%s: %d in flight", name, n)
 		}
-		c.Ended(0, logic.Sample{Class: "map", Retry: true, Result: logic.Cancelled})
+		c.Ended(0, balancer.Sample{Class: "map", Retry: true, Result: balancer.Cancelled})
 		if n := spend(0); n != 1 {
 			t.Errorf("%s: %d more as one has ended", name, n)
 		}
@@ -338,15 +338,15 @@
 		o.Breakers = Breakers{MaxRequests: 2, MaxPending: 1, MaxRetries: 1}
 		o.High = Breakers{MaxRequests: 2, MaxPending: 2, MaxRetries: 2}
 	})
-	ask := func(seq uint64, high bool) logic.Verdict {
-		v, _ := c.Arrive(0, logic.Arrival{Seq: seq, Class: "map", High: high, Left: time.Second})
+	ask := func(seq uint64, high bool) balancer.Verdict {
+		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: "map", High: high, Left: time.Second})
 		return v
 	}
 	for i, want := range []struct {
 		high bool
-		v    logic.Verdict
-	}{{false, logic.Start}, {false, logic.Start}, {false, logic.Wait}, {false, logic.Refuse}, {true, logic.Start}, {true, logic.Wait}, {true, logic.Wait},
-		{true, logic.Refuse}} {
+		v    balancer.Verdict
+	}{{false, balancer.Start}, {false, balancer.Start}, {false, balancer.Wait}, {false, balancer.Refuse}, {true, balancer.Start}, {true, balancer.Wait}, {true, balancer.Wait},
+		{true, balancer.Refuse}} {
 		if v := ask(uint64(i), want.high); v != want.v {
 			t.Errorf("request %d, high %v: verdict %d, want %d", i, want.high, v, want.v)
 		}
@@ -369,7 +369,7 @@
 			t.Errorf("high %v: %d retries in flight, want %d", high, n, want)
 		}
 	}
-	if c.Ended(0, logic.Sample{Class: "map", High: true, Retry: true, Result: logic.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
+	if c.Ended(0, balancer.Sample{Class: "map", High: true, Retry: true, Result: balancer.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
 		t.Error("a retry of HIGH ended: one more of HIGH may be made, none of DEFAULT")
 	}
 }
@@ -378,19 +378,19 @@
 func TestWaitingBytes(t *testing.T) {
 	c := controller(t, func(o *Options) { o.Mode, o.Limit, o.PendingBytes = Fixed, 1, 100 })
 	seq := uint64(0)
-	ask := func(class string, size int64) logic.Verdict {
+	ask := func(class string, size int64) balancer.Verdict {
 		seq++
-		v, _ := c.Arrive(0, logic.Arrival{Seq: seq, Class: class, Size: size, Left: time.Second})
+		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: class, Size: size, Left: time.Second})
 		return v
 	}
 	ask("map", 1000) // starts: what is in flight is not what waits
 	for i, want := range []struct {
 		class string
 		size  int64
-		v     logic.Verdict
+		v     balancer.Verdict
 		kept  int64
-	}{{"map", 60, logic.Wait, 60}, {"map", 41, logic.Refuse, 60}, {"map", 40, logic.Wait, 100}, {"pay", 101, logic.Refuse, 100}, {"pay", 50, logic.Wait, 90},
-		{"hold", 60, logic.Refuse, 90}, {"hold", 50, logic.Wait, 100}} {
+	}{{"map", 60, balancer.Wait, 60}, {"map", 41, balancer.Refuse, 60}, {"map", 40, balancer.Wait, 100}, {"pay", 101, balancer.Refuse, 100}, {"pay", 50, balancer.Wait, 90},
+		{"hold", 60, balancer.Refuse, 90}, {"hold", 50, balancer.Wait, 100}} {
 		if v := ask(want.class, want.size); v != want.v || c.queue.bytes != want.kept {
 			t.Errorf("%d, %s of %d bytes: verdict %d, %d kept; want %d, %d", i, want.class, want.size, v, c.queue.bytes, want.v, want.kept)
 		}
@@ -426,7 +426,7 @@
 					t.Fatalf("%d does not wait", id)
 				}
 				delete(waits, id)
-				if v == logic.Start {
+				if v == balancer.Start {
 					started = append(started, high[id])
 				} else if after <= 0 || after > c.opt.MostAdvice {
 					t.Fatalf("come back in %v", after)
@@ -441,12 +441,12 @@
 			case 0, 1, 2:
 				seq++
 				high[seq], size[seq] = rapid.Bool().Draw(t, "high"), int64(rapid.IntRange(0, 60).Draw(t, "size"))
-				v, after := c.Arrive(now, logic.Arrival{Seq: seq, High: high[seq], Size: size[seq], Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
+				v, after := c.Arrive(now, balancer.Arrival{Seq: seq, High: high[seq], Size: size[seq], Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
 					Tenant: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant"), Left: time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms})
 				switch {
-				case v == logic.Start:
+				case v == balancer.Start:
 					started = append(started, high[seq])
-				case v == logic.Wait && after > 0:
+				case v == balancer.Wait && after > 0:
 					waits[seq] = true
 				case after <= 0:
 					t.Fatalf("verdict %d after %v", v, after)
@@ -466,7 +466,7 @@
 					started = started[1:]
 					took := time.Duration(rapid.IntRange(0, 900).Draw(t, "took")) * ms
 					c.Done(now, h)
-					c.Ended(now, logic.Sample{High: h, Class: "map", Sent: now - took, Took: took, Result: logic.Result(rapid.IntRange(0, int(logic.NotSent)).Draw(t, "result"))})
+					c.Ended(now, balancer.Sample{High: h, Class: "map", Sent: now - took, Took: took, Result: balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result"))})
 					evidence = true
 				}
 			}
@@ -553,12 +553,12 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * 100 * time.Microsecond
-		if v, _ := c.Arrive(now, logic.Arrival{Seq: uint64(i), Class: "map", Left: time.Second}); v != logic.Start {
+		if v, _ := c.Arrive(now, balancer.Arrival{Seq: uint64(i), Class: "map", Left: time.Second}); v != balancer.Start {
 			b.Fatal("not started")
 		}
 		c.Next(now)
 		c.Done(now, false)
-		c.Ended(now, logic.Sample{Class: "map", Sent: now, Took: 5 * ms, Result: logic.Served})
+		c.Ended(now, balancer.Sample{Class: "map", Sent: now, Took: 5 * ms, Result: balancer.Served})
 		c.Next(now)
 	}
 }
--- a/internal/admit/limit.go
+++ b/internal/admit/limit.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 const (
@@ -41,9 +41,9 @@
 }
 
 // observe notes an attempt. What was sent before the limit fell last says nothing of the one in use.
-func (k *class) observe(now time.Duration, s logic.Sample, cutAt time.Duration) {
+func (k *class) observe(now time.Duration, s balancer.Sample, cutAt time.Duration) {
 	took := float64(s.Took)
-	good := s.Result == logic.Served
+	good := s.Result == balancer.Served
 	if good {
 		k.seen.add(now)
 		if k.mean == 0 {
@@ -63,7 +63,7 @@
 		if s.Took > k.Wanted {
 			k.late++
 		}
-	case s.Result == logic.TurnedAway, s.Result == logic.TimedOut && s.Took > k.Wanted, s.Result == logic.NotConnected && took > float64(k.Wanted)/4:
+	case s.Result == balancer.TurnedAway, s.Result == balancer.TimedOut && s.Took > k.Wanted, s.Result == balancer.NotConnected && took > float64(k.Wanted)/4:
 		k.bad++ // a failure that comes at once shows that an endpoint is sick, not that it is short
 	}
 }
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 // entry is a request that waits.
@@ -62,7 +62,7 @@
 	return e
 }
 
-func (w *waiting) add(k *class, a logic.Arrival, until time.Duration) {
+func (w *waiting) add(k *class, a balancer.Arrival, until time.Duration) {
 	l := k.tenants[a.Tenant]
 	if l == nil {
 		l = &line{tenant: a.Tenant}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 const (
@@ -52,7 +52,7 @@
 
 // Reply is how an attempt ended.
 type Reply struct {
-	Result   logic.Result
+	Result   balancer.Result
 	Status   int // 0: there is no whole answer to pass on
 	Header   http.Header
 	Body     []byte
@@ -164,18 +164,18 @@
 		var timeout interface{ Timeout() bool }
 		switch {
 		case errors.Is(err, errUnwanted):
-			return Reply{Result: logic.NotSent, Unwanted: true}
+			return Reply{Result: balancer.NotSent, Unwanted: true}
 		case a.isCancelled():
-			return Reply{Result: logic.Cancelled}
+			return Reply{Result: balancer.Cancelled}
 		case a.isVoid():
-			return Reply{Result: logic.NotSent}
+			return Reply{Result: balancer.NotSent}
 		case errors.As(err, &timeout) && timeout.Timeout() && !time.Now().Before(a.deadline):
 			// It was the client's time that ran out: that says nothing against the backend.
-			return Reply{Result: logic.TimedOut}
+			return Reply{Result: balancer.TimedOut}
 		case local(err):
-			return Reply{Result: logic.NotSent}
+			return Reply{Result: balancer.NotSent}
 		}
-		return Reply{Result: logic.NotConnected}
+		return Reply{Result: balancer.NotConnected}
 	}
 	reply, clean := a.exchange(c, begin)
 	// A cancel that comes now would leave its mark on a connection that is somebody else's by then.
@@ -320,10 +320,10 @@
 	}
 	reply.Load = resp.Header.Get("Endpoint-Load-Metrics")
 	if !a.up.pool.answers(resp.StatusCode) {
-		reply.Result = logic.Errored
+		reply.Result = balancer.Errored
 		if s := resp.StatusCode; (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) &&
 			resp.Header.Get("X-Never-Ran") == "1" {
-			reply.Result = logic.TurnedAway
+			reply.Result = balancer.TurnedAway
 		}
 		if resp.StatusCode == http.StatusServiceUnavailable {
 			reply.Rest = rest(resp.Header.Get("Retry-After"), time.Now())
@@ -347,7 +347,7 @@
 	// Where an answer ends without saying cannot be told from where it broke. Danger: one that says 3 GB keeps
 	// coming, and once its client has the head nobody else can serve the request.
 	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.up.pool.longest() && a.req.Method != http.MethodHead {
-		return Reply{Result: logic.ConnLost, Load: reply.Load}, false
+		return Reply{Result: balancer.ConnLost, Load: reply.Load}, false
 	}
 	if !a.body(c, resp, begin, &reply) {
 		return reply, false
@@ -412,20 +412,20 @@
 }
 
 // broken words an exchange that ended with no answer. wrote is how the writing ended.
-func (a *Attempt) broken(read, wrote error) logic.Result {
+func (a *Attempt) broken(read, wrote error) balancer.Result {
 	switch {
 	case a.isCancelled():
-		return logic.Cancelled
+		return balancer.Cancelled
 	case wrote != nil && a.isVoid():
-		return logic.NotSent
+		return balancer.NotSent
 	case !time.Now().Before(a.deadline) && errors.Is(read, os.ErrDeadlineExceeded):
-		return logic.TimedOut
+		return balancer.TimedOut
 	case wrote != nil:
-		return logic.NotConnected
+		return balancer.NotConnected
 	case errors.Is(read, os.ErrDeadlineExceeded): // it stopped half way
-		return logic.TimedOut
+		return balancer.TimedOut
 	}
-	return logic.ConnLost
+	return balancer.ConnLost
 }
 
 func (a *Attempt) body(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
@@ -444,7 +444,7 @@
 		n, err := resp.Body.Read(buf[len(buf):min(cap(buf), int(size)+1)])
 		buf = buf[:len(buf)+n]
 		if errors.Is(err, io.EOF) {
-			reply.Result, reply.Body = logic.Served, buf
+			reply.Result, reply.Body = balancer.Served, buf
 			return true
 		}
 		if err != nil {
@@ -458,7 +458,7 @@
 	reply.First = time.Now()
 	w := begin(resp.StatusCode, resp.Header, resp.ContentLength)
 	if w == nil {
-		reply.Result = logic.Cancelled
+		reply.Result = balancer.Cancelled
 		return false
 	}
 	reply.Streamed = true
@@ -476,16 +476,16 @@
 	for {
 		if len(part) > 0 {
 			if _, err := w.Write(part); err != nil {
-				reply.Result = logic.Cancelled // by the client
+				reply.Result = balancer.Cancelled // by the client
 				return false
 			}
 		}
 		if errors.Is(end, io.EOF) {
-			reply.Result = logic.Served
+			reply.Result = balancer.Served
 			return true
 		}
 		if end != nil {
-			reply.Result = logic.ConnLost
+			reply.Result = balancer.ConnLost
 			return false
 		}
 		a.extend(c, time.Now().Add(a.up.pool.stall()))
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 func newPool(t testing.TB, opt Options, limit int) *Pool {
@@ -52,34 +52,34 @@
 	fakes.Leaks(t)
 	for _, c := range []struct {
 		name, reply string
-		want        logic.Result
+		want        balancer.Result
 	}{
-		{"served", ok, logic.Served},
-		{"served, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", logic.Served},
-		{"served after 1xx", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + ok, logic.Served},
-		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", logic.Errored},
-		{"503, never ran", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", logic.TurnedAway},
-		{"504, never ran", "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", logic.TurnedAway},
-		{"never ran, the body breaks", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nx", logic.TurnedAway},
-		{"503 that proves nothing", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", logic.Errored},
-		{"503, the header says no", "HTTP/1.1 503 Full\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", logic.Errored},
-		{"500, never ran", "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", logic.Errored},
-		{"429", "HTTP/1.1 429 Slow down\r\nContent-Length: 0\r\n\r\n", logic.Errored},
-		{"404", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", logic.Errored},
-		{"204", "HTTP/1.1 204 None\r\n\r\n", logic.Errored},
-		{"no answer, closed", "", logic.ConnLost},
-		{"cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", logic.ConnLost},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", logic.ConnLost},
-		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", logic.ConnLost},
-		{"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", logic.ConnLost},
-		{"a chunk of no number", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", logic.ConnLost},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", logic.ConnLost},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", logic.ConnLost},
-		{"not HTTP", "SSH-2.0-hello\r\n\r\n", logic.ConnLost},
-		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 3*headLimit/8), logic.ConnLost},
-		{"an endless line", "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("b", 3*headLimit), logic.ConnLost},
-		{"nothing but 1xx", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), logic.ConnLost},
-		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n", logic.ConnLost},
+		{"served", ok, balancer.Served},
+		{"served, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Served},
+		{"served after 1xx", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.Served},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		{"503, never ran", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.TurnedAway},
+		{"504, never ran", "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.TurnedAway},
+		{"never ran, the body breaks", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nx", balancer.TurnedAway},
+		{"503 that proves nothing", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		{"503, the header says no", "HTTP/1.1 503 Full\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		{"500, never ran", "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		{"429", "HTTP/1.1 429 Slow down\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		{"404", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
+		{"204", "HTTP/1.1 204 None\r\n\r\n", balancer.Errored},
+		{"no answer, closed", "", balancer.ConnLost},
+		{"cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.ConnLost},
+		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnLost},
+		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.ConnLost},
+		{"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnLost},
+		{"a chunk of no number", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnLost},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.ConnLost},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnLost},
+		{"not HTTP", "SSH-2.0-hello\r\n\r\n", balancer.ConnLost},
+		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 3*headLimit/8), balancer.ConnLost},
+		{"an endless line", "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("b", 3*headLimit), balancer.ConnLost},
+		{"nothing but 1xx", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), balancer.ConnLost},
+		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n", balancer.ConnLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := fakes.NewPeer(t, func(conn net.Conn, _ int) {
@@ -90,7 +90,7 @@
 			if reply.Result != c.want {
 				t.Errorf("result %d, want %d", reply.Result, c.want)
 			}
-			if c.want == logic.Served && string(reply.Body) != "ok" {
+			if c.want == balancer.Served && string(reply.Body) != "ok" {
 				t.Errorf("body %q", reply.Body)
 			}
 		})
@@ -110,7 +110,7 @@
 func TestResetIsLost(t *testing.T) {
 	fakes.Leaks(t)
 	b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); fakes.Reset(c) })
-	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != logic.ConnLost {
+	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != balancer.ConnLost {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -121,7 +121,7 @@
 	b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); <-up })
 	defer close(up)
 	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(30*time.Millisecond))
-	if r := a.Do(refuseStream); r.Result != logic.TimedOut {
+	if r := a.Do(refuseStream); r.Result != balancer.TimedOut {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -130,7 +130,7 @@
 func TestTimeRunsOutInDial(t *testing.T) {
 	fakes.Leaks(t)
 	a := NewAttempt(newPool(t, Options{}, 9).Upstream(fakes.Full(t), 0), get("/get"), time.Now().Add(20*time.Millisecond))
-	if r := a.Do(refuseStream); r.Result != logic.TimedOut {
+	if r := a.Do(refuseStream); r.Result != balancer.TimedOut {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -140,7 +140,7 @@
 	fakes.Leaks(t)
 	for name, hangUp := range map[string]func(net.Conn){"reset": fakes.Reset, "closed": func(c net.Conn) { c.Close() }} {
 		b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); hangUp(c) })
-		if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), post(32<<20)); r.Result != logic.NotConnected {
+		if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), post(32<<20)); r.Result != balancer.NotConnected {
 			t.Errorf("%s: result %d", name, r.Result)
 		}
 	}
@@ -149,8 +149,8 @@
 // A backend may answer before a body ends and read no further.
 func TestAnswerBeforeTheBodyEnds(t *testing.T) {
 	fakes.Leaks(t)
-	for status, want := range map[string]logic.Result{
-		"503 Full\r\nX-Never-Ran: 1": logic.TurnedAway, "500 Oops": logic.Errored} {
+	for status, want := range map[string]balancer.Result{
+		"503 Full\r\nX-Never-Ran: 1": balancer.TurnedAway, "500 Oops": balancer.Errored} {
 		over := make(chan struct{})
 		b := fakes.NewPeer(t, func(c net.Conn, _ int) {
 			readRequest(c)
@@ -174,7 +174,7 @@
 	r := post(100 << 10)
 	r.URI = "/post/a%2Fb;c?obj=%41&x=1+2&&"
 	r.Header["Idempotency-Key"] = []string{"k"}
-	if reply := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), r); reply.Result != logic.Served {
+	if reply := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), r); reply.Result != balancer.Served {
 		t.Fatalf("result %d", reply.Result)
 	}
 	s := b.Seen()[0]
@@ -205,13 +205,13 @@
 	do(up, get("/get"))
 	r := post(10)
 	r.Header["Idempotency-Key"] = []string{"k"}
-	if reply := do(up, r); reply.Result != logic.ConnLost {
+	if reply := do(up, r); reply.Result != balancer.ConnLost {
 		t.Errorf("result %d", reply.Result)
 	}
 	if n := len(b.Seen()); n != 2 {
 		t.Errorf("the backend has seen %d requests", n)
 	}
-	if reply := do(up, get("/get")); reply.Result != logic.ConnLost || len(b.Seen()) != 3 {
+	if reply := do(up, get("/get")); reply.Result != balancer.ConnLost || len(b.Seen()) != 3 {
 		t.Errorf("result %d, %d requests", reply.Result, len(b.Seen()))
 	}
 }
@@ -245,7 +245,7 @@
 		p.budget.Take()
 	}
 	for name, up := range map[string]*Upstream{"no descriptor": p.Upstream(b.Addr, 0), "no address": p.Nowhere()} {
-		if r := do(up, get("/get")); r.Result != logic.NotSent {
+		if r := do(up, get("/get")); r.Result != balancer.NotSent {
 			t.Errorf("%s: result %d", name, r.Result)
 		}
 	}
@@ -259,7 +259,7 @@
 	fakes.Leaks(t)
 	for name, addr := range map[string]string{"refused": fakes.Refusing(t), "never up": fakes.Full(t)} {
 		p := newPool(t, Options{ConnectTimeout: 20 * time.Millisecond}, 9)
-		if r := do(p.Upstream(addr, 0), get("/get")); r.Result != logic.NotConnected {
+		if r := do(p.Upstream(addr, 0), get("/get")); r.Result != balancer.NotConnected {
 			t.Errorf("%s: result %d", name, r.Result)
 		}
 		if n := p.budget.Used(); n != 0 {
@@ -288,7 +288,7 @@
 			goOn <- struct{}{}
 		}
 		for range n {
-			if r := fakes.Within(t, "an end", ends); r.Result != logic.Served {
+			if r := fakes.Within(t, "an end", ends); r.Result != balancer.Served {
 				t.Errorf("result %d", r.Result)
 			}
 		}
@@ -310,13 +310,13 @@
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", len(long), long)
 	for _, c := range []struct {
 		name, reply string
-		want        logic.Result
+		want        balancer.Result
 		whole       bool
 	}{
-		{"whole", sized + long, logic.Served, true},
-		{"chunked", chunked + chunk + "0\r\n\r\n", logic.Served, true},
-		{"cut", sized + long[:len(long)-1], logic.ConnLost, false},
-		{"chunked, cut", chunked + chunk, logic.ConnLost, false},
+		{"whole", sized + long, balancer.Served, true},
+		{"chunked", chunked + chunk + "0\r\n\r\n", balancer.Served, true},
+		{"cut", sized + long[:len(long)-1], balancer.ConnLost, false},
+		{"chunked, cut", chunked + chunk, balancer.ConnLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := fakes.NewPeer(t, func(conn net.Conn, _ int) { readRequest(conn); io.WriteString(conn, c.reply) })
@@ -334,7 +334,7 @@
 			for what, w := range map[string]io.Writer{"the request is over": nil, "the client is gone": brokenWriter{}} {
 				// A connection of its own: the peer may be about to close the one before.
 				a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
-				if r := a.Do(func(int, http.Header, int64) io.Writer { return w }); r.Result != logic.Cancelled {
+				if r := a.Do(func(int, http.Header, int64) io.Writer { return w }); r.Result != balancer.Cancelled {
 					t.Errorf("%s: result %d", what, r.Result)
 				}
 			}
@@ -353,7 +353,7 @@
 	})
 	defer close(over)
 	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
-	if r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard }); r.Result != logic.ConnLost || !r.Streamed {
+	if r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard }); r.Result != balancer.ConnLost || !r.Streamed {
 		t.Errorf("result %d, streamed %v", r.Result, r.Streamed)
 	}
 }
@@ -369,7 +369,7 @@
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(time.Hour))
 		got := make(chan Reply, 1)
 		go func() { got <- a.Do(refuseStream) }()
-		if r := fakes.Within(t, "the end", got); r.Result != logic.TimedOut {
+		if r := fakes.Within(t, "the end", got); r.Result != balancer.TimedOut {
 			t.Errorf("%q: result %d", begun, r.Result)
 		}
 		close(over)
@@ -387,7 +387,7 @@
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return nil })
 		close(over)
-		if r.Result != logic.ConnLost || p.budget.Used() != 0 {
+		if r.Result != balancer.ConnLost || p.budget.Used() != 0 {
 			t.Errorf("%s: result %d, %d descriptors", name, r.Result, p.budget.Used())
 		}
 	}
@@ -404,7 +404,7 @@
 			time.Sleep(answerPause / 5)
 		}
 	})
-	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != logic.Served {
+	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != balancer.Served {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -432,7 +432,7 @@
 	go func() { got <- a.Do(refuseStream) }()
 	<-came
 	a.Cancel()
-	if r := fakes.Within(t, "the end", got); r.Result != logic.Cancelled {
+	if r := fakes.Within(t, "the end", got); r.Result != balancer.Cancelled {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -447,7 +447,7 @@
 	})
 	r := Probe(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", fakes.Patience)
 	load := ParseLoad(r.Load)
-	if r.Result != logic.Served || load["inflight"] != 7 || load["queue"] != 2 {
+	if r.Result != balancer.Served || load["inflight"] != 7 || load["queue"] != 2 {
 		t.Errorf("result %d, load %v", r.Result, load)
 	}
 }
@@ -470,7 +470,7 @@
 		p := newPool(t, Options{}, 9)
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard })
-		if r.Result == logic.Served && !bytes.HasPrefix(answer, []byte("HTTP/1.")) {
+		if r.Result == balancer.Served && !bytes.HasPrefix(answer, []byte("HTTP/1.")) {
 			t.Errorf("served from %q", answer)
 		}
 		p.Close()
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 // One that takes all it can get leaves the other what is its own, and everything comes back.
@@ -168,7 +168,7 @@
 		fakes.Within(t, "the dial", dialing)
 		out(u)
 		close(goOn)
-		if res := fakes.Within(t, "the end", got).Result; res != logic.NotSent {
+		if res := fakes.Within(t, "the end", got).Result; res != balancer.NotSent {
 			t.Errorf("%s: result %d", name, res)
 		}
 		if n := len(b.Seen()); n != 0 || budget.Used() != 0 {
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 // A backend sends an answer a second time, or noise, as the next request is on its way: it is no answer to that one.
@@ -32,7 +32,7 @@
 		p := newPool(t, Options{Rest: time.Hour}, 9)
 		up := p.Upstream(b.Addr, 0)
 		for _, path := range []string{"/1", "/2", "/3"} {
-			if r := do(up, get(path)); r.Result != logic.Served || string(r.Body) != path {
+			if r := do(up, get(path)); r.Result != balancer.Served || string(r.Body) != path {
 				t.Errorf("%s: %s was answered %d %q", name, path, r.Result, r.Body)
 			}
 		}
@@ -89,7 +89,7 @@
 	p.mu.Unlock()
 	r := get("/left")
 	r.Wanted = func() bool { return false }
-	if got := do(up, r); !got.Unwanted || got.Result != logic.NotSent {
+	if got := do(up, r); !got.Unwanted || got.Result != balancer.NotSent {
 		t.Errorf("result %d, unwanted %t", got.Result, got.Unwanted)
 	}
 	p.mu.Lock()
@@ -120,13 +120,13 @@
 		r    *Request
 		text string // of the answer, before the connection breaks
 		read bool   // the request is read first
-		want logic.Result
+		want balancer.Result
 	}{
-		"as the request comes":     {big, "", false, logic.NotConnected},
-		"behind the last byte":     {get("/get"), "", true, logic.ConnLost},
-		"in the head":              {get("/get"), "HTTP/1.1 200 OK\r\nCont", true, logic.ConnLost},
-		"in the body":              {get("/get"), "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true, logic.ConnLost},
-		"behind a body of its own": {post(100), "", true, logic.ConnLost},
+		"as the request comes":     {big, "", false, balancer.NotConnected},
+		"behind the last byte":     {get("/get"), "", true, balancer.ConnLost},
+		"in the head":              {get("/get"), "HTTP/1.1 200 OK\r\nCont", true, balancer.ConnLost},
+		"in the body":              {get("/get"), "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true, balancer.ConnLost},
+		"behind a body of its own": {post(100), "", true, balancer.ConnLost},
 	} {
 		b := fakes.NewPeer(t, func(k net.Conn, _ int) {
 			r := bufio.NewReader(k)
@@ -145,7 +145,7 @@
 			fakes.Reset(k)
 		})
 		up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
-		if r := do(up, get("/get")); r.Result != logic.Served {
+		if r := do(up, get("/get")); r.Result != balancer.Served {
 			t.Fatalf("%s: the first one: %d", name, r.Result)
 		}
 		if r := do(up, c.r); r.Result != c.want {
@@ -166,7 +166,7 @@
 	})
 	up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
 	for i := range 3 {
-		if r := do(up, get("/get")); r.Result != logic.Served {
+		if r := do(up, get("/get")); r.Result != balancer.Served {
 			t.Errorf("request %d: %d", i, r.Result)
 		}
 		up.pool.mu.Lock()
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
-	"robindrum/logic"
 )
 
 // Duration is written with its unit, "150ms" or "1m30s".
@@ -88,7 +88,7 @@
 func (m Mode) MarshalText() ([]byte, error) { return []byte(admit.Mode(m).String()), nil }
 
 // Effect is what a second run of a request does.
-type Effect logic.Effect
+type Effect balancer.Effect
 
 var effects = []string{"safe", "keyed", "unsafe"}
 
@@ -99,7 +99,7 @@
 func (e Effect) MarshalText() ([]byte, error) { return []byte(effects[e]), nil }
 
 // Group says which servers drop the repeats of a keyed request.
-type Group logic.Group
+type Group balancer.Group
 
 var groups = []string{"all", "zone", "cell"}
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Update is one piece of news.
 type Update struct {
-	logic.FleetUpdate
+	balancer.FleetUpdate
 	Endpoints map[string]string
 }
 
@@ -58,7 +58,7 @@
 	BootMS   int64    `json:"boot_ms"`
 }
 
-var states = map[string]logic.State{"SERVING": logic.Running, "DRAINING": logic.Draining, "DELETED": logic.Removed}
+var states = map[string]balancer.State{"SERVING": balancer.Running, "DRAINING": balancer.Draining, "DELETED": balancer.Removed}
 
 // Parse reads one line. Anything odd makes all of it useless: half a change is not the list.
 func Parse(line []byte) (rev uint64, u Update, err error) {
@@ -69,9 +69,9 @@
 	if l.Rev == nil || l.Targets == nil {
 		return 0, u, errors.New("list: rev or targets is missing")
 	}
-	u.Kind = logic.FleetChanges
+	u.Kind = balancer.FleetChanges
 	if l.All {
-		u.Kind = logic.FleetAll
+		u.Kind = balancer.FleetAll
 	}
 	u.Endpoints = make(map[string]string, len(*l.Targets))
 	for _, t := range *l.Targets {
@@ -79,14 +79,14 @@
 		if !ok || t.UID == "" {
 			return 0, u, fmt.Errorf("list: uid %q, state %q", t.UID, t.State)
 		}
-		s := logic.Server{ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: state, Weight: 1}
+		s := balancer.Server{ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: state, Weight: 1}
 		if t.Capacity != nil {
 			s.Weight = *t.Capacity
 		}
 		if t.BootMS > 0 && t.BootMS < 1<<43 {
 			s.Since = time.Duration(t.BootMS) * time.Millisecond
 		}
-		if state != logic.Removed {
+		if state != balancer.Removed {
 			if _, port, err := net.SplitHostPort(t.Endpoint); err != nil || port == "" {
 				return 0, u, fmt.Errorf("list: uid %q, endpoint %q", t.UID, t.Endpoint)
 			}
@@ -185,7 +185,7 @@
 			u = Update{}
 		}
 	}
-	u.Kind = logic.FleetRemembered
+	u.Kind = balancer.FleetRemembered
 	c.deliver(u)
 	if c.pushed {
 		c.all.Go(func() { c.follow() })
@@ -336,7 +336,7 @@
 	c.order.Lock()
 	defer c.order.Unlock()
 	if ctx.Err() == nil {
-		c.deliver(Update{FleetUpdate: logic.FleetUpdate{Kind: logic.FleetRefused, Silent: silent}})
+		c.deliver(Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetRefused, Silent: silent}})
 	}
 }
 
@@ -410,7 +410,7 @@
 	}
 	// Danger: old news would undo newer, a drain say. A whole list that is older than what was known as it was asked for
 	// is none: the versions have begun anew. One that another call has overtaken since is.
-	if c.has && rev < c.rev && (u.Kind == logic.FleetChanges || known != (version{c.rev, true})) {
+	if c.has && rev < c.rev && (u.Kind == balancer.FleetChanges || known != (version{c.rev, true})) {
 		return known, fmt.Errorf("version %d after %d", rev, c.rev)
 	}
 	c.rev, c.has = rev, true
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 func entry(uid, state string) string {
@@ -25,14 +25,14 @@
 
 func TestParse(t *testing.T) {
 	rev, u, err := Parse([]byte(line(41, true, entry("s1", "SERVING"), entry("s2", "DRAINING"))))
-	if err != nil || rev != 41 || u.Kind != logic.FleetAll {
+	if err != nil || rev != 41 || u.Kind != balancer.FleetAll {
 		t.Fatalf("%d %+v %v", rev, u, err)
 	}
-	want := logic.Server{ID: "s1", Zone: "a", Kind: "m2", Cell: 3, State: logic.Running, Weight: 1.5, Since: time.Second}
-	if u.Servers[0] != want || u.Servers[1].State != logic.Draining || u.Endpoints["s2"] != "127.0.0.1:8081" {
+	want := balancer.Server{ID: "s1", Zone: "a", Kind: "m2", Cell: 3, State: balancer.Running, Weight: 1.5, Since: time.Second}
+	if u.Servers[0] != want || u.Servers[1].State != balancer.Draining || u.Endpoints["s2"] != "127.0.0.1:8081" {
 		t.Errorf("%+v", u)
 	}
-	if _, u, err := Parse([]byte(`{"rev":1,"targets":[{"uid":"x","state":"DELETED"}]}`)); err != nil || u.Servers[0].State != logic.Removed {
+	if _, u, err := Parse([]byte(`{"rev":1,"targets":[{"uid":"x","state":"DELETED"}]}`)); err != nil || u.Servers[0].State != balancer.Removed {
 		t.Errorf("deleted: %+v %v", u, err)
 	}
 	for _, bad := range []string{"", "{", "[]", "null", `{"rev":1}`, `{"targets":[]}`, `{"rev":-1,"targets":[]}`, `{"rev":1,"targets":7}`,
@@ -54,7 +54,7 @@
 			return
 		}
 		for _, s := range u.Servers {
-			if _, ok := u.Endpoints[s.ID]; s.ID == "" || s.Since < 0 || s.State != logic.Removed && !ok {
+			if _, ok := u.Endpoints[s.ID]; s.ID == "" || s.Since < 0 || s.State != balancer.Removed && !ok {
 				t.Errorf("%+v has no use", s)
 			}
 		}
@@ -102,7 +102,7 @@
 	if err := w.Start([]byte(known)); err != nil {
 		t.Fatal(err)
 	}
-	if u := w.next(t); u.Kind != logic.FleetRemembered {
+	if u := w.next(t); u.Kind != balancer.FleetRemembered {
 		t.Fatalf("first came %+v", u)
 	}
 	return w
@@ -113,7 +113,7 @@
 	return fakes.Within(t, "an update", w.updates)
 }
 
-func (w *world) expect(t *testing.T, kind logic.FleetKind, ids ...string) {
+func (w *world) expect(t *testing.T, kind balancer.FleetKind, ids ...string) {
 	t.Helper()
 	u := w.next(t)
 	var got []string
@@ -135,19 +135,19 @@
 	}
 	c.begin()
 	c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
-	w.expect(t, logic.FleetChanges, "s2")
+	w.expect(t, balancer.FleetChanges, "s2")
 	text := line(9, false, entry("s3", "SERVING"), entry("s2", "DELETED")) + "\n" // in pieces, with others behind
 	c.chunk("\n" + text[:20])
 	c.chunk(text[20:])
-	w.expect(t, logic.FleetChanges, "s3", "s2")
+	w.expect(t, balancer.FleetChanges, "s3", "s2")
 	long := line(10, true, entry("s"+strings.Repeat("x", 100<<10), "SERVING")) + "\n"
 	c.chunk("\r\n" + long + line(11, false) + "\n")
-	if u := w.next(t); u.Kind != logic.FleetAll || len(u.Servers) != 1 {
+	if u := w.next(t); u.Kind != balancer.FleetAll || len(u.Servers) != 1 {
 		t.Errorf("a long line: %d servers", len(u.Servers))
 	}
-	w.expect(t, logic.FleetChanges)
+	w.expect(t, balancer.FleetChanges)
 	c.chunk(line(5, false, entry("old", "SERVING")) + "\n") // older than what is known: not to be followed
-	w.expect(t, logic.FleetRefused)
+	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
 	c = fakes.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1&after=11" {
@@ -155,24 +155,24 @@
 	}
 	c.begin()
 	c.chunk("{nonsense\n" + line(12, false, entry("s4", "SERVING")) + "\n") // ends the watch, and nothing else
-	w.expect(t, logic.FleetRefused)
+	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
 	c = fakes.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false)[:9]) // breaks off in a line
 	c.conn.Close()
-	w.expect(t, logic.FleetRefused)
+	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
 	c = fakes.Within(t, "a call", w.calls)
 	io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-	w.expect(t, logic.FleetRefused)
+	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
 	fakes.Within(t, "a call", w.calls)
 	w.Watch(true) // takes the place of the one that waits, which fails nobody
 	c = fakes.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false) + "\n")
-	w.expect(t, logic.FleetChanges)
+	w.expect(t, balancer.FleetChanges)
 	w.Watch(false)
 	fakes.Eventually(t, "the watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
 	if len(w.updates) != 0 {
@@ -190,12 +190,12 @@
 	}
 	text := line(3, true, entry("s1", "SERVING"))
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-	w.expect(t, logic.FleetAll, "s1")
+	w.expect(t, balancer.FleetAll, "s1")
 	w.Fetch()
 	c = fakes.Within(t, "a call", w.calls)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text)+1, text)
 	c.conn.Close()
-	w.expect(t, logic.FleetRefused)
+	w.expect(t, balancer.FleetRefused)
 }
 
 // A machine that is cut off says nothing: a watch without its empty lines is dead.
@@ -207,13 +207,13 @@
 	if c.uri != "/registry/instances?watch=1" {
 		t.Errorf("called %s", c.uri)
 	}
-	w.expect(t, logic.FleetRefused) // never an answer
+	w.expect(t, balancer.FleetRefused) // never an answer
 	w.Watch(true)
 	c = fakes.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(1, true, entry("s1", "SERVING")) + "\n")
-	w.expect(t, logic.FleetAll, "s1")
-	w.expect(t, logic.FleetRefused) // then nothing more
+	w.expect(t, balancer.FleetAll, "s1")
+	w.expect(t, balancer.FleetRefused) // then nothing more
 }
 
 func TestPushed(t *testing.T) {
@@ -230,7 +230,7 @@
 	c := fakes.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, true, entry("s1", "SERVING")) + "\n")
-	w.expect(t, logic.FleetAll, "s1")
+	w.expect(t, balancer.FleetAll, "s1")
 	c.conn.Close()
 	if c := fakes.Within(t, "a call", w.calls); c.uri != "/registry/instances?watch=1&after=8" {
 		t.Errorf("resumed with %s", c.uri)
@@ -250,7 +250,7 @@
 		c := fakes.Within(t, "a call", old.calls)
 		c.begin()
 		c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
-		old.expect(t, logic.FleetChanges, "s2")
+		old.expect(t, balancer.FleetChanges, "s2")
 		old.Move(next.addr)
 		fakes.Eventually(t, "the old watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
 		c = fakes.Within(t, "a call at the new address", next.calls)
@@ -259,7 +259,7 @@
 		}
 		c.begin()
 		c.chunk(line(3, true, entry("s3", "SERVING")) + "\n") // its versions are its own
-		old.expect(t, logic.FleetAll, "s3")
+		old.expect(t, balancer.FleetAll, "s3")
 		if len(old.updates) != 0 || len(old.calls) != 0 {
 			t.Errorf("pushed %v: moving told %d more and called the old address %d times", pushed, len(old.updates), len(old.calls))
 		}
@@ -274,7 +274,7 @@
 	if err := c.Start([]byte(`{"rev":1,"targets":[{"uid":"x","state":"ODD"}]}`)); err == nil {
 		t.Error("it was taken")
 	}
-	if u := <-updates; u.Kind != logic.FleetRemembered || len(u.Servers) != 0 {
+	if u := <-updates; u.Kind != balancer.FleetRemembered || len(u.Servers) != 0 {
 		t.Errorf("%+v", u)
 	}
 }
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -14,17 +14,17 @@
 	"testing/synctest"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 // module is the decision module as the node runs it, as far as the list goes.
 type module struct {
-	logic.Host // nothing else is called
-	mu         sync.Mutex
-	bal        *logic.Balancer
-	client     *Client
-	life       context.Context
-	told       chan time.Time // when it had the drain
+	balancer.Host // nothing else is called
+	mu            sync.Mutex
+	bal           *balancer.Balancer
+	client        *Client
+	life          context.Context
+	told          chan time.Time // when it had the drain
 }
 
 func (m *module) Watch(on bool) { m.client.Watch(on) }
@@ -45,7 +45,7 @@
 	defer m.mu.Unlock()
 	m.bal.Fleet(time.Duration(time.Now().UnixNano()), u.FleetUpdate)
 	for _, s := range u.Servers {
-		if s.State == logic.Draining {
+		if s.State == balancer.Draining {
 			select {
 			case m.told <- time.Now():
 			default:
@@ -170,8 +170,8 @@
 			m.client = New("127.0.0.1:1", false, m.deliver)
 			m.client.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: s.dial}}
 			var err error
-			m.bal, err = logic.New(logic.Settings{Ask: true, MustAskIn: 10 * time.Second, Me: int(seed), Proxies: 300,
-				Classes: []logic.Class{{Name: "get", Deadline: time.Second, Worth: 1}}}, seed, m)
+			m.bal, err = balancer.New(balancer.Settings{Ask: true, MustAskIn: 10 * time.Second, Me: int(seed), Proxies: 300,
+				Classes: []balancer.Class{{Name: "get", Deadline: time.Second, Worth: 1}}}, seed, m)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
 	"robindrum/internal/config"
-	"robindrum/logic"
 )
 
 func (s *spec) admitOptions() admit.Options {
@@ -33,7 +33,7 @@
 	o := c.spec.admitOptions()
 	for _, k := range c.spec.classes {
 		o.Classes = append(o.Classes, admit.Class{Name: k.Name, Worth: k.Worth, Wanted: k.Wanted.D()})
-		if logic.Effect(k.Effect) == logic.Keyed {
+		if balancer.Effect(k.Effect) == balancer.Keyed {
 			o.Classes = append(o.Classes, admit.Class{Name: k.Name + unkeyed, Worth: k.Worth, Wanted: k.Wanted.D()})
 		}
 	}
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -13,6 +13,7 @@
 	"sync/atomic"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
@@ -22,7 +23,6 @@
 	"robindrum/internal/order"
 	"robindrum/internal/xds"
 	"robindrum/internal/zone"
-	"robindrum/logic"
 )
 
 // cluster is one that is in use. Its view outlives its cores: a core that a new configuration brings begins with the
@@ -366,18 +366,18 @@
 }
 
 // settings words a cluster for the decision module.
-func settings(s *spec) logic.Settings {
+func settings(s *spec) balancer.Settings {
 	c := s.conf
-	set := logic.Settings{Zone: s.zone, Me: s.gateway.Number, Proxies: s.gateway.Of, MaxAttempts: c.Attempts, ParallelTries: *c.Hedge,
+	set := balancer.Settings{Zone: s.zone, Me: s.gateway.Number, Proxies: s.gateway.Of, MaxAttempts: c.Attempts, ParallelTries: *c.Hedge,
 		MayCancel: true, RetryAdvice: true, MaxRetryAdvice: 5 * time.Second, ConnectTimeout: c.ConnectTimeout.D(), ConnIdle: c.IdleTimeout.D(),
 		Multiplex: 1, DrainGrace: c.DrainGrace.D(), ColdTime: c.WarmUp.Time.D(), ColdShare: c.WarmUp.Share, FallMultiple: c.WarmUp.Most,
-		FallTime: time.Second, Price: logic.Prices{CrossZone: *c.CrossZone}, Weights: logic.WeightNominal}
+		FallTime: time.Second, Price: balancer.Prices{CrossZone: *c.CrossZone}, Weights: balancer.WeightNominal}
 	for _, k := range s.classes {
-		lc := logic.Class{Name: k.Name, Aim: k.Wanted.D(), Deadline: k.Deadline.D(), Effect: logic.Effect(k.Effect),
-			Group: logic.Group(k.Group), Window: k.Window.D(), Worth: k.Worth}
+		lc := balancer.Class{Name: k.Name, Aim: k.Wanted.D(), Deadline: k.Deadline.D(), Effect: balancer.Effect(k.Effect),
+			Group: balancer.Group(k.Group), Window: k.Window.D(), Worth: k.Worth}
 		set.Classes = append(set.Classes, lc)
-		if lc.Effect == logic.Keyed {
-			lc.Name, lc.Effect, lc.Window, lc.Group = lc.Name+unkeyed, logic.Unsafe, 0, 0
+		if lc.Effect == balancer.Keyed {
+			lc.Name, lc.Effect, lc.Window, lc.Group = lc.Name+unkeyed, balancer.Unsafe, 0, 0
 			set.Classes = append(set.Classes, lc)
 		}
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/config"
 	"robindrum/internal/duty"
 	"robindrum/internal/fleet"
@@ -12,7 +13,6 @@
 	"robindrum/internal/node"
 	"robindrum/internal/order"
 	"robindrum/internal/release"
-	"robindrum/logic"
 )
 
 // leaveFleet bounds how long a process that ends says so to its fleet.
@@ -121,12 +121,12 @@
 }
 
 // last words the answer of a request that outlives the grace of an order, by its class.
-func last(f *config.File) func(logic.Request, bool) node.Answer {
+func last(f *config.File) func(balancer.Request, bool) node.Answer {
 	effects := map[string]string{}
 	for _, c := range f.Classes {
 		effects[c.Name] = effectName(c.Effect)
 	}
-	return func(w logic.Request, sent bool) node.Answer {
+	return func(w balancer.Request, sent bool) node.Answer {
 		status, again := order.Last(effects[w.Class], sent) // a class that is not known, and a keyed one without a key, count as unsafe
 		a := node.Answer{Status: status, Header: http.Header{}, Body: []byte("this gateway is taken out of service\n")}
 		if again {
@@ -137,10 +137,10 @@
 }
 
 func effectName(e config.Effect) string {
-	switch logic.Effect(e) {
-	case logic.Safe:
+	switch balancer.Effect(e) {
+	case balancer.Safe:
 		return "safe"
-	case logic.Keyed:
+	case balancer.Keyed:
 		return "keyed"
 	}
 	return "unsafe"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,6 +21,7 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/capture"
 	"robindrum/internal/config"
@@ -31,7 +32,6 @@
 	"robindrum/internal/route"
 	"robindrum/internal/supervise"
 	"robindrum/internal/xds"
-	"robindrum/logic"
 )
 
 // Gateway is one running gateway.
@@ -345,7 +345,7 @@
 		c.past.dropped.Add(1)
 		return node.Destination{Status: http.StatusServiceUnavailable, Text: "refused by the control plane's drop_overloads"}
 	}
-	w := logic.Request{ID: strconv.FormatUint(g.ids.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, High: found.Route.High}
+	w := balancer.Request{ID: strconv.FormatUint(g.ids.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, High: found.Route.High}
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		if w.Class == "" {
@@ -403,7 +403,7 @@
 	}
 	for _, c := range g.file.Classes {
 		r.wanted[c.Name] = c.Wanted.D()
-		if logic.Effect(c.Effect) == logic.Keyed {
+		if balancer.Effect(c.Effect) == balancer.Keyed {
 			r.keyed[c.Name] = true
 		}
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/fleet"
 	"robindrum/internal/membership"
 	"robindrum/internal/node"
-	"robindrum/logic"
 )
 
 // Status is what the gateway says of itself, as JSON under /status. Ages are in seconds.
@@ -134,8 +134,8 @@
 	Clients         int   `json:"client_connections"`
 }
 
-var results = [...]string{logic.Served: "served", logic.Errored: "error", logic.TurnedAway: "turned_away", logic.TimedOut: "timed_out",
-	logic.NotConnected: "not_connected", logic.ConnLost: "connection_lost", logic.Cancelled: "cancelled", logic.NotSent: "not_sent"}
+var results = [...]string{balancer.Served: "served", balancer.Errored: "error", balancer.TurnedAway: "turned_away", balancer.TimedOut: "timed_out",
+	balancer.NotConnected: "not_connected", balancer.ConnLost: "connection_lost", balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent"}
 
 // Status tells how the gateway stands. Of each cluster at most endpoints endpoints are named; 0: all.
 func (g *Gateway) Status(endpoints int) Status {
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
 	"robindrum/internal/zone"
-	"robindrum/logic"
 )
 
 // orNone words a value that the configuration has, for options that take 0 for one that was left out.
@@ -31,9 +31,9 @@
 func (g *Gateway) book(c *cluster) *zone.Book {
 	o := c.spec.zoneOptions()
 	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, zone.Class{Name: k.Name, Worth: k.Worth, Aim: k.Wanted.D(), Effect: logic.Effect(k.Effect)})
-		if logic.Effect(k.Effect) == logic.Keyed {
-			o.Classes = append(o.Classes, zone.Class{Name: k.Name + unkeyed, Worth: k.Worth, Aim: k.Wanted.D(), Effect: logic.Unsafe})
+		o.Classes = append(o.Classes, zone.Class{Name: k.Name, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Effect(k.Effect)})
+		if balancer.Effect(k.Effect) == balancer.Keyed {
+			o.Classes = append(o.Classes, zone.Class{Name: k.Name + unkeyed, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Unsafe})
 		}
 	}
 	log, name := g.log, c.name
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -21,8 +21,8 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
+	"robindrum/balancer"
 	"robindrum/internal/standin/controlplane"
-	"robindrum/logic"
 )
 
 // Bounds of the loopback engine: all of it runs on one machine, in real time.
@@ -394,7 +394,7 @@
 	ctx, cancel := context.WithDeadline(ctx, p.at(due+c.Deadline.D()+2*time.Second))
 	defer cancel()
 	method, id := http.MethodGet, strconv.FormatUint(p.ids.Add(1), 10)
-	if logic.Effect(c.Effect) != logic.Safe {
+	if balancer.Effect(c.Effect) != balancer.Safe {
 		method = http.MethodPost
 	}
 	i, gate := p.front(x.gateway)
@@ -410,7 +410,7 @@
 	if x.key != "" {
 		r.Header.Set("X-Tenant", x.key)
 	}
-	if logic.Effect(c.Effect) == logic.Keyed {
+	if balancer.Effect(c.Effect) == balancer.Keyed {
 		r.Header.Set("Idempotency-Key", id)
 	}
 	broken := func() (outcome, time.Duration) {
@@ -531,11 +531,11 @@
 
 // ran takes an effect; a repeat of a key is dropped within its group.
 func (p *playing) ran(r *http.Request, c *Class, zone string) {
-	if logic.Effect(c.Effect) == logic.Safe {
+	if balancer.Effect(c.Effect) == balancer.Safe {
 		return
 	}
-	keyed := logic.Effect(c.Effect) == logic.Keyed
-	if keyed && logic.Group(c.Group) == logic.GroupAll {
+	keyed := balancer.Effect(c.Effect) == balancer.Keyed
+	if keyed && balancer.Group(c.Group) == balancer.GroupAll {
 		zone = ""
 	}
 	p.mu.Lock()
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
 	"robindrum/internal/standin/fleet"
-	"robindrum/logic"
 )
 
 // The words of the file, and what they are in the simulation.
@@ -43,8 +43,8 @@
 		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, Queue: g.Queue, Speed: g.at})
 	}
 	for _, c := range e.Classes {
-		o.Classes = append(o.Classes, fleet.Class{Part: c.Part, Draw: c.draw, Answer: f.Link.takes(c.Answer), Class: logic.Class{Name: c.Name, Aim: c.Wanted.D(), Deadline: c.Deadline.D(), Worth: c.Worth,
-			Effect: logic.Effect(c.Effect), Group: logic.Group(c.Group), Window: c.Window.D()}})
+		o.Classes = append(o.Classes, fleet.Class{Part: c.Part, Draw: c.draw, Answer: f.Link.takes(c.Answer), Class: balancer.Class{Name: c.Name, Aim: c.Wanted.D(), Deadline: c.Deadline.D(), Worth: c.Worth,
+			Effect: balancer.Effect(c.Effect), Group: balancer.Group(c.Group), Window: c.Window.D()}})
 	}
 	if g.Admission != "estimate" {
 		mode := map[string]admit.Mode{"adaptive": admit.Adaptive, "fixed": admit.Fixed, "off": admit.Off}[g.Admission]
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/discovery"
-	"robindrum/logic"
 )
 
 // Health is what a source says of an endpoint, in the words of Envoy's HealthStatus.
@@ -74,7 +74,7 @@
 	word    Word
 	at      time.Duration // of the last word, also one that changed nothing
 	servers map[string]*Server
-	sent    map[string]logic.Server
+	sent    map[string]balancer.Server
 	usable  int
 }
 
@@ -96,11 +96,11 @@
 	}
 	v.servers = servers
 	v.choose()
-	sent := make(map[string]logic.Server, len(servers))
+	sent := make(map[string]balancer.Server, len(servers))
 	u := &discovery.Update{Endpoints: map[string]string{}}
-	u.Kind = logic.FleetChanges
+	u.Kind = balancer.FleetChanges
 	for _, e := range w.Endpoints {
-		s := servers[e.Address].logic(v.Tiers)
+		s := servers[e.Address].balancer(v.Tiers)
 		if old, ok := v.sent[s.ID]; first || !ok || old != s {
 			u.Servers = append(u.Servers, s)
 			u.Endpoints[s.ID] = e.Address
@@ -109,13 +109,13 @@
 	}
 	for id, s := range v.sent {
 		if _, ok := sent[id]; !ok {
-			s.State = logic.Removed
+			s.State = balancer.Removed
 			u.Servers = append(u.Servers, s)
 		}
 	}
 	v.sent = sent
 	if first {
-		u.Kind = logic.FleetAll
+		u.Kind = balancer.FleetAll
 	} else if len(u.Servers) == 0 {
 		return nil
 	}
@@ -128,9 +128,9 @@
 		return
 	}
 	v.choose()
-	v.sent = make(map[string]logic.Server, len(v.servers))
+	v.sent = make(map[string]balancer.Server, len(v.servers))
 	for _, s := range v.servers {
-		l := s.logic(v.Tiers)
+		l := s.balancer(v.Tiers)
 		v.sent[l.ID] = l
 	}
 }
@@ -174,13 +174,13 @@
 	}
 }
 
-func (s *Server) logic(tiers bool) logic.Server {
-	l := logic.Server{ID: s.Address, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, Since: s.Since}
+func (s *Server) balancer(tiers bool) balancer.Server {
+	l := balancer.Server{ID: s.Address, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, Since: s.Since}
 	if tiers {
 		l.Priority = s.Priority
 	}
 	if s.Out != "" {
-		l.State = logic.Draining
+		l.State = balancer.Draining
 	}
 	return l
 }
@@ -191,7 +191,7 @@
 		return nil
 	}
 	u := &discovery.Update{Endpoints: make(map[string]string, len(v.sent))}
-	u.Kind = logic.FleetAll
+	u.Kind = balancer.FleetAll
 	for _, s := range v.Servers() {
 		u.Servers = append(u.Servers, v.sent[s.Address])
 		u.Endpoints[s.Address] = s.Address
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 
 	"pgregory.net/rapid"
 )
@@ -44,10 +44,10 @@
 		}
 		usable := 0
 		for _, s := range u.Servers {
-			if s.State == logic.Running {
+			if s.State == balancer.Running {
 				usable++
 			}
-			if (s.State == logic.Running) != (c.want[s.ID] == "") {
+			if (s.State == balancer.Running) != (c.want[s.ID] == "") {
 				t.Errorf("%s: %s is told as %d", name, s.ID, s.State)
 			}
 		}
@@ -73,7 +73,7 @@
 	a, b := Endpoint{Address: "a", Zone: "z"}, Endpoint{Address: "b", Zone: "z"}
 	v.Take(10, Word{Endpoints: []Endpoint{a}})
 	u := v.Take(20, Word{Endpoints: []Endpoint{a, b}})
-	if len(u.Servers) != 1 || u.Kind != logic.FleetChanges || u.Servers[0].ID != "b" {
+	if len(u.Servers) != 1 || u.Kind != balancer.FleetChanges || u.Servers[0].ID != "b" {
 		t.Errorf("%+v", u)
 	}
 	if m := since(); m["a"] != 0 || m["b"] != 20 {
@@ -94,7 +94,7 @@
 		t.Error("one that is elsewhere now is taken as the old one")
 	}
 	u = v.Take(50, Word{Endpoints: []Endpoint{a}})
-	if len(u.Servers) != 1 || u.Servers[0].State != logic.Removed || len(u.Endpoints) != 0 {
+	if len(u.Servers) != 1 || u.Servers[0].State != balancer.Removed || len(u.Endpoints) != 0 {
 		t.Errorf("%+v", u)
 	}
 	if v.Take(60, Word{Endpoints: []Endpoint{a, b}}); since()["b"] != 60 {
@@ -106,7 +106,7 @@
 func TestChangesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var v View
-		have, addr := map[string]logic.Server{}, map[string]string{}
+		have, addr := map[string]balancer.Server{}, map[string]string{}
 		for step := range rapid.IntRange(1, 20).Draw(t, "steps") {
 			var w Word
 			for i := range 6 {
@@ -119,7 +119,7 @@
 			}
 			if u := v.Take(time.Duration(step+1), w); u != nil {
 				for _, s := range u.Servers {
-					if s.State == logic.Removed {
+					if s.State == balancer.Removed {
 						delete(have, s.ID)
 						delete(addr, s.ID)
 					} else {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
-	"robindrum/logic"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // Options are what a core is told beside the module's settings.
 type Options struct {
-	Settings    logic.Settings
+	Settings    balancer.Settings
 	Seed        uint64
 	MaxOpen     int  // requests in hand; 0: no limit
 	LoadReports bool // answers or probes carry them
@@ -44,7 +44,7 @@
 
 // Ended is how a request ended.
 type Ended struct {
-	Words   logic.Request
+	Words   balancer.Request
 	Method  string
 	Took    time.Duration // until its answer was given, or its long answer was whole
 	Outcome RequestOutcome
@@ -96,7 +96,7 @@
 
 // Request is a client's request as a front hands it over. A front makes one for each and leaves it alone until Done.
 type Request struct {
-	Words  logic.Request // its ID is the core's alone
+	Words  balancer.Request // its ID is the core's alone
 	Send   backend.Request
 	Client Client
 	Held   int64 // bytes of the Allowance that end with it
@@ -143,7 +143,7 @@
 	ready atomic.Bool
 
 	mu        sync.Mutex
-	bal       *logic.Balancer
+	bal       *balancer.Balancer
 	requests  map[string]*request // in hand: unanswered, or with attempts out
 	open      int                 // unanswered
 	upstreams map[string]*backend.Upstream
@@ -164,7 +164,7 @@
 		n.classes[c.Name] = c.Deadline
 	}
 	var err error
-	n.bal, err = logic.New(opt.Settings, opt.Seed, (*host)(n))
+	n.bal, err = balancer.New(opt.Settings, opt.Seed, (*host)(n))
 	return n, err
 }
 
@@ -221,7 +221,7 @@
 
 // Expire gives every request in hand that has no answer yet its one answer now, as say words it: sent tells whether an attempt may
 // have run. What is being passed on to a client goes on. It gives how many were answered.
-func (n *Core) Expire(say func(w logic.Request, sent bool) Answer) (count int) {
+func (n *Core) Expire(say func(w balancer.Request, sent bool) Answer) (count int) {
 	n.do(func(now time.Duration) {
 		for _, q := range n.requests {
 			if q.answered {
@@ -273,9 +273,9 @@
 	Failed   uint64 // answered, but not with a good answer
 	Left     uint64 // whose client left, or whose time ran out with no word of the decision module
 	Sends    uint64
-	Retries  uint64                    // of them, those after a request's first
-	Attempts [logic.NotSent + 1]uint64 // by result
-	Took     time.Duration             // from the request to its answer, all served ones together
+	Retries  uint64                       // of them, those after a request's first
+	Attempts [balancer.NotSent + 1]uint64 // by result
+	Took     time.Duration                // from the request to its answer, all served ones together
 }
 
 // Add adds o to s.
@@ -347,7 +347,7 @@
 // Fleet takes news of the list.
 func (n *Core) Fleet(u discovery.Update) {
 	settled := n.locked(func(now time.Duration) {
-		if u.Kind != logic.FleetRefused {
+		if u.Kind != balancer.FleetRefused {
 			n.follow(u)
 		}
 		n.bal.Fleet(now, u.FleetUpdate)
@@ -356,14 +356,14 @@
 	for _, r := range settled {
 		n.work.Go(func() { n.tell(r) })
 	}
-	if u.Kind == logic.FleetAll || u.Kind == logic.FleetChanges || len(u.Servers) > 0 {
+	if u.Kind == balancer.FleetAll || u.Kind == balancer.FleetChanges || len(u.Servers) > 0 {
 		n.ready.Store(true)
 	}
 }
 
 // follow brings the pools up to date.
 func (n *Core) follow(u discovery.Update) {
-	if u.Kind != logic.FleetChanges {
+	if u.Kind != balancer.FleetChanges {
 		for uid := range n.upstreams {
 			if _, ok := u.Endpoints[uid]; !ok {
 				n.retire(uid)
@@ -383,7 +383,7 @@
 			n.upstreams[s.ID] = n.pool.Upstream(addr, s.Since)
 		}
 		if up := n.upstreams[s.ID]; up != nil {
-			up.SetDraining(s.State == logic.Draining)
+			up.SetDraining(s.State == balancer.Draining)
 		}
 	}
 }
@@ -399,7 +399,7 @@
 func (n *Core) attempt(r *request, i int, a *backend.Attempt) {
 	defer n.work.Done()
 	sent := time.Now()
-	reply := backend.Reply{Result: logic.NotSent}
+	reply := backend.Reply{Result: balancer.NotSent}
 	streams := false
 	if a != nil {
 		reply = a.Do(func(status int, h http.Header, length int64) io.Writer {
@@ -413,7 +413,7 @@
 	if reply.Unwanted { // before the module is told how the attempt ended, or it would make another one
 		n.Abandon(r)
 	}
-	o := logic.Outcome{ID: r.id, Attempt: i, Result: reply.Result, Took: time.Since(sent)}
+	o := balancer.Outcome{ID: r.id, Attempt: i, Result: reply.Result, Took: time.Since(sent)}
 	if n.opt.LoadReports {
 		o.Load = backend.ParseLoad(reply.Load)
 	}
@@ -422,7 +422,7 @@
 	}
 	if streams {
 		o.Took = reply.First.Sub(sent)
-		r.Client.End(reply.Result == logic.Served)
+		r.Client.End(reply.Result == balancer.Served)
 		close(r.done)
 	}
 	n.do(func(now time.Duration) {
@@ -430,17 +430,17 @@
 		switch own := (Answer{Status: reply.Status, Header: reply.Header, Body: reply.Body, Length: reply.Length}); {
 		case streams:
 			r.stream = nil
-			if reply.Result == logic.Served {
+			if reply.Result == balancer.Served {
 				n.served(now, r)
 			} else {
 				n.stats.Failed++
 				n.ended(now, r, OutcomeFailed)
 			}
-		case reply.Result == logic.Served:
+		case reply.Result == balancer.Served:
 			if n.settle(r, own) {
 				n.served(now, r)
 			}
-		case reply.Result == logic.Errored && reply.Status != 0:
+		case reply.Result == balancer.Errored && reply.Status != 0:
 			r.failed = &own
 		}
 		n.stats.Attempts[reply.Result]++
@@ -589,7 +589,7 @@
 	n.work.Go(func() {
 		sent := time.Now()
 		reply := backend.Probe(n.life, up, n.opt.ProbePath, probeTime)
-		p := logic.ProbeResult{Server: server, Result: reply.Result, Took: time.Since(sent)}
+		p := balancer.ProbeResult{Server: server, Result: reply.Result, Took: time.Since(sent)}
 		if n.opt.LoadReports {
 			p.Load = backend.ParseLoad(reply.Load)
 			if p.Load == nil {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
-	"robindrum/logic"
 )
 
 // reroutes is how often a request may be routed: its core can be retired while its body comes.
@@ -28,7 +28,7 @@
 // Destination is the core that takes a request and the words it gets, or, where Core is nil, the answer at once.
 type Destination struct {
 	Core   *Core
-	Words  logic.Request // Left is positive
+	Words  balancer.Request // Left is positive
 	Status int
 	Text   string
 	Header http.Header
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
-	"robindrum/logic"
 )
 
 // Node is the platform's balancer node: one front before one core, fed by the platform's discovery.
@@ -55,9 +55,9 @@
 	return Destination{Core: n.Core, Words: n.words(r, id)}
 }
 
-func (n *Node) words(r *http.Request, id string) logic.Request {
+func (n *Node) words(r *http.Request, id string) balancer.Request {
 	h := r.Header
-	q := logic.Request{ID: id, Class: h.Get("X-Qos"), Tenant: h.Get("X-Customer"), Retry: h.Get("X-Second-Try") == "1"}
+	q := balancer.Request{ID: id, Class: h.Get("X-Qos"), Tenant: h.Get("X-Customer"), Retry: h.Get("X-Second-Try") == "1"}
 	if q.Class == "" {
 		q.Class, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -34,12 +34,12 @@
 // start runs a node over backends at the addresses given, all of one zone and cell.
 func start(t *testing.T, shape func(*Options), addrs ...string) *world {
 	t.Helper()
-	s := logic.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true,
-		Classes: []logic.Class{
-			{Name: "get", Deadline: fakes.Patience, Effect: logic.Safe, Worth: 1},
-			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: logic.Safe, Worth: 1},
-			{Name: "put", Deadline: fakes.Patience, Effect: logic.Keyed, Group: logic.GroupCell, Window: time.Minute, Worth: 1},
-			{Name: "post", Deadline: fakes.Patience, Effect: logic.Unsafe, Worth: 1},
+	s := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true,
+		Classes: []balancer.Class{
+			{Name: "get", Deadline: fakes.Patience, Effect: balancer.Safe, Worth: 1},
+			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: balancer.Safe, Worth: 1},
+			{Name: "put", Deadline: fakes.Patience, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: time.Minute, Worth: 1},
+			{Name: "post", Deadline: fakes.Patience, Effect: balancer.Unsafe, Worth: 1},
 		}}
 	w := &world{budget: backend.NewBudget(64), served: make(chan struct{})}
 	opt := Options{Settings: s, Seed: 1, BodyBytes: 64 << 20, Budget: w.budget}
@@ -72,13 +72,13 @@
 }
 
 func (w *world) list(addrs ...string) {
-	u := discovery.Update{FleetUpdate: logic.FleetUpdate{Kind: logic.FleetAll}, Endpoints: map[string]string{}}
+	u := discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetAll}, Endpoints: map[string]string{}}
 	if len(addrs) == 0 { // one that has yet to come: requests are held
-		u.Kind = logic.FleetRemembered
+		u.Kind = balancer.FleetRemembered
 	}
 	for i, a := range addrs {
 		id := fmt.Sprint("s", i)
-		u.Servers = append(u.Servers, logic.Server{ID: id, Zone: "a", Weight: 1})
+		u.Servers = append(u.Servers, balancer.Server{ID: id, Zone: "a", Weight: 1})
 		u.Endpoints[id] = a
 	}
 	w.Fleet(u)
@@ -542,7 +542,7 @@
 		})
 		c.send(early)
 		w.mu.Lock()
-		w.bal, _ = logic.New(w.opt.Settings, 1, (*host)(w.Core))
+		w.bal, _ = balancer.New(w.opt.Settings, 1, (*host)(w.Core))
 		w.mu.Unlock()
 		if code, _, _ := c.answer(t); code != http.StatusBadGateway {
 			t.Errorf("%d", code)
--- a/internal/node/over_test.go
+++ b/internal/node/over_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 // wholes sends to came each request that came whole, and answers it.
@@ -135,11 +135,11 @@
 			close(cancelled)
 		}()
 		r := a.Do(nobody)
-		if r.Result != logic.Served && r.Result != logic.Cancelled && r.Result != logic.NotSent {
+		if r.Result != balancer.Served && r.Result != balancer.Cancelled && r.Result != balancer.NotSent {
 			t.Fatalf("result %d", r.Result)
 		}
 		<-cancelled
-		if r := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(fakes.Patience)).Do(nobody); r.Result != logic.Served {
+		if r := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(fakes.Patience)).Do(nobody); r.Result != balancer.Served {
 			t.Fatalf("the next one: %d", r.Result)
 		}
 		if n := budget.Used(); n > 1 {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
 	"robindrum/internal/fakes"
-	"robindrum/logic"
 )
 
 // The clocks of clients and backends, and how long a busy machine may take between two of their readings.
@@ -26,7 +26,7 @@
 // seen is an attempt as a backend saw it: when its last byte came, when it ended there, and whether it can have run.
 type seen struct {
 	id, tenant, key string
-	server          logic.Server
+	server          balancer.Server
 	at, over        time.Time
 	ran             bool
 }
@@ -43,7 +43,7 @@
 
 // auditor holds what clients and backends saw against the four rules. It knows the settings and nothing of the node.
 type auditor struct {
-	classes  map[string]logic.Class
+	classes  map[string]balancer.Class
 	parallel bool
 	most     int
 	asked    []asked
@@ -95,14 +95,14 @@
 				say("mixed: %s of %q, key %q, came as of %q, key %q", q.id, q.tenant, q.key, s.tenant, s.key)
 			}
 			for _, p := range tries[:i] {
-				if out := p.over.Sub(s.at); out > auditSlack && (!a.parallel || c.Effect == logic.Unsafe) {
+				if out := p.over.Sub(s.at); out > auditSlack && (!a.parallel || c.Effect == balancer.Unsafe) {
 					say("twice: %s was out at %s for %v more as it went to %s", q.id, p.server.ID, out, s.server.ID)
 				}
 			}
 			for _, p := range ran {
-				far := c.Group == logic.GroupZone && p.server.Zone != s.server.Zone ||
-					c.Group == logic.GroupCell && (p.server.Zone != s.server.Zone || p.server.Cell != s.server.Cell)
-				if c.Effect == logic.Unsafe || c.Effect == logic.Keyed && (far || s.at.Sub(p.at) > c.Window+auditSlack) {
+				far := c.Group == balancer.GroupZone && p.server.Zone != s.server.Zone ||
+					c.Group == balancer.GroupCell && (p.server.Zone != s.server.Zone || p.server.Cell != s.server.Cell)
+				if c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && (far || s.at.Sub(p.at) > c.Window+auditSlack) {
 					say("effect: %s may have run at %s and went to %s, %v later", q.id, p.server.ID, s.server.ID, s.at.Sub(p.at))
 				}
 			}
@@ -111,7 +111,7 @@
 			}
 		}
 		if refused := q.status == http.StatusServiceUnavailable || q.status == http.StatusTooManyRequests; refused && len(ran) > 0 &&
-			(c.Effect == logic.Unsafe || c.Effect == logic.Keyed && c.Group != logic.GroupAll) {
+			(c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && c.Group != balancer.GroupAll) {
 			say("refusal: %s may have run and was answered %d", q.id, q.status)
 		}
 	}
@@ -120,8 +120,8 @@
 
 // site is settings drawn whole, and backends that behave badly now and then.
 type site struct {
-	set     logic.Settings
-	servers []logic.Server
+	set     balancer.Settings
+	servers []balancer.Server
 	audit   auditor
 	mu      sync.Mutex
 }
@@ -135,20 +135,20 @@
 		return string(b)
 	}
 	flip := func() bool { return rng.IntN(2) == 0 }
-	s := &site{set: logic.Settings{Zone: "z0", Zones: []string{"z0", "z1"}, Proxies: 1 + rng.IntN(40), MaxAttempts: 1 + rng.IntN(5),
+	s := &site{set: balancer.Settings{Zone: "z0", Zones: []string{"z0", "z1"}, Proxies: 1 + rng.IntN(40), MaxAttempts: 1 + rng.IntN(5),
 		MayCancel: flip(), ParallelTries: flip(), RetryAdvice: flip(), MaxRetryAdvice: time.Second, OverShareWorth: 0.1, WorthByWork: flip(),
 		ColdTime: time.Second, ColdShare: 0.3, FallMultiple: 3, FallTime: time.Second, DrainGrace: time.Second}}
 	s.set.Price.CrossZone = rng.Float64() * 0.05
 	for range 1 + rng.IntN(4) {
 		d := time.Duration(80+rng.IntN(300)) * time.Millisecond
-		c := logic.Class{Name: name() + fmt.Sprint(len(s.set.Classes)), Aim: d / time.Duration(1+rng.IntN(4)), Deadline: d,
-			Effect: logic.Effect(rng.IntN(3)), Group: logic.Group(rng.IntN(3)), Window: time.Duration(30+rng.IntN(400)) * time.Millisecond, Worth: 1 + rng.Float64()}
+		c := balancer.Class{Name: name() + fmt.Sprint(len(s.set.Classes)), Aim: d / time.Duration(1+rng.IntN(4)), Deadline: d,
+			Effect: balancer.Effect(rng.IntN(3)), Group: balancer.Group(rng.IntN(3)), Window: time.Duration(30+rng.IntN(400)) * time.Millisecond, Worth: 1 + rng.Float64()}
 		s.set.Classes = append(s.set.Classes, c)
 	}
 	for range rng.IntN(3) {
-		s.set.Tenants = append(s.set.Tenants, logic.Tenant{Name: name(), Rate: 1 + 200*rng.Float64(), Share: rng.Float64()})
+		s.set.Tenants = append(s.set.Tenants, balancer.Tenant{Name: name(), Rate: 1 + 200*rng.Float64(), Share: rng.Float64()})
 	}
-	s.audit = auditor{classes: map[string]logic.Class{}, parallel: s.set.ParallelTries, most: s.set.MaxAttempts, drained: map[string]time.Time{}}
+	s.audit = auditor{classes: map[string]balancer.Class{}, parallel: s.set.ParallelTries, most: s.set.MaxAttempts, drained: map[string]time.Time{}}
 	for _, c := range s.set.Classes {
 		s.audit.classes[c.Name] = c
 	}
@@ -156,7 +156,7 @@
 }
 
 // serve reads requests and answers them well, badly, late or not at all.
-func (s *site) serve(server logic.Server, seed uint64) func(net.Conn, int) {
+func (s *site) serve(server balancer.Server, seed uint64) func(net.Conn, int) {
 	return func(c net.Conn, n int) {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
 		for r := bufio.NewReader(c); ; {
@@ -221,7 +221,7 @@
 			r = bufio.NewReader(c)
 		}
 		q := asked{id: fmt.Sprintf("c%d-%d", who, i), class: "none-such"}
-		effect := logic.Safe
+		effect := balancer.Safe
 		if k := rng.IntN(20); k > 0 {
 			class := s.set.Classes[rng.IntN(len(s.set.Classes))]
 			q.class, q.deadline, effect = class.Name, class.Deadline, s.audit.classes[class.Name].Effect
@@ -231,7 +231,7 @@
 			q.deadline = q.deadline.Truncate(time.Millisecond)
 		}
 		text := "GET /" + q.class + "/x"
-		if effect != logic.Safe {
+		if effect != balancer.Safe {
 			text = "POST /" + q.class + "/x"
 		}
 		if rng.IntN(3) > 0 {
@@ -251,13 +251,13 @@
 		if q.tenant != "" {
 			text += "X-Customer: " + q.tenant + "\r\n"
 		}
-		if effect == logic.Keyed {
+		if effect == balancer.Keyed {
 			text += "Idempotency-Key: " + q.id + "\r\n"
 		}
 		if q.deadline > 0 {
 			text += fmt.Sprintf("X-Expires-In-Ms: %d\r\n", q.deadline.Milliseconds())
 		}
-		if effect != logic.Safe {
+		if effect != balancer.Safe {
 			text += "Content-Length: 1\r\n\r\nx"
 		} else {
 			text += "\r\n"
@@ -297,7 +297,7 @@
 }
 
 // play runs a node by the settings told over the site's backends, and gives the faults that the auditor finds.
-func (s *site) play(t *testing.T, rng *rand.Rand, told logic.Settings) []string {
+func (s *site) play(t *testing.T, rng *rand.Rand, told balancer.Settings) []string {
 	t.Helper()
 	budget := backend.NewBudget(200)
 	pool := backend.NewPool(backend.Options{ConnectTimeout: 200 * time.Millisecond, IdleTimeout: time.Second}, budget)
@@ -305,15 +305,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := discovery.Update{FleetUpdate: logic.FleetUpdate{Kind: logic.FleetAll}, Endpoints: map[string]string{}}
+	u := discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetAll}, Endpoints: map[string]string{}}
 	for i := range 4 + rng.IntN(5) {
-		server := logic.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%2), Cell: i % 4 / 2, Weight: 1}
+		server := balancer.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%2), Cell: i % 4 / 2, Weight: 1}
 		s.servers = append(s.servers, server)
 		u.Servers = append(u.Servers, server)
 		u.Endpoints[server.ID] = fakes.NewPeer(t, s.serve(server, rng.Uint64())).Addr
 	}
 	if rng.IntN(2) == 0 { // and one that refuses
-		u.Servers = append(u.Servers, logic.Server{ID: "none", Zone: "z0", Weight: 1})
+		u.Servers = append(u.Servers, balancer.Server{ID: "none", Zone: "z0", Weight: 1})
 		u.Endpoints["none"] = fakes.Refusing(t)
 	}
 	n.Fleet(u)
@@ -330,8 +330,8 @@
 	}
 	time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 	drained := s.servers[rng.IntN(len(s.servers))]
-	drained.State = logic.Draining
-	n.Fleet(discovery.Update{FleetUpdate: logic.FleetUpdate{Kind: logic.FleetChanges, Servers: []logic.Server{drained}},
+	drained.State = balancer.Draining
+	n.Fleet(discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetChanges, Servers: []balancer.Server{drained}},
 		Endpoints: map[string]string{drained.ID: u.Endpoints[drained.ID]}})
 	s.mu.Lock()
 	s.audit.drained[drained.ID] = time.Now()
@@ -372,14 +372,14 @@
 
 // A node that goes by other settings than the auditor's is caught: another class's effect, group or window, more attempts.
 func TestAuditorFindsOtherSettings(t *testing.T) {
-	for name, plant := range map[string]func(*logic.Settings){
-		"effect:": func(s *logic.Settings) {
+	for name, plant := range map[string]func(*balancer.Settings){
+		"effect:": func(s *balancer.Settings) {
 			for i := range s.Classes {
-				s.Classes[i].Effect = logic.Safe
+				s.Classes[i].Effect = balancer.Safe
 			}
 		},
-		"refusal:":  func(s *logic.Settings) { s.Classes[0].Effect = logic.Safe },
-		"attempts:": func(s *logic.Settings) { s.MaxAttempts = 6 },
+		"refusal:":  func(s *balancer.Settings) { s.Classes[0].Effect = balancer.Safe },
+		"attempts:": func(s *balancer.Settings) { s.MaxAttempts = 6 },
 	} {
 		found := false
 		for seed := uint64(0); seed < 20 && !found; seed++ {
@@ -388,9 +388,9 @@
 			s.audit.most = 2
 			s.set.MaxAttempts = 2
 			for i := range s.set.Classes {
-				s.set.Classes[i].Effect, s.set.Classes[i].Group, s.set.Classes[i].Window = logic.Keyed, logic.GroupCell, time.Minute
+				s.set.Classes[i].Effect, s.set.Classes[i].Group, s.set.Classes[i].Window = balancer.Keyed, balancer.GroupCell, time.Minute
 				if name == "attempts:" {
-					s.set.Classes[i].Effect = logic.Safe
+					s.set.Classes[i].Effect = balancer.Safe
 				}
 				s.audit.classes[s.set.Classes[i].Name] = s.set.Classes[i]
 			}
@@ -409,38 +409,38 @@
 func TestAuditor(t *testing.T) {
 	now := time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
-	a, b := logic.Server{ID: "a", Zone: "z0"}, logic.Server{ID: "b", Zone: "z0", Cell: 1}
-	class := func(e logic.Effect, g logic.Group) logic.Class {
-		return logic.Class{Name: "c", Deadline: time.Second, Effect: e, Group: g, Window: 500 * time.Millisecond}
+	a, b := balancer.Server{ID: "a", Zone: "z0"}, balancer.Server{ID: "b", Zone: "z0", Cell: 1}
+	class := func(e balancer.Effect, g balancer.Group) balancer.Class {
+		return balancer.Class{Name: "c", Deadline: time.Second, Effect: e, Group: g, Window: 500 * time.Millisecond}
 	}
 	q := asked{id: "q", class: "c", deadline: time.Second, sent: at(0), at: at(900), status: 200, body: "q@a"}
 	one := seen{id: "q", server: a, at: at(100), over: at(200), ran: true}
-	later := func(s logic.Server, ms int) seen {
+	later := func(s balancer.Server, ms int) seen {
 		return seen{id: "q", server: s, at: at(ms), over: at(ms + 10), ran: true}
 	}
 	with := func(change func(*asked)) asked { x := q; change(&x); return x }
 	for name, c := range map[string]struct {
-		class logic.Class
+		class balancer.Class
 		q     asked
 		seen  []seen
 	}{
-		"":              {class(logic.Keyed, logic.GroupCell), q, []seen{one, later(a, 300)}},
-		"lost: none":    {class(logic.Safe, 0), with(func(q *asked) { q.status = 0 }), nil},
-		"lost: late":    {class(logic.Safe, 0), with(func(q *asked) { q.at = at(1400) }), []seen{one}},
-		"lost: other":   {class(logic.Safe, 0), with(func(q *asked) { q.body = "p@a" }), []seen{one}},
-		"effect: twice": {class(logic.Unsafe, 0), q, []seen{one, later(a, 400)}},
-		"effect: cell":  {class(logic.Keyed, logic.GroupCell), q, []seen{one, later(b, 400)}},
-		"effect: over":  {class(logic.Keyed, logic.GroupAll), q, []seen{one, later(a, 890)}},
-		"twice: out":    {class(logic.Safe, 0), q, []seen{{id: "q", server: a, at: at(100), over: at(700), ran: true}, later(b, 300)}},
-		"late: sent":    {class(logic.Safe, 0), q, []seen{one, later(a, 1300)}},
-		"late: left":    {class(logic.Safe, 0), with(func(q *asked) { q.left = at(100) }), []seen{later(a, 400)}},
-		"mixed: tenant": {class(logic.Safe, 0), with(func(q *asked) { q.tenant = "t" }), []seen{one}},
-		"refusal: ran":  {class(logic.Unsafe, 0), with(func(q *asked) { q.status = 503 }), []seen{one}},
-		"drain: sent":   {class(logic.Safe, 0), with(func(q *asked) { q.body = "q@b" }), []seen{later(b, 500)}},
-		"attempts: 4":   {class(logic.Safe, 0), q, []seen{one, later(a, 300), later(a, 400), later(a, 500)}},
-		"class: none":   {class(logic.Safe, 0), with(func(q *asked) { q.class = "x" }), []seen{one}},
+		"":              {class(balancer.Keyed, balancer.GroupCell), q, []seen{one, later(a, 300)}},
+		"lost: none":    {class(balancer.Safe, 0), with(func(q *asked) { q.status = 0 }), nil},
+		"lost: late":    {class(balancer.Safe, 0), with(func(q *asked) { q.at = at(1400) }), []seen{one}},
+		"lost: other":   {class(balancer.Safe, 0), with(func(q *asked) { q.body = "p@a" }), []seen{one}},
+		"effect: twice": {class(balancer.Unsafe, 0), q, []seen{one, later(a, 400)}},
+		"effect: cell":  {class(balancer.Keyed, balancer.GroupCell), q, []seen{one, later(b, 400)}},
+		"effect: over":  {class(balancer.Keyed, balancer.GroupAll), q, []seen{one, later(a, 890)}},
+		"twice: out":    {class(balancer.Safe, 0), q, []seen{{id: "q", server: a, at: at(100), over: at(700), ran: true}, later(b, 300)}},
+		"late: sent":    {class(balancer.Safe, 0), q, []seen{one, later(a, 1300)}},
+		"late: left":    {class(balancer.Safe, 0), with(func(q *asked) { q.left = at(100) }), []seen{later(a, 400)}},
+		"mixed: tenant": {class(balancer.Safe, 0), with(func(q *asked) { q.tenant = "t" }), []seen{one}},
+		"refusal: ran":  {class(balancer.Unsafe, 0), with(func(q *asked) { q.status = 503 }), []seen{one}},
+		"drain: sent":   {class(balancer.Safe, 0), with(func(q *asked) { q.body = "q@b" }), []seen{later(b, 500)}},
+		"attempts: 4":   {class(balancer.Safe, 0), q, []seen{one, later(a, 300), later(a, 400), later(a, 500)}},
+		"class: none":   {class(balancer.Safe, 0), with(func(q *asked) { q.class = "x" }), []seen{one}},
 	} {
-		x := auditor{classes: map[string]logic.Class{"c": c.class}, most: 3, asked: []asked{c.q}, seen: c.seen, drained: map[string]time.Time{"b": at(200)}}
+		x := auditor{classes: map[string]balancer.Class{"c": c.class}, most: 3, asked: []asked{c.q}, seen: c.seen, drained: map[string]time.Time{"b": at(200)}}
 		if name == "effect: cell" {
 			x.drained = nil
 		}
--- a/internal/standin/fleet/admission.go
+++ b/internal/standin/fleet/admission.go
@@ -5,27 +5,27 @@
 	"slices"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
-	"robindrum/logic"
 )
 
 // Admit gives the admissions of Options.Admission: a Controller each, with the classes of o.
-func Admit(o Options, a admit.Options) func(int) (logic.Admission, error) {
+func Admit(o Options, a admit.Options) func(int) (balancer.Admission, error) {
 	for _, c := range o.Classes {
 		a.Classes = append(a.Classes, admit.Class{Name: c.Name, Worth: c.Worth, Wanted: c.Aim})
 	}
 	a.Gateways = o.Gateways
-	return func(i int) (logic.Admission, error) { return admit.New(a, o.Seed*100+uint64(i)) }
+	return func(i int) (balancer.Admission, error) { return admit.New(a, o.Seed*100+uint64(i)) }
 }
 
 // AIMD gives the plain alternative to an evidence of standing requests: a limit that rises by one for each answer in time
 // and falls by a tenth, once in 100 ms, for one that is late or turned away. Nothing waits, nothing is worth more.
-func AIMD(o Options, first float64) func(int) (logic.Admission, error) {
+func AIMD(o Options, first float64) func(int) (balancer.Admission, error) {
 	wanted := map[string]time.Duration{}
 	for _, c := range o.Classes {
 		wanted[c.Name] = c.Aim
 	}
-	return func(int) (logic.Admission, error) { return &aimd{limit: first, wanted: wanted}, nil }
+	return func(int) (balancer.Admission, error) { return &aimd{limit: first, wanted: wanted}, nil }
 }
 
 type aimd struct {
@@ -36,22 +36,22 @@
 }
 
 func (a *aimd) Endpoints(time.Duration, int) {}
-func (a *aimd) Arrive(time.Duration, logic.Arrival) (logic.Verdict, time.Duration) {
+func (a *aimd) Arrive(time.Duration, balancer.Arrival) (balancer.Verdict, time.Duration) {
 	if float64(a.active) >= a.limit {
-		return logic.Refuse, time.Second
+		return balancer.Refuse, time.Second
 	}
 	a.active++
-	return logic.Start, 0
+	return balancer.Start, 0
 }
-func (a *aimd) Next(time.Duration) (uint64, logic.Verdict, time.Duration, bool) {
+func (a *aimd) Next(time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
 	return 0, 0, 0, false
 }
 func (a *aimd) Leave(uint64)             {}
 func (a *aimd) Done(time.Duration, bool) { a.active-- }
-func (a *aimd) Ended(now time.Duration, s logic.Sample) {
+func (a *aimd) Ended(now time.Duration, s balancer.Sample) {
 	switch {
-	case s.Result == logic.Cancelled || s.Result == logic.NotSent:
-	case s.Result == logic.Served && s.Took <= a.wanted[s.Class]:
+	case s.Result == balancer.Cancelled || s.Result == balancer.NotSent:
+	case s.Result == balancer.Served && s.Took <= a.wanted[s.Class]:
 		a.limit += 1 / a.limit
 	case now-a.cut > 100*time.Millisecond:
 		a.limit, a.cut = max(a.limit*0.9, 1), now
--- a/internal/standin/fleet/admission_test.go
+++ b/internal/standin/fleet/admission_test.go
@@ -5,23 +5,23 @@
 	"testing"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
-	"robindrum/logic"
 )
 
 const ms = time.Millisecond
 
 // web is a cluster with the classes that a file of four lines has, shop one whose classes are worth different things.
 func web(o Options) Options {
-	o.Classes = []Class{{Class: logic.Class{Name: "default-safe", Aim: s, Deadline: 15 * s, Worth: 1}, Part: 1}}
+	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", Aim: s, Deadline: 15 * s, Worth: 1}, Part: 1}}
 	return admitted(o)
 }
 
 func shop(o Options) Options {
 	o.Classes = []Class{
-		{Class: logic.Class{Name: "seat-map", Aim: 300 * ms, Deadline: 3 * s, Worth: 1}, Part: 0.90},
-		{Class: logic.Class{Name: "seat-hold", Aim: 150 * ms, Deadline: 2 * s, Worth: 5, Effect: logic.Keyed, Group: logic.GroupAll, Window: 4 * s}, Part: 0.08},
-		{Class: logic.Class{Name: "pay", Aim: 300 * ms, Deadline: 2 * s, Worth: 20, Effect: logic.Unsafe}, Part: 0.02},
+		{Class: balancer.Class{Name: "seat-map", Aim: 300 * ms, Deadline: 3 * s, Worth: 1}, Part: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", Aim: 150 * ms, Deadline: 2 * s, Worth: 5, Effect: balancer.Keyed, Group: balancer.GroupAll, Window: 4 * s}, Part: 0.08},
+		{Class: balancer.Class{Name: "pay", Aim: 300 * ms, Deadline: 2 * s, Worth: 20, Effect: balancer.Unsafe}, Part: 0.02},
 	}
 	return admitted(o)
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/zone"
-	"robindrum/logic"
 )
 
 // Mode is how gateways choose among zones.
@@ -30,7 +30,7 @@
 
 // Class is a kind of request and its part of the load.
 type Class struct {
-	logic.Class
+	balancer.Class
 	Part float64
 	// Draw gives how long a server at its full speed takes for one; nil: exponential with Options.Service as its mean.
 	Draw func(*rand.Rand) time.Duration
@@ -108,7 +108,7 @@
 	Watch   Watch
 	Zone    zone.Options
 	// Admission makes what says which requests of a gateway may start; nil: the decision module's own estimate.
-	Admission func(gateway int) (logic.Admission, error)
+	Admission func(gateway int) (balancer.Admission, error)
 	Again     Again
 	Events    []Event
 	Phases    []time.Duration // where one ends and the next begins
@@ -243,7 +243,7 @@
 	f      *Fleet
 	number int
 	zone   string
-	bal    *logic.Balancer
+	bal    *balancer.Balancer
 	book   *zone.Book
 	open   map[string]*request
 	idle   map[string][]time.Duration // connections by server: since when, where they cost anything
@@ -293,10 +293,10 @@
 	o.Cross, o.Length = cmp.Or(o.Cross, 8*time.Millisecond), cmp.Or(o.Length, 30*time.Second)
 	if len(o.Classes) == 0 {
 		o.Classes = []Class{
-			{Class: logic.Class{Name: "seat-map", Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}, Part: 0.7},
-			{Class: logic.Class{Name: "seat-hold", Aim: 150 * time.Millisecond, Deadline: 2 * time.Second, Worth: 5, Effect: logic.Keyed,
-				Group: logic.GroupZone, Window: 4 * time.Second}, Part: 0.25},
-			{Class: logic.Class{Name: "pay", Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 20, Effect: logic.Unsafe}, Part: 0.05},
+			{Class: balancer.Class{Name: "seat-map", Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}, Part: 0.7},
+			{Class: balancer.Class{Name: "seat-hold", Aim: 150 * time.Millisecond, Deadline: 2 * time.Second, Worth: 5, Effect: balancer.Keyed,
+				Group: balancer.GroupZone, Window: 4 * time.Second}, Part: 0.25},
+			{Class: balancer.Class{Name: "pay", Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 20, Effect: balancer.Unsafe}, Part: 0.05},
 		}
 	}
 	f := &Fleet{opt: o, now: origin, rng: rand.New(rand.NewPCG(o.Seed, 0x666c656574)), servers: map[string]*server{},
@@ -391,9 +391,9 @@
 	made := uint64(f.made)
 	f.made++
 	g := &gateway{f: f, number: i, zone: o.Zones[i%len(o.Zones)], open: map[string]*request{}, idle: map[string][]time.Duration{}}
-	set := logic.Settings{Zone: g.zone, Me: i, Proxies: o.Gateways, MaxAttempts: 3, ParallelTries: true, MayCancel: true, RetryAdvice: true,
+	set := balancer.Settings{Zone: g.zone, Me: i, Proxies: o.Gateways, MaxAttempts: 3, ParallelTries: true, MayCancel: true, RetryAdvice: true,
 		MaxRetryAdvice: 5 * time.Second, Multiplex: 1, DrainGrace: time.Second, ColdTime: o.Warm, ColdShare: o.Share, FallMultiple: o.Fall,
-		FallTime: time.Second, Price: logic.Prices{CrossZone: 0.05}, Weights: logic.WeightNominal}
+		FallTime: time.Second, Price: balancer.Prices{CrossZone: 0.05}, Weights: balancer.WeightNominal}
 	for _, c := range o.Classes {
 		set.Classes = append(set.Classes, c.Class)
 	}
@@ -423,19 +423,19 @@
 			return nil, err
 		}
 	}
-	g.bal, err = logic.New(set, o.Seed*1000+made, g)
+	g.bal, err = balancer.New(set, o.Seed*1000+made, g)
 	return g, err
 }
 
 // failover is the plain alternative: the own zone while it has a ready server, else the next.
 type failover struct {
 	own string
-	l   []logic.LocalityHealth
+	l   []balancer.LocalityHealth
 }
 
-func (x *failover) Health(_ time.Duration, l []logic.LocalityHealth) {
+func (x *failover) Health(_ time.Duration, l []balancer.LocalityHealth) {
 	x.l = slices.Clone(l)
-	slices.SortStableFunc(x.l, func(a, b logic.LocalityHealth) int {
+	slices.SortStableFunc(x.l, func(a, b balancer.LocalityHealth) int {
 		if (a.Zone == x.own) == (b.Zone == x.own) {
 			return cmp.Compare(a.Zone, b.Zone)
 		}
@@ -446,17 +446,17 @@
 	})
 }
 
-func (x *failover) Place(_ time.Duration, a logic.Ask) (logic.Locality, bool, time.Duration) {
+func (x *failover) Place(_ time.Duration, a balancer.Ask) (balancer.Locality, bool, time.Duration) {
 	for _, h := range x.l {
 		if h.Ready > 0 && !slices.Contains(a.Not, h.Locality) && (a.Bound == "" || a.Bound == h.Zone) {
 			return h.Locality, true, 0
 		}
 	}
-	return logic.Locality{}, false, time.Second
+	return balancer.Locality{}, false, time.Second
 }
 
-func (*failover) Sent(time.Duration, logic.Locality, logic.Ask) {}
-func (*failover) Ended(time.Duration, logic.Locality, logic.Ask, logic.Result, time.Duration) {
+func (*failover) Sent(time.Duration, balancer.Locality, balancer.Ask) {}
+func (*failover) Ended(time.Duration, balancer.Locality, balancer.Ask, balancer.Result, time.Duration) {
 }
 
 // Tell hands all gateways the list as it stands now, after a while.
@@ -473,21 +473,21 @@
 		}
 		for _, g := range f.gateways {
 			if g.ready {
-				g.bal.Fleet(f.now, logic.FleetUpdate{Kind: logic.FleetAll, Servers: l})
+				g.bal.Fleet(f.now, balancer.FleetUpdate{Kind: balancer.FleetAll, Servers: l})
 			}
 		}
 	})
 }
 
 // list is the servers as they stand now.
-func (f *Fleet) list() []logic.Server {
-	l := make([]logic.Server, 0, len(f.order))
+func (f *Fleet) list() []balancer.Server {
+	l := make([]balancer.Server, 0, len(f.order))
 	for _, s := range f.order {
-		state := logic.Running
+		state := balancer.Running
 		if s.draining {
-			state = logic.Draining
+			state = balancer.Draining
 		}
-		l = append(l, logic.Server{ID: s.id, Zone: s.zone, Kind: "k", Weight: 1, Since: s.since, State: state})
+		l = append(l, balancer.Server{ID: s.id, Zone: s.zone, Kind: "k", Weight: 1, Since: s.since, State: state})
 	}
 	return l
 }
@@ -502,7 +502,7 @@
 			s.how = how
 			if how == Refuses || how == Resets || how == Says503 {
 				for _, a := range s.queue {
-					f.finish(a, logic.ConnLost)
+					f.finish(a, balancer.ConnLost)
 				}
 				s.queue, s.busy = nil, 0
 			}
@@ -673,12 +673,12 @@
 func (g *gateway) request(r *request) {
 	f := g.f
 	f.ids++
-	if r.id = strconv.Itoa(f.ids); r.class.Effect != logic.Safe && r.key == "" {
+	if r.id = strconv.Itoa(f.ids); r.class.Effect != balancer.Safe && r.key == "" {
 		r.key = r.id
 	}
 	r.asked = f.now
 	g.open[r.id] = r
-	g.bal.Request(f.now, logic.Request{ID: r.id, Class: r.class.Name, Left: r.deadline - f.now, Key: r.key, Tenant: r.tenant, Write: r.class.Effect != logic.Safe})
+	g.bal.Request(f.now, balancer.Request{ID: r.id, Class: r.class.Name, Left: r.deadline - f.now, Key: r.key, Tenant: r.tenant, Write: r.class.Effect != balancer.Safe})
 }
 
 // ---- gateway ----
@@ -707,25 +707,25 @@
 			f.opt.Watch.Sent(f.Now(), s.zone, s.id)
 		}
 	}
-	end := func(res logic.Result, at time.Duration) {
-		if res == logic.Served {
+	end := func(res balancer.Result, at time.Duration) {
+		if res == balancer.Served {
 			if at += r.class.Answer; l.Loss > 0 && f.rng.Float64() < l.Loss {
-				res = logic.ConnLost
+				res = balancer.ConnLost
 			}
 		}
 		f.after(at, func() { g.ended(a, res) })
 	}
 	if s == nil || s.how == Refuses { // also one that has another id by now
-		end(logic.NotConnected, 2*way)
+		end(balancer.NotConnected, 2*way)
 		return
 	}
-	f.after(r.deadline-f.now, func() { g.ended(a, logic.TimedOut) })
+	f.after(r.deadline-f.now, func() { g.ended(a, balancer.TimedOut) })
 	f.after(way, func() {
-		s.take(a, func(res logic.Result) { end(res, way) })
+		s.take(a, func(res balancer.Result) { end(res, way) })
 	})
 }
 
-func (g *gateway) ended(a *attempt, res logic.Result) {
+func (g *gateway) ended(a *attempt, res balancer.Result) {
 	if a.done {
 		return
 	}
@@ -735,7 +735,7 @@
 	}
 	g.keep(a, res)
 	r, done := a.r, false
-	if res == logic.Served && !r.answered {
+	if res == balancer.Served && !r.answered {
 		done = true
 		took := g.f.now - r.asked
 		delete(g.open, r.id)
@@ -750,7 +750,7 @@
 			}
 		}, Answer{InTime: took <= r.class.Aim, Late: took > r.class.Aim})
 	}
-	g.bal.Outcome(g.f.now, logic.Outcome{ID: r.id, Attempt: a.n, Result: res, Took: g.f.now - a.sent, Done: done || r.answered})
+	g.bal.Outcome(g.f.now, balancer.Outcome{ID: r.id, Attempt: a.n, Result: res, Took: g.f.now - a.sent, Done: done || r.answered})
 }
 
 // answer gives a request its one answer.
@@ -818,7 +818,7 @@
 	for _, s := range g.f.order {
 		for _, a := range s.queue {
 			if a.r.id == id && a.n == n {
-				g.f.after(0, func() { g.ended(a, logic.Cancelled) })
+				g.f.after(0, func() { g.ended(a, balancer.Cancelled) })
 				return
 			}
 		}
@@ -865,7 +865,7 @@
 	return float64(len(s.arrivals)) / (float64(s.workers) / s.f.opt.Service.Seconds() * s.warmth() * s.part())
 }
 
-func (s *server) take(a *attempt, end func(logic.Result)) {
+func (s *server) take(a *attempt, end func(balancer.Result)) {
 	f := s.f
 	s.arrivals = append(s.arrivals, f.now)
 	p, w, load := f.phase(), s.warmth(), s.load()
@@ -875,20 +875,20 @@
 			p.Fallen++
 			s.until = f.now + 2*time.Second
 			for _, q := range s.queue {
-				f.finish(q, logic.ConnLost)
+				f.finish(q, balancer.ConnLost)
 			}
 			s.queue = nil
 		}
 	}
 	switch {
 	case s.how == Refuses, f.now < s.until:
-		end(logic.NotConnected)
+		end(balancer.NotConnected)
 	case s.how == Silent:
 	case s.how == Says503, s.sick[a.r.class.Name], len(s.queue) >= s.limit:
-		end(logic.TurnedAway)
+		end(balancer.TurnedAway)
 	case s.how == Resets:
 		s.run(a)
-		end(logic.ConnLost)
+		end(balancer.ConnLost)
 	default:
 		s.queue = append(s.queue, a)
 		p.Queue = max(p.Queue, s.busy+len(s.queue))
@@ -897,7 +897,7 @@
 	}
 }
 
-func (f *Fleet) finish(a *attempt, res logic.Result) {
+func (f *Fleet) finish(a *attempt, res balancer.Result) {
 	for _, g := range f.gateways {
 		if r := g.open[a.r.id]; r != nil && r == a.r {
 			f.after(time.Millisecond, func() { g.ended(a, res) })
@@ -907,10 +907,10 @@
 }
 
 // next begins what it has a worker for. What was queued with an end of its own keeps it.
-func (s *server) next(end func(logic.Result)) {
+func (s *server) next(end func(balancer.Result)) {
 	f := s.f
 	last := s.queue[len(s.queue)-1]
-	start := func(a *attempt, end func(logic.Result)) {
+	start := func(a *attempt, end func(balancer.Result)) {
 		s.busy++
 		since := s.since
 		var took time.Duration
@@ -927,7 +927,7 @@
 			s.busy--
 			s.run(a)
 			if s.how == Lives || s.how == Loses && f.rng.IntN(5) == 0 {
-				end(logic.Served)
+				end(balancer.Served)
 			}
 			for len(s.queue) > 0 {
 				q := s.queue[0]
@@ -957,10 +957,10 @@
 		s.f.ran[a.r.key] = zones
 	}
 	group := s.zone
-	if a.r.class.Effect == logic.Keyed && a.r.class.Group == logic.GroupAll {
+	if a.r.class.Effect == balancer.Keyed && a.r.class.Group == balancer.GroupAll {
 		group = "" // all servers drop a repeat
 	}
-	if a.r.class.Effect == logic.Keyed && zones[group] > 0 {
+	if a.r.class.Effect == balancer.Keyed && zones[group] > 0 {
 		return
 	}
 	zones[group]++
--- a/internal/standin/fleet/restart.go
+++ b/internal/standin/fleet/restart.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 // Source is what tells gateways the list. One that starts has to ask it and is not ready before it was told; those that
@@ -67,7 +67,7 @@
 	f.after(s.Takes, func() {
 		s.busy--
 		if g := c.g; !g.dead && !f.away {
-			g.bal.Fleet(f.now, logic.FleetUpdate{Kind: logic.FleetAll, Servers: f.list()})
+			g.bal.Fleet(f.now, balancer.FleetUpdate{Kind: balancer.FleetAll, Servers: f.list()})
 			if !g.ready {
 				g.ready = true
 				f.result.Back = max(f.result.Back, f.now-g.born)
@@ -143,8 +143,8 @@
 }
 
 // keep has an attempt's connection wait for another one.
-func (g *gateway) keep(a *attempt, res logic.Result) {
-	if g.f.opt.Connect > 0 && res == logic.Served && a.s != nil {
+func (g *gateway) keep(a *attempt, res balancer.Result) {
+	if g.f.opt.Connect > 0 && res == balancer.Served && a.s != nil {
 		g.idle[a.s.id] = append(g.idle[a.s.id], g.f.now)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire speaks the simulator's dialect: it turns lines into events of package logic and actions of
-// package logic into lines. It decides nothing.
+// Package wire speaks the simulator's dialect: it turns lines into events of package balancer and actions of
+// Package balancer into lines. It decides nothing.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 // Batch is one line of input.
@@ -219,21 +219,21 @@
 }
 
 var (
-	effects  = map[string]logic.Effect{"free": logic.Safe, "guarded": logic.Keyed, "single_shot": logic.Unsafe}
-	groups   = map[string]logic.Group{"": 0, "all": logic.GroupAll, "zone": logic.GroupZone, "cell": logic.GroupCell}
-	states   = map[string]logic.State{"Running": logic.Running, "Stopping": logic.Draining, "Deleted": logic.Removed}
-	weights  = map[string]logic.WeightSource{"off": 0, "nominal": logic.WeightNominal, "rough": logic.WeightRough, "live": logic.WeightLive}
-	reports  = map[string]logic.ReportMode{"off": 0, "inline": logic.ReportAnswers, "on_probe": logic.ReportProbes}
-	fleets   = map[string]logic.FleetKind{"changes": logic.FleetChanges, "all": logic.FleetAll, "remembered": logic.FleetRemembered, "refused": logic.FleetRefused}
-	outcomes = map[string]logic.Result{"served": logic.Served, "server_error": logic.Errored, "turned_away": logic.TurnedAway,
-		"no_answer": logic.TimedOut, "no_connection": logic.NotConnected, "connection_lost": logic.ConnLost,
-		"called_off": logic.Cancelled, "not_sent": logic.NotSent}
+	effects  = map[string]balancer.Effect{"free": balancer.Safe, "guarded": balancer.Keyed, "single_shot": balancer.Unsafe}
+	groups   = map[string]balancer.Group{"": 0, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	states   = map[string]balancer.State{"Running": balancer.Running, "Stopping": balancer.Draining, "Deleted": balancer.Removed}
+	weights  = map[string]balancer.WeightSource{"off": 0, "nominal": balancer.WeightNominal, "rough": balancer.WeightRough, "live": balancer.WeightLive}
+	reports  = map[string]balancer.ReportMode{"off": 0, "inline": balancer.ReportAnswers, "on_probe": balancer.ReportProbes}
+	fleets   = map[string]balancer.FleetKind{"changes": balancer.FleetChanges, "all": balancer.FleetAll, "remembered": balancer.FleetRemembered, "refused": balancer.FleetRefused}
+	outcomes = map[string]balancer.Result{"served": balancer.Served, "server_error": balancer.Errored, "turned_away": balancer.TurnedAway,
+		"no_answer": balancer.TimedOut, "no_connection": balancer.NotConnected, "connection_lost": balancer.ConnLost,
+		"called_off": balancer.Cancelled, "not_sent": balancer.NotSent}
 )
 
 // Settings words the wire's settings as the library's.
-func (i *Info) Settings() (logic.Settings, error) {
+func (i *Info) Settings() (balancer.Settings, error) {
 	c, k := &i.Caps, &i.Contract
-	s := logic.Settings{
+	s := balancer.Settings{
 		Zone: i.AZ, Zones: i.AZs, Me: i.Me, Proxies: i.Replicas,
 		OverShareWorth: i.OverShareWorth, WorthByWork: i.WorthBy == "work",
 		MaxAttempts: c.Attempts, ParallelTries: c.Parallel, MayCancel: c.MayCancel, MayProbe: c.Probes,
@@ -242,7 +242,7 @@
 		Ask: i.Discovery == "on_request", MustAskIn: k.MustAskIn,
 		AnswerGrace: k.Grace, DrainGrace: k.DrainGrace, ColdTime: k.Cold, ColdShare: k.ColdShare,
 		FallMultiple: k.FallMultiple, FallTime: k.OverloadFor,
-		Price: logic.Prices{CrossZone: i.Costs["cross-zone"], Waste: i.Costs["waste"],
+		Price: balancer.Prices{CrossZone: i.Costs["cross-zone"], Waste: i.Costs["waste"],
 			Connection: i.Costs["connection"], Handshake: i.Costs["handshake"], Probe: i.Costs["probe"],
 			LateFail: i.Costs["late-fail"], Discovery: i.Costs["discovery"], Peer: i.Costs["peer"]},
 		Weights: weights[i.WeightSource], Report: reports[i.Reporting.How],
@@ -256,12 +256,12 @@
 		if !ok {
 			return s, fmt.Errorf("profiles[%q].group: %q is not known", p.Name, p.Group)
 		}
-		s.Classes = append(s.Classes, logic.Class{Name: p.Name, Aim: p.SLO, AimStretch: p.AimStretch,
+		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, Aim: p.SLO, AimStretch: p.AimStretch,
 			Deadline: p.Deadline, Effect: effect, Group: group, Window: p.Window, Worth: p.Gain,
 			LateWorth: p.LateValue, Stream: p.Stream})
 	}
 	for _, t := range i.Tenants {
-		s.Tenants = append(s.Tenants, logic.Tenant{Name: t.Name, Rate: t.Quota, Share: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Rate: t.Quota, Share: t.Fraction})
 	}
 	return s, nil
 }
@@ -341,18 +341,18 @@
 
 // instance is one node's Balancer with its outbox. Instances share nothing but the table of lists.
 type instance struct {
-	lb  *logic.Balancer
+	lb  *balancer.Balancer
 	out outbox
 }
 
 // Hub routes events to the instances of one process.
 type Hub struct {
 	nodes map[int]*instance
-	lists map[int][]logic.Server
+	lists map[int][]balancer.Server
 }
 
 // NewHub makes an empty hub.
-func NewHub() *Hub { return &Hub{nodes: map[int]*instance{}, lists: map[int][]logic.Server{}} }
+func NewHub() *Hub { return &Hub{nodes: map[int]*instance{}, lists: map[int][]balancer.Server{}} }
 
 // Decode reads one line.
 func Decode(line []byte) (*Batch, error) {
@@ -407,13 +407,13 @@
 	}()
 	switch {
 	case e.Inventory != nil:
-		list := make([]logic.Server, 0, len(e.Inventory.Members))
+		list := make([]balancer.Server, 0, len(e.Inventory.Members))
 		for _, m := range e.Inventory.Members {
 			state, ok := states[m.Availability]
 			if !ok {
 				return fmt.Errorf("Inventory: availability %q is not known", m.Availability)
 			}
-			list = append(list, logic.Server{ID: m.Backend, Zone: m.Zone, Kind: m.Flavor, Cell: m.UnitGroup,
+			list = append(list, balancer.Server{ID: m.Backend, Zone: m.Zone, Kind: m.Flavor, Cell: m.UnitGroup,
 				State: state, Weight: m.Share, Since: m.Since})
 		}
 		h.lists[e.Inventory.Table] = list
@@ -424,7 +424,7 @@
 			return fmt.Errorf("Boot: %w", err)
 		}
 		in.out.buf = in.out.buf[:0]
-		if in.lb, err = logic.New(s, e.Boot.Seed, &in.out); err != nil {
+		if in.lb, err = balancer.New(s, e.Boot.Seed, &in.out); err != nil {
 			return fmt.Errorf("Boot: %w", err)
 		}
 		return nil
@@ -444,8 +444,8 @@
 		if !ok {
 			return fmt.Errorf("Fleet: how %q is not known", e.Fleet.How)
 		}
-		u := logic.FleetUpdate{Kind: kind}
-		if kind != logic.FleetRefused {
+		u := balancer.FleetUpdate{Kind: kind}
+		if kind != balancer.FleetRefused {
 			if u.Servers, ok = h.lists[e.Fleet.Table]; !ok {
 				return fmt.Errorf("Fleet: table %d was never sent", e.Fleet.Table)
 			}
@@ -453,7 +453,7 @@
 		in.lb.Fleet(now, u)
 	case e.Knock != nil:
 		k := e.Knock
-		in.lb.Request(now, logic.Request{ID: k.Call, Class: k.Grade, Tenant: string(k.Tenant), Left: k.Left,
+		in.lb.Request(now, balancer.Request{ID: k.Call, Class: k.Grade, Tenant: string(k.Tenant), Left: k.Left,
 			Work: k.Hint, Key: k.Key, Write: k.Update, Retry: k.Retry})
 	case e.Started != nil:
 		in.lb.Started(now, e.Started.Call, e.Started.Shot)
@@ -463,7 +463,7 @@
 		if !ok {
 			return fmt.Errorf("Verdict: ending %q is not known", v.Ending)
 		}
-		in.lb.Outcome(now, logic.Outcome{ID: v.Call, Attempt: v.Shot, Result: result, Took: v.Lag,
+		in.lb.Outcome(now, balancer.Outcome{ID: v.Call, Attempt: v.Shot, Result: result, Took: v.Lag,
 			Done: v.Finished, Load: v.Metrics})
 	case e.Hangup != nil:
 		in.lb.Gone(now, e.Hangup.Call)
@@ -474,7 +474,7 @@
 		if !ok {
 			return fmt.Errorf("Sampled: ending %q is not known", e.Sampled.Ending)
 		}
-		in.lb.Probed(now, logic.ProbeResult{Server: e.Sampled.Backend, Result: result, Took: e.Sampled.Lag,
+		in.lb.Probed(now, balancer.ProbeResult{Server: e.Sampled.Backend, Result: result, Took: e.Sampled.Lag,
 			Load: e.Sampled.Metrics})
 	case e.Message != nil: // proxies share nothing
 	}
--- a/internal/zone/place.go
+++ b/internal/zone/place.go
@@ -5,12 +5,12 @@
 	"math"
 	"time"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 // place is a locality as the book knows it.
 type place struct {
-	at                    logic.Locality
+	at                    balancer.Locality
 	rank                  [2]int
 	own                   bool
 	known, running, ready float64
@@ -358,7 +358,7 @@
 	if p.state != Dark || p.running == 0 || p.probing > 0 && now < p.nextProbe+8*o.Probe || now < p.nextProbe {
 		return false
 	}
-	patience := map[logic.Effect]time.Duration{logic.Safe: 0, logic.Keyed: 4, logic.Unsafe: 16}[c.Effect]
+	patience := map[balancer.Effect]time.Duration{balancer.Safe: 0, balancer.Keyed: 4, balancer.Unsafe: 16}[c.Effect]
 	return now >= p.nextProbe+patience*o.Probe
 }
 
@@ -438,7 +438,7 @@
 
 // Report is how a locality stands.
 type Report struct {
-	Locality      logic.Locality
+	Locality      balancer.Locality
 	Tier          int // from 0
 	State         State
 	Since         time.Duration // when it came to it
@@ -490,7 +490,7 @@
 	for _, r := range old {
 		p := b.find(r.Locality)
 		if p == nil {
-			p = b.add(now, logic.LocalityHealth{Locality: r.Locality})
+			p = b.add(now, balancer.LocalityHealth{Locality: r.Locality})
 		}
 		p.state, p.since, p.evidence = r.State, r.Since, r.Evidence
 		switch r.State {
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -18,8 +18,8 @@
 	"slices"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/limit"
-	"robindrum/logic"
 )
 
 // State is what a locality is taken to be.
@@ -39,7 +39,7 @@
 	Name   string
 	Worth  float64
 	Aim    time.Duration // an answer later than it is late
-	Effect logic.Effect
+	Effect balancer.Effect
 }
 
 // Options are what a Book goes by. Zero values are filled in by Fill; Panic, Floor and RetryShare below 0 mean 0.
@@ -81,7 +81,7 @@
 // Transition is a change of a locality's state.
 type Transition struct {
 	At       time.Duration
-	Locality logic.Locality
+	Locality balancer.Locality
 	From, To State
 	Evidence string
 	Hold     time.Duration // how long it is Dark at the least
@@ -212,7 +212,7 @@
 }
 
 // rank is a locality's tier: its priority, and in it that of its zone.
-func (b *Book) rank(l logic.Locality) (r [2]int) {
+func (b *Book) rank(l balancer.Locality) (r [2]int) {
 	r[0] = l.Priority
 	if len(b.opt.Tiers) == 0 {
 		if l.Zone != b.opt.Own {
@@ -234,7 +234,7 @@
 }
 
 // Health takes how the localities on the list stand. One that is not told has left the list.
-func (b *Book) Health(now time.Duration, l []logic.LocalityHealth) {
+func (b *Book) Health(now time.Duration, l []balancer.LocalityHealth) {
 	for _, p := range b.places {
 		p.known, p.running, p.ready = 0, 0, 0
 	}
@@ -255,7 +255,7 @@
 	b.split()
 }
 
-func (b *Book) find(l logic.Locality) *place {
+func (b *Book) find(l balancer.Locality) *place {
 	for _, p := range b.places {
 		if p.at == l {
 			return p
@@ -265,7 +265,7 @@
 }
 
 // add takes a locality on. Those of the first list are up; one that comes later has shown nothing yet.
-func (b *Book) add(now time.Duration, h logic.LocalityHealth) *place {
+func (b *Book) add(now time.Duration, h balancer.LocalityHealth) *place {
 	p := &place{at: h.Locality, rank: b.rank(h.Locality), classes: map[string]*use{}, word: now}
 	p.own = p.at.Zone == b.opt.Own
 	p.room.begin(&b.opt, p.own)
@@ -359,28 +359,28 @@
 }
 
 // Place gives the locality of an attempt, or tells that there is none now and when the client may come back.
-func (b *Book) Place(now time.Duration, a logic.Ask) (at logic.Locality, ok bool, comeBack time.Duration) {
+func (b *Book) Place(now time.Duration, a balancer.Ask) (at balancer.Locality, ok bool, comeBack time.Duration) {
 	for _, p := range b.places {
 		b.turn(now, p)
 	}
 	b.split()
 	c := b.classes[a.Class]
 	if c == nil {
-		c = &class{Class: Class{Name: a.Class, Worth: 1, Aim: time.Second, Effect: logic.Unsafe}, part: 2.0 / 3}
+		c = &class{Class: Class{Name: a.Class, Worth: 1, Aim: time.Second, Effect: balancer.Unsafe}, part: 2.0 / 3}
 	}
 	var p *place
 	switch a.Purpose {
-	case logic.First:
+	case balancer.First:
 		p = b.first(now, a, c)
-	case logic.Again:
+	case balancer.Again:
 		p = b.again(now, a, c)
-	case logic.Copy:
+	case balancer.Copy:
 		p = b.copied(now, a, c)
 	}
 	if p != nil {
 		return p.at, true, 0
 	}
-	if a.Purpose == logic.First {
+	if a.Purpose == balancer.First {
 		b.refused++
 		b.short.at(now).n++
 		for _, p := range b.places { // the one that it would have gone to
@@ -390,10 +390,10 @@
 			}
 		}
 	}
-	return logic.Locality{}, false, b.comeBack(now)
+	return balancer.Locality{}, false, b.comeBack(now)
 }
 
-func (b *Book) first(now time.Duration, a logic.Ask, c *class) *place {
+func (b *Book) first(now time.Duration, a balancer.Ask, c *class) *place {
 	for _, p := range b.places {
 		if p.probeDue(now, &b.opt, c) && allowed(p, a) {
 			return p
@@ -420,12 +420,12 @@
 	return nil
 }
 
-func allowed(p *place, a logic.Ask) bool {
+func allowed(p *place, a balancer.Ask) bool {
 	return !slices.Contains(a.Not, p.at) && (a.Bound == "" || a.Bound == p.at.Zone)
 }
 
 // again is where a retry goes: the most preferred that has room and whose tier's retry budget is not spent.
-func (b *Book) again(now time.Duration, a logic.Ask, c *class) *place {
+func (b *Book) again(now time.Duration, a balancer.Ask, c *class) *place {
 	for _, p := range b.places {
 		if p.state > Failing || p.weight(p.panic) == 0 || !allowed(p, a) {
 			continue
@@ -442,7 +442,7 @@
 }
 
 // copied is where a copy goes: beside the first, and to another locality only where that is up and not busy.
-func (b *Book) copied(now time.Duration, a logic.Ask, c *class) *place {
+func (b *Book) copied(now time.Duration, a balancer.Ask, c *class) *place {
 	from := b.find(a.From)
 	if a.Spent && from != nil && from.state == Up {
 		return nil // one slow answer is no reason: this is for those that a zone keeps
@@ -462,7 +462,7 @@
 }
 
 // fits tells whether a locality has room for a request of a class, and the request time for it.
-func (b *Book) fits(now time.Duration, p *place, a logic.Ask, c *class) bool {
+func (b *Book) fits(now time.Duration, p *place, a balancer.Ask, c *class) bool {
 	u := p.use(a.Class)
 	if u.deaf(now) {
 		return false
@@ -489,7 +489,7 @@
 }
 
 // Sent takes that an attempt went to a locality.
-func (b *Book) Sent(now time.Duration, at logic.Locality, a logic.Ask) {
+func (b *Book) Sent(now time.Duration, at balancer.Locality, a balancer.Ask) {
 	p := b.find(at)
 	if p == nil {
 		return
@@ -505,7 +505,7 @@
 	u := p.use(a.Class)
 	u.out++
 	p.room.peak = max(p.room.peak, float64(p.inFlight))
-	if a.Purpose == logic.Again {
+	if a.Purpose == balancer.Again {
 		p.retries++
 		p.retried++
 	}
@@ -522,13 +522,13 @@
 }
 
 // Ended takes how an attempt ended.
-func (b *Book) Ended(now time.Duration, at logic.Locality, a logic.Ask, r logic.Result, took time.Duration) {
+func (b *Book) Ended(now time.Duration, at balancer.Locality, a balancer.Ask, r balancer.Result, took time.Duration) {
 	p := b.find(at)
 	if p == nil {
 		return
 	}
 	p.inFlight = max(p.inFlight-1, 0)
-	if a.Purpose == logic.Again {
+	if a.Purpose == balancer.Again {
 		p.retries = max(p.retries-1, 0)
 	}
 	u := p.use(a.Class)
@@ -538,20 +538,20 @@
 		p.probing--
 	}
 	switch r {
-	case logic.NotSent, logic.Cancelled: // a copy, or a client that left: it says nothing
+	case balancer.NotSent, balancer.Cancelled: // a copy, or a client that left: it says nothing
 		return
 	}
-	good := r == logic.Served
+	good := r == balancer.Served
 	c := b.classes[a.Class]
 	var aim time.Duration
 	if c != nil {
 		aim = c.Aim
 	}
 	late := good && c != nil && c.Aim > 0 && took > c.Aim
-	if good || r == logic.TurnedAway || r == logic.Errored {
+	if good || r == balancer.TurnedAway || r == balancer.Errored {
 		p.word = now
 	}
-	if r == logic.TimedOut && c != nil && took < c.Aim { // the client left it no time
+	if r == balancer.TimedOut && c != nil && took < c.Aim { // the client left it no time
 		return
 	}
 	u.learn(now, good, late, took)
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -12,22 +12,22 @@
 
 	"pgregory.net/rapid"
 
-	"robindrum/logic"
+	"robindrum/balancer"
 )
 
 const ms = time.Millisecond
 
 var (
-	own   = logic.Locality{Zone: "a"}
-	other = logic.Locality{Zone: "b"}
-	third = logic.Locality{Zone: "c"}
+	own   = balancer.Locality{Zone: "a"}
+	other = balancer.Locality{Zone: "b"}
+	third = balancer.Locality{Zone: "c"}
 )
 
 func options() Options {
 	return Options{Own: "a", Tiers: [][]string{{"a"}, {"b"}, {"*"}}, Classes: []Class{
-		{Name: "map", Worth: 1, Aim: 100 * ms, Effect: logic.Safe},
-		{Name: "hold", Worth: 5, Aim: 100 * ms, Effect: logic.Keyed},
-		{Name: "pay", Worth: 20, Aim: 100 * ms, Effect: logic.Unsafe}}}
+		{Name: "map", Worth: 1, Aim: 100 * ms, Effect: balancer.Safe},
+		{Name: "hold", Worth: 5, Aim: 100 * ms, Effect: balancer.Keyed},
+		{Name: "pay", Worth: 20, Aim: 100 * ms, Effect: balancer.Unsafe}}}
 }
 
 func book(t testing.TB, o Options) *Book {
@@ -39,23 +39,23 @@
 	return b
 }
 
-func whole(l ...logic.Locality) (h []logic.LocalityHealth) {
+func whole(l ...balancer.Locality) (h []balancer.LocalityHealth) {
 	for _, x := range l {
-		h = append(h, logic.LocalityHealth{Locality: x, Known: 4, Running: 4, Ready: 4})
+		h = append(h, balancer.LocalityHealth{Locality: x, Known: 4, Running: 4, Ready: 4})
 	}
 	return h
 }
 
-func ready(l logic.Locality, known, running, ready float64) logic.LocalityHealth {
-	return logic.LocalityHealth{Locality: l, Known: known, Running: running, Ready: ready}
+func ready(l balancer.Locality, known, running, ready float64) balancer.LocalityHealth {
+	return balancer.LocalityHealth{Locality: l, Known: known, Running: running, Ready: ready}
 }
 
 // world answers a book's attempts: each locality as its entry says.
 type world struct {
 	b    *Book
 	now  time.Duration
-	does map[logic.Locality]func(class string) (logic.Result, time.Duration)
-	sent map[logic.Locality]int
+	does map[balancer.Locality]func(class string) (balancer.Result, time.Duration)
+	sent map[balancer.Locality]int
 	no   int
 	draw float64
 	out  []answer // that come later
@@ -63,26 +63,26 @@
 
 type answer struct {
 	at   time.Duration
-	to   logic.Locality
-	ask  logic.Ask
-	r    logic.Result
+	to   balancer.Locality
+	ask  balancer.Ask
+	r    balancer.Result
 	took time.Duration
 }
 
-func served(string) (logic.Result, time.Duration)  { return logic.Served, 5 * ms }
-func refuses(string) (logic.Result, time.Duration) { return logic.NotConnected, ms }
-func silent(string) (logic.Result, time.Duration)  { return logic.TimedOut, 2 * time.Second }
+func served(string) (balancer.Result, time.Duration)  { return balancer.Served, 5 * ms }
+func refuses(string) (balancer.Result, time.Duration) { return balancer.NotConnected, ms }
+func silent(string) (balancer.Result, time.Duration)  { return balancer.TimedOut, 2 * time.Second }
 
 // play asks rate times a second for a while.
 func (w *world) play(long time.Duration, rate int, class string) {
 	if w.sent == nil {
-		w.sent = map[logic.Locality]int{}
+		w.sent = map[balancer.Locality]int{}
 	}
 	gap := time.Second / time.Duration(rate)
 	for end := w.now + long; w.now < end; w.now += gap {
 		w.settle()
 		w.draw = math.Mod(w.draw+math.Phi, 1)
-		a := logic.Ask{Class: class, Left: 2 * time.Second, Draw: w.draw}
+		a := balancer.Ask{Class: class, Left: 2 * time.Second, Draw: w.draw}
 		at, ok, _ := w.b.Place(w.now, a)
 		if !ok {
 			w.no++
@@ -112,7 +112,7 @@
 	w.out = keep
 }
 
-func (w *world) state(l logic.Locality) State { return w.b.find(l).state }
+func (w *world) state(l balancer.Locality) State { return w.b.find(l).state }
 
 func (w *world) clear() { clear(w.sent); w.no = 0 }
 
@@ -128,7 +128,7 @@
 
 // Loads are split as Envoy's pages on priority levels do it, by health times the overprovisioning factor.
 func TestSharesAreEnvoys(t *testing.T) {
-	p := func(n int) logic.Locality { return logic.Locality{Zone: "a", Priority: n} }
+	p := func(n int) balancer.Locality { return balancer.Locality{Zone: "a", Priority: n} }
 	for _, c := range []struct {
 		health []float64 // of 100, by priority
 		want   []float64
@@ -146,7 +146,7 @@
 		o := options()
 		o.Panic = 1e-9
 		b := book(t, o)
-		var l []logic.LocalityHealth
+		var l []balancer.LocalityHealth
 		for i, h := range c.health {
 			l = append(l, ready(p(i), 100, 100, h))
 		}
@@ -162,8 +162,8 @@
 // Half a zone dies: below the panic threshold, and with too little elsewhere, the ejected count again.
 func TestPanicThreshold(t *testing.T) {
 	b := book(t, options())
-	b.Health(0, []logic.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 1)})
-	for _, l := range []logic.Locality{own, other} {
+	b.Health(0, []balancer.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 1)})
+	for _, l := range []balancer.Locality{own, other} {
 		if !b.find(l).panic {
 			t.Errorf("%v does not panic", l)
 		}
@@ -171,7 +171,7 @@
 	if s := b.find(own).share; math.Abs(s-0.75) > 0.01 {
 		t.Errorf("the own zone gets %v in a panic", s)
 	}
-	b.Health(0, []logic.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 10)}) // enough elsewhere
+	b.Health(0, []balancer.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 10)}) // enough elsewhere
 	if b.find(own).panic {
 		t.Error("a panic though the other zone can take it")
 	}
@@ -179,7 +179,7 @@
 		t.Errorf("the own zone gets %v with 3 of 10 ready", s)
 	}
 	// What the list says is out stays out in a panic.
-	b.Health(0, []logic.LocalityHealth{ready(own, 10, 0, 0), ready(other, 10, 2, 1)})
+	b.Health(0, []balancer.LocalityHealth{ready(own, 10, 0, 0), ready(other, 10, 2, 1)})
 	if p := b.find(own); p.share != 0 || p.panic {
 		t.Errorf("a zone of which none is to be used gets %v", p.share)
 	}
@@ -189,16 +189,16 @@
 func TestEachWayToGoDark(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		do     func(string) (logic.Result, time.Duration)
+		do     func(string) (balancer.Result, time.Duration)
 		within time.Duration
 	}{
 		{"refuses connections", refuses, time.Second},
 		{"accepts and says nothing", silent, 1500 * ms},
-		{"answers 503", func(string) (logic.Result, time.Duration) { return logic.TurnedAway, ms }, time.Second},
-		{"resets after the last byte", func(string) (logic.Result, time.Duration) { return logic.ConnLost, 2 * ms }, time.Second},
+		{"answers 503", func(string) (balancer.Result, time.Duration) { return balancer.TurnedAway, ms }, time.Second},
+		{"resets after the last byte", func(string) (balancer.Result, time.Duration) { return balancer.ConnLost, 2 * ms }, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := &world{b: book(t, options()), does: map[logic.Locality]func(string) (logic.Result, time.Duration){}}
+			w := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}
 			w.b.Health(0, whole(own, other))
 			w.play(3*time.Second, 200, "map")
 			w.does[own] = c.do
@@ -223,14 +223,14 @@
 
 // 80% of the answers are lost: what does come keeps the zone from being silent, and it goes dark all the same.
 func TestMostAnswersAreLost(t *testing.T) {
-	w, n := &world{b: book(t, options()), does: map[logic.Locality]func(string) (logic.Result, time.Duration){}}, 0
+	w, n := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
 	w.b.Health(0, whole(own, other))
 	w.play(3*time.Second, 200, "map")
-	w.does[own] = func(string) (logic.Result, time.Duration) {
+	w.does[own] = func(string) (balancer.Result, time.Duration) {
 		if n++; n%5 == 0 {
-			return logic.Served, 5 * ms
+			return balancer.Served, 5 * ms
 		}
-		return logic.TimedOut, 2 * time.Second
+		return balancer.TimedOut, 2 * time.Second
 	}
 	w.play(4*time.Second, 200, "map")
 	if s := w.state(own); s != Dark {
@@ -240,14 +240,14 @@
 
 // Latency that doubles each second has the load go over before answers are later than their clients wait.
 func TestLatencyDoubles(t *testing.T) {
-	w, took := &world{b: book(t, options()), does: map[logic.Locality]func(string) (logic.Result, time.Duration){}}, 5*ms
+	w, took := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 5*ms
 	w.b.Health(0, whole(own, other))
 	w.play(3*time.Second, 200, "map")
-	w.does[own] = func(string) (logic.Result, time.Duration) {
+	w.does[own] = func(string) (balancer.Result, time.Duration) {
 		if took > 2*time.Second {
-			return logic.TimedOut, 2 * time.Second
+			return balancer.TimedOut, 2 * time.Second
 		}
-		return logic.Served, took
+		return balancer.Served, took
 	}
 	for range 8 {
 		took *= 2
@@ -264,7 +264,7 @@
 
 // A zone that flaps is left out for longer each time.
 func TestFlapping(t *testing.T) {
-	w, turns := &world{does: map[logic.Locality]func(string) (logic.Result, time.Duration){}}, 0
+	w, turns := &world{does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
 	o := options()
 	o.Notify = func(t Transition) {
 		if t.To == Dark {
@@ -278,7 +278,7 @@
 	for i := range 60 {
 		w.does[own] = served
 		if i%2 == 0 {
-			w.does[own] = func(string) (logic.Result, time.Duration) { failed++; return logic.NotConnected, ms }
+			w.does[own] = func(string) (balancer.Result, time.Duration) { failed++; return balancer.NotConnected, ms }
 		}
 		w.play(time.Second, 200, "map")
 	}
@@ -295,7 +295,7 @@
 
 // The way back: the share at most doubles each step, a step that fails goes back one, and not to nothing.
 func TestWayBack(t *testing.T) {
-	w := &world{b: book(t, options()), does: map[logic.Locality]func(string) (logic.Result, time.Duration){own: refuses}}
+	w := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refuses}}
 	w.b.Health(0, whole(own, other))
 	w.play(3*time.Second, 400, "map")
 	if w.state(own) != Dark {
@@ -321,11 +321,11 @@
 		t.Errorf("steps %v, want %s", steps, want)
 	}
 	n := 0
-	w.does[own] = func(string) (logic.Result, time.Duration) { // a third of what it gets now is too much
+	w.does[own] = func(string) (balancer.Result, time.Duration) { // a third of what it gets now is too much
 		if n++; n%3 == 0 {
-			return logic.Errored, ms
+			return balancer.Errored, ms
 		}
-		return logic.Served, 5 * ms
+		return balancer.Served, 5 * ms
 	}
 	for at := p.step; p.step == at && w.state(own) == Returning && w.now < 80*time.Second; {
 		w.play(50*ms, 400, "map")
@@ -361,11 +361,11 @@
 // A zone that is back for one class gets that class, and of the other one now and then.
 func TestBackForOneClass(t *testing.T) {
 	w := &world{b: book(t, options())}
-	w.does = map[logic.Locality]func(string) (logic.Result, time.Duration){own: func(class string) (logic.Result, time.Duration) {
+	w.does = map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: func(class string) (balancer.Result, time.Duration) {
 		if class == "hold" {
-			return logic.TurnedAway, ms
+			return balancer.TurnedAway, ms
 		}
-		return logic.Served, 5 * ms
+		return balancer.Served, 5 * ms
 	}}
 	w.b.Health(0, whole(own, other))
 	for range 400 {
@@ -391,7 +391,7 @@
 
 // All zones dark: what comes is refused at once, and the first one back is found within two probes' time.
 func TestAllDark(t *testing.T) {
-	w := &world{b: book(t, options()), does: map[logic.Locality]func(string) (logic.Result, time.Duration){own: refuses, other: refuses}}
+	w := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refuses, other: refuses}}
 	w.b.Health(0, whole(own, other))
 	w.play(10*time.Second, 200, "map")
 	w.clear()
@@ -419,11 +419,11 @@
 	b := book(t, options())
 	b.Health(0, whole(own, other))
 	for range 40 {
-		b.Sent(0, own, logic.Ask{Class: "map"})
+		b.Sent(0, own, balancer.Ask{Class: "map"})
 	}
 	n := 0
 	for range 40 {
-		a := logic.Ask{Class: "map", Purpose: logic.Again, From: own, Left: time.Second, Not: []logic.Locality{other}}
+		a := balancer.Ask{Class: "map", Purpose: balancer.Again, From: own, Left: time.Second, Not: []balancer.Locality{other}}
 		if at, ok, _ := b.Place(0, a); ok {
 			b.Sent(0, at, a)
 			n++
@@ -432,7 +432,7 @@
 	if n < 8 || n > 10 { // a fifth of all that is out, the retries included
 		t.Errorf("%d retries beside 40 attempts", n)
 	}
-	a := logic.Ask{Class: "hold", Purpose: logic.Again, Bound: "a", From: own, Left: time.Second}
+	a := balancer.Ask{Class: "hold", Purpose: balancer.Again, Bound: "a", From: own, Left: time.Second}
 	if at, ok, _ := b.Place(0, a); ok {
 		t.Errorf("bound to a zone without budget it goes to %v", at)
 	}
@@ -440,12 +440,12 @@
 	if at, ok, _ := b.Place(0, a); !ok || at != other {
 		t.Errorf("%v %v", at, ok)
 	}
-	c := logic.Ask{Class: "map", Purpose: logic.Copy, From: own, Left: time.Second, Not: []logic.Locality{own}}
+	c := balancer.Ask{Class: "map", Purpose: balancer.Copy, From: own, Left: time.Second, Not: []balancer.Locality{own}}
 	if _, ok, _ := b.Place(0, c); !ok {
 		t.Error("no copy to an idle zone")
 	}
 	for range int(b.find(other).room.most / 2) {
-		b.Sent(0, other, logic.Ask{Class: "map"})
+		b.Sent(0, other, balancer.Ask{Class: "map"})
 	}
 	if at, ok, _ := b.Place(0, c); ok {
 		t.Errorf("a copy to %v, which is busy", at)
@@ -460,7 +460,7 @@
 	b.Health(0, whole(other))
 	fill := func(class string) (n int) {
 		for range 100 {
-			a := logic.Ask{Class: class, Left: time.Second}
+			a := balancer.Ask{Class: class, Left: time.Second}
 			at, ok, _ := b.Place(0, a)
 			if !ok {
 				break
@@ -492,11 +492,11 @@
 		o.FirstRoom = 1
 		b := book(t, o)
 		b.Health(0, whole(other))
-		b.Sent(0, other, logic.Ask{Class: "map"})
-		b.Sent(0, other, logic.Ask{Class: "pay"})
+		b.Sent(0, other, balancer.Ask{Class: "map"})
+		b.Sent(0, other, balancer.Ask{Class: "pay"})
 		var tenths [10]int
 		for i := range refused + 1000 {
-			_, ok, wait := b.Place(0, logic.Ask{Class: "map", Left: time.Second})
+			_, ok, wait := b.Place(0, balancer.Ask{Class: "map", Left: time.Second})
 			if ok || wait <= 0 || wait > b.opt.MostAdvice {
 				t.Fatalf("%v, come back in %v", ok, wait)
 			}
@@ -515,22 +515,22 @@
 // Attempts from before a zone went dark are no probes, whenever they end and however: neither good ones lead it back nor
 // bad ones keep it dark.
 func TestEarlierAttemptsAreNoProbes(t *testing.T) {
-	for _, late := range []logic.Result{logic.Served, logic.Errored} {
+	for _, late := range []balancer.Result{balancer.Served, balancer.Errored} {
 		b := book(t, options())
 		b.Health(0, whole(own, other))
-		old := logic.Ask{Class: "map", Left: time.Minute}
+		old := balancer.Ask{Class: "map", Left: time.Minute}
 		for range 20 {
 			b.Sent(0, own, old)
 		}
 		now := ms
 		for ; b.find(own).state != Dark; now += 10 * ms {
-			a := logic.Ask{Class: "map", Left: time.Second, Sent: now}
+			a := balancer.Ask{Class: "map", Left: time.Second, Sent: now}
 			b.Sent(now, own, a)
-			b.Ended(now+ms, own, a, logic.NotConnected, ms)
+			b.Ended(now+ms, own, a, balancer.NotConnected, ms)
 		}
-		probe := func() logic.Ask {
+		probe := func() balancer.Ask {
 			for ; ; now += 10 * ms {
-				a := logic.Ask{Class: "map", Left: time.Second, Sent: now}
+				a := balancer.Ask{Class: "map", Left: time.Second, Sent: now}
 				if at, ok, _ := b.Place(now, a); ok && at == own {
 					b.Sent(now, own, a)
 					return a
@@ -545,7 +545,7 @@
 		if p.probing != 1 || p.probesInARow != 0 || p.state != Dark {
 			t.Fatalf("%v: %d probes out, %d good in a row, %v", late, p.probing, p.probesInARow, p.state)
 		}
-		b.Ended(now, own, a, logic.Served, ms)
+		b.Ended(now, own, a, balancer.Served, ms)
 		if b.Ended(now, own, old, late, now); p.probesInARow != 1 {
 			t.Fatalf("%v: %d good in a row after a good probe", late, p.probesInARow)
 		}
@@ -553,7 +553,7 @@
 		for now < p.until { // its hold
 			now += 10 * ms
 		}
-		b.Ended(now, own, a, logic.Served, ms)
+		b.Ended(now, own, a, balancer.Served, ms)
 		if p.state != Returning {
 			t.Fatalf("%v: %v after two good probes", late, p.state)
 		}
@@ -569,13 +569,13 @@
 // A request that has less time than the quickest answer takes is refused before it crosses.
 func TestNoTimeLeft(t *testing.T) {
 	w := &world{b: book(t, options())}
-	w.does = map[logic.Locality]func(string) (logic.Result, time.Duration){other: func(string) (logic.Result, time.Duration) { return logic.Served, 50 * ms }}
+	w.does = map[balancer.Locality]func(string) (balancer.Result, time.Duration){other: func(string) (balancer.Result, time.Duration) { return balancer.Served, 50 * ms }}
 	w.b.Health(0, whole(other))
 	w.play(3*time.Second, 100, "map")
-	if at, ok, _ := w.b.Place(w.now, logic.Ask{Class: "map", Left: 40 * ms}); ok {
+	if at, ok, _ := w.b.Place(w.now, balancer.Ask{Class: "map", Left: 40 * ms}); ok {
 		t.Errorf("goes to %v with 40 ms left of 50", at)
 	}
-	if _, ok, _ := w.b.Place(w.now, logic.Ask{Class: "map", Left: 200 * ms}); !ok {
+	if _, ok, _ := w.b.Place(w.now, balancer.Ask{Class: "map", Left: 200 * ms}); !ok {
 		t.Error("refused with 200 ms left of 50")
 	}
 }
@@ -622,18 +622,18 @@
 			t.Fatal(err)
 		}
 		type out struct {
-			at  logic.Locality
-			ask logic.Ask
+			at  balancer.Locality
+			ask balancer.Ask
 		}
 		var open []out
 		now := time.Duration(0)
-		localities := []logic.Locality{own, other, third, {Zone: "b", Priority: 1}}
+		localities := []balancer.Locality{own, other, third, {Zone: "b", Priority: 1}}
 		type rise struct {
 			at   time.Duration
 			step float64
 		}
-		last := map[logic.Locality]rise{}
-		darkSends := map[logic.Locality][]time.Duration{}
+		last := map[balancer.Locality]rise{}
+		darkSends := map[balancer.Locality][]time.Duration{}
 		step := func() {
 			check(t, b)
 			for _, p := range b.places {
@@ -658,7 +658,7 @@
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				var l []logic.LocalityHealth
+				var l []balancer.LocalityHealth
 				for _, x := range localities {
 					known := float64(rapid.IntRange(0, 4).Draw(t, "known"))
 					if known == 0 {
@@ -669,8 +669,8 @@
 				}
 				b.Health(now, l)
 			case 1, 2, 3, 4:
-				a := logic.Ask{Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
-					Purpose: logic.Purpose(rapid.IntRange(0, 2).Draw(t, "purpose")), Left: time.Second,
+				a := balancer.Ask{Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
+					Purpose: balancer.Purpose(rapid.IntRange(0, 2).Draw(t, "purpose")), Left: time.Second,
 					Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw"), From: rapid.SampledFrom(localities).Draw(t, "from")}
 				if at, ok, wait := b.Place(now, a); ok {
 					p := b.find(at)
@@ -678,7 +678,7 @@
 						t.Fatalf("%v has nobody", at)
 					}
 					if p.state == Dark {
-						if a.Purpose != logic.First {
+						if a.Purpose != balancer.First {
 							t.Fatalf("purpose %d goes to %v, which is dark", a.Purpose, at)
 						}
 						darkSends[at] = append(darkSends[at], now)
@@ -689,7 +689,7 @@
 					a.Sent = now
 					b.Sent(now, at, a)
 					open = append(open, out{at, a})
-				} else if a.Purpose == logic.First && (wait <= 0 || wait > b.opt.MostAdvice) {
+				} else if a.Purpose == balancer.First && (wait <= 0 || wait > b.opt.MostAdvice) {
 					t.Fatalf("come back in %v", wait)
 				}
 			default:
@@ -697,7 +697,7 @@
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 					x := open[i]
 					open = append(open[:i], open[i+1:]...)
-					b.Ended(now, x.at, x.ask, logic.Result(rapid.IntRange(0, int(logic.NotSent)).Draw(t, "result")),
+					b.Ended(now, x.at, x.ask, balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result")),
 						time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*ms)
 				}
 			}
@@ -745,7 +745,7 @@
 	all := events
 	walk = func(w *world, left int, events []func(*world), seen map[[2]State]int) (steps int) {
 		for _, do := range events {
-			v := &world{b: clone(w.b), now: w.now, does: map[logic.Locality]func(string) (logic.Result, time.Duration){},
+			v := &world{b: clone(w.b), now: w.now, does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){},
 				draw: w.draw, out: slices.Clone(w.out)}
 			before := v.state(own)
 			v.b.opt.Notify = func(tr Transition) {
@@ -823,7 +823,7 @@
 func TestZonesThatAreEverNew(t *testing.T) {
 	b := book(t, options())
 	for i := range 10_000 {
-		b.Health(time.Duration(i)*time.Second, whole(own, logic.Locality{Zone: fmt.Sprint("z", i)}))
+		b.Health(time.Duration(i)*time.Second, whole(own, balancer.Locality{Zone: fmt.Sprint("z", i)}))
 	}
 	if len(b.places) > remembered+2 {
 		t.Errorf("%d are remembered", len(b.places))
@@ -837,7 +837,7 @@
 		b.Fatal(err)
 	}
 	book.Health(0, whole(own, other, third))
-	a := logic.Ask{Class: "map", Left: time.Second}
+	a := balancer.Ask{Class: "map", Left: time.Second}
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -847,6 +847,6 @@
 			b.Fatal("no place")
 		}
 		book.Sent(now, at, a)
-		book.Ended(now, at, a, logic.Served, 5*ms)
+		book.Ended(now, at, a, balancer.Served, 5*ms)
 	}
 }
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -46,6 +46,7 @@
 	"syscall"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
 	"robindrum/internal/discovery"
@@ -53,7 +54,6 @@
 	"robindrum/internal/node"
 	"robindrum/internal/standin/controlplane"
 	"robindrum/internal/standin/origin"
-	"robindrum/logic"
 )
 
 func main() {
@@ -222,15 +222,15 @@
 		end = func() { s.Close() }
 	case "robindrum-node":
 		budget := backend.NewBudget(1024)
-		set := logic.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelTries: true,
-			Classes: []logic.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Effect: logic.Safe, Worth: 1}}}
+		set := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelTries: true,
+			Classes: []balancer.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Effect: balancer.Safe, Worth: 1}}}
 		n, err := node.New(node.Options{Settings: set, Seed: 1, BodyBytes: 64 << 20, Budget: budget}, backend.NewPool(backend.Options{}, budget))
 		if err != nil {
 			return err
 		}
-		u := discovery.Update{FleetUpdate: logic.FleetUpdate{Kind: logic.FleetAll}, Endpoints: map[string]string{}}
+		u := discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetAll}, Endpoints: map[string]string{}}
 		for _, a := range args {
-			u.Servers = append(u.Servers, logic.Server{ID: a, Zone: "a", Weight: 1})
+			u.Servers = append(u.Servers, balancer.Server{ID: a, Zone: "a", Weight: 1})
 			u.Endpoints[a] = a
 		}
 		n.Fleet(u)
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
+	"robindrum/balancer"
 	"robindrum/internal/admit"
 	"robindrum/internal/standin/fleet"
-	"robindrum/logic"
 )
 
 // overload plays bursts and overloads on simulated time, each way of admission beside the others. The figures are the same
@@ -14,23 +14,23 @@
 func overload() error {
 	const s, ms = time.Second, time.Millisecond
 	classes := []fleet.Class{
-		{Class: logic.Class{Name: "seat-map", Aim: 300 * ms, Deadline: 3 * s, Worth: 1}, Part: 0.90},
-		{Class: logic.Class{Name: "seat-hold", Aim: 150 * ms, Deadline: 2 * s, Worth: 5, Effect: logic.Keyed, Window: 4 * s}, Part: 0.08},
-		{Class: logic.Class{Name: "pay", Aim: 300 * ms, Deadline: 2 * s, Worth: 20, Effect: logic.Unsafe}, Part: 0.02},
+		{Class: balancer.Class{Name: "seat-map", Aim: 300 * ms, Deadline: 3 * s, Worth: 1}, Part: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", Aim: 150 * ms, Deadline: 2 * s, Worth: 5, Effect: balancer.Keyed, Window: 4 * s}, Part: 0.08},
+		{Class: balancer.Class{Name: "pay", Aim: 300 * ms, Deadline: 2 * s, Worth: 20, Effect: balancer.Unsafe}, Part: 0.02},
 	}
 	ways := []struct {
 		name string
-		of   func(o fleet.Options) func(int) (logic.Admission, error)
+		of   func(o fleet.Options) func(int) (balancer.Admission, error)
 	}{
-		{"off", func(o fleet.Options) func(int) (logic.Admission, error) {
+		{"off", func(o fleet.Options) func(int) (balancer.Admission, error) {
 			return fleet.Admit(o, admit.Options{Mode: admit.Off})
 		}},
-		{"the module's estimate", func(fleet.Options) func(int) (logic.Admission, error) { return nil }},
-		{"fixed 1024", func(o fleet.Options) func(int) (logic.Admission, error) {
+		{"the module's estimate", func(fleet.Options) func(int) (balancer.Admission, error) { return nil }},
+		{"fixed 1024", func(o fleet.Options) func(int) (balancer.Admission, error) {
 			return fleet.Admit(o, admit.Options{Mode: admit.Fixed, Limit: 1024})
 		}},
-		{"AIMD", func(o fleet.Options) func(int) (logic.Admission, error) { return fleet.AIMD(o, 512) }},
-		{"adaptive", func(o fleet.Options) func(int) (logic.Admission, error) { return fleet.Admit(o, admit.Options{}) }},
+		{"AIMD", func(o fleet.Options) func(int) (balancer.Admission, error) { return fleet.AIMD(o, 512) }},
+		{"adaptive", func(o fleet.Options) func(int) (balancer.Admission, error) { return fleet.Admit(o, admit.Options{}) }},
 	}
 	// Two servers of four workers, 20 ms a request: 400 a second.
 	const capacity = 2 * 4 / 0.02
@@ -86,7 +86,7 @@
 		for _, n := range []int{8, 32, 64, 200, 500, 1000} {
 			for _, w := range ways {
 				o := fleet.Options{Mode: fleet.Price, Zones: []string{"a"}, Gateways: 1, Servers: 2, Seed: 1, Rate: 0.001, Service: 5 * ms, Workers: workers, Queue: 100000,
-					Length: 60 * s, Cross: ms, Classes: []fleet.Class{{Class: logic.Class{Name: "default-safe", Aim: s, Deadline: 15 * s, Worth: 1}, Part: 1}}}
+					Length: 60 * s, Cross: ms, Classes: []fleet.Class{{Class: balancer.Class{Name: "default-safe", Aim: s, Deadline: 15 * s, Worth: 1}, Part: 1}}}
 				o.Admission = w.of(o)
 				gap := 200*ms + time.Duration(float64(n)/(2*float64(min(workers, n))/0.005)*float64(s)) + 50*ms
 				for i := range 25 {
