--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire speaks the simulator's dialect: it turns lines into events of package balancer and actions of
-// Package balancer into lines. It decides nothing.
+// package balancer into lines. It decides nothing.
 package wire
 
 import (
