--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -20,7 +20,7 @@
 	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
-	"robindrum/internal/node"
+	"robindrum/internal/proxy"
 	"robindrum/internal/wire"
 )
 
@@ -166,12 +166,12 @@
 	}
 	budget := backend.NewBudget(sockets - spareSockets)
 	pool := backend.NewPool(backend.Options{ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.ConnIdle, Rest: answerRest}, budget)
-	opt := node.Options{Settings: settings, Seed: seed, MaxOpen: c.Settings.Caps.MaxOpen, BodyBytes: memory * 3 / 10,
+	opt := proxy.Options{Settings: settings, Seed: seed, MaxOpen: c.Settings.Caps.MaxOpen, BodyBytes: memory * 3 / 10,
 		Budget: budget, ProbePath: "/health/live", LoadReports: settings.Report != balancer.ReportNone}
 	if settings.Report == balancer.ReportProbes {
 		opt.ProbePath = "/stats"
 	}
-	n, err := node.New(opt, pool)
+	n, err := proxy.New(opt, pool)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"robindrum/internal/capture"
-	"robindrum/internal/node"
+	"robindrum/internal/proxy"
 )
 
 // ended hands a request that has its answer to the recording under way, if there is one. It is called with a core's lock
 // held, and never waits.
-func (g *Gateway) ended(e node.Ended) {
+func (g *Gateway) ended(e proxy.Ended) {
 	if g.fleet != nil {
 		class := strings.TrimSuffix(e.Words.Class, unkeyed)
 		wanted, known := g.routes.Load().wanted[class]
@@ -25,11 +25,11 @@
 	}
 	out := capture.Failed
 	switch e.Outcome {
-	case node.OutcomeServed:
+	case proxy.OutcomeServed:
 		out = capture.Served
-	case node.OutcomeRefused:
+	case proxy.OutcomeRefused:
 		out = capture.Refused
-	case node.OutcomeLeft:
+	case proxy.OutcomeLeft:
 		out = capture.Left
 	}
 	key := e.Words.Key
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -19,8 +19,8 @@
 	"robindrum/internal/config"
 	"robindrum/internal/limit"
 	"robindrum/internal/membership"
-	"robindrum/internal/node"
 	"robindrum/internal/order"
+	"robindrum/internal/proxy"
 	"robindrum/internal/xds"
 	"robindrum/internal/zone"
 )
@@ -32,7 +32,7 @@
 	spec spec
 	view membership.View
 	in   *instance
-	core atomic.Pointer[node.Core]
+	core atomic.Pointer[proxy.Core]
 	// What it holds of the shared limits, all its cores together: one that ends and one that begins own one part.
 	conns    *backend.Share
 	mem      *limit.Share
@@ -50,7 +50,7 @@
 
 // instance is a core, of a cluster.
 type instance struct {
-	core *node.Core
+	core *proxy.Core
 	of   *cluster
 	// Both belong to the core, and are looked at by its Inspect alone.
 	zones     *zone.Book // nil: none
@@ -59,7 +59,7 @@
 
 // past is what cores that are gone did for the clusters of one name.
 type past struct {
-	node.Stats
+	proxy.Stats
 	dropped atomic.Uint64 // refused by drop_overloads
 }
 
@@ -322,7 +322,7 @@
 		// What the origin says goes: how long its answers are and when they pause is its own affair, within the deadline and
 		// the time that a client is kept for nothing.
 		Pause: time.Minute, Stall: 5 * time.Minute, Longest: math.MaxInt64, AtOnce: events}, c.conns)
-	core, err := node.NewCore(node.Options{Settings: set, Seed: uint64(g.Now()), Open: c.requests, Memory: c.mem, Rests: true, Ended: g.ended}, pool)
+	core, err := proxy.NewCore(proxy.Options{Settings: set, Seed: uint64(g.Now()), Open: c.requests, Memory: c.mem, Rests: true, Ended: g.ended}, pool)
 	if err != nil { // the configuration was checked: this cannot be
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -10,8 +10,8 @@
 	"robindrum/internal/duty"
 	"robindrum/internal/fleet"
 	"robindrum/internal/members"
-	"robindrum/internal/node"
 	"robindrum/internal/order"
+	"robindrum/internal/proxy"
 	"robindrum/internal/release"
 )
 
@@ -83,7 +83,7 @@
 		g.refuses.Store(drained && g.Now()-g.drainAt >= g.drain.Notice)
 		late := drained && !g.drain.Wait && !g.expired && g.Now()-g.drainAt >= g.drain.Grace
 		id := ""
-		var cores []*node.Core
+		var cores []*proxy.Core
 		if late {
 			g.expired, id = true, g.drain.ID
 			cores = g.cores()
@@ -110,7 +110,7 @@
 }
 
 // cores are all that may have something in hand.
-func (g *Gateway) cores() (l []*node.Core) {
+func (g *Gateway) cores() (l []*proxy.Core) {
 	for _, c := range g.clusters {
 		l = append(l, c.in.core)
 	}
@@ -121,14 +121,14 @@
 }
 
 // last words the answer of a request that outlives the grace of an order, by its class.
-func last(f *config.File) func(balancer.Request, bool) node.Answer {
+func last(f *config.File) func(balancer.Request, bool) proxy.Answer {
 	effects := map[string]string{}
 	for _, c := range f.Classes {
 		effects[c.Name] = effectName(c.Effect)
 	}
-	return func(w balancer.Request, sent bool) node.Answer {
+	return func(w balancer.Request, sent bool) proxy.Answer {
 		status, again := order.Last(effects[w.Class], sent) // a class that is not known, and a keyed one without a key, count as unsafe
-		a := node.Answer{Status: status, Header: http.Header{}, Body: []byte("this gateway is taken out of service\n")}
+		a := proxy.Answer{Status: status, Header: http.Header{}, Body: []byte("this gateway is taken out of service\n")}
 		if again {
 			a.RetryAfter = time.Second
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,8 +27,8 @@
 	"robindrum/internal/config"
 	"robindrum/internal/fleet"
 	"robindrum/internal/limit"
-	"robindrum/internal/node"
 	"robindrum/internal/order"
+	"robindrum/internal/proxy"
 	"robindrum/internal/route"
 	"robindrum/internal/supervise"
 	"robindrum/internal/xds"
@@ -42,7 +42,7 @@
 	budget   *backend.Budget
 	memory   *limit.Pool
 	open     *limit.Pool
-	front    *node.Front
+	front    *proxy.Front
 	ids      atomic.Uint64
 	routes   atomic.Pointer[routing]
 	recorder atomic.Pointer[capture.Recorder] // nil: no recording is under way
@@ -122,7 +122,7 @@
 		listeners: map[string]*listener{}, feeds: map[string]*feed{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}, past: map[string]*past{}}
 	g.base = time.Duration(g.boot.UnixNano())
 	g.life, g.end = context.WithCancel(context.Background())
-	g.front = node.NewFront(node.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), LongestBody: int64(f.Limits.Body), Router: g, WholeWaits: true, ShedHeads: true})
+	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), LongestBody: int64(f.Limits.Body), Router: g, WholeWaits: true, ShedHeads: true})
 	g.routes.Store(&routing{file: &route.Table{}, clusters: map[string]*cluster{}})
 	g.local = f
 	err := g.joinFleet(f)
@@ -312,7 +312,7 @@
 }
 
 // Route finds where a request goes.
-func (g *Gateway) Route(r *http.Request, from node.Peer) node.Destination {
+func (g *Gateway) Route(r *http.Request, from proxy.Peer) proxy.Destination {
 	d := g.destination(r, from)
 	if d.Core == nil {
 		g.nowhere.Add(1)
@@ -320,14 +320,14 @@
 	return d
 }
 
-func (g *Gateway) destination(r *http.Request, from node.Peer) node.Destination {
+func (g *Gateway) destination(r *http.Request, from proxy.Peer) proxy.Destination {
 	if g.refuses.Load() {
-		return node.Destination{Status: http.StatusServiceUnavailable, Text: "this gateway is taken out of service", Wait: time.Second, Close: true}
+		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "this gateway is taken out of service", Wait: time.Second, Close: true}
 	}
 	t := g.routes.Load()
 	path := r.URL.EscapedPath()
 	if climbs(path) {
-		return node.Destination{Status: http.StatusBadRequest, Text: "a path with . or .. segments", Close: true}
+		return proxy.Destination{Status: http.StatusBadRequest, Text: "a path with . or .. segments", Close: true}
 	}
 	q := route.Request{Host: r.Host, Method: r.Method, Path: path, RawQuery: r.URL.RawQuery, Header: r.Header}
 	found, ok := t.file.Find(&q, rand.Uint64())
@@ -335,15 +335,15 @@
 		found, ok = t.xds.Find(&q, rand.Uint64())
 	}
 	if !ok {
-		return node.Destination{Status: http.StatusNotFound, Text: "no route"}
+		return proxy.Destination{Status: http.StatusNotFound, Text: "no route"}
 	}
 	c := t.clusters[found.Cluster]
 	if c == nil {
-		return node.Destination{Status: http.StatusServiceUnavailable, Text: "cluster " + found.Cluster + " is not known"}
+		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "cluster " + found.Cluster + " is not known"}
 	}
 	if drop := c.drop.Load(); drop > 0 && rand.Uint64N(1<<32) < drop {
 		c.past.dropped.Add(1)
-		return node.Destination{Status: http.StatusServiceUnavailable, Text: "refused by the control plane's drop_overloads"}
+		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "refused by the control plane's drop_overloads"}
 	}
 	w := balancer.Request{ID: strconv.FormatUint(g.ids.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, High: found.Route.High}
 	switch r.Method {
@@ -365,12 +365,12 @@
 	}
 	core := c.core.Load()
 	if w.Left = core.Deadline(w.Class); w.Left <= 0 { // a class that went with the last configuration
-		return node.Destination{Status: http.StatusServiceUnavailable, Text: "class " + found.Class + " is not known"}
+		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "class " + found.Class + " is not known"}
 	}
 	if ms, err := strconv.ParseInt(r.Header.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < w.Left.Milliseconds() {
 		w.Left = time.Duration(ms) * time.Millisecond
 	}
-	return node.Destination{Core: core, Words: w}
+	return proxy.Destination{Core: core, Words: w}
 }
 
 // climbs tells whether a path has a segment that leads elsewhere than it says. Danger: who stands behind the gateway
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"robindrum/internal/fleet"
-	"robindrum/internal/node"
 	"robindrum/internal/order"
+	"robindrum/internal/proxy"
 	"robindrum/internal/release"
 )
 
@@ -149,7 +149,7 @@
 
 // figures are what the requests of this process came to, those of clusters that are gone included.
 func (g *Gateway) figures() release.Figures {
-	var t node.Stats
+	var t proxy.Stats
 	for _, p := range g.past {
 		t.Add(p.Stats)
 	}
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"robindrum/internal/config"
-	"robindrum/internal/node"
+	"robindrum/internal/proxy"
 	"robindrum/internal/ratelimit"
 )
 
@@ -52,7 +52,7 @@
 func seconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
 
 // limited counts a request for all limits that it falls under, and gives the answer where one of them refuses it.
-func (t *routing) limited(now time.Duration, r *http.Request, from node.Peer, route, class string) *node.Destination {
+func (t *routing) limited(now time.Duration, r *http.Request, from proxy.Peer, route, class string) *proxy.Destination {
 	for _, l := range t.limits {
 		if !l.covers(from.Listener, route, class) {
 			continue
@@ -64,7 +64,7 @@
 		}
 		l.refused.Add(1)
 		// The fields of draft-ietf-httpapi-ratelimit-headers. Danger: all that share a key would come back at the same moment.
-		return &node.Destination{Status: http.StatusTooManyRequests, Text: "rate limit " + l.conf.Name,
+		return &proxy.Destination{Status: http.StatusTooManyRequests, Text: "rate limit " + l.conf.Name,
 			Wait:   time.Duration(float64(d.RetryAfter) * (1 + rand.Float64()/2)),
 			Header: http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {fmt.Sprintf("%q;r=%d;t=%d", l.conf.Name, d.Remaining, seconds(d.Reset))}}}
 	}
@@ -86,7 +86,7 @@
 			return maphash.String(l.seed, c.Value)
 		}
 	case k.Address != nil:
-		return maphash.Comparable(l.seed, node.PrefixOf(from, k.Address.IPv4, k.Address.IPv6))
+		return maphash.Comparable(l.seed, proxy.PrefixOf(from, k.Address.IPv4, k.Address.IPv6))
 	}
 	return maphash.String(l.seed, "")
 }
--- a/internal/gateway/shows.go
+++ b/internal/gateway/shows.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"robindrum/internal/node"
+	"robindrum/internal/proxy"
 	"robindrum/internal/release"
 )
 
@@ -23,11 +23,11 @@
 type classShows struct{ taken, inTime atomic.Uint64 }
 
 // add counts one request. Those whose client left are not counted: it is not known what they would have come to.
-func (s *shows) add(class string, out node.RequestOutcome, took time.Duration, inTime bool) {
-	if out == node.OutcomeServed {
+func (s *shows) add(class string, out proxy.RequestOutcome, took time.Duration, inTime bool) {
+	if out == proxy.OutcomeServed {
 		s.buckets[release.Bucket(took)].Add(1)
 	}
-	if out == node.OutcomeLeft {
+	if out == proxy.OutcomeLeft {
 		return
 	}
 	s.mu.RLock()
@@ -39,7 +39,7 @@
 		}
 	}
 	c.taken.Add(1)
-	if out == node.OutcomeServed && inTime {
+	if out == proxy.OutcomeServed && inTime {
 		c.inTime.Add(1)
 	}
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 	"robindrum/balancer"
 	"robindrum/internal/fleet"
 	"robindrum/internal/membership"
-	"robindrum/internal/node"
+	"robindrum/internal/proxy"
 )
 
 // Status is what the gateway says of itself, as JSON under /status. Ages are in seconds.
@@ -257,7 +257,7 @@
 }
 
 // total is what all cores of a cluster's name did, those that are gone included.
-func (g *Gateway) total(c *cluster) node.Stats {
+func (g *Gateway) total(c *cluster) proxy.Stats {
 	t := c.past.Stats
 	t.Add(c.in.core.Stats())
 	for in := range g.old {
--- a/internal/node/core.go
+++ b/internal/proxy/core.go
@@ -1,6 +1,6 @@
-// Package node carries out what the decision module decides: its fronts take clients' requests, a core runs the
+// Package proxy carries out what the decision module decides: its fronts take clients' requests, a core runs the
 // attempts that the module asks for, and gives each request its one final answer. It decides nothing itself.
-package node
+package proxy
 
 import (
 	"context"
--- a/internal/node/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -1,4 +1,4 @@
-package node
+package proxy
 
 import (
 	"bufio"
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -51,7 +51,7 @@
 	"robindrum/internal/config"
 	"robindrum/internal/discovery"
 	"robindrum/internal/gateway"
-	"robindrum/internal/node"
+	"robindrum/internal/proxy"
 	"robindrum/internal/standin/controlplane"
 	"robindrum/internal/standin/origin"
 )
@@ -224,7 +224,7 @@
 		budget := backend.NewBudget(1024)
 		set := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelTries: true,
 			Classes: []balancer.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Effect: balancer.Safe, Worth: 1}}}
-		n, err := node.New(node.Options{Settings: set, Seed: 1, BodyBytes: 64 << 20, Budget: budget}, backend.NewPool(backend.Options{}, budget))
+		n, err := proxy.New(proxy.Options{Settings: set, Seed: 1, BodyBytes: 64 << 20, Budget: budget}, backend.NewPool(backend.Options{}, budget))
 		if err != nil {
 			return err
 		}
