--- a/internal/admit/admit.go
+++ b/internal/admission/admit.go
@@ -1,4 +1,4 @@
-// Package admit decides whether a request of a cluster may start now, waits for a moment, or is refused, and bounds
+// Package admission decides whether a request of a cluster may start now, waits for a moment, or is refused, and bounds
 // retries. A cluster that answers in time has all its requests started; a limit on requests in flight falls on evidence
 // alone: answers that stand behind others, come late, or are turned away.
 //
@@ -8,7 +8,7 @@
 //
 // The words are Envoy's (circuit breakers, retry budget) and those of its adaptive concurrency filter; how waiting requests
 // are kept follows CoDel and adaptive LIFO, see docs/design/admission.md.
-package admit
+package admission
 
 import (
 	"cmp"
--- a/internal/admit/budget.go
+++ b/internal/admission/budget.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import "time"
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -143,7 +143,7 @@
 	Breakers Breakers `yaml:"circuit_breakers"`
 }
 
-// Overload is how a cluster's requests are admitted; see package admit.
+// Overload is how a cluster's requests are admitted; see package admission.
 type Overload struct {
 	Mode        Mode        `yaml:"mode"`         // adaptive, fixed or off
 	PerEndpoint int         `yaml:"per_endpoint"` // requests in flight for each endpoint that an adaptive limit begins with
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 )
 
 // Duration is written with its unit, "150ms" or "1m30s".
@@ -69,9 +69,9 @@
 }
 
 // Mode is how requests are admitted.
-type Mode admit.Mode
+type Mode admission.Mode
 
-var modes = []admit.Mode{admit.Adaptive, admit.Fixed, admit.Off}
+var modes = []admission.Mode{admission.Adaptive, admission.Fixed, admission.Off}
 
 // UnmarshalText reads it.
 func (m *Mode) UnmarshalText(b []byte) error {
@@ -85,7 +85,7 @@
 }
 
 // MarshalText writes it.
-func (m Mode) MarshalText() ([]byte, error) { return []byte(admit.Mode(m).String()), nil }
+func (m Mode) MarshalText() ([]byte, error) { return []byte(admission.Mode(m).String()), nil }
 
 // Effect is what a second run of a request does.
 type Effect balancer.Effect
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 	"robindrum/internal/config"
 )
 
-func (s *spec) admitOptions() admit.Options {
+func (s *spec) admitOptions() admission.Options {
 	v, b := &s.conf.Overload, &s.conf.Breakers
-	o := admit.Options{Mode: admit.Mode(v.Mode), Gateways: s.gateway.Of, PerEndpoint: v.PerEndpoint, Limit: v.Limit, MaxWait: v.MaxWait.D(), Floor: orNone(*v.Floor),
+	o := admission.Options{Mode: admission.Mode(v.Mode), Gateways: s.gateway.Of, PerEndpoint: v.PerEndpoint, Limit: v.Limit, MaxWait: v.MaxWait.D(), Floor: orNone(*v.Floor),
 		Breakers: admitBreakers(b), PendingBytes: int64(v.MaxWaiting),
 		RetryRatio: orNone(*v.Retries.Ratio), RetryRate: orNone(*v.Retries.Rate), RetryTTL: v.Retries.TTL.D()}
 	if b.High != nil {
@@ -20,8 +20,8 @@
 	return o
 }
 
-func admitBreakers(b *config.Breakers) admit.Breakers {
-	o := admit.Breakers{MaxRequests: b.MaxRequests, MaxPending: b.MaxPending, MaxRetries: b.MaxRetries}
+func admitBreakers(b *config.Breakers) admission.Breakers {
+	o := admission.Breakers{MaxRequests: b.MaxRequests, MaxPending: b.MaxPending, MaxRetries: b.MaxRetries}
 	if r := b.RetryBudget; r != nil {
 		o.RetryPercent, o.RetryLeast = r.Percent, r.MinConcurrency
 	}
@@ -29,16 +29,16 @@
 }
 
 // admission makes what admits the requests of a cluster's core. What the core before had learnt goes on.
-func (g *Gateway) admission(c *cluster) *admit.Controller {
+func (g *Gateway) admission(c *cluster) *admission.Controller {
 	o := c.spec.admitOptions()
 	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, admit.Class{Name: k.Name, Worth: k.Worth, Wanted: k.Wanted.D()})
+		o.Classes = append(o.Classes, admission.Class{Name: k.Name, Worth: k.Worth, Wanted: k.Wanted.D()})
 		if balancer.Effect(k.Effect) == balancer.Keyed {
-			o.Classes = append(o.Classes, admit.Class{Name: k.Name + unkeyed, Worth: k.Worth, Wanted: k.Wanted.D()})
+			o.Classes = append(o.Classes, admission.Class{Name: k.Name + unkeyed, Worth: k.Worth, Wanted: k.Wanted.D()})
 		}
 	}
 	log, name := g.log, c.name
-	o.Notify = func(t admit.Change) {
+	o.Notify = func(t admission.Change) {
 		if !t.Short {
 			log.Info("the cluster is well again", "cluster", name, "limit", t.Limit)
 			return
@@ -46,7 +46,7 @@
 		log.Warn("the cluster is short: requests are refused", "cluster", name, "limit", t.Limit, "evidence", t.Evidence)
 		time.AfterFunc(time.Second, func() { g.watchShort(c) })
 	}
-	a, err := admit.New(o, uint64(g.Now()))
+	a, err := admission.New(o, uint64(g.Now()))
 	if err != nil { // the configuration was checked: this cannot be
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
@@ -100,7 +100,7 @@
 }
 
 func (in *instance) admissionStatus() AdmissionStatus {
-	var r admit.Report
+	var r admission.Report
 	in.core.Inspect(func(now time.Duration) { r = in.admission.Report(now) })
 	s := AdmissionStatus{Mode: r.Mode.String(), Limit: r.Limit, Active: r.Active, Waiting: r.Waiting, Bytes: r.Bytes, Throughput: r.Throughput, Short: r.Short,
 		Evidence: r.Evidence, Started: r.Started, Waited: r.Queued, Refused: r.Refused, Retries: r.Retries, Denied: r.Denied}
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
 	"robindrum/internal/limit"
@@ -54,7 +54,7 @@
 	of   *cluster
 	// Both belong to the core, and are looked at by its Inspect alone.
 	zones     *zone.Book // nil: none
-	admission *admit.Controller
+	admission *admission.Controller
 }
 
 // past is what cores that are gone did for the clusters of one name.
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 	"robindrum/internal/zone"
 )
 
@@ -24,7 +24,7 @@
 		FailHold: z.FailHold.D(), DarkHold: z.DarkHold.D(), UpHold: z.UpHold.D(), Hold: z.Hold.D(), MostHold: z.MostHold.D(),
 		Probe: z.Probe.D(), Step: z.Step.D(), Floor: orNone(*z.Floor), FirstShare: z.FirstShare, FirstRoom: z.FirstRoom,
 		Tolerance: z.Tolerance, OwnTol: z.OwnTolerance, RetryShare: orNone(*z.RetryBudget), RetryLeast: z.RetryLeast,
-		OwnFree: admit.Mode(s.conf.Overload.Mode) != admit.Off}
+		OwnFree: admission.Mode(s.conf.Overload.Mode) != admission.Off}
 }
 
 // book makes the tiers of a cluster's core. Where the core before had some, what they knew goes on.
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 	"robindrum/internal/standin/fleet"
 )
 
@@ -47,9 +47,9 @@
 			Effect: balancer.Effect(c.Effect), Group: balancer.Group(c.Group), Window: c.Window.D()}})
 	}
 	if g.Admission != "estimate" {
-		mode := map[string]admit.Mode{"adaptive": admit.Adaptive, "fixed": admit.Fixed, "off": admit.Off}[g.Admission]
-		o.Admission = fleet.Admit(o, admit.Options{Mode: mode, Limit: g.Limit})
-		o.Zone.OwnFree = mode != admit.Off
+		mode := map[string]admission.Mode{"adaptive": admission.Adaptive, "fixed": admission.Fixed, "off": admission.Off}[g.Admission]
+		o.Admission = fleet.Admit(o, admission.Options{Mode: mode, Limit: g.Limit})
+		o.Zone.OwnFree = mode != admission.Off
 	}
 	for _, p := range e.Phases {
 		o.Phases = append(o.Phases, p.D())
--- a/internal/standin/fleet/admission.go
+++ b/internal/standin/fleet/admission.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 )
 
 // Admit gives the admissions of Options.Admission: a Controller each, with the classes of o.
-func Admit(o Options, a admit.Options) func(int) (balancer.Admission, error) {
+func Admit(o Options, a admission.Options) func(int) (balancer.Admission, error) {
 	for _, c := range o.Classes {
-		a.Classes = append(a.Classes, admit.Class{Name: c.Name, Worth: c.Worth, Wanted: c.Aim})
+		a.Classes = append(a.Classes, admission.Class{Name: c.Name, Worth: c.Worth, Wanted: c.Aim})
 	}
 	a.Gateways = o.Gateways
-	return func(i int) (balancer.Admission, error) { return admit.New(a, o.Seed*100+uint64(i)) }
+	return func(i int) (balancer.Admission, error) { return admission.New(a, o.Seed*100+uint64(i)) }
 }
 
 // AIMD gives the plain alternative to an evidence of standing requests: a limit that rises by one for each answer in time
--- a/internal/standin/fleet/admission_test.go
+++ b/internal/standin/fleet/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 )
 
 const ms = time.Millisecond
@@ -34,7 +34,7 @@
 	if o.Gateways == 0 {
 		o.Gateways = 1
 	}
-	o.Admission = Admit(o, admit.Options{})
+	o.Admission = Admit(o, admission.Options{})
 	return o
 }
 
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/admit"
+	"robindrum/internal/admission"
 	"robindrum/internal/standin/fleet"
 )
 
@@ -23,14 +23,16 @@
 		of   func(o fleet.Options) func(int) (balancer.Admission, error)
 	}{
 		{"off", func(o fleet.Options) func(int) (balancer.Admission, error) {
-			return fleet.Admit(o, admit.Options{Mode: admit.Off})
+			return fleet.Admit(o, admission.Options{Mode: admission.Off})
 		}},
 		{"the module's estimate", func(fleet.Options) func(int) (balancer.Admission, error) { return nil }},
 		{"fixed 1024", func(o fleet.Options) func(int) (balancer.Admission, error) {
-			return fleet.Admit(o, admit.Options{Mode: admit.Fixed, Limit: 1024})
+			return fleet.Admit(o, admission.Options{Mode: admission.Fixed, Limit: 1024})
 		}},
 		{"AIMD", func(o fleet.Options) func(int) (balancer.Admission, error) { return fleet.AIMD(o, 512) }},
-		{"adaptive", func(o fleet.Options) func(int) (balancer.Admission, error) { return fleet.Admit(o, admit.Options{}) }},
+		{"adaptive", func(o fleet.Options) func(int) (balancer.Admission, error) {
+			return fleet.Admit(o, admission.Options{})
+		}},
 	}
 	// Two servers of four workers, 20 ms a request: 400 a second.
 	const capacity = 2 * 4 / 0.02
