--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/limit"
+	"robindrum/internal/resource"
 )
 
 // Mode is what bounds the requests in flight.
@@ -454,7 +454,7 @@
 		c.short = true
 		c.tell(now)
 	}
-	return limit.Advice(c.wentBad.per(now), c.throughput(now), c.opt.MostAdvice, c.rng.Float64())
+	return resource.Advice(c.wentBad.per(now), c.throughput(now), c.opt.MostAdvice, c.rng.Float64())
 }
 
 func (c *Controller) tell(now time.Duration) {
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -17,10 +17,10 @@
 	"robindrum/internal/admission"
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
-	"robindrum/internal/limit"
 	"robindrum/internal/membership"
 	"robindrum/internal/order"
 	"robindrum/internal/proxy"
+	"robindrum/internal/resource"
 	"robindrum/internal/xds"
 	"robindrum/internal/zone"
 )
@@ -35,8 +35,8 @@
 	core atomic.Pointer[proxy.Core]
 	// What it holds of the shared limits, all its cores together: one that ends and one that begins own one part.
 	conns    *backend.Share
-	mem      *limit.Share
-	requests *limit.Share
+	mem      *resource.Share
+	requests *resource.Share
 	// overprovision is what the control plane says in place of the configuration's; 0: nothing.
 	overprovision float64
 	drop          atomic.Uint64 // of 1<<32 requests, how many are to be refused
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,9 +26,9 @@
 	"robindrum/internal/capture"
 	"robindrum/internal/config"
 	"robindrum/internal/fleet"
-	"robindrum/internal/limit"
 	"robindrum/internal/order"
 	"robindrum/internal/proxy"
+	"robindrum/internal/resource"
 	"robindrum/internal/route"
 	"robindrum/internal/supervise"
 	"robindrum/internal/xds"
@@ -40,8 +40,8 @@
 	boot     time.Time
 	base     time.Duration // boot as Unix time
 	budget   *backend.Budget
-	memory   *limit.Pool
-	open     *limit.Pool
+	memory   *resource.Pool
+	open     *resource.Pool
 	front    *proxy.Front
 	ids      atomic.Uint64
 	routes   atomic.Pointer[routing]
@@ -118,7 +118,7 @@
 // NewSupervised is New of a process that is supervised, which releases have started as other versions; nil: it is not.
 func NewSupervised(f *config.File, log *slog.Logger, child *supervise.Child) (*Gateway, error) {
 	g := &Gateway{log: log, boot: time.Now(), budget: backend.NewBudget(descriptors(f.Limits.Descriptors, log)),
-		memory: limit.NewPool(int64(f.Limits.Memory)), open: limit.NewPool(int64(f.Limits.Requests)),
+		memory: resource.NewPool(int64(f.Limits.Memory)), open: resource.NewPool(int64(f.Limits.Requests)),
 		listeners: map[string]*listener{}, feeds: map[string]*feed{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}, past: map[string]*past{}}
 	g.base = time.Duration(g.boot.UnixNano())
 	g.life, g.end = context.WithCancel(context.Background())
--- a/internal/limit/limit.go
+++ b/internal/resource/limit.go
@@ -1,5 +1,5 @@
-// Package limit shares bounded amounts (bytes, requests in hand) among users, each of which has a part of its own.
-package limit
+// Package resource shares bounded amounts (bytes, requests in hand) among users, each of which has a part of its own.
+package resource
 
 import (
 	"fmt"
--- a/internal/limit/limit_test.go
+++ b/internal/resource/limit_test.go
@@ -1,4 +1,4 @@
-package limit
+package resource
 
 import (
 	"testing"
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/limit"
+	"robindrum/internal/resource"
 )
 
 // State is what a locality is taken to be.
@@ -485,7 +485,7 @@
 	for _, p := range b.places {
 		served += p.good.at(now).n
 	}
-	return limit.Advice(b.short.at(now).n, served, b.opt.MostAdvice, b.rng.Float64())
+	return resource.Advice(b.short.at(now).n, served, b.opt.MostAdvice, b.rng.Float64())
 }
 
 // Sent takes that an attempt went to a locality.
