--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"robindrum/internal/config"
-	"robindrum/internal/duty"
+	"robindrum/internal/leaderelection"
 	"robindrum/internal/lease"
 	"robindrum/internal/members"
 	"robindrum/internal/order"
@@ -39,8 +39,8 @@
 	list    *members.List
 	server  *quorum.Server // nil: it does not vote
 	client  *quorum.Client
-	runner  *duty.Runner
-	duties  []duty.Duty
+	runner  *leaderelection.Runner
+	duties  []leaderelection.Duty
 	noVote  string // why a voter does not vote from its start on
 	post    *http.Client
 	zone    string
@@ -110,9 +110,9 @@
 	// Births rise with each start as long as the clock does not go back by more than a process lives.
 	self := members.Member{Name: c.Member, Site: c.Site, Zone: zone, Program: Version(), Config: version, Birth: uint64(time.Now().UnixNano()), State: state, Address: c.Advertise}
 	f.zone = zone
-	f.runner = duty.NewRunner(f.client, duty.Options{Member: lease.Member{Name: c.Member, Birth: self.Birth, Site: c.Site}, Now: now, Log: log})
+	f.runner = leaderelection.NewRunner(f.client, leaderelection.Options{Member: lease.Member{Name: c.Member, Birth: self.Birth, Site: c.Site}, Now: now, Log: log})
 	for _, p := range c.Posts {
-		f.Add(duty.Duty{Name: "post/" + p.Name, Rules: f.Rules(""), Run: f.poster(p)})
+		f.Add(leaderelection.Duty{Name: "post/" + p.Name, Rules: f.Rules(""), Run: f.poster(p)})
 	}
 	if f.list, err = members.Start(f.node, members.Options{Fleet: c.Name, Self: self, Seeds: c.Seeds, Probe: c.Probe.D(), Forget: c.Forget.D(), Now: now, Log: log}); err != nil {
 		f.Stop(0)
@@ -127,7 +127,7 @@
 }
 
 // Add has a duty asked for from Start on.
-func (f *Fleet) Add(d duty.Duty) { f.duties = append(f.duties, d) }
+func (f *Fleet) Add(d leaderelection.Duty) { f.duties = append(f.duties, d) }
 
 // Node is its address, for handlers that are registered before Start.
 func (f *Fleet) Node() *peer.Node { return f.node }
@@ -208,8 +208,8 @@
 }
 
 // poster is the duty of a post.
-func (f *Fleet) poster(p config.Post) func(context.Context, *duty.Hold) {
-	return func(ctx context.Context, h *duty.Hold) {
+func (f *Fleet) poster(p config.Post) func(context.Context, *leaderelection.Hold) {
+	return func(ctx context.Context, h *leaderelection.Hold) {
 		tick := time.NewTicker(p.Every.D())
 		defer tick.Stop()
 		for n := 0; ; n++ {
@@ -233,7 +233,7 @@
 	NumberHeader = "Robindrum-Number"
 )
 
-func (f *Fleet) postOnce(ctx context.Context, p config.Post, h *duty.Hold, n int) error {
+func (f *Fleet) postOnce(ctx context.Context, p config.Post, h *leaderelection.Hold, n int) error {
 	token, at, ok := h.Token()
 	if !ok {
 		return errors.New("the lease is over")
@@ -262,16 +262,16 @@
 
 // Status is how this process stands in its fleet.
 type Status struct {
-	Name      string           `json:"name"`
-	Self      members.Member   `json:"self"`
-	Members   []members.Member `json:"members"`
-	Conflicts int              `json:"conflicts"`
-	Contact   quorum.Contact   `json:"quorum"`
-	Vote      *quorum.Status   `json:"vote,omitempty"`
-	NoVote    string           `json:"no_vote,omitempty"`
-	Duties    []duty.Status    `json:"duties"`
-	Sent      int64            `json:"sent_bytes"`
-	Traffic   peer.Traffic     `json:"traffic"`
+	Name      string                  `json:"name"`
+	Self      members.Member          `json:"self"`
+	Members   []members.Member        `json:"members"`
+	Conflicts int                     `json:"conflicts"`
+	Contact   quorum.Contact          `json:"quorum"`
+	Vote      *quorum.Status          `json:"vote,omitempty"`
+	NoVote    string                  `json:"no_vote,omitempty"`
+	Duties    []leaderelection.Status `json:"duties"`
+	Sent      int64                   `json:"sent_bytes"`
+	Traffic   peer.Traffic            `json:"traffic"`
 	// Stale says what needs the quorum and has not had it for longer than a lease.
 	Stale string        `json:"stale,omitempty"`
 	Now   time.Duration `json:"now"`
@@ -283,7 +283,7 @@
 func (f *Fleet) Status() Status {
 	s := Status{Name: f.conf.Name, Self: f.list.Self(), Members: f.list.Members(), Conflicts: f.list.Conflicts(), Contact: f.client.Contact(), NoVote: f.NoVote(),
 		Duties: f.runner.Status(), Sent: f.node.Sent(), Traffic: f.node.Traffic(), Now: f.now()}
-	slices.SortFunc(s.Duties, func(a, b duty.Status) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Duties, func(a, b leaderelection.Status) int { return strings.Compare(a.Name, b.Name) })
 	if f.server != nil {
 		v := f.server.Status()
 		s.Vote = &v
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -7,8 +7,8 @@
 
 	"robindrum/balancer"
 	"robindrum/internal/config"
-	"robindrum/internal/duty"
 	"robindrum/internal/fleet"
+	"robindrum/internal/leaderelection"
 	"robindrum/internal/members"
 	"robindrum/internal/order"
 	"robindrum/internal/proxy"
@@ -40,7 +40,7 @@
 		}
 		return s.receive(body)
 	})
-	fl.Add(duty.Duty{Name: "xds/" + f.Fleet.Site, Rules: fl.Rules(f.Fleet.Site), Run: func(ctx context.Context, h *duty.Hold) {
+	fl.Add(leaderelection.Duty{Name: "xds/" + f.Fleet.Site, Rules: fl.Rules(f.Fleet.Site), Run: func(ctx context.Context, h *leaderelection.Hold) {
 		if s := g.shared.Load(); s != nil {
 			s.hold(ctx, h, func() bool { return ctx.Err() == nil && g.shared.Load() == s })
 		} else {
@@ -190,7 +190,7 @@
 	}
 	for _, d := range s.Duties {
 		held := 0.0
-		if d.State == duty.Holding {
+		if d.State == leaderelection.Holding {
 			held = 1
 		}
 		put("fduty", held, d.Name)
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"robindrum/internal/config"
-	"robindrum/internal/duty"
 	"robindrum/internal/fleet"
+	"robindrum/internal/leaderelection"
 	"robindrum/internal/members"
 	"robindrum/internal/peer"
 	"robindrum/internal/share"
@@ -209,7 +209,7 @@
 }
 
 // hold is the duty: it follows the control plane and hands what it accepts to the others.
-func (s *shared) hold(ctx context.Context, h *duty.Hold, current func() bool) {
+func (s *shared) hold(ctx context.Context, h *leaderelection.Hold, current func() bool) {
 	token, _, ok := h.Token()
 	if !ok {
 		return
@@ -258,7 +258,7 @@
 // pushing is a holder's work.
 type pushing struct {
 	s     *shared
-	h     *duty.Hold
+	h     *leaderelection.Hold
 	ready bool // what is in use here is the control plane's word on this stream
 	room  chan struct{}
 	work  sync.WaitGroup
--- a/internal/duty/duty.go
+++ b/internal/leaderelection/duty.go
@@ -1,7 +1,7 @@
-// Package duty runs what only one process of a fleet does at a time. A duty runs while its lease is held: it begins with a
+// Package leaderelection runs what only one process of a fleet does at a time. A duty runs while its lease is held: it begins with a
 // fencing token, and its context ends before the lease does. Safety does not rest on that: whoever receives an act of a
 // duty refuses a token older than the highest it has seen (lease.Fence).
-package duty
+package leaderelection
 
 import (
 	"context"
--- a/internal/duty/duty_test.go
+++ b/internal/leaderelection/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package leaderelection
 
 import (
 	"context"
--- a/internal/duty/planted.go
+++ b/internal/leaderelection/planted.go
@@ -1,5 +1,5 @@
 //go:build planted
 
-package duty
+package leaderelection
 
 const unguarded = true
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -15,8 +15,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"robindrum/internal/duty"
 	"robindrum/internal/fleet"
+	"robindrum/internal/leaderelection"
 	"robindrum/internal/lease"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
@@ -241,9 +241,9 @@
 		var work sync.WaitGroup
 		for i := range gates {
 			gates[i] = &gate{Client: quorum.NewClient(node, c.Voters(), 600*time.Millisecond, fleet.Clock), asked: &asked}
-			r := duty.NewRunner(gates[i], duty.Options{Member: lease.Member{Name: fmt.Sprint("m", i), Birth: 1}, Now: fleet.Clock, Log: slog.New(slog.DiscardHandler)})
+			r := leaderelection.NewRunner(gates[i], leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("m", i), Birth: 1}, Now: fleet.Clock, Log: slog.New(slog.DiscardHandler)})
 			work.Go(func() {
-				r.Run(life, duty.Duty{Name: name, Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *duty.Hold) {
+				r.Run(life, leaderelection.Duty{Name: name, Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *leaderelection.Hold) {
 					select {
 					case each <- began{i, fleet.Clock()}:
 					case <-ctx.Done():
