--- a/cmd/robindrum/orders.go
+++ b/cmd/robindrum/orders.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 	"robindrum/internal/quorum"
 )
 
@@ -34,7 +34,7 @@
 func drainCommand() *cobra.Command {
 	var addr, owner string
 	var wait, plain bool
-	o := order.Order{}
+	o := drain.Order{}
 	c := &cobra.Command{Use: "drain", Short: "Take gateways or endpoints out of service, as the fleet's budgets allow", Args: noArgs,
 		Long: "Take a gateway, an endpoint, or a zone of either out of service. The fleet's quorum grants it when the budgets allow, counting what is out by itself;\n" +
 			"until then it waits in line. It stays out until robindrum undrain, also when it is restarted or its order's asker is gone.\n" +
@@ -52,7 +52,7 @@
 			return err
 		}
 		if wait {
-			return follow(c, addr, x, plain, func(s order.State) bool { return s == order.Done || s == order.Overdue })
+			return follow(c, addr, x, plain, func(s drain.State) bool { return s == drain.Done || s == drain.Overdue })
 		}
 		return printOrder(c.OutOrStdout(), x, plain)
 	}
@@ -67,18 +67,18 @@
 	f.BoolVar(&wait, "wait", false, "wait until it is done, and print each change")
 	f.BoolVar(&plain, "json", false, "print JSON, a line each")
 	c.AddCommand(&cobra.Command{Use: "gateway MEMBER", Short: "A gateway, by its member's name", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		o.Target = order.Target{Gateway: args[0]}
+		o.Target = drain.Target{Gateway: args[0]}
 		return run(c)
 	}}, &cobra.Command{Use: "endpoint CLUSTER ADDRESS", Short: "An endpoint of a cluster, at every gateway", Args: cobra.ExactArgs(2), RunE: func(c *cobra.Command, args []string) error {
-		o.Target, o.Notice = order.Target{Cluster: args[0], Endpoint: args[1]}, 0
+		o.Target, o.Notice = drain.Target{Cluster: args[0], Endpoint: args[1]}, 0
 		return run(c)
 	}}, &cobra.Command{Use: "gateways ZONE [SITE]", Short: "All gateways of a zone, together or none", Args: cobra.RangeArgs(1, 2), RunE: func(c *cobra.Command, args []string) error {
-		if o.Target = (order.Target{Zone: args[0]}); len(args) > 1 {
+		if o.Target = (drain.Target{Zone: args[0]}); len(args) > 1 {
 			o.Target.Site = args[1]
 		}
 		return run(c)
 	}}, &cobra.Command{Use: "zone CLUSTER ZONE", Short: "All endpoints of a zone of a cluster, together or none", Args: cobra.ExactArgs(2), RunE: func(c *cobra.Command, args []string) error {
-		o.Target, o.Notice = order.Target{Cluster: args[0], Zone: args[1]}, 0
+		o.Target, o.Notice = drain.Target{Cluster: args[0], Zone: args[1]}, 0
 		return run(c)
 	}})
 	return c
@@ -89,12 +89,12 @@
 	var wait, plain bool
 	c := &cobra.Command{Use: "undrain ORDER", Short: "Have what an order has taken out come back, or drop an order that has not begun", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			x, err := tell(c, addr, "undrain", &order.Order{ID: args[0]})
+			x, err := tell(c, addr, "undrain", &drain.Order{ID: args[0]})
 			if err != nil {
 				return err
 			}
 			if wait {
-				return follow(c, addr, x, plain, func(s order.State) bool { return s == order.Ended })
+				return follow(c, addr, x, plain, func(s drain.State) bool { return s == drain.Ended })
 			}
 			return printOrder(c.OutOrStdout(), x, plain)
 		}}
@@ -121,7 +121,7 @@
 	c.Flags().BoolVar(&plain, "json", false, "print what the quorum says as it is")
 	for name, what := range map[string]string{"halt": "Have nothing new taken out; what is out stays, and may come back", "resume": "Lift a halt"} {
 		c.AddCommand(&cobra.Command{Use: name, Short: what, Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
-			_, err := tell(c, addr, name, &order.Order{})
+			_, err := tell(c, addr, name, &drain.Order{})
 			return err
 		}})
 	}
@@ -129,7 +129,7 @@
 }
 
 // tell posts an order.
-func tell(c *cobra.Command, addr, what string, o *order.Order) (x order.Order, err error) {
+func tell(c *cobra.Command, addr, what string, o *drain.Order) (x drain.Order, err error) {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return x, err
@@ -138,7 +138,7 @@
 	return x, err
 }
 
-func printOrder(out io.Writer, o order.Order, plain bool) error {
+func printOrder(out io.Writer, o drain.Order, plain bool) error {
 	if plain {
 		return json.NewEncoder(out).Encode(o)
 	}
@@ -153,15 +153,15 @@
 		line += ": " + o.Why
 	}
 	_, err := fmt.Fprintln(out, line)
-	if o.State == order.Refused && err == nil {
+	if o.State == drain.Refused && err == nil {
 		err = exitCode(1)
 	}
 	return err
 }
 
 // follow prints an order's changes until it is where it was to go, or ends.
-func follow(c *cobra.Command, addr string, o order.Order, plain bool, there func(order.State) bool) error {
-	last := order.Order{}
+func follow(c *cobra.Command, addr string, o drain.Order, plain bool, there func(drain.State) bool) error {
+	last := drain.Order{}
 	for {
 		if o.State != last.State || o.Why != last.Why || o.InHand != last.InHand {
 			if err := printOrder(c.OutOrStdout(), o, plain); err != nil {
@@ -170,11 +170,11 @@
 			last = o
 		}
 		switch {
-		case there(o.State) && o.State == order.Overdue:
+		case there(o.State) && o.State == drain.Overdue:
 			return exitCode(exitOverdue)
 		case there(o.State):
 			return nil
-		case o.State == order.Ended, o.State == order.Cancelled && !there(order.Ended):
+		case o.State == drain.Ended, o.State == drain.Cancelled && !there(drain.Ended):
 			return exitCode(exitCancelled)
 		}
 		select {
--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
 	"robindrum/internal/supervise"
@@ -65,7 +65,7 @@
 		if err != nil {
 			return err
 		}
-		waves, budgets, why := release.Waves(l.Gateways), []order.Standing{}, ""
+		waves, budgets, why := release.Waves(l.Gateways), []drain.Standing{}, ""
 		if len(args) > 0 || version != "" {
 			if _, err := what(args); err != nil {
 				return err
--- a/internal/order/order.go
+++ b/internal/drain/order.go
@@ -1,11 +1,11 @@
-// Package order holds what operators and releases have asked a fleet to take out of service, and decides when that may be: the
+// Package drain holds what operators and releases have asked a fleet to take out of service, and decides when that may be: the
 // state machine that the quorum applies beside its leases. It has no clock, no I/O and no goroutine; times are readings of the
 // leader's clock, as in package lease.
 //
 // One rule stands over all: **what is missing counts as out**, whoever caused it. A budget says how many may be out; an order is
 // granted a slot before anything is taken out, and gives it back only when its target has been seen in service again. Bringing
 // something back needs no slot and no majority.
-package order
+package drain
 
 import (
 	"cmp"
--- a/internal/order/order_test.go
+++ b/internal/drain/order_test.go
@@ -1,4 +1,4 @@
-package order
+package drain
 
 import (
 	"encoding/json"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,10 +21,10 @@
 	"time"
 
 	"robindrum/internal/config"
+	"robindrum/internal/drain"
 	"robindrum/internal/leaderelection"
 	"robindrum/internal/lease"
 	"robindrum/internal/members"
-	"robindrum/internal/order"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
@@ -338,7 +338,7 @@
 	})
 	for path, op := range map[string]quorum.Op{"drain": quorum.Ask, "undrain": quorum.Cancel, "halt": quorum.Halt, "resume": quorum.Resume} {
 		mux.HandleFunc("POST /fleet/"+path, func(w http.ResponseWriter, r *http.Request) {
-			var o order.Order
+			var o drain.Order
 			if err := json.NewDecoder(io.LimitReader(r.Body, 64<<10)).Decode(&o); err != nil && (op == quorum.Ask || op == quorum.Cancel) {
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/members"
-	"robindrum/internal/order"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
@@ -29,7 +29,7 @@
 	Birth     uint64           `json:"birth"`
 	Serving   bool             `json:"serving"`
 	InHand    map[string]int   `json:"in_hand,omitempty"`   // by order: at this gateway, or of it at the endpoint
-	Endpoints []order.Endpoint `json:"endpoints,omitempty"` // those that are not well; with full all
+	Endpoints []drain.Endpoint `json:"endpoints,omitempty"` // those that are not well; with full all
 	// Of releases.
 	Has     string          `json:"has,omitempty"`
 	Pending bool            `json:"pending,omitempty"` // it has been taken over, and requests still go by the one before
@@ -58,7 +58,7 @@
 // Agent is the gateway that takes orders. Ordered is called by one goroutine at a time, and each time with a view that is no
 // older than the one before.
 type Agent interface {
-	Ordered(v order.View, full bool) Report
+	Ordered(v drain.View, full bool) Report
 	// Configure has the gateway use a configuration beside its own file; empty: its own file's alone. What it cannot use changes
 	// nothing. It is called by one goroutine at a time.
 	Configure(digest, text string) error
@@ -72,7 +72,7 @@
 	runs    string  // the version that it is supervised as
 
 	mu    sync.Mutex
-	view  order.View
+	view  drain.View
 	known time.Duration // when the view was confirmed last; 0: never
 
 	// What is to be had, by version, and what is; see configure.
@@ -92,7 +92,7 @@
 
 // told is what the leader sends.
 type told struct {
-	View    order.View `json:"view"`
+	View    drain.View `json:"view"`
 	Full    bool       `json:"full"`
 	Want    string     `json:"want"` // the configuration that this gateway is to have
 	Version uint64     `json:"version"`
@@ -336,7 +336,7 @@
 	view := s.View()
 	// Begun here, so that what is granted is taken out under the token that the quorum gave, and by nobody else.
 	for _, x := range view.Out {
-		if x.State == order.Granted {
+		if x.State == drain.Granted {
 			if err := s.Begin(x); err != nil {
 				return err
 			}
@@ -374,13 +374,13 @@
 	}
 	work.Wait()
 	seen := &quorum.Seen{Version: view.Version}
-	ends, bad, answered := map[[2]string]order.Endpoint{}, map[[2]string]int{}, 0
+	ends, bad, answered := map[[2]string]drain.Endpoint{}, map[[2]string]int{}, 0
 	inHand, heard := map[string]int{}, map[string]int{}
 	for i, m := range all {
 		if m.State == members.Witness || m.State == members.Gone {
 			continue
 		}
-		g := order.Gateway{Name: m.Name, Site: m.Site, Zone: m.Zone, Birth: m.Birth}
+		g := drain.Gateway{Name: m.Name, Site: m.Site, Zone: m.Zone, Birth: m.Birth}
 		if r := reports[i]; r != nil {
 			answered++
 			g.Birth, g.Serving = r.Birth, r.Serving
@@ -463,7 +463,7 @@
 				}
 			}
 		}
-		if !x.State.Out() || !ok || heard[x.ID] < least || x.State == order.Done && n == 0 {
+		if !x.State.Out() || !ok || heard[x.ID] < least || x.State == drain.Done && n == 0 {
 			continue
 		}
 		if err := s.Progress(x, n); err != nil {
@@ -477,7 +477,7 @@
 func (f *Fleet) Orders(ctx context.Context) (quorum.Orders, error) { return f.client.Orders(ctx) }
 
 // order has the quorum do something about one.
-func (f *Fleet) order(ctx context.Context, op quorum.Op, o *order.Order) (order.Order, error) {
+func (f *Fleet) order(ctx context.Context, op quorum.Op, o *drain.Order) (drain.Order, error) {
 	r, _, err := f.client.Do(ctx, quorum.Command{Op: op, Order: o})
 	if err == nil {
 		err = r.Err()
@@ -485,15 +485,15 @@
 	if r.Order != nil {
 		return *r.Order, err
 	}
-	return order.Order{}, err
+	return drain.Order{}, err
 }
 
 // budgets are the file's, or what is taken where it has none.
-func (f *Fleet) budgets() []order.Budget {
-	var l []order.Budget
+func (f *Fleet) budgets() []drain.Budget {
+	var l []drain.Budget
 	for _, b := range f.conf.Budgets {
-		s := order.Scope{Gateways: b.Cluster == "", Cluster: b.Cluster, Site: b.Site, Zone: b.Zone, EachZone: b.Each == "zone", EachSite: b.Each == "site"}
-		l = append(l, order.Budget{Name: b.Name, Scope: s, Most: b.Most, Part: b.Part})
+		s := drain.Scope{Gateways: b.Cluster == "", Cluster: b.Cluster, Site: b.Site, Zone: b.Zone, EachZone: b.Each == "zone", EachSite: b.Each == "site"}
+		l = append(l, drain.Budget{Name: b.Name, Scope: s, Most: b.Most, Part: b.Part})
 	}
 	return l
 }
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -17,8 +17,8 @@
 	"robindrum/internal/admission"
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
+	"robindrum/internal/drain"
 	"robindrum/internal/membership"
-	"robindrum/internal/order"
 	"robindrum/internal/proxy"
 	"robindrum/internal/resource"
 	"robindrum/internal/xds"
@@ -449,7 +449,7 @@
 		w.Endpoints = slices.Clone(w.Endpoints)
 		for i := range w.Endpoints {
 			e := &w.Endpoints[i]
-			e.Held = slices.ContainsFunc(g.held, func(t order.Target) bool { return t.HasEndpoint(c.name, e.Address, e.Zone) })
+			e.Held = slices.ContainsFunc(g.held, func(t drain.Target) bool { return t.HasEndpoint(c.name, e.Address, e.Zone) })
 		}
 	}
 	u := c.view.Take(g.Now(), w)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -7,10 +7,10 @@
 
 	"robindrum/balancer"
 	"robindrum/internal/config"
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
 	"robindrum/internal/leaderelection"
 	"robindrum/internal/members"
-	"robindrum/internal/order"
 	"robindrum/internal/proxy"
 	"robindrum/internal/release"
 )
@@ -127,7 +127,7 @@
 		effects[c.Name] = effectName(c.Effect)
 	}
 	return func(w balancer.Request, sent bool) proxy.Answer {
-		status, again := order.Last(effects[w.Class], sent) // a class that is not known, and a keyed one without a key, count as unsafe
+		status, again := drain.Last(effects[w.Class], sent) // a class that is not known, and a keyed one without a key, count as unsafe
 		a := proxy.Answer{Status: status, Header: http.Header{}, Body: []byte("this gateway is taken out of service\n")}
 		if again {
 			a.RetryAfter = time.Second
@@ -168,7 +168,7 @@
 		}
 	}
 	if b := s.Book; b != nil {
-		for _, state := range []order.State{order.Asked, order.Granted, order.UnderWay, order.Done, order.Overdue, order.Cancelled} {
+		for _, state := range []drain.State{drain.Asked, drain.Granted, drain.UnderWay, drain.Done, drain.Overdue, drain.Cancelled} {
 			put("forders", float64(b.Orders[state]), string(state))
 		}
 		halted := 0.0
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,8 +25,8 @@
 	"robindrum/internal/backend"
 	"robindrum/internal/capture"
 	"robindrum/internal/config"
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/proxy"
 	"robindrum/internal/resource"
 	"robindrum/internal/route"
@@ -72,8 +72,8 @@
 	limits    []*rateLimit
 	pending   *pending
 	stopping  bool
-	held      []order.Target // endpoints, and zones of clusters, that orders have taken out
-	drain     *order.Order   // that has taken this gateway out; nil: none
+	held      []drain.Target // endpoints, and zones of clusters, that orders have taken out
+	drain     *drain.Order   // that has taken this gateway out; nil: none
 	drainAt   time.Duration  // when it was heard of
 	expired   bool           // what it had in hand at the end of the grace was answered
 	ordered   bool           // it is known what is ordered, or it was waited for long enough
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/proxy"
 	"robindrum/internal/release"
 )
@@ -28,7 +28,7 @@
 }
 
 // Ordered takes over what is ordered, and tells how this gateway stands then. It is called by one goroutine at a time.
-func (g *Gateway) Ordered(v order.View, full bool) fleet.Report {
+func (g *Gateway) Ordered(v drain.View, full bool) fleet.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.takeOrders(v)
@@ -37,9 +37,9 @@
 	return r
 }
 
-func (g *Gateway) takeOrders(v order.View) {
-	var held []order.Target
-	var own *order.Order
+func (g *Gateway) takeOrders(v drain.View) {
+	var held []drain.Target
+	var own *drain.Order
 	for i := range v.Out {
 		o := &v.Out[i]
 		switch {
@@ -59,7 +59,7 @@
 	if g.drain != nil && own == nil {
 		g.log.Info("in service again", "id", g.drain.ID)
 	}
-	if own != nil && own.Restart != "" && (own.State == order.Done || own.State == order.Overdue) {
+	if own != nil && own.Restart != "" && (own.State == drain.Done || own.State == drain.Overdue) {
 		g.fleet.Restart(own.Restart)
 	}
 	g.drain = own
@@ -71,7 +71,7 @@
 		return
 	}
 	for name, c := range g.clusters {
-		of := func(t order.Target) bool { return t.Cluster == name }
+		of := func(t drain.Target) bool { return t.Cluster == name }
 		if (slices.ContainsFunc(old, of) || slices.ContainsFunc(held, of)) && c.view.Told() {
 			w, _ := c.view.Last()
 			w.Endpoints = slices.Clone(w.Endpoints)
@@ -84,12 +84,12 @@
 }
 
 // mine tells whether an order takes this gateway out.
-func (g *Gateway) mine(o *order.Order) bool {
+func (g *Gateway) mine(o *drain.Order) bool {
 	return o.Target.HasGateway(g.fleet.Conf().Member, g.fleet.Conf().Site, g.fleet.Zone())
 }
 
 // report says how this gateway and its endpoints stand. Endpoints that are well are named only where all are asked for.
-func (g *Gateway) report(r *fleet.Report, v order.View, full bool) {
+func (g *Gateway) report(r *fleet.Report, v drain.View, full bool) {
 	r.Serving = !g.stopping && g.drain == nil && g.ordered
 	routes := g.routes.Load()
 	for n := range names(routes) {
@@ -98,12 +98,12 @@
 		}
 	}
 	r.Figures, r.Pending = g.figures(), g.pending != nil
-	inHand := map[order.Target]int{} // by endpoint
+	inHand := map[drain.Target]int{} // by endpoint
 	for name, c := range g.clusters {
 		out := map[string]bool{}
 		count := func(in *instance) {
 			in.core.Endpoints(func(id string, n int, ejected bool) {
-				inHand[order.Target{Cluster: name, Endpoint: id}] += n
+				inHand[drain.Target{Cluster: name, Endpoint: id}] += n
 				out[id] = out[id] || ejected && in == c.in
 			})
 		}
@@ -116,7 +116,7 @@
 		for _, s := range c.view.Servers() {
 			cold := s.Since > 0 && g.Now()-s.Since < c.spec.conf.WarmUp.Time.D()
 			if well := s.Out == "" && !cold && !out[s.Address]; !well || full {
-				r.Endpoints = append(r.Endpoints, order.Endpoint{Cluster: name, Address: s.Address, Zone: s.Zone, Well: well})
+				r.Endpoints = append(r.Endpoints, drain.Endpoint{Cluster: name, Address: s.Address, Zone: s.Zone, Well: well})
 			}
 		}
 	}
@@ -127,7 +127,7 @@
 			if c := g.clusters[o.Target.Cluster]; c != nil && o.Target.Zone != "" {
 				for _, s := range c.view.Servers() {
 					if o.Target.HasEndpoint(c.name, s.Address, s.Zone) {
-						n += inHand[order.Target{Cluster: c.name, Endpoint: s.Address}]
+						n += inHand[drain.Target{Cluster: c.name, Endpoint: s.Address}]
 					}
 				}
 			} else {
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -6,17 +6,17 @@
 	"strings"
 	"testing"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/keep"
 	"robindrum/internal/lease"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
 )
 
 // What a newer program says in messages and in what it stores goes through this one whole.
 func TestUnknownFieldsAreHandedOn(t *testing.T) {
-	for what, v := range map[string]any{"order": &order.Order{ID: "a"}, "orders": order.NewBook(), "releases": release.NewBook(), "leases": lease.NewTable(),
-		"command": &quorum.Command{Op: quorum.Ask, Order: &order.Order{ID: "a"}}, "release": &release.Release{Plan: release.Plan{ID: "r"}}} {
+	for what, v := range map[string]any{"order": &drain.Order{ID: "a"}, "orders": drain.NewBook(), "releases": release.NewBook(), "leases": lease.NewTable(),
+		"command": &quorum.Command{Op: quorum.Ask, Order: &drain.Order{ID: "a"}}, "release": &release.Release{Plan: release.Plan{ID: "r"}}} {
 		text, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -30,13 +30,13 @@
 		}
 	}
 	// An order's own are kept from the asking to the view that gateways are told.
-	b := order.NewBook()
-	var o order.Order
+	b := drain.NewBook()
+	var o drain.Order
 	if err := json.Unmarshal([]byte(`{"id":"a","target":{"gateway":"g"},"grace":1000000000,"paint":"blue"}`), &o); err != nil {
 		t.Fatal(err)
 	}
-	_ = b.Limit(0, []order.Budget{{Name: "g", Scope: order.Scope{Gateways: true}, Most: 1}})
-	_ = b.See(0, 0, []order.Gateway{{Name: "g", Serving: true}, {Name: "h", Serving: true}}, nil)
+	_ = b.Limit(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Most: 1}})
+	_ = b.See(0, 0, []drain.Gateway{{Name: "g", Serving: true}, {Name: "h", Serving: true}}, nil)
 	if _, err := b.Ask(0, o); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/rollout.go
+++ b/internal/lab/rollout.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 	"robindrum/internal/release"
 )
 
@@ -84,8 +84,8 @@
 		all = append(all, &rolloutGateway{Gateway: release.Gateway{Name: fmt.Sprintf("g%04d", i), Site: fmt.Sprint("s", i%r.Sites), Zone: fmt.Sprint("z", i/r.Sites%r.Zones),
 			Birth: 1, Here: true, Serving: true, Program: "old", Figures: release.Figures{Memory: 64 << 20}}})
 	}
-	books, rel := order.NewBook(), release.NewBook()
-	if err := books.Limit(0, []order.Budget{{Name: "site", Scope: order.Scope{Gateways: true, EachSite: true}, Part: r.Part}}); err != nil {
+	books, rel := drain.NewBook(), release.NewBook()
+	if err := books.Limit(0, []drain.Budget{{Name: "site", Scope: drain.Scope{Gateways: true, EachSite: true}, Part: r.Part}}); err != nil {
 		return res, err
 	}
 	bounds := map[string]int{}
@@ -234,11 +234,11 @@
 }
 
 // round is the leader's: what is seen is agreed, what is granted begins, who has nothing in hand starts anew.
-func (r *Rollout) round(now time.Duration, all []*rolloutGateway, books *order.Book, rel *release.Book, res *RolloutResult) {
-	var seen []order.Gateway
+func (r *Rollout) round(now time.Duration, all []*rolloutGateway, books *drain.Book, rel *release.Book, res *RolloutResult) {
+	var seen []drain.Gateway
 	var stands []release.Gateway
 	for _, g := range all {
-		seen = append(seen, order.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Serving: g.Serving})
+		seen = append(seen, drain.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Serving: g.Serving})
 		if g.Here {
 			g.Told = rel.WantProgram(g.Name)
 		}
@@ -258,7 +258,7 @@
 	for _, o := range books.List() {
 		g := by[o.Target.Gateway]
 		switch {
-		case o.State == order.Granted:
+		case o.State == drain.Granted:
 			if _, err := books.Begin(now, o.ID, o.Token); err == nil && g.Here {
 				g.Serving, g.plan, g.since = false, true, now
 			}
@@ -268,7 +268,7 @@
 				g.leave(now, o.Restart, 0, r.Restart)
 				res.Restarts++
 			}
-		case o.State == order.Cancelled && g.Here && g.back == 0 && !g.Serving: // taken back before it left
+		case o.State == drain.Cancelled && g.Here && g.back == 0 && !g.Serving: // taken back before it left
 			g.Serving, g.plan = true, false
 		}
 	}
--- a/internal/quorum/former_test.go
+++ b/internal/quorum/former_test.go
@@ -11,9 +11,9 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fakes"
 	"robindrum/internal/lease"
-	"robindrum/internal/order"
 	"robindrum/internal/peer"
 )
 
@@ -112,16 +112,16 @@
 	if err != nil || r.Err() != nil || r.Grant.Token <= before || before < 1_700_000_000_000 {
 		t.Errorf("token %d behind %d: %v, %v", r.Grant.Token, before, err, r.Err())
 	}
-	if r, err = s.propose(Command{Op: Cancel, Order: &order.Order{ID: "under-way"}}); err != nil || r.Err() != nil || r.Order.State != order.Cancelled {
+	if r, err = s.propose(Command{Op: Cancel, Order: &drain.Order{ID: "under-way"}}); err != nil || r.Err() != nil || r.Order.State != drain.Cancelled {
 		t.Errorf("cancelled: %+v, %v", r, err)
 	}
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	states := map[order.State]int{}
+	states := map[drain.State]int{}
 	for _, o := range s.state.book.List() {
 		states[o.State]++
 	}
-	for _, state := range []order.State{order.Asked, order.Granted, order.Done, order.Overdue, order.Ended, order.Refused} {
+	for _, state := range []drain.State{drain.Asked, drain.Granted, drain.Done, drain.Overdue, drain.Ended, drain.Refused} {
 		if states[state] != 1 {
 			t.Errorf("%d drains are %s, want 1", states[state], state)
 		}
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -29,7 +29,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"go.etcd.io/bbolt"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 	"robindrum/internal/peer"
 	"robindrum/internal/release"
 )
@@ -505,9 +505,9 @@
 	Voter   string           `json:"voter"`
 	Fresh   bool             `json:"fresh"` // the leader's, which a majority confirmed
 	Halted  bool             `json:"halted"`
-	View    order.View       `json:"view"`
-	Orders  []order.Order    `json:"orders"`
-	Budgets []order.Standing `json:"budgets"`
+	View    drain.View       `json:"view"`
+	Orders  []drain.Order    `json:"orders"`
+	Budgets []drain.Standing `json:"budgets"`
 	Now     time.Duration    `json:"now"` // what the times count from
 	// Want are the configurations that gateways are to have, by name; those that are to have their own files' are left out.
 	Want        map[string]string `json:"want,omitempty"`
@@ -535,8 +535,8 @@
 // Summary is what a voter has of orders and releases, in numbers.
 type Summary struct {
 	Halted  bool                `json:"halted"`
-	Orders  map[order.State]int `json:"orders"`
-	Budgets []order.Standing    `json:"budgets"`
+	Orders  map[drain.State]int `json:"orders"`
+	Budgets []drain.Standing    `json:"budgets"`
 	Release release.State       `json:"release,omitempty"` // of the one under way
 }
 
@@ -544,7 +544,7 @@
 func (s *Server) Summary() Summary {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	u := Summary{Halted: s.state.book.Halted, Orders: map[order.State]int{}, Budgets: s.state.book.Standings()}
+	u := Summary{Halted: s.state.book.Halted, Orders: map[drain.State]int{}, Budgets: s.state.book.Standings()}
 	for _, o := range s.state.book.Orders {
 		u.Orders[o.State]++
 	}
@@ -558,14 +558,14 @@
 func (s *Server) Leading() bool { return s.leading.Load() }
 
 // View is what each gateway is to know of orders.
-func (s *Server) View() order.View {
+func (s *Server) View() drain.View {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return s.state.book.View(s.state.table.Term)
 }
 
 // Known are the gateways that were heard of last.
-func (s *Server) Known() []order.Gateway {
+func (s *Server) Known() []drain.Gateway {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return slices.Collect(maps.Values(s.state.book.Gateways))
@@ -660,7 +660,7 @@
 }
 
 // Limit has the budgets agreed on, where they are not so already. It is for the leader, as the next ones are.
-func (s *Server) Limit(l []order.Budget) error {
+func (s *Server) Limit(l []drain.Budget) error {
 	s.state.mu.Lock()
 	same := slices.Equal(l, s.state.book.Budgets)
 	s.state.mu.Unlock()
@@ -683,7 +683,7 @@
 		same = same && b.Endpoints[e.Cluster+"/"+e.Address] == e
 	}
 	for _, o := range b.Orders {
-		same = same && !(o.Until > 0 && (o.State == order.UnderWay) && s.Now() >= o.Until) // its time is over
+		same = same && !(o.Until > 0 && (o.State == drain.UnderWay) && s.Now() >= o.Until) // its time is over
 	}
 	s.state.mu.Unlock()
 	if same {
@@ -694,17 +694,17 @@
 }
 
 // Begin has an order's taking out begin, Progress what its target has in hand agreed on.
-func (s *Server) Begin(o order.Order) error {
-	r, err := s.propose(Command{Op: begin, Order: &order.Order{ID: o.ID, Token: o.Token}})
+func (s *Server) Begin(o drain.Order) error {
+	r, err := s.propose(Command{Op: begin, Order: &drain.Order{ID: o.ID, Token: o.Token}})
 	return errors.Join(err, r.Err())
 }
 
 // Progress has it agreed on what an order's target has in hand.
-func (s *Server) Progress(o order.Order, inHand int) error {
+func (s *Server) Progress(o drain.Order, inHand int) error {
 	if o.InHand == inHand && inHand > 0 {
 		return nil
 	}
-	r, err := s.propose(Command{Op: progress, Order: &order.Order{ID: o.ID, Token: o.Token, InHand: inHand}})
+	r, err := s.propose(Command{Op: progress, Order: &drain.Order{ID: o.ID, Token: o.Token, InHand: inHand}})
 	return errors.Join(err, r.Err())
 }
 
--- a/internal/quorum/state.go
+++ b/internal/quorum/state.go
@@ -14,9 +14,9 @@
 
 	"github.com/hashicorp/raft"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/keep"
 	"robindrum/internal/lease"
-	"robindrum/internal/order"
 	"robindrum/internal/release"
 )
 
@@ -56,9 +56,9 @@
 	Member lease.Member `json:"member,omitzero"`
 	Token  uint64       `json:"token,omitempty"`
 	Heir   string       `json:"heir,omitempty"`
-	Order  *order.Order `json:"order,omitempty"` // ask, cancel; begin and progress with its token and what is in hand
+	Order  *drain.Order `json:"order,omitempty"` // ask, cancel; begin and progress with its token and what is in hand
 
-	Budgets []order.Budget `json:"budgets,omitempty"` // limit
+	Budgets []drain.Budget `json:"budgets,omitempty"` // limit
 	Seen    *Seen          `json:"seen,omitempty"`    // see
 
 	Plan   *release.Plan `json:"plan,omitempty"`   // release
@@ -87,8 +87,8 @@
 // Seen is what the leader has heard of the fleet in one round.
 type Seen struct {
 	Version   uint64           `json:"version"` // of the view that all who answered had taken over
-	Gateways  []order.Gateway  `json:"gateways"`
-	Endpoints []order.Endpoint `json:"endpoints"`
+	Gateways  []drain.Gateway  `json:"gateways"`
+	Endpoints []drain.Endpoint `json:"endpoints"`
 	// Release is what each gateway shows, while a release is under way; else nil.
 	Release []release.Gateway `json:"release,omitempty"`
 }
@@ -96,7 +96,7 @@
 // Result is what a command gave.
 type Result struct {
 	Grant lease.Grant  `json:"grant,omitzero"`
-	Order *order.Order `json:"order,omitempty"`
+	Order *drain.Order `json:"order,omitempty"`
 	// Code is empty, or why not: waiting, lost, old, full, bad.
 	Code string `json:"code,omitempty"`
 	Text string `json:"text,omitempty"`
@@ -134,14 +134,14 @@
 type state struct {
 	mu    sync.Mutex
 	table *lease.Table
-	book  *order.Book
+	book  *drain.Book
 	rel   *release.Book
 	fleet string
 	more  keep.Fields // of its stored form, by a newer program
 }
 
 func newState() *state {
-	return &state{table: lease.NewTable(), book: order.NewBook(), rel: release.NewBook()}
+	return &state{table: lease.NewTable(), book: drain.NewBook(), rel: release.NewBook()}
 }
 
 // Apply runs one entry. The same entries give the same state on each voter: time and term come from the entry alone.
@@ -191,7 +191,7 @@
 
 func (s *state) applyOrder(c *Command) Result {
 	b := s.book
-	var o order.Order
+	var o drain.Order
 	var err error
 	switch {
 	case c.Op == Halt, c.Op == Resume:
@@ -300,9 +300,9 @@
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	book := order.NewBook()
+	book := drain.NewBook()
 	if len(v.Book) > 0 {
-		if book, err = order.Restore(v.Book); err != nil {
+		if book, err = drain.Restore(v.Book); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
 	}
--- a/internal/release/pace.go
+++ b/internal/release/pace.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 )
 
 // restarts begins the ids of the orders that Pace asks for.
@@ -19,16 +19,16 @@
 // Pace has orders follow what versions gateways are to run as: each that is to start anew is drained for it, within the budgets that
 // all drains keep, once it has been told and does not refuse, on the way forward and on the way back, and its slot is held until it has been seen in service again. Halted, what
 // has not left yet stays: it comes back first.
-func (b *Book) Pace(now time.Duration, orders *order.Book) {
-	open := map[string]*order.Order{}
+func (b *Book) Pace(now time.Duration, orders *drain.Book) {
+	open := map[string]*drain.Order{}
 	for id, o := range orders.Orders {
-		if name, ok := strings.CutPrefix(id, restarts); ok && o.State != order.Ended && o.State != order.Refused && o.State != order.Cancelled {
+		if name, ok := strings.CutPrefix(id, restarts); ok && o.State != drain.Ended && o.State != drain.Refused && o.State != drain.Cancelled {
 			open[name[strings.IndexByte(name, '/')+1:]] = o
 		}
 	}
 	refused := map[string]string{} // by gateway, of late: why
 	for id, o := range orders.Orders {
-		if strings.HasPrefix(id, restarts) && o.State == order.Refused && o.Restart == b.WantProgram(o.Target.Gateway) && now-o.Since < refusedFor {
+		if strings.HasPrefix(id, restarts) && o.State == drain.Refused && o.Restart == b.WantProgram(o.Target.Gateway) && now-o.Since < refusedFor {
 			refused[o.Target.Gateway] = o.Why
 		}
 	}
@@ -59,7 +59,7 @@
 			}
 		case o == nil && moves && g.Here:
 			b.Restarts++
-			_, _ = orders.Ask(now, order.Order{ID: fmt.Sprintf("%s%d/%s", restarts, b.Restarts, name), Target: order.Target{Gateway: name}, Owner: "release " + plan.ID,
+			_, _ = orders.Ask(now, drain.Order{ID: fmt.Sprintf("%s%d/%s", restarts, b.Restarts, name), Target: drain.Target{Gateway: name}, Owner: "release " + plan.ID,
 				Reason: "to start as " + want, Grace: plan.Grace, Notice: plan.Notice, Restart: want})
 		}
 	}
--- a/internal/release/pace_test.go
+++ b/internal/release/pace_test.go
@@ -11,24 +11,24 @@
 
 	"pgregory.net/rapid"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 )
 
 // programs is a fleet of supervised gateways with both books.
 type programs struct {
 	*fleet
-	orders *order.Book
+	orders *drain.Book
 	most   int
 	away   map[string]int // rounds until a gateway that starts anew is there
 	next   map[string]string
 }
 
 func newPrograms(n, most int) *programs {
-	p := &programs{fleet: newFleet(n), orders: order.NewBook(), most: most, away: map[string]int{}, next: map[string]string{}}
+	p := &programs{fleet: newFleet(n), orders: drain.NewBook(), most: most, away: map[string]int{}, next: map[string]string{}}
 	for _, g := range p.all {
 		g.Program, g.Serving = "v1", true
 	}
-	_ = p.orders.Limit(0, []order.Budget{{Name: "g", Scope: order.Scope{Gateways: true}, Most: most}})
+	_ = p.orders.Limit(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Most: most}})
 	p.step()
 	return p
 }
@@ -65,8 +65,8 @@
 	for _, o := range p.orders.List() {
 		g := p.all[o.Target.Gateway]
 		switch {
-		case o.State == order.Granted:
-			if x, err := p.orders.Begin(p.now, o.ID, o.Token); err == nil && x.State == order.UnderWay && g.Here {
+		case o.State == drain.Granted:
+			if x, err := p.orders.Begin(p.now, o.ID, o.Token); err == nil && x.State == drain.UnderWay && g.Here {
 				g.Serving = false
 			}
 		case o.State.Out() && g.Here && o.Restart != "" && g.Program != o.Restart:
@@ -77,7 +77,7 @@
 	}
 	p.now += time.Second
 	var l []Gateway
-	var seen []order.Gateway
+	var seen []drain.Gateway
 	for _, name := range slices.Sorted(maps.Keys(p.all)) {
 		g := p.all[name]
 		if g.Here {
@@ -96,7 +96,7 @@
 			x.Program, x.Figures = "", Figures{}
 		}
 		l = append(l, x)
-		seen = append(seen, order.Gateway{Name: name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Serving: g.Serving})
+		seen = append(seen, drain.Gateway{Name: name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Serving: g.Serving})
 	}
 	p.b.See(p.now, l)
 	_ = p.orders.See(p.now, p.orders.Version, seen, nil)
@@ -144,7 +144,7 @@
 				p.b.Lead(0)
 				p.orders.Lead(0)
 			case 8:
-				_, _ = p.orders.Ask(p.now, order.Order{ID: fmt.Sprint("hand", g.Name), Target: order.Target{Gateway: g.Name}, Grace: time.Minute})
+				_, _ = p.orders.Ask(p.now, drain.Order{ID: fmt.Sprint("hand", g.Name), Target: drain.Target{Gateway: g.Name}, Grace: time.Minute})
 				p.b.Pace(p.now, p.orders)
 			case 9:
 				for _, name := range names {
@@ -157,7 +157,7 @@
 				if p.b, err = Restore(one); err != nil {
 					t.Fatal(err)
 				}
-				if p.orders, err = order.Restore(two); err != nil {
+				if p.orders, err = drain.Restore(two); err != nil {
 					t.Fatal(err)
 				}
 			default:
@@ -290,7 +290,7 @@
 		if p.b, err = Restore(s.Rel); err != nil {
 			t.Fatal(err)
 		}
-		if p.orders, err = order.Restore(s.Orders); err != nil {
+		if p.orders, err = drain.Restore(s.Orders); err != nil {
 			t.Fatal(err)
 		}
 		for n, g := range s.All {
@@ -368,7 +368,7 @@
 // A budget that allows none ends the release with its reason, and is not asked again with each round.
 func TestBudgetThatAllowsNone(t *testing.T) {
 	p := newPrograms(1, 1)
-	if err := p.orders.Limit(p.now, []order.Budget{{Name: "g", Scope: order.Scope{Gateways: true}, Part: 0.3}}); err != nil {
+	if err := p.orders.Limit(p.now, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Part: 0.3}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.b.Begin(p.now, Plan{ID: "r", To: "v2", Program: true, Soak: time.Second, Back: true}); err != nil {
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -18,8 +18,8 @@
 	"strings"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/keep"
-	"robindrum/internal/order"
 )
 
 // Bounds: texts come from outside, and the book is in every snapshot.
@@ -91,8 +91,8 @@
 		return fmt.Errorf("soak: %v, want up to 24h", p.Soak)
 	case p.Faster < 1 || p.Faster > 100:
 		return fmt.Errorf("faster: %d, want 1 to 100", p.Faster)
-	case p.Grace < 0 || p.Grace > order.MostGrace || p.Notice < 0 || p.Notice > p.Grace:
-		return fmt.Errorf("grace: %v with a notice of %v, want up to %v", p.Grace, p.Notice, order.MostGrace)
+	case p.Grace < 0 || p.Grace > drain.MostGrace || p.Notice < 0 || p.Notice > p.Grace:
+		return fmt.Errorf("grace: %v with a notice of %v, want up to %v", p.Grace, p.Notice, drain.MostGrace)
 	case p.Program && strings.ContainsAny(p.To, "/\\ \t\n"):
 		return fmt.Errorf("version %q: want a name", p.To)
 	case p.Gate.Tail <= 1 || p.Gate.InTime <= 0 || p.Gate.InTime > 1:
--- a/internal/standin/cluster/cluster.go
+++ b/internal/standin/cluster/cluster.go
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
 	"robindrum/internal/gateway"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/standin/proc"
 )
@@ -466,7 +466,7 @@
 }
 
 // Order has a node's admin listener pass on an order: what is drain, undrain, halt or resume.
-func (n *Node) Order(what string, o order.Order) (x order.Order, err error) {
+func (n *Node) Order(what string, o drain.Order) (x drain.Order, err error) {
 	err = n.post("/fleet/"+what, o, &x)
 	return x, err
 }
@@ -502,9 +502,9 @@
 }
 
 // Orders are all orders, as the quorum says to a node, by id.
-func (n *Node) Orders() (map[string]order.Order, error) {
+func (n *Node) Orders() (map[string]drain.Order, error) {
 	var l quorum.Orders
-	m := map[string]order.Order{}
+	m := map[string]drain.Order{}
 	err := n.Get("/fleet/orders", &l)
 	for _, o := range l.Orders {
 		m[o.ID] = o
--- a/internal/standin/cluster/drains.go
+++ b/internal/standin/cluster/drains.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 )
 
 // DrainOptions are how schedules of drains are played.
@@ -90,7 +90,7 @@
 	type asked struct {
 		id    string
 		by    int
-		drain order.Target
+		drain drain.Target
 	}
 	var open []asked
 	own := map[int]int{} // by asker, of gateways
@@ -101,11 +101,11 @@
 		n := s.Nodes[by]
 		switch k := rng.IntN(10); {
 		case k < 5 && n.Up(): // a drain
-			t := order.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}
+			t := drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}
 			origin := -1
 			if rng.IntN(4) == 0 && drained < 0 {
 				origin = rng.IntN(len(s.Origins))
-				t = order.Target{Cluster: "c", Endpoint: s.Origins[origin].Addr}
+				t = drain.Target{Cluster: "c", Endpoint: s.Origins[origin].Addr}
 			}
 			if opt.Apart && t.Gateway != "" {
 				if own[by] >= drainBudget {
@@ -113,13 +113,13 @@
 				}
 				own[by]++
 			}
-			o, err := n.Order("drain", order.Order{ID: fmt.Sprint(seed, "-", step), Target: t, Owner: n.Name, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Asked++; err != nil || o.State == order.Refused {
+			o, err := n.Order("drain", drain.Order{ID: fmt.Sprint(seed, "-", step), Target: t, Owner: n.Name, Grace: time.Second, Notice: 250 * time.Millisecond})
+			if v.Asked++; err != nil || o.State == drain.Refused {
 				break
 			}
 			open = append(open, asked{o.ID, by, t})
 			if origin >= 0 {
-				if Await(ctx, "an endpoint to be out", 5*time.Second, func() bool { m, _ := n.Orders(); return m[o.ID].State == order.Done }) == nil {
+				if Await(ctx, "an endpoint to be out", 5*time.Second, func() bool { m, _ := n.Orders(); return m[o.ID].State == drain.Done }) == nil {
 					drained, drainedAt = origin, time.Now()
 				}
 			}
@@ -128,7 +128,7 @@
 			o := open[i]
 			if n.Up() {
 				until := time.Now() // it may be told of before this asker is
-				if _, err := n.Order("undrain", order.Order{ID: o.id}); err == nil {
+				if _, err := n.Order("undrain", drain.Order{ID: o.id}); err == nil {
 					open = append(open[:i], open[i+1:]...)
 					if o.drain.Gateway != "" {
 						own[o.by]--
@@ -160,7 +160,7 @@
 	}
 	// All back: everything can be undone, by anyone.
 	for _, o := range open {
-		if err := Await(ctx, "an order to be cancelled", back, func() bool { _, err := s.Nodes[0].Order("undrain", order.Order{ID: o.id}); return err == nil }); err != nil {
+		if err := Await(ctx, "an order to be cancelled", back, func() bool { _, err := s.Nodes[0].Order("undrain", drain.Order{ID: o.id}); return err == nil }); err != nil {
 			v.Err = err
 			return v
 		}
--- a/internal/standin/cluster/orders_test.go
+++ b/internal/standin/cluster/orders_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fakes"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
 )
@@ -37,7 +37,7 @@
 			}
 		}
 	}()
-	state := func(id string) order.State {
+	state := func(id string) drain.State {
 		for _, n := range s.Nodes {
 			if n.Up() {
 				if l, err := n.Orders(); err == nil {
@@ -47,7 +47,7 @@
 		}
 		return ""
 	}
-	gets := func(id string, want ...order.State) {
+	gets := func(id string, want ...drain.State) {
 		t.Helper()
 		comes(t, fmt.Sprint(id, " to be ", want), func() bool {
 			got := state(id)
@@ -59,15 +59,15 @@
 			return false
 		})
 	}
-	orderDrain := func(id string, at int, t order.Target) (order.Order, error) {
-		return s.Nodes[at].Order("drain", order.Order{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
+	orderDrain := func(id string, at int, t drain.Target) (drain.Order, error) {
+		return s.Nodes[at].Order("drain", drain.Order{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
 	}
-	gateway := func(i int) order.Target { return order.Target{Gateway: s.Nodes[i].Name} }
+	gateway := func(i int) drain.Target { return drain.Target{Gateway: s.Nodes[i].Name} }
 	comes(t, "the gateways to be known", func() bool {
 		o, err := orderDrain("first", 0, gateway(4))
-		return err == nil && o.State != order.Asked && o.State != order.Refused
+		return err == nil && o.State != drain.Asked && o.State != drain.Refused
 	})
-	gets("first", order.Done)
+	gets("first", drain.Done)
 	if s.Nodes[4].Ready() {
 		t.Error("ready though it is taken out")
 	}
@@ -81,7 +81,7 @@
 	granted := ""
 	comes(t, "one of four", func() bool {
 		for i := range 4 {
-			if state(fmt.Sprint("all", i)) == order.Done {
+			if state(fmt.Sprint("all", i)) == drain.Done {
 				granted = fmt.Sprint("all", i)
 			}
 		}
@@ -89,7 +89,7 @@
 	})
 	out := 0
 	for i := range 4 {
-		if st := state(fmt.Sprint("all", i)); st != order.Asked {
+		if st := state(fmt.Sprint("all", i)); st != drain.Asked {
 			out++
 		}
 	}
@@ -98,13 +98,13 @@
 	}
 	for i := range 4 { // those that wait go first, so that none of them takes the place
 		if id := fmt.Sprint("all", i); id != granted {
-			_, _ = s.Nodes[0].Order("undrain", order.Order{ID: id})
+			_, _ = s.Nodes[0].Order("undrain", drain.Order{ID: id})
 		}
 	}
-	if _, err := s.Nodes[0].Order("undrain", order.Order{ID: granted}); err != nil {
+	if _, err := s.Nodes[0].Order("undrain", drain.Order{ID: granted}); err != nil {
 		t.Fatal(err)
 	}
-	gets(granted, order.Ended)
+	gets(granted, drain.Ended)
 
 	// What is out is killed and started again: it is out still, and its order with it.
 	if err := s.Nodes[4].Restart(false); err != nil {
@@ -119,7 +119,7 @@
 			t.Fatal("ready, though it is taken out")
 		}
 	}
-	gets("first", order.Done)
+	gets("first", drain.Done)
 
 	// One dies: two are out, so nothing more is; and what was asked for is granted when it is back.
 	s.Nodes[3].Kill()
@@ -127,7 +127,7 @@
 		var l quorum.Orders
 		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && len(l.Budgets[0].Out) == 2
 	})
-	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != order.Asked {
+	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != drain.Asked {
 		t.Errorf("with two out: %+v, %v", o, err)
 	}
 	if o, _ := s.Nodes[0].Orders(); !strings.Contains(o["more"].Why, "2 of 5 are out") && !strings.Contains(o["more"].Why, "budget g") {
@@ -136,12 +136,12 @@
 	if err := s.Nodes[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	gets("more", order.Done)
+	gets("more", drain.Done)
 	for _, id := range []string{"more", "first"} {
-		if _, err := s.Nodes[1].Order("undrain", order.Order{ID: id}); err != nil {
+		if _, err := s.Nodes[1].Order("undrain", drain.Order{ID: id}); err != nil {
 			t.Fatal(err)
 		}
-		gets(id, order.Ended)
+		gets(id, drain.Ended)
 	}
 	comes(t, "all to be ready", func() bool {
 		for _, n := range s.Nodes {
@@ -154,27 +154,27 @@
 
 	// An endpoint: nothing new within a second, also from a gateway that was cut off and comes back.
 	s.Alone(s.Nodes[4], Way{Cut: true})
-	e := order.Target{Cluster: "c", Endpoint: s.Origins[0].Addr}
+	e := drain.Target{Cluster: "c", Endpoint: s.Origins[0].Addr}
 	o, err := orderDrain("e", 0, e)
-	if err != nil || o.State == order.Refused {
+	if err != nil || o.State == drain.Refused {
 		t.Fatalf("%+v, %v", o, err)
 	}
-	gets("e", order.UnderWay, order.Done)
+	gets("e", drain.UnderWay, drain.Done)
 	s.Heal()
 	healed := time.Now()
-	gets("e", order.Done)
+	gets("e", drain.Done)
 	if n := s.Origins[0].After(healed.Add(time.Second)); n != 0 {
 		t.Errorf("%d requests to an endpoint that is out", n)
 	}
-	if o, err := orderDrain("f", 1, order.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != order.Asked {
+	if o, err := orderDrain("f", 1, drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != drain.Asked {
 		t.Errorf("a second one: %+v, %v", o, err)
 	}
-	if _, err := s.Nodes[2].Order("undrain", order.Order{ID: "e"}); err != nil {
+	if _, err := s.Nodes[2].Order("undrain", drain.Order{ID: "e"}); err != nil {
 		t.Fatal(err)
 	}
 	before := s.Origins[0].Requests()
 	comes(t, "it serves", func() bool { return s.Origins[0].Requests() > before+10 })
-	gets("e", order.Cancelled, order.Ended) // while it is cold its slot is held
+	gets("e", drain.Cancelled, drain.Ended) // while it is cold its slot is held
 
 	// Without a quorum nothing new is taken out, what is out stays, and all is served.
 	for _, n := range s.Nodes[:2] {
--- a/internal/standin/cluster/releases.go
+++ b/internal/standin/cluster/releases.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
 )
@@ -136,12 +136,12 @@
 		case k == 7:
 			do(n, quorum.Command{Op: quorum.ReleaseResume})
 		case k == 8 && n.Up():
-			o, err := n.Order("drain", order.Order{ID: id, Target: order.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Asked++; err == nil && o.State != order.Refused {
+			o, err := n.Order("drain", drain.Order{ID: id, Target: drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
+			if v.Asked++; err == nil && o.State != drain.Refused {
 				open = append(open, id)
 			}
 		case k == 9 && len(open) > 0 && n.Up():
-			if _, err := n.Order("undrain", order.Order{ID: open[0]}); err == nil {
+			if _, err := n.Order("undrain", drain.Order{ID: open[0]}); err == nil {
 				open = open[1:]
 			}
 		case k == 10:
@@ -176,8 +176,8 @@
 	if err := Await(ctx, "orders to be cancelled", back, func() bool {
 		m, err := s.Nodes[0].Orders()
 		for id, o := range m {
-			if strings.HasPrefix(id, fmt.Sprint(seed, "-")) && o.State != order.Ended && o.State != order.Refused && o.State != order.Cancelled {
-				_, e := s.Nodes[0].Order("undrain", order.Order{ID: id})
+			if strings.HasPrefix(id, fmt.Sprint(seed, "-")) && o.State != drain.Ended && o.State != drain.Refused && o.State != drain.Cancelled {
+				_, e := s.Nodes[0].Order("undrain", drain.Order{ID: id})
 				err = errors.Join(err, e)
 			}
 		}
--- a/internal/standin/cluster/releases/releases_test.go
+++ b/internal/standin/cluster/releases/releases_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fakes"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
 	"robindrum/internal/standin/cluster"
@@ -94,8 +94,8 @@
 		before, _ := a.Last()
 		comes(t, "an act, "+what, func() bool { x, _ := a.Last(); return x.At > before.At })
 	}
-	orderDrain := func(by int, id string) (order.Order, error) {
-		return s.Nodes[by].Order("drain", order.Order{ID: id, Target: order.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
+	orderDrain := func(by int, id string) (drain.Order, error) {
+		return s.Nodes[by].Order("drain", drain.Order{ID: id, Target: drain.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
 	}
 	restart := func(n *cluster.Node, binary string) {
 		t.Helper()
@@ -120,7 +120,7 @@
 			id := fmt.Sprint("early", tries)
 			_, err := orderDrain(0, id)
 			if err == nil {
-				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].Order("undrain", order.Order{ID: id}); return err == nil })
+				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].Order("undrain", drain.Order{ID: id}); return err == nil })
 				restart(s.Nodes[2], old)
 			}
 			return err != nil && strings.Contains(err.Error(), "earlier version")
@@ -128,11 +128,11 @@
 		comes(t, "nothing to be out", s.Nodes[3].Ready)
 	}
 	comes(t, "an order to be taken", func() bool { _, err := orderDrain(1, "late"); return err == nil })
-	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == order.Done })
-	if _, err := s.Nodes[2].Order("undrain", order.Order{ID: "late"}); err != nil {
+	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Done })
+	if _, err := s.Nodes[2].Order("undrain", drain.Order{ID: "late"}); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "n3 to be back", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == order.Ended })
+	comes(t, "n3 to be back", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Ended })
 	restart(s.Nodes[3], old)
 	acts("with n3 of the previous build again")
 	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
@@ -156,8 +156,8 @@
 	defer s.Close()
 	load := s.Load(20)
 	defer load.Stop()
-	state := func(id string) order.Order { m, _ := s.Nodes[2].Orders(); return m[id] }
-	ask := func(by int, o order.Order) (order.Order, error) {
+	state := func(id string) drain.Order { m, _ := s.Nodes[2].Orders(); return m[id] }
+	ask := func(by int, o drain.Order) (drain.Order, error) {
 		o.Owner = "test"
 		if o.Grace == 0 {
 			o.Grace, o.Notice = 5*time.Second, 300*time.Millisecond
@@ -166,10 +166,10 @@
 	}
 	back := func(id string) {
 		t.Helper()
-		if _, err := s.Nodes[1].Order("undrain", order.Order{ID: id}); err != nil {
+		if _, err := s.Nodes[1].Order("undrain", drain.Order{ID: id}); err != nil {
 			t.Fatal(err)
 		}
-		comes(t, id+" to end", func() bool { return state(id).State == order.Ended })
+		comes(t, id+" to end", func() bool { return state(id).State == drain.Ended })
 	}
 	comes(t, "the gateways to be known", func() bool {
 		var l quorum.Orders
@@ -177,15 +177,15 @@
 	})
 	var work sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		work.Go(func() { _, _ = ask(i, order.Order{ID: zone, Target: order.Target{Site: "s", Zone: zone}}) })
+		work.Go(func() { _, _ = ask(i, drain.Order{ID: zone, Target: drain.Target{Site: "s", Zone: zone}}) })
 	}
 	work.Wait()
-	comes(t, "one zone to be out", func() bool { return state("a").State == order.Done || state("b").State == order.Done })
+	comes(t, "one zone to be out", func() bool { return state("a").State == drain.Done || state("b").State == drain.Done })
 	out, waits := "a", "b"
-	if state("b").State == order.Done {
+	if state("b").State == drain.Done {
 		out, waits = "b", "a"
 	}
-	if o := state(waits); o.State != order.Asked || !strings.Contains(o.Why, "2 of 4 are out") {
+	if o := state(waits); o.State != drain.Asked || !strings.Contains(o.Why, "2 of 4 are out") {
 		t.Errorf("the other zone: %+v", o)
 	}
 	for i, n := range s.Nodes {
@@ -196,12 +196,12 @@
 	back(waits)
 	back(out)
 	// Servers: the zone of two is out together, with one more there is no room.
-	if _, err := ask(3, order.Order{ID: "ends", Target: order.Target{Cluster: "c", Zone: "a"}}); err != nil {
+	if _, err := ask(3, drain.Order{ID: "ends", Target: drain.Target{Cluster: "c", Zone: "a"}}); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "a zone of servers to be out", func() bool { return state("ends").State == order.Done })
+	comes(t, "a zone of servers to be out", func() bool { return state("ends").State == drain.Done })
 	at := time.Now()
-	if o, err := ask(0, order.Order{ID: "third", Target: order.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}}); err != nil || o.State != order.Asked {
+	if o, err := ask(0, drain.Order{ID: "third", Target: drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}}); err != nil || o.State != drain.Asked {
 		t.Errorf("a third server: %+v, %v", o, err)
 	}
 	before := s.Origins[1].Requests()
@@ -220,7 +220,7 @@
 		again  string
 		took   time.Duration
 	}
-	play := func(id string, o order.Order) map[string]answer {
+	play := func(id string, o drain.Order) map[string]answer {
 		t.Helper()
 		// A request that takes longer than a grace; the server says when it has it.
 		arrived, release := make(chan struct{}, 8), make(chan struct{})
@@ -258,18 +258,18 @@
 		}
 		<-arrived
 		<-arrived
-		o.ID, o.Target, o.Grace, o.Notice = id, order.Target{Gateway: "n0"}, time.Second, 200*time.Millisecond
+		o.ID, o.Target, o.Grace, o.Notice = id, drain.Target{Gateway: "n0"}, time.Second, 200*time.Millisecond
 		if _, err := ask(1, o); err != nil {
 			t.Fatal(err)
 		}
 		if o.Wait {
-			comes(t, "it to be overdue", func() bool { return state(id).State == order.Overdue })
+			comes(t, "it to be overdue", func() bool { return state(id).State == drain.Overdue })
 			if x := state(id); x.InHand != 2 {
 				t.Errorf("overdue with %d in hand", x.InHand)
 			}
 			close(release)
 		}
-		comes(t, "it to be done", func() bool { return state(id).State == order.Done })
+		comes(t, "it to be done", func() bool { return state(id).State == drain.Done })
 		work.Wait()
 		if !o.Wait {
 			close(release)
@@ -280,11 +280,11 @@
 		back(id)
 		return got
 	}
-	got := play("answers", order.Order{})
+	got := play("answers", drain.Order{})
 	if g, p := got[http.MethodGet], got[http.MethodPost]; g.status != 503 || g.again == "" || p.status != 504 || p.again != "" || g.took < time.Second || g.took > 6*time.Second {
 		t.Errorf("at the end of the grace: GET %+v, POST %+v", g, p)
 	}
-	if got = play("waits", order.Order{Wait: true}); got[http.MethodGet].status != 200 || got[http.MethodPost].status != 200 {
+	if got = play("waits", drain.Order{Wait: true}); got[http.MethodGet].status != 200 || got[http.MethodPost].status != 200 {
 		t.Errorf("waited for: %+v", got)
 	}
 }
--- a/internal/standin/hollow/gateways.go
+++ b/internal/standin/hollow/gateways.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/peer"
 	"robindrum/internal/release"
 	"robindrum/internal/share"
@@ -69,7 +69,7 @@
 }
 
 // Ordered takes what is ordered and says how it stands: in service, or out with nothing in hand.
-func (t *taker) Ordered(v order.View, _ bool) fleet.Report {
+func (t *taker) Ordered(v drain.View, _ bool) fleet.Report {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	now := fleet.Clock()
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/standin/hollow/hollow_test.go
@@ -12,9 +12,9 @@
 	"testing/synctest"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fakes"
 	"robindrum/internal/members"
-	"robindrum/internal/order"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/share"
@@ -217,18 +217,18 @@
 		t.Fatal(err)
 	}
 	to, from := f.members[0], f.members[1]
-	x := order.Order{ID: "x", Target: order.Target{Gateway: to.Name}, State: order.UnderWay}
-	if r := g.all[to.Name].Ordered(order.View{Version: 3, Out: []order.Order{x}}, false); r.Serving || r.Version != 3 || g.Drained(to.Name, "x") == 0 {
+	x := drain.Order{ID: "x", Target: drain.Target{Gateway: to.Name}, State: drain.UnderWay}
+	if r := g.all[to.Name].Ordered(drain.View{Version: 3, Out: []drain.Order{x}}, false); r.Serving || r.Version != 3 || g.Drained(to.Name, "x") == 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := g.all[from.Name].Ordered(order.View{Version: 3, Out: []order.Order{x}}, false); !r.Serving || g.Drained(from.Name, "x") != 0 {
+	if r := g.all[from.Name].Ordered(drain.View{Version: 3, Out: []drain.Order{x}}, false); !r.Serving || g.Drained(from.Name, "x") != 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := g.all[to.Name].Ordered(order.View{Version: 3}, false); r.Figures.Taken != 0 {
+	if r := g.all[to.Name].Ordered(drain.View{Version: 3}, false); r.Figures.Taken != 0 {
 		t.Errorf("it shows %+v before it is to", r.Figures)
 	}
 	g.Show()
-	if a, b := g.all[to.Name].Ordered(order.View{Version: 3}, false).Figures, g.all[to.Name].Ordered(order.View{Version: 3}, false).Figures; a.Taken == 0 || b.Taken != 2*a.Taken || b.Served != b.Taken {
+	if a, b := g.all[to.Name].Ordered(drain.View{Version: 3}, false).Figures, g.all[to.Name].Ordered(drain.View{Version: 3}, false).Figures; a.Taken == 0 || b.Taken != 2*a.Taken || b.Served != b.Taken {
 		t.Errorf("it shows %+v, then %+v", a, b)
 	}
 	push := func(p share.Push) (v share.Verdict) {
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
+	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
-	"robindrum/internal/order"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
 	"robindrum/internal/standin/cluster"
@@ -308,8 +308,8 @@
 	who := fmt.Sprint("h", n/2)
 	at := fleet.Clock()
 	if err := cluster.Await(ctx, "an order that is granted", 60*time.Second, func() bool {
-		o, err := c.Nodes[0].Order("drain", order.Order{ID: "capacity", Target: order.Target{Gateway: who}, Owner: "measure", Grace: time.Minute})
-		return err == nil && o.State != order.Refused
+		o, err := c.Nodes[0].Order("drain", drain.Order{ID: "capacity", Target: drain.Target{Gateway: who}, Owner: "measure", Grace: time.Minute})
+		return err == nil && o.State != drain.Refused
 	}); err != nil {
 		return err
 	}
@@ -318,7 +318,7 @@
 	}
 	told := g.Drained(who, "capacity") - at
 	done := fleet.Clock()
-	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool { l, err := c.Nodes[0].Orders(); return err == nil && l["capacity"].State == order.Done }); err != nil {
+	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool { l, err := c.Nodes[0].Orders(); return err == nil && l["capacity"].State == drain.Done }); err != nil {
 		return err
 	}
 	done = fleet.Clock() - at
@@ -340,7 +340,7 @@
 		return err
 	}
 	s.put("the same with 20,000 endpoints", float64(len(seen)), 0)
-	if _, err := c.Nodes[0].Order("undrain", order.Order{ID: "capacity"}); err != nil {
+	if _, err := c.Nodes[0].Order("undrain", drain.Order{ID: "capacity"}); err != nil {
 		return fmt.Errorf("undrain: %w", err)
 	}
 	if err := releaseWaves(ctx, s, c, g, n, beat); err != nil {
@@ -405,12 +405,12 @@
 func looks(gateways, endpoints int) quorum.Seen {
 	v := quorum.Seen{Version: 1}
 	for i := range gateways {
-		g := order.Gateway{Name: fmt.Sprint("gateway-", i), Site: "s", Zone: "z0", Birth: uint64(time.Now().UnixNano()), Serving: true}
+		g := drain.Gateway{Name: fmt.Sprint("gateway-", i), Site: "s", Zone: "z0", Birth: uint64(time.Now().UnixNano()), Serving: true}
 		v.Gateways = append(v.Gateways, g)
 		v.Release = append(v.Release, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Here: true, Serving: true})
 	}
 	for i := range endpoints {
-		v.Endpoints = append(v.Endpoints, order.Endpoint{Cluster: fmt.Sprint("c", i/29), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/62500, i/250%250, i%250), Zone: "z0", Well: true})
+		v.Endpoints = append(v.Endpoints, drain.Endpoint{Cluster: fmt.Sprint("c", i/29), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/62500, i/250%250, i%250), Zone: "z0", Well: true})
 	}
 	return v
 }
--- a/tools/measure/capacity_limits.go
+++ b/tools/measure/capacity_limits.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"robindrum/internal/order"
+	"robindrum/internal/drain"
 	"robindrum/internal/standin/cluster"
 	"robindrum/internal/standin/controlplane"
 )
@@ -50,10 +50,10 @@
 		return err
 	}
 	const within = 15 * time.Second
-	var o order.Order
+	var o drain.Order
 	began := time.Now()
-	for time.Since(began) < within && o.State != order.Done && o.State != order.Refused {
-		if o, err = s.Nodes[0].Order("drain", order.Order{ID: "limits", Target: order.Target{Gateway: s.Nodes[3].Name}, Owner: "measure", Grace: 5 * time.Second}); err != nil {
+	for time.Since(began) < within && o.State != drain.Done && o.State != drain.Refused {
+		if o, err = s.Nodes[0].Order("drain", drain.Order{ID: "limits", Target: drain.Target{Gateway: s.Nodes[3].Name}, Owner: "measure", Grace: 5 * time.Second}); err != nil {
 			return err
 		}
 		if err := idleFor(ctx, 200*time.Millisecond); err != nil {
