--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -14,7 +14,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"robindrum/internal/config"
-	"robindrum/internal/share"
+	"robindrum/internal/subscription"
 	"robindrum/internal/zone"
 )
 
@@ -253,7 +253,7 @@
 		collectFleet(s.Fleet, put)
 	}
 	if sub := s.Subscription; sub != nil {
-		for _, mode := range []share.Mode{share.Waiting, share.Following, share.Own, share.Holding} {
+		for _, mode := range []subscription.Mode{subscription.Waiting, subscription.Following, subscription.Own, subscription.Holding} {
 			put("fmode", yes(sub.Mode == mode), string(mode))
 		}
 		put("fheard", sub.Heard)
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -19,7 +19,7 @@
 	"robindrum/internal/leaderelection"
 	"robindrum/internal/members"
 	"robindrum/internal/peer"
-	"robindrum/internal/share"
+	"robindrum/internal/subscription"
 	"robindrum/internal/xds"
 )
 
@@ -44,7 +44,7 @@
 	take  sync.Mutex    // one push at a time
 
 	mu      sync.Mutex
-	s       *share.Share
+	s       *subscription.Share
 	holder  string // who pushed last
 	seq     uint64
 	changed map[named]uint64 // under which number each name changed last
@@ -59,7 +59,7 @@
 func newShared(f *fleet.Fleet, opt xds.ClientOptions, log *slog.Logger, sink xds.Sink) *shared {
 	c := f.Conf().Subscription
 	s := &shared{sink: sink, fleet: f, conf: c, log: log, turn: make(chan struct{}, 1), seq: 1, changed: map[named]uint64{}, floor: 1}
-	s.s = share.New(fleet.Clock(), share.Options{OwnAfter: c.OwnAfter.D(), Spread: c.Spread.D(), Chance: rand.Float64()})
+	s.s = subscription.New(fleet.Clock(), subscription.Options{OwnAfter: c.OwnAfter.D(), Spread: c.Spread.D(), Chance: rand.Float64()})
 	opt.Keep = true
 	s.Client = xds.NewClient(opt, s)
 	s.Pause(true)
@@ -119,7 +119,7 @@
 }
 
 // turned has the client keep a stream or not, as the mode is now.
-func (s *shared) turned(before share.Mode) {
+func (s *shared) turned(before subscription.Mode) {
 	s.mu.Lock()
 	mode, _ := s.s.Mode()
 	s.Pause(!s.s.Stream())
@@ -132,7 +132,7 @@
 
 // sharePush is what a holder sends.
 type sharePush struct {
-	share.Push
+	subscription.Push
 	Holder string     `json:"holder"`
 	Types  []pushType `json:"types,omitempty"`
 }
@@ -145,8 +145,8 @@
 }
 
 type pushed struct {
-	Verdict share.Verdict `json:"verdict"`
-	Highest uint64        `json:"highest"`
+	Verdict subscription.Verdict `json:"verdict"`
+	Highest uint64               `json:"highest"`
 }
 
 // bundle reads what came.
@@ -186,21 +186,21 @@
 	})
 	s.mu.Lock()
 	before, _ := s.s.Mode()
-	var v share.Verdict
+	var v subscription.Verdict
 	if open && !s.s.Stream() { // its own stream is about to close
-		v = share.Need
-	} else if v = s.s.Push(fleet.Clock(), p.Push, digest); v == share.Compare {
-		if v = share.Alone; covered && s.s.Agreed(fleet.Clock(), p.Push) {
-			v = share.Same
+		v = subscription.Need
+	} else if v = s.s.Push(fleet.Clock(), p.Push, digest); v == subscription.Compare {
+		if v = subscription.Alone; covered && s.s.Agreed(fleet.Clock(), p.Push) {
+			v = subscription.Same
 		}
 	}
-	if v != share.Refuse {
+	if v != subscription.Refuse {
 		s.holder = p.Holder
 	}
 	highest := s.s.Highest()
 	s.mu.Unlock()
 	s.turned(before)
-	if v == share.Take {
+	if v == subscription.Take {
 		if err := s.Import(b); err != nil {
 			s.log.Warn("what the holder of the subscription accepted is not taken as a whole", "holder", p.Holder, "err", err)
 		}
@@ -225,7 +225,7 @@
 		s.mu.Lock()
 		s.s.Drop(fleet.Clock())
 		s.mu.Unlock()
-		s.turned(share.Holding)
+		s.turned(subscription.Holding)
 	}()
 	tick := time.NewTicker(s.conf.Heartbeat.D())
 	defer tick.Stop()
@@ -337,9 +337,9 @@
 	a.busy = false
 	switch {
 	case !ok, err != nil: // with the next round
-	case r.Verdict == share.Refuse:
+	case r.Verdict == subscription.Refuse:
 		p.s.log.Warn("a gateway refused the subscription's news: another one holds it", "gateway", m.Name, "token", body.Token, "highest", r.Highest)
-	case r.Verdict == share.Need:
+	case r.Verdict == subscription.Need:
 		again = !body.Whole && p.ready
 		a.seq = 0
 	default:
@@ -359,7 +359,7 @@
 	}
 	s := p.s
 	link := s.Link()
-	out := &sharePush{Holder: s.fleet.Conf().Member, Push: share.Push{Token: token, Connected: link.Server != ""}}
+	out := &sharePush{Holder: s.fleet.Conf().Member, Push: subscription.Push{Token: token, Connected: link.Server != ""}}
 	if !p.ready {
 		return out, true
 	}
@@ -428,14 +428,14 @@
 
 // Subscription is how a gateway lives on the site's one subscription.
 type Subscription struct {
-	Mode   share.Mode `json:"mode"`
-	Since  float64    `json:"seconds"`
-	Holder string     `json:"holder,omitempty"` // whose word was taken last
-	Token  uint64     `json:"token,omitempty"`
-	Number uint64     `json:"number,omitempty"`
-	Heard  float64    `json:"heard_seconds"`         // ago
-	Age    float64    `json:"control_plane_seconds"` // of the control plane's word when the holder spoke last
-	Stale  string     `json:"stale,omitempty"`
+	Mode   subscription.Mode `json:"mode"`
+	Since  float64           `json:"seconds"`
+	Holder string            `json:"holder,omitempty"` // whose word was taken last
+	Token  uint64            `json:"token,omitempty"`
+	Number uint64            `json:"number,omitempty"`
+	Heard  float64           `json:"heard_seconds"`         // ago
+	Age    float64           `json:"control_plane_seconds"` // of the control plane's word when the holder spoke last
+	Stale  string            `json:"stale,omitempty"`
 }
 
 func (s *shared) status() *Subscription {
--- a/internal/standin/hollow/gateways.go
+++ b/internal/standin/hollow/gateways.go
@@ -12,7 +12,7 @@
 	"robindrum/internal/fleet"
 	"robindrum/internal/peer"
 	"robindrum/internal/release"
-	"robindrum/internal/share"
+	"robindrum/internal/subscription"
 )
 
 // Gateways are hollow members that take orders and the subscription's news as gateways do, and serve nothing. Prepare is for
@@ -36,7 +36,7 @@
 	rounds  []time.Duration          // when it was told of orders, on fleet.Clock
 	drained map[string]time.Duration // when it first heard that an order has it out
 	served  uint64                   // requests that it says it has served
-	share   *share.Share
+	share   *subscription.Share
 	taken   map[[2]uint64]time.Duration // when it took a change, by token and number
 	wholes  int                         // lists taken as a whole
 	bytes   int64                       // of pushes
@@ -59,7 +59,7 @@
 // Prepare has a member take orders and news.
 func (g *Gateways) Prepare(m *Member) error {
 	t := &taker{g: g, name: m.Name, m: m, drained: map[string]time.Duration{}, taken: map[[2]uint64]time.Duration{},
-		share: share.New(fleet.Clock(), share.Options{OwnAfter: time.Hour})}
+		share: subscription.New(fleet.Clock(), subscription.Options{OwnAfter: time.Hour})}
 	g.mu.Lock()
 	g.all[m.Name] = t
 	g.mu.Unlock()
@@ -100,7 +100,7 @@
 // receive takes a push as the gateway's does: the share decides, and what comes is read.
 func (t *taker) receive(_ context.Context, body []byte) (any, error) {
 	var p struct {
-		share.Push
+		subscription.Push
 		Types []struct {
 			Resources [][]byte `json:"resources"`
 		} `json:"types"`
@@ -114,15 +114,15 @@
 	v := t.share.Push(now, p.Push, 0)
 	t.pushes++
 	t.bytes += int64(len(body))
-	if v == share.Take {
+	if v == subscription.Take {
 		t.taken[[2]uint64{p.Token, p.Seq}] = now
 		if p.Whole {
 			t.wholes++
 		}
 	}
 	return struct {
-		Verdict share.Verdict `json:"verdict"`
-		Highest uint64        `json:"highest"`
+		Verdict subscription.Verdict `json:"verdict"`
+		Highest uint64               `json:"highest"`
 	}{v, t.share.Highest()}, nil
 }
 
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/standin/hollow/hollow_test.go
@@ -17,8 +17,8 @@
 	"robindrum/internal/members"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
-	"robindrum/internal/share"
 	"robindrum/internal/standin/memnet"
+	"robindrum/internal/subscription"
 )
 
 // Bounds of the slopes: counts and bytes, never times. Each is some 1.4 times what was measured, so that twice as much is over it.
@@ -231,10 +231,10 @@
 	if a, b := g.all[to.Name].Ordered(drain.View{Version: 3}, false).Figures, g.all[to.Name].Ordered(drain.View{Version: 3}, false).Figures; a.Taken == 0 || b.Taken != 2*a.Taken || b.Served != b.Taken {
 		t.Errorf("it shows %+v, then %+v", a, b)
 	}
-	push := func(p share.Push) (v share.Verdict) {
+	push := func(p subscription.Push) (v subscription.Verdict) {
 		t.Helper()
 		var r struct {
-			Verdict share.Verdict `json:"verdict"`
+			Verdict subscription.Verdict `json:"verdict"`
 		}
 		if err := from.Node().Call(t.Context(), to.Address, sharePath, p, &r); err != nil {
 			t.Fatal(err)
@@ -242,14 +242,14 @@
 		return r.Verdict
 	}
 	for _, c := range []struct {
-		p    share.Push
-		want share.Verdict
+		p    subscription.Push
+		want subscription.Verdict
 	}{
-		{share.Push{Token: 2, Seq: 5, Base: 4}, share.Need}, // a difference from what it does not have
-		{share.Push{Token: 2, Seq: 5, Whole: true}, share.Take},
-		{share.Push{Token: 2, Seq: 6, Base: 5}, share.Take},
-		{share.Push{Token: 2, Seq: 6}, share.Same},
-		{share.Push{Token: 1, Seq: 9, Whole: true}, share.Refuse},
+		{subscription.Push{Token: 2, Seq: 5, Base: 4}, subscription.Need}, // a difference from what it does not have
+		{subscription.Push{Token: 2, Seq: 5, Whole: true}, subscription.Take},
+		{subscription.Push{Token: 2, Seq: 6, Base: 5}, subscription.Take},
+		{subscription.Push{Token: 2, Seq: 6}, subscription.Same},
+		{subscription.Push{Token: 1, Seq: 9, Whole: true}, subscription.Refuse},
 	} {
 		if v := push(c.p); v != c.want {
 			t.Errorf("%+v: %s, want %s", c.p, v, c.want)
--- a/internal/share/share.go
+++ b/internal/subscription/share.go
@@ -1,11 +1,11 @@
-// Package share decides how the gateways of one site live on one subscription to the control plane: whose word a gateway
+// Package subscription decides how the gateways of one site live on one subscription to the control plane: whose word a gateway
 // takes, and when it goes to the control plane itself. It has no clock, no I/O and no goroutine; time and chance are
 // arguments.
 //
 // The holder of the site's lease follows the control plane and hands what it accepted to the others, each time under the
 // lease's token and a number that rises. A gateway takes nothing that is older, by token and then by number, than what it
 // has taken; so no older version replaces a newer one, whoever sends it and however late it comes.
-package share
+package subscription
 
 import (
 	"time"
--- a/internal/share/share_test.go
+++ b/internal/subscription/share_test.go
@@ -1,4 +1,4 @@
-package share
+package subscription
 
 import (
 	"testing"
