--- a/internal/drain/order.go
+++ b/internal/drain/order.go
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"robindrum/internal/keep"
+	"robindrum/internal/unknownfields"
 )
 
 // Bounds: texts come from outside, and the book is in every snapshot.
@@ -105,8 +105,8 @@
 	// Wait: what a gateway has in hand when Grace is over is waited for on; else it is answered there, see Last.
 	Wait bool `json:"wait,omitempty"`
 	// Restart is the version of the program as which a gateway is to start anew once it has nothing in hand; empty: it stays.
-	Restart string      `json:"restart,omitempty"`
-	More    keep.Fields `json:"-"` // handed on
+	Restart string               `json:"restart,omitempty"`
+	More    unknownfields.Fields `json:"-"` // handed on
 
 	State State  `json:"state"`
 	Why   string `json:"why,omitempty"` // of refused, and of asked: what it waits for
@@ -122,13 +122,13 @@
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (o Order) MarshalJSON() ([]byte, error) {
 	type plain Order
-	return keep.Marshal(plain(o), o.More)
+	return unknownfields.Marshal(plain(o), o.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (o *Order) UnmarshalJSON(text []byte) error {
 	type plain Order
-	return keep.Unmarshal(text, (*plain)(o), &o.More)
+	return unknownfields.Unmarshal(text, (*plain)(o), &o.More)
 }
 
 // Scope is what a budget counts.
@@ -198,20 +198,20 @@
 	Endpoints map[string]Endpoint `json:"endpoints"`
 	Halted    bool                `json:"halted,omitempty"` // nothing new is granted
 	// Seen is the version that everyone who was asked had taken over when it said what Gateways and Endpoints have.
-	Seen uint64      `json:"seen"`
-	More keep.Fields `json:"-"`
+	Seen uint64               `json:"seen"`
+	More unknownfields.Fields `json:"-"`
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (b Book) MarshalJSON() ([]byte, error) {
 	type plain Book
-	return keep.Marshal(plain(b), b.More)
+	return unknownfields.Marshal(plain(b), b.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (b *Book) UnmarshalJSON(text []byte) error {
 	type plain Book
-	return keep.Unmarshal(text, (*plain)(b), &b.More)
+	return unknownfields.Unmarshal(text, (*plain)(b), &b.More)
 }
 
 // NewBook makes an empty one.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -22,7 +22,7 @@
 	"slices"
 	"time"
 
-	"robindrum/internal/keep"
+	"robindrum/internal/unknownfields"
 )
 
 // Bounds of a table. Danger: names and members come from outside, and the table is in every snapshot.
@@ -100,49 +100,49 @@
 
 // Lease is one name's. Its holder's name is empty where nobody has it.
 type Lease struct {
-	Rules   Rules         `json:"rules"`
-	Holder  Member        `json:"holder"`
-	Token   uint64        `json:"token"`             // of the last grant
-	Until   time.Duration `json:"until"`             // may not be given away before
-	Granted time.Duration `json:"granted"`           // the last time to another holder
-	Revoked bool          `json:"revoked,omitempty"` // no renewal; it is given away when its time is over
-	Heir    string        `json:"heir,omitempty"`    // whom it was left to
-	Line    []Waiter      `json:"line,omitempty"`
-	More    keep.Fields   `json:"-"` // handed on
+	Rules   Rules                `json:"rules"`
+	Holder  Member               `json:"holder"`
+	Token   uint64               `json:"token"`             // of the last grant
+	Until   time.Duration        `json:"until"`             // may not be given away before
+	Granted time.Duration        `json:"granted"`           // the last time to another holder
+	Revoked bool                 `json:"revoked,omitempty"` // no renewal; it is given away when its time is over
+	Heir    string               `json:"heir,omitempty"`    // whom it was left to
+	Line    []Waiter             `json:"line,omitempty"`
+	More    unknownfields.Fields `json:"-"` // handed on
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (l Lease) MarshalJSON() ([]byte, error) {
 	type plain Lease
-	return keep.Marshal(plain(l), l.More)
+	return unknownfields.Marshal(plain(l), l.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (l *Lease) UnmarshalJSON(text []byte) error {
 	type plain Lease
-	return keep.Unmarshal(text, (*plain)(l), &l.More)
+	return unknownfields.Unmarshal(text, (*plain)(l), &l.More)
 }
 
 // Table is all leases.
 type Table struct {
-	Term   uint64            `json:"term"`
-	Now    time.Duration     `json:"now"` // the latest reading of the term
-	Last   uint64            `json:"last_token"`
-	Leases map[string]*Lease `json:"leases"`
-	Births map[string]uint64 `json:"births"` // the latest of each name that holds or waits
-	More   keep.Fields       `json:"-"`
+	Term   uint64               `json:"term"`
+	Now    time.Duration        `json:"now"` // the latest reading of the term
+	Last   uint64               `json:"last_token"`
+	Leases map[string]*Lease    `json:"leases"`
+	Births map[string]uint64    `json:"births"` // the latest of each name that holds or waits
+	More   unknownfields.Fields `json:"-"`
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (t Table) MarshalJSON() ([]byte, error) {
 	type plain Table
-	return keep.Marshal(plain(t), t.More)
+	return unknownfields.Marshal(plain(t), t.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (t *Table) UnmarshalJSON(text []byte) error {
 	type plain Table
-	return keep.Unmarshal(text, (*plain)(t), &t.More)
+	return unknownfields.Unmarshal(text, (*plain)(t), &t.More)
 }
 
 // NewTable makes an empty table.
--- a/internal/quorum/state.go
+++ b/internal/quorum/state.go
@@ -15,9 +15,9 @@
 	"github.com/hashicorp/raft"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/keep"
 	"robindrum/internal/lease"
 	"robindrum/internal/release"
+	"robindrum/internal/unknownfields"
 )
 
 // Op is what a command does.
@@ -66,22 +66,22 @@
 	Text   string        `json:"text,omitempty"`   // config; else why something is done by hand
 
 	// Now is the reading of the leader's monotonic clock, set by the leader.
-	Now   time.Duration `json:"now,omitempty"`
-	Fleet string        `json:"fleet,omitempty"` // lead: the identity that the fleet was founded with
-	Base  uint64        `json:"base,omitempty"`  // lead: tokens are higher than this
-	More  keep.Fields   `json:"-"`               // handed on: a leader writes what a newer client asked
+	Now   time.Duration        `json:"now,omitempty"`
+	Fleet string               `json:"fleet,omitempty"` // lead: the identity that the fleet was founded with
+	Base  uint64               `json:"base,omitempty"`  // lead: tokens are higher than this
+	More  unknownfields.Fields `json:"-"`               // handed on: a leader writes what a newer client asked
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (c Command) MarshalJSON() ([]byte, error) {
 	type plain Command
-	return keep.Marshal(plain(c), c.More)
+	return unknownfields.Marshal(plain(c), c.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (c *Command) UnmarshalJSON(text []byte) error {
 	type plain Command
-	return keep.Unmarshal(text, (*plain)(c), &c.More)
+	return unknownfields.Unmarshal(text, (*plain)(c), &c.More)
 }
 
 // Seen is what the leader has heard of the fleet in one round.
@@ -137,7 +137,7 @@
 	book  *drain.Book
 	rel   *release.Book
 	fleet string
-	more  keep.Fields // of its stored form, by a newer program
+	more  unknownfields.Fields // of its stored form, by a newer program
 }
 
 func newState() *state {
@@ -248,24 +248,24 @@
 
 // saved is the stored form.
 type saved struct {
-	Format int             `json:"format"`
-	Fleet  string          `json:"fleet"`
-	Table  json.RawMessage `json:"table"`
-	Book   json.RawMessage `json:"book,omitempty"` // earlier snapshots have none
-	Rel    json.RawMessage `json:"releases,omitempty"`
-	More   keep.Fields     `json:"-"`
+	Format int                  `json:"format"`
+	Fleet  string               `json:"fleet"`
+	Table  json.RawMessage      `json:"table"`
+	Book   json.RawMessage      `json:"book,omitempty"` // earlier snapshots have none
+	Rel    json.RawMessage      `json:"releases,omitempty"`
+	More   unknownfields.Fields `json:"-"`
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (v saved) MarshalJSON() ([]byte, error) {
 	type plain saved
-	return keep.Marshal(plain(v), v.More)
+	return unknownfields.Marshal(plain(v), v.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (v *saved) UnmarshalJSON(text []byte) error {
 	type plain saved
-	return keep.Unmarshal(text, (*plain)(v), &v.More)
+	return unknownfields.Unmarshal(text, (*plain)(v), &v.More)
 }
 
 const format = 1
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/keep"
+	"robindrum/internal/unknownfields"
 )
 
 // Bounds: texts come from outside, and the book is in every snapshot.
@@ -258,22 +258,22 @@
 	Births map[string]uint64  `json:"births"`
 	Start  map[string]Figures `json:"start"`
 	// Past is what each gateway showed between the release's start and its own turn.
-	Past map[string]Figures `json:"past"`
-	From map[string]Figures `json:"from"` // at the release's start
-	Here map[string]bool    `json:"here"` // who was there then
-	More keep.Fields        `json:"-"`    // handed on
+	Past map[string]Figures   `json:"past"`
+	From map[string]Figures   `json:"from"` // at the release's start
+	Here map[string]bool      `json:"here"` // who was there then
+	More unknownfields.Fields `json:"-"`    // handed on
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (r Release) MarshalJSON() ([]byte, error) {
 	type plain Release
-	return keep.Marshal(plain(r), r.More)
+	return unknownfields.Marshal(plain(r), r.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (r *Release) UnmarshalJSON(text []byte) error {
 	type plain Release
-	return keep.Unmarshal(text, (*plain)(r), &r.More)
+	return unknownfields.Unmarshal(text, (*plain)(r), &r.More)
 }
 
 // Book is the release under way with what it is judged by. A Book is for one goroutine at a time; the same calls give the same book.
@@ -285,24 +285,24 @@
 	Base    string            `json:"base"`              // what every gateway has where no release is under way
 	Program string            `json:"program,omitempty"` // the version that every gateway is to run as; empty: none was released
 	// Versions are what gateways ran as before a release of a program that went back, for those that come back later.
-	Versions map[string]string  `json:"versions,omitempty"`
-	Restarts uint64             `json:"restarts,omitempty"` // orders that Pace has asked for
-	Current  *Release           `json:"current,omitempty"`
-	Ended    []Release          `json:"ended,omitempty"`
-	Gateways map[string]Gateway `json:"gateways"`
-	More     keep.Fields        `json:"-"`
+	Versions map[string]string    `json:"versions,omitempty"`
+	Restarts uint64               `json:"restarts,omitempty"` // orders that Pace has asked for
+	Current  *Release             `json:"current,omitempty"`
+	Ended    []Release            `json:"ended,omitempty"`
+	Gateways map[string]Gateway   `json:"gateways"`
+	More     unknownfields.Fields `json:"-"`
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (b Book) MarshalJSON() ([]byte, error) {
 	type plain Book
-	return keep.Marshal(plain(b), b.More)
+	return unknownfields.Marshal(plain(b), b.More)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (b *Book) UnmarshalJSON(text []byte) error {
 	type plain Book
-	return keep.Unmarshal(text, (*plain)(b), &b.More)
+	return unknownfields.Unmarshal(text, (*plain)(b), &b.More)
 }
 
 // NewBook makes an empty one.
--- a/internal/keep/keep.go
+++ b/internal/unknownfields/keep.go
@@ -1,6 +1,6 @@
-// Package keep reads JSON objects without losing the fields that this program does not know: processes of two versions pass on what
+// Package unknownfields reads JSON objects without losing the fields that this program does not know: processes of two versions pass on what
 // the other one wrote, in messages and in what is stored.
-package keep
+package unknownfields
 
 import (
 	"bytes"
--- a/internal/keep/keep_test.go
+++ b/internal/unknownfields/keep_test.go
@@ -1,4 +1,4 @@
-package keep_test
+package unknownfields_test
 
 import (
 	"encoding/json"
@@ -7,10 +7,10 @@
 	"testing"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/keep"
 	"robindrum/internal/lease"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
+	"robindrum/internal/unknownfields"
 )
 
 // What a newer program says in messages and in what it stores goes through this one whole.
@@ -56,18 +56,18 @@
 			Target map[string]any `json:"target,omitempty"`
 		}
 		var v, w plain
-		var more, again keep.Fields
-		if keep.Unmarshal([]byte(text), &v, &more) != nil {
+		var more, again unknownfields.Fields
+		if unknownfields.Unmarshal([]byte(text), &v, &more) != nil {
 			return
 		}
 		if len(more) == 0 {
 			more = nil
 		}
-		out, err := keep.Marshal(v, more)
+		out, err := unknownfields.Marshal(v, more)
 		if err != nil {
 			t.Fatalf("%q: %v", text, err)
 		}
-		if err := keep.Unmarshal(out, &w, &again); err != nil || len(more) != len(again) || v.ID != w.ID || len(v.Target) != len(w.Target) {
+		if err := unknownfields.Unmarshal(out, &w, &again); err != nil || len(more) != len(again) || v.ID != w.ID || len(v.Target) != len(w.Target) {
 			t.Fatalf("%q became %s: %v, %v", text, out, err, reflect.DeepEqual(more, again))
 		}
 	})
