--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -18,7 +18,7 @@
 	"robindrum/internal/fleet"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
-	"robindrum/internal/supervise"
+	"robindrum/internal/supervisor"
 )
 
 // exitBack is a release that went back, or halts.
@@ -53,7 +53,7 @@
 			return nil, fmt.Errorf("want a file, or --program: %w", errUsage)
 		case version != "":
 			p.Program, p.To = true, version
-			return nil, supervise.CheckLabel(version)
+			return nil, supervisor.CheckLabel(version)
 		}
 		if text, err = os.ReadFile(args[0]); err == nil {
 			p.To = fleet.ConfigDigest(text)
--- a/cmd/robindrum/serve.go
+++ b/cmd/robindrum/serve.go
@@ -19,7 +19,7 @@
 
 	"robindrum/internal/config"
 	"robindrum/internal/gateway"
-	"robindrum/internal/supervise"
+	"robindrum/internal/supervisor"
 )
 
 func logger(c config.Log, w io.Writer) *slog.Logger {
@@ -42,7 +42,7 @@
 			signal.Notify(hup, syscall.SIGHUP)
 			defer signal.Stop(hup)
 			ctx := c.Context()
-			if parent || supervise.FromEnv() != nil {
+			if parent || supervisor.FromEnv() != nil {
 				var cancel context.CancelFunc
 				ctx, cancel = untilParent(ctx, c.InOrStdin())
 				defer cancel()
@@ -80,7 +80,7 @@
 	}
 	log := logger(f.Log, errs)
 	slog.SetDefault(log)
-	child := supervise.FromEnv()
+	child := supervisor.FromEnv()
 	g, err := gateway.NewSupervised(f, log, child)
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 	defer cancel()
 	g.Stop(until)
 	if again {
-		return exitCode(supervise.Again)
+		return exitCode(supervisor.Again)
 	}
 	return nil
 }
--- a/cmd/robindrum/supervise.go
+++ b/cmd/robindrum/supervise.go
@@ -12,14 +12,14 @@
 
 	"github.com/spf13/cobra"
 
-	"robindrum/internal/supervise"
+	"robindrum/internal/supervisor"
 )
 
 // exitGaveUp is a supervisor that starts nothing any more.
 const exitGaveUp = 6
 
 func superviseCommand() *cobra.Command {
-	o := supervise.Options{}
+	o := supervisor.Options{}
 	var parent bool
 	c := &cobra.Command{Use: "supervise --folder DIR -- serve -c FILE", Short: "Run the version that a link names, and start it again", Args: cobra.MinimumNArgs(1),
 		Long: "Run the program that DIR/current links to (a file in DIR/versions) with the arguments behind --, and start it again: at once where it ends\n" +
@@ -37,8 +37,8 @@
 				ctx, cancel = untilParent(ctx, c.InOrStdin())
 				defer cancel()
 			}
-			err := supervise.Run(ctx, o)
-			if errors.Is(err, supervise.ErrGaveUp) {
+			err := supervisor.Run(ctx, o)
+			if errors.Is(err, supervisor.ErrGaveUp) {
 				fmt.Fprintln(c.ErrOrStderr(), "robindrum:", err)
 				return exitCode(exitGaveUp)
 			}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 	"robindrum/internal/proxy"
 	"robindrum/internal/resource"
 	"robindrum/internal/route"
-	"robindrum/internal/supervise"
+	"robindrum/internal/supervisor"
 	"robindrum/internal/xds"
 )
 
@@ -116,7 +116,7 @@
 func New(f *config.File, log *slog.Logger) (*Gateway, error) { return NewSupervised(f, log, nil) }
 
 // NewSupervised is New of a process that is supervised, which releases have started as other versions; nil: it is not.
-func NewSupervised(f *config.File, log *slog.Logger, child *supervise.Child) (*Gateway, error) {
+func NewSupervised(f *config.File, log *slog.Logger, child *supervisor.Child) (*Gateway, error) {
 	g := &Gateway{log: log, boot: time.Now(), budget: backend.NewBudget(descriptors(f.Limits.Descriptors, log)),
 		memory: resource.NewPool(int64(f.Limits.Memory)), open: resource.NewPool(int64(f.Limits.Requests)),
 		listeners: map[string]*listener{}, feeds: map[string]*feed{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}, past: map[string]*past{}}
--- a/internal/supervise/decide.go
+++ b/internal/supervisor/decide.go
@@ -1,4 +1,4 @@
-package supervise
+package supervisor
 
 import (
 	"fmt"
--- a/internal/supervise/folder.go
+++ b/internal/supervisor/folder.go
@@ -1,4 +1,4 @@
-// Package supervise runs robindrum as the version that a link names, and starts it again: at once where it asks for that, after a
+// Package supervisor runs robindrum as the version that a link names, and starts it again: at once where it asks for that, after a
 // growing pause where it crashed; as the version before where a new one does not come up, and not at all where nothing helps.
 //
 // A folder holds it all:
@@ -8,7 +8,7 @@
 //	previous         a link to the one before
 //	trial            the label of a version that has not been seen at work yet; not there: none is on trial
 //	refused          a label and why it was given up
-package supervise
+package supervisor
 
 import (
 	"errors"
