--- a/cmd/robindrum/sites.go
+++ b/cmd/robindrum/sites.go
@@ -11,7 +11,7 @@
 	"github.com/spf13/cobra"
 
 	"robindrum/internal/config"
-	"robindrum/internal/siteplan"
+	"robindrum/internal/failoverplan"
 )
 
 func sitesCommand() *cobra.Command {
@@ -71,7 +71,7 @@
 	return c
 }
 
-func known(p *siteplan.Plan, name string) bool {
+func known(p *failoverplan.Plan, name string) bool {
 	for _, s := range p.Sites {
 		if s.Name == name {
 			return true
@@ -81,11 +81,11 @@
 }
 
 // ratesOf gives the plan's loads with others in their place.
-func ratesOf(p *siteplan.Plan, given []string) (map[string]siteplan.Rates, error) {
-	load := map[string]siteplan.Rates{}
-	capacity := map[string]siteplan.Rates{}
+func ratesOf(p *failoverplan.Plan, given []string) (map[string]failoverplan.Rates, error) {
+	load := map[string]failoverplan.Rates{}
+	capacity := map[string]failoverplan.Rates{}
 	for _, s := range p.Sites {
-		load[s.Name], capacity[s.Name] = siteplan.Rates{}, s.Capacity
+		load[s.Name], capacity[s.Name] = failoverplan.Rates{}, s.Capacity
 		for c, r := range s.Load {
 			load[s.Name][c] = r
 		}
@@ -107,7 +107,7 @@
 	return load, nil
 }
 
-func showOutcome(out io.Writer, o *siteplan.Outcome) error {
+func showOutcome(out io.Writer, o *failoverplan.Outcome) error {
 	fmt.Fprintln(out, o)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "  AT\tFROM\tCLASS\tASKED\tSERVED\tREFUSED\tPART")
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -4,7 +4,7 @@
 	"errors"
 	"strings"
 
-	"robindrum/internal/siteplan"
+	"robindrum/internal/failoverplan"
 )
 
 // Sites say what becomes of a site's load when the site is lost whole. It is a plan on paper: see robindrum sites plan.
@@ -42,18 +42,18 @@
 }
 
 // SitePlan gives the plan; nil: the file has none.
-func (f *File) SitePlan() *siteplan.Plan {
+func (f *File) SitePlan() *failoverplan.Plan {
 	if f.Sites == nil {
 		return nil
 	}
-	p := &siteplan.Plan{}
+	p := &failoverplan.Plan{}
 	for _, c := range f.Classes {
-		p.Classes = append(p.Classes, siteplan.Class{Name: c.Name, Worth: c.Worth, Floor: f.Sites.Floors[c.Name]})
+		p.Classes = append(p.Classes, failoverplan.Class{Name: c.Name, Worth: c.Worth, Floor: f.Sites.Floors[c.Name]})
 	}
 	for _, s := range f.Sites.List {
-		x := siteplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MostCrossed: *s.MostCrossed}
+		x := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MostCrossed: *s.MostCrossed}
 		for _, w := range s.To {
-			x.To = append(x.To, siteplan.Way(w))
+			x.To = append(x.To, failoverplan.Way(w))
 		}
 		p.Sites = append(p.Sites, x)
 	}
@@ -81,7 +81,7 @@
 	}
 	err := f.SitePlan().Check()
 	for _, e := range split(err) {
-		var at *siteplan.Error
+		var at *failoverplan.Error
 		if !errors.As(e, &at) {
 			d.at("sites", "%v", e)
 			continue
--- a/internal/siteplan/siteplan.go
+++ b/internal/failoverplan/siteplan.go
@@ -1,9 +1,9 @@
-// Package siteplan says, before it happens, where the load of a site goes that is lost whole: what the other sites take of it, what is
+// Package failoverplan says, before it happens, where the load of a site goes that is lost whole: what the other sites take of it, what is
 // refused and of which class, and what their own users keep. It is pure: values in, a plan out.
 //
 // A site's capacity is given by class, as the requests a second that it could serve of that class alone. A load uses the sum of its
 // rates over these; one is all there is.
-package siteplan
+package failoverplan
 
 import (
 	"cmp"
--- a/internal/siteplan/siteplan_test.go
+++ b/internal/failoverplan/siteplan_test.go
@@ -1,4 +1,4 @@
-package siteplan
+package failoverplan
 
 import (
 	"fmt"
