--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -14,8 +14,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"robindrum/internal/config"
+	"robindrum/internal/locality"
 	"robindrum/internal/subscription"
-	"robindrum/internal/zone"
 )
 
 // admin is the operators' listener.
@@ -199,7 +199,7 @@
 		}
 		for _, z := range cl.Zones {
 			at := []string{cl.Name, z.Zone, strconv.Itoa(z.Priority)}
-			for _, state := range []zone.State{zone.Up, zone.Failing, zone.Dark, zone.Returning} {
+			for _, state := range []locality.State{locality.Up, locality.Failing, locality.Dark, locality.Returning} {
 				put("zstate", yes(z.State == state.String()), append(at, state.String())...)
 			}
 			put("zshare", z.Share, at...)
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -18,11 +18,11 @@
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
 	"robindrum/internal/drain"
+	"robindrum/internal/locality"
 	"robindrum/internal/membership"
 	"robindrum/internal/proxy"
 	"robindrum/internal/resource"
 	"robindrum/internal/xds"
-	"robindrum/internal/zone"
 )
 
 // cluster is one that is in use. Its view outlives its cores: a core that a new configuration brings begins with the
@@ -53,7 +53,7 @@
 	core *proxy.Core
 	of   *cluster
 	// Both belong to the core, and are looked at by its Inspect alone.
-	zones     *zone.Book // nil: none
+	zones     *locality.Book // nil: none
 	admission *admission.Controller
 }
 
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -7,7 +7,7 @@
 
 	"robindrum/balancer"
 	"robindrum/internal/admission"
-	"robindrum/internal/zone"
+	"robindrum/internal/locality"
 )
 
 // orNone words a value that the configuration has, for options that take 0 for one that was left out.
@@ -18,9 +18,9 @@
 	return v
 }
 
-func (s *spec) zoneOptions() zone.Options {
+func (s *spec) zoneOptions() locality.Options {
 	z := s.zones
-	return zone.Options{Own: s.zone, Tiers: z.Tiers, Gateways: s.gateway.Of, Overprovision: z.Overprovision, Panic: orNone(*z.Panic),
+	return locality.Options{Own: s.zone, Tiers: z.Tiers, Gateways: s.gateway.Of, Overprovision: z.Overprovision, Panic: orNone(*z.Panic),
 		FailHold: z.FailHold.D(), DarkHold: z.DarkHold.D(), UpHold: z.UpHold.D(), Hold: z.Hold.D(), MostHold: z.MostHold.D(),
 		Probe: z.Probe.D(), Step: z.Step.D(), Floor: orNone(*z.Floor), FirstShare: z.FirstShare, FirstRoom: z.FirstRoom,
 		Tolerance: z.Tolerance, OwnTol: z.OwnTolerance, RetryShare: orNone(*z.RetryBudget), RetryLeast: z.RetryLeast,
@@ -28,16 +28,16 @@
 }
 
 // book makes the tiers of a cluster's core. Where the core before had some, what they knew goes on.
-func (g *Gateway) book(c *cluster) *zone.Book {
+func (g *Gateway) book(c *cluster) *locality.Book {
 	o := c.spec.zoneOptions()
 	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, zone.Class{Name: k.Name, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Effect(k.Effect)})
+		o.Classes = append(o.Classes, locality.Class{Name: k.Name, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Effect(k.Effect)})
 		if balancer.Effect(k.Effect) == balancer.Keyed {
-			o.Classes = append(o.Classes, zone.Class{Name: k.Name + unkeyed, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Unsafe})
+			o.Classes = append(o.Classes, locality.Class{Name: k.Name + unkeyed, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Unsafe})
 		}
 	}
 	log, name := g.log, c.name
-	o.Notify = func(t zone.Transition) {
+	o.Notify = func(t locality.Transition) {
 		args := []any{"cluster", name, "zone", t.Locality.Zone, "priority", t.Locality.Priority, "from", t.From.String(),
 			"to", t.To.String(), "evidence", t.Evidence}
 		if t.Hold > 0 {
@@ -45,12 +45,12 @@
 		}
 		log.Warn("zone", args...)
 	}
-	b, err := zone.New(o, uint64(g.Now()))
+	b, err := locality.New(o, uint64(g.Now()))
 	if err != nil { // the configuration was checked: this cannot be
 		panic(fmt.Sprintf("cluster %s: %v", name, err))
 	}
 	if c.in != nil && c.in.zones != nil {
-		var old []zone.Report
+		var old []locality.Report
 		c.in.core.Inspect(func(now time.Duration) { old = c.in.zones.Report(now) })
 		b.Inherit(g.Now(), old)
 	}
--- a/internal/zone/place.go
+++ b/internal/locality/place.go
@@ -1,4 +1,4 @@
-package zone
+package locality
 
 import (
 	"fmt"
--- a/internal/zone/zone.go
+++ b/internal/locality/zone.go
@@ -1,4 +1,4 @@
-// Package zone decides which locality of a cluster may take an attempt: its own zone first, then others in tiers of
+// Package locality decides which locality of a cluster may take an attempt: its own zone first, then others in tiers of
 // preference, each by its health, its state and by what it has shown that it can do.
 //
 // A Book serves one cluster of one gateway. Gateways share nothing: each bounds its own part. A Book reads no clock, does
@@ -7,7 +7,7 @@
 //
 // The words are Envoy's: priority, locality, overprovisioning factor, panic threshold, outlier, retry budget. How loads
 // are split over priorities follows Envoy's documentation on priority levels.
-package zone
+package locality
 
 import (
 	"cmp"
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/zone"
+	"robindrum/internal/locality"
 )
 
 // Mode is how gateways choose among zones.
@@ -106,7 +106,7 @@
 	Idle    time.Duration
 	Source  Source
 	Watch   Watch
-	Zone    zone.Options
+	Zone    locality.Options
 	// Admission makes what says which requests of a gateway may start; nil: the decision module's own estimate.
 	Admission func(gateway int) (balancer.Admission, error)
 	Again     Again
@@ -244,7 +244,7 @@
 	number int
 	zone   string
 	bal    *balancer.Balancer
-	book   *zone.Book
+	book   *locality.Book
 	open   map[string]*request
 	idle   map[string][]time.Duration // connections by server: since when, where they cost anything
 	ready  bool                       // the list has come
@@ -402,15 +402,15 @@
 		z := o.Zone
 		z.Own, z.Gateways = g.zone, o.Gateways
 		for _, c := range o.Classes {
-			z.Classes = append(z.Classes, zone.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Effect: c.Effect})
+			z.Classes = append(z.Classes, locality.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Effect: c.Effect})
 		}
 		if o.Trace != nil {
-			z.Notify = func(t zone.Transition) {
+			z.Notify = func(t locality.Transition) {
 				o.Trace(t.At-origin, fmt.Sprintf("gateway %d: %s %v to %v (%s)", i, t.Locality.Zone, t.From, t.To, t.Evidence))
 			}
 		}
 		var err error
-		if g.book, err = zone.New(z, o.Seed+made); err != nil {
+		if g.book, err = locality.New(z, o.Seed+made); err != nil {
 			return nil, err
 		}
 		set.Tiers = g.book
