--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -21,7 +21,7 @@
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
 	"robindrum/internal/proxy"
-	"robindrum/internal/wire"
+	"robindrum/internal/simprotocol"
 )
 
 // config is the file's contents.
@@ -35,8 +35,8 @@
 		MemoryMB int64   `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`
-	Settings *wire.Info      `json:"settings"`
+	Known    json.RawMessage   `json:"known"`
+	Settings *simprotocol.Info `json:"settings"`
 }
 
 const (
--- a/cmd/robindrum-sim/main.go
+++ b/cmd/robindrum-sim/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"robindrum/internal/wire"
+	"robindrum/internal/simprotocol"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simprotocol.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "robindrum-sim:", err)
 		os.Exit(1)
 	}
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's dialect: it turns lines into events of package balancer and actions of
+// Package simprotocol speaks the simulator's dialect: it turns lines into events of package balancer and actions of
 // package balancer into lines. It decides nothing.
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"bytes"
