--- a/cmd/robindrum/lab.go
+++ b/cmd/robindrum/lab.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"robindrum/internal/lab"
+	"robindrum/internal/experiment"
 	experiments "robindrum/lab"
 )
 
@@ -24,7 +24,7 @@
 }
 
 func labRelease() *cobra.Command {
-	var r lab.Rollout
+	var r experiment.Rollout
 	var seeds int
 	var plain bool
 	c := &cobra.Command{Use: "release", Short: "Simulate a release of a version over a fleet, good or bad", Args: noArgs,
@@ -105,9 +105,9 @@
 	return nil
 }
 
-func (g *engine) run(c *cobra.Command, e *lab.Experiment) (*lab.Report, error) {
+func (g *engine) run(c *cobra.Command, e *experiment.Experiment) (*experiment.Report, error) {
 	if g.name == "sim" {
-		return lab.Simulate(e, g.seeds)
+		return experiment.Simulate(e, g.seeds)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	errs := c.ErrOrStderr()
 	redraw := errs == os.Stderr && terminal(os.Stderr)
-	r, err := lab.Live(c.Context(), e, g.seeds, lab.LiveOptions{Binary: self, Progress: func(p lab.Progress) {
+	r, err := experiment.Live(c.Context(), e, g.seeds, experiment.LiveOptions{Binary: self, Progress: func(p experiment.Progress) {
 		line := fmt.Sprintf("%s, seed %d: %v of %v, asked %d, in time %d, late %d, refused %d, failed %d", e.Name, p.Seed, p.At, p.Length, p.Asked, p.InTime, p.Late,
 			p.Refused, p.Failed)
 		if redraw {
@@ -184,14 +184,14 @@
 	return c
 }
 
-func pictures(page, plots string, l ...*lab.Report) error {
+func pictures(page, plots string, l ...*experiment.Report) error {
 	if page != "" {
-		if err := lab.WritePage(page, l...); err != nil {
+		if err := experiment.WritePage(page, l...); err != nil {
 			return err
 		}
 	}
 	if plots != "" {
-		return lab.WritePlots(plots, l...)
+		return experiment.WritePlots(plots, l...)
 	}
 	return nil
 }
@@ -208,7 +208,7 @@
 			if err := g.check(); err != nil {
 				return err
 			}
-			var l []*lab.Report
+			var l []*experiment.Report
 			for i, name := range args {
 				r, err := report(c, &g, name, sets[i])
 				if err != nil {
@@ -216,7 +216,7 @@
 				}
 				l = append(l, r)
 			}
-			d, err := lab.Compare(l[0], l[1])
+			d, err := experiment.Compare(l[0], l[1])
 			if err != nil {
 				return err
 			}
@@ -242,13 +242,13 @@
 			if len(args) == 0 {
 				args = experiments.Names()
 			}
-			var l []lab.Calibration
+			var l []experiment.Calibration
 			for _, name := range args {
 				e, err := openExperiment(name)
 				if err != nil {
 					return err
 				}
-				k := lab.Calibration{Name: e.Name}
+				k := experiment.Calibration{Name: e.Name}
 				for _, g := range []engine{{"sim", seeds}, {"loopback", seeds}} {
 					if err := g.check(); err != nil {
 						return err
@@ -265,16 +265,16 @@
 				}
 				l = append(l, k)
 			}
-			return lab.PrintCalibrations(c.OutOrStdout(), l)
+			return experiment.PrintCalibrations(c.OutOrStdout(), l)
 		}}
 	c.Flags().IntVar(&seeds, "seeds", 1, "how many seeds, from the experiment's own on")
 	return c
 }
 
 // report reads a report, or runs an experiment.
-func report(c *cobra.Command, g *engine, name string, sets []string) (*lab.Report, error) {
+func report(c *cobra.Command, g *engine, name string, sets []string) (*experiment.Report, error) {
 	if strings.HasSuffix(name, ".json") {
-		return lab.ReadReport(name)
+		return experiment.ReadReport(name)
 	}
 	e, err := openExperiment(name, sets...)
 	if err != nil {
@@ -284,7 +284,7 @@
 }
 
 // experiment reads a file, or one of those that come with the program where there is no such file, with some fields changed.
-func openExperiment(name string, sets ...string) (*lab.Experiment, error) {
+func openExperiment(name string, sets ...string) (*experiment.Experiment, error) {
 	text, shipped := experiments.Read(name)
 	path := name + ".yaml"
 	if _, err := os.Stat(name); !shipped || err == nil {
@@ -293,11 +293,11 @@
 		}
 		path = name
 	}
-	text, err := lab.Override(text, sets...)
+	text, err := experiment.Override(text, sets...)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", err, errUsage)
 	}
-	return lab.Parse(path, text)
+	return experiment.Parse(path, text)
 }
 
 func labList() *cobra.Command {
--- a/cmd/robindrum/plan.go
+++ b/cmd/robindrum/plan.go
@@ -8,20 +8,20 @@
 	"github.com/spf13/cobra"
 
 	"robindrum/internal/capture"
-	"robindrum/internal/lab"
+	"robindrum/internal/experiment"
 )
 
 func planCommand() *cobra.Command {
 	var fleet, from string
 	var goals []string
-	var o lab.PlanOptions
+	var o experiment.PlanOptions
 	var confirm, asJSON bool
 	c := &cobra.Command{Use: "plan -f FLEET -t CAPTURE --goal CLASS=PART", Short: "Say what breaks first, how many servers a goal needs, and what the loss of a zone does", Args: noArgs,
 		Long: "Plan capacity from a captured load and a fleet, which is an experiment's file without load. An analytic bound first, then the\n" +
 			"simulated engine; --confirm replays the load over loopback and prints prediction against measurement.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, text := range goals {
-				g, err := lab.ParseGoal(text)
+				g, err := experiment.ParseGoal(text)
 				if err != nil {
 					return fmt.Errorf("%w: %w", err, errUsage)
 				}
@@ -30,7 +30,7 @@
 			if !(o.Rate >= 0 && o.Rate <= 1e6) || o.Seeds < 1 || o.Seeds > 100 {
 				return fmt.Errorf("--rate wants 0 to 1000000 and --seeds 1 to 100: %w", errUsage)
 			}
-			e, err := lab.OpenFleet(fleet)
+			e, err := experiment.OpenFleet(fleet)
 			if err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 			if err != nil {
 				return err
 			}
-			p, err := lab.MakePlan(e, k, o)
+			p, err := experiment.MakePlan(e, k, o)
 			if err != nil {
 				return err
 			}
@@ -48,7 +48,7 @@
 				if err != nil {
 					return fmt.Errorf("this program's own file: %w", err)
 				}
-				confirmed = p.Confirm(c.Context(), lab.LiveOptions{Binary: self})
+				confirmed = p.Confirm(c.Context(), experiment.LiveOptions{Binary: self})
 			}
 			show := p.Print
 			if asJSON {
--- a/internal/lab/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,8 +1,8 @@
-// Package lab runs experiments: a fleet of servers, the gateways before it, a load, what happens meanwhile and what is
+// Package experiment runs experiments: a fleet of servers, the gateways before it, a load, what happens meanwhile and what is
 // expected of it, all from one strict file. Two engines run the same file and give the same report: the simulated one has
 // whole decision modules, zones and admission on simulated time, with the same figures on every machine by seed; the
 // loopback one has the real program as child processes, servers that behave as the simulated ones do, and real time.
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/plan_test.go
+++ b/internal/experiment/plan_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"robindrum/internal/lab"
+	"robindrum/internal/experiment"
 	"robindrum/internal/standin/controlplane"
 )
 
@@ -313,7 +313,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		e, err := lab.Parse("capacity.yaml", fmt.Appendf(nil, `name: capacity
+		e, err := experiment.Parse("capacity.yaml", fmt.Appendf(nil, `name: capacity
 about: one service of many before ever more nodes
 length: 40s
 fleet: {zones: [a], servers: %d, workers: 2, service: 40ms, connect: 10ms, warm_up: 10s, warm_share: 0.3, fall: 3}
@@ -326,7 +326,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := lab.Simulate(e, seeds)
+		r, err := experiment.Simulate(e, seeds)
 		if err != nil {
 			return err
 		}
