--- a/cmd/robindrum/try.go
+++ b/cmd/robindrum/try.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"robindrum/internal/try"
+	"robindrum/internal/demo"
 )
 
 func tryCommand() *cobra.Command {
@@ -20,7 +20,7 @@
 	var rate int
 	var verbose bool
 	var scene string
-	scenes := append(slices.Clone(try.Scenes), "lease-loss", "release")
+	scenes := append(slices.Clone(demo.Scenes), "lease-loss", "release")
 	c := &cobra.Command{Use: "try", Short: "Play the main job on embedded stand-ins", Args: noArgs,
 		Long: "Start servers in two zones, a control plane and a gateway on loopback, send a bounded load and show what happens while a\n" +
 			"server is slow, one drains, one dies and the control plane goes away. Exits with 1 if a rule broke.",
@@ -35,7 +35,7 @@
 			if scene == "zone-loss" && !c.Flags().Changed("length") {
 				length = 30 * time.Second // the way back takes its time
 			}
-			if play := map[string]func(context.Context, string, io.Writer) error{"lease-loss": try.LeaseLoss, "release": try.Release}[scene]; play != nil {
+			if play := map[string]func(context.Context, string, io.Writer) error{"lease-loss": demo.LeaseLoss, "release": demo.Release}[scene]; play != nil {
 				self, err := os.Executable() // several processes of it
 				if err != nil {
 					return err
@@ -46,7 +46,7 @@
 				fmt.Fprintln(out, "\nall rules kept")
 				return nil
 			}
-			s, err := try.Run(c.Context(), try.Options{Scene: scene, Length: length, Rate: rate, Out: out, Redraw: out == os.Stdout && terminal(os.Stdout), Verbose: verbose})
+			s, err := demo.Run(c.Context(), demo.Options{Scene: scene, Length: length, Rate: rate, Out: out, Redraw: out == os.Stdout && terminal(os.Stdout), Verbose: verbose})
 			if err != nil {
 				return err
 			}
@@ -59,7 +59,7 @@
 			return nil
 		}}
 	c.Flags().DurationVar(&length, "length", 20*time.Second, "how long the load lasts")
-	c.Flags().StringVar(&scene, "scene", try.Scenes[0], "what is played: "+strings.Join(scenes, " or "))
+	c.Flags().StringVar(&scene, "scene", demo.Scenes[0], "what is played: "+strings.Join(scenes, " or "))
 	c.Flags().IntVar(&rate, "rate", 250, "requests a second")
 	c.Flags().BoolVarP(&verbose, "verbose", "v", false, "the gateway's own log lines as well")
 	return c
--- a/internal/try/lease.go
+++ b/internal/demo/lease.go
@@ -1,4 +1,4 @@
-package try
+package demo
 
 import (
 	"context"
--- a/internal/try/try.go
+++ b/internal/demo/try.go
@@ -1,6 +1,6 @@
-// Package try plays the gateway's main job on stand-ins, on loopback and in bounded time: servers in two zones, a control
+// Package demo plays the gateway's main job on stand-ins, on loopback and in bounded time: servers in two zones, a control
 // plane and a load, with a server that is slow, one that drains, one that dies, and a control plane that goes away.
-package try
+package demo
 
 import (
 	"cmp"
