--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -36,7 +36,7 @@
 		if line == "os/exec" { // the platform refuses to start other programs
 			t.Error("robindrum-node can start programs")
 		}
-		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/standin", "internal/demo", "internal/membership"} {
+		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/standin", "internal/demo", "internal/endpoints"} {
 			if strings.HasPrefix(line, "robindrum/"+p) {
 				t.Errorf("robindrum-node links %s", line)
 			}
--- a/internal/membership/membership.go
+++ b/internal/endpoints/membership.go
@@ -1,7 +1,7 @@
-// Package membership turns what a source says of a cluster's endpoints into news for the decision module. Each source
+// Package endpoints turns what a source says of a cluster's endpoints into news for the decision module. Each source
 // (the configuration, a file, xDS) gives whole lists in one form; a View remembers the last one, finds what changed, and
 // says of each endpoint where it comes from and why it gets no requests. It is pure: time is an argument.
-package membership
+package endpoints
 
 import (
 	"cmp"
--- a/internal/membership/membership_test.go
+++ b/internal/endpoints/membership_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpoints
 
 import (
 	"fmt"
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -18,8 +18,8 @@
 	"robindrum/internal/backend"
 	"robindrum/internal/config"
 	"robindrum/internal/drain"
+	"robindrum/internal/endpoints"
 	"robindrum/internal/locality"
-	"robindrum/internal/membership"
 	"robindrum/internal/proxy"
 	"robindrum/internal/resource"
 	"robindrum/internal/xds"
@@ -30,7 +30,7 @@
 type cluster struct {
 	name string
 	spec spec
-	view membership.View
+	view endpoints.View
 	in   *instance
 	core atomic.Pointer[proxy.Core]
 	// What it holds of the shared limits, all its cores together: one that ends and one that begins own one part.
@@ -286,7 +286,7 @@
 	if g.short && !g.stopping {
 		g.apportion()
 	}
-	gone := func() { g.tell(c, membership.Word{Source: c.spec.source, Stale: "the cluster is gone"}) }
+	gone := func() { g.tell(c, endpoints.Word{Source: c.spec.source, Stale: "the cluster is gone"}) }
 	if after <= 0 {
 		gone()
 		return
@@ -391,9 +391,9 @@
 	case s.inline != nil:
 		g.assign(c, s.inline, s.version, g.Now())
 	case s.source == "static":
-		w := membership.Word{Source: "static"}
+		w := endpoints.Word{Source: "static"}
 		for _, e := range s.static {
-			w.Endpoints = append(w.Endpoints, membership.Endpoint{Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
+			w.Endpoints = append(w.Endpoints, endpoints.Endpoint{Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 				Weight: e.Weight, Priority: e.Priority})
 		}
 		g.tell(c, w)
@@ -414,7 +414,7 @@
 		case r.State == xds.Absent:
 			c.stopTimer()
 			c.drop.Store(0)
-			g.tell(c, membership.Word{Source: sourceName(s.source), Stale: r.Why})
+			g.tell(c, endpoints.Word{Source: sourceName(s.source), Stale: r.Why})
 		}
 	}
 }
@@ -444,7 +444,7 @@
 }
 
 // tell hands a source's word to a cluster's cores.
-func (g *Gateway) tell(c *cluster, w membership.Word) {
+func (g *Gateway) tell(c *cluster, w endpoints.Word) {
 	if len(g.held) > 0 {
 		w.Endpoints = slices.Clone(w.Endpoints)
 		for i := range w.Endpoints {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"robindrum/balancer"
+	"robindrum/internal/endpoints"
 	"robindrum/internal/fleet"
-	"robindrum/internal/membership"
 	"robindrum/internal/proxy"
 )
 
@@ -159,7 +159,7 @@
 }
 
 // status gives all but the endpoints, and the listing of each cluster's.
-func (g *Gateway) status() (Status, []membership.Listing) {
+func (g *Gateway) status() (Status, []endpoints.Listing) {
 	ready := g.Ready()
 	var fl *fleet.Status
 	if g.fleet != nil {
@@ -215,7 +215,7 @@
 			s.Routes.Missing = append(s.Routes.Missing, n)
 		}
 	}
-	var listings []membership.Listing
+	var listings []endpoints.Listing
 	for _, name := range slices.Sorted(maps.Keys(g.clusters)) {
 		c := g.clusters[name]
 		s.Clusters, listings = append(s.Clusters, g.clusterStatus(c, now)), append(listings, c.view.Listing())
@@ -269,11 +269,11 @@
 }
 
 // why says in one of few words, as a metric has few, why an endpoint is out.
-func why(s *membership.Server) string {
+func why(s *endpoints.Server) string {
 	switch {
 	case s.Out == "":
 		return "usable"
-	case s.Health == membership.Draining || s.Health == membership.Unhealthy || s.Health == membership.Timeout || s.Health == membership.Degraded:
+	case s.Health == endpoints.Draining || s.Health == endpoints.Unhealthy || s.Health == endpoints.Timeout || s.Health == endpoints.Degraded:
 		return s.Health.String()
 	}
 	return "not_in_use"
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -25,7 +25,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"robindrum/internal/membership"
+	"robindrum/internal/endpoints"
 )
 
 // Type is a resource type's URL.
@@ -135,7 +135,7 @@
 
 // Endpoint is one of them. Its weight is within its locality.
 type Endpoint struct {
-	membership.Endpoint
+	endpoints.Endpoint
 	Locality       string
 	LocalityWeight uint32 // 0: not said
 }
@@ -407,10 +407,10 @@
 	return nil
 }
 
-var healths = map[corev3.HealthStatus]membership.Health{corev3.HealthStatus_UNKNOWN: membership.Unknown,
-	corev3.HealthStatus_HEALTHY: membership.Healthy, corev3.HealthStatus_UNHEALTHY: membership.Unhealthy,
-	corev3.HealthStatus_DRAINING: membership.Draining, corev3.HealthStatus_TIMEOUT: membership.Timeout,
-	corev3.HealthStatus_DEGRADED: membership.Degraded}
+var healths = map[corev3.HealthStatus]endpoints.Health{corev3.HealthStatus_UNKNOWN: endpoints.Unknown,
+	corev3.HealthStatus_HEALTHY: endpoints.Healthy, corev3.HealthStatus_UNHEALTHY: endpoints.Unhealthy,
+	corev3.HealthStatus_DRAINING: endpoints.Draining, corev3.HealthStatus_TIMEOUT: endpoints.Timeout,
+	corev3.HealthStatus_DEGRADED: endpoints.Degraded}
 
 func parseEndpoint(m *endpointv3.LbEndpoint, path string, warn *[]string) (e Endpoint, err error) {
 	if err := lbTable.audit(m, path, warn); err != nil {
@@ -463,8 +463,8 @@
 
 // Word gives an assignment as its cluster's last word. Where the weights of localities count, a locality's weight is
 // shared among its endpoints by their own.
-func (a *Assignment) Word(source, version string, localities bool) membership.Word {
-	w := membership.Word{Source: source, Version: version, Endpoints: make([]membership.Endpoint, len(a.Endpoints))}
+func (a *Assignment) Word(source, version string, localities bool) endpoints.Word {
+	w := endpoints.Word{Source: source, Version: version, Endpoints: make([]endpoints.Endpoint, len(a.Endpoints))}
 	type place struct {
 		priority int
 		locality string
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"robindrum/internal/membership"
+	"robindrum/internal/endpoints"
 	"robindrum/internal/route"
 )
 
@@ -127,7 +127,7 @@
 		t.Errorf("%+v", a)
 	}
 	w := a.Word("xds", "7", false)
-	want := membership.Endpoint{Address: "127.0.0.1:1", Zone: "z", SubZone: "s", Kind: "k", Cell: 2, Weight: 1, Health: membership.Draining}
+	want := endpoints.Endpoint{Address: "127.0.0.1:1", Zone: "z", SubZone: "s", Kind: "k", Cell: 2, Weight: 1, Health: endpoints.Draining}
 	if w.Endpoints[0] != want || w.Endpoints[2].Zone != "r2" || w.Endpoints[2].Priority != 1 || w.Version != "7" {
 		t.Errorf("%+v", w)
 	}
@@ -252,7 +252,7 @@
 		var a endpointv3.ClusterLoadAssignment
 		if proto.Unmarshal(b, &a) == nil {
 			if got, _, err := ParseAssignment(&a); err == nil {
-				var v membership.View
+				var v endpoints.View
 				v.Take(1, got.Word("xds", "", true))
 				for _, s := range v.Servers() {
 					if !(s.Weight > 0) {
