--- a/cmd/robindrum/fleet.go
+++ b/cmd/robindrum/fleet.go
@@ -16,7 +16,7 @@
 	"robindrum/internal/config"
 	"robindrum/internal/fleet"
 	"robindrum/internal/gateway"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/quorum"
 )
 
@@ -58,13 +58,13 @@
 }
 
 func showFleet(out io.Writer, s *fleet.Status) error {
-	states := map[members.State]int{}
+	states := map[membership.State]int{}
 	for _, m := range s.Members {
 		states[m.State]++
 	}
 	fmt.Fprintf(out, "fleet %s, member %s (site %s, %s), birth %d\n", s.Name, s.Self.Name, orNone(s.Self.Site), s.Self.State, s.Self.Birth)
 	fmt.Fprintf(out, "members: %d known", len(s.Members))
-	for _, state := range []members.State{members.Serving, members.Joining, members.Draining, members.Leaving, members.Witness, members.Suspect, members.Dead} {
+	for _, state := range []membership.State{membership.Serving, membership.Joining, membership.Draining, membership.Leaving, membership.Witness, membership.Suspect, membership.Dead} {
 		if n := states[state]; n > 0 {
 			fmt.Fprintf(out, ", %d %s", n, state)
 		}
@@ -199,7 +199,7 @@
 	for _, text := range w.Warnings() {
 		log.Warn(text)
 	}
-	f, err := fleet.New(&w.Fleet, "", "", members.Witness, log)
+	f, err := fleet.New(&w.Fleet, "", "", membership.Witness, log)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,7 +24,7 @@
 	"robindrum/internal/drain"
 	"robindrum/internal/leaderelection"
 	"robindrum/internal/lease"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
@@ -36,7 +36,7 @@
 	log     *slog.Logger
 	now     func() time.Duration
 	node    *peer.Node
-	list    *members.List
+	list    *membership.List
 	server  *quorum.Server // nil: it does not vote
 	client  *quorum.Client
 	runner  *leaderelection.Runner
@@ -75,12 +75,12 @@
 
 // New opens the address and, where this process is a voter, its folder. A folder that cannot be used keeps it from voting
 // and from nothing else: see NoVote. Start has it speak.
-func New(c *config.Fleet, zone, version string, state members.State, log *slog.Logger) (*Fleet, error) {
+func New(c *config.Fleet, zone, version string, state membership.State, log *slog.Logger) (*Fleet, error) {
 	return NewOn(nil, c, zone, version, state, log)
 }
 
 // NewOn is New on a network of the caller's; nil: this machine's sockets.
-func NewOn(network peer.Network, c *config.Fleet, zone, version string, state members.State, log *slog.Logger) (*Fleet, error) {
+func NewOn(network peer.Network, c *config.Fleet, zone, version string, state membership.State, log *slog.Logger) (*Fleet, error) {
 	via := map[string]string{}
 	for _, v := range c.Via {
 		via[v.Member] = v.At
@@ -108,13 +108,13 @@
 	}
 	f.client = quorum.NewClient(f.node, voters, min(2*c.Quorum.Heartbeat.D(), c.Lease.D()/4), now)
 	// Births rise with each start as long as the clock does not go back by more than a process lives.
-	self := members.Member{Name: c.Member, Site: c.Site, Zone: zone, Program: Version(), Config: version, Birth: uint64(time.Now().UnixNano()), State: state, Address: c.Advertise}
+	self := membership.Member{Name: c.Member, Site: c.Site, Zone: zone, Program: Version(), Config: version, Birth: uint64(time.Now().UnixNano()), State: state, Address: c.Advertise}
 	f.zone = zone
 	f.runner = leaderelection.NewRunner(f.client, leaderelection.Options{Member: lease.Member{Name: c.Member, Birth: self.Birth, Site: c.Site}, Now: now, Log: log})
 	for _, p := range c.Posts {
 		f.Add(leaderelection.Duty{Name: "post/" + p.Name, Rules: f.Rules(""), Run: f.poster(p)})
 	}
-	if f.list, err = members.Start(f.node, members.Options{Fleet: c.Name, Self: self, Seeds: c.Seeds, Probe: c.Probe.D(), Forget: c.Forget.D(), Now: now, Log: log}); err != nil {
+	if f.list, err = membership.Start(f.node, membership.Options{Fleet: c.Name, Self: self, Seeds: c.Seeds, Probe: c.Probe.D(), Forget: c.Forget.D(), Now: now, Log: log}); err != nil {
 		f.Stop(0)
 		return nil, err
 	}
@@ -133,7 +133,7 @@
 func (f *Fleet) Node() *peer.Node { return f.node }
 
 // Members are who is there.
-func (f *Fleet) Members() members.View { return f.list }
+func (f *Fleet) Members() membership.View { return f.list }
 
 // Zone is this process's zone.
 func (f *Fleet) Zone() string { return f.zone }
@@ -173,7 +173,7 @@
 		case <-f.life.Done():
 			return
 		case e := <-events:
-			if e.Restarted || e.Member.State != members.Joining && e.Member.State != members.Serving {
+			if e.Restarted || e.Member.State != membership.Joining && e.Member.State != membership.Serving {
 				f.runner.Wake()
 			}
 		}
@@ -181,13 +181,13 @@
 }
 
 // Say changes what this process says of itself.
-func (f *Fleet) Say(s members.State, version string) { f.list.Say(s, version) }
+func (f *Fleet) Say(s membership.State, version string) { f.list.Say(s, version) }
 
 // Drain ends the duties and gives their leases back; all else goes on.
 func (f *Fleet) Drain() {
 	f.end()
 	f.work.Wait() // so that a duty is free when the others hear of it
-	f.list.Say(members.Draining, f.list.Self().Config)
+	f.list.Say(membership.Draining, f.list.Self().Config)
 }
 
 // Stop ends the duties, gives their leases back, says that this process leaves, within so long, and ends.
@@ -197,7 +197,7 @@
 	f.work.Wait()
 	f.leading.Wait()
 	if f.list != nil {
-		f.list.Say(members.Leaving, f.list.Self().Config)
+		f.list.Say(membership.Leaving, f.list.Self().Config)
 		f.list.Stop(within)
 	}
 	if f.server != nil {
@@ -263,8 +263,8 @@
 // Status is how this process stands in its fleet.
 type Status struct {
 	Name      string                  `json:"name"`
-	Self      members.Member          `json:"self"`
-	Members   []members.Member        `json:"members"`
+	Self      membership.Member       `json:"self"`
+	Members   []membership.Member     `json:"members"`
 	Conflicts int                     `json:"conflicts"`
 	Contact   quorum.Contact          `json:"quorum"`
 	Vote      *quorum.Status          `json:"vote,omitempty"`
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 
 	"robindrum/internal/config"
 	"robindrum/internal/fakes"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 )
 
@@ -35,21 +35,21 @@
 		Posts:  []config.Post{{Name: "p", URL: to.URL, Every: config.Duration(10 * time.Millisecond), Timeout: config.Duration(time.Second)}}}
 	last := ""
 	for range 2 {
-		f, err := New(c, "z", "v", members.Joining, slog.New(slog.DiscardHandler))
+		f, err := New(c, "z", "v", membership.Joining, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.Start()
 		fakes.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > last })
 		last = token.Load().(string)
-		f.Say(members.Serving, "w")
+		f.Say(membership.Serving, "w")
 		admin := httptest.NewServer(f.Handler())
 		resp, err := http.Get(admin.URL + "/fleet")
 		if err != nil {
 			t.Fatal(err)
 		}
 		var s Status
-		if err := json.NewDecoder(resp.Body).Decode(&s); err != nil || len(s.Members) != 1 || s.Members[0].State != members.Serving || s.Vote.State != "leader" || s.Duties[0].Token == 0 || s.Stale != "" {
+		if err := json.NewDecoder(resp.Body).Decode(&s); err != nil || len(s.Members) != 1 || s.Members[0].State != membership.Serving || s.Vote.State != "leader" || s.Duties[0].Token == 0 || s.Stale != "" {
 			t.Errorf("%+v, %v", s, err)
 		}
 		resp.Body.Close()
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
@@ -356,10 +356,10 @@
 	for i, m := range all {
 		// Also one that is given up: it may be cut off from the others, or just be back, and is to hear what is ordered before
 		// the fleet has found it again.
-		if m.State == members.Witness || m.State == members.Gone {
+		if m.State == membership.Witness || m.State == membership.Gone {
 			continue
 		}
-		full := m.State != members.Dead && !sites[m.Site]
+		full := m.State != membership.Dead && !sites[m.Site]
 		sites[m.Site] = sites[m.Site] || full
 		room <- struct{}{}
 		work.Go(func() {
@@ -377,7 +377,7 @@
 	ends, bad, answered := map[[2]string]drain.Endpoint{}, map[[2]string]int{}, 0
 	inHand, heard := map[string]int{}, map[string]int{}
 	for i, m := range all {
-		if m.State == members.Witness || m.State == members.Gone {
+		if m.State == membership.Witness || m.State == membership.Gone {
 			continue
 		}
 		g := drain.Gateway{Name: m.Name, Site: m.Site, Zone: m.Zone, Birth: m.Birth}
@@ -444,7 +444,7 @@
 	}
 	alive := 0
 	for _, m := range all {
-		if m.State != members.Dead && m.State != members.Witness && m.State != members.Gone {
+		if m.State != membership.Dead && m.State != membership.Witness && m.State != membership.Gone {
 			alive++
 		}
 	}
@@ -458,7 +458,7 @@
 		case x.Target.OfGateways():
 			least = 0
 			for _, m := range all {
-				if x.Target.HasGateway(m.Name, m.Site, m.Zone) && m.State != members.Dead && m.State != members.Gone && m.State != members.Witness {
+				if x.Target.HasGateway(m.Name, m.Site, m.Zone) && m.State != membership.Dead && m.State != membership.Gone && m.State != membership.Witness {
 					least++
 				}
 			}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -10,7 +10,7 @@
 	"robindrum/internal/drain"
 	"robindrum/internal/fleet"
 	"robindrum/internal/leaderelection"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/proxy"
 	"robindrum/internal/release"
 )
@@ -24,7 +24,7 @@
 	if f.Fleet == nil {
 		return nil
 	}
-	fl, err := fleet.New(f.Fleet, f.Zone, g.version(f), members.Joining, g.log)
+	fl, err := fleet.New(f.Fleet, f.Zone, g.version(f), membership.Joining, g.log)
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 		if stopping {
 			return
 		}
-		s := members.Joining
+		s := membership.Joining
 		g.mu.Lock()
 		drained := g.drain != nil
 		g.refuses.Store(drained && g.Now()-g.drainAt >= g.drain.Notice)
@@ -98,9 +98,9 @@
 		}
 		switch {
 		case drained:
-			s = members.Draining
+			s = membership.Draining
 		case g.Ready():
-			s = members.Serving
+			s = membership.Serving
 		}
 		if f != g.told {
 			g.told, g.toldVersion = f, g.version(f)
@@ -148,7 +148,7 @@
 
 // collectFleet gives the fleet's metrics.
 func collectFleet(s *fleet.Status, put func(name string, v float64, labels ...string)) {
-	states := map[members.State]int{members.Joining: 0, members.Serving: 0, members.Draining: 0, members.Leaving: 0, members.Witness: 0, members.Suspect: 0, members.Dead: 0}
+	states := map[membership.State]int{membership.Joining: 0, membership.Serving: 0, membership.Draining: 0, membership.Leaving: 0, membership.Witness: 0, membership.Suspect: 0, membership.Dead: 0}
 	for _, m := range s.Members {
 		states[m.State]++
 	}
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -17,7 +17,7 @@
 	"robindrum/internal/config"
 	"robindrum/internal/fleet"
 	"robindrum/internal/leaderelection"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/subscription"
 	"robindrum/internal/xds"
@@ -274,11 +274,11 @@
 	again      bool // there was news while one was on its way
 }
 
-func (p *pushing) targets() (l []members.Member) {
+func (p *pushing) targets() (l []membership.Member) {
 	v := p.s.fleet.Members()
 	self := v.Self()
 	for _, m := range v.Members() {
-		if m.Site == self.Site && m.Name != self.Name && m.State != members.Dead && m.State != members.Gone && m.State != members.Witness {
+		if m.Site == self.Site && m.Name != self.Name && m.State != membership.Dead && m.State != membership.Gone && m.State != membership.Witness {
 			l = append(l, m)
 		}
 	}
@@ -317,7 +317,7 @@
 }
 
 // send sends once, and tells whether to send again at once.
-func (p *pushing) send(ctx context.Context, m members.Member) (again bool) {
+func (p *pushing) send(ctx context.Context, m membership.Member) (again bool) {
 	p.mu.Lock()
 	a := p.acked[m.Name]
 	a.again = false
--- a/internal/members/members.go
+++ b/internal/membership/members.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"bytes"
--- a/internal/members/roster.go
+++ b/internal/membership/roster.go
@@ -1,6 +1,6 @@
-// Package members knows who is in the fleet: names, places, versions and states, found by SWIM (hashicorp/memberlist) and
+// Package membership knows who is in the fleet: names, places, versions and states, found by SWIM (hashicorp/memberlist) and
 // seen from inside as a list and a stream of events. Nothing on a request's path asks it.
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/standin/cluster/cluster_test.go
+++ b/internal/standin/cluster/cluster_test.go
@@ -14,7 +14,7 @@
 	"robindrum/internal/fakes"
 	"robindrum/internal/fleet"
 	"robindrum/internal/lease"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/quorum"
 )
 
@@ -73,7 +73,7 @@
 	}
 }
 
-func (n *Node) member(name string) (m members.Member) {
+func (n *Node) member(name string) (m membership.Member) {
 	s, _ := n.Fleet()
 	for _, m := range s.Members {
 		if m.Name == name {
@@ -286,7 +286,7 @@
 func TestMembersOfAFleet(t *testing.T) {
 	fakes.Leaks(t)
 	c := up(t, Options{Nodes: 5, Witness: true})
-	all := func(want members.State, names ...string) func() bool {
+	all := func(want membership.State, names ...string) func() bool {
 		return func() bool {
 			for _, n := range c.Nodes {
 				if !n.Up() {
@@ -301,31 +301,31 @@
 			return true
 		}
 	}
-	comes(t, "five members", all(members.Serving, "n0", "n1", "n3", "n4"))
-	comes(t, "a witness", all(members.Witness, "n2"))
+	comes(t, "five members", all(membership.Serving, "n0", "n1", "n3", "n4"))
+	comes(t, "a witness", all(membership.Witness, "n2"))
 	born := c.Nodes[0].member("n4").Birth
 	c.Alone(c.Nodes[4], Way{Cut: true})
-	comes(t, "it is dead to the others", func() bool { return c.Nodes[0].member("n4").State == members.Dead })
+	comes(t, "it is dead to the others", func() bool { return c.Nodes[0].member("n4").State == membership.Dead })
 	c.Heal()
-	comes(t, "it is back", all(members.Serving, "n4"))
+	comes(t, "it is back", all(membership.Serving, "n4"))
 	if b := c.Nodes[0].member("n4").Birth; b != born {
 		t.Errorf("birth %d, was %d: it came back and was not started again", b, born)
 	}
 	if err := c.Nodes[4].Restart(false); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "it was started again", func() bool { m := c.Nodes[0].member("n4"); return m.Birth > born && m.State == members.Serving })
+	comes(t, "it was started again", func() bool { m := c.Nodes[0].member("n4"); return m.Birth > born && m.State == membership.Serving })
 
 	// A split, in which one joins.
 	c.Nodes[3].Kill()
-	comes(t, "it is dead", func() bool { return c.Nodes[0].member("n3").State == members.Dead })
+	comes(t, "it is dead", func() bool { return c.Nodes[0].member("n3").State == membership.Dead })
 	c.Alone(c.Nodes[0], Way{Cut: true})
 	if err := c.Nodes[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "it joined one side", func() bool { return c.Nodes[1].member("n3").State == members.Serving })
+	comes(t, "it joined one side", func() bool { return c.Nodes[1].member("n3").State == membership.Serving })
 	c.Heal()
-	comes(t, "one fleet again", all(members.Serving, "n0", "n1", "n3", "n4"))
+	comes(t, "one fleet again", all(membership.Serving, "n0", "n1", "n3", "n4"))
 
 	// Another fleet's member asks the same seeds; and one claims a name.
 	dir := t.TempDir()
--- a/internal/standin/hollow/fleet.go
+++ b/internal/standin/hollow/fleet.go
@@ -17,7 +17,7 @@
 
 	"robindrum/internal/config"
 	"robindrum/internal/fleet"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 )
@@ -111,7 +111,7 @@
 func (s *suspects) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		switch {
-		case a.Key == "to" && a.Value.String() == string(members.Suspect):
+		case a.Key == "to" && a.Value.String() == string(membership.Suspect):
 			s.f.suspicions.Add(1)
 		case a.Key == "line" && strings.Contains(a.Value.String(), "dropping message"):
 			s.f.dropped.Add(1)
@@ -147,7 +147,7 @@
 	for _, v := range o.Voters {
 		c.Quorum.Voters = append(c.Quorum.Voters, config.Voter(v))
 	}
-	x, err := fleet.NewOn(o.Network, c, "z0", version, members.Serving, f.log)
+	x, err := fleet.NewOn(o.Network, c, "z0", version, membership.Serving, f.log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
@@ -227,17 +227,17 @@
 }
 
 // Lacking counts the pairs of members that run of which the first one does not know of the second what it should.
-func (f *Fleet) Lacking(knows func(members.Member) bool) (pairs int) {
+func (f *Fleet) Lacking(knows func(membership.Member) bool) (pairs int) {
 	all := f.up()
 	names := make([]string, len(all))
 	for i, m := range all {
 		names[i] = m.Name
 	}
-	return f.lacking(names, func(_ *Member, m members.Member, known bool) bool { return known && knows(m) })
+	return f.lacking(names, func(_ *Member, m membership.Member, known bool) bool { return known && knows(m) })
 }
 
 // lacking counts the pairs of a member that runs and a name of which it does not know what it should.
-func (f *Fleet) lacking(names []string, knows func(one *Member, m members.Member, known bool) bool) (pairs int) {
+func (f *Fleet) lacking(names []string, knows func(one *Member, m membership.Member, known bool) bool) (pairs int) {
 	all := f.up()
 	var sum atomic.Int64
 	var work sync.WaitGroup
@@ -295,7 +295,7 @@
 func (f *Fleet) Settle(ctx context.Context, within time.Duration, allow int) (Spread, error) {
 	left := 0
 	s, err := f.all(ctx, within, func() int {
-		if left = f.Lacking(func(m members.Member) bool { return m.State != members.Dead }); left <= allow {
+		if left = f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead }); left <= allow {
 			return 0
 		}
 		return left
@@ -305,7 +305,7 @@
 }
 
 // know waits until all that run know of one name what they should. knows is told whether it is known at all.
-func (f *Fleet) know(ctx context.Context, within time.Duration, name string, knows func(m members.Member, known bool) bool) (Spread, error) {
+func (f *Fleet) know(ctx context.Context, within time.Duration, name string, knows func(m membership.Member, known bool) bool) (Spread, error) {
 	return f.all(ctx, within, func() (n int) {
 		for _, m := range f.up() {
 			if m.Name != name && !knows(m.Members().Lookup(name)) {
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/standin/hollow/hollow_test.go
@@ -14,7 +14,7 @@
 
 	"robindrum/internal/drain"
 	"robindrum/internal/fakes"
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/standin/memnet"
@@ -149,8 +149,8 @@
 	if err := f.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Eventually(t, "all to know all", func() bool { return f.Lacking(func(members.Member) bool { return true }) == 0 })
-	if n := f.Lacking(func(m members.Member) bool { return m.Name != "h1" }); n != 3 {
+	fakes.Eventually(t, "all to know all", func() bool { return f.Lacking(func(membership.Member) bool { return true }) == 0 })
+	if n := f.Lacking(func(m membership.Member) bool { return m.Name != "h1" }); n != 3 {
 		t.Errorf("%d pairs lack one member that nobody is to know, want 3", n)
 	}
 	before := f.Traffic()
--- a/internal/standin/hollow/members.go
+++ b/internal/standin/hollow/members.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 )
 
 // MembersRow is what membership comes to at one size. A probe's time is the unit of rates, as all of membership's timers follow from it.
@@ -85,19 +85,19 @@
 	r.Heap = float64(heap()-before) / float64(n)
 	rate := idleRate(&r, probe)
 	one := f.members[n/2]
-	f.work.Go(func() { one.Say(members.Draining, "c0") }) // it returns once it has been told on
-	if r.News, err = f.know(ctx, limit, one.Name, func(m members.Member, _ bool) bool { return m.State == members.Draining }); err != nil {
+	f.work.Go(func() { one.Say(membership.Draining, "c0") }) // it returns once it has been told on
+	if r.News, err = f.know(ctx, limit, one.Name, func(m membership.Member, _ bool) bool { return m.State == membership.Draining }); err != nil {
 		return r, err
 	}
 	more, err := f.More()
 	if err != nil {
 		return r, err
 	}
-	if r.Come, err = f.know(ctx, limit, more.Name, func(_ members.Member, known bool) bool { return known }); err != nil {
+	if r.Come, err = f.know(ctx, limit, more.Name, func(_ membership.Member, known bool) bool { return known }); err != nil {
 		return r, err
 	}
 	f.work.Go(func() { f.leave(more) })
-	if r.Leave, err = f.know(ctx, limit, more.Name, func(m members.Member, known bool) bool { return !known || m.State == members.Dead }); err != nil {
+	if r.Leave, err = f.know(ctx, limit, more.Name, func(m membership.Member, known bool) bool { return !known || m.State == membership.Dead }); err != nil {
 		return r, err
 	}
 	// Whoever heard of its end and not of its leaving takes it for dead: news of one name take the place of those before them.
@@ -107,7 +107,7 @@
 		}
 	}
 	f.kill(one)
-	if r.Death, err = f.know(ctx, limit, one.Name, func(m members.Member, known bool) bool { return !known || m.State == members.Dead }); err != nil {
+	if r.Death, err = f.know(ctx, limit, one.Name, func(m membership.Member, known bool) bool { return !known || m.State == membership.Dead }); err != nil {
 		return r, err
 	}
 	if err := f.rollout(ctx, &r, rate); err != nil {
@@ -209,9 +209,9 @@
 		version, suspected := fmt.Sprint("c", 1+try), f.Suspicions()
 		s, bytes, used, err := f.told(ctx, rate, func() {
 			for _, m := range all {
-				f.work.Go(func() { m.Say(members.Serving, version) })
+				f.work.Go(func() { m.Say(membership.Serving, version) })
 			}
-		}, func() int { return f.Lacking(func(m members.Member) bool { return m.Config == version }) })
+		}, func() int { return f.Lacking(func(m membership.Member) bool { return m.Config == version }) })
 		if err != nil {
 			return err
 		}
@@ -241,7 +241,7 @@
 			births[m.Name] = m.Members().Self().Birth
 		}
 	}, func() int {
-		return f.Lacking(func(m members.Member) bool { return m.State != members.Dead && m.Birth >= births[m.Name] })
+		return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Birth >= births[m.Name] })
 	})
 	if fault != nil {
 		return fault
--- a/internal/standin/hollow/outage.go
+++ b/internal/standin/hollow/outage.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 )
 
 // Outage is that many members are lost at once, and are back later.
@@ -76,8 +76,8 @@
 		for i, m := range all {
 			names[i] = m.Name
 		}
-		apart := func(one *Member, m members.Member, known bool) bool {
-			return known && (m.State == members.Dead) == (side[one.Address] != side[m.Address])
+		apart := func(one *Member, m membership.Member, known bool) bool {
+			return known && (m.State == membership.Dead) == (side[one.Address] != side[m.Address])
 		}
 		if r.Dead, r.DeadBytes, r.DeadCPU, err = f.until(ctx, rate, limit, func() int { return f.lacking(names, apart) }); err != nil {
 			return r, err
@@ -85,7 +85,7 @@
 		for _, m := range all {
 			m.Node().Cut(nil)
 		}
-		r.Back, r.BackBytes, r.BackCPU, err = f.until(ctx, rate, limit, func() int { return f.Lacking(func(m members.Member) bool { return m.State != members.Dead }) })
+		r.Back, r.BackBytes, r.BackCPU, err = f.until(ctx, rate, limit, func() int { return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead }) })
 	} else {
 		// Not the first three, as others join by them.
 		lost := all[min(3, len(all)-1):min(3+r.Lost, len(all))]
@@ -97,7 +97,7 @@
 		}
 		f.work.Wait()
 		if r.Dead, r.DeadBytes, r.DeadCPU, err = f.until(ctx, rate, limit, func() int {
-			return f.lacking(names, func(_ *Member, m members.Member, known bool) bool { return !known || m.State == members.Dead })
+			return f.lacking(names, func(_ *Member, m membership.Member, known bool) bool { return !known || m.State == membership.Dead })
 		}); err != nil {
 			return r, err
 		}
@@ -109,7 +109,7 @@
 			births[m.Name] = m.Members().Self().Birth
 		}
 		r.Back, r.BackBytes, r.BackCPU, err = f.until(ctx, rate, limit, func() int {
-			return f.Lacking(func(m members.Member) bool { return m.State != members.Dead && m.Birth >= births[m.Name] })
+			return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Birth >= births[m.Name] })
 		})
 	}
 	r.DeadBytes, r.BackBytes = r.DeadBytes/float64(r.Lost), r.BackBytes/float64(r.Lost)
--- a/internal/standin/hollow/outage_test.go
+++ b/internal/standin/hollow/outage_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/members"
+	"robindrum/internal/membership"
 )
 
 // Bounds of what a member sends for each one that is lost, and for each that is back, beyond what it sends idle: some 1.4 times the most
@@ -53,7 +53,7 @@
 		if s, err := f.Settle(t.Context(), 5*time.Minute, 0); err != nil || s.Lacking > 0 {
 			t.Fatal(s, err)
 		}
-		alive := func(m members.Member) bool { return m.State != members.Dead }
+		alive := func(m membership.Member) bool { return m.State != membership.Dead }
 		side := f.part(2)
 		if len(side) != 2 || side[f.members[0].Address] {
 			t.Errorf("sides %v", side)
