--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/origin"
 )
 
 // The platform's node stays lean: it links none of what the gateway needs.
@@ -36,7 +36,7 @@
 		if line == "os/exec" { // the platform refuses to start other programs
 			t.Error("robindrum-node can start programs")
 		}
-		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/standin", "internal/demo", "internal/endpoints"} {
+		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/testbed", "internal/demo", "internal/endpoints"} {
 			if strings.HasPrefix(line, "robindrum/"+p) {
 				t.Errorf("robindrum-node links %s", line)
 			}
--- a/internal/demo/lease.go
+++ b/internal/demo/lease.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"robindrum/internal/standin/cluster"
+	"robindrum/internal/testbed/cluster"
 )
 
 // leaseLength is short enough to watch.
--- a/internal/demo/overload.go
+++ b/internal/demo/overload.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"robindrum/internal/gateway"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/origin"
 )
 
 // What two servers of four workers do, 25 ms a request, and the parts of the play between which they are asked for three
--- a/internal/demo/release.go
+++ b/internal/demo/release.go
@@ -11,7 +11,7 @@
 	"robindrum/internal/fleet"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
-	"robindrum/internal/standin/cluster"
+	"robindrum/internal/testbed/cluster"
 )
 
 // goodSections are released: they change nothing for clients.
--- a/internal/demo/try.go
+++ b/internal/demo/try.go
@@ -23,8 +23,8 @@
 
 	"robindrum/internal/config"
 	"robindrum/internal/gateway"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/origin"
 )
 
 // configuration is the gateway's; the control plane's address stands for the %s.
--- a/internal/experiment/child.go
+++ b/internal/experiment/child.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"robindrum/internal/standin/proc"
+	"robindrum/internal/testbed/proc"
 )
 
 // child is a gateway: the real program as a process of its own.
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -22,7 +22,7 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
 	"robindrum/balancer"
-	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/testbed/controlplane"
 )
 
 // Bounds of the loopback engine: all of it runs on one machine, in real time.
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -6,7 +6,7 @@
 
 	"robindrum/balancer"
 	"robindrum/internal/admission"
-	"robindrum/internal/standin/fleet"
+	"robindrum/internal/testbed/fleet"
 )
 
 // The words of the file, and what they are in the simulation.
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -18,8 +18,8 @@
 
 	"robindrum/internal/capture"
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/origin"
 )
 
 // four is a file of four lines before healthy servers.
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -13,8 +13,8 @@
 
 	"robindrum/internal/config"
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/origin"
 )
 
 // An endpoint that is removed while a request waits for the answer of another gets neither its retry nor its copy.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,8 +22,8 @@
 
 	"robindrum/internal/config"
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/origin"
 	"robindrum/internal/xds"
 )
 
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/testbed/controlplane"
 )
 
 // xdsPolicy adds to a resource what text says.
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/link"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/link"
+	"robindrum/internal/testbed/origin"
 )
 
 // quick are zones whose way back takes a test's time.
--- a/internal/standin/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -21,7 +21,7 @@
 	"robindrum/internal/fleet"
 	"robindrum/internal/gateway"
 	"robindrum/internal/quorum"
-	"robindrum/internal/standin/proc"
+	"robindrum/internal/testbed/proc"
 )
 
 // Options are what a cluster is made of.
--- a/internal/standin/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -18,7 +18,7 @@
 	"robindrum/internal/fakes"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
-	"robindrum/internal/standin/cluster"
+	"robindrum/internal/testbed/cluster"
 )
 
 // The longest that what has to come may take, and the lease of all tests.
--- a/internal/standin/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/origin"
 )
 
 // Site is gateways of one site, before the same servers and under the same control plane.
--- a/internal/standin/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -17,8 +17,8 @@
 	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
-	"robindrum/internal/standin/memnet"
 	"robindrum/internal/subscription"
+	"robindrum/internal/testbed/memnet"
 )
 
 // Bounds of the slopes: counts and bytes, never times. Each is some 1.4 times what was measured, so that twice as much is over it.
--- a/internal/standin/hollow/host.go
+++ b/internal/testbed/hollow/host.go
@@ -10,7 +10,7 @@
 const (
 	// port is below those that outgoing connections take.
 	port = 7600
-	// Loopback networks 127.firstNet to 127.firstNet+nets-1; those below are internal/standin/cluster's.
+	// Loopback networks 127.firstNet to 127.firstNet+nets-1; those below are internal/testbed/cluster's.
 	firstNet, nets = 144, 100
 )
 
--- a/internal/standin/hollow/sizes_test.go
+++ b/internal/testbed/hollow/sizes_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/standin/memnet"
+	"robindrum/internal/testbed/memnet"
 )
 
 var (
@@ -21,7 +21,7 @@
 // TestAtSizes takes the figures of membership at any size on a clock of its own: nothing is late because this machine is busy, and nobody is
 // doubted for that. docs/CAPACITY.md has what it gives at large sizes, by
 //
-//	go test ./internal/standin/hollow -run TestAtSizes -v -timeout 1h -args -sizes 100,200,400,800
+//	go test ./internal/testbed/hollow -run TestAtSizes -v -timeout 1h -args -sizes 100,200,400,800
 func TestAtSizes(t *testing.T) {
 	if plainly(t) {
 		return
--- a/internal/standin/link/link_test.go
+++ b/internal/testbed/link/link_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/origin"
 )
 
 func TestLink(t *testing.T) {
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -12,7 +12,7 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
 	"robindrum/internal/fakes"
-	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/testbed/controlplane"
 )
 
 // table of what a client told its sink.
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"pgregory.net/rapid"
 
-	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/testbed/controlplane"
 )
 
 const sec = time.Second
--- a/tools/measure/capacity.go
+++ b/tools/measure/capacity.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"robindrum/internal/standin/hollow"
+	"robindrum/internal/testbed/hollow"
 )
 
 // target is the size that the figures are told for.
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -12,9 +12,9 @@
 	"robindrum/internal/fleet"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
-	"robindrum/internal/standin/cluster"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/hollow"
+	"robindrum/internal/testbed/cluster"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/hollow"
 )
 
 // program makes a folder with the program, for processes.
--- a/tools/measure/capacity_limits.go
+++ b/tools/measure/capacity_limits.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/standin/cluster"
-	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/testbed/cluster"
+	"robindrum/internal/testbed/controlplane"
 )
 
 // capacityLimits asks for a drain where a site has so many clusters of the users' 29 endpoints: sizes are clusters. The quorum's book has
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -19,7 +19,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"robindrum/internal/experiment"
-	"robindrum/internal/standin/controlplane"
+	"robindrum/internal/testbed/controlplane"
 )
 
 // The users' size, of one gateway.
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"robindrum/internal/standin/cluster"
+	"robindrum/internal/testbed/cluster"
 )
 
 // mostSchedules bounds a campaign.
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -20,8 +20,8 @@
 	"robindrum/internal/lease"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
-	"robindrum/internal/standin/cluster"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/cluster"
+	"robindrum/internal/testbed/origin"
 )
 
 // built makes a folder with the program.
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -52,8 +52,8 @@
 	"robindrum/internal/discovery"
 	"robindrum/internal/gateway"
 	"robindrum/internal/proxy"
-	"robindrum/internal/standin/controlplane"
-	"robindrum/internal/standin/origin"
+	"robindrum/internal/testbed/controlplane"
+	"robindrum/internal/testbed/origin"
 )
 
 func main() {
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -6,7 +6,7 @@
 
 	"robindrum/balancer"
 	"robindrum/internal/admission"
-	"robindrum/internal/standin/fleet"
+	"robindrum/internal/testbed/fleet"
 )
 
 // overload plays bursts and overloads on simulated time, each way of admission beside the others. The figures are the same
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -12,7 +12,7 @@
 
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
-	"robindrum/internal/standin/cluster"
+	"robindrum/internal/testbed/cluster"
 )
 
 // Of the measurement of releases over processes.
--- a/tools/measure/zone.go
+++ b/tools/measure/zone.go
@@ -5,7 +5,7 @@
 	"os"
 	"time"
 
-	"robindrum/internal/standin/fleet"
+	"robindrum/internal/testbed/fleet"
 )
 
 // zones plays the loss and the return of a zone on simulated time, side by side: tiers, none, plain failover. The figures
