--- a/cmd/robindrum-node/crowd_test.go
+++ b/cmd/robindrum-node/crowd_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // idleClients connect without end and say nothing, so many at a time, until they are ended. What is shut on them they open anew.
@@ -56,20 +56,20 @@
 // good clients are served, by dials to backends, all the while; discovery returns, and its list is had within 6 s.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 128
-	answer := func(name string) func(fakes.Seen, int) string {
-		return func(fakes.Seen, int) string { // each attempt needs a connection of its own
+	answer := func(name string) func(testbed.Seen, int) string {
+		return func(testbed.Seen, int) string { // each attempt needs a connection of its own
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(name), name)
 		}
 	}
-	old, fresh := fakes.NewBackend(t, answer("old")), fakes.NewBackend(t, answer("fresh"))
+	old, fresh := testbed.NewBackend(t, answer("old")), testbed.NewBackend(t, answer("fresh"))
 	var up atomic.Bool
 	over := make(chan struct{})
-	d := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	d := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
 		if !up.Load() {
-			fakes.Reset(c)
+			testbed.Reset(c)
 			return
 		}
 		text := fmt.Sprintf(`{"rev":9,"all":true,"targets":[{"uid":"f","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"SERVING","capacity_hint":1,"boot_ms":0}]}`+"\n", fresh.Addr)
--- a/cmd/robindrum-node/signals_test.go
+++ b/cmd/robindrum-node/signals_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // process is a node as it is deployed.
@@ -34,7 +34,7 @@
 // launchWith is launch by a command of the caller's, which is to end by exec of the program.
 func launchWith(t *testing.T, text func(listen string) string, command func(program string) *exec.Cmd) *process {
 	t.Helper()
-	p := &process{listen: fakes.Refusing(t), path: filepath.Join(t.TempDir(), "config.json")}
+	p := &process{listen: testbed.Refusing(t), path: filepath.Join(t.TempDir(), "config.json")}
 	p.write(t, text(p.listen))
 	p.Cmd = command(filepath.Join(programs, "robindrum-node"))
 	p.Env = append(os.Environ(), "PROXY_CONFIG="+p.path)
@@ -65,12 +65,12 @@
 func (p *process) connect(t *testing.T) net.Conn {
 	t.Helper()
 	var c net.Conn
-	fakes.Eventually(t, "the node to listen", func() (ok bool) {
+	testbed.Eventually(t, "the node to listen", func() (ok bool) {
 		var err error
 		c, err = net.Dial("tcp", p.listen)
 		return err == nil
 	})
-	c.SetDeadline(time.Now().Add(fakes.Patience))
+	c.SetDeadline(time.Now().Add(testbed.Patience))
 	t.Cleanup(func() { c.Close() })
 	return c
 }
@@ -101,7 +101,7 @@
 func registry(t *testing.T, name string, calls chan<- string, begin func(c net.Conn)) string {
 	t.Helper()
 	over := make(chan struct{})
-	p := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	p := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
@@ -141,8 +141,8 @@
 // during the shutdown too, and what the new one tells of a drain counts.
 func TestSignalsTogether(t *testing.T) {
 	came, goOn := make(chan string, 99), make(chan struct{})
-	answer := func(name string) func(fakes.Seen, int) string {
-		return func(s fakes.Seen, _ int) string {
+	answer := func(name string) func(testbed.Seen, int) string {
+		return func(s testbed.Seen, _ int) string {
 			came <- name
 			if s.Header.Get("X-Trace-Id") == "1" {
 				<-goOn
@@ -150,7 +150,7 @@
 			return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 		}
 	}
-	a, b := fakes.NewBackend(t, answer("a")), fakes.NewBackend(t, answer("b"))
+	a, b := testbed.NewBackend(t, answer("a")), testbed.NewBackend(t, answer("b"))
 	end := sync.OnceFunc(func() { close(goOn) })
 	t.Cleanup(end) // before the backends end, which wait for it
 	calls := make(chan string, 9)
@@ -166,12 +166,12 @@
 		}
 	}
 	p := launch(t, at(first))
-	if name := fakes.Within(t, "a call", calls); name != "first" {
+	if name := testbed.Within(t, "a call", calls); name != "first" {
 		t.Errorf("called %s", name)
 	}
 	c := p.connect(t)
 	io.WriteString(c, request("1"))
-	if name := fakes.Within(t, "the request", came); name != "a" {
+	if name := testbed.Within(t, "the request", came); name != "a" {
 		t.Errorf("sent to %s", name)
 	}
 	// Requests that have begun to come keep their connections.
@@ -183,7 +183,7 @@
 	}
 	p.write(t, at(second)(p.listen))
 	p.Process.Signal(syscall.SIGTERM)
-	fakes.Eventually(t, "the shutdown", func() bool { // it is not ready any more
+	testbed.Eventually(t, "the shutdown", func() bool { // it is not ready any more
 		resp, err := http.Get("http://" + p.listen + "/health/ready")
 		if err != nil {
 			return false
@@ -193,7 +193,7 @@
 	})
 	p.Process.Signal(syscall.SIGHUP)
 	p.Process.Signal(syscall.SIGTERM)
-	if name := fakes.Within(t, "a call at the new address", calls); name != "second" {
+	if name := testbed.Within(t, "a call at the new address", calls); name != "second" {
 		t.Errorf("called %s", name)
 	}
 	// The list has been written to the node, which may need a moment to read it: from the first request on that goes by it, all do.
@@ -235,7 +235,7 @@
 		i, j := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
 		return text[:i] + text[j:]
 	})
-	fakes.Within(t, "a call", calls)
+	testbed.Within(t, "a call", calls)
 	c := p.connect(t)
 	io.WriteString(c, request("1"))
 	p.Process.Signal(syscall.SIGTERM)
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/origin"
 )
 
@@ -108,7 +108,7 @@
 		{[]string{"nope"}, 2, "unknown command"},
 		{[]string{"try", "--rate", "0"}, 2, "want more than 0"},
 		{[]string{"try", "--length", "0.5s", "--rate", "40"}, 0, "all rules kept"},
-		{[]string{"status", "-a", fakes.Refusing(t)}, 1, "connection refused"},
+		{[]string{"status", "-a", testbed.Refusing(t)}, 1, "connection refused"},
 		{[]string{"serve", "-h"}, 0, "SIGHUP"},
 	} {
 		var out, errs bytes.Buffer
@@ -121,7 +121,7 @@
 
 // A gateway is run, asked, given a new file, a bad one, and stopped.
 func TestServe(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, err := origin.Start("", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	defer b.Kill()
-	web, admin := fakes.Refusing(t), fakes.Refusing(t)
+	web, admin := testbed.Refusing(t), testbed.Refusing(t)
 	path := file(t, fmt.Sprintf(least, web, admin, a.Addr))
 	hup := make(chan os.Signal)
 	var log buffer
@@ -141,7 +141,7 @@
 	go func() { done <- serve(ctx, path, hup, &log) }()
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr, Timeout: fakes.Patience}
+	client := &http.Client{Transport: tr, Timeout: testbed.Patience}
 	from := func() string {
 		resp, err := client.Get("http://" + web + "/x")
 		if err != nil {
@@ -150,7 +150,7 @@
 		defer resp.Body.Close()
 		return resp.Header.Get("X-Origin")
 	}
-	fakes.Eventually(t, "the gateway", func() bool { return from() == a.Addr })
+	testbed.Eventually(t, "the gateway", func() bool { return from() == a.Addr })
 	status := func() string {
 		var out bytes.Buffer
 		if code := run(context.Background(), []string{"status", "-a", admin}, &out, &out); code != 0 {
@@ -163,17 +163,17 @@
 	}
 	write(t, path, fmt.Sprintf(least, web, admin, b.Addr))
 	hup <- os.Interrupt
-	fakes.Eventually(t, "the new file", func() bool { return from() == b.Addr })
+	testbed.Eventually(t, "the new file", func() bool { return from() == b.Addr })
 	write(t, path, "listeners: []\n")
 	hup <- os.Interrupt
-	fakes.Eventually(t, "the refusal", func() bool { return strings.Contains(status(), "REFUSED") })
+	testbed.Eventually(t, "the refusal", func() bool { return strings.Contains(status(), "REFUSED") })
 	if from() != b.Addr || !strings.Contains(status(), "gateway.yaml:1:12: listeners: none is given") {
 		t.Error(status())
 	}
 	http.DefaultClient.CloseIdleConnections()
 	tr.CloseIdleConnections()
 	cancel()
-	if err := fakes.Within(t, "the end", done); err != nil {
+	if err := testbed.Within(t, "the end", done); err != nil {
 		t.Error(err)
 	}
 	if c, err := net.DialTimeout("tcp", web, time.Second); err == nil {
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 func newPool(t testing.TB, opt Options, limit int) *Pool {
 	t.Helper()
 	if opt.ConnectTimeout == 0 {
-		opt.ConnectTimeout = fakes.Patience
+		opt.ConnectTimeout = testbed.Patience
 	}
 	if opt.IdleTimeout == 0 {
 		opt.IdleTimeout = time.Hour
@@ -42,14 +42,14 @@
 func refuseStream(int, http.Header, int64) io.Writer { panic("not a long answer") }
 
 func do(up *Upstream, r *Request) Reply {
-	return NewAttempt(up, r, time.Now().Add(fakes.Patience)).Do(refuseStream)
+	return NewAttempt(up, r, time.Now().Add(testbed.Patience)).Do(refuseStream)
 }
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // Each row of the outcome table, and answers that look like one and are not.
 func TestOutcomes(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for _, c := range []struct {
 		name, reply string
 		want        balancer.Result
@@ -82,7 +82,7 @@
 		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n", balancer.ConnLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := fakes.NewPeer(t, func(conn net.Conn, _ int) {
+			b := testbed.NewPeer(t, func(conn net.Conn, _ int) {
 				readRequest(conn)
 				io.WriteString(conn, c.reply)
 			})
@@ -108,17 +108,17 @@
 }
 
 func TestResetIsLost(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); fakes.Reset(c) })
+	testbed.Leaks(t)
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); testbed.Reset(c) })
 	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != balancer.ConnLost {
 		t.Errorf("result %d", r.Result)
 	}
 }
 
 func TestSilenceTimesOut(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	up := make(chan struct{})
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); <-up })
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); <-up })
 	defer close(up)
 	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(30*time.Millisecond))
 	if r := a.Do(refuseStream); r.Result != balancer.TimedOut {
@@ -128,8 +128,8 @@
 
 // The client's time may run out while a connection is being made: the backend is not to blame for that.
 func TestTimeRunsOutInDial(t *testing.T) {
-	fakes.Leaks(t)
-	a := NewAttempt(newPool(t, Options{}, 9).Upstream(fakes.Full(t), 0), get("/get"), time.Now().Add(20*time.Millisecond))
+	testbed.Leaks(t)
+	a := NewAttempt(newPool(t, Options{}, 9).Upstream(testbed.Full(t), 0), get("/get"), time.Now().Add(20*time.Millisecond))
 	if r := a.Do(refuseStream); r.Result != balancer.TimedOut {
 		t.Errorf("result %d", r.Result)
 	}
@@ -137,9 +137,9 @@
 
 // A backend begins with the last byte: one that hangs up before has not run it.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
-	fakes.Leaks(t)
-	for name, hangUp := range map[string]func(net.Conn){"reset": fakes.Reset, "closed": func(c net.Conn) { c.Close() }} {
-		b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); hangUp(c) })
+	testbed.Leaks(t)
+	for name, hangUp := range map[string]func(net.Conn){"reset": testbed.Reset, "closed": func(c net.Conn) { c.Close() }} {
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); hangUp(c) })
 		if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), post(32<<20)); r.Result != balancer.NotConnected {
 			t.Errorf("%s: result %d", name, r.Result)
 		}
@@ -148,11 +148,11 @@
 
 // A backend may answer before a body ends and read no further.
 func TestAnswerBeforeTheBodyEnds(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for status, want := range map[string]balancer.Result{
 		"503 Full\r\nX-Never-Ran: 1": balancer.TurnedAway, "500 Oops": balancer.Errored} {
 		over := make(chan struct{})
-		b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 			readRequest(c)
 			io.WriteString(c, "HTTP/1.1 "+status+"\r\nContent-Length: 0\r\n\r\n")
 			<-over
@@ -169,8 +169,8 @@
 }
 
 func TestRequestGoesOnUnchanged(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	r := post(100 << 10)
 	r.URI = "/post/a%2Fb;c?obj=%41&x=1+2&&"
 	r.Header["Idempotency-Key"] = []string{"k"}
@@ -194,8 +194,8 @@
 // Nothing is sent again unasked, also where net/http's client would: a safe or keyed request on a connection
 // that was used before and breaks without an answer.
 func TestNothingIsResent(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(s fakes.Seen, n int) string {
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
 		if n == 0 {
 			return ok
 		}
@@ -217,11 +217,11 @@
 }
 
 func TestIdleConnectionsEnd(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{IdleTimeout: 50 * time.Millisecond}, 9)
 	do(p.Upstream(b.Addr, 0), get("/get"))
-	fakes.Eventually(t, "the connection to be closed", func() bool { return p.budget.Used() == 0 })
+	testbed.Eventually(t, "the connection to be closed", func() bool { return p.budget.Used() == 0 })
 	p = newPool(t, Options{}, 9)
 	up := p.Upstream(b.Addr, 0)
 	do(up, get("/get"))
@@ -238,8 +238,8 @@
 
 // What this node lacks says nothing against a backend.
 func TestLocalShortageIsNotSent(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{}, 2)
 	for p.budget.Used() < p.budget.Limit() {
 		p.budget.Take()
@@ -256,8 +256,8 @@
 
 // A connection that is refused, or never comes up, holds no descriptor afterwards.
 func TestFailedDialGivesBack(t *testing.T) {
-	fakes.Leaks(t)
-	for name, addr := range map[string]string{"refused": fakes.Refusing(t), "never up": fakes.Full(t)} {
+	testbed.Leaks(t)
+	for name, addr := range map[string]string{"refused": testbed.Refusing(t), "never up": testbed.Full(t)} {
 		p := newPool(t, Options{ConnectTimeout: 20 * time.Millisecond}, 9)
 		if r := do(p.Upstream(addr, 0), get("/get")); r.Result != balancer.NotConnected {
 			t.Errorf("%s: result %d", name, r.Result)
@@ -270,10 +270,10 @@
 
 // Connections that come back side by side all go to the pool, also while a sweep is scheduled.
 func TestAllConnectionsAreKept(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	const n = 3
 	came, goOn := make(chan struct{}, n), make(chan struct{})
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
 	p := newPool(t, Options{}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 2 {
@@ -282,13 +282,13 @@
 			go func() { ends <- do(up, get("/get")) }()
 		}
 		for range n {
-			fakes.Within(t, "a request", came)
+			testbed.Within(t, "a request", came)
 		}
 		for range n {
 			goOn <- struct{}{}
 		}
 		for range n {
-			if r := fakes.Within(t, "an end", ends); r.Result != balancer.Served {
+			if r := testbed.Within(t, "an end", ends); r.Result != balancer.Served {
 				t.Errorf("result %d", r.Result)
 			}
 		}
@@ -303,7 +303,7 @@
 func (brokenWriter) Write([]byte) (int, error) { return 0, errors.New("gone") }
 
 func TestLongAnswer(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	long := strings.Repeat("0123456789abcdef", 1<<14) // 256 KiB
 	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -319,11 +319,11 @@
 		{"chunked, cut", chunked + chunk, balancer.ConnLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := fakes.NewPeer(t, func(conn net.Conn, _ int) { readRequest(conn); io.WriteString(conn, c.reply) })
+			b := testbed.NewPeer(t, func(conn net.Conn, _ int) { readRequest(conn); io.WriteString(conn, c.reply) })
 			up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
 			var got bytes.Buffer
 			begun := 0
-			a := NewAttempt(up, get("/get"), time.Now().Add(fakes.Patience))
+			a := NewAttempt(up, get("/get"), time.Now().Add(testbed.Patience))
 			r := a.Do(func(int, http.Header, int64) io.Writer { begun++; return &got })
 			if r.Result != c.want || !r.Streamed || begun != 1 || r.First.IsZero() {
 				t.Errorf("result %d, streamed %v, begun %d", r.Result, r.Streamed, begun)
@@ -333,7 +333,7 @@
 			}
 			for what, w := range map[string]io.Writer{"the request is over": nil, "the client is gone": brokenWriter{}} {
 				// A connection of its own: the peer may be about to close the one before.
-				a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
+				a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 				if r := a.Do(func(int, http.Header, int64) io.Writer { return w }); r.Result != balancer.Cancelled {
 					t.Errorf("%s: result %d", what, r.Result)
 				}
@@ -344,15 +344,15 @@
 
 // A long answer has no deadline once it has begun, but a backend that falls silent in it is not waited for.
 func TestLongAnswerStalls(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	over := make(chan struct{})
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\nbegun")
 		<-over
 	})
 	defer close(over)
-	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
+	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 	if r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard }); r.Result != balancer.ConnLost || !r.Streamed {
 		t.Errorf("result %d, streamed %v", r.Result, r.Streamed)
 	}
@@ -360,16 +360,16 @@
 
 // Incident rda4557: an answer that stops half way is not waited for until the client's time is up.
 func TestAnswerStopsHalfWay(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for _, begun := range []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"} {
 		over := make(chan struct{})
-		b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); io.WriteString(c, begun); <-over })
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); io.WriteString(c, begun); <-over })
 		p := newPool(t, Options{}, 9)
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(time.Hour))
 		got := make(chan Reply, 1)
 		go func() { got <- a.Do(refuseStream) }()
-		if r := fakes.Within(t, "the end", got); r.Result != balancer.TimedOut {
+		if r := testbed.Within(t, "the end", got); r.Result != balancer.TimedOut {
 			t.Errorf("%q: result %d", begun, r.Result)
 		}
 		close(over)
@@ -378,13 +378,13 @@
 
 // An answer that shows early that it is spoilt is given up at once, though its connection stays open.
 func TestSpoiltAnswersEndAtOnce(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for name, begun := range map[string]string{"noise": "\x16\x03\x01", "noise that begins well": "HTTP/2",
 		"3 GB": "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nthey keep coming"} {
 		over := make(chan struct{})
-		b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); io.WriteString(c, begun); <-over })
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); io.WriteString(c, begun); <-over })
 		p := newPool(t, Options{}, 9)
-		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
+		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return nil })
 		close(over)
 		if r.Result != balancer.ConnLost || p.budget.Used() != 0 {
@@ -395,8 +395,8 @@
 
 // A pause such as backends make is none of that, nor is one before the answer.
 func TestAnswerPauses(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	testbed.Leaks(t)
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
 		time.Sleep(2 * answerPause)
 		for _, part := range []string{ok[:9], ok[9:30], ok[30:]} {
@@ -411,9 +411,9 @@
 
 // A cancel ends an answer that has begun, too.
 func TestCancelInTheAnswer(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, over := make(chan struct{}), make(chan struct{})
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
 		io.WriteString(c, ok[:9])
 		close(came)
@@ -432,20 +432,20 @@
 	go func() { got <- a.Do(refuseStream) }()
 	<-came
 	a.Cancel()
-	if r := fakes.Within(t, "the end", got); r.Result != balancer.Cancelled {
+	if r := testbed.Within(t, "the end", got); r.Result != balancer.Cancelled {
 		t.Errorf("result %d", r.Result)
 	}
 }
 
 func TestProbe(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(s fakes.Seen, n int) string {
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
 		if s.RequestURI != "/health/live" || s.Header.Get("X-Trace-Id") != "" {
 			return ""
 		}
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2\r\nContent-Length: 0\r\n\r\n"
 	})
-	r := Probe(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", fakes.Patience)
+	r := Probe(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", testbed.Patience)
 	load := ParseLoad(r.Load)
 	if r.Result != balancer.Served || load["inflight"] != 7 || load["queue"] != 2 {
 		t.Errorf("result %d, load %v", r.Result, load)
@@ -466,9 +466,9 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, answer []byte) {
-		b := fakes.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); c.Write(answer) })
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); c.Write(answer) })
 		p := newPool(t, Options{}, 9)
-		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(fakes.Patience))
+		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard })
 		if r.Result == balancer.Served && !bytes.HasPrefix(answer, []byte("HTTP/1.")) {
 			t.Errorf("served from %q", answer)
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // One that takes all it can get leaves the other what is its own, and everything comes back.
@@ -147,14 +147,14 @@
 // A backend drains or leaves the list while a connection to it comes up: the attempt is not sent, and the descriptor
 // comes back.
 func TestLateConnectionIsNotUsed(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for name, out := range map[string]func(*Upstream){
 		"drains": func(u *Upstream) { u.SetDraining(true) },
 		"leaves": (*Upstream).Retire,
 	} {
-		b := fakes.NewBackend(t, func(fakes.Seen, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
+		b := testbed.NewBackend(t, func(testbed.Seen, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
 		budget := NewBudget(8)
-		p := NewPool(Options{ConnectTimeout: fakes.Patience}, budget)
+		p := NewPool(Options{ConnectTimeout: testbed.Patience}, budget)
 		dialing, goOn := make(chan struct{}), make(chan struct{})
 		p.dialer.Control = func(string, string, syscall.RawConn) error {
 			close(dialing)
@@ -164,11 +164,11 @@
 		u := p.Upstream(b.Addr, 0)
 		got := make(chan Reply, 1)
 		r := &Request{Method: http.MethodGet, URI: "/", Host: "x", Header: http.Header{}}
-		go func() { got <- NewAttempt(u, r, time.Now().Add(fakes.Patience)).Do(refuseStream) }()
-		fakes.Within(t, "the dial", dialing)
+		go func() { got <- NewAttempt(u, r, time.Now().Add(testbed.Patience)).Do(refuseStream) }()
+		testbed.Within(t, "the dial", dialing)
 		out(u)
 		close(goOn)
-		if res := fakes.Within(t, "the end", got).Result; res != balancer.NotSent {
+		if res := testbed.Within(t, "the end", got).Result; res != balancer.NotSent {
 			t.Errorf("%s: result %d", name, res)
 		}
 		if n := len(b.Seen()); n != 0 || budget.Used() != 0 {
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -10,14 +10,14 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // A backend sends an answer a second time, or noise, as the next request is on its way: it is no answer to that one.
 func TestSecondAnswerBehindTheNextRequest(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for name, extra := range map[string]string{"a second answer": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1", "noise": "\x00\x01\x02"} {
-		b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 			for r, n := bufio.NewReader(c), 0; ; n++ {
 				req, err := http.ReadRequest(r)
 				if err != nil {
@@ -41,8 +41,8 @@
 
 // The connection that rested for long enough is the one to use, and the one used last of those.
 func TestRestedConnectionsAreUsed(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{Rest: time.Hour}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 3 {
@@ -58,7 +58,7 @@
 	}
 	p.opt.IdleTimeout = 10 * time.Hour
 	p.mu.Unlock()
-	if c := up.reuse(time.Now().Add(fakes.Patience)); c != second {
+	if c := up.reuse(time.Now().Add(testbed.Patience)); c != second {
 		t.Error("another one is used")
 	} else {
 		c.keep()
@@ -71,8 +71,8 @@
 // A connection that an attempt took and did not use, as its client had left, is as old to the backend as before, and in its place
 // among the others. Danger: one that counted as used just now would be used again beyond the backend's idle time.
 func TestUnusedConnectionsStayOld(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{Rest: time.Hour}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 2 {
@@ -97,7 +97,7 @@
 		t.Errorf("%d are idle, the one not used for %v", len(up.idle), time.Since(newer.since))
 	}
 	p.mu.Unlock()
-	first, second := up.reuse(time.Now().Add(fakes.Patience)), up.reuse(time.Now().Add(fakes.Patience))
+	first, second := up.reuse(time.Now().Add(testbed.Patience)), up.reuse(time.Now().Add(testbed.Patience))
 	if first != newer || second != older {
 		t.Fatal("others are used")
 	}
@@ -114,7 +114,7 @@
 // A connection that is reused breaks at each point of the exchange. Only where the last byte was not written is it sure
 // that the request never ran.
 func TestReusedConnectionBreaks(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	big := post(8 << 20) // more than what the sockets of both sides hold
 	for name, c := range map[string]struct {
 		r    *Request
@@ -128,7 +128,7 @@
 		"in the body":              {get("/get"), "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true, balancer.ConnLost},
 		"behind a body of its own": {post(100), "", true, balancer.ConnLost},
 	} {
-		b := fakes.NewPeer(t, func(k net.Conn, _ int) {
+		b := testbed.NewPeer(t, func(k net.Conn, _ int) {
 			r := bufio.NewReader(k)
 			http.ReadRequest(r)
 			io.WriteString(k, ok)
@@ -142,7 +142,7 @@
 				r.Peek(1)
 			}
 			io.WriteString(k, c.text)
-			fakes.Reset(k)
+			testbed.Reset(k)
 		})
 		up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
 		if r := do(up, get("/get")); r.Result != balancer.Served {
@@ -159,8 +159,8 @@
 
 // A backend closes an idle connection, and that has come by the time that the next request is sent: another one is opened.
 func TestClosedBeforeItIsReused(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	testbed.Leaks(t)
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, ok)
 	})
@@ -173,7 +173,7 @@
 		idle := append([]*conn(nil), up.idle...)
 		up.pool.mu.Unlock()
 		for _, c := range idle {
-			fakes.Eventually(t, "its end", func() bool { return !c.quiet() })
+			testbed.Eventually(t, "its end", func() bool { return !c.quiet() })
 		}
 	}
 }
--- a/internal/demo/try_test.go
+++ b/internal/demo/try_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // The play goes through all its scenes and breaks no rule, on a terminal and elsewhere.
 func TestPlay(t *testing.T) {
 	for name, redraw := range map[string]bool{"lines": false, "terminal": true} {
 		t.Run(name, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			var out bytes.Buffer
 			s, err := Run(context.Background(), Options{Length: 5 * time.Second, Rate: 150, Out: &out, Redraw: redraw})
 			if err != nil || s.Broken() != nil {
@@ -35,7 +35,7 @@
 
 // A zone is lost and returns; the whole way back takes longer than this.
 func TestZoneLoss(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	var out bytes.Buffer
 	s, err := Run(context.Background(), Options{Scene: "zone-loss", Length: 9 * time.Second, Rate: 150, Out: &out})
 	if err != nil {
@@ -60,7 +60,7 @@
 
 // Three times what the servers do: what is worth most is served, and nothing is refused afterwards.
 func TestOverloadScene(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	var out bytes.Buffer
 	s, err := Run(context.Background(), Options{Scene: "overload", Length: 10 * time.Second, Out: &out})
 	if err != nil {
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 func (c call) whole(text string) {
@@ -18,13 +18,13 @@
 
 // A whole list that was asked for before a change and is read behind it does not undo the change.
 func TestListOvertakenByAChange(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	w.Watch(true)
-	watch := fakes.Within(t, "a call", w.calls)
+	watch := testbed.Within(t, "a call", w.calls)
 	watch.begin()
 	w.Fetch()
-	fetch := fakes.Within(t, "a call", w.calls)
+	fetch := testbed.Within(t, "a call", w.calls)
 	watch.chunk(line(9, false, entry("s1", "DRAINING")) + "\n")
 	w.expect(t, balancer.FleetChanges, "s1")
 	fetch.whole(line(8, true, entry("s1", "SERVING")))
@@ -35,12 +35,12 @@
 
 // Two whole lists are asked for, and the one that was made first is read last.
 func TestListOvertakenByAList(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, "", nil)
 	w.Fetch()
-	first := fakes.Within(t, "a call", w.calls)
+	first := testbed.Within(t, "a call", w.calls)
 	w.Fetch()
-	fakes.Within(t, "a call", w.calls).whole(line(9, true, entry("s1", "DRAINING")))
+	testbed.Within(t, "a call", w.calls).whole(line(9, true, entry("s1", "DRAINING")))
 	w.expect(t, balancer.FleetAll, "s1")
 	first.whole(line(8, true, entry("s1", "SERVING")))
 	w.expect(t, balancer.FleetRefused)
@@ -48,11 +48,11 @@
 
 // A service that has lost its versions begins anew: what it tells then is the list.
 func TestVersionsBeginAnew(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for _, pushed := range []bool{false, true} {
 		w := start(t, pushed, line(70, true, entry("s1", "SERVING")), nil)
 		w.Watch(true)
-		c := fakes.Within(t, "a call", w.calls)
+		c := testbed.Within(t, "a call", w.calls)
 		c.begin()
 		c.chunk(line(2, true, entry("s2", "SERVING")) + "\n")
 		w.expect(t, balancer.FleetAll, "s2")
@@ -64,13 +64,13 @@
 // A list that was asked for at the address before the move comes behind it: it tells nothing, not even that a call failed,
 // and leaves no version for the next watch.
 func TestListOfTheOldAddress(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	old := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	next := start(t, false, "", nil) // lends its listener
 	old.Fetch()
-	fetch := fakes.Within(t, "a call", old.calls)
+	fetch := testbed.Within(t, "a call", old.calls)
 	old.Move(next.addr)
-	c := fakes.Within(t, "a call at the new address", next.calls)
+	c := testbed.Within(t, "a call at the new address", next.calls)
 	if c.uri != "/registry/instances?watch=1" {
 		t.Errorf("called %s", c.uri)
 	}
@@ -82,18 +82,18 @@
 	c.conn.Close()
 	old.expect(t, balancer.FleetRefused)
 	old.Watch(true)
-	if c := fakes.Within(t, "a call", next.calls); c.uri != "/registry/instances?watch=1&after=3" {
+	if c := testbed.Within(t, "a call", next.calls); c.uri != "/registry/instances?watch=1&after=3" {
 		t.Errorf("called %s", c.uri)
 	}
 }
 
 // Bytes that make no line are no sign of life, nor are empty lines in the middle of a list.
 func TestTrickle(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for name, text := range map[string]string{"half a line": "x", "lines in half a list": "\n"} {
 		w := start(t, false, "", func(c *Client) { c.firstTime, c.silence = 100*time.Millisecond, 100*time.Millisecond })
 		w.Watch(true)
-		c := fakes.Within(t, "a call", w.calls)
+		c := testbed.Within(t, "a call", w.calls)
 		c.begin()
 		c.chunk(`{"rev":1,`)
 		go func() {
@@ -112,11 +112,11 @@
 
 // A watch that is answered and says nothing from its first line on, or stops within a line, is given up.
 func TestQuietFromTheFirstLine(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstTime, c.silence = 50*time.Millisecond, 50*time.Millisecond })
 	for _, text := range []string{"", `{"rev":1,"all":true,"tar`, "{\n"} {
 		w.Watch(true)
-		c := fakes.Within(t, "a call", w.calls)
+		c := testbed.Within(t, "a call", w.calls)
 		c.begin()
 		if text != "" {
 			c.chunk(text)
@@ -127,7 +127,7 @@
 
 // A list may come indented, over several lines, in a watch and in answer to a single call.
 func TestIndentedList(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	indented := func(rev int, id, state string) string {
 		var b bytes.Buffer
 		if err := json.Indent(&b, []byte(line(rev, true, entry(id, state))), "", "  "); err != nil {
@@ -137,7 +137,7 @@
 	}
 	w := start(t, false, "", nil)
 	w.Watch(true)
-	c := fakes.Within(t, "a call", w.calls)
+	c := testbed.Within(t, "a call", w.calls)
 	c.begin()
 	for i := range 3 {
 		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with what looks like the end of it in a name
@@ -146,26 +146,26 @@
 		w.expect(t, balancer.FleetAll, fmt.Sprintf(`s{%d}"\`, i))
 	}
 	w.Fetch()
-	fakes.Within(t, "a call", w.calls).whole(indented(9, "s9", "SERVING"))
+	testbed.Within(t, "a call", w.calls).whole(indented(9, "s9", "SERVING"))
 	w.expect(t, balancer.FleetAll, "s9")
 }
 
 // However often a pushed list's calls hang, are refused or end, it is asked for again, and between two calls there is less
 // time than sends to a draining server may go on.
 func TestPushedIsAskedForAgain(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, true, line(7, true), func(c *Client) { c.firstTime, c.retryFirst = 20*time.Millisecond, time.Millisecond })
 	for i := range 12 {
-		c := fakes.Within(t, "a call", w.calls)
+		c := testbed.Within(t, "a call", w.calls)
 		switch i % 3 {
 		case 0: // hangs
 		case 1:
-			fakes.Reset(c.conn)
+			testbed.Reset(c.conn)
 		case 2:
 			io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	c := fakes.Within(t, "a call", w.calls)
+	c := testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, false, entry("s1", "DRAINING")) + "\n")
 	w.expect(t, balancer.FleetChanges, "s1")
@@ -181,15 +181,15 @@
 		"half a line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"rev\":1,\r\n"} {
 		for _, lateAnswers := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", the late one answers: ", lateAnswers), func(t *testing.T) {
-				fakes.Leaks(t)
+				testbed.Leaks(t)
 				w := start(t, false, line(1, true, entry("s0", "SERVING")), func(c *Client) { c.firstTime = 50 * time.Millisecond })
 				w.Watch(true)
-				late := fakes.Within(t, "a call", w.calls)
+				late := testbed.Within(t, "a call", w.calls)
 				io.WriteString(late.conn, half)
 				w.expect(t, balancer.FleetRefused)
-				w.firstTime = fakes.Patience // from here on no time is to matter
+				w.firstTime = testbed.Patience // from here on no time is to matter
 				w.Watch(true)
-				next := fakes.Within(t, "a call beside it", w.calls)
+				next := testbed.Within(t, "a call beside it", w.calls)
 				answers, ended := next, late
 				if lateAnswers {
 					answers, ended = late, next
@@ -204,7 +204,7 @@
 					answers.chunk(line(7, true, entry("s1", "DRAINING")) + "\n")
 				}
 				w.expect(t, balancer.FleetAll, "s1")
-				fakes.Eventually(t, "the other one to be ended", func() bool { _, err := ended.conn.Write([]byte("\n")); return err != nil })
+				testbed.Eventually(t, "the other one to be ended", func() bool { _, err := ended.conn.Write([]byte("\n")); return err != nil })
 				if lateAnswers { // the module may have planned to ask before it heard: the one that is on goes on
 					w.Watch(true)
 				}
@@ -222,16 +222,16 @@
 
 // However many calls in a row hang, each is told as refused in its time, and no more than two are on at once.
 func TestCallsThatHangInARow(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstTime = 20 * time.Millisecond })
 	var calls []call
 	for range 6 {
 		w.Watch(true)
-		calls = append(calls, fakes.Within(t, "a call", w.calls))
+		calls = append(calls, testbed.Within(t, "a call", w.calls))
 		w.expect(t, balancer.FleetRefused)
 	}
 	for i, c := range calls[:4] {
-		fakes.Eventually(t, fmt.Sprint("the end of call ", i), func() bool { _, err := c.conn.Write([]byte("\n")); return err != nil })
+		testbed.Eventually(t, fmt.Sprint("the end of call ", i), func() bool { _, err := c.conn.Write([]byte("\n")); return err != nil })
 	}
 	if len(w.updates) != 0 {
 		t.Errorf("told twice: %+v", w.next(t))
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 func entry(uid, state string) string {
@@ -84,7 +84,7 @@
 	t.Helper()
 	w := &world{calls: make(chan call, 9), updates: make(chan Update, 99)}
 	over := make(chan struct{})
-	p := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	p := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		req, err := http.ReadRequest(bufio.NewReader(c))
 		if err != nil {
 			return
@@ -110,7 +110,7 @@
 
 func (w *world) next(t *testing.T) Update {
 	t.Helper()
-	return fakes.Within(t, "an update", w.updates)
+	return testbed.Within(t, "an update", w.updates)
 }
 
 func (w *world) expect(t *testing.T, kind balancer.FleetKind, ids ...string) {
@@ -126,10 +126,10 @@
 }
 
 func TestWatch(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	w.Watch(true)
-	c := fakes.Within(t, "a call", w.calls)
+	c := testbed.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1&after=7" {
 		t.Errorf("called %s", c.uri)
 	}
@@ -149,7 +149,7 @@
 	c.chunk(line(5, false, entry("old", "SERVING")) + "\n") // older than what is known: not to be followed
 	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
-	c = fakes.Within(t, "a call", w.calls)
+	c = testbed.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1&after=11" {
 		t.Errorf("resumed with %s", c.uri)
 	}
@@ -157,34 +157,34 @@
 	c.chunk("{nonsense\n" + line(12, false, entry("s4", "SERVING")) + "\n") // ends the watch, and nothing else
 	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
-	c = fakes.Within(t, "a call", w.calls)
+	c = testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false)[:9]) // breaks off in a line
 	c.conn.Close()
 	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
-	c = fakes.Within(t, "a call", w.calls)
+	c = testbed.Within(t, "a call", w.calls)
 	io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	w.expect(t, balancer.FleetRefused)
 	w.Watch(true)
-	fakes.Within(t, "a call", w.calls)
+	testbed.Within(t, "a call", w.calls)
 	w.Watch(true) // takes the place of the one that waits, which fails nobody
-	c = fakes.Within(t, "a call", w.calls)
+	c = testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false) + "\n")
 	w.expect(t, balancer.FleetChanges)
 	w.Watch(false)
-	fakes.Eventually(t, "the watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
+	testbed.Eventually(t, "the watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
 	if len(w.updates) != 0 {
 		t.Errorf("a watch that was ended told %+v", w.next(t))
 	}
 }
 
 func TestFetch(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, "null", nil)
 	w.Fetch()
-	c := fakes.Within(t, "a call", w.calls)
+	c := testbed.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances" {
 		t.Errorf("called %s", c.uri)
 	}
@@ -192,7 +192,7 @@
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	w.expect(t, balancer.FleetAll, "s1")
 	w.Fetch()
-	c = fakes.Within(t, "a call", w.calls)
+	c = testbed.Within(t, "a call", w.calls)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text)+1, text)
 	c.conn.Close()
 	w.expect(t, balancer.FleetRefused)
@@ -200,16 +200,16 @@
 
 // A machine that is cut off says nothing: a watch without its empty lines is dead.
 func TestSilentWatch(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstTime, c.silence = 50*time.Millisecond, 50*time.Millisecond })
 	w.Watch(true)
-	c := fakes.Within(t, "a call", w.calls)
+	c := testbed.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1" {
 		t.Errorf("called %s", c.uri)
 	}
 	w.expect(t, balancer.FleetRefused) // never an answer
 	w.Watch(true)
-	c = fakes.Within(t, "a call", w.calls)
+	c = testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(1, true, entry("s1", "SERVING")) + "\n")
 	w.expect(t, balancer.FleetAll, "s1")
@@ -217,22 +217,22 @@
 }
 
 func TestPushed(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, true, line(7, true), func(c *Client) { c.retryFirst = time.Millisecond })
 	w.Watch(true) // has no meaning here
 	for range 2 {
-		c := fakes.Within(t, "a call", w.calls)
+		c := testbed.Within(t, "a call", w.calls)
 		if c.uri != "/registry/instances?watch=1&after=7" {
 			t.Errorf("called %s", c.uri)
 		}
 		c.conn.Close()
 	}
-	c := fakes.Within(t, "a call", w.calls)
+	c := testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, true, entry("s1", "SERVING")) + "\n")
 	w.expect(t, balancer.FleetAll, "s1")
 	c.conn.Close()
-	if c := fakes.Within(t, "a call", w.calls); c.uri != "/registry/instances?watch=1&after=8" {
+	if c := testbed.Within(t, "a call", w.calls); c.uri != "/registry/instances?watch=1&after=8" {
 		t.Errorf("resumed with %s", c.uri)
 	}
 	if len(w.updates) != 0 {
@@ -242,18 +242,18 @@
 
 // A client that is told another address leaves the old one at once and asks for the whole list at the new one.
 func TestMove(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for _, pushed := range []bool{false, true} {
 		old := start(t, pushed, line(7, true, entry("s1", "SERVING")), nil)
 		next := start(t, false, "", nil) // lends its listener
 		old.Watch(true)
-		c := fakes.Within(t, "a call", old.calls)
+		c := testbed.Within(t, "a call", old.calls)
 		c.begin()
 		c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
 		old.expect(t, balancer.FleetChanges, "s2")
 		old.Move(next.addr)
-		fakes.Eventually(t, "the old watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
-		c = fakes.Within(t, "a call at the new address", next.calls)
+		testbed.Eventually(t, "the old watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
+		c = testbed.Within(t, "a call at the new address", next.calls)
 		if c.uri != "/registry/instances?watch=1" {
 			t.Errorf("pushed %v: called %s", pushed, c.uri)
 		}
@@ -267,7 +267,7 @@
 }
 
 func TestUselessKnownList(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	updates := make(chan Update, 1)
 	c := New("127.0.0.1:1", false, func(u Update) { updates <- u })
 	defer c.Stop()
--- a/internal/experiment/live_test.go
+++ b/internal/experiment/live_test.go
@@ -21,7 +21,7 @@
 	"pgregory.net/rapid"
 
 	"robindrum/internal/config"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // binary builds the program once.
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	http.DefaultClient.CloseIdleConnections()
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	opt.Binary = path
 	r, err := Live(ctx, parsed(t, text), 1, opt)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -11,15 +11,15 @@
 	"time"
 
 	"robindrum/internal/config"
-	"robindrum/internal/fakes"
 	"robindrum/internal/membership"
 	"robindrum/internal/peer"
+	"robindrum/internal/testbed"
 )
 
 // One process that is a fleet by itself: it votes, holds its duty, answers operators, and leaves nothing behind. Started again it
 // goes on with a higher token; a lease that is revoked is given anew under another one.
 func TestFleetOfOne(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	var token atomic.Value
 	to := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { token.Store(r.Header.Get(TokenHeader)) }))
 	defer to.Close()
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		f.Start()
-		fakes.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > last })
+		testbed.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > last })
 		last = token.Load().(string)
 		f.Say(membership.Serving, "w")
 		admin := httptest.NewServer(f.Handler())
@@ -57,7 +57,7 @@
 			t.Errorf("revoke: %v, %v", resp, err)
 		}
 		resp.Body.Close()
-		fakes.Eventually(t, "another token", func() bool { return token.Load().(string) > last })
+		testbed.Eventually(t, "another token", func() bool { return token.Load().(string) > last })
 		if resp, err = http.Post(admin.URL+"/fleet/revoke?lease=none", "", nil); err != nil || resp.StatusCode == http.StatusOK {
 			t.Errorf("revoking what nobody holds: %v, %v", resp, err)
 		}
@@ -72,7 +72,7 @@
 
 // Another fleet's calls are refused with a word, and what does not come within its bounds.
 func TestOtherFleetsAreRefused(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	listen := func(name string) *peer.Node {
 		n, err := peer.Listen(peer.Options{Fleet: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"robindrum/internal/capture"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/controlplane"
 	"robindrum/internal/testbed/origin"
 )
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	return g
 }
 
@@ -61,7 +61,7 @@
 
 // Bursts from the first request on, with a rest between them, and one request right behind.
 func TestBurstsAreServedWhole(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, b := server(t), server(t)
 	a.Delay(5 * time.Millisecond)
 	b.Delay(5 * time.Millisecond)
@@ -92,16 +92,16 @@
 
 // One of two servers dies under 64 connections, and the other one can carry them.
 func TestServerDiesUnderLoad(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, b := server(t), server(t)
 	a.Delay(2 * time.Millisecond)
 	b.Delay(2 * time.Millisecond)
 	g := run(t, four(t, "", a, b))
 	l := press(t, g, 64, "/x")
-	fakes.Eventually(t, "load", func() bool { return a.Requests() > 500 && b.Requests() > 500 })
+	testbed.Eventually(t, "load", func() bool { return a.Requests() > 500 && b.Requests() > 500 })
 	b.Kill()
 	n := l.ok.Load()
-	fakes.Eventually(t, "load at the other one", func() bool { return l.ok.Load() > n+2000 })
+	testbed.Eventually(t, "load at the other one", func() bool { return l.ok.Load() > n+2000 })
 	l.stop()
 	l.lost(t)
 	if n := l.no.Load(); n != 0 {
@@ -111,7 +111,7 @@
 
 // Requests that wait: a client that leaves, a reload that lowers the limit, and a stop, each with a full queue.
 func TestFullQueue(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o := server(t)
 	goOn := make(chan struct{})
 	o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
@@ -146,35 +146,35 @@
 	for i := range 8 {
 		if i < 2 {
 			ask(t.Context())
-			fakes.Eventually(t, "two to start", func() bool { return admission().Active == i+1 })
+			testbed.Eventually(t, "two to start", func() bool { return admission().Active == i+1 })
 		} else if i < 5 {
 			ask(t.Context())
 		} else {
 			ask(leaves)
 		}
 	}
-	fakes.Eventually(t, "six to wait", func() bool { return admission().Waiting == 6 })
+	testbed.Eventually(t, "six to wait", func() bool { return admission().Waiting == 6 })
 	ask(t.Context())
-	fakes.Eventually(t, "one more to be refused", func() bool { return refused.Load() == 1 })
+	testbed.Eventually(t, "one more to be refused", func() bool { return refused.Load() == 1 })
 	leave()
-	fakes.Eventually(t, "three to leave", func() bool { return admission().Waiting == 3 })
+	testbed.Eventually(t, "three to leave", func() bool { return admission().Waiting == 3 })
 	// Under the new settings one may start; what waits under the former ones ends there.
 	if err := g.Reload(parse(t, classes+strings.Replace(four(t, strings.Replace(rest, "limit: 2", "limit: 1", 1), o), `"127.0.0.1:0"`, `"127.0.0.1:0"`, 1))); err != nil {
 		t.Fatal(err)
 	}
 	ask(t.Context())
 	ask(t.Context())
-	fakes.Eventually(t, "one to start and one to wait", func() bool { a := admission(); return a.Active == 1 && a.Waiting == 1 && a.Limit == 1 })
+	testbed.Eventually(t, "one to start and one to wait", func() bool { a := admission(); return a.Active == 1 && a.Waiting == 1 && a.Limit == 1 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 		defer cancel()
 		g.Stop(ctx)
 	}()
 	close(goOn)
 	all.Wait()
-	fakes.Within(t, "the stop", done)
+	testbed.Within(t, "the stop", done)
 	if served.Load() != 7 || refused.Load() != 1 {
 		t.Errorf("%d served, %d refused, want 7 and 1", served.Load(), refused.Load())
 	}
@@ -185,7 +185,7 @@
 
 // Circuit breakers of a control plane: what is beyond them waits, and beyond that is refused.
 func TestBreakersOfTheControlPlane(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	o := server(t)
 	goOn := make(chan struct{})
@@ -196,7 +196,7 @@
 	}
 	push(t, s, "1", false, c, eds("c", controlplane.Endpoint{Addr: o.Addr}), rds("r", [2]string{"/", "c"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	var all sync.WaitGroup
 	var no atomic.Int64
 	for range 6 {
@@ -207,7 +207,7 @@
 			}
 		})
 	}
-	fakes.Eventually(t, "three to be refused", func() bool { return no.Load() == 3 })
+	testbed.Eventually(t, "three to be refused", func() bool { return no.Load() == 3 })
 	if a := g.Status(0).Clusters[0].Admission; a.Active != 2 || a.Waiting != 1 || a.Limit != 2 {
 		t.Errorf("%+v", a)
 	}
@@ -220,7 +220,7 @@
 	const thresholds = `{"circuit_breakers":{"thresholds":[{"max_requests":1,"max_pending_requests":1},{"priority":"HIGH","max_requests":2,"max_pending_requests":1}]}}`
 	for _, source := range []string{"file", "xds"} {
 		t.Run(source, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			o := server(t)
 			goOn := make(chan struct{})
 			o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
@@ -236,7 +236,7 @@
 				}
 				push(t, s, "1", false, c, eds("c", controlplane.Endpoint{Addr: o.Addr}), r)
 				g = begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-				fakes.Eventually(t, "the gateway to be ready", g.Ready)
+				testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			}
 			var all sync.WaitGroup
 			for path, want := range map[string]int64{"/low": 3, "/high": 2} {
@@ -249,7 +249,7 @@
 						}
 					})
 				}
-				fakes.Eventually(t, path+" to be refused as its priority's breakers say", func() bool { return no.Load() == want })
+				testbed.Eventually(t, path+" to be refused as its priority's breakers say", func() bool { return no.Load() == want })
 			}
 			if a := g.Status(0).Clusters[0].Admission; a.Active != 3 || a.Waiting != 2 {
 				t.Errorf("%+v", a)
@@ -263,7 +263,7 @@
 // A capture on the admin listener has what was asked while it ran, with keys that nobody can tell; there is one at a time,
 // and one whose reader leaves ends.
 func TestCapture(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o := server(t)
 	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
 		if r.URL.Path == "/bad" {
@@ -302,7 +302,7 @@
 	}
 	leave()
 	first.Body.Close()
-	fakes.Eventually(t, "the one whose reader left to end", func() bool { return g.recorder.Load() == nil })
+	testbed.Eventually(t, "the one whose reader left to end", func() bool { return g.recorder.Load() == nil })
 	third := ask(t.Context(), "seconds=60&records=4")
 	defer third.Body.Close()
 	for _, path := range []string{"/a", "/b?who=me", "/bad"} {
@@ -342,7 +342,7 @@
 // What an answer to HEAD says of its length is the server's, server-sent events come one by one, and a long answer comes
 // whole.
 func TestAnswersAsTheOriginMeansThem(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o := server(t)
 	next := make(chan struct{})
 	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
@@ -397,7 +397,7 @@
 // Rate limits by header and address: the burst passes, then 429 with what the client needs to know; other keys, routes and
 // methods of counting are not touched, and a reload that leaves a limit alone forgets nothing.
 func TestRateLimits(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o := server(t)
 	conf := func(rate string) string {
 		return strings.Replace(four(t, "", o), "routes: [", "routes: [{name: free, match: {prefix: /free}, cluster: c}, {name: rest, match: {prefix: /r}, cluster: c}, ", 1) +
@@ -456,7 +456,7 @@
 
 // Nine of ten descriptors are held by clients that owe a head, and more come: good clients are served all the while.
 func TestHalfOpenHeads(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o := server(t)
 	g := run(t, four(t, "", o)+"limits: {descriptors: 256}\n")
 	addr := g.Addr("web").String()
@@ -476,7 +476,7 @@
 	for range 225 {
 		hold()
 	}
-	fakes.Eventually(t, "the heads to be held", func() bool { return g.Status(0).Limits.Clients >= 200 })
+	testbed.Eventually(t, "the heads to be held", func() bool { return g.Status(0).Limits.Clients >= 200 })
 	end := make(chan struct{})
 	var flood sync.WaitGroup
 	flood.Go(func() {
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -12,7 +12,7 @@
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 
 	"robindrum/internal/config"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/controlplane"
 	"robindrum/internal/testbed/origin"
 )
@@ -21,12 +21,12 @@
 func TestRemovedWhileARetryIsDue(t *testing.T) {
 	for _, how := range []string{"retry", "hedge"} {
 		t.Run(how, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			s := plane(t)
 			a, b := server(t), server(t)
 			push(t, s, "0", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
 			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-			fakes.Eventually(t, "the gateway to be ready", g.Ready)
+			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			u := visit(t, g)
 			for range 60 { // so many that the class knows what is overdue
 				if r := u.get(t, "/x"); r.status != 200 {
@@ -63,20 +63,20 @@
 				}()
 			}
 			ask()
-			first := fakes.Within(t, "the first attempt", asked)
+			first := testbed.Within(t, "the first attempt", asked)
 			if other = a; first == a {
 				other = b
 			}
 			if how == "hedge" { // it is under way at the other when that is removed, and ends there; what follows does not
-				if got := fakes.Within(t, "the copy", asked); got != other {
+				if got := testbed.Within(t, "the copy", asked); got != other {
 					t.Fatal("the copy went to the first one again")
 				}
 			}
 			at := push(t, s, "1", false, eds("c", first))
-			fakes.Eventually(t, "the removal", func() bool { return g.usable("c") == 1 })
+			testbed.Eventually(t, "the removal", func() bool { return g.usable("c") == 1 })
 			before := other.Requests()
 			close(answer)
-			r := fakes.Within(t, "the answer", result)
+			r := testbed.Within(t, "the answer", result)
 			if want := map[string]int{"retry": 500, "hedge": 200}[how]; r.status != want {
 				t.Errorf("%d %s, want %d", r.status, r.body, want)
 			}
@@ -96,20 +96,20 @@
 // An endpoint is removed while a retry to it stands in its dial, which never comes up: the answer is that of the first
 // attempt, and soon. One that does come up late is tested in internal/backend.
 func TestRemovedWhileARetryConnects(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a := server(t)
 	a.Script(func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	})
-	full := controlplane.Endpoint{Addr: fakes.Full(t), Zone: "a"}
+	full := controlplane.Endpoint{Addr: testbed.Full(t), Zone: "a"}
 	c := cds("c")
 	push(t, s, "0", false, c, eds("c", a), rds("r", [2]string{"/", "c"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	push(t, s, "1", false, eds("c", a, full))
-	fakes.Eventually(t, "both", func() bool { return g.usable("c") == 2 })
+	testbed.Eventually(t, "both", func() bool { return g.usable("c") == 2 })
 	result := make(chan reply, 1)
 	go func() {
 		r, err := visit(t, g).do(http.MethodGet, "/x")
@@ -118,11 +118,11 @@
 		}
 		result <- r
 	}()
-	fakes.Eventually(t, "two attempts, or one that failed to connect", func() bool {
+	testbed.Eventually(t, "two attempts, or one that failed to connect", func() bool {
 		return g.Status(0).Clusters[0].Requests.Sends >= 2
 	})
 	at := push(t, s, "2", false, eds("c", a))
-	r := fakes.Within(t, "the answer", result)
+	r := testbed.Within(t, "the answer", result)
 	if r.status != 500 {
 		t.Errorf("%d %s", r.status, r.body)
 	}
@@ -138,7 +138,7 @@
 func TestStaticClusterOfTheControlPlane(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			s := plane(t)
 			a, b := server(t), server(t)
 			static := func(l ...any) controlplane.Resource {
@@ -148,7 +148,7 @@
 			}
 			push(t, s, "1", false, static(a), rds("r", [2]string{"/", "c"}))
 			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ", variant: "+variant))
-			fakes.Eventually(t, "the gateway to be ready", g.Ready)
+			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			u := visit(t, g)
 			if r := u.get(t, "/x"); r.status != 200 || r.header.Get("X-Origin") != a.Addr {
 				t.Errorf("%d from %q", r.status, r.header.Get("X-Origin"))
@@ -156,19 +156,19 @@
 			// What a warm server takes is looked at by and by: a list that is replaced sooner leaves the new server with next to
 			// nothing until it is warm.
 			l, began := press(t, g, 4, "/x"), time.Now()
-			fakes.Eventually(t, "load", func() bool { return l.ok.Load() > 1000 && time.Since(began) > 1500*time.Millisecond })
+			testbed.Eventually(t, "load", func() bool { return l.ok.Load() > 1000 && time.Since(began) > 1500*time.Millisecond })
 			at := push(t, s, "2", false, static(b))
-			fakes.Eventually(t, "the other one", func() bool { return b.Requests() > 100 })
+			testbed.Eventually(t, "the other one", func() bool { return b.Requests() > 100 })
 			if n := a.After(at.Add(time.Second)); n != 0 {
 				t.Errorf("%d requests to the removed one", n)
 			}
 			push(t, s, "3", false, static())
-			fakes.Eventually(t, "nobody", func() bool { return g.usable("c") == 0 })
+			testbed.Eventually(t, "nobody", func() bool { return g.usable("c") == 0 })
 			if r := u.get(t, "/x"); r.status != 503 {
 				t.Errorf("%d from nobody", r.status)
 			}
 			push(t, s, "4", false, static(a, b))
-			fakes.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
+			testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
 			l.stop()
 			l.lost(t)
 		})
@@ -178,7 +178,7 @@
 // Where the guaranteed parts leave nothing over, a cluster whose core is replaced keeps its own, and one that comes in
 // the place of another gets that one's.
 func TestGuaranteedPartsStayWithTheirClusters(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o := server(t)
 	conf := func(first, wait string) string {
 		part := "limits: {guaranteed: {requests: 4, memory: 500KiB, descriptors: 100}}"
@@ -212,7 +212,7 @@
 			results <- r
 		}()
 	}
-	fakes.Eventually(t, "requests in hand", func() bool { return o.Requests() == 4 })
+	testbed.Eventually(t, "requests in hand", func() bool { return o.Requests() == 4 })
 	if err := g.Reload(load(conf("one", "120ms"))); err != nil {
 		t.Fatal(err)
 	}
@@ -224,16 +224,16 @@
 	}
 	close(hold)
 	for range 4 {
-		if r := fakes.Within(t, "an answer", results); r.status != 200 {
+		if r := testbed.Within(t, "an answer", results); r.status != 200 {
 			t.Errorf("%d to a request in hand", r.status)
 		}
 	}
-	fakes.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
+	testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
 	before := counted(g, "one")
 	if err := g.Reload(load(conf("three", "100ms"))); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Eventually(t, "the part of the one that left", func() bool {
+	testbed.Eventually(t, "the part of the one that left", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return len(g.clusters) == 2 && g.clusters["three"].kept.Requests == 4 && !g.short
@@ -245,7 +245,7 @@
 	if err := g.Reload(load(conf("one", "100ms"))); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Eventually(t, "the counters", func() bool { return counted(g, "one") >= before })
+	testbed.Eventually(t, "the counters", func() bool { return counted(g, "one") >= before })
 	if g.Status(0).Limits.Requests > 8 {
 		t.Errorf("%+v", g.Status(0).Limits)
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,7 +21,7 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
 	"robindrum/internal/config"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/controlplane"
 	"robindrum/internal/testbed/origin"
 	"robindrum/internal/xds"
@@ -91,7 +91,7 @@
 	t.Helper()
 	tr := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 	t.Cleanup(tr.CloseIdleConnections)
-	return &user{&http.Client{Transport: tr, Timeout: fakes.Patience, CheckRedirect: func(*http.Request, []*http.Request) error {
+	return &user{&http.Client{Transport: tr, Timeout: testbed.Patience, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}}, "http://" + g.Addr("web").String()}
 }
@@ -227,7 +227,7 @@
 }
 
 func TestStaticClustersAndRoutes(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, b := server(t), server(t)
 	g := begin(t, fmt.Sprintf(`
 clusters:
@@ -271,7 +271,7 @@
 // Answers that are no failure pass as they are; a backend's own word of a failure does as well, once nobody else may be
 // asked.
 func TestAnswersPassThrough(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a := server(t)
 	a.Script(func(w http.ResponseWriter, r *http.Request) bool {
 		w.Header().Set("X-Seen", r.Header.Get("X-Sent"))
@@ -324,7 +324,7 @@
 
 // A keyed request is sent again after a break, one without its key is not, and neither takes effect twice.
 func TestKeyedNeedsItsKey(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	ledger := origin.NewLedger()
 	var l []string
 	var first atomic.Bool
@@ -369,22 +369,22 @@
 func TestEndpointsFollowTheControlPlane(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			s := plane(t)
 			a, b, c := server(t), server(t), server(t)
 			push(t, s, "0", false, cds("c"), eds("c", a, b, c), rds("r", [2]string{"/", "c"}))
 			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ", variant: "+variant))
-			fakes.Eventually(t, "the gateway to be ready", g.Ready)
+			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			l := press(t, g, 8, "/x")
-			fakes.Eventually(t, "load on all", func() bool { return a.Requests() > 50 && b.Requests() > 50 && c.Requests() > 50 })
+			testbed.Eventually(t, "load on all", func() bool { return a.Requests() > 50 && b.Requests() > 50 && c.Requests() > 50 })
 			version := 0
 			out := func(what string, o *origin.Origin, r controlplane.Resource, usable int) {
 				t.Helper()
 				version++
 				at := push(t, s, fmt.Sprint(version), false, r)
-				fakes.Eventually(t, what, func() bool { return g.usable("c") == usable })
+				testbed.Eventually(t, what, func() bool { return g.usable("c") == usable })
 				n := l.ok.Load()
-				fakes.Eventually(t, "more load", func() bool { return l.ok.Load() > n+300 })
+				testbed.Eventually(t, "more load", func() bool { return l.ok.Load() > n+300 })
 				if late := o.After(at.Add(time.Second)); late != 0 {
 					t.Errorf("%s: %d requests later than 1 s after it was told", what, late)
 				}
@@ -401,7 +401,7 @@
 			// All at once.
 			version++
 			at := push(t, s, fmt.Sprint(version), false, eds("c"))
-			fakes.Eventually(t, "the empty list", func() bool { return g.usable("c") == 0 })
+			testbed.Eventually(t, "the empty list", func() bool { return g.usable("c") == 0 })
 			began := time.Now()
 			if r := visit(t, g).get(t, "/x"); r.status != 503 {
 				t.Errorf("%d with no endpoint", r.status)
@@ -410,7 +410,7 @@
 				t.Errorf("refused after %v", d)
 			}
 			n := l.no.Load()
-			fakes.Eventually(t, "refusals", func() bool { return l.no.Load() > n+100 })
+			testbed.Eventually(t, "refusals", func() bool { return l.no.Load() > n+100 })
 			for _, o := range []*origin.Origin{a, b, c} {
 				if late := o.After(at.Add(time.Second)); late != 0 {
 					t.Errorf("%d requests to one that was removed", late)
@@ -418,9 +418,9 @@
 			}
 			version++
 			push(t, s, fmt.Sprint(version), false, eds("c", a, b))
-			fakes.Eventually(t, "the list to be back", func() bool { return g.usable("c") == 2 })
+			testbed.Eventually(t, "the list to be back", func() bool { return g.usable("c") == 2 })
 			n = l.ok.Load()
-			fakes.Eventually(t, "service", func() bool { return l.ok.Load() > n+10 })
+			testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+10 })
 			for _, e := range g.Status(0).Clusters[0].Endpoints {
 				if e.Age <= 0 {
 					t.Errorf("%s is not cold", e.Address)
@@ -435,19 +435,19 @@
 // While the control plane is away the last list goes on, and its age shows; one that comes back with an older version
 // and a smaller list is believed.
 func TestControlPlaneVanishes(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a, b := server(t), server(t)
 	push(t, s, "9", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	l := press(t, g, 4, "/x")
 	s.GoAway()
-	fakes.Eventually(t, "the loss to show", func() bool { src := g.Status(0).Sources[0]; return src.Connected == "" && src.Error != "" })
+	testbed.Eventually(t, "the loss to show", func() bool { src := g.Status(0).Sources[0]; return src.Connected == "" && src.Error != "" })
 	n := l.ok.Load()
-	fakes.Eventually(t, "service without it", func() bool { return l.ok.Load() > n+200 })
+	testbed.Eventually(t, "service without it", func() bool { return l.ok.Load() > n+200 })
 	first := *g.Status(0).Clusters[0].Age
-	fakes.Eventually(t, "the list to age", func() bool { return *g.Status(0).Clusters[0].Age > first+0.01 })
+	testbed.Eventually(t, "the list to age", func() bool { return *g.Status(0).Clusters[0].Age > first+0.01 })
 	if !g.Ready() || g.usable("c") != 2 {
 		t.Error("the list is gone with the control plane")
 	}
@@ -456,7 +456,7 @@
 	if err := s.Return(); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Eventually(t, "the smaller list", func() bool { return g.usable("c") == 1 })
+	testbed.Eventually(t, "the smaller list", func() bool { return g.usable("c") == 1 })
 	l.stop()
 	l.lost(t)
 	if l.no.Load() != 0 {
@@ -466,22 +466,22 @@
 
 // A route flips to a cluster whose endpoints come later: until then it leads where it led.
 func TestRoutesFlipOnceEndpointsAreThere(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a, b := server(t), server(t)
 	push(t, s, "1", false, cds("old"), eds("old", a), rds("r", [2]string{"/", "old"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	l := press(t, g, 4, "/x")
 	push(t, s, "2", false, cds("new"), rds("r", [2]string{"/", "new"}))
-	fakes.Eventually(t, "the flip to wait", func() bool { return g.Status(0).Routes.Pending })
+	testbed.Eventually(t, "the flip to wait", func() bool { return g.Status(0).Routes.Pending })
 	n := a.Requests()
-	fakes.Eventually(t, "service by the old one", func() bool { return a.Requests() > n+100 })
+	testbed.Eventually(t, "service by the old one", func() bool { return a.Requests() > n+100 })
 	push(t, s, "3", false, eds("new", b))
-	fakes.Eventually(t, "the flip", func() bool { return !g.Status(0).Routes.Pending && b.Requests() > 100 })
+	testbed.Eventually(t, "the flip", func() bool { return !g.Status(0).Routes.Pending && b.Requests() > 100 })
 	n = a.Requests()
 	m := b.Requests()
-	fakes.Eventually(t, "service by the new one", func() bool { return b.Requests() > m+100 })
+	testbed.Eventually(t, "service by the new one", func() bool { return b.Requests() > m+100 })
 	if a.Requests() > n+8 {
 		t.Errorf("%d requests to the old one after the flip", a.Requests()-n)
 	}
@@ -495,43 +495,43 @@
 // A cluster is renamed under load, in the order in which a control plane tells it: the new name replaces the old one
 // before the routes do.
 func TestClusterIsRenamed(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a := server(t)
 	push(t, s, "1", false, cds("n0"), eds("n0", a), rds("r", [2]string{"/", "n0"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	l := press(t, g, 4, "/x")
 	for i := 1; i <= 10; i++ {
 		name := fmt.Sprint("n", i)
 		push(t, s, fmt.Sprint("v", i), true, eds(name, a), cds(name))
 		push(t, s, fmt.Sprint("w", i), true, rds("r", [2]string{"/", name}))
-		fakes.Eventually(t, "the new name", func() bool { return g.usable(name) == 1 && len(g.Status(0).Clusters) == 1 })
+		testbed.Eventually(t, "the new name", func() bool { return g.usable(name) == 1 && len(g.Status(0).Clusters) == 1 })
 		n := l.ok.Load()
-		fakes.Eventually(t, "service", func() bool { return l.ok.Load() > n+50 })
+		testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+50 })
 	}
 	l.stop()
 	l.lost(t)
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
-	fakes.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.old) == 0 })
+	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.old) == 0 })
 }
 
 // A cluster that is withdrawn while a route leads to it is refused soon, and served again when it is back.
 func TestClusterIsWithdrawn(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a, b := server(t), server(t)
 	push(t, s, "1", false, cds("c"), cds("d"), eds("c", a), eds("d", b), rds("r", [2]string{"/c", "c"}, [2]string{"/d", "d"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	u := visit(t, g)
 	if r := u.get(t, "/c"); r.status != 200 {
 		t.Fatal(r.status)
 	}
 	at := push(t, s, "2", true, cds("d"))
-	fakes.Eventually(t, "refusals", func() bool { return u.get(t, "/c").status == 503 })
+	testbed.Eventually(t, "refusals", func() bool { return u.get(t, "/c").status == 503 })
 	if d := time.Since(at); d > time.Second+500*time.Millisecond {
 		t.Errorf("refused after %v", d)
 	}
@@ -545,14 +545,14 @@
 		t.Errorf("missing: %v", m)
 	}
 	push(t, s, "3", false, cds("c"), eds("c", a))
-	fakes.Eventually(t, "service", func() bool { return u.get(t, "/c").status == 200 })
+	testbed.Eventually(t, "service", func() bool { return u.get(t, "/c").status == 200 })
 }
 
 // A listener names the routes, then other ones, and is withdrawn: requests follow.
 func TestListenerNamesTheRoutes(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			s := plane(t)
 			a, b := server(t), server(t)
 			lds := func(routes string) controlplane.Resource {
@@ -560,15 +560,15 @@
 			}
 			push(t, s, "1", false, cds("ca"), cds("cb"), eds("ca", a), eds("cb", b), rds("ra", [2]string{"/", "ca"}), rds("rb", [2]string{"/", "cb"}), lds("ra"))
 			g := begin(t, fmt.Sprintf("clusters: []\nroutes: []\nxds: {servers: [%q], node: {id: gw}, clusters: true, listener: l, variant: %s}\n", s.Addr, variant))
-			fakes.Eventually(t, "the gateway to be ready", g.Ready)
+			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			u := visit(t, g)
 			if r := u.get(t, "/x"); r.header.Get("X-Origin") != a.Addr {
 				t.Errorf("%+v", r)
 			}
 			push(t, s, "2", false, lds("rb"))
-			fakes.Eventually(t, "the other routes", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
+			testbed.Eventually(t, "the other routes", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
 			push(t, s, "3", false, controlplane.Resource{Name: "l"})
-			fakes.Eventually(t, "no routes", func() bool { return u.get(t, "/x").status == 404 })
+			testbed.Eventually(t, "no routes", func() bool { return u.get(t, "/x").status == 404 })
 			if why := g.Status(0).Routes.Refused; why != "the control plane withdrew it" {
 				t.Errorf("%q", why)
 			}
@@ -580,20 +580,20 @@
 func TestNamesThatAreEverNew(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			s := plane(t)
 			a := server(t)
 			push(t, s, "0", false, cds("fixed"), eds("fixed", a), rds("r", [2]string{"/", "fixed"}))
 			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ", variant: "+variant))
-			fakes.Eventually(t, "the gateway to be ready", g.Ready)
+			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			const rounds = 300
 			for i := range rounds {
 				name := fmt.Sprint("c", i)
 				zone := controlplane.Endpoint{Addr: a.Addr, Zone: fmt.Sprint("z", i), Kind: fmt.Sprint("k", i)}
 				push(t, s, fmt.Sprint("v", i), true, cds("fixed"), cds(name), eds("fixed", zone), eds(name, zone))
 			}
-			fakes.Eventually(t, "the last names", func() bool { return g.usable(fmt.Sprint("c", rounds-1)) == 1 })
-			fakes.Eventually(t, "the former ones to be gone", func() bool {
+			testbed.Eventually(t, "the last names", func() bool { return g.usable(fmt.Sprint("c", rounds-1)) == 1 })
+			testbed.Eventually(t, "the former ones to be gone", func() bool {
 				g.mu.Lock()
 				defer g.mu.Unlock()
 				f := g.feeds[xdsFeed]
@@ -611,7 +611,7 @@
 
 // drop_overloads refuses its part, endpoint_stale_after ends a list that nobody renews.
 func TestDropAndStale(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a := server(t)
 	as := eds("c", a)
@@ -620,7 +620,7 @@
 	}
 	push(t, s, "1", false, cds("c"), as, rds("r", [2]string{"/", "c"}))
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	u := visit(t, g)
 	dropped := 0
 	for range 200 {
@@ -636,19 +636,19 @@
 		t.Fatal(err)
 	}
 	push(t, s, "2", false, as)
-	fakes.Eventually(t, "the list to be stale", func() bool { return g.Status(0).Clusters[0].Stale != "" })
+	testbed.Eventually(t, "the list to be stale", func() bool { return g.Status(0).Clusters[0].Stale != "" })
 	if r := u.get(t, "/x"); r.status != 503 {
 		t.Errorf("%d from a stale list", r.status)
 	}
 	push(t, s, "3", false, eds("c", a))
-	fakes.Eventually(t, "a list that lasts", func() bool { return g.usable("c") == 1 })
-	fakes.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
+	testbed.Eventually(t, "a list that lasts", func() bool { return g.usable("c") == 1 })
+	testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
 }
 
 // A new configuration is taken over under load, while the control plane pushes: requests end where they are. A bad one
 // changes nothing and shows.
 func TestReloadUnderLoad(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a, b := server(t), server(t)
 	push(t, s, "0", false, eds("c", a))
@@ -658,7 +658,7 @@
 			"routes: [{match: {prefix: /}, clusters: [{name: c%d}, {name: s, weight: %d}]}]\n", s.Addr, i, i%3+1, b.Addr, i, i%5+1)
 	}
 	g := begin(t, conf(0))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	l := press(t, g, 4, "/x")
 	pushed := make(chan struct{})
 	go func() {
@@ -674,7 +674,7 @@
 			t.Fatal(err)
 		}
 		n := l.ok.Load()
-		fakes.Eventually(t, "service", func() bool { return l.ok.Load() > n+20 })
+		testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+20 })
 	}
 	<-pushed
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -690,7 +690,7 @@
 		t.Errorf("%+v", st.Config)
 	}
 	n := l.ok.Load()
-	fakes.Eventually(t, "service", func() bool { return l.ok.Load() > n+20 })
+	testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+20 })
 	l.stop()
 	l.lost(t)
 	if l.no.Load() != 0 {
@@ -699,7 +699,7 @@
 	if err := g.Reload(parse(t, head+conf(20))); err != nil || g.Status(0).Config.Refused != "" {
 		t.Errorf("%v", err)
 	}
-	fakes.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.old) == 0 })
+	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.old) == 0 })
 	if st := g.Status(0); st.Limits.Requests != st.Clusters[0].Holds.Requests+int64(2*(4096/2/2)) {
 		t.Errorf("%d requests are booked", st.Limits.Requests)
 	}
@@ -707,7 +707,7 @@
 
 // Listeners come and go with the configuration; one that stays is not touched.
 func TestListenersAreReplaced(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a := server(t)
 	rest := fmt.Sprintf("clusters: [{name: a, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: a}]\n", a.Addr)
 	g := begin(t, rest)
@@ -739,7 +739,7 @@
 
 // One sick cluster holds all it can get, and another has its own part all the same.
 func TestSickClusterStarvesNobody(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	sick, well := server(t), server(t)
 	goOn := make(chan struct{})
 	sick.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
@@ -761,7 +761,7 @@
 			}
 		})
 	}
-	fakes.Eventually(t, "the sick one to hold all it can", func() bool { return refused.Load() >= 35 })
+	testbed.Eventually(t, "the sick one to hold all it can", func() bool { return refused.Load() >= 35 })
 	if n := g.Status(0).Clusters[0].InHand; n > 25 {
 		t.Errorf("%d requests in hand of 30, 5 of which are another's", n)
 	}
@@ -777,7 +777,7 @@
 
 // SIGTERM while a push and a reload are under way: what is taken is answered.
 func TestStopInTheMiddle(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a, b := server(t), server(t)
 	a.Delay(30 * time.Millisecond)
@@ -785,7 +785,7 @@
 	push(t, s, "1", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
 	rest := "clusters: []\nroutes: []\n" + ads(s, "")
 	g := begin(t, rest)
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	var all sync.WaitGroup
 	var lost atomic.Int64
 	stopped := make(chan struct{})
@@ -819,7 +819,7 @@
 			}
 		})
 	}
-	fakes.Eventually(t, "load", func() bool { return a.Requests() > 10 })
+	testbed.Eventually(t, "load", func() bool { return a.Requests() > 10 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -830,7 +830,7 @@
 			_ = g.Reload(parse(t, head+rest)) // refused once it is stopping
 		}
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
 	g.Stop(ctx)
 	close(stopped)
@@ -848,13 +848,13 @@
 }
 
 func TestAdmin(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a := server(t)
 	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
-	u := &user{&http.Client{Transport: tr, Timeout: fakes.Patience}, "http://" + g.AdminAddr().String()}
+	u := &user{&http.Client{Transport: tr, Timeout: testbed.Patience}, "http://" + g.AdminAddr().String()}
 	if r := u.get(t, "/health/live"); r.status != 200 {
 		t.Errorf("live: %d", r.status)
 	}
@@ -862,7 +862,7 @@
 		t.Errorf("ready before anything is known: %d", r.status)
 	}
 	push(t, s, "1", false, cds("c"), eds("c", a, controlplane.Endpoint{Addr: "127.0.0.1:9", Zone: "b", Health: corev3.HealthStatus_DRAINING}), rds("r", [2]string{"/", "c"}))
-	fakes.Eventually(t, "the gateway to be ready", func() bool { return u.get(t, "/health/ready").status == 200 })
+	testbed.Eventually(t, "the gateway to be ready", func() bool { return u.get(t, "/health/ready").status == 200 })
 	visit(t, g).get(t, "/x")
 	var st Status
 	if err := json.Unmarshal([]byte(u.get(t, "/status").body), &st); err != nil {
@@ -894,7 +894,7 @@
 
 // A file of resources feeds clusters and routes like a control plane; one that cannot be used at the start is an error.
 func TestFileOfResources(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, b := server(t), server(t)
 	dir := t.TempDir()
 	write := func(l ...*origin.Origin) {
@@ -931,9 +931,9 @@
 		t.Errorf("%+v", r)
 	}
 	write(b)
-	fakes.Eventually(t, "the new file", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
+	testbed.Eventually(t, "the new file", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
 	write()
-	fakes.Eventually(t, "the refusal", func() bool { return g.Status(0).Sources[0].Error != "" })
+	testbed.Eventually(t, "the refusal", func() bool { return g.Status(0).Sources[0].Error != "" })
 	if r := u.get(t, "/x"); r.status != 200 {
 		t.Errorf("%d after a file that cannot be read", r.status)
 	}
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/controlplane"
 	"robindrum/internal/testbed/link"
 	"robindrum/internal/testbed/origin"
@@ -66,7 +66,7 @@
 func TestZoneDiesAndReturns(t *testing.T) {
 	for _, source := range []string{"static", "file", "xds", "xds by priority"} {
 		t.Run(source, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			ledger := origin.NewLedger()
 			var all []*origin.Origin
 			for range 4 {
@@ -121,12 +121,12 @@
 					t.Logf("%+v\n%s", g.Status(1).Clusters[0].Zones, log.b.String())
 				}
 			})
-			fakes.Eventually(t, "the gateway to be ready", g.Ready)
+			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			l := press(t, g, 6, "/x")
 			// Where a machine gives it no time for long, a zone that is well looks like one that says nothing and is left until its
 			// way back is done. So what counts is a stretch of load that stays at home, which must come.
 			home, away := 0, 0
-			fakes.Eventually(t, "load that stays at home", func() bool {
+			testbed.Eventually(t, "load that stays at home", func() bool {
 				h, n := all[0].Requests()+all[1].Requests(), all[2].Requests()+all[3].Requests()
 				if n-away > (h-home)/10 || g.zone(t, "a").State != "up" {
 					home, away = h, n
@@ -135,15 +135,15 @@
 			})
 			all[0].Kill()
 			all[1].Kill()
-			fakes.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
+			testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
 			n := l.ok.Load()
-			fakes.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+300 })
+			testbed.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+300 })
 			for _, o := range all[:2] {
 				if err := o.Revive(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			fakes.Eventually(t, "the zone to be up", func() bool { return g.zone(t, "a").State == "up" })
+			testbed.Eventually(t, "the zone to be up", func() bool { return g.zone(t, "a").State == "up" })
 			l.stop()
 			l.lost(t)
 			z := g.zone(t, "a")
@@ -174,16 +174,16 @@
 
 // All zones dark: refused at once, with a time to come back; and what the tiers knew outlasts a reload.
 func TestAllZonesDarkAndAReload(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, b := server(t), server(t)
 	rest := fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr)
 	slow := strings.Replace(quick, "hold: 100ms, most_hold: 400ms", "hold: 1m, most_hold: 2m", 1)
 	g := begin(t, slow+rest)
 	l := press(t, g, 4, "/x")
-	fakes.Eventually(t, "load", func() bool { return a.Requests() > 100 })
+	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
 	a.Kill()
 	b.Kill()
-	fakes.Eventually(t, "both to be dark", func() bool { return g.zone(t, "a").State == "dark" && g.zone(t, "b").State == "dark" })
+	testbed.Eventually(t, "both to be dark", func() bool { return g.zone(t, "a").State == "dark" && g.zone(t, "b").State == "dark" })
 	l.stop()
 	began := time.Now()
 	r := visit(t, g).get(t, "/x")
@@ -207,7 +207,7 @@
 
 // policy.overprovisioning_factor of an assignment counts in place of the configuration's.
 func TestOverprovisioningFactorOfTheControlPlane(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := plane(t)
 	a, b, c := server(t), server(t), server(t)
 	list := func(policy string) controlplane.Resource {
@@ -220,7 +220,7 @@
 	}
 	push(t, s, "1", false, cds("c"), list(`{}`), rds("r", [2]string{"/", "c"}))
 	g := begin(t, quick+"clusters: []\nroutes: []\n"+ads(s, ""))
-	fakes.Eventually(t, "the gateway to be ready", g.Ready)
+	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	u := visit(t, g)
 	share := func(want float64) func() bool {
 		return func() bool {
@@ -229,20 +229,20 @@
 			return d < 0.01 && d > -0.01
 		}
 	}
-	fakes.Eventually(t, "half of a zone times 1.4", share(0.7))
+	testbed.Eventually(t, "half of a zone times 1.4", share(0.7))
 	push(t, s, "2", false, list(`{"policy":{"overprovisioning_factor":100}}`))
-	fakes.Eventually(t, "half of a zone", share(0.5))
+	testbed.Eventually(t, "half of a zone", share(0.5))
 	push(t, s, "3", false, list(`{"policy":{"overprovisioning_factor":300}}`))
-	fakes.Eventually(t, "the whole", share(1))
+	testbed.Eventually(t, "the whole", share(1))
 	push(t, s, "4", false, list(`{"policy":{"overprovisioning_factor":0}}`)) // refused
-	fakes.Eventually(t, "the refusal", func() bool { return g.Status(1).Clusters[0].Refused != "" })
+	testbed.Eventually(t, "the refusal", func() bool { return g.Status(1).Clusters[0].Refused != "" })
 	push(t, s, "5", false, list(`{}`))
-	fakes.Eventually(t, "the configuration's again", share(0.7))
+	testbed.Eventually(t, "the configuration's again", share(0.7))
 }
 
 // A keyed request that may have run does not leave its zone, though that is dark and the other idle.
 func TestKeyedDoesNotCross(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	one, two := origin.NewLedger(), origin.NewLedger()
 	var all []*origin.Origin
 	for _, ledger := range []*origin.Ledger{one, one, two, two} {
@@ -267,7 +267,7 @@
 		o.Script(func(w http.ResponseWriter, _ *http.Request) bool {
 			c, _, err := http.NewResponseController(w).Hijack()
 			if err == nil {
-				fakes.Reset(c)
+				testbed.Reset(c)
 			}
 			return true
 		})
@@ -290,16 +290,16 @@
 
 // A gateway that stops while a zone is dark loses nothing.
 func TestStopWhileAZoneIsDark(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, b := server(t), server(t)
 	b.Delay(20 * time.Millisecond)
 	g := begin(t, quick+fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr))
 	l := press(t, g, 4, "/x")
-	fakes.Eventually(t, "load", func() bool { return a.Requests() > 100 })
+	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
 	a.Kill()
-	fakes.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
+	testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
 	l.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
 	g.Stop(ctx)
 	l.lost(t)
@@ -316,7 +316,7 @@
 		},
 		"resets after the last byte": func(w http.ResponseWriter, _ *http.Request) bool {
 			if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-				fakes.Reset(c)
+				testbed.Reset(c)
 			}
 			return true
 		},
@@ -334,7 +334,7 @@
 	}
 	for name, way := range ways {
 		t.Run(name, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			one, two := origin.NewLedger(), origin.NewLedger()
 			var all []*origin.Origin
 			var links []*link.Link
@@ -370,7 +370,7 @@
 			}
 			t.Cleanup(g.Close)
 			l := press(t, g, 6, "/x")
-			fakes.Eventually(t, "load at home", func() bool { return all[0].Requests() > 200 && all[1].Requests() > 200 })
+			testbed.Eventually(t, "load at home", func() bool { return all[0].Requests() > 200 && all[1].Requests() > 200 })
 			for i, o := range all[:2] {
 				if way == nil {
 					links[i].Lose(0.8)
@@ -390,9 +390,9 @@
 					}
 				})
 			}
-			fakes.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
+			testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
 			n := l.ok.Load()
-			fakes.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+200 })
+			testbed.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+200 })
 			posts.Wait()
 			l.stop()
 			if n := l.other.Load(); name != "resets after the last byte" && n != 0 { // those are 502 while the retry budget is spent
--- a/internal/peer/cut_test.go
+++ b/internal/peer/cut_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // A node that is cut off from an address neither calls it nor has a packet come there, and others are reached; then it is whole again.
 func TestCut(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	var nodes [3]*Node
 	for i := range nodes {
 		n, err := Listen(Options{Fleet: "f", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -9,12 +9,12 @@
 	"net/http"
 	"testing"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // What one node sends the other one gets, by calls, streams and packets, and each is counted once.
 func TestTraffic(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	var nodes []*Node
 	for range 2 {
 		n, err := Listen(Options{Fleet: "f", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
@@ -60,7 +60,7 @@
 	if x.Packets != 1 || x.PacketBytes != 300 || x.Sent() != x.Out+300 {
 		t.Errorf("a packet of 300 bytes: %+v", x)
 	}
-	fakes.Eventually(t, "the other side's bytes", func() bool { y := b.Traffic(); return y.In == x.Out && y.Out == x.In })
+	testbed.Eventually(t, "the other side's bytes", func() bool { y := b.Traffic(); return y.In == x.Out && y.Out == x.In })
 	if sum := x.Plus(b.Traffic()); sum.Out != sum.In || sum.Calls != 1 || sum.Packets != 1 {
 		t.Errorf("both together: %+v", sum)
 	}
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -11,26 +11,26 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // A client has sent the first bytes of another request, and then leaves: that is seen, and what it waited for is not sent.
 func TestLeavesBehindEarlyBytes(t *testing.T) {
-	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": fakes.Reset,
+	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
 		"half closed": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }} {
 		t.Run(name, func(t *testing.T) {
-			fakes.Leaks(t)
-			b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+			testbed.Leaks(t)
+			b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 			w := start(t, nil) // no list yet: it waits
 			c := w.dial(t)
 			c.send(head("GET", "get"))
-			fakes.Eventually(t, "the request", func() bool { return w.held() == 1 })
+			testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
 			c.send("GET ")
 			k := w.conns.list()[0]
-			fakes.Eventually(t, "the early bytes to be read", func() bool { waits, _ := k.look(); return !waits })
+			testbed.Eventually(t, "the early bytes to be read", func() bool { waits, _ := k.look(); return !waits })
 			leave(c.Conn)
 			// Else the module refuses it once it has waited for too long.
-			fakes.Eventually(t, "its end to be seen", func() bool { return w.held() == 0 })
+			testbed.Eventually(t, "its end to be seen", func() bool { return w.held() == 0 })
 			if s := w.Stats(); s.Left != 1 || s.Refused != 0 {
 				t.Errorf("left %d, refused %d", s.Left, s.Refused)
 			}
@@ -50,17 +50,17 @@
 
 // The next request comes whole before the answer to the one in hand: it is served behind it, at once.
 func TestNextRequestAheadOfTheAnswer(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, nil, b.Addr)
 	for range 100 {
 		c := w.dial(t)
 		c.send(head("GET", "get"))
-		fakes.Within(t, "the request", came)
+		testbed.Within(t, "the request", came)
 		c.send(head("GET", "get"))
 		goOn <- struct{}{}
-		fakes.Within(t, "the next request", came)
+		testbed.Within(t, "the next request", came)
 		goOn <- struct{}{}
 		for range 2 {
 			if code, _, _ := c.answer(t); code != 200 {
@@ -90,8 +90,8 @@
 
 // A client left while its request waited in the kernel: it is not sent on, though its end is not read yet.
 func TestLeavesBeforeItIsRead(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	h := &heldReads{w, make(chan struct{})}
 	w.Front.router = h
@@ -108,23 +108,23 @@
 	c.(*net.TCPConn).CloseWrite()
 	served := make(chan struct{})
 	go func() { w.Serve(l); close(served) }() // only now is anything read
-	c.SetDeadline(time.Now().Add(fakes.Patience))
+	c.SetDeadline(time.Now().Add(testbed.Patience))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // it may read yet
 	close(h.goOn)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(b.Seen()) != 0 {
 		t.Errorf("%v, %v, and %d requests were sent", resp, err, len(b.Seen()))
 	}
 	c.Close()
-	fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
+	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
 	l.Close()
 	<-served
 }
 
 // What is in hand near the node's end has its one answer: a refusal only where no attempt can have run.
 func TestInHandAtTheEnd(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came := make(chan string, 9)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		buf := make([]byte, 4<<10)
 		n, _ := c.Read(buf)
 		came <- string(buf[:n])
@@ -139,7 +139,7 @@
 	} {
 		sent[name] = w.dial(t)
 		sent[name].send(text)
-		fakes.Within(t, "the request", came)
+		testbed.Within(t, "the request", came)
 	}
 	sentTo := w
 	w = start(t, nil) // one that has no list yet, and holds what comes
@@ -149,7 +149,7 @@
 	half.send(text + "bo")
 	ahead := w.dial(t) // its reader waits behind the start of another request
 	ahead.send(head("POST", "post", "Content-Length: 1") + "x")
-	fakes.Eventually(t, "them", func() bool { return w.held() == 2 })
+	testbed.Eventually(t, "them", func() bool { return w.held() == 2 })
 	ahead.send("POST ")
 	last := w.dial(t)
 	last.send("GET /get/x HTTP/1.1\r\nHost: x\r\n")
@@ -162,7 +162,7 @@
 			stopped <- struct{}{}
 		}()
 	}
-	fakes.Within(t, "the end to be near", w.atEnd)
+	testbed.Within(t, "the end to be near", w.atEnd)
 	last.send("X-Trace-Id: last\r\nX-Qos: get\r\n\r\n")
 	for name, c := range sent {
 		code, _, _ := c.answer(t)
@@ -178,8 +178,8 @@
 	if code, _, _ := last.answer(t); code == http.StatusOK { // it came too late, or was half a head
 		t.Errorf("the last one: %d", code)
 	}
-	fakes.Within(t, "the end", stopped)
-	fakes.Within(t, "the other end", stopped)
+	testbed.Within(t, "the end", stopped)
+	testbed.Within(t, "the other end", stopped)
 	if len(came) != 0 {
 		t.Errorf("sent at the end: %q", <-came)
 	}
@@ -187,10 +187,10 @@
 
 // A long answer is being passed on as the node nears its end: it goes on, and is whole.
 func TestLongAnswerOverTheEnd(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	goOn := make(chan struct{})
 	half := strings.Repeat("0123456789abcdef", 8<<10)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		c.Read(make([]byte, 4<<10))
 		io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(half), half))
 		<-goOn
@@ -209,24 +209,24 @@
 		w.Stop(ctx, w.l)
 		close(stopped)
 	}()
-	fakes.Within(t, "the end to be near", w.atEnd)
+	testbed.Within(t, "the end to be near", w.atEnd)
 	close(goOn)
 	if code, body, _ := c.answer(t); code != 200 || body != half+half {
 		t.Errorf("%d and %d bytes", code, len(body))
 	}
-	fakes.Within(t, "the end", stopped)
+	testbed.Within(t, "the end", stopped)
 }
 
 // A request comes between the look at an idle connection and its end: it is served, and the connection kept.
 func TestRequestAsItsConnectionIsShut(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get"))
 	c.answer(t)
 	k := w.conns.list()[0]
-	fakes.Eventually(t, "it to be idle", func() bool { return w.conns.idle(k) > 0 })
+	testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idle(k) > 0 })
 	shut := k.closeIdle(func() bool {
 		c.send(head("GET", "get"))
 		// However long this takes, its reader waits for the end of it. One that did not would have read by now.
@@ -246,8 +246,8 @@
 // Descriptors are short, and the client that has been idle for longest has just sent a request that nobody has read yet:
 // another one makes room.
 func TestRoomIsNotMadeOfARequest(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	c := [2]*peer{}
 	var k [2]*client
@@ -260,11 +260,11 @@
 				k[i] = x
 			}
 		}
-		fakes.Eventually(t, "it to be idle", func() bool { return w.conns.idle(k[i]) >= settled })
+		testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idle(k[i]) >= settled })
 	}
 	k[0].reading.Lock()
 	c[0].send(head("GET", "get"))
-	fakes.Eventually(t, "the request", func() bool { waits, _ := k[0].look(); return waits })
+	testbed.Eventually(t, "the request", func() bool { waits, _ := k[0].look(); return waits })
 	go k[0].reading.Unlock()
 	if !w.conns.shutOldest(settled) {
 		t.Error("no room was made")
@@ -305,8 +305,8 @@
 
 // Connections that the kernel took and the node had no time to accept are served before the listener closes.
 func TestStopEmptiesTheBacklog(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -315,7 +315,7 @@
 	h := &heldListener{TCPListener: l.(*net.TCPListener), ends: make(chan struct{})}
 	served := make(chan struct{})
 	go func() { w.ServeAs("held", h); close(served) }()
-	fakes.Eventually(t, "both to serve", func() bool { return w.serving.Load() == 2 })
+	testbed.Eventually(t, "both to serve", func() bool { return w.serving.Load() == 2 })
 	var c []*peer
 	for range 20 {
 		k, err := net.Dial("tcp", l.Addr().String())
@@ -327,12 +327,12 @@
 		p.send(head("GET", "get"))
 		c = append(c, p)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
 	w.Stop(ctx, h, w.l)
-	fakes.Within(t, "the end of serving", served)
+	testbed.Within(t, "the end of serving", served)
 	for i, p := range c {
-		p.SetDeadline(time.Now().Add(fakes.Patience))
+		p.SetDeadline(time.Now().Add(testbed.Patience))
 		// A burst may be refused in part; none may end without an answer.
 		if text, err := io.ReadAll(p); !strings.HasPrefix(string(text), "HTTP/1.1 200") && !strings.HasPrefix(string(text), "HTTP/1.1 503") {
 			t.Errorf("connection %d: %q, %v", i, text, err)
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"robindrum/internal/backend"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // Clients that say nothing connect faster than any of them gets old: on a clock that all but stands still. One whose request is a
 // moment behind its connection is not shut for that, as the oldest of the silent ones make room, and neither is one whose request
 // waits; the descriptors are never more than there are.
 func TestRoomIsMadeByTheOldestOfTheSilent(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 16
 		budget := backend.NewBudget(limit)
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"robindrum/internal/backend"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // holdReaders has nothing more read from the clients there are until it is ended: as on a node so busy that the goroutines
@@ -31,7 +31,7 @@
 
 var leaves = map[string]func(net.Conn){
 	"closed":      func(c net.Conn) { c.Close() },
-	"reset":       fakes.Reset,
+	"reset":       testbed.Reset,
 	"half closed": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 }
 
@@ -42,15 +42,15 @@
 	places := map[string]func(t *testing.T, came chan string) (w *world, c *peer, goOn func()){
 		"held by the module": func(t *testing.T, came chan string) (*world, *peer, func()) {
 			w := start(t, nil) // no list yet
-			b := fakes.NewPeer(t, wholes(came))
+			b := testbed.NewPeer(t, wholes(came))
 			c := w.dial(t)
 			c.send(head("GET", "get"))
-			fakes.Eventually(t, "the request", func() bool { return w.held() == 1 })
+			testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
 			return w, c, func() { w.list(b.Addr) }
 		},
 		"between an outcome and its retry": func(t *testing.T, came chan string) (*world, *peer, func()) {
 			first, goOn := make(chan struct{}, 1), make(chan struct{})
-			b := fakes.NewBackend(t, func(s fakes.Seen, n int) string {
+			b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
 				if n == 0 {
 					first <- struct{}{}
 					<-goOn
@@ -62,12 +62,12 @@
 			w := start(t, nil, b.Addr, b.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get"))
-			fakes.Within(t, "the first attempt", first)
+			testbed.Within(t, "the first attempt", first)
 			return w, c, func() { close(goOn) }
 		},
 		"between a hedge's timer and its send": func(t *testing.T, came chan string) (*world, *peer, func()) {
 			first := make(chan struct{}, 1)
-			b := fakes.NewPeer(t, func(c net.Conn, n int) {
+			b := testbed.NewPeer(t, func(c net.Conn, n int) {
 				if n > 0 {
 					wholes(came)(c, n)
 					return
@@ -79,7 +79,7 @@
 			w := start(t, func(o *Options) { o.Settings.ParallelTries = true }, b.Addr, b.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get", "X-Trace-Id: q"))
-			fakes.Within(t, "the first attempt", first)
+			testbed.Within(t, "the first attempt", first)
 			return w, c, func() {
 				w.mu.Lock()
 				defer w.mu.Unlock()
@@ -87,26 +87,26 @@
 			}
 		},
 		"in a dial": func(t *testing.T, came chan string) (*world, *peer, func()) {
-			l := fakes.NewLate(t, wholes(came))
+			l := testbed.NewLate(t, wholes(came))
 			w := start(t, nil, l.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get"))
-			fakes.Eventually(t, "the attempt", func() bool { return w.Stats().Sends == 1 })
+			testbed.Eventually(t, "the attempt", func() bool { return w.Stats().Sends == 1 })
 			return w, c, l.Open
 		},
 	}
 	for place, at := range places {
 		for how, leave := range leaves {
 			t.Run(place+", "+how, func(t *testing.T) {
-				fakes.Leaks(t)
+				testbed.Leaks(t)
 				came := make(chan string, 9)
 				w, c, goOn := at(t, came)
 				read := w.holdReaders(t)
 				leave(c.Conn)
 				goOn()
-				fakes.Eventually(t, "its end to be seen", func() bool { return w.Stats().Left == 1 })
+				testbed.Eventually(t, "its end to be seen", func() bool { return w.Stats().Left == 1 })
 				read()
-				fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
+				testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
 				if len(came) != 0 {
 					t.Errorf("sent on: %q", <-came)
 				}
@@ -122,13 +122,13 @@
 func TestGoneInTheBody(t *testing.T) {
 	for how, leave := range leaves {
 		t.Run(how, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			came := make(chan string, 9)
-			b := fakes.NewPeer(t, wholes(came))
+			b := testbed.NewPeer(t, wholes(came))
 			w := start(t, nil, b.Addr)
 			c := w.dial(t)
 			c.send(head("POST", "put", "Idempotency-Key: k", "Content-Length: 4") + "bo")
-			fakes.Eventually(t, "the body's begin to be read", func() bool {
+			testbed.Eventually(t, "the body's begin to be read", func() bool {
 				l := w.conns.list()
 				if len(l) == 0 {
 					return false
@@ -137,7 +137,7 @@
 				return !waits && l[0].served.Load()
 			})
 			leave(c.Conn)
-			fakes.Eventually(t, "its end to be seen", func() bool { return w.Conns() == 0 })
+			testbed.Eventually(t, "its end to be seen", func() bool { return w.Conns() == 0 })
 			if s := w.Stats(); s.Taken != 0 || len(came) != 0 {
 				t.Errorf("%d taken, %d sent on", s.Taken, len(came))
 			}
@@ -168,14 +168,14 @@
 	places := map[string]func(t *testing.T, script func(net.Conn, int)) place{
 		"held by the module": func(t *testing.T, script func(net.Conn, int)) place {
 			w := start(t, shape) // no list yet
-			b := fakes.NewPeer(t, script)
+			b := testbed.NewPeer(t, script)
 			return place{w, nil, func() bool { return w.held() == many }, func() { w.list(b.Addr) }}
 		},
 		"unread in their sockets": func(t *testing.T, script func(net.Conn, int)) place {
-			w := start(t, shape, fakes.NewPeer(t, script).Addr)
+			w := start(t, shape, testbed.NewPeer(t, script).Addr)
 			var read func()
 			return place{w, func([]*peer) {
-				fakes.Eventually(t, "them", func() bool { return w.Conns() == many })
+				testbed.Eventually(t, "them", func() bool { return w.Conns() == many })
 				read = w.holdReaders(t)
 			}, func() bool {
 				for _, k := range w.conns.list() {
@@ -187,7 +187,7 @@
 			}, func() { read() }}
 		},
 		"read, before the module has them": func(t *testing.T, script func(net.Conn, int)) place {
-			w := start(t, shape, fakes.NewPeer(t, script).Addr)
+			w := start(t, shape, testbed.NewPeer(t, script).Addr)
 			unlock := sync.OnceFunc(w.mu.Unlock)
 			return place{w, func([]*peer) {
 				w.mu.Lock()
@@ -203,7 +203,7 @@
 			}, unlock}
 		},
 		"in their dials": func(t *testing.T, script func(net.Conn, int)) place {
-			l := fakes.NewLate(t, script)
+			l := testbed.NewLate(t, script)
 			w := start(t, shape, slices.Repeat([]string{l.Addr}, 60)...)
 			// The module sends no more than some 60 to servers that have answered nothing yet; it refuses the others.
 			// A retry is a send too: that all are there is told by what was taken.
@@ -215,7 +215,7 @@
 	}
 	for name, at := range places {
 		t.Run(name, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			sent := map[string]int{}
 			came := make(chan string, 2*many)
 			p := at(t, wholes(came))
@@ -230,7 +230,7 @@
 			for i, c := range all {
 				c.send(head("GET", "get", fmt.Sprint("X-Trace-Id: gone", i)))
 			}
-			fakes.Eventually(t, "them to stand there", p.stand)
+			testbed.Eventually(t, "them to stand there", p.stand)
 			read := func() {}
 			if name != "unread in their sockets" {
 				read = w.holdReaders(t)
@@ -240,7 +240,7 @@
 			}
 			p.goOn()
 			if name == "in their dials" { // the kernel has them come up in the course of seconds: some before this, the rest behind it
-				fakes.Eventually(t, "an end to be seen", func() bool { return w.Stats().Left > 0 })
+				testbed.Eventually(t, "an end to be seen", func() bool { return w.Stats().Left > 0 })
 				read()
 			}
 			for code, i := 0, 0; code != 200; i++ { // the module may refuse some, as it has served nothing yet
@@ -250,10 +250,10 @@
 				c.Close()
 			}
 			if name != "unread in their sockets" {
-				fakes.Eventually(t, "their end", func() bool { s := w.Stats(); return s.Left+s.Refused >= many })
+				testbed.Eventually(t, "their end", func() bool { s := w.Stats(); return s.Left+s.Refused >= many })
 			}
 			read()
-			fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
+			testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
 			for len(came) > 0 {
 				_, id, _ := strings.Cut(<-came, "X-Trace-Id: ")
 				id, _, _ = strings.Cut(id, "\r\n")
--- a/internal/proxy/node_test.go
+++ b/internal/proxy/node_test.go
@@ -18,7 +18,7 @@
 	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -36,10 +36,10 @@
 	t.Helper()
 	s := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true,
 		Classes: []balancer.Class{
-			{Name: "get", Deadline: fakes.Patience, Effect: balancer.Safe, Worth: 1},
+			{Name: "get", Deadline: testbed.Patience, Effect: balancer.Safe, Worth: 1},
 			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: balancer.Safe, Worth: 1},
-			{Name: "put", Deadline: fakes.Patience, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: time.Minute, Worth: 1},
-			{Name: "post", Deadline: fakes.Patience, Effect: balancer.Unsafe, Worth: 1},
+			{Name: "put", Deadline: testbed.Patience, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: time.Minute, Worth: 1},
+			{Name: "post", Deadline: testbed.Patience, Effect: balancer.Unsafe, Worth: 1},
 		}}
 	w := &world{budget: backend.NewBudget(64), served: make(chan struct{})}
 	opt := Options{Settings: s, Seed: 1, BodyBytes: 64 << 20, Budget: w.budget}
@@ -47,7 +47,7 @@
 		shape(&opt)
 		w.budget = opt.Budget
 	}
-	pool := backend.NewPool(backend.Options{ConnectTimeout: fakes.Patience, IdleTimeout: time.Hour}, w.budget)
+	pool := backend.NewPool(backend.Options{ConnectTimeout: testbed.Patience, IdleTimeout: time.Hour}, w.budget)
 	var err error
 	if w.Node, err = New(opt, pool); err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	t.Cleanup(func() {
 		w.stopping.Store(true)
 		w.l.Close()
-		fakes.Within(t, "the end of serving", w.served)
+		testbed.Within(t, "the end of serving", w.served)
 		w.Close()
 		w.conns.drained()
 	})
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(fakes.Patience))
+	c.SetDeadline(time.Now().Add(testbed.Patience))
 	t.Cleanup(func() { c.Close() })
 	return &peer{c, bufio.NewReader(c)}
 }
@@ -147,8 +147,8 @@
 }
 
 func TestServes(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(s fakes.Seen, n int) string {
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-B: %d\r\nContent-Length: %d\r\n\r\n%s", n, len(s.Text), s.Text)
 	})
 	w := start(t, nil, b.Addr)
@@ -179,8 +179,8 @@
 }
 
 func TestReady(t *testing.T) {
-	fakes.Leaks(t)
-	w := start(t, nil, fakes.Refusing(t))
+	testbed.Leaks(t)
+	w := start(t, nil, testbed.Refusing(t))
 	c := w.dial(t)
 	c.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	if code, _, _ := c.answer(t); code != 200 {
@@ -194,8 +194,8 @@
 }
 
 func TestBadInput(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	hidden := "0\r\n\r\n" + head("GET", "get", "X-Trace-Id: hidden")
 	for name, c := range map[string]struct {
@@ -260,7 +260,7 @@
 
 // A client that says nothing, or stops in the middle of a request, is not kept for long.
 func TestSilentClientsEnd(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, nil)
 	began := time.Now()
 	peers := map[string]*peer{"": nil, "GET /get": nil, head("POST", "put", "Content-Length: 9") + "half": nil}
@@ -286,9 +286,9 @@
 // Day term 405155058601: a node that forgot the client's own time answered when the client had long left. What
 // the client says reaches the module, and the backend hears what is left of it.
 func TestClientsTimeCounts(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
-	silent := fakes.NewPeer(t, func(c net.Conn, _ int) { io.Copy(io.Discard, c) })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	silent := testbed.NewPeer(t, func(c net.Conn, _ int) { io.Copy(io.Discard, c) })
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get", "X-Expires-In-Ms: 4800"))
@@ -307,13 +307,13 @@
 
 // An id that is still in hand is not sent again, also after its answer while an attempt is out.
 func TestIDInHand(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 1), make(chan struct{})
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, nil, b.Addr)
 	one, two := w.dial(t), w.dial(t)
 	one.send(head("GET", "get", "X-Trace-Id: same"))
-	fakes.Within(t, "the request", came)
+	testbed.Within(t, "the request", came)
 	two.send(head("GET", "get", "X-Trace-Id: same"))
 	if code, _, _ := two.answer(t); code != 409 {
 		t.Errorf("%d", code)
@@ -326,11 +326,11 @@
 
 // A refusal carries the module's advice, in seconds with decimals.
 func TestRetryAfter(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, nil)
 	c := w.dial(t)
 	c.send(head("GET", "get"))
-	fakes.Eventually(t, "the request", func() bool { return w.held() == 1 })
+	testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
 	w.do(func(time.Duration) {
 		for id := range w.requests {
 			(*host)(w.Core).Refuse(id, 40*time.Millisecond)
@@ -342,13 +342,13 @@
 }
 
 func TestMaxOpen(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 1), make(chan struct{})
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, func(o *Options) { o.MaxOpen = 1 }, b.Addr)
 	one, two := w.dial(t), w.dial(t)
 	one.send(head("GET", "get"))
-	fakes.Within(t, "the request", came)
+	testbed.Within(t, "the request", came)
 	two.send(head("GET", "get"))
 	if code, _, _ := two.answer(t); code != 503 {
 		t.Errorf("%d", code)
@@ -361,9 +361,9 @@
 
 // A backend's own refusal is not the client's: it promises what only the module can tell.
 func TestBackendsRefusalIsNotPassedOn(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for _, reply := range []string{"429 Slow", "503 Full"} {
-		b := fakes.NewBackend(t, func(fakes.Seen, int) string {
+		b := testbed.NewBackend(t, func(testbed.Seen, int) string {
 			return "HTTP/1.1 " + reply + "\r\nContent-Length: 0\r\n\r\n"
 		})
 		w := start(t, nil, b.Addr)
@@ -380,9 +380,9 @@
 
 // An attempt ends at the client's deadline, and the client is told; the backend sees it given up.
 func TestDeadline(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	ended := make(chan struct{}, 1)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		io.Copy(io.Discard, c)
 		ended <- struct{}{}
 	})
@@ -392,38 +392,38 @@
 	if code, _, _ := c.answer(t); code != 503 { // safe to repeat
 		t.Errorf("%d", code)
 	}
-	fakes.Within(t, "the backend to see it", ended)
-	fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+	testbed.Within(t, "the backend to see it", ended)
+	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 }
 
 func TestClientLeaves(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, ended := make(chan struct{}, 1), make(chan struct{}, 1)
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		c.Read(make([]byte, 4<<10))
 		came <- struct{}{}
 		io.Copy(io.Discard, c)
 		ended <- struct{}{}
 	})
 	w := start(t, nil, b.Addr)
-	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": fakes.Reset,
+	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
 		"half closed": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }} {
 		c := w.dial(t)
 		c.send(head("POST", "put", "Idempotency-Key: k", "Content-Length: 1") + "x")
-		fakes.Within(t, "the request", came)
+		testbed.Within(t, "the request", came)
 		leave(c.Conn)
-		fakes.Within(t, "the attempt to be given up", ended)
+		testbed.Within(t, "the attempt to be given up", ended)
 		if name == "half closed" { // it may still read, and what it is told must promise nothing
 			if code, _, _ := c.answer(t); code == 200 || code == 429 || code == 503 {
 				t.Errorf("%s: %d", name, code)
 			}
 		}
-		fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 	}
 }
 
 func TestLongAnswer(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	long := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB
 	for name, reply := range map[string]string{
 		"sized":        fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
@@ -432,7 +432,7 @@
 		"chunked, cut": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long),
 	} {
 		n := 0
-		b := fakes.NewPeer(t, func(c net.Conn, k int) {
+		b := testbed.NewPeer(t, func(c net.Conn, k int) {
 			n++
 			http.ReadRequest(bufio.NewReader(c))
 			io.WriteString(c, reply)
@@ -448,7 +448,7 @@
 		if cut := strings.Contains(name, "cut"); cut != (err != nil) || !cut && string(body) != long {
 			t.Errorf("%s: %d bytes, %v", name, len(body), err)
 		}
-		fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 		if b.Conns() != 1 {
 			t.Errorf("%s: sent %d times", name, b.Conns())
 		}
@@ -457,12 +457,12 @@
 
 // Bodies together stay within the budget; one that finds no room is refused, as nothing of it was sent on.
 func TestBodyBudget(t *testing.T) {
-	fakes.Leaks(t)
-	b := fakes.NewBackend(t, func(s fakes.Seen, n int) string { return ok })
+	testbed.Leaks(t)
+	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string { return ok })
 	w := start(t, func(o *Options) { o.BodyBytes = 64 << 10 }, b.Addr)
 	slow := w.dial(t)
 	slow.send(head("POST", "put", "Content-Length: 60000") + strings.Repeat("x", 50000))
-	fakes.Eventually(t, "the budget to be used", func() bool { return w.bodies.left.Load() < 10<<10 })
+	testbed.Eventually(t, "the budget to be used", func() bool { return w.bodies.left.Load() < 10<<10 })
 	c := w.dial(t)
 	go c.send(head("POST", "put", "Content-Length: 60000") + strings.Repeat("x", 60000))
 	if code, _, _ := c.answer(t); code != 503 {
@@ -472,32 +472,32 @@
 	if code, _, _ := slow.answer(t); code != 200 {
 		t.Errorf("the slow one: %d", code)
 	}
-	fakes.Eventually(t, "the budget to be free", func() bool { return w.bodies.left.Load() == 64<<10 })
+	testbed.Eventually(t, "the budget to be free", func() bool { return w.bodies.left.Load() == 64<<10 })
 }
 
 // A node that is stopped goes on accepting for as long as connections still come, then answers what it holds.
 func TestStop(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, nil, b.Addr)
 	idle, busy, half := w.dial(t), w.dial(t), w.dial(t)
 	busy.send(head("GET", "get"))
-	fakes.Within(t, "the request", came)
+	testbed.Within(t, "the request", came)
 	text := head("POST", "put", "Idempotency-Key: k", "Content-Length: 4") + "body"
 	half.send(text[:len(text)-3])
 	stopped := make(chan struct{})
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 		defer cancel()
 		w.Stop(ctx, w.l)
 		close(stopped)
 	}()
-	fakes.Eventually(t, "the stop", w.stopping.Load)
+	testbed.Eventually(t, "the stop", w.stopping.Load)
 	late := w.dial(t)
 	late.send(head("GET", "get"))
-	fakes.Within(t, "the late request", came)
-	fakes.Eventually(t, "the listener to close", func() bool {
+	testbed.Within(t, "the late request", came)
+	testbed.Eventually(t, "the listener to close", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
 			c.Close()
@@ -505,7 +505,7 @@
 		return err != nil
 	})
 	half.send(text[len(text)-3:])
-	fakes.Within(t, "the half-sent request", came)
+	testbed.Within(t, "the half-sent request", came)
 	close(goOn)
 	for name, c := range map[string]*peer{"busy": busy, "late": late, "half": half} {
 		code, body, h := c.answer(t)
@@ -519,12 +519,12 @@
 	if !idle.closed() {
 		t.Error("the idle connection is kept")
 	}
-	fakes.Within(t, "the end", stopped)
+	testbed.Within(t, "the end", stopped)
 }
 
 // The guard fails what the module leaves unanswered, and says nothing of whether it ran.
 func TestGuard(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	w := start(t, nil)
 	for _, early := range []string{"", "G"} { // with and without a next request that comes too early
 		c := w.dial(t)
@@ -532,7 +532,7 @@
 		c.send(head("GET", "brief"))
 		var q *request
 		w.mu.Unlock()
-		fakes.Eventually(t, "the request", func() bool {
+		testbed.Eventually(t, "the request", func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			for _, r := range w.requests {
@@ -547,7 +547,7 @@
 		if code, _, _ := c.answer(t); code != http.StatusBadGateway {
 			t.Errorf("%d", code)
 		}
-		fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.open == 0 })
+		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.open == 0 })
 	}
 }
 
@@ -559,7 +559,7 @@
 	f.Add([]byte("OPTIONS * HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\n\r\n"))
 	f.Add([]byte("GET //x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: get\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+		b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 		w := start(t, nil, b.Addr)
 		c := w.dial(t)
 		c.Write(text)
@@ -569,7 +569,7 @@
 		if out.Len() > 0 && !bytes.HasPrefix(out.Bytes(), []byte("HTTP/1.")) {
 			t.Errorf("answered %q", out.Bytes())
 		}
-		fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 	})
 }
 
@@ -583,9 +583,9 @@
 
 // Incident r69d8ed: answers that take long to send are no reason to refuse what idle backends could do.
 func TestLongAnswersDoNotCrowdOut(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	over := make(chan struct{})
-	b := fakes.NewPeer(t, func(c net.Conn, _ int) {
+	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		for r := bufio.NewReader(c); ; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -628,7 +628,7 @@
 // Incident r69d8ed again: the copy that lost ends while the other's long answer is passed on. That is no reason
 // to cut it off.
 func TestLosingCopyLeavesTheLongAnswer(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	long := strings.Repeat("x", 100<<10)
 	var copies atomic.Int64
 	lost := make(chan struct{}, 2)
@@ -656,7 +656,7 @@
 	w := start(t, func(o *Options) {
 		o.Settings.ParallelTries = true
 		o.Settings.Classes[0].Aim = 20 * time.Millisecond
-	}, fakes.NewPeer(t, script).Addr, fakes.NewPeer(t, script).Addr)
+	}, testbed.NewPeer(t, script).Addr, testbed.NewPeer(t, script).Addr)
 	c := w.dial(t)
 	for range 30 { // so that the module knows how long an answer takes
 		c.send(head("GET", "get"))
@@ -673,7 +673,7 @@
 
 // An answer whose body breaks off is none, whatever its head said.
 func TestBrokenAnswerIsNotServed(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	for name, text := range map[string]string{
 		"short":        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"no body":      "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n",
@@ -681,7 +681,7 @@
 		"spoilt chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
 		"without end":  "HTTP/1.1 200 OK\r\n\r\nhalf",
 	} {
-		b := fakes.NewPeer(t, func(c net.Conn, n int) {
+		b := testbed.NewPeer(t, func(c net.Conn, n int) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 				io.WriteString(c, text)
 			}
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -10,7 +10,7 @@
 
 	"robindrum/balancer"
 	"robindrum/internal/backend"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // wholes sends to came each request that came whole, and answers it.
@@ -36,10 +36,10 @@
 func TestOverWhileDialing(t *testing.T) {
 	for _, name := range []string{"client gone", "expired", "answered by a copy"} {
 		t.Run(name, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			late, came := make(chan string, 9), make(chan string, 9)
-			l := fakes.NewLate(t, wholes(late))
-			b := fakes.NewPeer(t, wholes(came))
+			l := testbed.NewLate(t, wholes(late))
+			b := testbed.NewPeer(t, wholes(came))
 			w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelTries = false, true }, l.Addr)
 			c := w.dial(t)
 			class := "get"
@@ -48,7 +48,7 @@
 			}
 			c.send(head("GET", class, "X-Trace-Id: q"))
 			var q *request
-			fakes.Eventually(t, "the attempt", func() bool {
+			testbed.Eventually(t, "the attempt", func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				q = w.requests["q"]
@@ -63,10 +63,10 @@
 				(*host)(w.Core).Send("q", "s1", 0)
 				w.mu.Unlock()
 			}
-			fakes.Within(t, "the request's end", q.Done())
+			testbed.Within(t, "the request's end", q.Done())
 			l.Open()
 			// The dial ends, or the connection comes up after all: either way nothing may be written on it.
-			fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+			testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 			if len(late) != 0 {
 				t.Errorf("sent after its end: %q", <-late)
 			}
@@ -76,9 +76,9 @@
 
 // A copy is granted in the moment of the answer, behind it: nothing goes out.
 func TestCopyInTheMomentOfTheAnswer(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
-	b := fakes.NewPeer(t, func(c net.Conn, n int) {
+	b := testbed.NewPeer(t, func(c net.Conn, n int) {
 		if n > 0 {
 			wholes(came)(c, n)
 			return
@@ -93,7 +93,7 @@
 	w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelTries = false, true }, b.Addr, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get", "X-Trace-Id: q"))
-	fakes.Within(t, "the request", came)
+	testbed.Within(t, "the request", came)
 	w.mu.Lock()
 	q := w.requests["q"]
 	w.settle(q, Answer{Status: http.StatusBadGateway})
@@ -107,7 +107,7 @@
 		t.Errorf("%d", code)
 	}
 	close(goOn)
-	fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 	if len(came) != 0 {
 		t.Errorf("sent after the answer: %q", <-came)
 	}
@@ -115,15 +115,15 @@
 
 // What one attempt leaves on a connection does not reach the next one: a cancel at each step of the exchange.
 func TestCancelAtEachStep(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	budget := backend.NewBudget(8)
-	p := backend.NewPool(backend.Options{ConnectTimeout: fakes.Patience, IdleTimeout: time.Hour}, budget)
+	p := backend.NewPool(backend.Options{ConnectTimeout: testbed.Patience, IdleTimeout: time.Hour}, budget)
 	defer p.Close()
-	b := fakes.NewBackend(t, func(fakes.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	up := p.Upstream(b.Addr, 0)
 	nobody := func(int, http.Header, int64) io.Writer { return nil }
 	for i := range 400 {
-		a := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(fakes.Patience))
+		a := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(testbed.Patience))
 		cancelled := make(chan struct{})
 		go func() {
 			time.Sleep(time.Duration(i%100) * 2 * time.Microsecond)
@@ -139,7 +139,7 @@
 			t.Fatalf("result %d", r.Result)
 		}
 		<-cancelled
-		if r := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(fakes.Patience)).Do(nobody); r.Result != balancer.Served {
+		if r := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(testbed.Patience)).Do(nobody); r.Result != balancer.Served {
 			t.Fatalf("the next one: %d", r.Result)
 		}
 		if n := budget.Used(); n > 1 {
@@ -151,10 +151,10 @@
 // A backend comes back under its id, at another address or newly started, while an attempt to the old one is out: that one
 // ends as it would have, new ones go to the new one, and each is counted once.
 func TestBackUnderItsID(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
-	backendOf := func(name string, held bool) *fakes.Backend {
-		return fakes.NewBackend(t, func(fakes.Seen, int) string {
+	backendOf := func(name string, held bool) *testbed.Backend {
+		return testbed.NewBackend(t, func(testbed.Seen, int) string {
 			if came <- name; held {
 				<-goOn
 			}
@@ -165,7 +165,7 @@
 	w := start(t, nil, old.Addr)
 	first, second := w.dial(t), w.dial(t)
 	first.send(head("GET", "get"))
-	if name := fakes.Within(t, "the request", came); name != "old" {
+	if name := testbed.Within(t, "the request", came); name != "old" {
 		t.Fatal(name)
 	}
 	inFlight := func() (n int) {
@@ -177,7 +177,7 @@
 		t.Errorf("%d in flight", n)
 	}
 	second.send(head("GET", "get"))
-	if name := fakes.Within(t, "the next request", came); name != "new" {
+	if name := testbed.Within(t, "the next request", came); name != "new" {
 		t.Errorf("sent to the %s one", name)
 	}
 	second.answer(t)
@@ -185,9 +185,9 @@
 	if code, _, _ := first.answer(t); code != 200 {
 		t.Errorf("%d", code)
 	}
-	fakes.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 	if n := inFlight(); n != 0 {
 		t.Errorf("%d in flight at the end", n)
 	}
-	fakes.Eventually(t, "the old one's connections to be gone", func() bool { return w.budget.Used() == 3 })
+	testbed.Eventually(t, "the old one's connections to be gone", func() bool { return w.budget.Used() == 3 })
 }
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -17,7 +17,7 @@
 	"robindrum/balancer"
 	"robindrum/internal/backend"
 	"robindrum/internal/discovery"
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // The clocks of clients and backends, and how long a busy machine may take between two of their readings.
@@ -271,7 +271,7 @@
 			s.add(q)
 			continue
 		}
-		c.SetReadDeadline(time.Now().Add(fakes.Patience))
+		c.SetReadDeadline(time.Now().Add(testbed.Patience))
 		if resp, err := http.ReadResponse(r, nil); err == nil {
 			text, err := io.ReadAll(resp.Body)
 			if q.at = time.Now(); err == nil {
@@ -310,11 +310,11 @@
 		server := balancer.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%2), Cell: i % 4 / 2, Weight: 1}
 		s.servers = append(s.servers, server)
 		u.Servers = append(u.Servers, server)
-		u.Endpoints[server.ID] = fakes.NewPeer(t, s.serve(server, rng.Uint64())).Addr
+		u.Endpoints[server.ID] = testbed.NewPeer(t, s.serve(server, rng.Uint64())).Addr
 	}
 	if rng.IntN(2) == 0 { // and one that refuses
 		u.Servers = append(u.Servers, balancer.Server{ID: "none", Zone: "z0", Weight: 1})
-		u.Endpoints["none"] = fakes.Refusing(t)
+		u.Endpoints["none"] = testbed.Refusing(t)
 	}
 	n.Fleet(u)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -337,7 +337,7 @@
 	s.audit.drained[drained.ID] = time.Now()
 	s.mu.Unlock()
 	all.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
 	n.Stop(ctx, l)
 	<-served
@@ -357,7 +357,7 @@
 func TestAnySettings(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			rng := rand.New(rand.NewPCG(seed, 0x736974))
 			s := drawn(rng)
 			for _, f := range s.play(t, rng, s.set) {
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
 	"robindrum/internal/peer"
+	"robindrum/internal/testbed"
 )
 
 // standIns are three voters that answer as they are told: at is which of them, n how many asks there were.
@@ -50,7 +50,7 @@
 
 // While voters elect a leader each says at once that it is none. Danger: rounds that are counted end before an election can.
 func TestElectionLongerThanThreeRoundsOfAsks(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	c, asked := standIns(t, 200*time.Millisecond, func(_, n int, _ []Voter) (reply, error) {
 		if n < 13 {
 			return reply{Why: NotLeader}, nil
@@ -74,7 +74,7 @@
 		"they are full": func(int, int, []Voter) (reply, error) { return reply{}, errors.New("busy") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			fakes.Leaks(t)
+			testbed.Leaks(t)
 			c, asked := standIns(t, attempt, answer)
 			began := time.Now()
 			_, _, err := c.Do(t.Context(), Command{Op: Ask})
@@ -92,7 +92,7 @@
 
 // A caller that has less time than that is kept to it.
 func TestNoLeaderInACallersTime(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	c, _ := standIns(t, time.Second, func(int, int, []Voter) (reply, error) { return reply{Why: NotLeader}, nil })
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
--- a/internal/quorum/former_test.go
+++ b/internal/quorum/former_test.go
@@ -12,9 +12,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/fakes"
 	"robindrum/internal/lease"
 	"robindrum/internal/peer"
+	"robindrum/internal/testbed"
 )
 
 // formerFolder copies the folder of a voter that an earlier version wrote (tools/fixtures/write).
@@ -90,7 +90,7 @@
 // TestFormerFolderVotes opens a voter's folder of an earlier version and has it lead: tokens go on rising, and leases, drains and the
 // release go on from where they stood.
 func TestFormerFolderVotes(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	node, err := peer.Listen(peer.Options{Fleet: "test", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 	defer s.Close()
 	node.Serve()
 	s.Start()
-	fakes.Eventually(t, "a leader", s.leading.Load)
+	testbed.Eventually(t, "a leader", s.leading.Load)
 	s.state.mu.Lock()
 	before := s.state.table.Last
 	s.state.mu.Unlock()
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -14,9 +14,9 @@
 	"github.com/hashicorp/raft"
 	"pgregory.net/rapid"
 
-	"robindrum/internal/fakes"
 	"robindrum/internal/lease"
 	"robindrum/internal/peer"
+	"robindrum/internal/testbed"
 )
 
 // faulty is a disk that fails where it is told to.
@@ -73,7 +73,7 @@
 	}
 	start := time.Now()
 	c = NewClient(l[0].node, voters, time.Second, func() time.Duration { return time.Since(start) })
-	fakes.Eventually(t, "a leader", func() bool { return leads(l) != nil })
+	testbed.Eventually(t, "a leader", func() bool { return leads(l) != nil })
 	return l, c
 }
 
@@ -97,14 +97,14 @@
 
 // An fsync that fails once: the voter says so and never votes again, also when it is started again; the other two go on.
 func TestFsyncThatFailedOnce(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	l, c := three(t)
 	first := acquire(t, c, "a").Grant.Token
 	bad := leads(l)
 	why := errors.New("fsync: input/output error")
 	bad.disk.after.Store(&why)
-	fakes.Eventually(t, "another leader", func() bool { acquire(t, c, "b"); v := leads(l); return v != nil && v != bad })
-	fakes.Eventually(t, "it says so", func() bool { return strings.Contains(bad.Stopped(), "input/output") && bad.Status().State == "stopped" })
+	testbed.Eventually(t, "another leader", func() bool { acquire(t, c, "b"); v := leads(l); return v != nil && v != bad })
+	testbed.Eventually(t, "it says so", func() bool { return strings.Contains(bad.Stopped(), "input/output") && bad.Status().State == "stopped" })
 	if got := acquire(t, c, "c").Grant.Token; got <= first {
 		t.Errorf("token %d behind %d", got, first)
 	}
@@ -121,7 +121,7 @@
 
 // A promise that cannot be written is not made: the goroutine that would have made it ends, and the process does not.
 func TestPromiseThatCannotBeWritten(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	l, c := three(t)
 	acquire(t, c, "a")
 	follower := l[0]
@@ -136,8 +136,8 @@
 		_ = follower.guard.SetUint64([]byte("CurrentTerm"), 99)
 		t.Error("promised")
 	}()
-	fakes.Within(t, "its end", ended)
-	fakes.Eventually(t, "it says so", func() bool { return strings.Contains(follower.Stopped(), "no space") })
+	testbed.Within(t, "its end", ended)
+	testbed.Eventually(t, "it says so", func() bool { return strings.Contains(follower.Stopped(), "no space") })
 	if _, err := os.Stat(filepath.Join(follower.dir, failedFile)); err == nil {
 		t.Error("nothing was written, so nothing is lost: with space it may vote again")
 	}
@@ -146,7 +146,7 @@
 
 // A slow disk of one voter holds nobody up.
 func TestSlowDisk(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	l, c := three(t)
 	for _, v := range l {
 		if v != leads(l) {
@@ -278,7 +278,7 @@
 
 // A voter that starts again has from its snapshot what was agreed, and tokens go on rising.
 func TestSnapshotAndRestart(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	l, c := three(t)
 	first := acquire(t, c, "a").Grant.Token
 	for _, v := range l {
@@ -288,7 +288,7 @@
 	}
 	old := leads(l)
 	old.Close()
-	fakes.Eventually(t, "another leader", func() bool { v := leads(l); return v != nil && v != old })
+	testbed.Eventually(t, "another leader", func() bool { v := leads(l); return v != nil && v != old })
 	n, err := peer.Listen(peer.Options{Fleet: "test", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
@@ -309,7 +309,7 @@
 
 // While a voter is known to be of an earlier version nothing is agreed on that it would skip; leases go on.
 func TestVoterOfAnEarlierVersion(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	l, c := three(t)
 	for _, v := range l {
 		v.behind.Store("v9", 1)
@@ -324,7 +324,7 @@
 	if r, _, err := c.Do(t.Context(), Command{Op: Put, Digest: "d", Text: "t"}); err != nil || r.Err() != nil {
 		t.Errorf("%+v, %v", r, err)
 	}
-	fakes.Eventually(t, "what the voters say of themselves", func() bool {
+	testbed.Eventually(t, "what the voters say of themselves", func() bool {
 		for _, v := range l {
 			if _, old := v.behind.Load("v1"); old || v.Status().Knows != entries {
 				return false
@@ -337,7 +337,7 @@
 // A leader whose first entry does not get through, as its disk is too slow just then, tries until it does: else it would lead by
 // Raft's word and answer nobody.
 func TestLeadingIsTriedAgain(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	l, c := three(t)
 	acquire(t, c, "a")
 	v := leads(l)
@@ -347,13 +347,13 @@
 		defer close(busy)
 		_, _ = v.propose(Command{Op: Forget}) // which holds up what comes behind it
 	}()
-	fakes.Eventually(t, "its disk to be busy", func() bool { return v.disk.busy.Load() > 0 })
+	testbed.Eventually(t, "its disk to be busy", func() bool { return v.disk.busy.Load() > 0 })
 	v.lead <- true
-	fakes.Eventually(t, "a first try", func() bool { return !v.leading.Load() })
+	testbed.Eventually(t, "a first try", func() bool { return !v.leading.Load() })
 	time.Sleep(400 * time.Millisecond) // longer than a try waits for its turn
 	v.disk.slow.Store(0)
 	<-busy
-	fakes.Eventually(t, "a leader", func() bool { return leads(l) != nil })
+	testbed.Eventually(t, "a leader", func() bool { return leads(l) != nil })
 	acquire(t, c, "b")
 }
 
--- a/internal/fakes/backlog.go
+++ b/internal/testbed/backlog.go
@@ -1,4 +1,4 @@
-package fakes
+package testbed
 
 import (
 	"net"
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
 	"robindrum/internal/fleet"
 	"robindrum/internal/lease"
 	"robindrum/internal/membership"
 	"robindrum/internal/quorum"
+	"robindrum/internal/testbed"
 )
 
 // folder has the built programs.
@@ -93,7 +93,7 @@
 // Each kind of fault once, and two seeds as they are drawn: no act is accepted out of order, nobody acts beyond its lease, what
 // clients of the quorum are told can be explained, and the fleet comes back each time.
 func TestSchedules(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	var all []Schedule
 	for i := 0; i < len(Faults); i += 3 {
 		all = append(all, Schedule{Seed: uint64(100 + i), Nodes: 3 + i%3, Faults: Faults[i : i+3]})
@@ -117,7 +117,7 @@
 
 // With a safeguard off the audit finds what it is there for, each time.
 func TestAuditFindsPlantedFaults(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	play := func(f Fault, binary string, open bool) (sum Finding) {
 		for seed := range uint64(3) {
 			v := Play(t.Context(), Schedule{Seed: seed, Nodes: 3, Faults: []Fault{f}}, PlayOptions{Binary: binary, Dir: t.TempDir(), Lease: testLease, Unfenced: open})
@@ -167,7 +167,7 @@
 // A voter comes back with an old copy of its folder, with another fleet's, with a log that was cut, and with none: the first
 // three do not vote, say why, and serve; the last one is taken in.
 func TestFoldersOfVoters(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	c := up(t, Options{Nodes: 3})
 	comes(t, "a leader", func() bool { return c.Leader() != nil })
 	one, two := c.Nodes[1], c.Nodes[2]
@@ -246,7 +246,7 @@
 
 // A voter whose log has reached its size stops voting, says so, and serves on; the others decide.
 func TestFullDisk(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	a, err := NewAuditor("receiver")
 	if err != nil {
 		t.Fatal(err)
@@ -284,7 +284,7 @@
 // Names: another fleet with the same seeds, a member that claims another's name, a restart and a return, a member that joins
 // while the fleet is split, and a witness.
 func TestMembersOfAFleet(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	c := up(t, Options{Nodes: 5, Witness: true})
 	all := func(want membership.State, names ...string) func() bool {
 		return func() bool {
@@ -365,7 +365,7 @@
 // Twenty ask for one lease at once: one has it; released twice nothing happens; a later birth of the holder's name waits, and the
 // holder cannot renew; what is granted and never heard of ends by itself.
 func TestManyAskForOneLease(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	c := up(t, Options{Nodes: 3})
 	comes(t, "a leader", func() bool { return c.Leader() != nil })
 	h, err := c.newClient(0, 1)
@@ -427,7 +427,7 @@
 // One subscription for a site under load: the holder is frozen, the control plane goes and returns, and all are cut off from
 // each other for many leases. Every version reaches every gateway, none goes back, and no request fails for any of it.
 func TestOneSubscriptionForASite(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 4, Shared: true, Lease: testLease, OwnAfter: 2 * time.Second, Heartbeat: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/cluster/orders_test.go
+++ b/internal/testbed/cluster/orders_test.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/fakes"
 	"robindrum/internal/fleet"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
+	"robindrum/internal/testbed"
 )
 
 // Drains of gateways and endpoints under load, within what may be out: asked for by all at once, with one dead, through a kill and a
 // restart of what is out, with a gateway that was cut off, and without a quorum.
 func TestDrainsAreAgreed(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 5, Lease: testLease, Budgets: `[{name: g, most: 2}, {name: e, cluster: "*", most: 1}]`})
 	if err != nil {
 		t.Fatal(err)
@@ -192,7 +192,7 @@
 // canaries, with the leader killed on the way; one that cannot be read is refused there. No request is lost but those that the bad
 // one turned away.
 func TestReleaseOfAConfiguration(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 6, Sites: []string{"s", "t"}, Lease: testLease})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/fakes"
 	"robindrum/internal/quorum"
 	"robindrum/internal/release"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/cluster"
 )
 
@@ -68,7 +68,7 @@
 // duties are handed on; while a voter is of the previous build a leader of this one orders nothing, with a word why, and then it does; one that goes back to
 // the previous build serves.
 func TestBesideThePreviousBuild(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	dir := t.TempDir()
 	old, skip, err := cluster.BuildAt(t.Context(), dir, previous)
 	if skip != "" {
@@ -147,7 +147,7 @@
 // not bear is refused; a zone of servers gets nothing new from any gateway; what a drained gateway has in hand when its grace is over
 // is answered there by class, unless it is waited for.
 func TestZonesAndTheEndOfAGrace(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 4, Lease: testLease, Zones: []string{"a", "b"},
 		Budgets: `[{name: site, each: site, most: 2}, {name: ends, cluster: "*", most: 2}]`})
 	if err != nil {
@@ -302,7 +302,7 @@
 // and no request lost; one that crashes, one that cannot reach the quorum and one that fails a class all
 // go back at their canary, each found out in another place; one that nobody has is refused.
 func TestReleaseOfAProgram(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	bin, dir := binary(t), t.TempDir()
 	crash := filepath.Join(dir, "crash")
 	if err := os.WriteFile(crash, []byte("#!/bin/sh\nexit 3\n"), 0o700); err != nil {
@@ -412,7 +412,7 @@
 // A zone is lost in the middle of a release of a program: it halts, what was drained for it serves again, and when the zone is back it is
 // resumed and reaches all; a second release meanwhile is refused, back twice is as once.
 func TestReleaseHaltsAsAZoneIsLost(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	bin := binary(t)
 	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: bin, Dir: t.TempDir(), Gateways: 5, Lease: testLease, Zones: []string{"a", "a", "a", "b", "b"},
 		Budgets: "[{name: g, most: 1}]", Version: "v1", Versions: map[string]string{"v1": bin, "v2": bin}})
@@ -496,7 +496,7 @@
 
 // Six seeded schedules of releases, drains, kills, freezes and cuts keep every promise; without budgets the observer finds it.
 func TestSchedulesOfReleases(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	const at = 3 // they mostly wait
 	opt := cluster.DrainOptions{Binary: binary(t), Dir: t.TempDir(), Lease: testLease, Steps: 7}
 	cluster.CampaignReleases(t.Context(), []uint64{11, 12, 13, 14, 15, 16}, at, opt, func(v cluster.ReleaseVerdict) {
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/fakes"
 	"robindrum/internal/membership"
 	"robindrum/internal/peer"
 	"robindrum/internal/quorum"
 	"robindrum/internal/subscription"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/memnet"
 )
 
@@ -120,7 +120,7 @@
 
 // A fifth restarts at once, without a word: all know of the new processes.
 func TestManyRestartAtOnce(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	f, err := New(Options{Members: 15, Probe: 300 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 
 // A dead member is lacking until it is known to be: what waits for it does not take its silence for knowledge.
 func TestLackingCountsPairs(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	f, err := New(Options{Members: 3, Probe: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 	if err := f.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	fakes.Eventually(t, "all to know all", func() bool { return f.Lacking(func(membership.Member) bool { return true }) == 0 })
+	testbed.Eventually(t, "all to know all", func() bool { return f.Lacking(func(membership.Member) bool { return true }) == 0 })
 	if n := f.Lacking(func(m membership.Member) bool { return m.Name != "h1" }); n != 3 {
 		t.Errorf("%d pairs lack one member that nobody is to know, want 3", n)
 	}
@@ -165,7 +165,7 @@
 
 // One voter in this process is asked by several, and what they ask and send is counted.
 func TestAskersAsk(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	quiet := slog.New(slog.DiscardHandler)
 	n, err := peer.Listen(peer.Options{Fleet: "asked", Address: "127.0.0.1:0", Log: quiet})
 	if err != nil {
@@ -185,10 +185,10 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		fakes.Within(t, "a holder", a.Holds())
+		testbed.Within(t, "a holder", a.Holds())
 		before, _ := a.Asked()
 		sent := a.Traffic()
-		fakes.Eventually(t, "as many asks as ten of each", func() bool { n, _ := a.Asked(); return n-before >= int64(10*askers) })
+		testbed.Eventually(t, "as many asks as ten of each", func() bool { n, _ := a.Asked(); return n-before >= int64(10*askers) })
 		after, _ := a.Asked()
 		d := a.Traffic().Minus(sent)
 		if a.Answered() == 0 {
@@ -206,7 +206,7 @@
 
 // A hollow gateway takes orders and news by the rules of a real one.
 func TestGatewaysTakeOrdersAndNews(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	g := NewGateways()
 	f, err := New(Options{Members: 2, Probe: 100 * time.Millisecond, Sites: []string{"s"}, Prepare: g.Prepare})
 	if err != nil {
--- a/internal/testbed/link/link_test.go
+++ b/internal/testbed/link/link_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/origin"
 )
 
 func TestLink(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	o, err := origin.Start("", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fakes/fakes.go
+++ b/internal/testbed/testbed.go
@@ -1,5 +1,5 @@
-// Package fakes holds scripted peers on loopback sockets for the tests of the node's packages.
-package fakes
+// Package testbed holds scripted peers on loopback sockets for the tests of the node's packages.
+package testbed
 
 import (
 	"bufio"
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -11,7 +11,7 @@
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/controlplane"
 )
 
@@ -52,7 +52,7 @@
 func run(t *testing.T, shape func(*ClientOptions), servers ...string) (*Client, *told) {
 	t.Helper()
 	began := time.Now()
-	opt := ClientOptions{Servers: servers, ConnectTimeout: fakes.Patience, BackoffBase: 5 * time.Millisecond, BackoffMost: 20 * time.Millisecond,
+	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.Patience, BackoffBase: 5 * time.Millisecond, BackoffMost: 20 * time.Millisecond,
 		Keepalive: time.Minute, Message: 16 << 20, Now: func() time.Duration { return time.Since(began) + 1 }, Log: slog.New(slog.DiscardHandler),
 		Options: Options{Clusters: true, Node: Node("gw", "c", "z")}}
 	if shape != nil {
@@ -68,14 +68,14 @@
 	}()
 	t.Cleanup(func() {
 		cancel()
-		fakes.Within(t, "the client's end", done)
+		testbed.Within(t, "the client's end", done)
 	})
 	return c, s
 }
 
 func await(t *testing.T, s *controlplane.Server, from int, fits func(controlplane.Request) bool) (controlplane.Request, int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), fakes.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
 	r, n, err := s.Await(ctx, from, fits)
 	if err != nil {
@@ -113,7 +113,7 @@
 // contents, and says an old thing under a new nonce; what it says last holds, and while it is away what it said before.
 func TestControlPlaneGoesAndReturns(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
-		fakes.Leaks(t)
+		testbed.Leaks(t)
 		s := serve(t)
 		push(t, s, "5", cds("a"), cds("b"), eps("a", "127.0.0.1:1", "127.0.0.1:2"), eps("b", "127.0.0.1:3"))
 		c, got := run(t, func(o *ClientOptions) { o.Delta = delta }, s.Addr)
@@ -124,12 +124,12 @@
 			}
 			return len(a.Endpoints)
 		}
-		fakes.Eventually(t, "the first list", func() bool { return count("a") == 2 && count("b") == 1 })
+		testbed.Eventually(t, "the first list", func() bool { return count("a") == 2 && count("b") == 1 })
 		if l := c.Link(); l.Server != s.Addr || l.Heard == 0 || l.Streams != 1 {
 			t.Errorf("%+v", l)
 		}
 		s.GoAway()
-		fakes.Eventually(t, "the loss to show", func() bool { l := c.Link(); return l.Server == "" && l.Error != "" })
+		testbed.Eventually(t, "the loss to show", func() bool { l := c.Link(); return l.Server == "" && l.Error != "" })
 		if count("a") != 2 || len(c.Resources(EndpointType)) != 2 {
 			t.Error("what was told is lost with the connection")
 		}
@@ -138,7 +138,7 @@
 		if err := s.Return(); err != nil {
 			t.Fatal(err)
 		}
-		fakes.Eventually(t, "the older, smaller list", func() bool { return count("a") == 1 && got.get("cluster b").State == Absent })
+		testbed.Eventually(t, "the older, smaller list", func() bool { return count("a") == 1 && got.get("cluster b").State == Absent })
 		if !delta {
 			r, _ := await(t, s, 0, func(r controlplane.Request) bool { return r.Stream == 2 && r.Type() == string(ClusterType) })
 			if r.SotW.GetVersionInfo() != "5" || r.SotW.GetResponseNonce() != "" {
@@ -146,49 +146,49 @@
 			}
 			// Incremental clients are not told of what has the same version: there the version is the contents.
 			push(t, s, "3", eps("a", "127.0.0.1:7", "127.0.0.1:8", "127.0.0.1:9"))
-			fakes.Eventually(t, "other contents under the same version", func() bool { return count("a") == 3 })
+			testbed.Eventually(t, "other contents under the same version", func() bool { return count("a") == 3 })
 		}
 		push(t, s, "2", eps("a"))
-		fakes.Eventually(t, "the empty list", func() bool { return count("a") == 0 })
+		testbed.Eventually(t, "the empty list", func() bool { return count("a") == 0 })
 	})
 }
 
 // Control planes are asked in their order, and the first one again after a stream has ended.
 func TestSeveralControlPlanes(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	first, second := serve(t), serve(t)
 	push(t, first, "1", cds("a"))
 	push(t, second, "2", cds("b"))
 	first.GoAway()
 	c, got := run(t, nil, first.Addr, second.Addr)
-	fakes.Eventually(t, "the second one's word", func() bool { return got.get("cluster b").State == Received })
+	testbed.Eventually(t, "the second one's word", func() bool { return got.get("cluster b").State == Received })
 	if err := first.Return(); err != nil {
 		t.Fatal(err)
 	}
 	second.GoAway()
-	fakes.Eventually(t, "the first one's word", func() bool { return got.get("cluster a").State == Received && c.Link().Server == first.Addr })
-	fakes.Eventually(t, "the second one's to be withdrawn", func() bool { return got.get("cluster b").State == Absent })
+	testbed.Eventually(t, "the first one's word", func() bool { return got.get("cluster a").State == Received && c.Link().Server == first.Addr })
+	testbed.Eventually(t, "the second one's to be withdrawn", func() bool { return got.get("cluster b").State == Absent })
 }
 
 // A message over the limit ends the stream, not the gateway, and what was in use stays.
 func TestMessageOverTheLimit(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
-		fakes.Leaks(t)
+		testbed.Leaks(t)
 		s := serve(t)
 		push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
 		c, got := run(t, func(o *ClientOptions) { o.Message, o.Delta = 20<<10, delta }, s.Addr)
-		fakes.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
+		testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
 		var l []string
 		for i := range 1000 {
 			l = append(l, fmt.Sprint("127.0.0.1:", i+1))
 		}
 		push(t, s, "2", eps("a", l...))
-		fakes.Eventually(t, "the stream to break", func() bool { return c.Link().Streams > 2 })
+		testbed.Eventually(t, "the stream to break", func() bool { return c.Link().Streams > 2 })
 		if r := got.get("endpoints a"); r.Version != "1" {
 			t.Errorf("%q is in use", r.Version)
 		}
 		push(t, s, "3", eps("a", "127.0.0.1:2"))
-		fakes.Eventually(t, "a list that fits", func() bool { return got.get("endpoints a").Version == "3" })
+		testbed.Eventually(t, "a list that fits", func() bool { return got.get("endpoints a").Version == "3" })
 	})
 }
 
@@ -196,7 +196,7 @@
 // after newer.
 func TestManyEndpointsAndManyUpdates(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
-		fakes.Leaks(t)
+		testbed.Leaks(t)
 		s := serve(t)
 		_, got := run(t, func(o *ClientOptions) { o.Delta = delta }, s.Addr)
 		var l []controlplane.Endpoint
@@ -204,7 +204,7 @@
 			l = append(l, controlplane.Endpoint{Addr: fmt.Sprintf("127.1.%d.%d:80", i/250, i%250+1), Zone: fmt.Sprint("z", i%3)})
 		}
 		push(t, s, "0", cds("a"), controlplane.Resource{Name: "a", Body: controlplane.Assignment("a", l...)})
-		fakes.Eventually(t, "all of them", func() bool {
+		testbed.Eventually(t, "all of them", func() bool {
 			a, _ := got.get("endpoints a").Value.(*Assignment)
 			return a != nil && len(a.Endpoints) == 10000
 		})
@@ -212,7 +212,7 @@
 		for i := 1; i <= n; i++ {
 			push(t, s, fmt.Sprintf("%04d", i), eps("a", fmt.Sprint("127.0.0.1:", i)))
 		}
-		fakes.Eventually(t, "the last update", func() bool { return got.get("endpoints a").Version == fmt.Sprintf("%04d", n) })
+		testbed.Eventually(t, "the last update", func() bool { return got.get("endpoints a").Version == fmt.Sprintf("%04d", n) })
 		got.mu.Lock()
 		defer got.mu.Unlock()
 		newest := ""
@@ -227,29 +227,29 @@
 
 // One that stalls holds nothing up: what was told stays, what is wished meanwhile is asked for afterwards.
 func TestStall(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := serve(t)
 	push(t, s, "1", eps("a", "127.0.0.1:1"), eps("b", "127.0.0.1:2"))
 	c, got := run(t, func(o *ClientOptions) { o.Clusters, o.Names = false, []string{"a"} }, s.Addr)
-	fakes.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
+	testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
 	s.Stall()
 	c.Names([]string{"a", "b"}, nil)
-	fakes.Eventually(t, "the wish", func() bool { return len(c.Resources(EndpointType)) == 2 })
+	testbed.Eventually(t, "the wish", func() bool { return len(c.Resources(EndpointType)) == 2 })
 	s.Resume()
-	fakes.Eventually(t, "the second list", func() bool { return got.get("endpoints b").State == Received })
+	testbed.Eventually(t, "the second list", func() bool { return got.get("endpoints b").State == Received })
 	c.Names([]string{"b"}, nil)
-	fakes.Eventually(t, "the first one to go", func() bool { return got.get("endpoints a").State == Absent })
+	testbed.Eventually(t, "the first one to go", func() bool { return got.get("endpoints a").State == Absent })
 }
 
 // While nobody is reached, time goes on: what nothing is said of is known not to exist after its time, so that requests
 // need not wait for it.
 func TestNobodyThere(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	c, got := run(t, func(o *ClientOptions) {
 		o.Names, o.FetchTimeout = []string{"a"}, 20*time.Millisecond
-	}, fakes.Refusing(t), fakes.Refusing(t))
+	}, testbed.Refusing(t), testbed.Refusing(t))
 	c.Names([]string{"a", "b"}, nil)
-	fakes.Eventually(t, "both to be given up", func() bool {
+	testbed.Eventually(t, "both to be given up", func() bool {
 		return got.get("endpoints a").State == Absent && got.get("endpoints b").State == Absent
 	})
 	if l := c.Link(); l.Streams != 0 || l.Error == "" {
@@ -260,11 +260,11 @@
 // What is refused shows at the control plane with its reason, and the summaries count it.
 func TestRefusalIsTold(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
-		fakes.Leaks(t)
+		testbed.Leaks(t)
 		s := serve(t)
 		push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
 		c, got := run(t, func(o *ClientOptions) { o.Delta = delta }, s.Addr)
-		fakes.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
+		testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
 		push(t, s, "2", controlplane.Resource{Name: "a", Body: controlplane.Assignment("a", controlplane.Endpoint{Addr: "127.0.0.1:0", Health: corev3.HealthStatus_HEALTHY})})
 		r, _ := await(t, s, 0, func(r controlplane.Request) bool { return r.Error() != "" })
 		if !strings.Contains(r.Error(), "0 is not a port") || !delta && r.SotW.GetVersionInfo() != "1" {
@@ -283,11 +283,11 @@
 
 // A client that is ended while it connects ends at once, whatever it was about to send.
 func TestEndsWhileItConnects(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	s := serve(t)
 	push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
 	for i := range 50 {
-		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: fakes.Patience, BackoffBase: time.Millisecond, BackoffMost: time.Millisecond,
+		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.Patience, BackoffBase: time.Millisecond, BackoffMost: time.Millisecond,
 			Keepalive: time.Minute, Message: 1 << 20, Now: func() time.Duration { return 1 }, Log: slog.New(slog.DiscardHandler), Options: Options{Clusters: true}}
 		c := NewClient(opt, &told{all: map[string]Resource{}, at: map[string][]string{}})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -297,9 +297,9 @@
 			close(done)
 		}()
 		if i%2 == 0 {
-			fakes.Eventually(t, "the connection", func() bool { return c.Link().Streams > 0 })
+			testbed.Eventually(t, "the connection", func() bool { return c.Link().Streams > 0 })
 		}
 		cancel()
-		fakes.Within(t, "the end", done)
+		testbed.Within(t, "the end", done)
 	}
 }
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 func fileOf(ports ...int) string {
@@ -41,7 +41,7 @@
 // A file is replaced, and spoilt, and put right, and emptied: what can be read is used within a second, what cannot
 // changes nothing and shows.
 func TestFileIsFollowed(t *testing.T) {
-	fakes.Leaks(t)
+	testbed.Leaks(t)
 	path := filepath.Join(t.TempDir(), "r.yaml")
 	replace(t, path, fileOf(1, 2))
 	f, got := source(path, Options{Names: []string{"a"}})
@@ -66,7 +66,7 @@
 	}()
 	defer func() {
 		cancel()
-		fakes.Within(t, "the end", done)
+		testbed.Within(t, "the end", done)
 	}()
 	for i := range 20 {
 		began := time.Now()
@@ -76,7 +76,7 @@
 			replace(t, path, fileOf(20+i))
 			want = 1
 		}
-		fakes.Eventually(t, "the new list", func() bool { return count() == want })
+		testbed.Eventually(t, "the new list", func() bool { return count() == want })
 		if d := time.Since(began); d > pollEvery+time.Second {
 			t.Errorf("noticed after %v", d)
 		}
@@ -84,15 +84,15 @@
 	for _, bad := range []string{"resources: [", "resources:\n- '@type': type.googleapis.com/google.protobuf.Duration\n  value: 1s\n", fileOf(0), "resourcez: []\n"} {
 		n, before := count(), f.Link().Error
 		replace(t, path, bad)
-		fakes.Eventually(t, "the refusal", func() bool { e := f.Link().Error; return e != "" && e != before })
+		testbed.Eventually(t, "the refusal", func() bool { e := f.Link().Error; return e != "" && e != before })
 		if count() != n || !strings.Contains(f.Link().Error, path) {
 			t.Errorf("%d endpoints, %q", count(), f.Link().Error)
 		}
 	}
 	replace(t, path, fileOf(1, 2))
-	fakes.Eventually(t, "the file put right", func() bool { return count() == 2 && f.Link().Error == "" })
+	testbed.Eventually(t, "the file put right", func() bool { return count() == 2 && f.Link().Error == "" })
 	replace(t, path, "{}\n")
-	fakes.Eventually(t, "the withdrawal", func() bool { return got.get("endpoints a").State == Absent })
+	testbed.Eventually(t, "the withdrawal", func() bool { return got.get("endpoints a").State == Absent })
 	if s := f.Summaries(); len(s) != 1 || s[0].Type != EndpointType {
 		t.Errorf("%+v", s)
 	}
--- a/tools/measure/capacity_test.go
+++ b/tools/measure/capacity_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/fakes"
+	"robindrum/internal/testbed"
 )
 
 // TestMain is the program itself where it is started as a child, or to be interrupted.
@@ -66,7 +66,7 @@
 	if !strings.Contains(string(rest), "resident with lists and routes, MB") || !strings.Contains(string(rest), "at 720") {
 		t.Errorf("what was measured is not printed: %s", rest)
 	}
-	fakes.Eventually(t, "all processes to end", func() bool { return len(children(t, dir)) == 0 })
+	testbed.Eventually(t, "all processes to end", func() bool { return len(children(t, dir)) == 0 })
 	if left, err := os.ReadDir(dir); err != nil || len(left) > 0 {
 		t.Errorf("left behind: %v, %v", left, err)
 	}
