--- a/cmd/robindrum/fleet.go
+++ b/cmd/robindrum/fleet.go
@@ -40,7 +40,7 @@
 			return showMembers(c.OutOrStdout(), &s)
 		}},
 		&cobra.Command{Use: "leases", Short: "Which duties are held, by whom, with which token", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
-			var l quorum.Leases
+			var l quorum.LeaseList
 			if err := ask(c, http.MethodGet, addr, "/fleet/leases", &l); err != nil {
 				return err
 			}
@@ -62,7 +62,7 @@
 	for _, m := range s.Members {
 		states[m.State]++
 	}
-	fmt.Fprintf(out, "fleet %s, member %s (site %s, %s), birth %d\n", s.Name, s.Self.Name, orNone(s.Self.Site), s.Self.State, s.Self.Birth)
+	fmt.Fprintf(out, "fleet %s, member %s (site %s, %s), birth %d\n", s.Name, s.Self.Name, orNone(s.Self.Site), s.Self.State, s.Self.Incarnation)
 	fmt.Fprintf(out, "members: %d known", len(s.Members))
 	for _, state := range []membership.State{membership.Serving, membership.Joining, membership.Draining, membership.Leaving, membership.Witness, membership.Suspect, membership.Dead} {
 		if n := states[state]; n > 0 {
@@ -87,8 +87,8 @@
 			fmt.Fprintf(out, ", leader %s", v.Leader)
 		}
 		fmt.Fprintln(out)
-		if v.Why != "" {
-			fmt.Fprintf(out, "  %s\n", v.Why)
+		if v.Reason != "" {
+			fmt.Fprintf(out, "  %s\n", v.Reason)
 		}
 	}
 	if s.NoVote != "" {
@@ -98,11 +98,11 @@
 		fmt.Fprintf(out, "STALE: %s\n", s.Stale)
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for i, d := range s.Duties {
+	for i, d := range s.Tasks {
 		if i == 0 {
 			fmt.Fprintln(t, "DUTY\tSTATE\tTOKEN\tFOR\tGRANTS\tOVERDUE\tLAST ERROR")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%d\t%s\n", d.Name, d.State, d.Token, seconds((s.Now - d.Since).Seconds()), d.Held, d.Overdue, d.Error)
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%d\t%d\t%s\n", d.Name, d.State, d.Token, seconds((s.Now - d.Since).Seconds()), d.TimesLed, d.TimesOverdue, d.Error)
 	}
 	return t.Flush()
 }
@@ -118,12 +118,12 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tSITE\tZONE\tSTATE\tFOR\tADDRESS\tPROGRAM\tCONFIGURATION\tBIRTH")
 	for _, m := range s.Members {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.Site, m.Zone, m.State, seconds((s.Now - m.Since).Seconds()), m.Address, m.Program, m.Config, m.Birth)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\n", m.Name, m.Site, m.Zone, m.State, seconds((s.Now - m.Since).Seconds()), m.Address, m.Program, m.Config, m.Incarnation)
 	}
 	return t.Flush()
 }
 
-func showLeases(out io.Writer, l *quorum.Leases) error {
+func showLeases(out io.Writer, l *quorum.LeaseList) error {
 	if !l.Fresh {
 		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last\n", l.Voter)
 	}
@@ -131,10 +131,10 @@
 	fmt.Fprintln(t, "LEASE\tHOLDER\tTOKEN\tLEFT\tLENGTH\tIN LINE")
 	for _, v := range l.Leases {
 		name := orNone(v.Holder.Name)
-		if v.Revoke {
+		if v.Revoked {
 			name += " (revoked)"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", v.Name, name, v.Token, seconds(v.Left.Seconds()), v.Length, strings.Join(v.Line, " "))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\n", v.Name, name, v.Token, seconds(v.Remaining.Seconds()), v.Length, strings.Join(v.Waiters, " "))
 	}
 	return t.Flush()
 }
--- a/cmd/robindrum/orders.go
+++ b/cmd/robindrum/orders.go
@@ -34,7 +34,7 @@
 func drainCommand() *cobra.Command {
 	var addr, owner string
 	var wait, plain bool
-	o := drain.Order{}
+	o := drain.Request{}
 	c := &cobra.Command{Use: "drain", Short: "Take gateways or endpoints out of service, as the fleet's budgets allow", Args: noArgs,
 		Long: "Take a gateway, an endpoint, or a zone of either out of service. The fleet's quorum grants it when the budgets allow, counting what is out by itself;\n" +
 			"until then it waits in line. It stays out until robindrum undrain, also when it is restarted or its order's asker is gone.\n" +
@@ -52,7 +52,7 @@
 			return err
 		}
 		if wait {
-			return follow(c, addr, x, plain, func(s drain.State) bool { return s == drain.Done || s == drain.Overdue })
+			return follow(c, addr, x, plain, func(s drain.State) bool { return s == drain.Drained || s == drain.Overdue })
 		}
 		return printOrder(c.OutOrStdout(), x, plain)
 	}
@@ -63,7 +63,7 @@
 	f.StringVar(&o.Reason, "reason", "", "why")
 	f.DurationVar(&o.Grace, "grace", 30*time.Second, "how long what is in hand is waited for")
 	f.DurationVar(&o.Notice, "notice", 2*time.Second, "of it, how long a gateway still takes what comes, with its readiness off")
-	f.BoolVar(&o.Wait, "wait-for-all", false, "wait on for what a gateway has in hand when the grace is over; else it is answered then, by class")
+	f.BoolVar(&o.WaitForAll, "wait-for-all", false, "wait on for what a gateway has in hand when the grace is over; else it is answered then, by class")
 	f.BoolVar(&wait, "wait", false, "wait until it is done, and print each change")
 	f.BoolVar(&plain, "json", false, "print JSON, a line each")
 	c.AddCommand(&cobra.Command{Use: "gateway MEMBER", Short: "A gateway, by its member's name", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
@@ -89,7 +89,7 @@
 	var wait, plain bool
 	c := &cobra.Command{Use: "undrain ORDER", Short: "Have what an order has taken out come back, or drop an order that has not begun", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			x, err := tell(c, addr, "undrain", &drain.Order{ID: args[0]})
+			x, err := tell(c, addr, "undrain", &drain.Request{ID: args[0]})
 			if err != nil {
 				return err
 			}
@@ -111,7 +111,7 @@
 		if plain {
 			return ask(c, http.MethodGet, addr, "/fleet/orders", c.OutOrStdout())
 		}
-		var l quorum.Orders
+		var l quorum.DrainList
 		if err := ask(c, http.MethodGet, addr, "/fleet/orders", &l); err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 	c.Flags().BoolVar(&plain, "json", false, "print what the quorum says as it is")
 	for name, what := range map[string]string{"halt": "Have nothing new taken out; what is out stays, and may come back", "resume": "Lift a halt"} {
 		c.AddCommand(&cobra.Command{Use: name, Short: what, Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
-			_, err := tell(c, addr, name, &drain.Order{})
+			_, err := tell(c, addr, name, &drain.Request{})
 			return err
 		}})
 	}
@@ -129,7 +129,7 @@
 }
 
 // tell posts an order.
-func tell(c *cobra.Command, addr, what string, o *drain.Order) (x drain.Order, err error) {
+func tell(c *cobra.Command, addr, what string, o *drain.Request) (x drain.Request, err error) {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return x, err
@@ -138,7 +138,7 @@
 	return x, err
 }
 
-func printOrder(out io.Writer, o drain.Order, plain bool) error {
+func printOrder(out io.Writer, o drain.Request, plain bool) error {
 	if plain {
 		return json.NewEncoder(out).Encode(o)
 	}
@@ -146,24 +146,24 @@
 	if o.Token > 0 {
 		line += fmt.Sprintf(", token %d", o.Token)
 	}
-	if o.State.Out() {
-		line += fmt.Sprintf(", %d in hand", o.InHand)
+	if o.State.Unavailable() {
+		line += fmt.Sprintf(", %d in hand", o.InFlight)
 	}
-	if o.Why != "" {
-		line += ": " + o.Why
+	if o.StateReason != "" {
+		line += ": " + o.StateReason
 	}
 	_, err := fmt.Fprintln(out, line)
-	if o.State == drain.Refused && err == nil {
+	if o.State == drain.Rejected && err == nil {
 		err = exitCode(1)
 	}
 	return err
 }
 
 // follow prints an order's changes until it is where it was to go, or ends.
-func follow(c *cobra.Command, addr string, o drain.Order, plain bool, there func(drain.State) bool) error {
-	last := drain.Order{}
+func follow(c *cobra.Command, addr string, o drain.Request, plain bool, there func(drain.State) bool) error {
+	last := drain.Request{}
 	for {
-		if o.State != last.State || o.Why != last.Why || o.InHand != last.InHand {
+		if o.State != last.State || o.StateReason != last.StateReason || o.InFlight != last.InFlight {
 			if err := printOrder(c.OutOrStdout(), o, plain); err != nil {
 				return err
 			}
@@ -182,11 +182,11 @@
 			return c.Context().Err()
 		case <-time.After(200 * time.Millisecond):
 		}
-		var l quorum.Orders
+		var l quorum.DrainList
 		if err := ask(c, http.MethodGet, addr, "/fleet/orders", &l); err != nil {
 			continue // the order goes on without whoever looks
 		}
-		for _, x := range l.Orders {
+		for _, x := range l.Requests {
 			if x.ID == o.ID {
 				o = x
 			}
@@ -194,7 +194,7 @@
 	}
 }
 
-func showOrders(out io.Writer, l *quorum.Orders) error {
+func showOrders(out io.Writer, l *quorum.DrainList) error {
 	if !l.Fresh {
 		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last. Nothing new is taken out; what is out stays out\n", l.Voter)
 	}
@@ -203,16 +203,16 @@
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "ORDER\tTARGET\tSTATE\tFOR\tIN HAND\tTOKEN\tOWNER\tREASON")
-	for _, o := range l.Orders {
+	for _, o := range l.Requests {
 		why := o.Reason
-		if o.Why != "" {
-			why = strings.TrimSpace(o.Reason + " (" + o.Why + ")")
+		if o.StateReason != "" {
+			why = strings.TrimSpace(o.Reason + " (" + o.StateReason + ")")
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", o.ID, o.Target, o.State, seconds(max(l.Now-o.Since, 0).Seconds()), o.InHand, o.Token, o.Owner, why)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n", o.ID, o.Target, o.State, seconds(max(l.Now-o.StateSince, 0).Seconds()), o.InFlight, o.Token, o.Owner, why)
 	}
 	fmt.Fprintln(t, "\nBUDGET\tOF\tOUT\tMAY BE OUT\tWHICH")
 	for _, b := range l.Budgets {
-		fmt.Fprintf(t, "%s, %s\t%d\t%d\t%d\t%s\n", b.Name, b.Scope, b.Of, len(b.Out), b.Bound, strings.Join(b.Out, " "))
+		fmt.Fprintf(t, "%s, %s\t%d\t%d\t%d\t%s\n", b.Name, b.Scope, b.Total, len(b.Unavailable), b.Allowed, strings.Join(b.Unavailable, " "))
 	}
 	return t.Flush()
 }
--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -32,7 +32,7 @@
 			"It goes in waves: one gateway a site, a tenth, half, all, never two zones of a site in one; each is judged by what it shows.",
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.PersistentFlags().StringVarP(&addr, "admin", "a", "127.0.0.1:9901", "any process's admin `address`")
-	state := func(c *cobra.Command) (l quorum.Releases, err error) {
+	state := func(c *cobra.Command) (l quorum.ReleaseList, err error) {
 		err = ask(c, http.MethodGet, addr, "/fleet/releases", &l)
 		return l, err
 	}
@@ -52,11 +52,11 @@
 		case (len(args) == 0) == (version == ""):
 			return nil, fmt.Errorf("want a file, or --program: %w", errUsage)
 		case version != "":
-			p.Program, p.To = true, version
+			p.OfProgram, p.Target = true, version
 			return nil, supervisor.CheckLabel(version)
 		}
 		if text, err = os.ReadFile(args[0]); err == nil {
-			p.To = fleet.ConfigDigest(text)
+			p.Target = fleet.ConfigDigest(text)
 		}
 		return text, err
 	}
@@ -65,22 +65,22 @@
 		if err != nil {
 			return err
 		}
-		waves, budgets, why := release.Waves(l.Gateways), []drain.Standing{}, ""
+		waves, budgets, why := release.Waves(l.Gateways), []drain.BudgetStatus{}, ""
 		if len(args) > 0 || version != "" {
 			if _, err := what(args); err != nil {
 				return err
 			}
-			b := release.Book{Gateways: map[string]release.Gateway{}, Texts: map[string]string{p.To: ""}, Base: l.Base, Program: l.Program}
+			b := release.Ledger{Gateways: map[string]release.Gateway{}, Configs: map[string]string{p.Target: ""}, CurrentConfig: l.CurrentConfig, CurrentVersion: l.CurrentVersion}
 			for _, g := range l.Gateways {
 				b.Gateways[g.Name] = g
 			}
-			why = b.Refuses(p)
+			why = b.RejectReason(p)
 		}
 		if l.Current != nil {
 			why = l.Current.String() + " is under way"
 		}
-		var o quorum.Orders
-		if p.Program {
+		var o quorum.DrainList
+		if p.OfProgram {
 			if err := ask(c, http.MethodGet, addr, "/fleet/orders", &o); err != nil {
 				return err
 			}
@@ -88,7 +88,7 @@
 				if strings.HasPrefix(b.Scope, "cluster") {
 					continue
 				}
-				if budgets = append(budgets, b); b.Bound == 0 {
+				if budgets = append(budgets, b); b.Allowed == 0 {
 					why = cmp.Or(why, "budget "+b.Name+" allows none to be out")
 				}
 			}
@@ -104,7 +104,7 @@
 			fmt.Fprintf(c.OutOrStdout(), "wave %d, %d of %d: %s\n", i+1, len(w), len(l.Gateways), strings.Join(w, " "))
 		}
 		for _, b := range budgets {
-			fmt.Fprintf(c.OutOrStdout(), "budget %s, %s: %d of %d may be out at once, %d are\n", b.Name, b.Scope, b.Bound, b.Of, len(b.Out))
+			fmt.Fprintf(c.OutOrStdout(), "budget %s, %s: %d of %d may be out at once, %d are\n", b.Name, b.Scope, b.Allowed, b.Total, len(b.Unavailable))
 		}
 		if why != "" {
 			fmt.Fprintf(c.OutOrStdout(), "it would be refused: %s\n", why)
@@ -121,19 +121,19 @@
 			return err
 		}
 		if p.ID == "" {
-			p.ID = p.To[:min(8, len(p.To))]
+			p.ID = p.Target[:min(8, len(p.Target))]
 		}
 		p.Owner = os.Getenv("USER")
-		if !p.Program {
-			if err := do(c, quorum.Command{Op: quorum.Put, Digest: p.To, Text: string(text)}); err != nil {
+		if !p.OfProgram {
+			if err := do(c, quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: string(text)}); err != nil {
 				return err
 			}
 		}
-		if err := do(c, quorum.Command{Op: quorum.ReleaseBegin, Plan: &p}); err != nil {
+		if err := do(c, quorum.Command{Op: quorum.OpStartRelease, Plan: &p}); err != nil {
 			return err
 		}
 		if !wait {
-			fmt.Fprintf(c.OutOrStdout(), "release %s of %s begins\n", p.ID, p.To)
+			fmt.Fprintf(c.OutOrStdout(), "release %s of %s begins\n", p.ID, p.Target)
 			return nil
 		}
 		return watch(c, state, p.ID, plain)
@@ -142,17 +142,17 @@
 	f.StringVar(&version, "program", "", "a `version` of the program, in place of a file")
 	f.DurationVar(&p.Grace, "grace", 30*time.Second, "with --program, how long what a gateway has in hand is waited for")
 	f.DurationVar(&p.Notice, "notice", 2*time.Second, "with --program, how long a gateway still takes what comes, with its readiness off")
-	f.Float64Var(&p.Gate.Tail, "tail", 2, "multiple of the others' p99 beyond which three of a hundred answers are too many")
-	f.Float64Var(&p.Gate.InTime, "in-time", 0.05, "part of a class's requests that may be less in time")
+	f.Float64Var(&p.Gate.MaxTailRatio, "tail", 2, "multiple of the others' p99 beyond which three of a hundred answers are too many")
+	f.Float64Var(&p.Gate.MaxInTimeLoss, "in-time", 0.05, "part of a class's requests that may be less in time")
 	f.StringVar(&p.ID, "id", "", "the release's name; left out: the file's digest")
 	f.StringVar(&p.Reason, "reason", "", "why")
 	f.DurationVar(&p.Soak, "soak", 30*time.Second, "how long each wave shows what it does")
-	f.IntVar(&p.Faster, "faster", 4, "how many times faster it goes back")
-	f.BoolVar(&p.Back, "back", true, "a gate that fails has all go back; else it halts")
-	f.IntVar(&p.Gate.Requests, "requests", 200, "that a wave must have had to be judged")
-	f.Float64Var(&p.Gate.Errors, "errors", 0.01, "failed or refused requests that may be more, as a part of all")
-	f.Float64Var(&p.Gate.Slower, "slower", 1.5, "multiple of the mean time of an answer that is too much")
-	f.Float64Var(&p.Gate.Memory, "memory", 1.5, "multiple of a gateway's memory before that is too much")
+	f.IntVar(&p.RollbackSpeedup, "faster", 4, "how many times faster it goes back")
+	f.BoolVar(&p.RollBackOnFailure, "back", true, "a gate that fails has all go back; else it halts")
+	f.IntVar(&p.Gate.MinRequests, "requests", 200, "that a wave must have had to be judged")
+	f.Float64Var(&p.Gate.MaxErrorIncrease, "errors", 0.01, "failed or refused requests that may be more, as a part of all")
+	f.Float64Var(&p.Gate.MaxMeanRatio, "slower", 1.5, "multiple of the mean time of an answer that is too much")
+	f.Float64Var(&p.Gate.MaxMemoryRatio, "memory", 1.5, "multiple of a gateway's memory before that is too much")
 	f.BoolVar(&wait, "wait", false, "wait until it has ended or halts; exit code 0 done, 5 halted or back")
 	f.BoolVar(&plain, "json", false, "with --wait, print JSON, a line a change")
 	c.AddCommand(start)
@@ -172,8 +172,8 @@
 	for _, x := range []struct {
 		name, what string
 		op         quorum.Op
-	}{{"halt", "Have it go no further; everyone keeps what it has", quorum.ReleaseHalt}, {"resume", "Go on with the wave that was halted", quorum.ReleaseResume},
-		{"back", "Have every gateway go back to what it had", quorum.ReleaseBack}, {"stop", "End a halted release where it stands", quorum.ReleaseStop}} {
+	}{{"halt", "Have it go no further; everyone keeps what it has", quorum.OpHaltRelease}, {"resume", "Go on with the wave that was halted", quorum.OpResumeRelease},
+		{"back", "Have every gateway go back to what it had", quorum.OpRollbackRelease}, {"stop", "End a halted release where it stands", quorum.OpStopRelease}} {
 		var wait, plain bool
 		hand := &cobra.Command{Use: x.name, Short: x.what, Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
 			l, err := state(c)
@@ -193,7 +193,7 @@
 }
 
 // watch prints a release's changes until it has ended or halts.
-func watch(c *cobra.Command, state func(*cobra.Command) (quorum.Releases, error), id string, plain bool) error {
+func watch(c *cobra.Command, state func(*cobra.Command) (quorum.ReleaseList, error), id string, plain bool) error {
 	last := ""
 	for {
 		l, err := state(c)
@@ -222,7 +222,7 @@
 			switch r.State {
 			case release.Done:
 				return nil
-			case release.Halted, release.Gone, release.Stopped:
+			case release.Halted, release.RolledBack, release.Stopped:
 				return exitCode(exitBack)
 			}
 		}
@@ -234,7 +234,7 @@
 	}
 }
 
-func showReleases(out io.Writer, l *quorum.Releases) error {
+func showReleases(out io.Writer, l *quorum.ReleaseList) error {
 	if !l.Fresh {
 		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last. Nothing goes on\n", l.Voter)
 	}
@@ -244,7 +244,7 @@
 		fmt.Fprintln(out, "no release is under way; requests, bad and mean are as of the end of the last one, or of the last change")
 	}
 	for i := len(l.Ended) - 1; i >= max(0, len(l.Ended)-5); i-- {
-		fmt.Fprintf(out, "  ended %s ago: %s\n", seconds((l.Now - l.Ended[i].Since).Seconds()), &l.Ended[i])
+		fmt.Fprintf(out, "  ended %s ago: %s\n", seconds((l.Now - l.Ended[i].StateSince).Seconds()), &l.Ended[i])
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "GATEWAY\tSITE\tZONE\tHAS\tIS TO HAVE\tRUNS AS\tIS TO RUN AS\tREQUESTS\tBAD\tMEAN\tMEMORY\tREFUSED")
@@ -255,20 +255,20 @@
 		return digest[:min(12, len(digest))]
 	}
 	for _, g := range l.Gateways {
-		has := name(g.Has)
-		if !g.Here {
+		has := name(g.Config)
+		if !g.Responding {
 			has = "NO ANSWER"
 		}
 		mean := 0.0
 		if g.Served > 0 {
-			mean = 1000 * g.Seconds / float64(g.Served)
+			mean = 1000 * g.LatencySeconds / float64(g.Served)
 		}
-		runs, to := cmp.Or(g.Program, "not supervised"), cmp.Or(l.Programs[g.Name], "-")
-		if !g.Here {
+		runs, to := cmp.Or(g.Version, "not supervised"), cmp.Or(l.DesiredVersions[g.Name], "-")
+		if !g.Responding {
 			runs = "NO ANSWER"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.1f ms\t%d MiB\t%s\n", g.Name, g.Site, g.Zone, has, name(l.Want[g.Name]), runs, to, g.Taken, g.Bad, mean, g.Memory>>20,
-			strings.TrimSpace(g.Refused+" "+g.NotThis))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.1f ms\t%d MiB\t%s\n", g.Name, g.Site, g.Zone, has, name(l.DesiredConfigs[g.Name]), runs, to, g.Accepted, g.Failed, mean, g.Memory>>20,
+			strings.TrimSpace(g.ConfigRejected+" "+g.VersionRejected))
 	}
 	return t.Flush()
 }
--- a/cmd/robindrum/serve.go
+++ b/cmd/robindrum/serve.go
@@ -96,7 +96,7 @@
 	for ctx.Err() == nil && !again {
 		select {
 		case <-ctx.Done():
-		case <-child.Again(): // it is drained
+		case <-child.Restarting(): // it is drained
 			again = true
 		case <-hup:
 			n, err := config.Load(path)
@@ -115,7 +115,7 @@
 	defer cancel()
 	g.Stop(until)
 	if again {
-		return exitCode(supervisor.Again)
+		return exitCode(supervisor.ExitRestart)
 	}
 	return nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -154,7 +154,7 @@
 	}
 	bound(d, "fleet.probe", f.Probe, 10*time.Millisecond, time.Minute)
 	bound(d, "fleet.forget", f.Forget, f.Probe.D(), 24*time.Hour)
-	bound(d, "fleet.lease", f.Lease, lease.LeastLength, lease.MostLength)
+	bound(d, "fleet.lease", f.Lease, lease.MinLength, lease.MaxLength)
 	f.checkQuorum(d, text, ip)
 	if s := f.Subscription; s != nil {
 		if f.Site == "" {
--- a/internal/demo/release.go
+++ b/internal/demo/release.go
@@ -44,7 +44,7 @@
 	load := s.Load(100)
 	defer load.Stop()
 	const within = time.Minute
-	state := func() (l quorum.Releases, err error) {
+	state := func() (l quorum.ReleaseList, err error) {
 		for _, n := range s.Nodes {
 			if l, err = n.Releases(); err == nil && l.Fresh {
 				return l, nil
@@ -57,15 +57,15 @@
 	}
 	most := 0
 	play := func(id, text, version string, back bool) (r release.Release, err error) {
-		p := &release.Plan{ID: id, To: version, Program: version != "", Soak: 2 * time.Second, Back: back, Grace: 3 * time.Second, Notice: 300 * time.Millisecond,
-			Gate: release.Gate{Requests: 100, Slower: 10, Tail: 10}}
+		p := &release.Plan{ID: id, Target: version, OfProgram: version != "", Soak: 2 * time.Second, RollBackOnFailure: back, Grace: 3 * time.Second, Notice: 300 * time.Millisecond,
+			Gate: release.Gate{MinRequests: 100, MaxMeanRatio: 10, MaxTailRatio: 10}}
 		if version == "" {
-			p.To = fleet.ConfigDigest([]byte(text))
-			if err := s.Nodes[0].Release(quorum.Command{Op: quorum.Put, Digest: p.To, Text: text}); err != nil {
+			p.Target = fleet.ConfigDigest([]byte(text))
+			if err := s.Nodes[0].Release(quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: text}); err != nil {
 				return r, err
 			}
 		}
-		if err := s.Nodes[0].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: p}); err != nil {
+		if err := s.Nodes[0].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: p}); err != nil {
 			return r, err
 		}
 		last := ""
@@ -76,7 +76,7 @@
 			}
 			has := 0
 			for _, g := range l.Gateways {
-				if g.Has == p.To || g.Program == p.To {
+				if g.Config == p.Target || g.Version == p.Target {
 					has++
 				}
 			}
@@ -95,7 +95,7 @@
 						say("robindrum release back")
 					}
 					last = now.String()
-					_ = s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBack, Text: "by hand"}) // asked again with the next look
+					_ = s.Nodes[1].Release(quorum.Command{Op: quorum.OpRollbackRelease, Text: "by hand"}) // asked again with the next look
 					return false
 				}
 			}
@@ -121,7 +121,7 @@
 	}
 	asked, failed := load.Asked.Load()-asked, load.Failed.Load()
 	say("of %d requests while the bad one was there %d failed (all at once it would be a tenth); %d of 5 gateways had it at the most", asked, failed, most)
-	if r.State != release.Gone || most != 1 || failed == 0 {
+	if r.State != release.RolledBack || most != 1 || failed == 0 {
 		return errors.New("the bad one was not found out, or not stopped at its first gateway")
 	}
 	if r, err = play("routes", goodSections, "", true); err != nil {
--- a/internal/drain/order.go
+++ b/internal/drain/order.go
@@ -29,8 +29,8 @@
 	mostEndpoints = 20_000
 	mostMore      = 16  // unknown fields of one
 	mostText      = 256 // bytes of an id, owner or reason
-	// MostGrace bounds how long what is in hand is waited for.
-	MostGrace = time.Hour
+	// MaxGrace bounds how long what is in hand is waited for.
+	MaxGrace = time.Hour
 	// keepEnded is how long an order that has ended can be asked for.
 	keepEnded = 24 * time.Hour
 )
@@ -59,12 +59,12 @@
 // OfGateways tells whether a target is gateways; else it is endpoints.
 func (t Target) OfGateways() bool { return t.Cluster == "" }
 
-// HasGateway tells whether a gateway of a site and zone is in the target, HasEndpoint whether a cluster's endpoint in a zone is.
-func (t Target) HasGateway(name, site, zone string) bool {
+// MatchesGateway tells whether a gateway of a site and zone is in the target, HasEndpoint whether a cluster's endpoint in a zone is.
+func (t Target) MatchesGateway(name, site, zone string) bool {
 	return t.OfGateways() && (t.Gateway == name && name != "" || t.Gateway == "" && t.Zone != "" && t.Zone == zone && t.Site == site)
 }
 
-func (t Target) HasEndpoint(cluster, address, zone string) bool {
+func (t Target) MatchesEndpoint(cluster, address, zone string) bool {
 	return t.Cluster != "" && t.Cluster == cluster && (t.Endpoint == address && address != "" || t.Endpoint == "" && t.Zone != "" && t.Zone == zone)
 }
 
@@ -74,26 +74,26 @@
 // An order goes from asked to granted to under way to done, or to overdue and then done; to cancelled from anywhere before it has
 // ended, and to refused at once.
 const (
-	Asked     State = "asked"     // waits for a slot
+	Pending   State = "asked"     // waits for a slot
 	Granted   State = "granted"   // has a slot; nothing was taken out yet
-	UnderWay  State = "under way" // its target gets nothing new
-	Done      State = "done"      // its target has nothing in hand
+	Draining  State = "under way" // its target gets nothing new
+	Drained   State = "done"      // its target has nothing in hand
 	Overdue   State = "overdue"   // its time is over, and it had something in hand
 	Cancelled State = "cancelled" // its target may serve; the slot is held until it does
 	Ended     State = "ended"     // its target has been seen in service again, or is not there any more
-	Refused   State = "refused"
+	Rejected  State = "refused"
 )
 
-// holds tells whether an order in this state has a slot.
-func (s State) holds() bool {
-	return s == Granted || s == UnderWay || s == Done || s == Overdue || s == Cancelled
+// holdsSlot tells whether an order in this state has a slot.
+func (s State) holdsSlot() bool {
+	return s == Granted || s == Draining || s == Drained || s == Overdue || s == Cancelled
 }
 
-// Out tells whether an order in this state keeps its target from serving.
-func (s State) Out() bool { return s == UnderWay || s == Done || s == Overdue }
+// Unavailable tells whether an order in this state keeps its target from serving.
+func (s State) Unavailable() bool { return s == Draining || s == Drained || s == Overdue }
 
-// Order is one.
-type Order struct {
+// Request is one.
+type Request struct {
 	ID     string `json:"id"` // the asker's: the same one asked for again is the same order
 	Target Target `json:"target"`
 	Owner  string `json:"owner"`
@@ -102,33 +102,33 @@
 	// Notice, with its readiness off, so that those before it can turn away.
 	Grace  time.Duration `json:"grace"`
 	Notice time.Duration `json:"notice,omitempty"`
-	// Wait: what a gateway has in hand when Grace is over is waited for on; else it is answered there, see Last.
-	Wait bool `json:"wait,omitempty"`
+	// WaitForAll: what a gateway has in hand when Grace is over is waited for on; else it is answered there, see Last.
+	WaitForAll bool `json:"wait,omitempty"`
 	// Restart is the version of the program as which a gateway is to start anew once it has nothing in hand; empty: it stays.
 	Restart string               `json:"restart,omitempty"`
-	More    unknownfields.Fields `json:"-"` // handed on
+	Unknown unknownfields.Fields `json:"-"` // handed on
 
-	State State  `json:"state"`
-	Why   string `json:"why,omitempty"` // of refused, and of asked: what it waits for
+	State       State  `json:"state"`
+	StateReason string `json:"why,omitempty"` // of refused, and of asked: what it waits for
 	// Token is higher than that of each order granted before it. Who takes the target out shows it.
-	Token  uint64        `json:"token,omitempty"`
-	Since  time.Duration `json:"since"` // of State
-	Until  time.Duration `json:"until,omitempty"`
-	InHand int           `json:"in_hand,omitempty"` // as the target said last
-	Seq    uint64        `json:"seq"`               // orders in the order in which they were asked for
-	At     uint64        `json:"at"`                // the book's version at the last change of State
+	Token        uint64        `json:"token,omitempty"`
+	StateSince   time.Duration `json:"since"` // of State
+	Deadline     time.Duration `json:"until,omitempty"`
+	InFlight     int           `json:"in_hand,omitempty"` // as the target said last
+	Seq          uint64        `json:"seq"`               // orders in the order in which they were asked for
+	StateVersion uint64        `json:"at"`                // the book's version at the last change of State
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
-func (o Order) MarshalJSON() ([]byte, error) {
-	type plain Order
-	return unknownfields.Marshal(plain(o), o.More)
+func (o Request) MarshalJSON() ([]byte, error) {
+	type plain Request
+	return unknownfields.Marshal(plain(o), o.Unknown)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
-func (o *Order) UnmarshalJSON(text []byte) error {
-	type plain Order
-	return unknownfields.Unmarshal(text, (*plain)(o), &o.More)
+func (o *Request) UnmarshalJSON(text []byte) error {
+	type plain Request
+	return unknownfields.Unmarshal(text, (*plain)(o), &o.Unknown)
 }
 
 // Scope is what a budget counts.
@@ -147,20 +147,20 @@
 // Budget bounds how many of a scope may be out. Both bounds count where both are set; a part is rounded down, and at least one
 // may be out where a part alone is set and there are more than one.
 type Budget struct {
-	Name  string  `json:"name"`
-	Scope Scope   `json:"scope"`
-	Most  int     `json:"most,omitempty"`
-	Part  float64 `json:"part,omitempty"`
+	Name     string  `json:"name"`
+	Scope    Scope   `json:"scope"`
+	Max      int     `json:"most,omitempty"`
+	Fraction float64 `json:"part,omitempty"`
 }
 
 func (b *Budget) bound(of int) int {
 	n := of
-	if b.Most > 0 {
-		n = min(n, b.Most)
+	if b.Max > 0 {
+		n = min(n, b.Max)
 	}
-	if b.Part > 0 {
-		p := int(b.Part * float64(of))
-		if p == 0 && of > 1 && b.Most == 0 {
+	if b.Fraction > 0 {
+		p := int(b.Fraction * float64(of))
+		if p == 0 && of > 1 && b.Max == 0 {
 			p = 1
 		}
 		n = min(n, p)
@@ -170,11 +170,11 @@
 
 // Gateway is what the fleet knows of one.
 type Gateway struct {
-	Name    string `json:"name"`
-	Site    string `json:"site,omitempty"`
-	Zone    string `json:"zone,omitempty"`
-	Birth   uint64 `json:"birth"`
-	Serving bool   `json:"serving"`
+	Name        string `json:"name"`
+	Site        string `json:"site,omitempty"`
+	Zone        string `json:"zone,omitempty"`
+	Incarnation uint64 `json:"birth"`
+	Serving     bool   `json:"serving"`
 }
 
 // Endpoint is what the fleet's gateways know of one.
@@ -182,55 +182,55 @@
 	Cluster string `json:"cluster"`
 	Address string `json:"address"`
 	Zone    string `json:"zone,omitempty"`
-	// Well: enough gateways have it in use, warm and not ejected.
-	Well bool `json:"well"`
+	// Healthy: enough gateways have it in use, warm and not ejected.
+	Healthy bool `json:"well"`
 }
 
-// Book is all orders with what they are judged by. A Book is for one goroutine at a time; the same calls give the same book.
-type Book struct {
+// Ledger is all orders with what they are judged by. A Book is for one goroutine at a time; the same calls give the same book.
+type Ledger struct {
 	Version   uint64              `json:"version"` // rises with each change that others are to know of
-	Last      uint64              `json:"last_token"`
+	LastToken uint64              `json:"last_token"`
 	Seq       uint64              `json:"seq"`
 	Now       time.Duration       `json:"now"`
-	Orders    map[string]*Order   `json:"orders"`
+	Requests  map[string]*Request `json:"orders"`
 	Budgets   []Budget            `json:"budgets"`
 	Gateways  map[string]Gateway  `json:"gateways"`
 	Endpoints map[string]Endpoint `json:"endpoints"`
 	Halted    bool                `json:"halted,omitempty"` // nothing new is granted
-	// Seen is the version that everyone who was asked had taken over when it said what Gateways and Endpoints have.
-	Seen uint64               `json:"seen"`
-	More unknownfields.Fields `json:"-"`
+	// ObservedVersion is the version that everyone who was asked had taken over when it said what Gateways and Endpoints have.
+	ObservedVersion uint64               `json:"seen"`
+	Unknown         unknownfields.Fields `json:"-"`
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
-func (b Book) MarshalJSON() ([]byte, error) {
-	type plain Book
-	return unknownfields.Marshal(plain(b), b.More)
+func (b Ledger) MarshalJSON() ([]byte, error) {
+	type plain Ledger
+	return unknownfields.Marshal(plain(b), b.Unknown)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
-func (b *Book) UnmarshalJSON(text []byte) error {
-	type plain Book
-	return unknownfields.Unmarshal(text, (*plain)(b), &b.More)
+func (b *Ledger) UnmarshalJSON(text []byte) error {
+	type plain Ledger
+	return unknownfields.Unmarshal(text, (*plain)(b), &b.Unknown)
 }
 
-// NewBook makes an empty one.
-func NewBook() *Book {
-	return &Book{Orders: map[string]*Order{}, Gateways: map[string]Gateway{}, Endpoints: map[string]Endpoint{}}
+// NewLedger makes an empty one.
+func NewLedger() *Ledger {
+	return &Ledger{Requests: map[string]*Request{}, Gateways: map[string]Gateway{}, Endpoints: map[string]Endpoint{}}
 }
 
 // Restore reads a book as encoding/json wrote it. One that no calls can have made is an error.
-func Restore(text []byte) (*Book, error) {
-	b := NewBook()
+func Restore(text []byte) (*Ledger, error) {
+	b := NewLedger()
 	if err := json.Unmarshal(text, b); err != nil {
 		return nil, fmt.Errorf("orders: %w", err)
 	}
-	if b.Orders == nil || b.Gateways == nil || b.Endpoints == nil || len(b.Orders) > 2*mostOrders || len(b.Budgets) > mostBudgets || b.Last == math.MaxUint64 ||
+	if b.Requests == nil || b.Gateways == nil || b.Endpoints == nil || len(b.Requests) > 2*mostOrders || len(b.Budgets) > mostBudgets || b.LastToken == math.MaxUint64 ||
 		b.Seq == math.MaxUint64 || b.Version == math.MaxUint64 {
 		return nil, errors.New("orders: not a book")
 	}
-	for id, o := range b.Orders {
-		if o == nil || o.ID != id || o.Token > b.Last || o.Seq > b.Seq {
+	for id, o := range b.Requests {
+		if o == nil || o.ID != id || o.Token > b.LastToken || o.Seq > b.Seq {
 			return nil, fmt.Errorf("orders: %q is no order", id)
 		}
 	}
@@ -239,42 +239,42 @@
 
 // What an asker may be told.
 var (
-	ErrOther = errors.New("another order has this id")
-	ErrNone  = errors.New("there is no such order")
-	ErrFull  = errors.New("there are too many orders")
-	ErrState = errors.New("the order is not in a state for this")
+	ErrIDInUse    = errors.New("another order has this id")
+	ErrNotFound   = errors.New("there is no such order")
+	ErrTooMany    = errors.New("there are too many orders")
+	ErrWrongState = errors.New("the order is not in a state for this")
 )
 
-// Lead begins a term of another leader, whose clock has nothing to do with the one before: times count from now on.
-func (b *Book) Lead(now time.Duration) {
+// BeginTerm begins a term of another leader, whose clock has nothing to do with the one before: times count from now on.
+func (b *Ledger) BeginTerm(now time.Duration) {
 	shift := now - b.Now
 	b.Now = now
-	for _, o := range b.Orders {
-		o.Since += shift
-		if o.Until > 0 {
-			o.Until += shift
+	for _, o := range b.Requests {
+		o.StateSince += shift
+		if o.Deadline > 0 {
+			o.Deadline += shift
 		}
 	}
 }
 
-func (b *Book) at(now time.Duration) { b.Now = max(b.Now, now) }
+func (b *Ledger) at(now time.Duration) { b.Now = max(b.Now, now) }
 
-func (b *Book) set(o *Order, s State, why string) {
+func (b *Ledger) set(o *Request, s State, why string) {
 	if o.State != s {
-		o.Since = b.Now
+		o.StateSince = b.Now
 		b.Version++
-		o.At = b.Version
+		o.StateVersion = b.Version
 	}
-	o.State, o.Why = s, why
+	o.State, o.StateReason = s, why
 }
 
-// Ask asks for an order. Asked once more with the same id it is the same one, in whatever state it is; with another target it is an
+// Submit asks for an order. Asked once more with the same id it is the same one, in whatever state it is; with another target it is an
 // error.
-func (b *Book) Ask(now time.Duration, o Order) (Order, error) {
+func (b *Ledger) Submit(now time.Duration, o Request) (Request, error) {
 	b.at(now)
-	if old := b.Orders[o.ID]; old != nil {
+	if old := b.Requests[o.ID]; old != nil {
 		if old.Target != o.Target || old.Restart != o.Restart {
-			return *old, ErrOther
+			return *old, ErrIDInUse
 		}
 		b.settle()
 		return *old, nil
@@ -283,19 +283,19 @@
 		return o, err
 	}
 	b.Seq++
-	x := &Order{ID: o.ID, Target: o.Target, Owner: o.Owner, Reason: o.Reason, Grace: o.Grace, Notice: o.Notice, Wait: o.Wait, Restart: o.Restart,
-		More: o.More, Seq: b.Seq}
-	b.Orders[o.ID] = x
+	x := &Request{ID: o.ID, Target: o.Target, Owner: o.Owner, Reason: o.Reason, Grace: o.Grace, Notice: o.Notice, WaitForAll: o.WaitForAll, Restart: o.Restart,
+		Unknown: o.Unknown, Seq: b.Seq}
+	b.Requests[o.ID] = x
 	if why := b.never(x); why != "" {
-		b.set(x, Refused, why)
+		b.set(x, Rejected, why)
 		return *x, nil
 	}
-	b.set(x, Asked, "")
+	b.set(x, Pending, "")
 	b.settle()
 	return *x, nil
 }
 
-func (b *Book) check(o *Order) error {
+func (b *Ledger) check(o *Request) error {
 	for field, s := range map[string]string{"id": o.ID, "owner": o.Owner, "reason": o.Reason, "gateway": o.Target.Gateway, "cluster": o.Target.Cluster, "endpoint": o.Target.Endpoint,
 		"site": o.Target.Site, "zone": o.Target.Zone, "restart": o.Restart} {
 		if len(s) > mostText {
@@ -315,31 +315,31 @@
 		return errors.New("target: want a gateway, an endpoint of a cluster, a zone of a site, or a zone of a cluster")
 	case o.Restart != "" && t.Gateway == "":
 		return errors.New("restart: is for one gateway")
-	case len(o.More) > mostMore:
-		return fmt.Errorf("%d fields that are not known, %d at most", len(o.More), mostMore)
+	case len(o.Unknown) > mostMore:
+		return fmt.Errorf("%d fields that are not known, %d at most", len(o.Unknown), mostMore)
 	case strings.ContainsAny(t.Gateway+t.Endpoint+t.Cluster+t.Site+t.Zone, "*?"):
 		return errors.New("target: patterns are not taken: name each")
 	case o.Grace <= 0:
 		return fmt.Errorf("grace: %v is in the past", o.Grace)
 	case o.Notice < 0 || o.Notice > o.Grace:
 		return fmt.Errorf("notice: %v, want 0 to the grace of %v", o.Notice, o.Grace)
-	case o.Grace > MostGrace:
-		return fmt.Errorf("grace: %v, %v at most", o.Grace, MostGrace)
+	case o.Grace > MaxGrace:
+		return fmt.Errorf("grace: %v, %v at most", o.Grace, MaxGrace)
 	}
 	n := 0
-	for _, x := range b.Orders {
-		if x.State != Ended && x.State != Refused {
+	for _, x := range b.Requests {
+		if x.State != Ended && x.State != Rejected {
 			n++
 		}
 	}
 	if n >= mostOrders {
-		return ErrFull
+		return ErrTooMany
 	}
 	return nil
 }
 
 // never says why an order cannot ever be granted as the fleet is; empty: it can.
-func (b *Book) never(o *Order) string {
+func (b *Ledger) never(o *Request) string {
 	members := b.members(o.Target)
 	if len(members) == 0 {
 		if len(b.Gateways) == 0 { // nobody has looked yet
@@ -362,7 +362,7 @@
 }
 
 // members are the gateways or endpoints that a target stands for, as far as they are known.
-func (b *Book) members(t Target) (l []Target) {
+func (b *Ledger) members(t Target) (l []Target) {
 	if t.Gateway != "" {
 		if _, ok := b.Gateways[t.Gateway]; ok {
 			l = append(l, t)
@@ -371,7 +371,7 @@
 	}
 	if t.OfGateways() {
 		for _, name := range slices.Sorted(maps.Keys(b.Gateways)) {
-			if g := b.Gateways[name]; t.HasGateway(name, g.Site, g.Zone) {
+			if g := b.Gateways[name]; t.MatchesGateway(name, g.Site, g.Zone) {
 				l = append(l, Target{Gateway: name})
 			}
 		}
@@ -384,7 +384,7 @@
 		return l
 	}
 	for _, key := range slices.Sorted(maps.Keys(b.Endpoints)) {
-		if e := b.Endpoints[key]; t.HasEndpoint(e.Cluster, e.Address, e.Zone) {
+		if e := b.Endpoints[key]; t.MatchesEndpoint(e.Cluster, e.Address, e.Zone) {
 			l = append(l, Target{Cluster: e.Cluster, Endpoint: e.Address})
 		}
 	}
@@ -411,12 +411,12 @@
 
 // tally is how the budgets stand while nothing changes.
 type tally struct {
-	b    *Book
+	b    *Ledger
 	held map[Target]bool
 	by   map[Target][]count // by place: all of one fall under the same budgets
 }
 
-func (b *Book) tally() *tally { return &tally{b: b, held: b.held(), by: map[Target][]count{}} }
+func (b *Ledger) tally() *tally { return &tally{b: b, held: b.held(), by: map[Target][]count{}} }
 
 // counts gives the budgets that a gateway or an endpoint falls under.
 func (y *tally) counts(t Target) []count {
@@ -440,7 +440,7 @@
 	return l
 }
 
-func (b *Book) counts(t Target, held map[Target]bool) (l []count) {
+func (b *Ledger) counts(t Target, held map[Target]bool) (l []count) {
 	for i := range b.Budgets {
 		g := &b.Budgets[i]
 		s := &g.Scope
@@ -469,7 +469,7 @@
 					continue
 				}
 				c.in[key] = true
-				if !x.Well || held[Target{Cluster: x.Cluster, Endpoint: x.Address}] {
+				if !x.Healthy || held[Target{Cluster: x.Cluster, Endpoint: x.Address}] {
 					c.out[key] = true
 				}
 			}
@@ -482,10 +482,10 @@
 }
 
 // held are the gateways and endpoints for which an order has a slot. One that is cancelled holds it until it is seen in service.
-func (b *Book) held() map[Target]bool {
+func (b *Ledger) held() map[Target]bool {
 	m := map[Target]bool{}
-	for _, o := range b.Orders {
-		if !o.State.holds() {
+	for _, o := range b.Requests {
+		if !o.State.holdsSlot() {
 			continue
 		}
 		l := b.members(o.Target)
@@ -493,7 +493,7 @@
 			l = []Target{o.Target}
 		}
 		for _, t := range l {
-			if o.State != Cancelled || b.Seen < o.At || !b.well(t) {
+			if o.State != Cancelled || b.ObservedVersion < o.StateVersion || !b.well(t) {
 				m[t] = true
 			}
 		}
@@ -509,7 +509,7 @@
 }
 
 // room says why a target may not be taken out now; empty: it may. What is out already takes no more room.
-func (b *Book) room(t Target, held *tally) string {
+func (b *Ledger) room(t Target, held *tally) string {
 	members := b.members(t)
 	if len(members) == 0 {
 		return "nobody knows of " + t.String()
@@ -541,16 +541,16 @@
 
 // settle grants what may be granted, in the order in which it was asked for, takes back what was granted and not begun where
 // something was lost meanwhile, and ends what has come back.
-func (b *Book) settle() {
-	all := slices.SortedFunc(maps.Values(b.Orders), func(x, y *Order) int { return cmp.Compare(x.Seq, y.Seq) })
+func (b *Ledger) settle() {
+	all := slices.SortedFunc(maps.Values(b.Requests), func(x, y *Request) int { return cmp.Compare(x.Seq, y.Seq) })
 	for _, o := range all {
 		switch {
-		case o.State.Out() && o.State != Done && o.State != Overdue && o.Until > 0 && b.Now >= o.Until:
+		case o.State.Unavailable() && o.State != Drained && o.State != Overdue && o.Deadline > 0 && b.Now >= o.Deadline:
 			b.set(o, Overdue, "")
-		case o.State == Cancelled && b.Seen >= o.At && b.well(o.Target) && !b.other(o):
+		case o.State == Cancelled && b.ObservedVersion >= o.StateVersion && b.well(o.Target) && !b.other(o):
 			b.set(o, Ended, "")
-		case (o.State == Ended || o.State == Refused) && b.Now-o.Since > keepEnded:
-			delete(b.Orders, o.ID)
+		case (o.State == Ended || o.State == Rejected) && b.Now-o.StateSince > keepEnded:
+			delete(b.Requests, o.ID)
 		}
 	}
 	// The latest granted goes first. Danger: taken back one by one, as each may be enough.
@@ -558,13 +558,13 @@
 	for i := len(all) - 1; i >= 0; i-- {
 		if o := all[i]; o.State == Granted {
 			if why := b.room(o.Target, held); why != "" {
-				b.set(o, Asked, "taken back: "+why)
+				b.set(o, Pending, "taken back: "+why)
 				held = b.tally()
 			}
 		}
 	}
 	for _, o := range all {
-		if o.State != Asked {
+		if o.State != Pending {
 			continue
 		}
 		why := b.room(o.Target, held)
@@ -572,11 +572,11 @@
 			why = "halted: nothing new is taken out"
 		}
 		if why != "" {
-			o.Why = why
+			o.StateReason = why
 			continue
 		}
-		b.Last++
-		o.Token = b.Last
+		b.LastToken++
+		o.Token = b.LastToken
 		b.set(o, Granted, "")
 		held = b.tally()
 	}
@@ -584,21 +584,21 @@
 }
 
 // trim forgets the oldest that have ended.
-func (b *Book) trim(all []*Order) {
+func (b *Ledger) trim(all []*Request) {
 	n := 0
 	for i := len(all) - 1; i >= 0; i-- {
-		if o := all[i]; o.State == Ended || o.State == Refused {
+		if o := all[i]; o.State == Ended || o.State == Rejected {
 			if n++; n > mostOrders {
-				delete(b.Orders, o.ID)
+				delete(b.Requests, o.ID)
 			}
 		}
 	}
 }
 
 // well tells whether all of a target is in service, or is not there any more.
-func (b *Book) well(t Target) bool {
+func (b *Ledger) well(t Target) bool {
 	for _, m := range b.members(t) {
-		if m.Gateway != "" && !b.Gateways[m.Gateway].Serving || m.Gateway == "" && !b.Endpoints[m.key()].Well {
+		if m.Gateway != "" && !b.Gateways[m.Gateway].Serving || m.Gateway == "" && !b.Endpoints[m.key()].Healthy {
 			return false
 		}
 	}
@@ -606,9 +606,9 @@
 }
 
 // other tells whether another order keeps the same target out.
-func (b *Book) other(o *Order) bool {
-	for _, x := range b.Orders {
-		if x != o && x.Target == o.Target && x.State.Out() {
+func (b *Ledger) other(o *Request) bool {
+	for _, x := range b.Requests {
+		if x != o && x.Target == o.Target && x.State.Unavailable() {
 			return true
 		}
 	}
@@ -617,62 +617,62 @@
 
 // Begin is that the target's taking out begins, under the token that it was granted with. It is the last moment at which a slot can
 // still be taken back.
-func (b *Book) Begin(now time.Duration, id string, token uint64) (Order, error) {
+func (b *Ledger) Begin(now time.Duration, id string, token uint64) (Request, error) {
 	b.at(now)
 	b.settle()
-	o := b.Orders[id]
+	o := b.Requests[id]
 	switch {
 	case o == nil:
-		return Order{}, ErrNone
+		return Request{}, ErrNotFound
 	case o.Token != token:
-		return *o, fmt.Errorf("%w: its token is %d, not %d", ErrState, o.Token, token)
-	case o.State.Out(): // said once more
+		return *o, fmt.Errorf("%w: its token is %d, not %d", ErrWrongState, o.Token, token)
+	case o.State.Unavailable(): // said once more
 		return *o, nil
 	case o.State != Granted:
-		return *o, fmt.Errorf("%w: it is %s", ErrState, o.State)
+		return *o, fmt.Errorf("%w: it is %s", ErrWrongState, o.State)
 	}
-	o.Until = b.Now + o.Grace
-	b.set(o, UnderWay, "")
+	o.Deadline = b.Now + o.Grace
+	b.set(o, Draining, "")
 	return *o, nil
 }
 
 // Progress is what a target under way has in hand; none: it is done.
-func (b *Book) Progress(now time.Duration, id string, token uint64, inHand int) (Order, error) {
+func (b *Ledger) Progress(now time.Duration, id string, token uint64, inHand int) (Request, error) {
 	b.at(now)
 	b.settle()
-	o := b.Orders[id]
+	o := b.Requests[id]
 	switch {
 	case o == nil:
-		return Order{}, ErrNone
-	case o.Token != token || !o.State.Out():
-		return *o, fmt.Errorf("%w: it is %s under token %d", ErrState, o.State, o.Token)
+		return Request{}, ErrNotFound
+	case o.Token != token || !o.State.Unavailable():
+		return *o, fmt.Errorf("%w: it is %s under token %d", ErrWrongState, o.State, o.Token)
 	}
-	o.InHand = max(inHand, 0)
-	if o.InHand == 0 {
-		b.set(o, Done, "")
+	o.InFlight = max(inHand, 0)
+	if o.InFlight == 0 {
+		b.set(o, Drained, "")
 	}
 	return *o, nil
 }
 
 // Cancel brings a target back, or drops what was not begun. It needs no slot. Cancelled once more, nothing changes.
-func (b *Book) Cancel(now time.Duration, id string) (Order, error) {
+func (b *Ledger) Cancel(now time.Duration, id string) (Request, error) {
 	b.at(now)
-	o := b.Orders[id]
+	o := b.Requests[id]
 	if o == nil {
-		return Order{}, ErrNone
+		return Request{}, ErrNotFound
 	}
 	switch {
-	case o.State == Asked || o.State == Granted:
+	case o.State == Pending || o.State == Granted:
 		b.set(o, Ended, "cancelled before it began")
-	case o.State.Out():
+	case o.State.Unavailable():
 		b.set(o, Cancelled, "")
 	}
 	b.settle()
 	return *o, nil
 }
 
-// Halt has nothing new granted until it is lifted. What is out stays, what comes back comes back.
-func (b *Book) Halt(now time.Duration, on bool) {
+// SetHalted has nothing new granted until it is lifted. What is out stays, what comes back comes back.
+func (b *Ledger) SetHalted(now time.Duration, on bool) {
 	b.at(now)
 	if b.Halted != on {
 		b.Halted = on
@@ -681,8 +681,8 @@
 	b.settle()
 }
 
-// Limit sets the budgets. One lowered under what is out brings nothing back by itself, and grants nothing new.
-func (b *Book) Limit(now time.Duration, l []Budget) error {
+// SetBudgets sets the budgets. One lowered under what is out brings nothing back by itself, and grants nothing new.
+func (b *Ledger) SetBudgets(now time.Duration, l []Budget) error {
 	b.at(now)
 	if len(l) > mostBudgets {
 		return fmt.Errorf("%d budgets, %d at most", len(l), mostBudgets)
@@ -693,7 +693,7 @@
 			return errors.New("a budget without a name")
 		case g.Scope.Gateways == (g.Scope.Cluster != ""):
 			return fmt.Errorf("budget %s: it counts gateways, or the endpoints of a cluster", g.Name)
-		case g.Most < 0 || g.Part < 0 || g.Part > 1 || g.Part != g.Part || g.Most == 0 && g.Part == 0:
+		case g.Max < 0 || g.Fraction < 0 || g.Fraction > 1 || g.Fraction != g.Fraction || g.Max == 0 && g.Fraction == 0:
 			return fmt.Errorf("budget %s: want a number, a part from 0 to 1, or both", g.Name)
 		}
 	}
@@ -702,12 +702,12 @@
 	return nil
 }
 
-// See takes what the fleet knows of its gateways and endpoints: all of them, as each said when it had taken over the view of a
+// Observe takes what the fleet knows of its gateways and endpoints: all of them, as each said when it had taken over the view of a
 // version; who does not answer is not serving. A gateway that was killed while it was out, and runs again, is still out: its order
 // goes on. Danger: an order that is cancelled must not end by what was seen before.
-func (b *Book) See(now time.Duration, version uint64, gateways []Gateway, endpoints []Endpoint) error {
+func (b *Ledger) Observe(now time.Duration, version uint64, gateways []Gateway, endpoints []Endpoint) error {
 	b.at(now)
-	b.Seen = max(b.Seen, min(version, b.Version))
+	b.ObservedVersion = max(b.ObservedVersion, min(version, b.Version))
 	if len(gateways) > mostGateways || len(endpoints) > mostEndpoints {
 		return fmt.Errorf("%d gateways and %d endpoints, %d and %d at most", len(gateways), len(endpoints), mostGateways, mostEndpoints)
 	}
@@ -725,59 +725,59 @@
 
 // View is what each gateway is to know: what is out, and since which version.
 type View struct {
-	Term    uint64  `json:"term"`
-	Version uint64  `json:"version"`
-	Out     []Order `json:"out"` // granted, or out
+	Term     uint64    `json:"term"`
+	Version  uint64    `json:"version"`
+	Requests []Request `json:"out"` // granted, or out
 }
 
 // View gives it.
-func (b *Book) View(term uint64) View {
+func (b *Ledger) View(term uint64) View {
 	v := View{Term: term, Version: b.Version}
-	for _, o := range b.Orders {
-		if o.State.Out() || o.State == Granted {
-			v.Out = append(v.Out, *o)
+	for _, o := range b.Requests {
+		if o.State.Unavailable() || o.State == Granted {
+			v.Requests = append(v.Requests, *o)
 		}
 	}
-	slices.SortFunc(v.Out, func(x, y Order) int { return cmp.Compare(x.Seq, y.Seq) })
+	slices.SortFunc(v.Requests, func(x, y Request) int { return cmp.Compare(x.Seq, y.Seq) })
 	return v
 }
 
-// Newer tells whether a view is of a later state than another one.
-func (v *View) Newer(o *View) bool {
+// NewerThan tells whether a view is of a later state than another one.
+func (v *View) NewerThan(o *View) bool {
 	return v.Version > o.Version || v.Version == o.Version && v.Term > o.Term
 }
 
 // List gives all orders, in the order in which they were asked for.
-func (b *Book) List() []Order {
-	l := make([]Order, 0, len(b.Orders))
-	for _, o := range b.Orders {
+func (b *Ledger) List() []Request {
+	l := make([]Request, 0, len(b.Requests))
+	for _, o := range b.Requests {
 		l = append(l, *o)
 	}
-	slices.SortFunc(l, func(x, y Order) int { return cmp.Compare(x.Seq, y.Seq) })
+	slices.SortFunc(l, func(x, y Request) int { return cmp.Compare(x.Seq, y.Seq) })
 	return l
 }
 
-// Last says how a request that is in hand when a gateway's grace is over is answered there: what can have had no effect may be asked
+// FinalAnswer says how a request that is in hand when a gateway's grace is over is answered there: what can have had no effect may be asked
 // for again; of all else nobody knows. Danger: a keyed one has one effect within its group alone, and another gateway may send it out
 // of that.
-func Last(effect string, sent bool) (status int, again bool) {
+func FinalAnswer(effect string, sent bool) (status int, again bool) {
 	if !sent || effect == "safe" {
 		return 503, true
 	}
 	return 504, false
 }
 
-// Standing is a budget as it stands.
-type Standing struct {
-	Name  string   `json:"name"`
-	Scope string   `json:"scope"`
-	Of    int      `json:"of"`
-	Bound int      `json:"bound"`
-	Out   []string `json:"out"`
+// BudgetStatus is a budget as it stands.
+type BudgetStatus struct {
+	Name        string   `json:"name"`
+	Scope       string   `json:"scope"`
+	Total       int      `json:"of"`
+	Allowed     int      `json:"bound"`
+	Unavailable []string `json:"out"`
 }
 
-// Standings gives each budget as it stands, for each zone, site or cluster that it counts by itself.
-func (b *Book) Standings() (l []Standing) {
+// BudgetStatuses gives each budget as it stands, for each zone, site or cluster that it counts by itself.
+func (b *Ledger) BudgetStatuses() (l []BudgetStatus) {
 	seen, held := map[string]bool{}, b.tally()
 	note := func(t Target, site, zone string) {
 		for _, c := range held.counts(t) {
@@ -795,7 +795,7 @@
 			scope = strings.TrimSpace(cmp.Or(scope, "all"))
 			if k := c.name + "\x00" + scope; !seen[k] {
 				seen[k] = true
-				l = append(l, Standing{c.name, scope, c.of, c.bound, slices.Sorted(maps.Keys(c.out))})
+				l = append(l, BudgetStatus{c.name, scope, c.of, c.bound, slices.Sorted(maps.Keys(c.out))})
 			}
 		}
 	}
--- a/internal/drain/order_test.go
+++ b/internal/drain/order_test.go
@@ -14,16 +14,16 @@
 
 func gateways(serving ...bool) (l []Gateway) {
 	for i, s := range serving {
-		l = append(l, Gateway{Name: fmt.Sprint("g", i), Site: "s", Zone: string(rune('a' + i%2)), Birth: 1, Serving: s})
+		l = append(l, Gateway{Name: fmt.Sprint("g", i), Site: "s", Zone: string(rune('a' + i%2)), Incarnation: 1, Serving: s})
 	}
 	return l
 }
 
 // taken is what an outside observer counts as out by planned means: what an order keeps from serving, or may be about to.
-func taken(b *Book) map[string]bool {
+func taken(b *Ledger) map[string]bool {
 	m := map[string]bool{}
-	for _, o := range b.Orders {
-		if o.State.holds() {
+	for _, o := range b.Requests {
+		if o.State.holdsSlot() {
 			m[o.Target.key()] = true
 		}
 	}
@@ -32,26 +32,26 @@
 
 // One order through all its states, a second one that has to wait, and a way back that holds its slot until it is proven.
 func TestLifeOfAnOrder(t *testing.T) {
-	b := NewBook()
-	if err := b.Limit(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Most: 1}}); err != nil {
+	b := NewLedger()
+	if err := b.SetBudgets(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Max: 1}}); err != nil {
 		t.Fatal(err)
 	}
 	see := func(serving ...bool) {
 		t.Helper()
-		if err := b.See(b.Now, b.Version, gateways(serving...), nil); err != nil {
+		if err := b.Observe(b.Now, b.Version, gateways(serving...), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	is := func(id string, want State) *Order {
+	is := func(id string, want State) *Request {
 		t.Helper()
-		if o := b.Orders[id]; o == nil || o.State != want {
+		if o := b.Requests[id]; o == nil || o.State != want {
 			t.Fatalf("%s: %+v, want %s", id, o, want)
 		}
-		return b.Orders[id]
+		return b.Requests[id]
 	}
 	ask := func(id string, gateway int) {
 		t.Helper()
-		if _, err := b.Ask(b.Now, Order{ID: id, Target: Target{Gateway: fmt.Sprint("g", gateway)}, Grace: time.Second}); err != nil {
+		if _, err := b.Submit(b.Now, Request{ID: id, Target: Target{Gateway: fmt.Sprint("g", gateway)}, Grace: time.Second}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,12 +60,12 @@
 	ask("y", 1)
 	ask("z", 9)
 	first := is("x", Granted).Token
-	if o := is("y", Asked); !strings.Contains(o.Why, "1 of 3 are out, 1 may be") {
-		t.Errorf("%q", o.Why)
+	if o := is("y", Pending); !strings.Contains(o.StateReason, "1 of 3 are out, 1 may be") {
+		t.Errorf("%q", o.StateReason)
 	}
-	is("z", Refused)
+	is("z", Rejected)
 	see(true, true, false) // a loss that nobody planned: what was not begun is taken back
-	is("x", Asked)
+	is("x", Pending)
 	if _, err := b.Begin(b.Now, "x", first); err == nil {
 		t.Error("begun though it was taken back")
 	}
@@ -78,54 +78,54 @@
 		t.Fatal(err)
 	}
 	see(false, true, true)
-	if _, err := b.Progress(b.Now+500*time.Millisecond, "x", token, 3); err != nil || is("x", UnderWay).InHand != 3 {
+	if _, err := b.Progress(b.Now+500*time.Millisecond, "x", token, 3); err != nil || is("x", Draining).InFlight != 3 {
 		t.Fatal(err)
 	}
 	_, _ = b.Progress(b.Now+2*time.Second, "x", token, 1)
 	is("x", Overdue)
 	_, _ = b.Progress(b.Now, "x", token, 0)
-	is("x", Done)
+	is("x", Drained)
 	see(true, true, true) // it was killed and runs again, and says that it serves: it is out all the same
-	is("y", Asked)
+	is("y", Pending)
 	before := b.Version
 	if _, err := b.Cancel(b.Now, "x"); err != nil {
 		t.Fatal(err)
 	}
-	_ = b.See(b.Now, before, gateways(true, true, true), nil) // said before it heard of it
+	_ = b.Observe(b.Now, before, gateways(true, true, true), nil) // said before it heard of it
 	is("x", Cancelled)
-	is("y", Asked)
+	is("y", Pending)
 	see(true, true, true)
 	is("x", Ended)
 	is("y", Granted)
-	b.Halt(b.Now, true)
+	b.SetHalted(b.Now, true)
 	if _, err := b.Cancel(b.Now, "y"); err != nil {
 		t.Fatal(err)
 	}
 	ask("w", 2)
-	is("w", Asked)
-	b.Halt(b.Now, false)
+	is("w", Pending)
+	b.SetHalted(b.Now, false)
 	is("w", Granted)
-	if _, err := b.Ask(b.Now, Order{ID: "w", Target: Target{Gateway: "g1"}, Grace: 1}); err != ErrOther {
+	if _, err := b.Submit(b.Now, Request{ID: "w", Target: Target{Gateway: "g1"}, Grace: 1}); err != ErrIDInUse {
 		t.Errorf("another target under the same id: %v", err)
 	}
-	for what, o := range map[string]Order{"a deadline in the past": {ID: "1", Target: Target{Gateway: "g1"}}, "a pattern": {ID: "2", Target: Target{Gateway: "g*"}, Grace: 1},
-		"no target": {ID: "3", Grace: 1}, "too long": {ID: "4", Target: Target{Gateway: "g1"}, Grace: 2 * MostGrace}} {
-		if _, err := b.Ask(b.Now, o); err == nil {
+	for what, o := range map[string]Request{"a deadline in the past": {ID: "1", Target: Target{Gateway: "g1"}}, "a pattern": {ID: "2", Target: Target{Gateway: "g*"}, Grace: 1},
+		"no target": {ID: "3", Grace: 1}, "too long": {ID: "4", Target: Target{Gateway: "g1"}, Grace: 2 * MaxGrace}} {
+		if _, err := b.Submit(b.Now, o); err == nil {
 			t.Errorf("%s was taken", what)
 		}
 	}
 }
 
 // step is one event for a book, drawn or walked.
-func step(b *Book, now time.Duration, event, id, who int, up []bool) {
+func step(b *Ledger, now time.Duration, event, id, who int, up []bool) {
 	name := fmt.Sprint("o", id)
 	token := uint64(0)
-	if o := b.Orders[name]; o != nil {
+	if o := b.Requests[name]; o != nil {
 		token = o.Token
 	}
 	switch event {
 	case 0:
-		_, _ = b.Ask(now, Order{ID: name, Target: Target{Gateway: fmt.Sprint("g", who)}, Grace: time.Second})
+		_, _ = b.Submit(now, Request{ID: name, Target: Target{Gateway: fmt.Sprint("g", who)}, Grace: time.Second})
 	case 1:
 		_, _ = b.Begin(now, name, token)
 	case 2:
@@ -133,19 +133,19 @@
 	case 3:
 		_, _ = b.Cancel(now, name)
 	case 4:
-		_ = b.See(now, b.Version, gateways(up...), nil)
+		_ = b.Observe(now, b.Version, gateways(up...), nil)
 	case 5:
-		b.Halt(now, !b.Halted)
+		b.SetHalted(now, !b.Halted)
 	case 6:
-		b.Lead(0)
+		b.BeginTerm(0)
 	case 7:
-		_ = b.Limit(now, []Budget{{Name: "n", Scope: Scope{Gateways: true}, Most: 1 + who%2}, {Name: "z", Scope: Scope{Gateways: true, EachZone: true}, Part: 0.5}})
+		_ = b.SetBudgets(now, []Budget{{Name: "n", Scope: Scope{Gateways: true}, Max: 1 + who%2}, {Name: "z", Scope: Scope{Gateways: true, EachZone: true}, Fraction: 0.5}})
 	}
 }
 
 // promise is what holds of every book: each budget is kept by what orders take out, counted with what is out by itself, at the
 // moment in which a slot is granted.
-func promise(before map[string]bool, b *Book) error {
+func promise(before map[string]bool, b *Ledger) error {
 	now := taken(b)
 	if len(now) <= len(before) {
 		return nil
@@ -167,14 +167,14 @@
 // grant breaks a budget, tokens and versions rise, and what is cancelled comes back once it is seen.
 func TestBudgetsAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
+		b := NewLedger()
 		up := []bool{true, true, true, true}
 		step(b, 0, 7, 0, rapid.IntRange(0, 1).Draw(t, "most"), nil)
-		_ = b.See(0, 0, gateways(up...), nil)
+		_ = b.Observe(0, 0, gateways(up...), nil)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond
-			before, last, version := taken(b), b.Last, b.Version
+			before, last, version := taken(b), b.LastToken, b.Version
 			if rapid.IntRange(0, 4).Draw(t, "loss") == 0 {
 				i := rapid.IntRange(0, 3).Draw(t, "which")
 				up[i] = !up[i]
@@ -186,8 +186,8 @@
 			if err := promise(before, b); err != nil {
 				t.Fatal(err)
 			}
-			if b.Last < last || b.Version < version {
-				t.Fatalf("token %d behind %d, version %d behind %d", b.Last, last, b.Version, version)
+			if b.LastToken < last || b.Version < version {
+				t.Fatalf("token %d behind %d, version %d behind %d", b.LastToken, last, b.Version, version)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "store") == 0 {
 				text, err := json.Marshal(b)
@@ -204,10 +204,10 @@
 				b = again
 			}
 		}
-		for id := range b.Orders {
+		for id := range b.Requests {
 			_, _ = b.Cancel(now, id)
 		}
-		_ = b.See(now, b.Version, gateways(true, true, true, true), nil)
+		_ = b.Observe(now, b.Version, gateways(true, true, true, true), nil)
 		if n := len(taken(b)); n > 0 {
 			t.Fatalf("%d are held though all is cancelled and serves", n)
 		}
@@ -233,7 +233,7 @@
 			}
 			up := []bool{true, true}
 			for key := range taken(b) {
-				if o := b.Orders["o"+strings.TrimPrefix(key, "g")]; o != nil && o.State.Out() {
+				if o := b.Requests["o"+strings.TrimPrefix(key, "g")]; o != nil && o.State.Unavailable() {
 					up[key[1]-'0'] = false
 				}
 			}
@@ -253,9 +253,9 @@
 			states++
 		}
 	}
-	b := NewBook()
-	_ = b.Limit(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Most: 1}})
-	_ = b.See(0, 0, gateways(true, true), nil)
+	b := NewLedger()
+	_ = b.SetBudgets(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Max: 1}})
+	_ = b.Observe(0, 0, gateways(true, true), nil)
 	text, _ := json.Marshal(b)
 	walk(text, 8)
 	if states < 5000 {
@@ -265,38 +265,38 @@
 
 // Endpoints are counted by zone and by cluster; what is cold or ejected counts as out; a budget that allows none refuses.
 func TestEndpoints(t *testing.T) {
-	b := NewBook()
-	_ = b.Limit(0, []Budget{{Name: "third", Scope: Scope{Cluster: "*", EachZone: true}, Part: 0.34}, {Name: "none", Scope: Scope{Cluster: "db"}, Part: 0.1, Most: 9}})
+	b := NewLedger()
+	_ = b.SetBudgets(0, []Budget{{Name: "third", Scope: Scope{Cluster: "*", EachZone: true}, Fraction: 0.34}, {Name: "none", Scope: Scope{Cluster: "db"}, Fraction: 0.1, Max: 9}})
 	var l []Endpoint
 	for i := range 6 {
-		l = append(l, Endpoint{Cluster: "c", Address: fmt.Sprint(i), Zone: string(rune('a' + i%2)), Well: i != 2}, Endpoint{Cluster: "db", Address: fmt.Sprint(i), Well: true})
+		l = append(l, Endpoint{Cluster: "c", Address: fmt.Sprint(i), Zone: string(rune('a' + i%2)), Healthy: i != 2}, Endpoint{Cluster: "db", Address: fmt.Sprint(i), Healthy: true})
 	}
-	if err := b.See(0, 0, nil, l); err != nil {
+	if err := b.Observe(0, 0, nil, l); err != nil {
 		t.Fatal(err)
 	}
 	ask := func(cluster, addr string) State {
-		o, err := b.Ask(0, Order{ID: cluster + addr, Target: Target{Cluster: cluster, Endpoint: addr}, Grace: time.Second})
+		o, err := b.Submit(0, Request{ID: cluster + addr, Target: Target{Cluster: cluster, Endpoint: addr}, Grace: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return o.State
 	}
-	if a, z := ask("c", "0"), ask("c", "1"); a != Asked || z != Granted {
+	if a, z := ask("c", "0"), ask("c", "1"); a != Pending || z != Granted {
 		t.Errorf("zone a, where one is cold: %s; zone b: %s", a, z)
 	}
-	if s := ask("db", "0"); s != Refused {
+	if s := ask("db", "0"); s != Rejected {
 		t.Errorf("a budget that allows none: %s", s)
 	}
-	if l := b.Standings(); len(l) != 4 || l[0].Bound != 1 {
+	if l := b.BudgetStatuses(); len(l) != 4 || l[0].Allowed != 1 {
 		t.Errorf("%+v", l)
 	}
 }
 
 // What is stored is read as it was or refused.
 func FuzzRestore(f *testing.F) {
-	b := NewBook()
+	b := NewLedger()
 	step(b, 0, 7, 0, 0, nil)
-	_ = b.See(0, 0, gateways(true, true), nil)
+	_ = b.Observe(0, 0, gateways(true, true), nil)
 	step(b, 0, 0, 0, 0, nil)
 	text, _ := json.Marshal(b)
 	f.Add(text)
@@ -310,7 +310,7 @@
 			step(b, b.Now, e, 0, 0, []bool{true})
 		}
 		_ = b.View(1)
-		_ = b.Standings()
+		_ = b.BudgetStatuses()
 	})
 }
 
@@ -321,7 +321,7 @@
 		sent   bool
 		want   int
 	}{{"safe", true, 503}, {"keyed", true, 504}, {"unsafe", true, 504}, {"", true, 504}, {"keyed", false, 503}, {"unsafe", false, 503}} {
-		if status, again := Last(x.effect, x.sent); status != x.want || again != (x.want == 503) {
+		if status, again := FinalAnswer(x.effect, x.sent); status != x.want || again != (x.want == 503) {
 			t.Errorf("%q, sent %v: %d, %v", x.effect, x.sent, status, again)
 		}
 	}
--- a/internal/endpoints/membership.go
+++ b/internal/endpoints/membership.go
@@ -41,8 +41,8 @@
 	Weight   float64 // above 0; 1 is usual
 	Priority int     // of several, only those of the lowest that has anyone ready are used
 	Health   Health
-	// Held: taken out by an order of the fleet. It gets nothing new, and is taken as started anew when it is back.
-	Held bool
+	// Retained: taken out by an order of the fleet. It gets nothing new, and is taken as started anew when it is back.
+	Retained bool
 }
 
 // identity is what makes an endpoint another one though its address stays.
@@ -50,8 +50,8 @@
 	return strings.Join([]string{e.Hostname, e.Zone, e.SubZone, e.Kind}, "\x00")
 }
 
-// Word is a source's whole list at one time.
-type Word struct {
+// Update is a source's whole list at one time.
+type Update struct {
 	Source    string // "static", "file", "xds", ...
 	Version   string
 	Endpoints []Endpoint
@@ -62,8 +62,8 @@
 // Server is an endpoint as the view has it.
 type Server struct {
 	Endpoint
-	Since time.Duration // when it was first told, as Unix time; 0: with the first list
-	Out   string        // why it gets nothing new; empty: it does
+	Since          time.Duration // when it was first told, as Unix time; 0: with the first list
+	ExcludedReason string        // why it gets nothing new; empty: it does
 }
 
 // View is the last word on one cluster. The zero View has none. It is not safe for several goroutines at once.
@@ -71,23 +71,23 @@
 	// Tiers has the decision module told of priorities: then those behind the lowest are used as well.
 	Tiers   bool
 	told    bool
-	word    Word
+	word    Update
 	at      time.Duration // of the last word, also one that changed nothing
 	servers map[string]*Server
 	sent    map[string]balancer.Server
 	usable  int
 }
 
-// Take takes a source's word at now (Unix time) and gives what it changes, nil if nothing. The first list's endpoints
+// Apply takes a source's word at now (Unix time) and gives what it changes, nil if nothing. The first list's endpoints
 // are taken to have run for long; those that come later, or come back, or are others at the same address, are new and so
 // cold.
-func (v *View) Take(now time.Duration, w Word) *discovery.Update {
+func (v *View) Apply(now time.Duration, w Update) *discovery.Update {
 	first := !v.told
 	v.told, v.at, v.word = true, now, w
 	servers := make(map[string]*Server, len(w.Endpoints))
 	for _, e := range w.Endpoints {
 		s := &Server{Endpoint: e}
-		if old := v.servers[e.Address]; old != nil && old.identity() == e.identity() && (!old.Held || e.Held) {
+		if old := v.servers[e.Address]; old != nil && old.identity() == e.identity() && (!old.Retained || e.Retained) {
 			s.Since = old.Since
 		} else if !first {
 			s.Since = now
@@ -122,8 +122,8 @@
 	return u
 }
 
-// Again chooses anew, where Tiers has changed: All gives what came of it.
-func (v *View) Again() {
+// Resend chooses anew, where Tiers has changed: All gives what came of it.
+func (v *View) Resend() {
 	if !v.told {
 		return
 	}
@@ -140,13 +140,13 @@
 
 // choose says which endpoints are used.
 func (v *View) choose() {
-	ready := func(s *Server) bool { return !s.Held && (s.Health == Unknown || s.Health == Healthy) }
+	ready := func(s *Server) bool { return !s.Retained && (s.Health == Unknown || s.Health == Healthy) }
 	best, healthy, found := 0, false, false
 	fine := map[int]bool{} // priorities with a healthy one
 	for _, s := range v.servers {
 		ok := ready(s)
 		fine[s.Priority] = fine[s.Priority] || ok
-		if !ok && (s.Held || s.Health != Degraded) {
+		if !ok && (s.Retained || s.Health != Degraded) {
 			continue
 		}
 		// The lowest priority with anyone to use; in it the healthy, and the degraded where there are none.
@@ -158,17 +158,17 @@
 	for _, s := range v.servers {
 		switch {
 		case v.word.Stale != "":
-			s.Out = v.word.Stale
-		case s.Held:
-			s.Out = held
+			s.ExcludedReason = v.word.Stale
+		case s.Retained:
+			s.ExcludedReason = held
 		case !ready(s) && s.Health != Degraded:
-			s.Out = s.Health.String()
+			s.ExcludedReason = s.Health.String()
 		case s.Priority != best && !v.Tiers:
-			s.Out = fmt.Sprintf("priority %d is in use", best)
+			s.ExcludedReason = fmt.Sprintf("priority %d is in use", best)
 		case s.Health == Degraded && fine[s.Priority]:
-			s.Out = Degraded.String()
+			s.ExcludedReason = Degraded.String()
 		default:
-			s.Out = ""
+			s.ExcludedReason = ""
 			v.usable++
 		}
 	}
@@ -179,14 +179,14 @@
 	if tiers {
 		l.Priority = s.Priority
 	}
-	if s.Out != "" {
+	if s.ExcludedReason != "" {
 		l.State = balancer.Draining
 	}
 	return l
 }
 
-// All is the last word whole, for a core that begins; nil if there was none.
-func (v *View) All() *discovery.Update {
+// Snapshot is the last word whole, for a core that begins; nil if there was none.
+func (v *View) Snapshot() *discovery.Update {
 	if !v.told {
 		return nil
 	}
@@ -199,14 +199,14 @@
 	return u
 }
 
-// Told tells whether there was any word.
-func (v *View) Told() bool { return v.told }
+// Known tells whether there was any word.
+func (v *View) Known() bool { return v.told }
 
 // Usable is how many endpoints are used.
 func (v *View) Usable() int { return v.usable }
 
-// Last is the last word and when it came.
-func (v *View) Last() (Word, time.Duration) { return v.word, v.at }
+// LastUpdate is the last word and when it came.
+func (v *View) LastUpdate() (Update, time.Duration) { return v.word, v.at }
 
 // Servers gives the endpoints, sorted by address.
 func (v *View) Servers() []Server { return v.Listing().Sorted() }
--- a/internal/endpoints/membership_test.go
+++ b/internal/endpoints/membership_test.go
@@ -13,7 +13,7 @@
 func out(v *View) map[string]string {
 	m := map[string]string{}
 	for _, s := range v.Servers() {
-		m[s.Address] = s.Out
+		m[s.Address] = s.ExcludedReason
 	}
 	return m
 }
@@ -37,7 +37,7 @@
 		"stale":   {"stale for 5s", []Endpoint{{Address: "a"}}, map[string]string{"a": "stale for 5s"}},
 	} {
 		var v View
-		u := v.Take(1, Word{Endpoints: c.list, Stale: c.stale})
+		u := v.Apply(1, Update{Endpoints: c.list, Stale: c.stale})
 		got := out(&v)
 		if fmt.Sprint(got) != fmt.Sprint(c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -60,7 +60,7 @@
 // Who comes with the first list has run for long; who comes later, comes back or is another one is new.
 func TestWhoIsNew(t *testing.T) {
 	var v View
-	if v.Told() || v.All() != nil {
+	if v.Known() || v.Snapshot() != nil {
 		t.Error("the zero view has been told something")
 	}
 	since := func() map[string]time.Duration {
@@ -71,33 +71,33 @@
 		return m
 	}
 	a, b := Endpoint{Address: "a", Zone: "z"}, Endpoint{Address: "b", Zone: "z"}
-	v.Take(10, Word{Endpoints: []Endpoint{a}})
-	u := v.Take(20, Word{Endpoints: []Endpoint{a, b}})
+	v.Apply(10, Update{Endpoints: []Endpoint{a}})
+	u := v.Apply(20, Update{Endpoints: []Endpoint{a, b}})
 	if len(u.Servers) != 1 || u.Kind != balancer.FleetChanges || u.Servers[0].ID != "b" {
 		t.Errorf("%+v", u)
 	}
 	if m := since(); m["a"] != 0 || m["b"] != 20 {
 		t.Errorf("%v", m)
 	}
-	if u := v.Take(25, Word{Endpoints: []Endpoint{b, a}, Version: "2"}); u != nil {
+	if u := v.Apply(25, Update{Endpoints: []Endpoint{b, a}, Version: "2"}); u != nil {
 		t.Errorf("the same list again is news: %+v", u)
 	}
-	if w, at := v.Last(); w.Version != "2" || at != 25 {
+	if w, at := v.LastUpdate(); w.Version != "2" || at != 25 {
 		t.Errorf("last word %q at %d", w.Version, at)
 	}
 	a.Weight = 3 // no other one
-	if v.Take(30, Word{Endpoints: []Endpoint{a, b}}); since()["a"] != 0 {
+	if v.Apply(30, Update{Endpoints: []Endpoint{a, b}}); since()["a"] != 0 {
 		t.Error("a new weight makes it another one")
 	}
 	a.Zone = "y"
-	if v.Take(40, Word{Endpoints: []Endpoint{a, b}}); since()["a"] != 40 {
+	if v.Apply(40, Update{Endpoints: []Endpoint{a, b}}); since()["a"] != 40 {
 		t.Error("one that is elsewhere now is taken as the old one")
 	}
-	u = v.Take(50, Word{Endpoints: []Endpoint{a}})
+	u = v.Apply(50, Update{Endpoints: []Endpoint{a}})
 	if len(u.Servers) != 1 || u.Servers[0].State != balancer.Removed || len(u.Endpoints) != 0 {
 		t.Errorf("%+v", u)
 	}
-	if v.Take(60, Word{Endpoints: []Endpoint{a, b}}); since()["b"] != 60 {
+	if v.Apply(60, Update{Endpoints: []Endpoint{a, b}}); since()["b"] != 60 {
 		t.Error("one that comes back is taken as warm")
 	}
 }
@@ -108,7 +108,7 @@
 		var v View
 		have, addr := map[string]balancer.Server{}, map[string]string{}
 		for step := range rapid.IntRange(1, 20).Draw(t, "steps") {
-			var w Word
+			var w Update
 			for i := range 6 {
 				if rapid.Bool().Draw(t, "there") {
 					w.Endpoints = append(w.Endpoints, Endpoint{Address: fmt.Sprint(i), Weight: 1,
@@ -117,7 +117,7 @@
 						Priority: rapid.IntRange(0, 2).Draw(t, "priority")})
 				}
 			}
-			if u := v.Take(time.Duration(step+1), w); u != nil {
+			if u := v.Apply(time.Duration(step+1), w); u != nil {
 				for _, s := range u.Servers {
 					if s.State == balancer.Removed {
 						delete(have, s.ID)
@@ -127,7 +127,7 @@
 					}
 				}
 			}
-			all := v.All()
+			all := v.Snapshot()
 			if len(all.Servers) != len(w.Endpoints) || len(have) != len(w.Endpoints) {
 				t.Fatalf("%d in all, %d by changes, want %d", len(all.Servers), len(have), len(w.Endpoints))
 			}
@@ -144,20 +144,20 @@
 // is back; the others as they did.
 func TestHeldByAnOrder(t *testing.T) {
 	var v View
-	word := func(held bool) Word {
-		return Word{Endpoints: []Endpoint{{Address: "a", Weight: 1, Health: Degraded, Held: held}, {Address: "b", Weight: 1}}}
+	word := func(held bool) Update {
+		return Update{Endpoints: []Endpoint{{Address: "a", Weight: 1, Health: Degraded, Retained: held}, {Address: "b", Weight: 1}}}
 	}
-	v.Take(1, word(false))
-	v.Take(2, word(true))
-	if s := v.Servers(); s[0].Out != held || s[1].Out != "" || v.Usable() != 1 {
+	v.Apply(1, word(false))
+	v.Apply(2, word(true))
+	if s := v.Servers(); s[0].ExcludedReason != held || s[1].ExcludedReason != "" || v.Usable() != 1 {
 		t.Errorf("%+v", s)
 	}
-	v.Take(3, word(true))
-	v.Take(9, word(false))
+	v.Apply(3, word(true))
+	v.Apply(9, word(false))
 	if s := v.Servers(); s[0].Since != 9 || s[1].Since != 0 {
 		t.Errorf("%+v", s)
 	}
-	v.Take(12, word(false))
+	v.Apply(12, word(false))
 	if s := v.Servers(); s[0].Since != 9 {
 		t.Errorf("cold once more: %+v", s)
 	}
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -82,10 +82,10 @@
 	var all []*rolloutGateway
 	for i := range r.Gateways {
 		all = append(all, &rolloutGateway{Gateway: release.Gateway{Name: fmt.Sprintf("g%04d", i), Site: fmt.Sprint("s", i%r.Sites), Zone: fmt.Sprint("z", i/r.Sites%r.Zones),
-			Birth: 1, Here: true, Serving: true, Program: "old", Figures: release.Figures{Memory: 64 << 20}}})
+			Incarnation: 1, Responding: true, Serving: true, Version: "old", Figures: release.Figures{Memory: 64 << 20}}})
 	}
-	books, rel := drain.NewBook(), release.NewBook()
-	if err := books.Limit(0, []drain.Budget{{Name: "site", Scope: drain.Scope{Gateways: true, EachSite: true}, Part: r.Part}}); err != nil {
+	books, rel := drain.NewLedger(), release.NewLedger()
+	if err := books.SetBudgets(0, []drain.Budget{{Name: "site", Scope: drain.Scope{Gateways: true, EachSite: true}, Fraction: r.Part}}); err != nil {
 		return res, err
 	}
 	bounds := map[string]int{}
@@ -106,22 +106,22 @@
 		for _, g := range all {
 			if g.back > 0 && now >= g.back {
 				g.back = 0
-				if g.Here, g.born = true, now; r.Mode != "release" { // else the order has it serve
+				if g.Responding, g.born = true, now; r.Mode != "release" { // else the order has it serve
 					g.plan = false
 				}
 				g.Serving = !g.plan
-				g.Program, g.next = cmp.Or(g.next, g.Program), ""
-				g.Birth++
+				g.Version, g.next = cmp.Or(g.next, g.Version), ""
+				g.Incarnation++
 				g.Figures = release.Figures{Memory: 64 << 20}
 			}
-			if !g.Here {
+			if !g.Responding {
 				continue
 			}
 			switch {
 			case rng.Float64() < r.Deaths*r.Beat.Hours():
 				res.Deaths++
 				g.die(now + r.Down)
-			case r.Crash > 0 && g.Program == "new" && now-g.born >= r.Crash:
+			case r.Crash > 0 && g.Version == "new" && now-g.born >= r.Crash:
 				res.Harmed++ // what it had in hand
 				g.die(now + r.Restart)
 			}
@@ -137,7 +137,7 @@
 			}
 			n := poisson(rng, r.Rate/float64(serving)*r.Beat.Seconds())
 			bad, took := 0, 10*time.Millisecond
-			if g.Program == "new" {
+			if g.Version == "new" {
 				bad, took = poisson(rng, r.Fails*float64(n)), time.Duration(float64(took)*(1+r.Slow))
 				bad = min(bad, n)
 				res.Harmed += bad
@@ -151,7 +151,7 @@
 		}
 		had, planned, missing := 0, map[string]int{}, map[string]int{}
 		for _, g := range all {
-			if g.Program == "new" && g.Here {
+			if g.Version == "new" && g.Responding {
 				had++
 			}
 			if g.plan {
@@ -180,7 +180,7 @@
 		if r.Mode == "release" {
 			if !begun {
 				begun = true
-				if err := rel.Begin(now, release.Plan{ID: "r", To: "new", Program: true, Soak: r.Soak, Back: true, Grace: time.Minute, Notice: r.Drain}); err != nil {
+				if err := rel.Start(now, release.Plan{ID: "r", Target: "new", OfProgram: true, Soak: r.Soak, RollBackOnFailure: true, Grace: time.Minute, Notice: r.Drain}); err != nil {
 					return res, err
 				}
 			}
@@ -193,7 +193,7 @@
 				if c == nil {
 					c = &rel.Ended[len(rel.Ended)-1]
 				}
-				res.State, res.Why = string(c.State), c.Why
+				res.State, res.Why = string(c.State), c.StateReason
 				break
 			}
 			continue
@@ -214,7 +214,7 @@
 		for loop < len(all) && (r.Mode == "at-once" || now >= turn) {
 			g := all[loop]
 			loop++
-			if g.Program != to && g.Here {
+			if g.Version != to && g.Responding {
 				g.leave(now, to, r.Drain, r.Restart)
 				res.Restarts++
 				turn = now + r.Drain + r.Restart + 2*time.Second
@@ -234,23 +234,23 @@
 }
 
 // round is the leader's: what is seen is agreed, what is granted begins, who has nothing in hand starts anew.
-func (r *Rollout) round(now time.Duration, all []*rolloutGateway, books *drain.Book, rel *release.Book, res *RolloutResult) {
+func (r *Rollout) round(now time.Duration, all []*rolloutGateway, books *drain.Ledger, rel *release.Ledger, res *RolloutResult) {
 	var seen []drain.Gateway
 	var stands []release.Gateway
 	for _, g := range all {
-		seen = append(seen, drain.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Serving: g.Serving})
-		if g.Here {
-			g.Told = rel.WantProgram(g.Name)
+		seen = append(seen, drain.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Incarnation: g.Incarnation, Serving: g.Serving})
+		if g.Responding {
+			g.AssignedVersion = rel.DesiredVersion(g.Name)
 		}
 		x := g.Gateway
-		if !g.Here {
-			x.Program, x.Figures = "", release.Figures{}
+		if !g.Responding {
+			x.Version, x.Figures = "", release.Figures{}
 		}
 		stands = append(stands, x)
 	}
-	rel.See(now, stands)
-	_ = books.See(now, books.Version, seen, nil) // within its bounds
-	rel.Pace(now, books)
+	rel.Observe(now, stands)
+	_ = books.Observe(now, books.Version, seen, nil) // within its bounds
+	rel.RequestDrains(now, books)
 	by := map[string]*rolloutGateway{}
 	for _, g := range all {
 		by[g.Name] = g
@@ -259,38 +259,38 @@
 		g := by[o.Target.Gateway]
 		switch {
 		case o.State == drain.Granted:
-			if _, err := books.Begin(now, o.ID, o.Token); err == nil && g.Here {
+			if _, err := books.Begin(now, o.ID, o.Token); err == nil && g.Responding {
 				g.Serving, g.plan, g.since = false, true, now
 			}
-		case o.State.Out() && g.Here && g.plan && now-g.since >= r.Drain:
+		case o.State.Unavailable() && g.Responding && g.plan && now-g.since >= r.Drain:
 			_, _ = books.Progress(now, o.ID, o.Token, 0)
-			if g.Program != o.Restart {
+			if g.Version != o.Restart {
 				g.leave(now, o.Restart, 0, r.Restart)
 				res.Restarts++
 			}
-		case o.State == drain.Cancelled && g.Here && g.back == 0 && !g.Serving: // taken back before it left
+		case o.State == drain.Cancelled && g.Responding && g.back == 0 && !g.Serving: // taken back before it left
 			g.Serving, g.plan = true, false
 		}
 	}
 }
 
 func (g *rolloutGateway) die(back time.Duration) {
-	g.Here, g.Serving, g.back = false, false, back
+	g.Responding, g.Serving, g.back = false, false, back
 }
 
 func (g *rolloutGateway) leave(now time.Duration, to string, drain, restart time.Duration) {
-	g.Here, g.Serving, g.plan, g.next, g.back = false, false, true, to, now+drain+restart
+	g.Responding, g.Serving, g.plan, g.next, g.back = false, false, true, to, now+drain+restart
 }
 
 func (g *rolloutGateway) serve(n, bad int, took time.Duration) {
 	f := g.Figures
 	good := uint64(n - bad)
-	f.Taken, f.Bad, f.Served, f.Seconds = f.Taken+uint64(n), f.Bad+uint64(bad), f.Served+good, f.Seconds+took.Seconds()*float64(good)
-	b := release.Bucket(took)
-	f.Times = append(slices.Clone(f.Times), make([]uint64, max(b+1-len(f.Times), 0))...)
-	f.Times[b] += good
+	f.Accepted, f.Failed, f.Served, f.LatencySeconds = f.Accepted+uint64(n), f.Failed+uint64(bad), f.Served+good, f.LatencySeconds+took.Seconds()*float64(good)
+	b := release.LatencyBucket(took)
+	f.LatencyCounts = append(slices.Clone(f.LatencyCounts), make([]uint64, max(b+1-len(f.LatencyCounts), 0))...)
+	f.LatencyCounts[b] += good
 	c := f.Classes["all"]
-	f.Classes = map[string]release.Class{"all": {Taken: c.Taken + uint64(n), InTime: c.InTime + good}}
+	f.Classes = map[string]release.ClassFigures{"all": {Accepted: c.Accepted + uint64(n), InTime: c.InTime + good}}
 	g.Figures = f
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,8 +39,8 @@
 	list    *membership.List
 	server  *quorum.Server // nil: it does not vote
 	client  *quorum.Client
-	runner  *leaderelection.Runner
-	duties  []leaderelection.Duty
+	runner  *leaderelection.Elector
+	duties  []leaderelection.Task
 	noVote  string // why a voter does not vote from its start on
 	post    *http.Client
 	zone    string
@@ -100,7 +100,7 @@
 	}
 	if c.Votes() {
 		f.server, err = quorum.Open(f.node, quorum.Options{Dir: c.Quorum.Folder, Name: c.Member, Voters: voters, Heartbeat: c.Quorum.Heartbeat.D(),
-			MostBytes: int64(c.Quorum.MostBytes), Log: log})
+			MaxLogBytes: int64(c.Quorum.MostBytes), Log: log})
 		if err != nil {
 			f.noVote = err.Error()
 			log.Error("this process does not vote", "err", err)
@@ -108,11 +108,11 @@
 	}
 	f.client = quorum.NewClient(f.node, voters, min(2*c.Quorum.Heartbeat.D(), c.Lease.D()/4), now)
 	// Births rise with each start as long as the clock does not go back by more than a process lives.
-	self := membership.Member{Name: c.Member, Site: c.Site, Zone: zone, Program: Version(), Config: version, Birth: uint64(time.Now().UnixNano()), State: state, Address: c.Advertise}
+	self := membership.Member{Name: c.Member, Site: c.Site, Zone: zone, Program: Version(), Config: version, Incarnation: uint64(time.Now().UnixNano()), State: state, Address: c.Advertise}
 	f.zone = zone
-	f.runner = leaderelection.NewRunner(f.client, leaderelection.Options{Member: lease.Member{Name: c.Member, Birth: self.Birth, Site: c.Site}, Now: now, Log: log})
+	f.runner = leaderelection.NewElector(f.client, leaderelection.Options{Member: lease.Member{Name: c.Member, Incarnation: self.Incarnation, Site: c.Site}, Now: now, Log: log})
 	for _, p := range c.Posts {
-		f.Add(leaderelection.Duty{Name: "post/" + p.Name, Rules: f.Rules(""), Run: f.poster(p)})
+		f.AddTask(leaderelection.Task{Name: "post/" + p.Name, Rules: f.Rules(""), Run: f.poster(p)})
 	}
 	if f.list, err = membership.Start(f.node, membership.Options{Fleet: c.Name, Self: self, Seeds: c.Seeds, Probe: c.Probe.D(), Forget: c.Forget.D(), Now: now, Log: log}); err != nil {
 		f.Stop(0)
@@ -123,11 +123,11 @@
 
 // Rules are of a duty's lease, by preference of a site. Whoever waits for three lengths is not passed over any more.
 func (f *Fleet) Rules(site string) lease.Rules {
-	return lease.Rules{Length: f.conf.Lease.D(), Site: site, Patience: min(3*f.conf.Lease.D(), lease.MostLength), Floor: 0}
+	return lease.Rules{Length: f.conf.Lease.D(), Site: site, MaxWait: min(3*f.conf.Lease.D(), lease.MaxLength), MinHold: 0}
 }
 
-// Add has a duty asked for from Start on.
-func (f *Fleet) Add(d leaderelection.Duty) { f.duties = append(f.duties, d) }
+// AddTask has a duty asked for from Start on.
+func (f *Fleet) AddTask(d leaderelection.Task) { f.duties = append(f.duties, d) }
 
 // Node is its address, for handlers that are registered before Start.
 func (f *Fleet) Node() *peer.Node { return f.node }
@@ -138,8 +138,8 @@
 // Zone is this process's zone.
 func (f *Fleet) Zone() string { return f.zone }
 
-// Conf is what it was made from.
-func (f *Fleet) Conf() *config.Fleet { return f.conf }
+// Config is what it was made from.
+func (f *Fleet) Config() *config.Fleet { return f.conf }
 
 // NoVote is why a voter does not vote; empty: it does, or is none.
 func (f *Fleet) NoVote() string {
@@ -180,14 +180,14 @@
 	}
 }
 
-// Say changes what this process says of itself.
-func (f *Fleet) Say(s membership.State, version string) { f.list.Say(s, version) }
+// Announce changes what this process says of itself.
+func (f *Fleet) Announce(s membership.State, version string) { f.list.Announce(s, version) }
 
 // Drain ends the duties and gives their leases back; all else goes on.
 func (f *Fleet) Drain() {
 	f.end()
 	f.work.Wait() // so that a duty is free when the others hear of it
-	f.list.Say(membership.Draining, f.list.Self().Config)
+	f.list.Announce(membership.Draining, f.list.Self().Config)
 }
 
 // Stop ends the duties, gives their leases back, says that this process leaves, within so long, and ends.
@@ -197,7 +197,7 @@
 	f.work.Wait()
 	f.leading.Wait()
 	if f.list != nil {
-		f.list.Say(membership.Leaving, f.list.Self().Config)
+		f.list.Announce(membership.Leaving, f.list.Self().Config)
 		f.list.Stop(within)
 	}
 	if f.server != nil {
@@ -208,8 +208,8 @@
 }
 
 // poster is the duty of a post.
-func (f *Fleet) poster(p config.Post) func(context.Context, *leaderelection.Hold) {
-	return func(ctx context.Context, h *leaderelection.Hold) {
+func (f *Fleet) poster(p config.Post) func(context.Context, *leaderelection.Leadership) {
+	return func(ctx context.Context, h *leaderelection.Leadership) {
 		tick := time.NewTicker(p.Every.D())
 		defer tick.Stop()
 		for n := 0; ; n++ {
@@ -227,13 +227,13 @@
 
 // Headers of a post.
 const (
-	TokenHeader  = "Robindrum-Token"
-	MemberHeader = "Robindrum-Member"
-	BeganHeader  = "Robindrum-Began" // the reading of this machine's clock by which the lease was judged, in nanoseconds
-	NumberHeader = "Robindrum-Number"
+	TokenHeader    = "Robindrum-Token"
+	MemberHeader   = "Robindrum-Member"
+	JudgedAtHeader = "Robindrum-Began" // the reading of this machine's clock by which the lease was judged, in nanoseconds
+	NumberHeader   = "Robindrum-Number"
 )
 
-func (f *Fleet) postOnce(ctx context.Context, p config.Post, h *leaderelection.Hold, n int) error {
+func (f *Fleet) postOnce(ctx context.Context, p config.Post, h *leaderelection.Leadership, n int) error {
 	token, at, ok := h.Token()
 	if !ok {
 		return errors.New("the lease is over")
@@ -246,7 +246,7 @@
 	}
 	r.Header.Set(TokenHeader, strconv.FormatUint(token, 10))
 	r.Header.Set(MemberHeader, f.conf.Member)
-	r.Header.Set(BeganHeader, strconv.FormatInt(int64(at), 10))
+	r.Header.Set(JudgedAtHeader, strconv.FormatInt(int64(at), 10))
 	r.Header.Set(NumberHeader, strconv.Itoa(n))
 	resp, err := f.post.Do(r)
 	if err != nil {
@@ -269,26 +269,26 @@
 	Contact   quorum.Contact          `json:"quorum"`
 	Vote      *quorum.Status          `json:"vote,omitempty"`
 	NoVote    string                  `json:"no_vote,omitempty"`
-	Duties    []leaderelection.Status `json:"duties"`
-	Sent      int64                   `json:"sent_bytes"`
+	Tasks     []leaderelection.Status `json:"duties"`
+	SentBytes int64                   `json:"sent_bytes"`
 	Traffic   peer.Traffic            `json:"traffic"`
 	// Stale says what needs the quorum and has not had it for longer than a lease.
 	Stale string        `json:"stale,omitempty"`
 	Now   time.Duration `json:"now"`
-	// Book is what a voter has of orders and releases; nil: this process does not vote.
-	Book *quorum.Summary `json:"book,omitempty"`
+	// Ledger is what a voter has of orders and releases; nil: this process does not vote.
+	Ledger *quorum.Summary `json:"book,omitempty"`
 }
 
 // Status tells how it stands.
 func (f *Fleet) Status() Status {
 	s := Status{Name: f.conf.Name, Self: f.list.Self(), Members: f.list.Members(), Conflicts: f.list.Conflicts(), Contact: f.client.Contact(), NoVote: f.NoVote(),
-		Duties: f.runner.Status(), Sent: f.node.Sent(), Traffic: f.node.Traffic(), Now: f.now()}
-	slices.SortFunc(s.Duties, func(a, b leaderelection.Status) int { return strings.Compare(a.Name, b.Name) })
+		Tasks: f.runner.Status(), SentBytes: f.node.Sent(), Traffic: f.node.Traffic(), Now: f.now()}
+	slices.SortFunc(s.Tasks, func(a, b leaderelection.Status) int { return strings.Compare(a.Name, b.Name) })
 	if f.server != nil {
 		v := f.server.Status()
 		s.Vote = &v
 		b := f.server.Summary()
-		s.Book = &b
+		s.Ledger = &b
 	}
 	if len(f.duties) > 0 && s.Contact.Error != "" && (s.Contact.Age < 0 || s.Contact.Age > f.conf.Lease.D()) {
 		s.Stale = "no word of the quorum: nobody takes a duty over, what is served stays as it is"
@@ -297,11 +297,11 @@
 }
 
 // Leases asks the quorum for all leases.
-func (f *Fleet) Leases(ctx context.Context) (quorum.Leases, error) { return f.client.Leases(ctx) }
+func (f *Fleet) Leases(ctx context.Context) (quorum.LeaseList, error) { return f.client.Leases(ctx) }
 
 // Revoke has a lease end with the length that its holder was granted last.
 func (f *Fleet) Revoke(ctx context.Context, name string) error {
-	r, _, err := f.client.Do(ctx, quorum.Command{Op: quorum.Revoke, Lease: name})
+	r, _, err := f.client.Do(ctx, quorum.Command{Op: quorum.OpRevoke, Lease: name})
 	if err != nil {
 		return err
 	}
@@ -333,13 +333,13 @@
 		answer(w, struct{}{}, f.Revoke(ctx, r.URL.Query().Get("lease")))
 	})
 	mux.HandleFunc("GET /fleet/orders", func(w http.ResponseWriter, r *http.Request) {
-		l, err := f.Orders(r.Context())
+		l, err := f.Drains(r.Context())
 		answer(w, l, err)
 	})
-	for path, op := range map[string]quorum.Op{"drain": quorum.Ask, "undrain": quorum.Cancel, "halt": quorum.Halt, "resume": quorum.Resume} {
+	for path, op := range map[string]quorum.Op{"drain": quorum.OpDrain, "undrain": quorum.OpCancelDrain, "halt": quorum.OpHaltDrains, "resume": quorum.OpResumeDrains} {
 		mux.HandleFunc("POST /fleet/"+path, func(w http.ResponseWriter, r *http.Request) {
-			var o drain.Order
-			if err := json.NewDecoder(io.LimitReader(r.Body, 64<<10)).Decode(&o); err != nil && (op == quorum.Ask || op == quorum.Cancel) {
+			var o drain.Request
+			if err := json.NewDecoder(io.LimitReader(r.Body, 64<<10)).Decode(&o); err != nil && (op == quorum.OpDrain || op == quorum.OpCancelDrain) {
 				http.Error(w, err.Error(), http.StatusBadRequest)
 				return
 			}
@@ -355,12 +355,12 @@
 	})
 	mux.HandleFunc("POST /fleet/release", func(w http.ResponseWriter, r *http.Request) {
 		var c quorum.Command
-		if err := json.NewDecoder(io.LimitReader(r.Body, 4*release.MostText)).Decode(&c); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, 4*release.MaxConfigBytes)).Decode(&c); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		switch c.Op {
-		case quorum.Put, quorum.ReleaseBegin, quorum.ReleaseHalt, quorum.ReleaseResume, quorum.ReleaseBack, quorum.ReleaseStop:
+		case quorum.OpStoreConfig, quorum.OpStartRelease, quorum.OpHaltRelease, quorum.OpResumeRelease, quorum.OpRollbackRelease, quorum.OpStopRelease:
 		default:
 			http.Error(w, fmt.Sprintf("no such command: %q", c.Op), http.StatusBadRequest)
 			return
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -42,14 +42,14 @@
 		f.Start()
 		testbed.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > last })
 		last = token.Load().(string)
-		f.Say(membership.Serving, "w")
+		f.Announce(membership.Serving, "w")
 		admin := httptest.NewServer(f.Handler())
 		resp, err := http.Get(admin.URL + "/fleet")
 		if err != nil {
 			t.Fatal(err)
 		}
 		var s Status
-		if err := json.NewDecoder(resp.Body).Decode(&s); err != nil || len(s.Members) != 1 || s.Members[0].State != membership.Serving || s.Vote.State != "leader" || s.Duties[0].Token == 0 || s.Stale != "" {
+		if err := json.NewDecoder(resp.Body).Decode(&s); err != nil || len(s.Members) != 1 || s.Members[0].State != membership.Serving || s.Vote.State != "leader" || s.Tasks[0].Token == 0 || s.Stale != "" {
 			t.Errorf("%+v, %v", s, err)
 		}
 		resp.Body.Close()
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -25,40 +25,40 @@
 
 // Report is what a gateway says of itself, with a view of the orders taken over.
 type Report struct {
-	Version   uint64           `json:"version"`
-	Birth     uint64           `json:"birth"`
-	Serving   bool             `json:"serving"`
-	InHand    map[string]int   `json:"in_hand,omitempty"`   // by order: at this gateway, or of it at the endpoint
-	Endpoints []drain.Endpoint `json:"endpoints,omitempty"` // those that are not well; with full all
+	Version     uint64           `json:"version"`
+	Incarnation uint64           `json:"birth"`
+	Serving     bool             `json:"serving"`
+	InFlight    map[string]int   `json:"in_hand,omitempty"`   // by order: at this gateway, or of it at the endpoint
+	Endpoints   []drain.Endpoint `json:"endpoints,omitempty"` // those that are not well; with full all
 	// Of releases.
-	Has     string          `json:"has,omitempty"`
-	Pending bool            `json:"pending,omitempty"` // it has been taken over, and requests still go by the one before
-	Refused string          `json:"refused,omitempty"`
-	Figures release.Figures `json:"figures,omitzero"`
-	Program string          `json:"program,omitempty"`  // the version that it is supervised as
-	Told    string          `json:"told,omitempty"`     // the version that it was told to run as
-	NotThis string          `json:"not_this,omitempty"` // why it does not start as the version that it was told
+	Config          string          `json:"has,omitempty"`
+	Pending         bool            `json:"pending,omitempty"` // it has been taken over, and requests still go by the one before
+	ConfigRejected  string          `json:"refused,omitempty"`
+	Figures         release.Figures `json:"figures,omitzero"`
+	RunningVersion  string          `json:"program,omitempty"`  // the version that it is supervised as
+	AssignedVersion string          `json:"told,omitempty"`     // the version that it was told to run as
+	VersionRejected string          `json:"not_this,omitempty"` // why it does not start as the version that it was told
 }
 
-// Program is this process's place under a supervisor. Its methods are called by one goroutine at a time.
-type Program interface {
-	// Refuses says why this process would not start as a version; empty: it would.
-	Refuses(version string) string
-	// Ask has this process end and start as another version.
-	Ask(version string) error
-	// Return has it end and the version before start in its place.
-	Return(why string) error
-	// Proved tells that this version has been seen at work; Forgive has what was given up tried again when it is asked for.
-	Proved() error
-	Forgive() error
-	// Trial tells whether this version is still to be proved.
-	Trial() bool
+// Supervised is this process's place under a supervisor. Its methods are called by one goroutine at a time.
+type Supervised interface {
+	// RejectReason says why this process would not start as a version; empty: it would.
+	RejectReason(version string) string
+	// SwitchTo has this process end and start as another version.
+	SwitchTo(version string) error
+	// Rollback has it end and the version before start in its place.
+	Rollback(why string) error
+	// ConfirmTrial tells that this version has been seen at work; Forgive has what was given up tried again when it is asked for.
+	ConfirmTrial() error
+	ClearRejected() error
+	// OnTrial tells whether this version is still to be proved.
+	OnTrial() bool
 }
 
 // Agent is the gateway that takes orders. Ordered is called by one goroutine at a time, and each time with a view that is no
 // older than the one before.
 type Agent interface {
-	Ordered(v drain.View, full bool) Report
+	ApplyDrains(v drain.View, full bool) Report
 	// Configure has the gateway use a configuration beside its own file; empty: its own file's alone. What it cannot use changes
 	// nothing. It is called by one goroutine at a time.
 	Configure(digest, text string) error
@@ -68,8 +68,8 @@
 type orders struct {
 	f       *Fleet
 	agent   Agent
-	program Program // nil: nobody supervises this process
-	runs    string  // the version that it is supervised as
+	program Supervised // nil: nobody supervises this process
+	runs    string     // the version that it is supervised as
 
 	mu    sync.Mutex
 	view  drain.View
@@ -101,16 +101,18 @@
 	Under bool `json:"under,omitempty"`
 }
 
-// Supervised has this process started as other versions by releases. It is called before Start.
-func (f *Fleet) Supervised(version string, p Program) { f.orders.program, f.orders.runs = p, version }
+// SetSupervised has this process started as other versions by releases. It is called before Start.
+func (f *Fleet) SetSupervised(version string, p Supervised) {
+	f.orders.program, f.orders.runs = p, version
+}
 
-// Serve has the fleet's orders taken by a gateway. It is called before Start.
-func (f *Fleet) Serve(a Agent) {
+// SetAgent has the fleet's orders taken by a gateway. It is called before Start.
+func (f *Fleet) SetAgent(a Agent) {
 	f.orders.agent = a
 	f.node.Handle(ordersPath, 4<<20, func(_ context.Context, body []byte) (any, error) {
 		var t told
 		if err := json.Unmarshal(body, &t); err != nil {
-			return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+			return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 		}
 		return f.orders.take(t), nil
 	})
@@ -120,7 +122,7 @@
 func (o *orders) take(t told) Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.view.Newer(&t.View) {
+	if o.view.NewerThan(&t.View) {
 		t.View = o.view
 	}
 	o.view, o.known, o.told = t.View, o.f.now(), o.f.now()
@@ -138,11 +140,11 @@
 		o.follow(*t.Program)
 		o.under = t.Under
 	}
-	r := o.agent.Ordered(t.View, t.Full)
-	r.Program, r.Told, r.NotThis = o.runs, o.wantProgram, o.notThis
-	r.Birth, r.Has, r.Refused = o.f.list.Self().Birth, o.has, o.refused
+	r := o.agent.ApplyDrains(t.View, t.Full)
+	r.RunningVersion, r.AssignedVersion, r.VersionRejected = o.runs, o.wantProgram, o.notThis
+	r.Incarnation, r.Config, r.ConfigRejected = o.f.list.Self().Incarnation, o.has, o.refused
 	if r.Pending {
-		r.Has = "pending"
+		r.Config = "pending"
 	}
 	return r
 }
@@ -158,12 +160,12 @@
 	switch {
 	case want == "" || want == o.runs:
 		o.notThis = ""
-		if !o.forgiven && o.program.Forgive() == nil { // this release of it is over
+		if !o.forgiven && o.program.ClearRejected() == nil { // this release of it is over
 			o.forgiven = true
 		}
 	default:
 		o.forgiven = false
-		o.notThis = o.program.Refuses(want)
+		o.notThis = o.program.RejectReason(want)
 	}
 }
 
@@ -174,10 +176,10 @@
 		return
 	}
 	// Danger: one that has just come back from that version is still out by the same order.
-	if o.notThis = o.program.Refuses(version); o.notThis != "" {
+	if o.notThis = o.program.RejectReason(version); o.notThis != "" {
 		return
 	}
-	if err := o.program.Ask(version); err != nil {
+	if err := o.program.SwitchTo(version); err != nil {
 		o.notThis = err.Error()
 		f.log.Error("cannot start as another version", "version", version, "err", err)
 	}
@@ -191,7 +193,7 @@
 	beat := o.f.conf.Quorum.Heartbeat.D()
 	tick := time.NewTicker(beat)
 	defer tick.Stop()
-	born, trial := o.f.now(), o.program != nil && o.program.Trial()
+	born, trial := o.f.now(), o.program != nil && o.program.OnTrial()
 	// What was given up for silence while the fleet had taken it is tried again: nobody was heard of for other reasons as well.
 	var again, pause time.Duration
 	before, since := "", time.Duration(0) // what was in use, and since when another one is that nobody has seen at work yet
@@ -206,12 +208,12 @@
 		}
 		switch {
 		case trial && heard > 0:
-			if err := o.program.Proved(); err != nil {
+			if err := o.program.ConfirmTrial(); err != nil {
 				o.f.log.Warn("the version's trial goes on", "err", err)
 			}
 			trial = false
 		case trial && o.f.now()-born > deadMan*beat:
-			if err := o.program.Return("with it nobody is heard of"); err != nil {
+			if err := o.program.Rollback("with it nobody is heard of"); err != nil {
 				o.f.log.Error("cannot go back to the version before", "err", err)
 			}
 			trial = false
@@ -243,7 +245,7 @@
 	text := ""
 	if digest != "" {
 		var err error
-		if text, err = o.f.client.Text(ctx, digest); err != nil {
+		if text, err = o.f.client.Config(ctx, digest); err != nil {
 			return false // the next time
 		}
 		if ConfigDigest([]byte(text)) != digest {
@@ -265,13 +267,13 @@
 	return true
 }
 
-// AskOrders asks the voters what is ordered, within a time; false: nobody said.
-func (f *Fleet) AskOrders(ctx context.Context, within time.Duration) bool {
+// FetchDrains asks the voters what is ordered, within a time; false: nobody said.
+func (f *Fleet) FetchDrains(ctx context.Context, within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for ctx.Err() == nil {
-		if l, err := f.client.Orders(ctx); err == nil && (l.Fresh || l.View.Term > 0) {
-			f.orders.take(told{View: l.View, Want: l.Want[f.conf.Member], Version: l.WantVersion})
+		if l, err := f.client.Drains(ctx); err == nil && (l.Fresh || l.View.Term > 0) {
+			f.orders.take(told{View: l.View, Want: l.DesiredConfigs[f.conf.Member], Version: l.Revision})
 			f.orders.await(ctx)
 			return true
 		}
@@ -318,7 +320,7 @@
 			continue
 		}
 		// Where nothing is ordered looking now and then is enough.
-		if idle++; len(o.f.server.View().Out) > 0 || o.f.server.Want(nil).Under || idle >= 4 {
+		if idle++; len(o.f.server.DrainView().Requests) > 0 || o.f.server.Desired(nil).InProgress || idle >= 4 {
 			idle = 0
 			if err := o.round(ctx); err != nil && ctx.Err() == nil {
 				o.f.log.Debug("a round of orders", "err", err)
@@ -330,25 +332,25 @@
 // round is one.
 func (o *orders) round(ctx context.Context) error {
 	f, s := o.f, o.f.server
-	if err := s.Limit(f.budgets()); err != nil {
+	if err := s.SetBudgets(f.budgets()); err != nil {
 		return err
 	}
-	view := s.View()
+	view := s.DrainView()
 	// Begun here, so that what is granted is taken out under the token that the quorum gave, and by nobody else.
-	for _, x := range view.Out {
+	for _, x := range view.Requests {
 		if x.State == drain.Granted {
-			if err := s.Begin(x); err != nil {
+			if err := s.BeginDrain(x); err != nil {
 				return err
 			}
 		}
 	}
-	view = s.View()
+	view = s.DrainView()
 	all := f.list.Members()
 	var names []string
 	for _, m := range all {
 		names = append(names, m.Name)
 	}
-	want := s.Want(names)
+	want := s.Desired(names)
 	reports := make([]*Report, len(all))
 	var work sync.WaitGroup
 	room := make(chan struct{}, mostRound)
@@ -367,42 +369,42 @@
 			one, cancel := context.WithTimeout(ctx, 2*f.conf.Quorum.Heartbeat.D())
 			defer cancel()
 			var r Report
-			if f.node.Call(one, m.Address, ordersPath, told{view, full, want.Config[m.Name], want.Version, new(want.Program[m.Name]), want.Under}, &r) == nil && r.Version >= view.Version {
+			if f.node.Call(one, m.Address, ordersPath, told{view, full, want.Configs[m.Name], want.Revision, new(want.Versions[m.Name]), want.InProgress}, &r) == nil && r.Version >= view.Version {
 				reports[i] = &r
 			}
 		})
 	}
 	work.Wait()
-	seen := &quorum.Seen{Version: view.Version}
+	seen := &quorum.Observation{Version: view.Version}
 	ends, bad, answered := map[[2]string]drain.Endpoint{}, map[[2]string]int{}, 0
 	inHand, heard := map[string]int{}, map[string]int{}
 	for i, m := range all {
 		if m.State == membership.Witness || m.State == membership.Gone {
 			continue
 		}
-		g := drain.Gateway{Name: m.Name, Site: m.Site, Zone: m.Zone, Birth: m.Birth}
+		g := drain.Gateway{Name: m.Name, Site: m.Site, Zone: m.Zone, Incarnation: m.Incarnation}
 		if r := reports[i]; r != nil {
 			answered++
-			g.Birth, g.Serving = r.Birth, r.Serving
-			for id, n := range r.InHand {
+			g.Incarnation, g.Serving = r.Incarnation, r.Serving
+			for id, n := range r.InFlight {
 				inHand[id] += n
 				heard[id]++
 			}
 			for _, e := range r.Endpoints {
 				k := [2]string{e.Cluster, e.Address}
-				if !e.Well {
+				if !e.Healthy {
 					bad[k]++
 				}
-				e.Well = true
+				e.Healthy = true
 				ends[k] = e
 			}
 		}
 		seen.Gateways = append(seen.Gateways, g)
 		if r := reports[i]; r != nil {
-			seen.Release = append(seen.Release, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Here: true, Has: r.Has, Refused: r.Refused, Serving: r.Serving,
-				Program: r.Program, Told: r.Told, NotThis: r.NotThis, Figures: r.Figures})
+			seen.Releases = append(seen.Releases, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Incarnation: g.Incarnation, Responding: true, Config: r.Config, ConfigRejected: r.ConfigRejected, Serving: r.Serving,
+				Version: r.RunningVersion, AssignedVersion: r.AssignedVersion, VersionRejected: r.VersionRejected, Figures: r.Figures})
 		} else {
-			seen.Release = append(seen.Release, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth})
+			seen.Releases = append(seen.Releases, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Incarnation: g.Incarnation})
 		}
 	}
 	// One that has left is missing all the same, until it is back or forgotten.
@@ -411,7 +413,7 @@
 		there[g.Name] = true
 		delete(o.absent, g.Name)
 	}
-	for _, g := range s.Known() {
+	for _, g := range s.KnownGateways() {
 		since, known := o.absent[g.Name]
 		if !known {
 			since = f.now()
@@ -422,24 +424,24 @@
 		o.absent[g.Name] = since
 		g.Serving = false
 		seen.Gateways = append(seen.Gateways, g)
-		seen.Release = append(seen.Release, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth})
+		seen.Releases = append(seen.Releases, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Incarnation: g.Incarnation})
 	}
 	maps.DeleteFunc(o.absent, func(_ string, since time.Duration) bool { return f.now()-since >= 2*f.conf.Forget.D() })
 	// A release begins with what is known then. While it is under way figures are agreed often enough for its soak, and no more: they
 	// go into the log.
-	if every := min(want.Soak/20, time.Second); (!want.Under || f.now()-o.shown < every) && s.Shown(seen.Release) {
-		seen.Release = nil
+	if every := min(want.Soak/20, time.Second); (!want.InProgress || f.now()-o.shown < every) && s.StatesAgreed(seen.Releases) {
+		seen.Releases = nil
 	} else {
 		o.shown = f.now()
 	}
 	for k, e := range ends {
-		e.Well = float64(bad[k]) < max(doubt*float64(answered), 1)
+		e.Healthy = float64(bad[k]) < max(doubt*float64(answered), 1)
 		seen.Endpoints = append(seen.Endpoints, e)
 	}
 	if answered == 0 {
 		return nil
 	}
-	if err := s.See(seen); err != nil {
+	if err := s.Observe(seen); err != nil {
 		return err
 	}
 	alive := 0
@@ -448,7 +450,7 @@
 			alive++
 		}
 	}
-	for _, x := range view.Out {
+	for _, x := range view.Requests {
 		// A gateway says itself; of an endpoint every gateway that is not known to be dead has to say.
 		n, ok := inHand[x.ID]
 		least := alive
@@ -458,34 +460,34 @@
 		case x.Target.OfGateways():
 			least = 0
 			for _, m := range all {
-				if x.Target.HasGateway(m.Name, m.Site, m.Zone) && m.State != membership.Dead && m.State != membership.Gone && m.State != membership.Witness {
+				if x.Target.MatchesGateway(m.Name, m.Site, m.Zone) && m.State != membership.Dead && m.State != membership.Gone && m.State != membership.Witness {
 					least++
 				}
 			}
 		}
-		if !x.State.Out() || !ok || heard[x.ID] < least || x.State == drain.Done && n == 0 {
+		if !x.State.Unavailable() || !ok || heard[x.ID] < least || x.State == drain.Drained && n == 0 {
 			continue
 		}
-		if err := s.Progress(x, n); err != nil {
+		if err := s.ReportDrainProgress(x, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Orders asks the quorum for all orders.
-func (f *Fleet) Orders(ctx context.Context) (quorum.Orders, error) { return f.client.Orders(ctx) }
+// Drains asks the quorum for all orders.
+func (f *Fleet) Drains(ctx context.Context) (quorum.DrainList, error) { return f.client.Drains(ctx) }
 
 // order has the quorum do something about one.
-func (f *Fleet) order(ctx context.Context, op quorum.Op, o *drain.Order) (drain.Order, error) {
-	r, _, err := f.client.Do(ctx, quorum.Command{Op: op, Order: o})
+func (f *Fleet) order(ctx context.Context, op quorum.Op, o *drain.Request) (drain.Request, error) {
+	r, _, err := f.client.Do(ctx, quorum.Command{Op: op, Drain: o})
 	if err == nil {
 		err = r.Err()
 	}
-	if r.Order != nil {
-		return *r.Order, err
+	if r.Drain != nil {
+		return *r.Drain, err
 	}
-	return drain.Order{}, err
+	return drain.Request{}, err
 }
 
 // budgets are the file's, or what is taken where it has none.
@@ -493,7 +495,7 @@
 	var l []drain.Budget
 	for _, b := range f.conf.Budgets {
 		s := drain.Scope{Gateways: b.Cluster == "", Cluster: b.Cluster, Site: b.Site, Zone: b.Zone, EachZone: b.Each == "zone", EachSite: b.Each == "site"}
-		l = append(l, drain.Budget{Name: b.Name, Scope: s, Most: b.Most, Part: b.Part})
+		l = append(l, drain.Budget{Name: b.Name, Scope: s, Max: b.Most, Fraction: b.Part})
 	}
 	return l
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -253,7 +253,7 @@
 		collectFleet(s.Fleet, put)
 	}
 	if sub := s.Subscription; sub != nil {
-		for _, mode := range []subscription.Mode{subscription.Waiting, subscription.Following, subscription.Own, subscription.Holding} {
+		for _, mode := range []subscription.Mode{subscription.Waiting, subscription.Following, subscription.Direct, subscription.Leading} {
 			put("fmode", yes(sub.Mode == mode), string(mode))
 		}
 		put("fheard", sub.Heard)
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -286,7 +286,7 @@
 	if g.short && !g.stopping {
 		g.apportion()
 	}
-	gone := func() { g.tell(c, endpoints.Word{Source: c.spec.source, Stale: "the cluster is gone"}) }
+	gone := func() { g.tell(c, endpoints.Update{Source: c.spec.source, Stale: "the cluster is gone"}) }
 	if after <= 0 {
 		gone()
 		return
@@ -329,9 +329,9 @@
 	in.core = core
 	if c.view.Tiers != (c.spec.zones != nil) {
 		c.view.Tiers = c.spec.zones != nil
-		c.view.Again()
+		c.view.Resend()
 	}
-	if u := c.view.All(); u != nil {
+	if u := c.view.Snapshot(); u != nil {
 		core.Fleet(*u)
 	}
 	if c.in != nil {
@@ -391,7 +391,7 @@
 	case s.inline != nil:
 		g.assign(c, s.inline, s.version, g.Now())
 	case s.source == "static":
-		w := endpoints.Word{Source: "static"}
+		w := endpoints.Update{Source: "static"}
 		for _, e := range s.static {
 			w.Endpoints = append(w.Endpoints, endpoints.Endpoint{Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
 				Weight: e.Weight, Priority: e.Priority})
@@ -414,7 +414,7 @@
 		case r.State == xds.Absent:
 			c.stopTimer()
 			c.drop.Store(0)
-			g.tell(c, endpoints.Word{Source: sourceName(s.source), Stale: r.Why})
+			g.tell(c, endpoints.Update{Source: sourceName(s.source), Stale: r.Why})
 		}
 	}
 }
@@ -444,15 +444,15 @@
 }
 
 // tell hands a source's word to a cluster's cores.
-func (g *Gateway) tell(c *cluster, w endpoints.Word) {
+func (g *Gateway) tell(c *cluster, w endpoints.Update) {
 	if len(g.held) > 0 {
 		w.Endpoints = slices.Clone(w.Endpoints)
 		for i := range w.Endpoints {
 			e := &w.Endpoints[i]
-			e.Held = slices.ContainsFunc(g.held, func(t drain.Target) bool { return t.HasEndpoint(c.name, e.Address, e.Zone) })
+			e.Retained = slices.ContainsFunc(g.held, func(t drain.Target) bool { return t.MatchesEndpoint(c.name, e.Address, e.Zone) })
 		}
 	}
-	u := c.view.Take(g.Now(), w)
+	u := c.view.Apply(g.Now(), w)
 	if u == nil {
 		return
 	}
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -241,7 +241,7 @@
 			x := f.XDS
 			o := xds.ClientOptions{Options: opt, Servers: x.Servers, ConnectTimeout: x.ConnectTimeout.D(), BackoffBase: x.BackoffBase.D(),
 				BackoffMost: x.BackoffMost.D(), Keepalive: x.Keepalive.D(), Message: int(x.Message), Now: g.Now, Log: g.log}
-			if g.fleet != nil && g.fleet.Conf().Subscription != nil {
+			if g.fleet != nil && g.fleet.Config().Subscription != nil {
 				n.src = newShared(g.fleet, o, g.log, n)
 			} else {
 				n.src = xds.NewClient(o, n)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	g.fleet = fl
-	fl.Serve(g)
+	fl.SetAgent(g)
 	if f.Fleet.Subscription == nil {
 		return nil
 	}
@@ -40,7 +40,7 @@
 		}
 		return s.receive(body)
 	})
-	fl.Add(leaderelection.Duty{Name: "xds/" + f.Fleet.Site, Rules: fl.Rules(f.Fleet.Site), Run: func(ctx context.Context, h *leaderelection.Hold) {
+	fl.AddTask(leaderelection.Task{Name: "xds/" + f.Fleet.Site, Rules: fl.Rules(f.Fleet.Site), Run: func(ctx context.Context, h *leaderelection.Leadership) {
 		if s := g.shared.Load(); s != nil {
 			s.hold(ctx, h, func() bool { return ctx.Err() == nil && g.shared.Load() == s })
 		} else {
@@ -81,7 +81,7 @@
 		g.mu.Lock()
 		drained := g.drain != nil
 		g.refuses.Store(drained && g.Now()-g.drainAt >= g.drain.Notice)
-		late := drained && !g.drain.Wait && !g.expired && g.Now()-g.drainAt >= g.drain.Grace
+		late := drained && !g.drain.WaitForAll && !g.expired && g.Now()-g.drainAt >= g.drain.Grace
 		id := ""
 		var cores []*proxy.Core
 		if late {
@@ -105,7 +105,7 @@
 		if f != g.told {
 			g.told, g.toldVersion = f, g.version(f)
 		}
-		g.fleet.Say(s, g.toldVersion)
+		g.fleet.Announce(s, g.toldVersion)
 	}
 }
 
@@ -127,7 +127,7 @@
 		effects[c.Name] = effectName(c.Effect)
 	}
 	return func(w balancer.Request, sent bool) proxy.Answer {
-		status, again := drain.Last(effects[w.Class], sent) // a class that is not known, and a keyed one without a key, count as unsafe
+		status, again := drain.FinalAnswer(effects[w.Class], sent) // a class that is not known, and a keyed one without a key, count as unsafe
 		a := proxy.Answer{Status: status, Header: http.Header{}, Body: []byte("this gateway is taken out of service\n")}
 		if again {
 			a.RetryAfter = time.Second
@@ -157,7 +157,7 @@
 	}
 	put("fconflicts", float64(s.Conflicts))
 	put("fcontact", s.Contact.Age.Seconds())
-	put("fsent", float64(s.Sent))
+	put("fsent", float64(s.SentBytes))
 	if v := s.Vote; v != nil {
 		for _, state := range []string{"waiting", "follower", "candidate", "leader", "stopped"} {
 			n := 0.0
@@ -167,16 +167,16 @@
 			put("fvote", n, state)
 		}
 	}
-	if b := s.Book; b != nil {
-		for _, state := range []drain.State{drain.Asked, drain.Granted, drain.UnderWay, drain.Done, drain.Overdue, drain.Cancelled} {
-			put("forders", float64(b.Orders[state]), string(state))
+	if b := s.Ledger; b != nil {
+		for _, state := range []drain.State{drain.Pending, drain.Granted, drain.Draining, drain.Drained, drain.Overdue, drain.Cancelled} {
+			put("forders", float64(b.Drains[state]), string(state))
 		}
 		halted := 0.0
 		if b.Halted {
 			halted = 1
 		}
 		put("fhalted", halted)
-		for _, state := range []release.State{release.Running, release.Halted, release.Going} {
+		for _, state := range []release.State{release.Running, release.Halted, release.RollingBack} {
 			is := 0.0
 			if b.Release == state {
 				is = 1
@@ -184,17 +184,17 @@
 			put("frelease", is, string(state))
 		}
 		for _, g := range b.Budgets {
-			put("fbudget", float64(g.Bound), g.Name, g.Scope, "may be out")
-			put("fbudget", float64(len(g.Out)), g.Name, g.Scope, "out")
+			put("fbudget", float64(g.Allowed), g.Name, g.Scope, "may be out")
+			put("fbudget", float64(len(g.Unavailable)), g.Name, g.Scope, "out")
 		}
 	}
-	for _, d := range s.Duties {
+	for _, d := range s.Tasks {
 		held := 0.0
-		if d.State == leaderelection.Holding {
+		if d.State == leaderelection.Leading {
 			held = 1
 		}
 		put("fduty", held, d.Name)
-		put("fheld", float64(d.Held), d.Name)
-		put("foverdue", float64(d.Overdue), d.Name)
+		put("fheld", float64(d.TimesLed), d.Name)
+		put("foverdue", float64(d.TimesOverdue), d.Name)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -73,7 +73,7 @@
 	pending   *pending
 	stopping  bool
 	held      []drain.Target // endpoints, and zones of clusters, that orders have taken out
-	drain     *drain.Order   // that has taken this gateway out; nil: none
+	drain     *drain.Request // that has taken this gateway out; nil: none
 	drainAt   time.Duration  // when it was heard of
 	expired   bool           // what it had in hand at the end of the grace was answered
 	ordered   bool           // it is known what is ordered, or it was waited for long enough
@@ -127,7 +127,7 @@
 	g.local = f
 	err := g.joinFleet(f)
 	if child != nil && g.fleet != nil {
-		g.fleet.Supervised(child.Version, child)
+		g.fleet.SetSupervised(child.Version, child)
 	}
 	if err == nil {
 		g.mu.Lock()
@@ -519,7 +519,7 @@
 	}
 	r := g.routes.Load()
 	for n := range names(r) {
-		if c := g.clusters[n]; c == nil || !c.view.Told() {
+		if c := g.clusters[n]; c == nil || !c.view.Known() {
 			return false
 		}
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -162,7 +162,7 @@
 func (g *Gateway) usable(name string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c := g.clusters[name]; c != nil && c.view.Told() {
+	if c := g.clusters[name]; c != nil && c.view.Known() {
 		return c.view.Usable()
 	}
 	return -1
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -18,7 +18,7 @@
 
 // awaitOrders asks what is ordered before this gateway is ready: one that was taken out, killed and started again must not serve.
 func (g *Gateway) awaitOrders() {
-	known := g.fleet.AskOrders(g.life, orderWait)
+	known := g.fleet.FetchDrains(g.life, orderWait)
 	if !known && g.life.Err() == nil {
 		g.log.Warn("nobody says what is ordered; this gateway serves without knowing", "after", orderWait)
 	}
@@ -27,23 +27,23 @@
 	g.ordered = true
 }
 
-// Ordered takes over what is ordered, and tells how this gateway stands then. It is called by one goroutine at a time.
-func (g *Gateway) Ordered(v drain.View, full bool) fleet.Report {
+// ApplyDrains takes over what is ordered, and tells how this gateway stands then. It is called by one goroutine at a time.
+func (g *Gateway) ApplyDrains(v drain.View, full bool) fleet.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.takeOrders(v)
-	r := fleet.Report{Version: v.Version, InHand: map[string]int{}}
+	r := fleet.Report{Version: v.Version, InFlight: map[string]int{}}
 	g.report(&r, v, full)
 	return r
 }
 
 func (g *Gateway) takeOrders(v drain.View) {
 	var held []drain.Target
-	var own *drain.Order
-	for i := range v.Out {
-		o := &v.Out[i]
+	var own *drain.Request
+	for i := range v.Requests {
+		o := &v.Requests[i]
 		switch {
-		case !o.State.Out():
+		case !o.State.Unavailable():
 		case g.mine(o):
 			if own == nil || own.Restart == "" {
 				own = o
@@ -59,7 +59,7 @@
 	if g.drain != nil && own == nil {
 		g.log.Info("in service again", "id", g.drain.ID)
 	}
-	if own != nil && own.Restart != "" && (own.State == drain.Done || own.State == drain.Overdue) {
+	if own != nil && own.Restart != "" && (own.State == drain.Drained || own.State == drain.Overdue) {
 		g.fleet.Restart(own.Restart)
 	}
 	g.drain = own
@@ -72,11 +72,11 @@
 	}
 	for name, c := range g.clusters {
 		of := func(t drain.Target) bool { return t.Cluster == name }
-		if (slices.ContainsFunc(old, of) || slices.ContainsFunc(held, of)) && c.view.Told() {
-			w, _ := c.view.Last()
+		if (slices.ContainsFunc(old, of) || slices.ContainsFunc(held, of)) && c.view.Known() {
+			w, _ := c.view.LastUpdate()
 			w.Endpoints = slices.Clone(w.Endpoints)
 			for i := range w.Endpoints {
-				w.Endpoints[i].Held = false // tell says which are now
+				w.Endpoints[i].Retained = false // tell says which are now
 			}
 			g.tell(c, w)
 		}
@@ -84,8 +84,8 @@
 }
 
 // mine tells whether an order takes this gateway out.
-func (g *Gateway) mine(o *drain.Order) bool {
-	return o.Target.HasGateway(g.fleet.Conf().Member, g.fleet.Conf().Site, g.fleet.Zone())
+func (g *Gateway) mine(o *drain.Request) bool {
+	return o.Target.MatchesGateway(g.fleet.Config().Member, g.fleet.Config().Site, g.fleet.Zone())
 }
 
 // report says how this gateway and its endpoints stand. Endpoints that are well are named only where all are asked for.
@@ -93,7 +93,7 @@
 	r.Serving = !g.stopping && g.drain == nil && g.ordered
 	routes := g.routes.Load()
 	for n := range names(routes) {
-		if c := g.clusters[n]; c == nil || !c.view.Told() {
+		if c := g.clusters[n]; c == nil || !c.view.Known() {
 			r.Serving = false
 		}
 	}
@@ -115,25 +115,25 @@
 		}
 		for _, s := range c.view.Servers() {
 			cold := s.Since > 0 && g.Now()-s.Since < c.spec.conf.WarmUp.Time.D()
-			if well := s.Out == "" && !cold && !out[s.Address]; !well || full {
-				r.Endpoints = append(r.Endpoints, drain.Endpoint{Cluster: name, Address: s.Address, Zone: s.Zone, Well: well})
+			if well := s.ExcludedReason == "" && !cold && !out[s.Address]; !well || full {
+				r.Endpoints = append(r.Endpoints, drain.Endpoint{Cluster: name, Address: s.Address, Zone: s.Zone, Healthy: well})
 			}
 		}
 	}
-	for i := range v.Out {
-		switch o := &v.Out[i]; {
+	for i := range v.Requests {
+		switch o := &v.Requests[i]; {
 		case !o.Target.OfGateways():
 			n := 0
 			if c := g.clusters[o.Target.Cluster]; c != nil && o.Target.Zone != "" {
 				for _, s := range c.view.Servers() {
-					if o.Target.HasEndpoint(c.name, s.Address, s.Zone) {
+					if o.Target.MatchesEndpoint(c.name, s.Address, s.Zone) {
 						n += inHand[drain.Target{Cluster: c.name, Endpoint: s.Address}]
 					}
 				}
 			} else {
 				n = inHand[o.Target]
 			}
-			r.InHand[o.ID] = n
+			r.InFlight[o.ID] = n
 		case g.mine(o):
 			n := 0
 			for _, c := range g.cores() {
@@ -142,7 +142,7 @@
 			if !g.refuses.Load() { // what still may come counts as one
 				n++
 			}
-			r.InHand[o.ID] = n
+			r.InFlight[o.ID] = n
 		}
 	}
 }
@@ -160,8 +160,8 @@
 		t.Add(in.core.Stats())
 	}
 	nowhere := g.nowhere.Load()
-	return release.Figures{Taken: t.Taken + nowhere, Bad: t.Failed + t.Refused + nowhere, Served: t.Served, Seconds: t.Took.Seconds(), Memory: resident(),
-		Times: g.shows.times(), Classes: g.shows.all()}
+	return release.Figures{Accepted: t.Taken + nowhere, Failed: t.Failed + t.Refused + nowhere, Served: t.Served, LatencySeconds: t.Took.Seconds(), Memory: resident(),
+		LatencyCounts: g.shows.times(), Classes: g.shows.all()}
 }
 
 // resident is this process's memory in bytes; 0 where the system does not say.
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -44,7 +44,7 @@
 	take  sync.Mutex    // one push at a time
 
 	mu      sync.Mutex
-	s       *subscription.Share
+	s       *subscription.Subscription
 	holder  string // who pushed last
 	seq     uint64
 	changed map[named]uint64 // under which number each name changed last
@@ -57,9 +57,9 @@
 }
 
 func newShared(f *fleet.Fleet, opt xds.ClientOptions, log *slog.Logger, sink xds.Sink) *shared {
-	c := f.Conf().Subscription
+	c := f.Config().Subscription
 	s := &shared{sink: sink, fleet: f, conf: c, log: log, turn: make(chan struct{}, 1), seq: 1, changed: map[named]uint64{}, floor: 1}
-	s.s = subscription.New(fleet.Clock(), subscription.Options{OwnAfter: c.OwnAfter.D(), Spread: c.Spread.D(), Chance: rand.Float64()})
+	s.s = subscription.New(fleet.Clock(), subscription.Options{DirectAfter: c.OwnAfter.D(), Spread: c.Spread.D(), Chance: rand.Float64()})
 	opt.Keep = true
 	s.Client = xds.NewClient(opt, s)
 	s.Pause(true)
@@ -112,7 +112,7 @@
 	s.Look(func(m *xds.Machine, _ time.Duration) { missing = m.Missing() })
 	s.mu.Lock()
 	before, _ := s.s.Mode()
-	s.s.Missing(fleet.Clock(), missing)
+	s.s.SetMissing(fleet.Clock(), missing)
 	s.s.Tick(fleet.Clock())
 	s.mu.Unlock()
 	s.turned(before)
@@ -122,8 +122,8 @@
 func (s *shared) turned(before subscription.Mode) {
 	s.mu.Lock()
 	mode, _ := s.s.Mode()
-	s.Pause(!s.s.Stream())
-	token, seq, _, _ := s.s.Last(0)
+	s.Pause(!s.s.WantsStream())
+	token, seq, _, _ := s.s.LastUpdate(0)
 	s.mu.Unlock()
 	if mode != before {
 		s.log.Info("subscription", "from", string(before), "to", string(mode), "token", token, "number", seq)
@@ -132,7 +132,7 @@
 
 // sharePush is what a holder sends.
 type sharePush struct {
-	subscription.Push
+	subscription.Update
 	Holder string     `json:"holder"`
 	Types  []pushType `json:"types,omitempty"`
 }
@@ -151,7 +151,7 @@
 
 // bundle reads what came.
 func (p *sharePush) bundle() (*xds.Bundle, error) {
-	b := &xds.Bundle{Resources: map[xds.Type][]*discoveryv3.Resource{}, Removed: map[xds.Type][]string{}, Versions: map[xds.Type]string{}, Whole: p.Whole}
+	b := &xds.Bundle{Resources: map[xds.Type][]*discoveryv3.Resource{}, Removed: map[xds.Type][]string{}, Versions: map[xds.Type]string{}, Whole: p.Full}
 	for _, t := range p.Types {
 		for i, raw := range t.Resources {
 			var r discoveryv3.Resource
@@ -170,11 +170,11 @@
 	var p sharePush
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(&p); err != nil {
-		return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
 	b, err := p.bundle()
 	if err != nil {
-		return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
 	s.take.Lock()
 	defer s.take.Unlock()
@@ -182,25 +182,25 @@
 	open, covered := false, false
 	s.Look(func(m *xds.Machine, _ time.Duration) {
 		digest, open = m.Digest(), m.Open()
-		covered = p.Whole && m.CoveredBy(b)
+		covered = p.Full && m.CoveredBy(b)
 	})
 	s.mu.Lock()
 	before, _ := s.s.Mode()
 	var v subscription.Verdict
-	if open && !s.s.Stream() { // its own stream is about to close
-		v = subscription.Need
-	} else if v = s.s.Push(fleet.Clock(), p.Push, digest); v == subscription.Compare {
-		if v = subscription.Alone; covered && s.s.Agreed(fleet.Clock(), p.Push) {
-			v = subscription.Same
+	if open && !s.s.WantsStream() { // its own stream is about to close
+		v = subscription.NeedSnapshot
+	} else if v = s.s.Receive(fleet.Clock(), p.Update, digest); v == subscription.Compare {
+		if v = subscription.Diverged; covered && s.s.Adopt(fleet.Clock(), p.Update) {
+			v = subscription.Unchanged
 		}
 	}
-	if v != subscription.Refuse {
+	if v != subscription.Reject {
 		s.holder = p.Holder
 	}
-	highest := s.s.Highest()
+	highest := s.s.HighestToken()
 	s.mu.Unlock()
 	s.turned(before)
-	if v == subscription.Take {
+	if v == subscription.Accept {
 		if err := s.Import(b); err != nil {
 			s.log.Warn("what the holder of the subscription accepted is not taken as a whole", "holder", p.Holder, "err", err)
 		}
@@ -209,23 +209,23 @@
 }
 
 // hold is the duty: it follows the control plane and hands what it accepts to the others.
-func (s *shared) hold(ctx context.Context, h *leaderelection.Hold, current func() bool) {
+func (s *shared) hold(ctx context.Context, h *leaderelection.Leadership, current func() bool) {
 	token, _, ok := h.Token()
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	before, _ := s.s.Mode()
-	s.s.Hold(fleet.Clock(), token)
+	s.s.Lead(fleet.Clock(), token)
 	s.mu.Unlock()
 	s.turned(before)
 	out := &pushing{s: s, h: h, acked: map[string]acked{}, room: make(chan struct{}, mostPushes)}
 	defer func() {
 		out.work.Wait()
 		s.mu.Lock()
-		s.s.Drop(fleet.Clock())
+		s.s.Release(fleet.Clock())
 		s.mu.Unlock()
-		s.turned(subscription.Holding)
+		s.turned(subscription.Leading)
 	}()
 	tick := time.NewTicker(s.conf.Heartbeat.D())
 	defer tick.Stop()
@@ -258,7 +258,7 @@
 // pushing is a holder's work.
 type pushing struct {
 	s     *shared
-	h     *leaderelection.Hold
+	h     *leaderelection.Leadership
 	ready bool // what is in use here is the control plane's word on this stream
 	room  chan struct{}
 	work  sync.WaitGroup
@@ -292,8 +292,8 @@
 	for _, m := range p.targets() {
 		p.mu.Lock()
 		a := p.acked[m.Name]
-		if a.birth != m.Birth {
-			a = acked{birth: m.Birth, busy: a.busy}
+		if a.birth != m.Incarnation {
+			a = acked{birth: m.Incarnation, busy: a.busy}
 		}
 		a.again = a.busy
 		start := !a.busy
@@ -337,10 +337,10 @@
 	a.busy = false
 	switch {
 	case !ok, err != nil: // with the next round
-	case r.Verdict == subscription.Refuse:
+	case r.Verdict == subscription.Reject:
 		p.s.log.Warn("a gateway refused the subscription's news: another one holds it", "gateway", m.Name, "token", body.Token, "highest", r.Highest)
-	case r.Verdict == subscription.Need:
-		again = !body.Whole && p.ready
+	case r.Verdict == subscription.NeedSnapshot:
+		again = !body.Full && p.ready
 		a.seq = 0
 	default:
 		a.seq = body.Seq
@@ -359,7 +359,7 @@
 	}
 	s := p.s
 	link := s.Link()
-	out := &sharePush{Holder: s.fleet.Conf().Member, Push: subscription.Push{Token: token, Connected: link.Server != ""}}
+	out := &sharePush{Holder: s.fleet.Config().Member, Update: subscription.Update{Token: token, Connected: link.Server != ""}}
 	if !p.ready {
 		return out, true
 	}
@@ -378,7 +378,7 @@
 				p.whole = &sharePush{Types: wire(m.Export(now))}
 				p.whole.Seq = seq
 			}
-			out.Whole, out.Types = true, p.whole.Types
+			out.Full, out.Types = true, p.whole.Types
 			return
 		}
 		out.Base = have
@@ -443,9 +443,9 @@
 	defer s.mu.Unlock()
 	now := fleet.Clock()
 	mode, since := s.s.Mode()
-	token, seq, heard, age := s.s.Last(now)
+	token, seq, heard, age := s.s.LastUpdate(now)
 	v := &Subscription{Mode: mode, Since: (now - since).Seconds(), Holder: s.holder, Token: token, Number: seq, Heard: heard.Seconds(), Age: age.Seconds()}
-	if !s.s.Stream() && heard > 2*s.conf.Heartbeat.D() {
+	if !s.s.WantsStream() && heard > 2*s.conf.Heartbeat.D() {
 		v.Stale = fmt.Sprintf("no word of a holder for %v; what it said last is in use", heard.Round(100*time.Millisecond))
 	}
 	return v
--- a/internal/gateway/shows.go
+++ b/internal/gateway/shows.go
@@ -15,7 +15,7 @@
 // shows counts what requests came to, by class and by time: by this a release is judged. Its methods may be called by several
 // goroutines at once.
 type shows struct {
-	buckets [release.Buckets]atomic.Uint64
+	buckets [release.LatencyBuckets]atomic.Uint64
 	mu      sync.RWMutex
 	classes map[string]*classShows
 }
@@ -25,7 +25,7 @@
 // add counts one request. Those whose client left are not counted: it is not known what they would have come to.
 func (s *shows) add(class string, out proxy.RequestOutcome, took time.Duration, inTime bool) {
 	if out == proxy.OutcomeServed {
-		s.buckets[release.Bucket(took)].Add(1)
+		s.buckets[release.LatencyBucket(took)].Add(1)
 	}
 	if out == proxy.OutcomeLeft {
 		return
@@ -69,12 +69,12 @@
 	return l
 }
 
-func (s *shows) all() map[string]release.Class {
+func (s *shows) all() map[string]release.ClassFigures {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	m := make(map[string]release.Class, len(s.classes))
+	m := make(map[string]release.ClassFigures, len(s.classes))
 	for name, c := range s.classes {
-		m[name] = release.Class{Taken: c.taken.Load(), InTime: c.inTime.Load()}
+		m[name] = release.ClassFigures{Accepted: c.taken.Load(), InTime: c.inTime.Load()}
 	}
 	return m
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -148,7 +148,7 @@
 			all = all[:endpoints]
 		}
 		for _, e := range all {
-			es := EndpointStatus{Address: e.Address, Zone: e.Zone, Priority: e.Priority, Weight: e.Weight, Health: e.Health.String(), Out: e.Out}
+			es := EndpointStatus{Address: e.Address, Zone: e.Zone, Priority: e.Priority, Weight: e.Weight, Health: e.Health.String(), Out: e.ExcludedReason}
 			if e.Since > 0 {
 				es.Age = max(now-e.Since, 0).Seconds()
 			}
@@ -227,12 +227,12 @@
 }
 
 func (g *Gateway) clusterStatus(c *cluster, now time.Duration) ClusterStatus {
-	w, at := c.view.Last()
+	w, at := c.view.LastUpdate()
 	s := ClusterStatus{Name: c.name, Source: cmp.Or(w.Source, sourceName(c.spec.source)), Service: c.spec.service, Version: w.Version,
 		Stale: w.Stale, Refused: c.refused, Warnings: c.warn, Leaving: c.leaving(), Drop: float64(c.drop.Load()) / (1 << 32),
 		Dropped: c.past.dropped.Load(), Usable: c.view.Usable(), InHand: c.in.core.InHand(), Endpoints: []EndpointStatus{},
 		Holds: HoldStatus{Descriptors: c.conns.Used(), Memory: c.mem.Used(), Requests: c.requests.Used()}}
-	if c.view.Told() {
+	if c.view.Known() {
 		s.Age = new(max(now-at, 0).Seconds())
 	}
 	s.Zones = c.in.zoneStatus()
@@ -271,7 +271,7 @@
 // why says in one of few words, as a metric has few, why an endpoint is out.
 func why(s *endpoints.Server) string {
 	switch {
-	case s.Out == "":
+	case s.ExcludedReason == "":
 		return "usable"
 	case s.Health == endpoints.Draining || s.Health == endpoints.Unhealthy || s.Health == endpoints.Timeout || s.Health == endpoints.Degraded:
 		return s.Health.String()
--- a/internal/leaderelection/duty.go
+++ b/internal/leaderelection/duty.go
@@ -20,25 +20,25 @@
 	Do(ctx context.Context, c quorum.Command) (r quorum.Result, sent time.Duration, err error)
 }
 
-// Duty is one.
-type Duty struct {
+// Task is one.
+type Task struct {
 	Name  string // of its lease
 	Rules lease.Rules
 	// Run does it until ctx ends, and then returns at once. Each act asks hold for the token just before it is sent.
-	Run func(ctx context.Context, hold *Hold)
+	Run func(ctx context.Context, hold *Leadership)
 }
 
-// Hold is the lease that a running duty has. Its methods may be called by several goroutines at once.
-type Hold struct {
-	r *Runner
+// Leadership is the lease that a running duty has. Its methods may be called by several goroutines at once.
+type Leadership struct {
+	r *Elector
 
 	mu sync.Mutex
-	h  lease.Holder
+	h  lease.HeldLease
 }
 
 // Token is what an act that begins now carries, with the reading of the clock that it was judged by; false where the lease
 // is over, also for a process that was stopped in between and goes on.
-func (h *Hold) Token() (token uint64, at time.Duration, ok bool) {
+func (h *Leadership) Token() (token uint64, at time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at = h.r.opt.Now()
@@ -46,19 +46,19 @@
 	return token, at, ok || unguarded && token > 0
 }
 
-func (h *Hold) granted(sent time.Duration, g lease.Grant) {
+func (h *Leadership) granted(sent time.Duration, g lease.Grant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.h.Granted(sent, g)
 }
 
-func (h *Hold) until() time.Duration {
+func (h *Leadership) until() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.h.Until()
+	return h.h.ExpiresAt()
 }
 
-func (h *Hold) lost() {
+func (h *Leadership) lost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.h.Lost()
@@ -71,8 +71,8 @@
 	Log    *slog.Logger
 }
 
-// Runner runs duties. Its methods may be called by several goroutines at once.
-type Runner struct {
+// Elector runs duties. Its methods may be called by several goroutines at once.
+type Elector struct {
 	opt Options
 	q   Quorum
 
@@ -86,31 +86,31 @@
 type State string
 
 const (
-	Asking  State = "asking"  // no word of the quorum yet
-	Waiting State = "waiting" // another process has it
-	Holding State = "holding"
-	Overdue State = "overdue" // its lease is over and it has not returned: its acts are refused by whoever receives them
-	NoWord  State = "no quorum"
+	Candidate State = "asking"  // no word of the quorum yet
+	Waiting   State = "waiting" // another process has it
+	Leading   State = "holding"
+	Overdue   State = "overdue" // its lease is over and it has not returned: its acts are refused by whoever receives them
+	NoQuorum  State = "no quorum"
 )
 
 // Status is how a duty stands in this process.
 type Status struct {
-	Name    string        `json:"name"`
-	State   State         `json:"state"`
-	Token   uint64        `json:"token,omitempty"`
-	Since   time.Duration `json:"since"`
-	Held    int           `json:"held"`    // how often this process had it
-	Overdue int           `json:"overdue"` // how often it did not end in time
-	Error   string        `json:"error,omitempty"`
+	Name         string        `json:"name"`
+	State        State         `json:"state"`
+	Token        uint64        `json:"token,omitempty"`
+	Since        time.Duration `json:"since"`
+	TimesLed     int           `json:"held"`    // how often this process had it
+	TimesOverdue int           `json:"overdue"` // how often it did not end in time
+	Error        string        `json:"error,omitempty"`
 }
 
-// NewRunner makes one.
-func NewRunner(q Quorum, opt Options) *Runner {
-	return &Runner{opt: opt, q: q, duties: map[string]*Status{}, wake: make(chan struct{})}
+// NewElector makes one.
+func NewElector(q Quorum, opt Options) *Elector {
+	return &Elector{opt: opt, q: q, duties: map[string]*Status{}, wake: make(chan struct{})}
 }
 
 // Status tells of all duties, in no order.
-func (r *Runner) Status() []Status {
+func (r *Elector) Status() []Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := make([]Status, 0, len(r.duties))
@@ -120,7 +120,7 @@
 	return l
 }
 
-func (r *Runner) set(d *Duty, s State, token uint64, err error) {
+func (r *Elector) set(d *Task, s State, token uint64, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	x := r.duties[d.Name]
@@ -131,17 +131,17 @@
 	if x.State != s || x.Token != token {
 		x.Since = r.opt.Now()
 		switch s {
-		case Holding:
-			x.Held++
+		case Leading:
+			x.TimesLed++
 		case Overdue:
-			x.Overdue++
+			x.TimesOverdue++
 		}
 		r.opt.Log.Info("duty", "name", d.Name, "state", string(s), "token", token)
 	}
-	if x.State == Holding && s != Holding {
+	if x.State == Leading && s != Leading {
 		r.held--
 	}
-	if x.State != Holding && s == Holding {
+	if x.State != Leading && s == Leading {
 		r.held++
 	}
 	x.State, x.Token, x.Error = s, token, ""
@@ -150,7 +150,7 @@
 	}
 }
 
-func (r *Runner) command(op quorum.Op, d *Duty, token uint64) quorum.Command {
+func (r *Elector) command(op quorum.Op, d *Task, token uint64) quorum.Command {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.opt.Member
@@ -159,11 +159,11 @@
 }
 
 // Run asks for a duty, and runs it whenever it is granted, until ctx ends; then it gives the lease back.
-func (r *Runner) Run(ctx context.Context, d Duty) {
-	r.set(&d, Asking, 0, nil)
+func (r *Elector) Run(ctx context.Context, d Task) {
+	r.set(&d, Candidate, 0, nil)
 	for ctx.Err() == nil {
 		one, cancel := context.WithTimeout(ctx, d.Rules.Length)
-		res, sent, err := r.q.Do(one, r.command(quorum.Acquire, &d, 0))
+		res, sent, err := r.q.Do(one, r.command(quorum.OpAcquire, &d, 0))
 		cancel()
 		if err == nil {
 			err = res.Err()
@@ -172,26 +172,26 @@
 		again := length/8 + rand.N(length/8)
 		switch {
 		case err == nil:
-			h := &Hold{r: r}
+			h := &Leadership{r: r}
 			h.granted(sent, res.Grant)
 			if r.hold(ctx, &d, h, res.Grant.Token); ctx.Err() == nil {
-				r.set(&d, Asking, 0, nil)
+				r.set(&d, Candidate, 0, nil)
 			}
 			continue
 		case errors.Is(err, lease.ErrWaiting):
 			r.set(&d, Waiting, 0, nil)
 			// Who is first asks just when it may be free. The others ask often enough to keep their places, at random, so that
 			// they do not ask in step, and in case the first one is gone.
-			if again = length/2 + rand.N(length*2/5); res.First {
-				again = min(max(res.Left+length/50, length/20), length*9/10)
+			if again = length/2 + rand.N(length*2/5); res.NextInLine {
+				again = min(max(res.AvailableIn+length/50, length/20), length*9/10)
 			}
-		case errors.Is(err, quorum.ErrNone):
-			r.set(&d, NoWord, 0, err)
+		case errors.Is(err, quorum.ErrNoQuorum):
+			r.set(&d, NoQuorum, 0, err)
 		default:
 			r.set(&d, Waiting, 0, err)
 		}
 		var wake <-chan struct{}
-		if res.First {
+		if res.NextInLine {
 			wake = r.woken()
 		}
 		wait(ctx, again, wake)
@@ -199,14 +199,14 @@
 }
 
 // Wake has those duties asked for at once that this process is first in line for: a holder may have given one back.
-func (r *Runner) Wake() {
+func (r *Elector) Wake() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	close(r.wake)
 	r.wake = make(chan struct{})
 }
 
-func (r *Runner) woken() <-chan struct{} {
+func (r *Elector) woken() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.wake
@@ -223,14 +223,14 @@
 }
 
 // hold runs a duty until its lease is over, and renews it meanwhile.
-func (r *Runner) hold(ctx context.Context, d *Duty, h *Hold, token uint64) {
+func (r *Elector) hold(ctx context.Context, d *Task, h *Leadership, token uint64) {
 	margin := d.Rules.Length / 10
 	if h.until()-margin <= r.opt.Now() && !unguarded {
 		return // the answer took as long as the lease lasts
 	}
 	run, stop := context.WithCancel(ctx)
 	defer stop()
-	r.set(d, Holding, token, nil)
+	r.set(d, Leading, token, nil)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -283,19 +283,19 @@
 	// What it held is free at once for the next one. Not by ctx, which may have ended.
 	one, cancel := context.WithTimeout(context.WithoutCancel(ctx), min(d.Rules.Length/2, 2*time.Second))
 	defer cancel()
-	_, _, _ = r.q.Do(one, r.command(quorum.Release, d, token)) // or it ends by itself
+	_, _, _ = r.q.Do(one, r.command(quorum.OpRelease, d, token)) // or it ends by itself
 	r.set(d, Waiting, 0, nil)
 }
 
 // renew renews a lease until ctx ends or it is lost.
-func (r *Runner) renew(ctx context.Context, d *Duty, h *Hold, token uint64, lost chan<- struct{}) {
+func (r *Elector) renew(ctx context.Context, d *Task, h *Leadership, token uint64, lost chan<- struct{}) {
 	for {
 		wait(ctx, d.Rules.Length/4, nil)
 		if ctx.Err() != nil {
 			return
 		}
 		one, cancel := context.WithTimeout(ctx, d.Rules.Length)
-		res, sent, err := r.q.Do(one, r.command(quorum.Renew, d, token))
+		res, sent, err := r.q.Do(one, r.command(quorum.OpRenew, d, token))
 		cancel()
 		if err != nil {
 			continue // its time goes on
--- a/internal/leaderelection/duty_test.go
+++ b/internal/leaderelection/duty_test.go
@@ -30,7 +30,7 @@
 }
 
 func (s *scripted) until() (at time.Duration) {
-	s.with(func() { at = s.t.Leases["d"].Until })
+	s.with(func() { at = s.t.Leases["d"].ExpiresAt })
 	return at
 }
 
@@ -41,16 +41,16 @@
 	s.with(func() { takes, away = s.takes, s.away })
 	if away {
 		<-ctx.Done()
-		return r, 0, quorum.ErrNone
+		return r, 0, quorum.ErrNoQuorum
 	}
 	time.Sleep(takes / 2)
 	s.mu.Lock()
 	switch c.Op {
-	case quorum.Acquire:
+	case quorum.OpAcquire:
 		r.Grant, err = s.t.Acquire(1, s.now(), c.Lease, c.Rules, c.Member)
-	case quorum.Renew:
+	case quorum.OpRenew:
 		r.Grant, err = s.t.Renew(1, s.now(), c.Lease, c.Member, c.Token)
-	case quorum.Release:
+	case quorum.OpRelease:
 		err = s.t.Release(1, s.now(), c.Lease, c.Member, c.Token, "")
 	}
 	s.mu.Unlock()
@@ -64,21 +64,21 @@
 const length = 10 * time.Second
 
 // run plays fn beside a runner in a bubble of time that stands still while all wait.
-func run(t *testing.T, fn func(q *scripted, r *Runner, began chan *Hold, ended chan time.Duration, stop func())) {
+func run(t *testing.T, fn func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, stop func())) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		now := func() time.Duration { return time.Since(start) }
 		q := &scripted{t: lease.NewTable(), now: now}
-		if err := q.t.Lead(1, 0); err != nil {
+		if err := q.t.BeginTerm(1, 0); err != nil {
 			t.Fatal(err)
 		}
-		r := NewRunner(q, Options{Member: lease.Member{Name: "a", Birth: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
-		began, ended := make(chan *Hold, 16), make(chan time.Duration, 16)
+		r := NewElector(q, Options{Member: lease.Member{Name: "a", Incarnation: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
+		began, ended := make(chan *Leadership, 16), make(chan time.Duration, 16)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Run(ctx, Duty{Name: "d", Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *Hold) {
+			r.Run(ctx, Task{Name: "d", Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *Leadership) {
 				began <- h
 				<-ctx.Done()
 				ended <- now()
@@ -90,14 +90,14 @@
 	})
 }
 
-func (r *Runner) state() State { return r.Status()[0].State }
+func (r *Elector) state() State { return r.Status()[0].State }
 
 // A duty is renewed for as long as the quorum answers, and ends before the lease does when it goes away.
 func TestEndsBeforeItsLease(t *testing.T) {
-	run(t, func(q *scripted, r *Runner, began chan *Hold, ended chan time.Duration, _ func()) {
+	run(t, func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, _ func()) {
 		h := <-began
 		time.Sleep(10 * length)
-		if _, _, ok := h.Token(); !ok || r.state() != Holding || len(ended) > 0 {
+		if _, _, ok := h.Token(); !ok || r.state() != Leading || len(ended) > 0 {
 			t.Fatalf("%s after ten lengths, held %v", r.state(), ok)
 		}
 		q.with(func() { q.away = true })
@@ -106,7 +106,7 @@
 			t.Errorf("ended at %v, the quorum gives it away at %v", at, last)
 		}
 		time.Sleep(length)
-		if _, _, ok := h.Token(); ok || r.state() == Holding {
+		if _, _, ok := h.Token(); ok || r.state() == Leading {
 			t.Errorf("held %v, %s", ok, r.state())
 		}
 		q.with(func() { q.away = false })
@@ -118,7 +118,7 @@
 
 // A renewal that is refused ends the duty at once; and so does the process's end, which gives the lease back.
 func TestLostAndStopped(t *testing.T) {
-	run(t, func(q *scripted, r *Runner, began chan *Hold, ended chan time.Duration, stop func()) {
+	run(t, func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, stop func()) {
 		<-began
 		at := q.now()
 		q.with(func() { _ = q.t.Revoke(1, at, "d") })
@@ -139,7 +139,7 @@
 
 // An answer that takes nearly as long as the lease gives no time to act in: nothing begins, or what began has ended by then.
 func TestSlowQuorum(t *testing.T) {
-	run(t, func(q *scripted, r *Runner, began chan *Hold, ended chan time.Duration, _ func()) {
+	run(t, func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, _ func()) {
 		<-began
 		q.with(func() { q.takes = 9 * length / 10 })
 		until := q.until()
@@ -162,18 +162,18 @@
 		start := time.Now()
 		now := func() time.Duration { return time.Since(start) }
 		q := &scripted{t: lease.NewTable(), now: now}
-		_ = q.t.Lead(1, 0)
-		r := NewRunner(q, Options{Member: lease.Member{Name: "a", Birth: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
+		_ = q.t.BeginTerm(1, 0)
+		r := NewElector(q, Options{Member: lease.Member{Name: "a", Incarnation: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
 		ctx, cancel := context.WithCancel(t.Context())
-		stuck, hold, done := make(chan struct{}), make(chan *Hold, 16), make(chan struct{})
+		stuck, hold, done := make(chan struct{}), make(chan *Leadership, 16), make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Run(ctx, Duty{Name: "d", Rules: lease.Rules{Length: length}, Run: func(_ context.Context, h *Hold) { hold <- h; <-stuck }})
+			r.Run(ctx, Task{Name: "d", Rules: lease.Rules{Length: length}, Run: func(_ context.Context, h *Leadership) { hold <- h; <-stuck }})
 		}()
 		h := <-hold
 		q.with(func() { q.away = true })
 		time.Sleep(2 * length)
-		if _, _, ok := h.Token(); ok || r.state() != Overdue || r.Status()[0].Overdue != 1 {
+		if _, _, ok := h.Token(); ok || r.state() != Overdue || r.Status()[0].TimesOverdue != 1 {
 			t.Errorf("held %v, %+v", ok, r.Status())
 		}
 		cancel()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -31,40 +31,40 @@
 	mostWaiters = 1024 // of one lease
 	mostMembers = 4096 // whose births are known
 	mostName    = 128  // bytes
-	// LeastLength and MostLength bound how long a lease is.
-	LeastLength = 100 * time.Millisecond
-	MostLength  = time.Hour
+	// MinLength and MostLength bound how long a lease is.
+	MinLength = 100 * time.Millisecond
+	MaxLength = time.Hour
 )
 
 // Member is a process that asks for leases. Births of one name rise with each start of its process.
 type Member struct {
-	Name  string `json:"name"`
-	Birth uint64 `json:"birth"`
-	Site  string `json:"site,omitempty"`
-	Load  int    `json:"load,omitempty"` // duties that it has; the least loaded is preferred
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"birth"`
+	Site        string `json:"site,omitempty"`
+	Load        int    `json:"load,omitempty"` // duties that it has; the least loaded is preferred
 }
 
-func (m Member) is(o Member) bool { return m.Name == o.Name && m.Birth == o.Birth }
+func (m Member) is(o Member) bool { return m.Name == o.Name && m.Incarnation == o.Incarnation }
 
 // Rules are of one lease, given when it is asked for the first time.
 type Rules struct {
 	Length time.Duration `json:"length"`
 	// Site is preferred; empty: none is.
 	Site string `json:"site,omitempty"`
-	// Patience is how long one who waits may be passed over by preference; then the longest in line is next.
-	Patience time.Duration `json:"patience,omitempty"`
-	// Floor is the least time between two grants to different holders, against flapping.
-	Floor time.Duration `json:"floor,omitempty"`
+	// MaxWait is how long one who waits may be passed over by preference; then the longest in line is next.
+	MaxWait time.Duration `json:"patience,omitempty"`
+	// MinHold is the least time between two grants to different holders, against flapping.
+	MinHold time.Duration `json:"floor,omitempty"`
 }
 
 func (r Rules) check() error {
 	switch {
-	case r.Length < LeastLength || r.Length > MostLength:
-		return fmt.Errorf("length: want %v to %v, not %v", LeastLength, MostLength, r.Length)
-	case r.Patience < 0 || r.Patience > MostLength:
-		return fmt.Errorf("patience: want 0 to %v, not %v", MostLength, r.Patience)
-	case r.Floor < 0 || r.Floor > MostLength:
-		return fmt.Errorf("floor: want 0 to %v, not %v", MostLength, r.Floor)
+	case r.Length < MinLength || r.Length > MaxLength:
+		return fmt.Errorf("length: want %v to %v, not %v", MinLength, MaxLength, r.Length)
+	case r.MaxWait < 0 || r.MaxWait > MaxLength:
+		return fmt.Errorf("patience: want 0 to %v, not %v", MaxLength, r.MaxWait)
+	case r.MinHold < 0 || r.MinHold > MaxLength:
+		return fmt.Errorf("floor: want 0 to %v, not %v", MaxLength, r.MinHold)
 	case len(r.Site) > mostName:
 		return fmt.Errorf("site: %d bytes, %d at most", len(r.Site), mostName)
 	}
@@ -81,73 +81,73 @@
 var (
 	// ErrWaiting is that another one holds it; the asker stands in line for as long as it goes on asking.
 	ErrWaiting = errors.New("another one holds it")
-	// ErrLost is that the lease is not the asker's, or not with this token.
-	ErrLost = errors.New("the lease is not held with this token")
-	// ErrOld is that a process of the same name with a later birth is known.
-	ErrOld = errors.New("a later process of this name is known")
-	// ErrTerm is that the command is of a leader that is none any more.
-	ErrTerm = errors.New("of an earlier term")
+	// ErrNotHeld is that the lease is not the asker's, or not with this token.
+	ErrNotHeld = errors.New("the lease is not held with this token")
+	// ErrStaleIncarnation is that a process of the same name with a later birth is known.
+	ErrStaleIncarnation = errors.New("a later process of this name is known")
+	// ErrStaleTerm is that the command is of a leader that is none any more.
+	ErrStaleTerm = errors.New("of an earlier term")
 	// ErrFull is that a bound of the table is reached.
 	ErrFull = errors.New("the table is full")
 )
 
 // Waiter stands in line.
 type Waiter struct {
-	Member Member        `json:"member"`
-	Since  time.Duration `json:"since"`
-	Asked  time.Duration `json:"asked"` // for the last time
+	Member       Member        `json:"member"`
+	WaitingSince time.Duration `json:"since"`
+	LastAskedAt  time.Duration `json:"asked"` // for the last time
 }
 
 // Lease is one name's. Its holder's name is empty where nobody has it.
 type Lease struct {
-	Rules   Rules                `json:"rules"`
-	Holder  Member               `json:"holder"`
-	Token   uint64               `json:"token"`             // of the last grant
-	Until   time.Duration        `json:"until"`             // may not be given away before
-	Granted time.Duration        `json:"granted"`           // the last time to another holder
-	Revoked bool                 `json:"revoked,omitempty"` // no renewal; it is given away when its time is over
-	Heir    string               `json:"heir,omitempty"`    // whom it was left to
-	Line    []Waiter             `json:"line,omitempty"`
-	More    unknownfields.Fields `json:"-"` // handed on
+	Rules     Rules                `json:"rules"`
+	Holder    Member               `json:"holder"`
+	Token     uint64               `json:"token"`             // of the last grant
+	ExpiresAt time.Duration        `json:"until"`             // may not be given away before
+	GrantedAt time.Duration        `json:"granted"`           // the last time to another holder
+	Revoked   bool                 `json:"revoked,omitempty"` // no renewal; it is given away when its time is over
+	Successor string               `json:"heir,omitempty"`    // whom it was left to
+	Waiters   []Waiter             `json:"line,omitempty"`
+	Unknown   unknownfields.Fields `json:"-"` // handed on
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (l Lease) MarshalJSON() ([]byte, error) {
 	type plain Lease
-	return unknownfields.Marshal(plain(l), l.More)
+	return unknownfields.Marshal(plain(l), l.Unknown)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (l *Lease) UnmarshalJSON(text []byte) error {
 	type plain Lease
-	return unknownfields.Unmarshal(text, (*plain)(l), &l.More)
+	return unknownfields.Unmarshal(text, (*plain)(l), &l.Unknown)
 }
 
 // Table is all leases.
 type Table struct {
-	Term   uint64               `json:"term"`
-	Now    time.Duration        `json:"now"` // the latest reading of the term
-	Last   uint64               `json:"last_token"`
-	Leases map[string]*Lease    `json:"leases"`
-	Births map[string]uint64    `json:"births"` // the latest of each name that holds or waits
-	More   unknownfields.Fields `json:"-"`
+	Term         uint64               `json:"term"`
+	Now          time.Duration        `json:"now"` // the latest reading of the term
+	LastToken    uint64               `json:"last_token"`
+	Leases       map[string]*Lease    `json:"leases"`
+	Incarnations map[string]uint64    `json:"births"` // the latest of each name that holds or waits
+	Unknown      unknownfields.Fields `json:"-"`
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (t Table) MarshalJSON() ([]byte, error) {
 	type plain Table
-	return unknownfields.Marshal(plain(t), t.More)
+	return unknownfields.Marshal(plain(t), t.Unknown)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (t *Table) UnmarshalJSON(text []byte) error {
 	type plain Table
-	return unknownfields.Unmarshal(text, (*plain)(t), &t.More)
+	return unknownfields.Unmarshal(text, (*plain)(t), &t.Unknown)
 }
 
 // NewTable makes an empty table.
 func NewTable() *Table {
-	return &Table{Leases: map[string]*Lease{}, Births: map[string]uint64{}}
+	return &Table{Leases: map[string]*Lease{}, Incarnations: map[string]uint64{}}
 }
 
 // Restore reads a table as encoding/json wrote it. One that no commands can have made is an error: a token that was given
@@ -157,35 +157,35 @@
 	if err := json.Unmarshal(text, t); err != nil {
 		return nil, fmt.Errorf("leases: %w", err)
 	}
-	if t.Leases == nil || t.Births == nil || len(t.Leases) > mostLeases || len(t.Births) > mostMembers || t.Last == math.MaxUint64 || t.Term == math.MaxUint64 {
+	if t.Leases == nil || t.Incarnations == nil || len(t.Leases) > mostLeases || len(t.Incarnations) > mostMembers || t.LastToken == math.MaxUint64 || t.Term == math.MaxUint64 {
 		return nil, errors.New("leases: not a table")
 	}
 	for name, l := range t.Leases {
-		if l == nil || name == "" || len(name) > mostName || len(l.Line) > mostWaiters {
+		if l == nil || name == "" || len(name) > mostName || len(l.Waiters) > mostWaiters {
 			return nil, fmt.Errorf("leases: %q is no lease", name)
 		}
 		if err := l.Rules.check(); err != nil {
 			return nil, fmt.Errorf("leases: %q: %w", name, err)
 		}
-		if l.Token > t.Last {
-			return nil, fmt.Errorf("leases: %q has token %d, the last one given out is %d", name, l.Token, t.Last)
+		if l.Token > t.LastToken {
+			return nil, fmt.Errorf("leases: %q has token %d, the last one given out is %d", name, l.Token, t.LastToken)
 		}
 	}
 	return t, nil
 }
 
-// Lead begins a term. Every lease that is held, and every floor, counts from now on.
-func (t *Table) Lead(term uint64, now time.Duration) error {
+// BeginTerm begins a term. Every lease that is held, and every floor, counts from now on.
+func (t *Table) BeginTerm(term uint64, now time.Duration) error {
 	if term <= t.Term {
-		return ErrTerm
+		return ErrStaleTerm
 	}
 	before := t.Now
 	t.Term, t.Now = term, now
 	for _, l := range t.Leases {
-		l.Until, l.Granted = now+l.Rules.Length, now
-		for i := range l.Line { // who waited keeps its place and what it waited
-			w := &l.Line[i]
-			w.Since, w.Asked = now-(before-w.Since), now
+		l.ExpiresAt, l.GrantedAt = now+l.Rules.Length, now
+		for i := range l.Waiters { // who waited keeps its place and what it waited
+			w := &l.Waiters[i]
+			w.WaitingSince, w.LastAskedAt = now-(before-w.WaitingSince), now
 		}
 	}
 	return nil
@@ -194,7 +194,7 @@
 // at takes a command's reading of the clock; one that goes back counts as the latest, so that time never does.
 func (t *Table) at(term uint64, now time.Duration) error {
 	if term != t.Term {
-		return ErrTerm
+		return ErrStaleTerm
 	}
 	t.Now = max(t.Now, now)
 	return nil
@@ -205,11 +205,11 @@
 	if m.Name == "" || len(m.Name) > mostName || len(m.Site) > mostName {
 		return fmt.Errorf("member: a name of %d and a site of %d bytes, want 1 to %d", len(m.Name), len(m.Site), mostName)
 	}
-	b, ok := t.Births[m.Name]
+	b, ok := t.Incarnations[m.Name]
 	switch {
-	case ok && m.Birth < b:
-		return ErrOld
-	case !ok && len(t.Births) >= mostMembers: // Forget makes room
+	case ok && m.Incarnation < b:
+		return ErrStaleIncarnation
+	case !ok && len(t.Incarnations) >= mostMembers: // Forget makes room
 		return fmt.Errorf("members: %w", ErrFull)
 	}
 	return nil
@@ -230,7 +230,7 @@
 		if name == "" || len(name) > mostName || len(t.Leases) >= mostLeases {
 			return Grant{}, fmt.Errorf("lease %q: %w", name, ErrFull)
 		}
-		l = &Lease{Rules: rules, Granted: t.Now - rules.Floor}
+		l = &Lease{Rules: rules, GrantedAt: t.Now - rules.MinHold}
 		t.Leases[name] = l
 	}
 	t.free(l)
@@ -240,8 +240,8 @@
 	if !t.wait(l, m) {
 		return Grant{}, fmt.Errorf("the line of %q: %w", name, ErrFull)
 	}
-	t.Births[m.Name] = m.Birth
-	if next := t.next(l); next >= 0 && l.Line[next].Member.is(m) {
+	t.Incarnations[m.Name] = m.Incarnation
+	if next := t.next(l); next >= 0 && l.Waiters[next].Member.is(m) {
 		return t.grant(l, next), nil
 	}
 	return Grant{}, ErrWaiting
@@ -249,41 +249,41 @@
 
 // wait puts m in line, or notes that it asked again. A later birth takes the place of an earlier one.
 func (t *Table) wait(l *Lease, m Member) bool {
-	for i := range l.Line {
-		if w := &l.Line[i]; w.Member.Name == m.Name {
-			if w.Member.Birth != m.Birth {
-				w.Since = t.Now
+	for i := range l.Waiters {
+		if w := &l.Waiters[i]; w.Member.Name == m.Name {
+			if w.Member.Incarnation != m.Incarnation {
+				w.WaitingSince = t.Now
 			}
-			w.Member, w.Asked = m, t.Now
+			w.Member, w.LastAskedAt = m, t.Now
 			return true
 		}
 	}
-	if len(l.Line) >= mostWaiters {
+	if len(l.Waiters) >= mostWaiters {
 		return false
 	}
-	l.Line = append(l.Line, Waiter{Member: m, Since: t.Now, Asked: t.Now})
+	l.Waiters = append(l.Waiters, Waiter{Member: m, WaitingSince: t.Now, LastAskedAt: t.Now})
 	return true
 }
 
 // free takes a lease from a holder whose time is over, and drops who has not asked for a length.
 func (t *Table) free(l *Lease) {
-	if l.Holder.Name != "" && t.Now >= l.Until {
+	if l.Holder.Name != "" && t.Now >= l.ExpiresAt {
 		l.Holder, l.Revoked = Member{}, false
 	}
-	l.Line = slices.DeleteFunc(l.Line, func(w Waiter) bool { return t.Now-w.Asked > l.Rules.Length })
+	l.Waiters = slices.DeleteFunc(l.Waiters, func(w Waiter) bool { return t.Now-w.LastAskedAt > l.Rules.Length })
 }
 
 // next is who gets a lease that is free, by place in line; -1: nobody yet. An heir is first; then whoever has waited for
 // longer than the patience, the longest first; then the preferred site, the least loaded, the longest in line.
 func (t *Table) next(l *Lease) int {
-	if l.Holder.Name != "" || len(l.Line) == 0 {
+	if l.Holder.Name != "" || len(l.Waiters) == 0 {
 		return -1
 	}
-	heir := slices.IndexFunc(l.Line, func(w Waiter) bool { return w.Member.Name == l.Heir })
-	if l.Heir != "" && heir >= 0 {
+	heir := slices.IndexFunc(l.Waiters, func(w Waiter) bool { return w.Member.Name == l.Successor })
+	if l.Successor != "" && heir >= 0 {
 		return heir
 	}
-	if t.Now-l.Granted < l.Rules.Floor || l.Heir != "" && t.Now < l.Until { // an heir has a length to come
+	if t.Now-l.GrantedAt < l.Rules.MinHold || l.Successor != "" && t.Now < l.ExpiresAt { // an heir has a length to come
 		return -1
 	}
 	return t.best(l)
@@ -292,8 +292,8 @@
 // best is who of those in line would have a lease that is free; there is one at the least.
 func (t *Table) best(l *Lease) int {
 	best := 0
-	for i := range l.Line {
-		if t.before(l, &l.Line[i], &l.Line[best]) {
+	for i := range l.Waiters {
+		if t.before(l, &l.Waiters[i], &l.Waiters[best]) {
 			best = i
 		}
 	}
@@ -302,13 +302,13 @@
 
 func (t *Table) before(l *Lease, a, b *Waiter) bool {
 	late := func(w *Waiter) int {
-		if t.Now-w.Since > l.Rules.Patience {
+		if t.Now-w.WaitingSince > l.Rules.MaxWait {
 			return 0
 		}
 		return 1
 	}
 	if x, y := late(a), late(b); x != y || x == 0 {
-		return cmp.Or(cmp.Compare(x, y), cmp.Compare(a.Since, b.Since)) < 0
+		return cmp.Or(cmp.Compare(x, y), cmp.Compare(a.WaitingSince, b.WaitingSince)) < 0
 	}
 	away := func(w *Waiter) int {
 		if l.Rules.Site != "" && w.Member.Site != l.Rules.Site {
@@ -316,34 +316,34 @@
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(away(a), away(b)), cmp.Compare(a.Member.Load, b.Member.Load), cmp.Compare(a.Since, b.Since)) < 0
+	return cmp.Or(cmp.Compare(away(a), away(b)), cmp.Compare(a.Member.Load, b.Member.Load), cmp.Compare(a.WaitingSince, b.WaitingSince)) < 0
 }
 
-// Due tells one who waits when a lease may be free at the earliest, counted from the latest reading of the clock, and whether
+// NextGrant tells one who waits when a lease may be free at the earliest, counted from the latest reading of the clock, and whether
 // it would be first then. Who asks just then, and others now and then, hands over quickly without many asking.
-func (t *Table) Due(name string, m Member) (left time.Duration, first bool) {
+func (t *Table) NextGrant(name string, m Member) (left time.Duration, first bool) {
 	l := t.Leases[name]
-	if l == nil || len(l.Line) == 0 {
+	if l == nil || len(l.Waiters) == 0 {
 		return 0, false
 	}
-	at := l.Granted + l.Rules.Floor
-	if l.Holder.Name != "" || l.Heir != "" {
-		at = max(at, l.Until)
+	at := l.GrantedAt + l.Rules.MinHold
+	if l.Holder.Name != "" || l.Successor != "" {
+		at = max(at, l.ExpiresAt)
 	}
-	return max(at-t.Now, 0), l.Line[t.best(l)].Member.is(m)
+	return max(at-t.Now, 0), l.Waiters[t.best(l)].Member.is(m)
 }
 
 // grant gives a lease to one in line, under a new token.
 func (t *Table) grant(l *Lease, i int) Grant {
-	l.Holder = l.Line[i].Member
-	l.Line = slices.Delete(l.Line, i, i+1)
-	t.Last++
-	l.Token, l.Granted, l.Heir, l.Revoked = t.Last, t.Now, "", false
+	l.Holder = l.Waiters[i].Member
+	l.Waiters = slices.Delete(l.Waiters, i, i+1)
+	t.LastToken++
+	l.Token, l.GrantedAt, l.Successor, l.Revoked = t.LastToken, t.Now, "", false
 	return t.renew(l)
 }
 
 func (t *Table) renew(l *Lease) Grant {
-	l.Until = t.Now + l.Rules.Length
+	l.ExpiresAt = t.Now + l.Rules.Length
 	return Grant{Token: l.Token, Length: l.Rules.Length}
 }
 
@@ -354,7 +354,7 @@
 	}
 	l := t.Leases[name]
 	if l == nil || !l.Holder.is(m) || l.Token != token {
-		return nil, ErrLost
+		return nil, ErrNotHeld
 	}
 	return l, nil
 }
@@ -368,9 +368,9 @@
 	}
 	switch t.free(l); {
 	case l.Holder.Name == "", l.Revoked:
-		return Grant{}, ErrLost
-	case t.Births[m.Name] > m.Birth: // its process has been started again, or its name stands in two files
-		return Grant{}, ErrOld
+		return Grant{}, ErrNotHeld
+	case t.Incarnations[m.Name] > m.Incarnation: // its process has been started again, or its name stands in two files
+		return Grant{}, ErrStaleIncarnation
 	}
 	return t.renew(l), nil
 }
@@ -380,17 +380,17 @@
 func (t *Table) Release(term uint64, now time.Duration, name string, m Member, token uint64, heir string) error {
 	l, err := t.held(term, now, name, m, token)
 	switch {
-	case errors.Is(err, ErrLost):
+	case errors.Is(err, ErrNotHeld):
 		return nil
 	case err != nil:
 		return err
 	case len(heir) > mostName:
 		return fmt.Errorf("heir: %d bytes, %d at most", len(heir), mostName)
 	}
-	l.Holder, l.Revoked, l.Heir = Member{}, false, heir
-	l.Until = t.Now
+	l.Holder, l.Revoked, l.Successor = Member{}, false, heir
+	l.ExpiresAt = t.Now
 	if heir != "" {
-		l.Until = t.Now + l.Rules.Length
+		l.ExpiresAt = t.Now + l.Rules.Length
 	}
 	return nil
 }
@@ -403,7 +403,7 @@
 	}
 	l := t.Leases[name]
 	if l == nil || l.Holder.Name == "" {
-		return ErrLost
+		return ErrNotHeld
 	}
 	l.Revoked = true
 	return nil
@@ -420,15 +420,15 @@
 	for _, name := range slices.Collect(maps.Keys(t.Leases)) {
 		l := t.Leases[name]
 		t.free(l)
-		if l.Holder.Name == "" && len(l.Line) == 0 && t.Now >= l.Until && t.Now-l.Granted >= l.Rules.Floor {
+		if l.Holder.Name == "" && len(l.Waiters) == 0 && t.Now >= l.ExpiresAt && t.Now-l.GrantedAt >= l.Rules.MinHold {
 			delete(t.Leases, name)
 			continue
 		}
 		named[l.Holder.Name] = true
-		for _, w := range l.Line {
+		for _, w := range l.Waiters {
 			named[w.Member.Name] = true
 		}
 	}
-	maps.DeleteFunc(t.Births, func(name string, _ uint64) bool { return !named[name] })
+	maps.DeleteFunc(t.Incarnations, func(name string, _ uint64) bool { return !named[name] })
 	return nil
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,18 +22,20 @@
 	True   time.Duration
 	Offset time.Duration // of the leader's clock
 	Births [3]uint64
-	Holds  [3][2]Holder
+	Holds  [3][2]HeldLease
 	// Safeguards that are off: a holder counts from when the answer came; a new leader does not count anew.
 	careless, goesOn bool
 }
 
-func (w *world) member(i int) Member   { return Member{Name: fmt.Sprint("m", i), Birth: w.Births[i]} }
+func (w *world) member(i int) Member {
+	return Member{Name: fmt.Sprint("m", i), Incarnation: w.Births[i]}
+}
 func (w *world) leader() time.Duration { return w.True + w.Offset }
 func name(l int) string                { return fmt.Sprint("l", l) }
 
 func newWorld() *world {
 	w := &world{Table: NewTable(), Births: [3]uint64{1, 1, 1}}
-	_ = w.Table.Lead(1, 0)
+	_ = w.Table.BeginTerm(1, 0)
 	return w
 }
 
@@ -41,10 +43,10 @@
 func (w *world) clone() *world {
 	c := *w
 	t := *w.Table
-	c.Table, t.Leases, t.Births = &t, map[string]*Lease{}, maps.Clone(t.Births)
+	c.Table, t.Leases, t.Incarnations = &t, map[string]*Lease{}, maps.Clone(t.Incarnations)
 	for name, l := range w.Table.Leases {
 		l := *l
-		l.Line = slices.Clone(l.Line)
+		l.Waiters = slices.Clone(l.Waiters)
 		t.Leases[name] = &l
 	}
 	return &c
@@ -93,7 +95,7 @@
 			}
 		case 4: // its process is started again
 			w.Births[i]++
-			w.Holds[i] = [2]Holder{}
+			w.Holds[i] = [2]HeldLease{}
 		}
 		return tokens
 	}
@@ -108,7 +110,7 @@
 			w.Table.Term++
 			return nil
 		}
-		_ = w.Table.Lead(w.Table.Term+1, w.leader())
+		_ = w.Table.BeginTerm(w.Table.Term+1, w.leader())
 	case 3:
 		_ = w.Table.Revoke(w.Table.Term, w.leader(), name(0))
 	}
@@ -140,7 +142,7 @@
 		path string
 	}
 	key := func(w *world) string {
-		b := fmt.Appendf(nil, "%d %d %d %v %v", w.True, w.Table.Term, w.Table.Last, w.Births, w.Holds)
+		b := fmt.Appendf(nil, "%d %d %d %v %v", w.True, w.Table.Term, w.Table.LastToken, w.Births, w.Holds)
 		for l := range 2 {
 			if l := w.Table.Leases[name(l)]; l != nil {
 				b = fmt.Appendf(b, "%v", *l)
@@ -155,9 +157,9 @@
 		for _, n := range level {
 			for s := range steps {
 				w := n.w.clone()
-				last := w.Table.Last
+				last := w.Table.LastToken
 				for _, token := range w.step(s) {
-					if token > w.Table.Last || token == 0 || token <= last && w.Table.Last > last {
+					if token > w.Table.LastToken || token == 0 || token <= last && w.Table.LastToken > last {
 						return len(seen), fmt.Sprintf("%s %d: token %d after %d", n.path, s, token, last)
 					}
 				}
@@ -209,14 +211,14 @@
 func TestAnyCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, now, term := NewTable(), time.Duration(0), uint64(1)
-		_ = table.Lead(term, 0)
-		r := Rules{Length: rapid.SampledFrom([]time.Duration{LeastLength, time.Second}).Draw(t, "length"),
-			Site: rapid.SampledFrom([]string{"", "a"}).Draw(t, "site"), Patience: 2 * time.Second,
-			Floor: rapid.SampledFrom([]time.Duration{0, 3 * time.Second}).Draw(t, "floor")}
+		_ = table.BeginTerm(term, 0)
+		r := Rules{Length: rapid.SampledFrom([]time.Duration{MinLength, time.Second}).Draw(t, "length"),
+			Site: rapid.SampledFrom([]string{"", "a"}).Draw(t, "site"), MaxWait: 2 * time.Second,
+			MinHold: rapid.SampledFrom([]time.Duration{0, 3 * time.Second}).Draw(t, "floor")}
 		last, holder, until := uint64(0), Member{}, time.Duration(0) // the model
 		for range 200 {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "passes")) * ms
-			m := Member{Name: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "who"), Birth: uint64(rapid.IntRange(1, 2).Draw(t, "birth")),
+			m := Member{Name: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "who"), Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "birth")),
 				Site: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "at"), Load: rapid.IntRange(0, 2).Draw(t, "load")}
 			var g Grant
 			var err error
@@ -234,21 +236,21 @@
 					}
 					holder, until = Member{}, now
 				}
-				err = ErrLost
+				err = ErrNotHeld
 			case 4:
 				term++
 				over := now >= until // by the clock of the leader before; the table may have it go on
 				now = time.Duration(rapid.IntRange(0, 1000).Draw(t, "clock")) * time.Second
-				if err := table.Lead(term, now); err != nil {
+				if err := table.BeginTerm(term, now); err != nil {
 					t.Fatal(err)
 				}
 				if until = now + r.Length; over {
 					until = now
 				}
-				if _, err := table.Acquire(term-1, now, "l", r, m); !errors.Is(err, ErrTerm) {
+				if _, err := table.Acquire(term-1, now, "l", r, m); !errors.Is(err, ErrStaleTerm) {
 					t.Fatalf("a leader of the term before: %v", err)
 				}
-				err = ErrLost
+				err = ErrNotHeld
 			case 5:
 				if err := table.Forget(term, now); err != nil {
 					t.Fatal(err)
@@ -257,7 +259,7 @@
 				if table, err = Restore(text); err != nil {
 					t.Fatal(err)
 				}
-				err = ErrLost
+				err = ErrNotHeld
 			}
 			if err != nil {
 				continue
@@ -273,7 +275,7 @@
 		}
 		for range 100 { // one who goes on asking, as the only one, is served
 			now += r.Length / 2
-			if _, err := table.Acquire(term, now, "l", r, Member{Name: "w", Birth: 1}); err == nil {
+			if _, err := table.Acquire(term, now, "l", r, Member{Name: "w", Incarnation: 1}); err == nil {
 				return
 			}
 		}
@@ -285,7 +287,7 @@
 func TestWhoIsNext(t *testing.T) {
 	const sec = time.Second
 	member := func(name, site string, load int, since time.Duration) Waiter {
-		return Waiter{Member: Member{Name: name, Site: site, Load: load}, Since: since, Asked: 10 * sec}
+		return Waiter{Member: Member{Name: name, Site: site, Load: load}, WaitingSince: since, LastAskedAt: 10 * sec}
 	}
 	for name, c := range map[string]struct {
 		x, y  Waiter
@@ -303,7 +305,7 @@
 		"floor":             {member("x", "a", 0, 8*sec), member("y", "a", 0, 9*sec), "", 5 * sec, -1},
 	} {
 		table := &Table{Now: 10 * sec}
-		l := &Lease{Rules: Rules{Length: sec, Site: "a", Patience: 3 * sec, Floor: c.floor}, Granted: 6 * sec, Until: 11 * sec, Heir: c.heir, Line: []Waiter{c.x, c.y}}
+		l := &Lease{Rules: Rules{Length: sec, Site: "a", MaxWait: 3 * sec, MinHold: c.floor}, GrantedAt: 6 * sec, ExpiresAt: 11 * sec, Successor: c.heir, Waiters: []Waiter{c.x, c.y}}
 		if got := table.next(l); got != c.want {
 			t.Errorf("%s: %d is next, want %d", name, got, c.want)
 		}
@@ -314,8 +316,8 @@
 // which cannot renew any more; receivers refuse what is older than the highest seen.
 func TestRevokedRestartedFenced(t *testing.T) {
 	table := NewTable()
-	_ = table.Lead(1, 0)
-	old, young, other := Member{Name: "x", Birth: 1}, Member{Name: "x", Birth: 2}, Member{Name: "y", Birth: 1}
+	_ = table.BeginTerm(1, 0)
+	old, young, other := Member{Name: "x", Incarnation: 1}, Member{Name: "x", Incarnation: 2}, Member{Name: "y", Incarnation: 1}
 	is := func(want error) func(Grant, error) Grant {
 		return func(g Grant, err error) Grant {
 			t.Helper()
@@ -327,11 +329,11 @@
 	}
 	g := is(nil)(table.Acquire(1, 0, "l", rules, old))
 	is(ErrWaiting)(table.Acquire(1, 100*ms, "l", rules, young))
-	is(ErrOld)(table.Renew(1, 100*ms, "l", old, g.Token))
-	is(ErrOld)(table.Acquire(1, 100*ms, "m", rules, old))
+	is(ErrStaleIncarnation)(table.Renew(1, 100*ms, "l", old, g.Token))
+	is(ErrStaleIncarnation)(table.Acquire(1, 100*ms, "m", rules, old))
 	g2 := is(nil)(table.Acquire(1, 400*ms, "l", rules, young))
 	is(nil)(Grant{}, table.Revoke(1, 500*ms, "l"))
-	is(ErrLost)(table.Renew(1, 500*ms, "l", young, g2.Token))
+	is(ErrNotHeld)(table.Renew(1, 500*ms, "l", young, g2.Token))
 	is(ErrWaiting)(table.Acquire(1, 799*ms, "l", rules, other)) // its holder may not have heard of it
 	g3 := is(nil)(table.Acquire(1, 800*ms, "l", rules, other))
 	for range 2 { // released twice: the second one takes nothing from who came after
@@ -346,13 +348,13 @@
 		t.Errorf("%+v admits what is older, or not what is newer", f)
 	}
 	for i := range 2 * mostMembers { // ever new names
-		_, _ = table.Acquire(1, time.Second+time.Duration(i)*ms, "l", rules, Member{Name: fmt.Sprint(i), Birth: 1})
+		_, _ = table.Acquire(1, time.Second+time.Duration(i)*ms, "l", rules, Member{Name: fmt.Sprint(i), Incarnation: 1})
 	}
-	if n := len(table.Births); n > mostMembers {
+	if n := len(table.Incarnations); n > mostMembers {
 		t.Errorf("%d births are kept", n)
 	}
-	if err := table.Forget(1, time.Hour); err != nil || len(table.Births) > 0 {
-		t.Errorf("%v, %d births outlive their leases", err, len(table.Births))
+	if err := table.Forget(1, time.Hour); err != nil || len(table.Incarnations) > 0 {
+		t.Errorf("%v, %d births outlive their leases", err, len(table.Incarnations))
 	}
 }
 
@@ -365,10 +367,10 @@
 		if err != nil {
 			return
 		}
-		last := table.Last
-		_ = table.Lead(table.Term+1, 0)
+		last := table.LastToken
+		_ = table.BeginTerm(table.Term+1, 0)
 		for at := time.Duration(0); at < 3*time.Hour; at += time.Hour {
-			if g, err := table.Acquire(table.Term, at, "l", rules, Member{Name: "z", Birth: 1 << 63}); err == nil && g.Token <= last {
+			if g, err := table.Acquire(table.Term, at, "l", rules, Member{Name: "z", Incarnation: 1 << 63}); err == nil && g.Token <= last {
 				t.Fatalf("token %d after %d", g.Token, last)
 			}
 		}
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -140,7 +140,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range event(l.opt.Now()) {
-		l.opt.Log.Info("member", "name", e.Member.Name, "from", string(e.From), "to", string(e.Member.State), "birth", e.Member.Birth, "restarted", e.Restarted)
+		l.opt.Log.Info("member", "name", e.Member.Name, "from", string(e.From), "to", string(e.Member.State), "birth", e.Member.Incarnation, "restarted", e.Restarted)
 		for _, ch := range l.watch {
 			select {
 			case ch <- e:
@@ -199,8 +199,8 @@
 	return l.conflicts
 }
 
-// Say changes what this process says of itself.
-func (l *List) Say(s State, config string) {
+// Announce changes what this process says of itself.
+func (l *List) Announce(s State, config string) {
 	l.mu.Lock()
 	same := l.self.State == s && l.self.Config == config
 	l.self.State, l.self.Config = s, config
@@ -255,7 +255,7 @@
 	}
 	d.list().told(func(now time.Duration) []Event {
 		// Who says that it is leaving, or that it was asked to end, has left; others are dead.
-		return d.roster.ended(now, m.Name, m.Birth, m.State == Leaving)
+		return d.roster.ended(now, m.Name, m.Incarnation, m.State == Leaving)
 	})
 }
 
@@ -337,7 +337,7 @@
 }
 
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return time.Now(), t.n.Packet(addr, b)
+	return time.Now(), t.n.SendPacket(addr, b)
 }
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
--- a/internal/membership/members_test.go
+++ b/internal/membership/members_test.go
@@ -23,10 +23,10 @@
 				if e.From != states[m.Name] {
 					t.Fatalf("%v, but it was %q", e, states[m.Name])
 				}
-				if m.Birth < births[m.Name] || e.Restarted != (e.From != "" && m.Birth > births[m.Name]) {
+				if m.Incarnation < births[m.Name] || e.Restarted != (e.From != "" && m.Incarnation > births[m.Name]) {
 					t.Fatalf("%v, its birth was %d", e, births[m.Name])
 				}
-				states[m.Name], births[m.Name] = m.State, m.Birth
+				states[m.Name], births[m.Name] = m.State, m.Incarnation
 				if m.State == Gone {
 					delete(states, m.Name)
 					delete(births, m.Name)
@@ -40,7 +40,7 @@
 			before, born := states[name], births[name]
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				take(r.alive(now, Member{Name: name, Birth: birth, State: rapid.SampledFrom([]State{Joining, Serving, Draining, Leaving}).Draw(t, "state")}))
+				take(r.alive(now, Member{Name: name, Incarnation: birth, State: rapid.SampledFrom([]State{Joining, Serving, Draining, Leaving}).Draw(t, "state")}))
 				if birth < born && states[name] != before {
 					t.Fatalf("an earlier birth made it %s", states[name])
 				}
@@ -60,7 +60,7 @@
 				take(r.tick(now))
 			}
 			for _, m := range r.list() {
-				if m.State != states[m.Name] || m.Birth != births[m.Name] {
+				if m.State != states[m.Name] || m.Incarnation != births[m.Name] {
 					t.Fatalf("listed as %+v, events say %s", m, states[m.Name])
 				}
 			}
@@ -78,7 +78,7 @@
 
 // What another process says of itself is taken as it was meant or refused.
 func FuzzMeta(f *testing.F) {
-	b, err := Member{Name: "a", Site: "s", Zone: "z", Program: "v1", Config: "c", Birth: 7, State: Serving}.meta()
+	b, err := Member{Name: "a", Site: "s", Zone: "z", Program: "v1", Config: "c", Incarnation: 7, State: Serving}.meta()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 func TestTickOfManyCollectsNothing(t *testing.T) {
 	r := newRoster(time.Hour)
 	for i := range 1000 {
-		r.alive(0, Member{Name: fmt.Sprint("m", i), Address: fmt.Sprint("127.0.0.1:", 10000+i), Birth: 1, State: Serving})
+		r.alive(0, Member{Name: fmt.Sprint("m", i), Address: fmt.Sprint("127.0.0.1:", 10000+i), Incarnation: 1, State: Serving})
 	}
 	if n := testing.AllocsPerRun(10, func() {
 		if out := r.tick(time.Second); len(out) > 0 || !r.lives("127.0.0.1:10999") || r.lives("127.0.0.1:9") {
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -34,14 +34,14 @@
 
 // Member is one process.
 type Member struct {
-	Name    string `json:"name"`
-	Site    string `json:"site,omitempty"`
-	Zone    string `json:"zone,omitempty"`
-	Program string `json:"program,omitempty"` // version of the program
-	Config  string `json:"config,omitempty"`  // version of the configuration
-	Birth   uint64 `json:"birth"`             // rises with each start of its process
-	State   State  `json:"state"`
-	Address string `json:"address"`
+	Name        string `json:"name"`
+	Site        string `json:"site,omitempty"`
+	Zone        string `json:"zone,omitempty"`
+	Program     string `json:"program,omitempty"` // version of the program
+	Config      string `json:"config,omitempty"`  // version of the configuration
+	Incarnation uint64 `json:"birth"`             // rises with each start of its process
+	State       State  `json:"state"`
+	Address     string `json:"address"`
 	// Since is when State began, on this process's clock.
 	Since time.Duration `json:"since"`
 }
@@ -77,7 +77,7 @@
 			return nil, fmt.Errorf("member %q: %q has %d bytes, %d at most", m.Name, s, len(s), mostText)
 		}
 	}
-	b, err := json.Marshal(meta{m.Site, m.Zone, m.Program, m.Config, m.Birth, m.State})
+	b, err := json.Marshal(meta{m.Site, m.Zone, m.Program, m.Config, m.Incarnation, m.State})
 	if err == nil && len(b) > mostMeta {
 		err = fmt.Errorf("member %q: what it says of itself has %d bytes, %d at most", m.Name, len(b), mostMeta)
 	}
@@ -93,7 +93,7 @@
 	if err := json.Unmarshal(text, &d); err != nil {
 		return Member{}, fmt.Errorf("member %q: %w", name, err)
 	}
-	m := Member{Name: name, Site: d.Site, Zone: d.Zone, Program: d.Program, Config: d.Config, Birth: d.Birth, State: d.State, Address: address}
+	m := Member{Name: name, Site: d.Site, Zone: d.Zone, Program: d.Program, Config: d.Config, Incarnation: d.Birth, State: d.State, Address: address}
 	for _, s := range []string{m.Site, m.Zone, m.Program, m.Config} {
 		if len(s) > mostText {
 			return Member{}, fmt.Errorf("member %q: a text of %d bytes, %d at most", name, len(s), mostText)
@@ -145,10 +145,10 @@
 		r.all[m.Name] = e
 		return r.set(now, e, said, false)
 	}
-	if m.Birth < e.Birth {
+	if m.Incarnation < e.Incarnation {
 		return nil
 	}
-	restarted := m.Birth > e.Birth
+	restarted := m.Incarnation > e.Incarnation
 	s, from, since := m.State, e.State, e.Since
 	e.Member = m
 	e.State, e.Since, e.said = from, since, s
@@ -174,7 +174,7 @@
 // later one.
 func (r *roster) ended(now time.Duration, name string, birth uint64, left bool) []Event {
 	e := r.all[name]
-	if e == nil || birth < e.Birth || e.State == Gone {
+	if e == nil || birth < e.Incarnation || e.State == Gone {
 		return nil
 	}
 	if left {
--- a/internal/peer/cut_test.go
+++ b/internal/peer/cut_test.go
@@ -37,21 +37,21 @@
 		}
 	}()
 	call := func(to *Node) error { return nodes[0].Call(t.Context(), to.Addr(), "/x", 1, nil) }
-	nodes[0].Cut(func(addr string) bool { return addr == nodes[1].Addr() })
+	nodes[0].SetPartition(func(addr string) bool { return addr == nodes[1].Addr() })
 	if err := call(nodes[1]); !errors.Is(err, errCut) {
 		t.Errorf("a call over the cut: %v", err)
 	}
 	if err := call(nodes[2]); err != nil {
 		t.Errorf("a call beside the cut: %v", err)
 	}
-	if err := nodes[0].Packet(nodes[1].Addr(), []byte("lost")); err != nil {
+	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("lost")); err != nil {
 		t.Errorf("a packet that is lost is no error: %v", err)
 	}
-	nodes[0].Cut(nil)
+	nodes[0].SetPartition(nil)
 	if err := call(nodes[1]); err != nil {
 		t.Errorf("a call behind the cut: %v", err)
 	}
-	if err := nodes[0].Packet(nodes[1].Addr(), []byte("comes")); err != nil {
+	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("comes")); err != nil {
 		t.Error(err)
 	}
 	select {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -32,8 +32,8 @@
 	dialTime = 3 * time.Second
 )
 
-// ErrOther is that the other side is of another fleet, or refused for a reason that a repetition does not change.
-var ErrOther = errors.New("refused by the other side")
+// ErrRemoteRejected is that the other side is of another fleet, or refused for a reason that a repetition does not change.
+var ErrRemoteRejected = errors.New("refused by the other side")
 
 // Options are what a Node is told.
 type Options struct {
@@ -162,14 +162,14 @@
 	n.mux.ServeHTTP(w, r)
 }
 
-// Failure is an error that the caller of a handler is to see with a status.
-type Failure struct {
+// StatusError is an error that the caller of a handler is to see with a status.
+type StatusError struct {
 	Status int
 	Err    error
 }
 
-func (f *Failure) Error() string { return f.Err.Error() }
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *StatusError) Error() string { return f.Err.Error() }
+func (f *StatusError) Unwrap() error { return f.Err }
 
 // Handle has fn answer calls of a path: a body of at most so many bytes, in JSON, and an answer in JSON. An error that is a
 // Failure has its status, any other 500.
@@ -183,7 +183,7 @@
 		v, err := fn(r.Context(), body)
 		if err != nil {
 			status := http.StatusInternalServerError
-			var f *Failure
+			var f *StatusError
 			if errors.As(err, &f) {
 				status = f.Status
 			}
@@ -201,9 +201,9 @@
 // errCut is that a rig keeps this process from a peer.
 var errCut = errors.New("cut off")
 
-// Cut keeps this process from each address for which cut holds, from now on: packets there are lost, and connections come to nothing;
+// SetPartition keeps this process from each address for which cut holds, from now on: packets there are lost, and connections come to nothing;
 // what is open stays. nil: from none. It is for rigs that part a fleet.
-func (n *Node) Cut(cut func(addr string) bool) {
+func (n *Node) SetPartition(cut func(addr string) bool) {
 	if cut == nil {
 		n.cut.Store(nil)
 		return
@@ -256,9 +256,9 @@
 	if resp.StatusCode != http.StatusOK {
 		err := fmt.Errorf("%s of %s: %s", path, addr, bytes.TrimSpace(text))
 		if resp.StatusCode == http.StatusMisdirectedRequest || resp.StatusCode == http.StatusForbidden {
-			err = fmt.Errorf("%w: %w", ErrOther, err)
+			err = fmt.Errorf("%w: %w", ErrRemoteRejected, err)
 		}
-		return &Failure{Status: resp.StatusCode, Err: err}
+		return &StatusError{Status: resp.StatusCode, Err: err}
 	}
 	if out == nil {
 		return nil
@@ -323,7 +323,7 @@
 	}
 	if err == nil && resp.StatusCode != http.StatusSwitchingProtocols {
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, mostHead))
-		err = fmt.Errorf("%w: %s of %s: %s", ErrOther, kind, addr, bytes.TrimSpace(text))
+		err = fmt.Errorf("%w: %s of %s: %s", ErrRemoteRejected, kind, addr, bytes.TrimSpace(text))
 	}
 	if err == nil && (!end() || !n.keep(c)) {
 		err = context.Cause(ctx)
@@ -365,8 +365,8 @@
 	return s.Conn.Close()
 }
 
-// Packet sends a UDP packet to a peer.
-func (n *Node) Packet(addr string, b []byte) error {
+// SendPacket sends a UDP packet to a peer.
+func (n *Node) SendPacket(addr string, b []byte) error {
 	to, err := n.resolve(addr)
 	if err != nil {
 		return err
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -53,7 +53,7 @@
 	if d := a.Traffic().Minus(called); d.Streams != 1 || d.Calls != 0 || d.Out < 1000 || d.Out > 1500 || d.In < 1000 || d.In > 1500 {
 		t.Errorf("a stream of 1000 bytes each way: %+v", d)
 	}
-	if err := a.Packet(b.Addr(), make([]byte, 300)); err != nil {
+	if err := a.SendPacket(b.Addr(), make([]byte, 300)); err != nil {
 		t.Fatal(err)
 	}
 	x := a.Traffic()
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -11,8 +11,8 @@
 	"robindrum/internal/peer"
 )
 
-// ErrNone is that no leader answered in time. Whether the command was agreed on is not known.
-var ErrNone = errors.New("no quorum")
+// ErrNoQuorum is that no leader answered in time. Whether the command was agreed on is not known.
+var ErrNoQuorum = errors.New("no quorum")
 
 // Client asks the voters. Its methods may be called by several goroutines at once.
 type Client struct {
@@ -61,7 +61,7 @@
 			next++
 		}
 		sent = c.now()
-		r, leader, done, err := Once(ctx, c.node, to, c.attempt, cmd)
+		r, leader, done, err := DoOnce(ctx, c.node, to, c.attempt, cmd)
 		if done {
 			c.heard(to, nil)
 			return r, sent, nil
@@ -83,14 +83,14 @@
 			break
 		}
 	}
-	err = fmt.Errorf("%w: %w", ErrNone, last)
+	err = fmt.Errorf("%w: %w", ErrNoQuorum, last)
 	c.heard("", err)
 	return Result{}, 0, err
 }
 
-// Once asks one voter once. done: the command was agreed on. Where it was not, an error does not tell whether it still will be,
+// DoOnce asks one voter once. done: the command was agreed on. Where it was not, an error does not tell whether it still will be,
 // and leader, if not empty, is whom to ask instead.
-func Once(ctx context.Context, n *peer.Node, to string, within time.Duration, cmd Command) (r Result, leader string, done bool, err error) {
+func DoOnce(ctx context.Context, n *peer.Node, to string, within time.Duration, cmd Command) (r Result, leader string, done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	var rep reply
@@ -134,22 +134,22 @@
 }
 
 // Leases asks for all leases: from the leader, or from any voter where there is none.
-func (c *Client) Leases(ctx context.Context) (Leases, error) {
-	return all(ctx, c, "/fleet/v1/leases", func(l, than *Leases) (bool, bool) { return l.Fresh, than == nil || l.Term > than.Term })
+func (c *Client) Leases(ctx context.Context) (LeaseList, error) {
+	return all(ctx, c, "/fleet/v1/leases", func(l, than *LeaseList) (bool, bool) { return l.Fresh, than == nil || l.Term > than.Term })
 }
 
-// Orders asks for all orders, in the same way.
-func (c *Client) Orders(ctx context.Context) (Orders, error) {
-	return all(ctx, c, "/fleet/v1/book", func(l, than *Orders) (bool, bool) { return l.Fresh, than == nil || l.View.Newer(&than.View) })
+// Drains asks for all orders, in the same way.
+func (c *Client) Drains(ctx context.Context) (DrainList, error) {
+	return all(ctx, c, "/fleet/v1/book", func(l, than *DrainList) (bool, bool) { return l.Fresh, than == nil || l.View.NewerThan(&than.View) })
 }
 
 // Releases asks for the releases, in the same way.
-func (c *Client) Releases(ctx context.Context) (Releases, error) {
-	return all(ctx, c, "/fleet/v1/releases", func(l, than *Releases) (bool, bool) { return l.Fresh, than == nil || l.Version > than.Version })
+func (c *Client) Releases(ctx context.Context) (ReleaseList, error) {
+	return all(ctx, c, "/fleet/v1/releases", func(l, than *ReleaseList) (bool, bool) { return l.Fresh, than == nil || l.Revision > than.Revision })
 }
 
-// Text asks the voters for a configuration by its digest.
-func (c *Client) Text(ctx context.Context, digest string) (string, error) {
+// Config asks the voters for a configuration by its digest.
+func (c *Client) Config(ctx context.Context, digest string) (string, error) {
 	var err error
 	for _, v := range c.voters {
 		var t string
@@ -189,5 +189,5 @@
 		return *best, nil
 	}
 	var none T
-	return none, fmt.Errorf("%w: %w", ErrNone, err)
+	return none, fmt.Errorf("%w: %w", ErrNoQuorum, err)
 }
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -34,11 +34,11 @@
 		n.Handle("/fleet/v1/quorum", 1<<10, func(_ context.Context, body []byte) (any, error) {
 			var c Command
 			if err := json.Unmarshal(body, &c); err != nil {
-				return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+				return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 			}
 			r, err := answer(i, int(asked.Add(1)), voters)
 			if err != nil {
-				return nil, &peer.Failure{Status: http.StatusServiceUnavailable, Err: err}
+				return nil, &peer.StatusError{Status: http.StatusServiceUnavailable, Err: err}
 			}
 			return r, nil
 		})
@@ -57,7 +57,7 @@
 		}
 		return reply{Done: true, Result: Result{Code: "held"}}, nil
 	})
-	if r, _, err := c.Do(t.Context(), Command{Op: Ask}); err != nil || r.Code != "held" {
+	if r, _, err := c.Do(t.Context(), Command{Op: OpDrain}); err != nil || r.Code != "held" {
 		t.Errorf("%+v, %v, behind %d asks", r, err, asked.Load())
 	}
 }
@@ -77,8 +77,8 @@
 			testbed.Leaks(t)
 			c, asked := standIns(t, attempt, answer)
 			began := time.Now()
-			_, _, err := c.Do(t.Context(), Command{Op: Ask})
-			if took := time.Since(began); !errors.Is(err, ErrNone) || took < 8*attempt {
+			_, _, err := c.Do(t.Context(), Command{Op: OpDrain})
+			if took := time.Since(began); !errors.Is(err, ErrNoQuorum) || took < 8*attempt {
 				t.Errorf("%v after %v", err, took)
 			}
 			// Pauses double from a twentieth of an attempt's time to half of it: seven of them and two asks each, at the most, are
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	began := time.Now()
-	if _, _, err := c.Do(ctx, Command{Op: Ask}); !errors.Is(err, ErrNone) || time.Since(began) > 2*time.Second {
+	if _, _, err := c.Do(ctx, Command{Op: OpDrain}); !errors.Is(err, ErrNoQuorum) || time.Since(began) > 2*time.Second {
 		t.Errorf("%v after %v", err, time.Since(began))
 	}
 }
--- a/internal/quorum/disk.go
+++ b/internal/quorum/disk.go
@@ -29,8 +29,8 @@
 	most int64
 }
 
-// ErrFull is that the voter's store has reached its bound.
-var ErrFull = errors.New("the store has reached its size")
+// ErrStoreFull is that the voter's store has reached its bound.
+var ErrStoreFull = errors.New("the store has reached its size")
 
 func (d plainDisk) Before(n int) error {
 	info, err := os.Stat(d.path)
@@ -38,7 +38,7 @@
 		return err
 	}
 	if info.Size()+int64(n) > d.most {
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrFull, info.Size(), d.most)
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrStoreFull, info.Size(), d.most)
 	}
 	return nil
 }
@@ -151,8 +151,8 @@
 	failedFile   = "failed"
 )
 
-// ErrFolder is that a voter's folder cannot be used. It has to be emptied, which makes a new voter of it.
-var ErrFolder = errors.New("the voter's folder cannot be used; empty it to have the voter replaced")
+// ErrUnusableFolder is that a voter's folder cannot be used. It has to be emptied, which makes a new voter of it.
+var ErrUnusableFolder = errors.New("the voter's folder cannot be used; empty it to have the voter replaced")
 
 // openFolder reads a folder and counts the start. What it finds there must be of this voter, whole, and never have failed.
 func openFolder(dir, voter, fresh string) (id identity, err error) {
@@ -160,7 +160,7 @@
 		return id, err
 	}
 	if text, err := os.ReadFile(filepath.Join(dir, failedFile)); err == nil {
-		return id, fmt.Errorf("%w: a write failed in it: %s", ErrFolder, text)
+		return id, fmt.Errorf("%w: a write failed in it: %s", ErrUnusableFolder, text)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, identityFile))
 	_, noLog := os.Stat(filepath.Join(dir, logFile))
@@ -168,19 +168,19 @@
 	case errors.Is(err, os.ErrNotExist) && noLog != nil:
 		id = identity{Format: format, Voter: voter, ID: fresh}
 	case err != nil:
-		return id, fmt.Errorf("%w: %w", ErrFolder, err)
+		return id, fmt.Errorf("%w: %w", ErrUnusableFolder, err)
 	default:
 		if err := json.Unmarshal(text, &id); err != nil {
-			return id, fmt.Errorf("%w: %s: %w", ErrFolder, identityFile, err)
+			return id, fmt.Errorf("%w: %s: %w", ErrUnusableFolder, identityFile, err)
 		}
 		if id.Format != format || id.ID == "" || id.Boot == 0 || len(id.Starts) == 0 {
-			return id, fmt.Errorf("%w: %s is not whole", ErrFolder, identityFile)
+			return id, fmt.Errorf("%w: %s is not whole", ErrUnusableFolder, identityFile)
 		}
 		if id.Voter != voter {
-			return id, fmt.Errorf("%w: it is of voter %q, not of %q", ErrFolder, id.Voter, voter)
+			return id, fmt.Errorf("%w: it is of voter %q, not of %q", ErrUnusableFolder, id.Voter, voter)
 		}
 		if err := whole(filepath.Join(dir, logFile)); err != nil {
-			return id, fmt.Errorf("%w: %s: %w", ErrFolder, logFile, err)
+			return id, fmt.Errorf("%w: %s: %w", ErrUnusableFolder, logFile, err)
 		}
 	}
 	id.Boot++
--- a/internal/quorum/former_test.go
+++ b/internal/quorum/former_test.go
@@ -106,13 +106,13 @@
 	s.Start()
 	testbed.Eventually(t, "a leader", s.leading.Load)
 	s.state.mu.Lock()
-	before := s.state.table.Last
+	before := s.state.table.LastToken
 	s.state.mu.Unlock()
-	r, err := s.propose(Command{Op: Acquire, Lease: "new", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "g9", Birth: 1}})
+	r, err := s.propose(Command{Op: OpAcquire, Lease: "new", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "g9", Incarnation: 1}})
 	if err != nil || r.Err() != nil || r.Grant.Token <= before || before < 1_700_000_000_000 {
 		t.Errorf("token %d behind %d: %v, %v", r.Grant.Token, before, err, r.Err())
 	}
-	if r, err = s.propose(Command{Op: Cancel, Order: &drain.Order{ID: "under-way"}}); err != nil || r.Err() != nil || r.Order.State != drain.Cancelled {
+	if r, err = s.propose(Command{Op: OpCancelDrain, Drain: &drain.Request{ID: "under-way"}}); err != nil || r.Err() != nil || r.Drain.State != drain.Cancelled {
 		t.Errorf("cancelled: %+v, %v", r, err)
 	}
 	s.state.mu.Lock()
@@ -121,12 +121,12 @@
 	for _, o := range s.state.book.List() {
 		states[o.State]++
 	}
-	for _, state := range []drain.State{drain.Asked, drain.Granted, drain.Done, drain.Overdue, drain.Ended, drain.Refused} {
+	for _, state := range []drain.State{drain.Pending, drain.Granted, drain.Drained, drain.Overdue, drain.Ended, drain.Rejected} {
 		if states[state] != 1 {
 			t.Errorf("%d drains are %s, want 1", states[state], state)
 		}
 	}
-	if l := s.state.table.Leases["subscription"]; l == nil || l.Holder.Name != "g1" || len(l.Line) != 1 || l.Line[0].Member.Name != "g2" {
+	if l := s.state.table.Leases["subscription"]; l == nil || l.Holder.Name != "g1" || len(l.Waiters) != 1 || l.Waiters[0].Member.Name != "g2" {
 		t.Errorf("subscription: %+v", l)
 	}
 	if s.state.rel.Current == nil || s.state.rel.Current.String() != "release r1 to d1: running, wave 1 of 3 (g2)" {
