--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -47,10 +47,10 @@
 	Voters []Voter
 	// Heartbeat is how long a voter waits for word of the leader before it stands for election, at the least. 0: 500 ms.
 	Heartbeat time.Duration
-	// MostBytes bounds the log's file. 0: 256 MiB.
-	MostBytes int64
-	Disk      Disk // nil: the file system
-	Log       *slog.Logger
+	// MaxLogBytes bounds the log's file. 0: 256 MiB.
+	MaxLogBytes int64
+	Disk        Disk // nil: the file system
+	Log         *slog.Logger
 }
 
 // Server is one voter. Its methods may be called by several goroutines at once.
@@ -79,18 +79,18 @@
 
 // Status is how a voter stands.
 type Status struct {
-	Voter   string  `json:"voter"`
-	ID      string  `json:"id"`
-	State   string  `json:"state"` // waiting, follower, candidate, leader, stopped
-	Why     string  `json:"why,omitempty"`
-	Fleet   string  `json:"fleet,omitempty"`
-	Leader  string  `json:"leader,omitempty"`
-	Term    uint64  `json:"term"`
-	Applied uint64  `json:"applied"`
-	Bytes   int64   `json:"bytes"`
-	Voters  []Voter `json:"voters,omitempty"` // as agreed
-	Empty   bool    `json:"empty,omitempty"`  // it has never been in a fleet
-	Knows   int     `json:"knows"`            // which entries it knows, see entries
+	Voter        string  `json:"voter"`
+	ID           string  `json:"id"`
+	State        string  `json:"state"` // waiting, follower, candidate, leader, stopped
+	Reason       string  `json:"why,omitempty"`
+	Fleet        string  `json:"fleet,omitempty"`
+	Leader       string  `json:"leader,omitempty"`
+	Term         uint64  `json:"term"`
+	Applied      uint64  `json:"applied"`
+	Bytes        int64   `json:"bytes"`
+	Voters       []Voter `json:"voters,omitempty"` // as agreed
+	Unassigned   bool    `json:"empty,omitempty"`  // it has never been in a fleet
+	CommandLevel int     `json:"knows"`            // which entries it knows, see entries
 }
 
 // entries is which entries of the log this program knows: 1 leases, 2 orders and releases as well, 3 orders of zones and those that
@@ -104,12 +104,12 @@
 	if opt.Heartbeat == 0 {
 		opt.Heartbeat = 500 * time.Millisecond
 	}
-	if opt.MostBytes == 0 {
-		opt.MostBytes = 256 << 20
+	if opt.MaxLogBytes == 0 {
+		opt.MaxLogBytes = 256 << 20
 	}
 	path := filepath.Join(opt.Dir, logFile)
 	if opt.Disk == nil {
-		opt.Disk = plainDisk{path, opt.MostBytes}
+		opt.Disk = plainDisk{path, opt.MaxLogBytes}
 	}
 	s := &Server{opt: opt, node: n, state: newState(), boot: time.Now(), lead: make(chan bool, 16), opened: make(chan struct{})}
 	defer close(s.opened)
@@ -127,7 +127,7 @@
 		db.Close()
 		return nil, fmt.Errorf("voter %q: %w", opt.Name, err)
 	}
-	n.Handle("/fleet/v1/quorum", 4*release.MostText, s.command)
+	n.Handle("/fleet/v1/quorum", 4*release.MaxConfigBytes, s.command)
 	n.Handle("/fleet/v1/leases", 1<<10, s.leases)
 	n.Handle("/fleet/v1/book", 1<<10, s.orders)
 	n.Handle("/fleet/v1/releases", 1<<10, s.releases)
@@ -256,7 +256,7 @@
 // Status tells how it stands.
 func (s *Server) Status() Status {
 	s.mu.Lock()
-	st := Status{Knows: entries, Voter: s.opt.Name, ID: s.name, Fleet: s.id.Fleet, Why: s.stopped, Empty: s.id.Fleet == ""}
+	st := Status{CommandLevel: entries, Voter: s.opt.Name, ID: s.name, Fleet: s.id.Fleet, Reason: s.stopped, Unassigned: s.id.Fleet == ""}
 	s.mu.Unlock()
 	st.Term, st.Applied = s.raft.CurrentTerm(), s.raft.AppliedIndex()
 	if info, err := os.Stat(filepath.Join(s.opt.Dir, logFile)); err == nil {
@@ -269,10 +269,10 @@
 		st.Voters = append(st.Voters, Voter{voterOf(string(v.ID)), afterID(v.Address)})
 	}
 	switch {
-	case st.Why != "":
+	case st.Reason != "":
 		st.State, st.Leader = "stopped", ""
-	case st.Empty || len(st.Voters) == 0:
-		st.State, st.Why = "waiting", "for the other voters: they all must be there once, or have a fleet that takes this one in"
+	case st.Unassigned || len(st.Voters) == 0:
+		st.State, st.Reason = "waiting", "for the other voters: they all must be there once, or have a fleet that takes this one in"
 	default:
 		st.State = strings.ToLower(s.raft.State().String())
 	}
@@ -321,7 +321,7 @@
 		var servers []raft.Server
 		for _, v := range s.opt.Voters {
 			st, err := s.ask(ctx, v)
-			if err != nil || !st.Empty || st.Voter != v.Name {
+			if err != nil || !st.Unassigned || st.Voter != v.Name {
 				break
 			}
 			servers = append(servers, raft.Server{Suffrage: raft.Voter, ID: raft.ServerID(st.ID), Address: raft.ServerAddress(st.ID + "@" + v.Address)})
@@ -392,7 +392,7 @@
 			// Danger: a try that fails must not be the last one. By Raft's word this voter leads, so no other one does.
 			for on && ctx.Err() == nil && s.raft.State() == raft.Leader {
 				// Tokens of a fleet that is founded anew, after all folders were lost, are higher than the ones before.
-				_, err := s.propose(Command{Op: lead, Fleet: s.fleetID(), Base: uint64(time.Now().UnixMilli())})
+				_, err := s.propose(Command{Op: opBeginTerm, Fleet: s.fleetID(), TokenBase: uint64(time.Now().UnixMilli())})
 				if err == nil {
 					s.leading.Store(true)
 					s.opt.Log.Info("leads the quorum", "voter", s.opt.Name, "term", s.raft.CurrentTerm())
@@ -446,17 +446,17 @@
 func (s *Server) command(_ context.Context, body []byte) (any, error) {
 	var c Command
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
 	switch c.Op {
-	case Acquire, Renew, Release, Revoke, Forget, Ask, Cancel, Halt, Resume, Put, ReleaseBegin, ReleaseHalt, ReleaseResume, ReleaseBack, ReleaseStop:
+	case OpAcquire, OpRenew, OpRelease, OpRevoke, OpForget, OpDrain, OpCancelDrain, OpHaltDrains, OpResumeDrains, OpStoreConfig, OpStartRelease, OpHaltRelease, OpResumeRelease, OpRollbackRelease, OpStopRelease:
 	default:
-		return nil, &peer.Failure{Status: http.StatusBadRequest, Err: fmt.Errorf("no such command: %q", c.Op)}
+		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: fmt.Errorf("no such command: %q", c.Op)}
 	}
 	if !s.leading.Load() {
 		return s.elsewhere(NotLeader), nil
 	}
-	if c.Op == Ask || c.Op == Put || c.Op == ReleaseBegin {
+	if c.Op == OpDrain || c.Op == OpStoreConfig || c.Op == OpStartRelease {
 		old := ""
 		s.behind.Range(func(name, _ any) bool { old = name.(string); return false })
 		if old != "" {
@@ -464,8 +464,8 @@
 		}
 	}
 	r, err := s.propose(c)
-	if err == nil && c.Op == Acquire && r.Code == "full" && s.mayForget() { // names that are in no lease any more make room
-		if _, err = s.propose(Command{Op: Forget}); err == nil {
+	if err == nil && c.Op == OpAcquire && r.Code == "full" && s.mayForget() { // names that are in no lease any more make room
+		if _, err = s.propose(Command{Op: OpForget}); err == nil {
 			r, err = s.propose(c)
 		}
 	}
@@ -482,16 +482,16 @@
 	return now-last >= int64(time.Minute) && s.forgot.CompareAndSwap(last, now)
 }
 
-// Leases are all, as one voter knows them.
-type Leases struct {
-	Voter  string `json:"voter"`
-	Term   uint64 `json:"term"`
-	Fresh  bool   `json:"fresh"` // the leader's, which a majority confirmed
-	Leases []View `json:"leases"`
+// LeaseList are all, as one voter knows them.
+type LeaseList struct {
+	Voter  string      `json:"voter"`
+	Term   uint64      `json:"term"`
+	Fresh  bool        `json:"fresh"` // the leader's, which a majority confirmed
+	Leases []LeaseView `json:"leases"`
 }
 
 func (s *Server) leases(context.Context, []byte) (any, error) {
-	l := Leases{Voter: s.opt.Name, Term: s.raft.CurrentTerm()}
+	l := LeaseList{Voter: s.opt.Name, Term: s.raft.CurrentTerm()}
 	now := time.Duration(0)
 	if s.leading.Load() && s.raft.VerifyLeader().Error() == nil {
 		l.Fresh, now = true, s.Now()
@@ -500,30 +500,30 @@
 	return l, nil
 }
 
-// Orders are all orders, as one voter knows them.
-type Orders struct {
-	Voter   string           `json:"voter"`
-	Fresh   bool             `json:"fresh"` // the leader's, which a majority confirmed
-	Halted  bool             `json:"halted"`
-	View    drain.View       `json:"view"`
-	Orders  []drain.Order    `json:"orders"`
-	Budgets []drain.Standing `json:"budgets"`
-	Now     time.Duration    `json:"now"` // what the times count from
-	// Want are the configurations that gateways are to have, by name; those that are to have their own files' are left out.
-	Want        map[string]string `json:"want,omitempty"`
-	WantVersion uint64            `json:"want_version"`
-	Release     string            `json:"release,omitempty"` // the one under way, in a line
+// DrainList are all orders, as one voter knows them.
+type DrainList struct {
+	Voter    string               `json:"voter"`
+	Fresh    bool                 `json:"fresh"` // the leader's, which a majority confirmed
+	Halted   bool                 `json:"halted"`
+	View     drain.View           `json:"view"`
+	Requests []drain.Request      `json:"orders"`
+	Budgets  []drain.BudgetStatus `json:"budgets"`
+	Now      time.Duration        `json:"now"` // what the times count from
+	// DesiredConfigs are the configurations that gateways are to have, by name; those that are to have their own files' are left out.
+	DesiredConfigs map[string]string `json:"want,omitempty"`
+	Revision       uint64            `json:"want_version"`
+	Release        string            `json:"release,omitempty"` // the one under way, in a line
 }
 
 func (s *Server) orders(context.Context, []byte) (any, error) {
-	o := Orders{Voter: s.opt.Name, Fresh: s.leading.Load() && s.raft.VerifyLeader().Error() == nil, View: s.View()}
+	o := DrainList{Voter: s.opt.Name, Fresh: s.leading.Load() && s.raft.VerifyLeader().Error() == nil, View: s.DrainView()}
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	o.Halted, o.Orders, o.Budgets, o.Now = s.state.book.Halted, s.state.book.List(), s.state.book.Standings(), s.state.book.Now
-	o.Want, o.WantVersion = map[string]string{}, s.state.rel.Version
+	o.Halted, o.Requests, o.Budgets, o.Now = s.state.book.Halted, s.state.book.List(), s.state.book.BudgetStatuses(), s.state.book.Now
+	o.DesiredConfigs, o.Revision = map[string]string{}, s.state.rel.Revision
 	for name := range s.state.book.Gateways {
-		if w := s.state.rel.Want(name); w != "" {
-			o.Want[name] = w
+		if w := s.state.rel.DesiredConfig(name); w != "" {
+			o.DesiredConfigs[name] = w
 		}
 	}
 	if s.state.rel.Current != nil {
@@ -534,19 +534,19 @@
 
 // Summary is what a voter has of orders and releases, in numbers.
 type Summary struct {
-	Halted  bool                `json:"halted"`
-	Orders  map[drain.State]int `json:"orders"`
-	Budgets []drain.Standing    `json:"budgets"`
-	Release release.State       `json:"release,omitempty"` // of the one under way
+	Halted  bool                 `json:"halted"`
+	Drains  map[drain.State]int  `json:"orders"`
+	Budgets []drain.BudgetStatus `json:"budgets"`
+	Release release.State        `json:"release,omitempty"` // of the one under way
 }
 
 // Summary gives it.
 func (s *Server) Summary() Summary {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	u := Summary{Halted: s.state.book.Halted, Orders: map[drain.State]int{}, Budgets: s.state.book.Standings()}
-	for _, o := range s.state.book.Orders {
-		u.Orders[o.State]++
+	u := Summary{Halted: s.state.book.Halted, Drains: map[drain.State]int{}, Budgets: s.state.book.BudgetStatuses()}
+	for _, o := range s.state.book.Requests {
+		u.Drains[o.State]++
 	}
 	if r := s.state.rel.Current; r != nil {
 		u.Release = r.State
@@ -557,50 +557,50 @@
 // Leading tells whether this voter leads and has counted every lease anew.
 func (s *Server) Leading() bool { return s.leading.Load() }
 
-// View is what each gateway is to know of orders.
-func (s *Server) View() drain.View {
+// DrainView is what each gateway is to know of orders.
+func (s *Server) DrainView() drain.View {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return s.state.book.View(s.state.table.Term)
 }
 
-// Known are the gateways that were heard of last.
-func (s *Server) Known() []drain.Gateway {
+// KnownGateways are the gateways that were heard of last.
+func (s *Server) KnownGateways() []drain.Gateway {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	return slices.Collect(maps.Values(s.state.book.Gateways))
 }
 
-// Releases are the release under way and those before it, as one voter knows them.
-type Releases struct {
-	Voter    string            `json:"voter"`
-	Fresh    bool              `json:"fresh"`
-	Term     uint64            `json:"term"`
-	Version  uint64            `json:"version"`
-	Base     string            `json:"base"` // what every gateway is to have where none is under way
-	Current  *release.Release  `json:"current,omitempty"`
-	Ended    []release.Release `json:"ended"`
-	Gateways []release.Gateway `json:"gateways"`
-	Want     map[string]string `json:"want"`
-	Program  string            `json:"program,omitempty"`  // the version that every gateway is to run as
-	Programs map[string]string `json:"programs,omitempty"` // by gateway
-	Now      time.Duration     `json:"now"`
+// ReleaseList are the release under way and those before it, as one voter knows them.
+type ReleaseList struct {
+	Voter           string            `json:"voter"`
+	Fresh           bool              `json:"fresh"`
+	Term            uint64            `json:"term"`
+	Revision        uint64            `json:"version"`
+	CurrentConfig   string            `json:"base"` // what every gateway is to have where none is under way
+	Current         *release.Release  `json:"current,omitempty"`
+	Ended           []release.Release `json:"ended"`
+	Gateways        []release.Gateway `json:"gateways"`
+	DesiredConfigs  map[string]string `json:"want"`
+	CurrentVersion  string            `json:"program,omitempty"`  // the version that every gateway is to run as
+	DesiredVersions map[string]string `json:"programs,omitempty"` // by gateway
+	Now             time.Duration     `json:"now"`
 }
 
 func (s *Server) releases(context.Context, []byte) (any, error) {
-	r := Releases{Voter: s.opt.Name, Fresh: s.leading.Load() && s.raft.VerifyLeader().Error() == nil, Want: map[string]string{}, Programs: map[string]string{}}
+	r := ReleaseList{Voter: s.opt.Name, Fresh: s.leading.Load() && s.raft.VerifyLeader().Error() == nil, DesiredConfigs: map[string]string{}, DesiredVersions: map[string]string{}}
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	b := s.state.rel
-	r.Program = b.Program
-	r.Term, r.Version, r.Base, r.Now, r.Ended = s.state.table.Term, b.Version, b.Base, b.Now, slices.Clone(b.Ended)
+	r.CurrentVersion = b.CurrentVersion
+	r.Term, r.Revision, r.CurrentConfig, r.Now, r.Ended = s.state.table.Term, b.Revision, b.CurrentConfig, b.Now, slices.Clone(b.Ended)
 	if b.Current != nil {
 		c := *b.Current
 		r.Current = &c
 	}
 	for name, g := range b.Gateways {
 		r.Gateways = append(r.Gateways, g)
-		r.Want[name], r.Programs[name] = b.Want(name), b.WantProgram(name)
+		r.DesiredConfigs[name], r.DesiredVersions[name] = b.DesiredConfig(name), b.DesiredVersion(name)
 	}
 	slices.SortFunc(r.Gateways, func(x, y release.Gateway) int { return strings.Compare(x.Name, y.Name) })
 	// What is under way is changed in place: hand out a copy.
@@ -612,99 +612,99 @@
 func (s *Server) text(_ context.Context, body []byte) (any, error) {
 	var digest string
 	if err := json.Unmarshal(body, &digest); err != nil {
-		return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
-	t, ok := s.state.rel.Texts[digest]
+	t, ok := s.state.rel.Configs[digest]
 	if !ok {
-		return nil, &peer.Failure{Status: http.StatusNotFound, Err: release.ErrText}
+		return nil, &peer.StatusError{Status: http.StatusNotFound, Err: release.ErrUnknownConfig}
 	}
 	return t, nil
 }
 
-// Wants are what gateways are to have, by name.
-type Wants struct {
-	Config, Program map[string]string
-	Version         uint64        // rises
-	Under           bool          // a release is under way
-	Soak            time.Duration // of it
+// Desired are what gateways are to have, by name.
+type Desired struct {
+	Configs, Versions map[string]string
+	Revision          uint64        // rises
+	InProgress        bool          // a release is under way
+	Soak              time.Duration // of it
 }
 
-// Want gives them.
-func (s *Server) Want(names []string) Wants {
+// Desired gives them.
+func (s *Server) Desired(names []string) Desired {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	b := s.state.rel
-	w := Wants{Config: map[string]string{}, Program: map[string]string{}, Version: b.Version, Under: b.Current != nil}
+	w := Desired{Configs: map[string]string{}, Versions: map[string]string{}, Revision: b.Revision, InProgress: b.Current != nil}
 	for _, n := range names {
-		w.Config[n], w.Program[n] = b.Want(n), b.WantProgram(n)
+		w.Configs[n], w.Versions[n] = b.DesiredConfig(n), b.DesiredVersion(n)
 	}
-	if w.Under {
+	if w.InProgress {
 		w.Soak = b.Current.Soak
 	}
 	return w
 }
 
-// Shown tells whether the quorum has it that the gateways stand so; their figures aside.
-func (s *Server) Shown(l []release.Gateway) bool {
+// StatesAgreed tells whether the quorum has it that the gateways stand so; their figures aside.
+func (s *Server) StatesAgreed(l []release.Gateway) bool {
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	known := s.state.rel.Gateways
 	for _, g := range l {
-		if k, ok := known[g.Name]; !ok || !k.Stands(g) {
+		if k, ok := known[g.Name]; !ok || !k.SameState(g) {
 			return false
 		}
 	}
 	return len(l) == len(known)
 }
 
-// Limit has the budgets agreed on, where they are not so already. It is for the leader, as the next ones are.
-func (s *Server) Limit(l []drain.Budget) error {
+// SetBudgets has the budgets agreed on, where they are not so already. It is for the leader, as the next ones are.
+func (s *Server) SetBudgets(l []drain.Budget) error {
 	s.state.mu.Lock()
 	same := slices.Equal(l, s.state.book.Budgets)
 	s.state.mu.Unlock()
 	if same {
 		return nil
 	}
-	r, err := s.propose(Command{Op: limit, Budgets: l})
+	r, err := s.propose(Command{Op: opSetBudgets, Budgets: l})
 	return errors.Join(err, r.Err())
 }
 
-// See has what was heard of the fleet agreed on, where it is news or something waits for it.
-func (s *Server) See(v *Seen) error {
+// Observe has what was heard of the fleet agreed on, where it is news or something waits for it.
+func (s *Server) Observe(v *Observation) error {
 	s.state.mu.Lock()
 	b := s.state.book
-	same := v.Release == nil && b.Seen >= v.Version && len(b.Gateways) == len(v.Gateways) && len(b.Endpoints) == len(v.Endpoints)
+	same := v.Releases == nil && b.ObservedVersion >= v.Version && len(b.Gateways) == len(v.Gateways) && len(b.Endpoints) == len(v.Endpoints)
 	for _, g := range v.Gateways {
 		same = same && b.Gateways[g.Name] == g
 	}
 	for _, e := range v.Endpoints {
 		same = same && b.Endpoints[e.Cluster+"/"+e.Address] == e
 	}
-	for _, o := range b.Orders {
-		same = same && !(o.Until > 0 && (o.State == drain.UnderWay) && s.Now() >= o.Until) // its time is over
+	for _, o := range b.Requests {
+		same = same && !(o.Deadline > 0 && (o.State == drain.Draining) && s.Now() >= o.Deadline) // its time is over
 	}
 	s.state.mu.Unlock()
 	if same {
 		return nil
 	}
-	r, err := s.propose(Command{Op: see, Seen: v})
+	r, err := s.propose(Command{Op: opObserve, Observation: v})
 	return errors.Join(err, r.Err())
 }
 
-// Begin has an order's taking out begin, Progress what its target has in hand agreed on.
-func (s *Server) Begin(o drain.Order) error {
-	r, err := s.propose(Command{Op: begin, Order: &drain.Order{ID: o.ID, Token: o.Token}})
+// BeginDrain has an order's taking out begin, Progress what its target has in hand agreed on.
+func (s *Server) BeginDrain(o drain.Request) error {
+	r, err := s.propose(Command{Op: opBeginDrain, Drain: &drain.Request{ID: o.ID, Token: o.Token}})
 	return errors.Join(err, r.Err())
 }
 
-// Progress has it agreed on what an order's target has in hand.
-func (s *Server) Progress(o drain.Order, inHand int) error {
-	if o.InHand == inHand && inHand > 0 {
+// ReportDrainProgress has it agreed on what an order's target has in hand.
+func (s *Server) ReportDrainProgress(o drain.Request, inHand int) error {
+	if o.InFlight == inHand && inHand > 0 {
 		return nil
 	}
-	r, err := s.propose(Command{Op: progress, Order: &drain.Order{ID: o.ID, Token: o.Token, InHand: inHand}})
+	r, err := s.propose(Command{Op: opDrainProgress, Drain: &drain.Request{ID: o.ID, Token: o.Token, InFlight: inHand}})
 	return errors.Join(err, r.Err())
 }
 
@@ -723,8 +723,8 @@
 			if err != nil || st.Voter != v.Name || !s.leading.Load() {
 				continue
 			}
-			if st.Knows < entries {
-				s.behind.Store(v.Name, st.Knows)
+			if st.CommandLevel < entries {
+				s.behind.Store(v.Name, st.CommandLevel)
 			} else {
 				s.behind.Delete(v.Name)
 			}
@@ -745,7 +745,7 @@
 			old = x.ID
 		}
 	}
-	if !st.Empty { // it has promised something, to whomever: it may not begin anew
+	if !st.Unassigned { // it has promised something, to whomever: it may not begin anew
 		return nil
 	}
 	if old != "" {
@@ -869,7 +869,7 @@
 	h.Set(toHeader, id)
 	c, answer, err := l.s.node.Stream(ctx, addr, streamKind, h)
 	if err != nil {
-		if errors.Is(err, peer.ErrOther) && strings.Contains(err.Error(), "voter "+l.s.name+": its "+errOlder.Error()) {
+		if errors.Is(err, peer.ErrRemoteRejected) && strings.Contains(err.Error(), "voter "+l.s.name+": its "+errOlder.Error()) {
 			l.s.failed(failure{err: err, lost: true})
 		}
 		return nil, err
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -88,7 +88,7 @@
 
 func acquire(t *testing.T, c *Client, name string) Result {
 	t.Helper()
-	r, _, err := c.Do(t.Context(), Command{Op: Acquire, Lease: name, Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "m", Birth: 1}})
+	r, _, err := c.Do(t.Context(), Command{Op: OpAcquire, Lease: name, Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "m", Incarnation: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	if _, err := Open(n, Options{Dir: bad.dir, Name: bad.opt.Name, Voters: bad.opt.Voters, Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrFolder) {
+	if _, err := Open(n, Options{Dir: bad.dir, Name: bad.opt.Name, Voters: bad.opt.Voters, Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrUnusableFolder) {
 		t.Errorf("opened once more: %v", err)
 	}
 }
@@ -205,7 +205,7 @@
 			if e := whole(filepath.Join(dir, logFile)); e != nil {
 				t.Fatal(e)
 			}
-		case !errors.Is(err, ErrFolder):
+		case !errors.Is(err, ErrUnusableFolder):
 			t.Fatal(err)
 		}
 	})
@@ -234,9 +234,9 @@
 				term, now = term+1, 0
 			}
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
-			c := Command{Op: rapid.SampledFrom([]Op{Acquire, Renew, Release, Revoke, Forget, lead}).Draw(t, "op"), Lease: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "lease"),
-				Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "member"), Birth: 1},
-				Token: rapid.Uint64Range(0, 20).Draw(t, "token"), Now: now, Fleet: "f", Base: 3}
+			c := Command{Op: rapid.SampledFrom([]Op{OpAcquire, OpRenew, OpRelease, OpRevoke, OpForget, opBeginTerm}).Draw(t, "op"), Lease: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "lease"),
+				Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "member"), Incarnation: 1},
+				Token: rapid.Uint64Range(0, 20).Draw(t, "token"), Now: now, Fleet: "f", TokenBase: 3}
 			if x, y := a.apply(term, &c), b.apply(term, &c); fmt.Sprint(x) != fmt.Sprint(y) {
 				t.Fatalf("%+v: %+v and %+v", c, x, y)
 			}
@@ -257,7 +257,7 @@
 // A snapshot and an entry that are anything at all are refused or used, and nothing breaks.
 func FuzzStored(f *testing.F) {
 	s := newState()
-	s.apply(1, &Command{Op: Acquire, Lease: "x", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "m", Birth: 1}})
+	s.apply(1, &Command{Op: OpAcquire, Lease: "x", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "m", Incarnation: 1}})
 	text, err := s.save()
 	if err != nil {
 		f.Fatal(err)
@@ -314,19 +314,19 @@
 	for _, v := range l {
 		v.behind.Store("v9", 1)
 	}
-	if r, _, err := c.Do(t.Context(), Command{Op: Put, Digest: "d", Text: "t"}); err != nil || !strings.Contains(r.Text, "upgrade it first") {
+	if r, _, err := c.Do(t.Context(), Command{Op: OpStoreConfig, Digest: "d", Text: "t"}); err != nil || !strings.Contains(r.Text, "upgrade it first") {
 		t.Errorf("%+v, %v", r, err)
 	}
 	acquire(t, c, "a")
 	for _, v := range l {
 		v.behind.Delete("v9")
 	}
-	if r, _, err := c.Do(t.Context(), Command{Op: Put, Digest: "d", Text: "t"}); err != nil || r.Err() != nil {
+	if r, _, err := c.Do(t.Context(), Command{Op: OpStoreConfig, Digest: "d", Text: "t"}); err != nil || r.Err() != nil {
 		t.Errorf("%+v, %v", r, err)
 	}
 	testbed.Eventually(t, "what the voters say of themselves", func() bool {
 		for _, v := range l {
-			if _, old := v.behind.Load("v1"); old || v.Status().Knows != entries {
+			if _, old := v.behind.Load("v1"); old || v.Status().CommandLevel != entries {
 				return false
 			}
 		}
@@ -345,7 +345,7 @@
 	busy := make(chan struct{})
 	go func() {
 		defer close(busy)
-		_, _ = v.propose(Command{Op: Forget}) // which holds up what comes behind it
+		_, _ = v.propose(Command{Op: OpForget}) // which holds up what comes behind it
 	}()
 	testbed.Eventually(t, "its disk to be busy", func() bool { return v.disk.busy.Load() > 0 })
 	v.lead <- true
@@ -361,7 +361,7 @@
 func TestNamesMakeRoom(t *testing.T) {
 	voters, c := three(t)
 	ask := func(name string) error {
-		r, _, err := c.Do(t.Context(), Command{Op: Acquire, Lease: "x", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: name, Birth: 1}})
+		r, _, err := c.Do(t.Context(), Command{Op: OpAcquire, Lease: "x", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: name, Incarnation: 1}})
 		if err == nil {
 			err = r.Err()
 		}
@@ -373,7 +373,7 @@
 	for _, v := range voters {
 		v.state.mu.Lock()
 		for i := range 4096 {
-			v.state.table.Births[fmt.Sprint("gone", i)] = 1
+			v.state.table.Incarnations[fmt.Sprint("gone", i)] = 1
 		}
 		v.state.mu.Unlock()
 	}
@@ -383,7 +383,7 @@
 	for _, v := range voters {
 		v.state.mu.Lock()
 		for i := range 4096 {
-			v.state.table.Births[fmt.Sprint("gone", i)] = 1
+			v.state.table.Incarnations[fmt.Sprint("gone", i)] = 1
 		}
 		v.state.mu.Unlock()
 	}
--- a/internal/quorum/state.go
+++ b/internal/quorum/state.go
@@ -24,88 +24,88 @@
 type Op string
 
 const (
-	Acquire Op = "acquire"
-	Renew   Op = "renew"
-	Release Op = "release"
-	Revoke  Op = "revoke"
-	Forget  Op = "forget"
-	Ask     Op = "order"  // something is to be taken out
-	Cancel  Op = "cancel" // and to come back
-	Halt    Op = "halt"   // nothing new is taken out
-	Resume  Op = "resume"
+	OpAcquire      Op = "acquire"
+	OpRenew        Op = "renew"
+	OpRelease      Op = "release"
+	OpRevoke       Op = "revoke"
+	OpForget       Op = "forget"
+	OpDrain        Op = "order"  // something is to be taken out
+	OpCancelDrain  Op = "cancel" // and to come back
+	OpHaltDrains   Op = "halt"   // nothing new is taken out
+	OpResumeDrains Op = "resume"
 	// Of releases: a configuration is kept, a release begins, and what is done to it by hand.
-	Put           Op = "config"
-	ReleaseBegin  Op = "release-begin"
-	ReleaseHalt   Op = "release-halt"
-	ReleaseResume Op = "release-resume"
-	ReleaseBack   Op = "release-back"
-	ReleaseStop   Op = "release-stop"
+	OpStoreConfig     Op = "config"
+	OpStartRelease    Op = "release-begin"
+	OpHaltRelease     Op = "release-halt"
+	OpResumeRelease   Op = "release-resume"
+	OpRollbackRelease Op = "release-back"
+	OpStopRelease     Op = "release-stop"
 	// The leader's own.
-	lead     Op = "lead"
-	limit    Op = "limit"
-	see      Op = "see"
-	begin    Op = "begin"
-	progress Op = "progress"
+	opBeginTerm     Op = "lead"
+	opSetBudgets    Op = "limit"
+	opObserve       Op = "see"
+	opBeginDrain    Op = "begin"
+	opDrainProgress Op = "progress"
 )
 
 // Command is one entry of the agreed log.
 type Command struct {
-	Op     Op           `json:"op"`
-	Lease  string       `json:"lease,omitempty"`
-	Rules  lease.Rules  `json:"rules,omitzero"`
-	Member lease.Member `json:"member,omitzero"`
-	Token  uint64       `json:"token,omitempty"`
-	Heir   string       `json:"heir,omitempty"`
-	Order  *drain.Order `json:"order,omitempty"` // ask, cancel; begin and progress with its token and what is in hand
+	Op        Op             `json:"op"`
+	Lease     string         `json:"lease,omitempty"`
+	Rules     lease.Rules    `json:"rules,omitzero"`
+	Member    lease.Member   `json:"member,omitzero"`
+	Token     uint64         `json:"token,omitempty"`
+	Successor string         `json:"heir,omitempty"`
+	Drain     *drain.Request `json:"order,omitempty"` // ask, cancel; begin and progress with its token and what is in hand
 
-	Budgets []drain.Budget `json:"budgets,omitempty"` // limit
-	Seen    *Seen          `json:"seen,omitempty"`    // see
+	Budgets     []drain.Budget `json:"budgets,omitempty"` // limit
+	Observation *Observation   `json:"seen,omitempty"`    // see
 
 	Plan   *release.Plan `json:"plan,omitempty"`   // release
 	Digest string        `json:"digest,omitempty"` // config
 	Text   string        `json:"text,omitempty"`   // config; else why something is done by hand
 
 	// Now is the reading of the leader's monotonic clock, set by the leader.
-	Now   time.Duration        `json:"now,omitempty"`
-	Fleet string               `json:"fleet,omitempty"` // lead: the identity that the fleet was founded with
-	Base  uint64               `json:"base,omitempty"`  // lead: tokens are higher than this
-	More  unknownfields.Fields `json:"-"`               // handed on: a leader writes what a newer client asked
+	Now       time.Duration        `json:"now,omitempty"`
+	Fleet     string               `json:"fleet,omitempty"` // lead: the identity that the fleet was founded with
+	TokenBase uint64               `json:"base,omitempty"`  // lead: tokens are higher than this
+	Unknown   unknownfields.Fields `json:"-"`               // handed on: a leader writes what a newer client asked
 }
 
 // MarshalJSON and UnmarshalJSON keep the fields that this program does not know.
 func (c Command) MarshalJSON() ([]byte, error) {
 	type plain Command
-	return unknownfields.Marshal(plain(c), c.More)
+	return unknownfields.Marshal(plain(c), c.Unknown)
 }
 
 // UnmarshalJSON is the other way of MarshalJSON.
 func (c *Command) UnmarshalJSON(text []byte) error {
 	type plain Command
-	return unknownfields.Unmarshal(text, (*plain)(c), &c.More)
+	return unknownfields.Unmarshal(text, (*plain)(c), &c.Unknown)
 }
 
-// Seen is what the leader has heard of the fleet in one round.
-type Seen struct {
+// Observation is what the leader has heard of the fleet in one round.
+type Observation struct {
 	Version   uint64           `json:"version"` // of the view that all who answered had taken over
 	Gateways  []drain.Gateway  `json:"gateways"`
 	Endpoints []drain.Endpoint `json:"endpoints"`
-	// Release is what each gateway shows, while a release is under way; else nil.
-	Release []release.Gateway `json:"release,omitempty"`
+	// Releases is what each gateway shows, while a release is under way; else nil.
+	Releases []release.Gateway `json:"release,omitempty"`
 }
 
 // Result is what a command gave.
 type Result struct {
-	Grant lease.Grant  `json:"grant,omitzero"`
-	Order *drain.Order `json:"order,omitempty"`
+	Grant lease.Grant    `json:"grant,omitzero"`
+	Drain *drain.Request `json:"order,omitempty"`
 	// Code is empty, or why not: waiting, lost, old, full, bad.
 	Code string `json:"code,omitempty"`
 	Text string `json:"text,omitempty"`
 	// Of one who waits: when the lease may be free at the earliest, and whether it is first in line for it.
-	Left  time.Duration `json:"left,omitempty"`
-	First bool          `json:"first,omitempty"`
+	AvailableIn time.Duration `json:"left,omitempty"`
+	NextInLine  bool          `json:"first,omitempty"`
 }
 
-var codes = map[string]error{"waiting": lease.ErrWaiting, "lost": lease.ErrLost, "old": lease.ErrOld, "full": lease.ErrFull}
+var codes = map[string]error{"waiting": lease.ErrWaiting, "lost": lease.ErrNotHeld, "old": lease.ErrStaleIncarnation, "full": lease.ErrFull}
 
 func result(g lease.Grant, err error) Result {
 	if err == nil {
@@ -134,14 +134,14 @@
 type state struct {
 	mu    sync.Mutex
 	table *lease.Table
-	book  *drain.Book
-	rel   *release.Book
+	book  *drain.Ledger
+	rel   *release.Ledger
 	fleet string
 	more  unknownfields.Fields // of its stored form, by a newer program
 }
 
 func newState() *state {
-	return &state{table: lease.NewTable(), book: drain.NewBook(), rel: release.NewBook()}
+	return &state{table: lease.NewTable(), book: drain.NewLedger(), rel: release.NewLedger()}
 }
 
 // Apply runs one entry. The same entries give the same state on each voter: time and term come from the entry alone.
@@ -157,33 +157,33 @@
 
 func (s *state) apply(term uint64, c *Command) Result {
 	if term > s.table.Term { // the first entry of a term counts every lease anew, whatever it is
-		if err := s.table.Lead(term, c.Now); err != nil {
+		if err := s.table.BeginTerm(term, c.Now); err != nil {
 			return result(lease.Grant{}, err)
 		}
-		s.book.Lead(c.Now)
-		s.rel.Lead(c.Now)
+		s.book.BeginTerm(c.Now)
+		s.rel.BeginTerm(c.Now)
 	}
 	t := s.table
 	switch c.Op {
-	case lead:
+	case opBeginTerm:
 		if s.fleet == "" {
 			s.fleet = c.Fleet
-			t.Last = max(t.Last, c.Base)
+			t.LastToken = max(t.LastToken, c.TokenBase)
 		}
 		return Result{}
-	case Acquire:
+	case OpAcquire:
 		r := result(t.Acquire(term, c.Now, c.Lease, c.Rules, c.Member))
 		if r.Code == "waiting" {
-			r.Left, r.First = t.Due(c.Lease, c.Member)
+			r.AvailableIn, r.NextInLine = t.NextGrant(c.Lease, c.Member)
 		}
 		return r
-	case Renew:
+	case OpRenew:
 		return result(t.Renew(term, c.Now, c.Lease, c.Member, c.Token))
-	case Release:
-		return result(lease.Grant{}, t.Release(term, c.Now, c.Lease, c.Member, c.Token, c.Heir))
-	case Revoke:
+	case OpRelease:
+		return result(lease.Grant{}, t.Release(term, c.Now, c.Lease, c.Member, c.Token, c.Successor))
+	case OpRevoke:
 		return result(lease.Grant{}, t.Revoke(term, c.Now, c.Lease))
-	case Forget:
+	case OpForget:
 		return result(lease.Grant{}, t.Forget(term, c.Now))
 	}
 	return s.applyOrder(c)
@@ -191,56 +191,56 @@
 
 func (s *state) applyOrder(c *Command) Result {
 	b := s.book
-	var o drain.Order
+	var o drain.Request
 	var err error
 	switch {
-	case c.Op == Halt, c.Op == Resume:
-		b.Halt(c.Now, c.Op == Halt)
+	case c.Op == OpHaltDrains, c.Op == OpResumeDrains:
+		b.SetHalted(c.Now, c.Op == OpHaltDrains)
 		return Result{}
-	case c.Op == limit:
-		return result(lease.Grant{}, b.Limit(c.Now, c.Budgets))
-	case c.Op == see && c.Seen != nil:
-		if c.Seen.Release != nil {
-			s.rel.See(c.Now, c.Seen.Release)
+	case c.Op == opSetBudgets:
+		return result(lease.Grant{}, b.SetBudgets(c.Now, c.Budgets))
+	case c.Op == opObserve && c.Observation != nil:
+		if c.Observation.Releases != nil {
+			s.rel.Observe(c.Now, c.Observation.Releases)
 		}
-		err := b.See(c.Now, c.Seen.Version, c.Seen.Gateways, c.Seen.Endpoints)
-		s.rel.Pace(c.Now, b)
+		err := b.Observe(c.Now, c.Observation.Version, c.Observation.Gateways, c.Observation.Endpoints)
+		s.rel.RequestDrains(c.Now, b)
 		return result(lease.Grant{}, err)
-	case c.Op == Ask && c.Order != nil:
-		o, err = b.Ask(c.Now, *c.Order)
-	case c.Op == Cancel && c.Order != nil:
-		o, err = b.Cancel(c.Now, c.Order.ID)
-	case c.Op == begin && c.Order != nil:
-		o, err = b.Begin(c.Now, c.Order.ID, c.Order.Token)
-	case c.Op == progress && c.Order != nil:
-		o, err = b.Progress(c.Now, c.Order.ID, c.Order.Token, c.Order.InHand)
+	case c.Op == OpDrain && c.Drain != nil:
+		o, err = b.Submit(c.Now, *c.Drain)
+	case c.Op == OpCancelDrain && c.Drain != nil:
+		o, err = b.Cancel(c.Now, c.Drain.ID)
+	case c.Op == opBeginDrain && c.Drain != nil:
+		o, err = b.Begin(c.Now, c.Drain.ID, c.Drain.Token)
+	case c.Op == opDrainProgress && c.Drain != nil:
+		o, err = b.Progress(c.Now, c.Drain.ID, c.Drain.Token, c.Drain.InFlight)
 	default:
 		err := s.applyRelease(c)
-		s.rel.Pace(c.Now, b)
+		s.rel.RequestDrains(c.Now, b)
 		return result(lease.Grant{}, err)
 	}
 	r := result(lease.Grant{}, err)
-	r.Order = &o
+	r.Drain = &o
 	return r
 }
 
 func (s *state) applyRelease(c *Command) error {
 	b := s.rel
 	switch {
-	case c.Op == Put:
-		return b.Put(c.Digest, c.Text)
-	case c.Op == ReleaseBegin && c.Plan != nil && len(c.More) > 0:
+	case c.Op == OpStoreConfig:
+		return b.StoreConfig(c.Digest, c.Text)
+	case c.Op == OpStartRelease && c.Plan != nil && len(c.Unknown) > 0:
 		// A gate that nobody here knows must not be left out.
-		return fmt.Errorf("the release says what this voter's version does not know (%s): upgrade the voters first", strings.Join(slices.Sorted(maps.Keys(c.More)), ", "))
-	case c.Op == ReleaseBegin && c.Plan != nil:
-		return b.Begin(c.Now, *c.Plan)
-	case c.Op == ReleaseHalt:
+		return fmt.Errorf("the release says what this voter's version does not know (%s): upgrade the voters first", strings.Join(slices.Sorted(maps.Keys(c.Unknown)), ", "))
+	case c.Op == OpStartRelease && c.Plan != nil:
+		return b.Start(c.Now, *c.Plan)
+	case c.Op == OpHaltRelease:
 		return b.Halt(c.Now, c.Text)
-	case c.Op == ReleaseResume:
+	case c.Op == OpResumeRelease:
 		return b.Resume(c.Now)
-	case c.Op == ReleaseBack:
-		return b.Back(c.Now, c.Text)
-	case c.Op == ReleaseStop:
+	case c.Op == OpRollbackRelease:
+		return b.Rollback(c.Now, c.Text)
+	case c.Op == OpStopRelease:
 		return b.Stop(c.Now, c.Text)
 	}
 	return fmt.Errorf("no such command: %q", c.Op)
@@ -300,13 +300,13 @@
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	book := drain.NewBook()
+	book := drain.NewLedger()
 	if len(v.Book) > 0 {
 		if book, err = drain.Restore(v.Book); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
 	}
-	rel := release.NewBook()
+	rel := release.NewLedger()
 	if len(v.Rel) > 0 {
 		if rel, err = release.Restore(v.Rel); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
@@ -347,28 +347,28 @@
 	return s.load(b)
 }
 
-// View is one lease for people and programs to look at.
-type View struct {
-	Name   string        `json:"name"`
-	Holder lease.Member  `json:"holder,omitzero"`
-	Token  uint64        `json:"token"`
-	Left   time.Duration `json:"left"` // until it may be given away, as of the last command
-	Length time.Duration `json:"length"`
-	Line   []string      `json:"line,omitempty"`
-	Heir   string        `json:"heir,omitempty"`
-	Revoke bool          `json:"revoked,omitempty"`
+// LeaseView is one lease for people and programs to look at.
+type LeaseView struct {
+	Name      string        `json:"name"`
+	Holder    lease.Member  `json:"holder,omitzero"`
+	Token     uint64        `json:"token"`
+	Remaining time.Duration `json:"left"` // until it may be given away, as of the last command
+	Length    time.Duration `json:"length"`
+	Waiters   []string      `json:"line,omitempty"`
+	Successor string        `json:"heir,omitempty"`
+	Revoked   bool          `json:"revoked,omitempty"`
 }
 
-func (s *state) views(now time.Duration) []View {
+func (s *state) views(now time.Duration) []LeaseView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var l []View
+	var l []LeaseView
 	for name, x := range s.table.Leases {
-		v := View{Name: name, Holder: x.Holder, Token: x.Token, Left: max(x.Until-max(now, s.table.Now), 0), Length: x.Rules.Length, Heir: x.Heir, Revoke: x.Revoked}
-		for _, w := range x.Line {
-			v.Line = append(v.Line, w.Member.Name)
+		v := LeaseView{Name: name, Holder: x.Holder, Token: x.Token, Remaining: max(x.ExpiresAt-max(now, s.table.Now), 0), Length: x.Rules.Length, Successor: x.Successor, Revoked: x.Revoked}
+		for _, w := range x.Waiters {
+			v.Waiters = append(v.Waiters, w.Member.Name)
 		}
 		l = append(l, v)
 	}
-	return sorted(l, func(a, b View) int { return cmp.Compare(a.Name, b.Name) })
+	return sorted(l, func(a, b LeaseView) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/release/pace_test.go
+++ b/internal/release/pace_test.go
@@ -17,18 +17,18 @@
 // programs is a fleet of supervised gateways with both books.
 type programs struct {
 	*fleet
-	orders *drain.Book
+	orders *drain.Ledger
 	most   int
 	away   map[string]int // rounds until a gateway that starts anew is there
 	next   map[string]string
 }
 
 func newPrograms(n, most int) *programs {
-	p := &programs{fleet: newFleet(n), orders: drain.NewBook(), most: most, away: map[string]int{}, next: map[string]string{}}
+	p := &programs{fleet: newFleet(n), orders: drain.NewLedger(), most: most, away: map[string]int{}, next: map[string]string{}}
 	for _, g := range p.all {
-		g.Program, g.Serving = "v1", true
+		g.Version, g.Serving = "v1", true
 	}
-	_ = p.orders.Limit(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Most: most}})
+	_ = p.orders.SetBudgets(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Max: most}})
 	p.step()
 	return p
 }
@@ -36,8 +36,8 @@
 // out are the gateways that orders keep out, or that start anew by one.
 func (p *programs) out() map[string]bool {
 	m := map[string]bool{}
-	for _, o := range p.orders.Orders {
-		if o.State.Out() {
+	for _, o := range p.orders.Requests {
+		if o.State.Unavailable() {
 			m[o.Target.Gateway] = true
 		}
 	}
@@ -55,23 +55,23 @@
 				continue
 			}
 			delete(p.away, name)
-			g.Here, g.Program, g.Figures = true, p.next[name], Figures{}
-			g.Birth++
+			g.Responding, g.Version, g.Figures = true, p.next[name], Figures{}
+			g.Incarnation++
 		}
-		if g.Serving = g.Here && !out[name]; g.Program == "bad" && g.Here {
-			g.NotThis = ""
+		if g.Serving = g.Responding && !out[name]; g.Version == "bad" && g.Responding {
+			g.VersionRejected = ""
 		}
 	}
 	for _, o := range p.orders.List() {
 		g := p.all[o.Target.Gateway]
 		switch {
 		case o.State == drain.Granted:
-			if x, err := p.orders.Begin(p.now, o.ID, o.Token); err == nil && x.State == drain.UnderWay && g.Here {
+			if x, err := p.orders.Begin(p.now, o.ID, o.Token); err == nil && x.State == drain.Draining && g.Responding {
 				g.Serving = false
 			}
-		case o.State.Out() && g.Here && o.Restart != "" && g.Program != o.Restart:
+		case o.State.Unavailable() && g.Responding && o.Restart != "" && g.Version != o.Restart:
 			_, _ = p.orders.Progress(p.now, o.ID, o.Token, 0)
-			g.Here, g.Serving = false, false
+			g.Responding, g.Serving = false, false
 			p.away[g.Name], p.next[g.Name] = 2, o.Restart
 		}
 	}
@@ -80,27 +80,27 @@
 	var seen []drain.Gateway
 	for _, name := range slices.Sorted(maps.Keys(p.all)) {
 		g := p.all[name]
-		if g.Here {
-			g.Told = p.b.WantProgram(name)
+		if g.Responding {
+			g.AssignedVersion = p.b.DesiredVersion(name)
 		}
 		x := *g
 		if g.Serving {
 			n := uint64(p.errors * float64(p.load))
-			if g.Program != "v2" {
+			if g.Version != "v2" {
 				n = 0
 			}
-			g.Taken, g.Bad, g.Served, g.Seconds = g.Taken+p.load, g.Bad+n, g.Served+p.load-n, g.Seconds+float64(p.load-n)/100
+			g.Accepted, g.Failed, g.Served, g.LatencySeconds = g.Accepted+p.load, g.Failed+n, g.Served+p.load-n, g.LatencySeconds+float64(p.load-n)/100
 			x = *g
 		}
-		if !g.Here {
-			x.Program, x.Figures = "", Figures{}
+		if !g.Responding {
+			x.Version, x.Figures = "", Figures{}
 		}
 		l = append(l, x)
-		seen = append(seen, drain.Gateway{Name: name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Serving: g.Serving})
+		seen = append(seen, drain.Gateway{Name: name, Site: g.Site, Zone: g.Zone, Incarnation: g.Incarnation, Serving: g.Serving})
 	}
-	p.b.See(p.now, l)
-	_ = p.orders.See(p.now, p.orders.Version, seen, nil)
-	p.b.Pace(p.now, p.orders)
+	p.b.Observe(p.now, l)
+	_ = p.orders.Observe(p.now, p.orders.Version, seen, nil)
+	p.b.RequestDrains(p.now, p.orders)
 }
 
 // Whatever is done by hand and whatever dies, with other leaders and through their stored forms: no more gateways are out by plan than
@@ -115,8 +115,8 @@
 				t.Fatalf("%d are out by plan, %d may be (%v)", n, p.most, what)
 			}
 			for _, g := range p.all {
-				if g.Program != "v1" && g.Program != "v2" {
-					t.Fatalf("%s runs as %q", g.Name, g.Program)
+				if g.Version != "v1" && g.Version != "v2" {
+					t.Fatalf("%s runs as %q", g.Name, g.Version)
 				}
 			}
 		}
@@ -125,27 +125,27 @@
 			event := rapid.IntRange(0, 13).Draw(t, "event")
 			switch event {
 			case 0, 1:
-				_ = p.b.Begin(p.now, Plan{ID: "r", To: "v2", Program: true, Soak: 2 * time.Second, Back: rapid.Bool().Draw(t, "back"), Gate: Gate{Requests: 50}})
+				_ = p.b.Start(p.now, Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 2 * time.Second, RollBackOnFailure: rapid.Bool().Draw(t, "back"), Gate: Gate{MinRequests: 50}})
 			case 2:
 				_ = p.b.Halt(p.now, "")
 			case 3:
 				_ = p.b.Resume(p.now)
 			case 4:
-				_ = p.b.Back(p.now, "")
+				_ = p.b.Rollback(p.now, "")
 			case 5:
-				if g.Here { // dies, and comes back as what it was
-					g.Here, g.Serving = false, false
-					p.away[g.Name], p.next[g.Name] = rapid.IntRange(1, 9).Draw(t, "for"), g.Program
+				if g.Responding { // dies, and comes back as what it was
+					g.Responding, g.Serving = false, false
+					p.away[g.Name], p.next[g.Name] = rapid.IntRange(1, 9).Draw(t, "for"), g.Version
 				}
 			case 6:
 				p.errors = 0.2 - p.errors
 			case 7:
 				p.now = 0
-				p.b.Lead(0)
-				p.orders.Lead(0)
+				p.b.BeginTerm(0)
+				p.orders.BeginTerm(0)
 			case 8:
-				_, _ = p.orders.Ask(p.now, drain.Order{ID: fmt.Sprint("hand", g.Name), Target: drain.Target{Gateway: g.Name}, Grace: time.Minute})
-				p.b.Pace(p.now, p.orders)
+				_, _ = p.orders.Submit(p.now, drain.Request{ID: fmt.Sprint("hand", g.Name), Target: drain.Target{Gateway: g.Name}, Grace: time.Minute})
+				p.b.RequestDrains(p.now, p.orders)
 			case 9:
 				for _, name := range names {
 					_, _ = p.orders.Cancel(p.now, "hand"+name)
@@ -171,16 +171,16 @@
 		}
 		was := map[string]string{}
 		if r := p.b.Current; r != nil {
-			was = r.Versions
-			_ = p.b.Back(p.now, "")
+			was = r.PreviousVersions
+			_ = p.b.Rollback(p.now, "")
 		}
 		for range 300 {
 			p.step()
 			check("on the way back")
 		}
 		for name, g := range p.all {
-			if was[name] != "" && g.Program != was[name] || !g.Serving {
-				t.Fatalf("%s runs as %s, before the release as %s; serving %v; %v; %+v", name, g.Program, was[name], g.Serving, p.b.Current, p.orders.List())
+			if was[name] != "" && g.Version != was[name] || !g.Serving {
+				t.Fatalf("%s runs as %s, before the release as %s; serving %v; %v; %+v", name, g.Version, was[name], g.Serving, p.b.Current, p.orders.List())
 			}
 		}
 		if n := len(p.out()); n > 0 || p.b.Current != nil {
@@ -191,11 +191,11 @@
 
 // What is rare is not in a mean: a tail, and a class by itself.
 func TestTailAndClasses(t *testing.T) {
-	r := &Release{Plan: Plan{To: "x"}}
+	r := &Release{Plan: Plan{Target: "x"}}
 	r.fill()
 	figures := func(slow, seats, inTime uint64) Figures {
-		f := Figures{Taken: 1000, Served: 1000, Times: make([]uint64, Buckets), Classes: map[string]Class{"maps": {900, 890}, "seats": {seats, inTime}}}
-		f.Times[Bucket(20*time.Millisecond)], f.Times[Bucket(time.Second)] = 1000-slow, slow
+		f := Figures{Accepted: 1000, Served: 1000, LatencyCounts: make([]uint64, LatencyBuckets), Classes: map[string]ClassFigures{"maps": {900, 890}, "seats": {seats, inTime}}}
+		f.LatencyCounts[LatencyBucket(20*time.Millisecond)], f.LatencyCounts[LatencyBucket(time.Second)] = 1000-slow, slow
 		return f
 	}
 	others := figures(0, 100, 99)
@@ -211,7 +211,7 @@
 		t.Errorf("with nothing to hold it against: %v %s", v, why)
 	}
 	for _, d := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, time.Second, time.Hour} {
-		if b := Bucket(d); b < Buckets-1 && (bound(b)+100*time.Microsecond < d || b > 0 && bound(b-1) > d) {
+		if b := LatencyBucket(d); b < LatencyBuckets-1 && (bound(b)+100*time.Microsecond < d || b > 0 && bound(b-1) > d) {
 			t.Errorf("%v is in bucket %d, up to %v", d, b, bound(b))
 		}
 	}
@@ -220,7 +220,7 @@
 // A zone that is lost halts it; what is drained and has not left comes back, and nothing more goes out.
 func TestLostZoneHalts(t *testing.T) {
 	p := newPrograms(8, 2)
-	if err := p.b.Begin(p.now, Plan{ID: "r", To: "v2", Program: true, Soak: 2 * time.Second, Back: true, Gate: Gate{Requests: 50}}); err != nil {
+	if err := p.b.Start(p.now, Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 2 * time.Second, RollBackOnFailure: true, Gate: Gate{MinRequests: 50}}); err != nil {
 		t.Fatal(err)
 	}
 	for len(p.out()) == 0 {
@@ -228,14 +228,14 @@
 	}
 	for _, g := range p.all {
 		if g.Site == "t" && g.Zone == "b" {
-			g.Here, g.Serving = false, false
-			p.away[g.Name], p.next[g.Name] = 50, g.Program
+			g.Responding, g.Serving = false, false
+			p.away[g.Name], p.next[g.Name] = 50, g.Version
 		}
 	}
 	for range 10 {
 		p.step()
 	}
-	if r := p.b.Current; r == nil || r.State != Halted || r.Why == "" || len(p.out()) > 0 {
+	if r := p.b.Current; r == nil || r.State != Halted || r.StateReason == "" || len(p.out()) > 0 {
 		t.Fatalf("%v, out %v", r, p.out())
 	}
 }
@@ -243,14 +243,14 @@
 // Before a release of a program begins: every gateway that is there has to be supervised, and one has to run as something else.
 func TestRefusedPrograms(t *testing.T) {
 	p := newPrograms(3, 1)
-	for what, plan := range map[string]Plan{"no name": {ID: "a", To: "a/b", Program: true}, "there already": {ID: "a", To: "v1", Program: true}, "grace": {ID: "a", To: "v2", Program: true, Grace: -1}} {
-		if err := p.b.Begin(p.now, plan); err == nil {
+	for what, plan := range map[string]Plan{"no name": {ID: "a", Target: "a/b", OfProgram: true}, "there already": {ID: "a", Target: "v1", OfProgram: true}, "grace": {ID: "a", Target: "v2", OfProgram: true, Grace: -1}} {
+		if err := p.b.Start(p.now, plan); err == nil {
 			t.Errorf("%s: it begins", what)
 		}
 	}
-	p.all["g01"].Program = ""
+	p.all["g01"].Version = ""
 	p.step()
-	if err := p.b.Begin(p.now, Plan{ID: "a", To: "v2", Program: true}); err == nil {
+	if err := p.b.Start(p.now, Plan{ID: "a", Target: "v2", OfProgram: true}); err == nil {
 		t.Error("it begins though nobody supervises g01")
 	}
 }
@@ -299,8 +299,8 @@
 		return p
 	}
 	forward := func(p *programs) (n int) {
-		for _, o := range p.orders.Orders {
-			if o.Restart == "v2" && o.State.Out() {
+		for _, o := range p.orders.Requests {
+			if o.Restart == "v2" && o.State.Unavailable() {
 				n++
 			}
 		}
@@ -316,38 +316,38 @@
 			}
 			switch event {
 			case 0:
-				_ = p.b.Begin(p.now, Plan{ID: "r", To: "v2", Program: true, Soak: time.Millisecond, Gate: Gate{Requests: 1}})
+				_ = p.b.Start(p.now, Plan{ID: "r", Target: "v2", OfProgram: true, Soak: time.Millisecond, Gate: Gate{MinRequests: 1}})
 			case 1:
 				_ = p.b.Halt(p.now, "")
 			case 2:
 				_ = p.b.Resume(p.now)
 			case 3:
-				_ = p.b.Back(p.now, "")
+				_ = p.b.Rollback(p.now, "")
 			case 4:
 				_ = p.b.Stop(p.now, "")
 			case 5:
 				g := p.all["g00"]
-				if _, away := p.away["g00"]; !away && g.Here {
-					g.Here, g.Serving = false, false
-					p.away["g00"], p.next["g00"] = 2, g.Program
+				if _, away := p.away["g00"]; !away && g.Responding {
+					g.Responding, g.Serving = false, false
+					p.away["g00"], p.next["g00"] = 2, g.Version
 				}
 			case 6:
-				p.b.Lead(0)
-				p.orders.Lead(0)
+				p.b.BeginTerm(0)
+				p.orders.BeginTerm(0)
 				p.now = 0
 			default:
 				p.step()
 			}
-			p.b.Pace(p.now, p.orders)
+			p.b.RequestDrains(p.now, p.orders)
 			if n := len(p.out()); n > 1 {
 				t.Fatalf("%d are out by plan after event %d: %+v", n, event, p.orders.List())
 			}
 			for name := range p.all {
-				if w := p.b.WantProgram(name); w != "" && w != "v1" && w != "v2" {
+				if w := p.b.DesiredVersion(name); w != "" && w != "v1" && w != "v2" {
 					t.Fatalf("%s is to run as %q", name, w)
 				}
 			}
-			if r := p.b.Current; r != nil && r.State == state && (state == Halted || state == Going) && forward(p) > before {
+			if r := p.b.Current; r != nil && r.State == state && (state == Halted || state == RollingBack) && forward(p) > before {
 				t.Fatalf("%s, and one more goes forward after event %d: %+v", state, event, p.orders.List())
 			}
 			states++
@@ -368,16 +368,16 @@
 // A budget that allows none ends the release with its reason, and is not asked again with each round.
 func TestBudgetThatAllowsNone(t *testing.T) {
 	p := newPrograms(1, 1)
-	if err := p.orders.Limit(p.now, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Part: 0.3}}); err != nil {
+	if err := p.orders.SetBudgets(p.now, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Fraction: 0.3}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.b.Begin(p.now, Plan{ID: "r", To: "v2", Program: true, Soak: time.Second, Back: true}); err != nil {
+	if err := p.b.Start(p.now, Plan{ID: "r", Target: "v2", OfProgram: true, Soak: time.Second, RollBackOnFailure: true}); err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
 		p.step()
 	}
-	if p.b.Current != nil || p.b.Ended[0].State != Gone || !strings.Contains(p.b.Ended[0].Why, "allows none of 1") || len(p.orders.Orders) != 1 {
-		t.Errorf("%v %+v, %d orders", p.b.Current, p.b.Ended, len(p.orders.Orders))
+	if p.b.Current != nil || p.b.Ended[0].State != RolledBack || !strings.Contains(p.b.Ended[0].StateReason, "allows none of 1") || len(p.orders.Requests) != 1 {
+		t.Errorf("%v %+v, %d orders", p.b.Current, p.b.Ended, len(p.orders.Requests))
 	}
 }
--- a/internal/release/release_test.go
+++ b/internal/release/release_test.go
@@ -14,7 +14,7 @@
 
 // fleet is gateways that do as they are told, and serve.
 type fleet struct {
-	b   *Book
+	b   *Ledger
 	all map[string]*Gateway
 	now time.Duration
 	// What the new configuration does to a gateway that has it.
@@ -23,12 +23,12 @@
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{b: NewBook(), all: map[string]*Gateway{}, load: 100}
+	f := &fleet{b: NewLedger(), all: map[string]*Gateway{}, load: 100}
 	for i := range n {
 		name := fmt.Sprintf("g%02d", i)
-		f.all[name] = &Gateway{Name: name, Site: string(rune('s' + i%2)), Zone: string(rune('a' + i/2%2)), Birth: 1, Here: true, Figures: Figures{Memory: 100 << 20}}
+		f.all[name] = &Gateway{Name: name, Site: string(rune('s' + i%2)), Zone: string(rune('a' + i/2%2)), Incarnation: 1, Responding: true, Figures: Figures{Memory: 100 << 20}}
 	}
-	_ = f.b.Put("new", "text")
+	_ = f.b.StoreConfig("new", "text")
 	f.round()
 	return f
 }
@@ -39,25 +39,25 @@
 	var l []Gateway
 	for _, name := range slices.Sorted(maps.Keys(f.all)) {
 		g := f.all[name]
-		if g.Here {
-			g.Has = f.b.Want(name)
-			g.Taken += f.load
+		if g.Responding {
+			g.Config = f.b.DesiredConfig(name)
+			g.Accepted += f.load
 			bad := 0.0
 			took := 0.010
-			if g.Has == "new" {
+			if g.Config == "new" {
 				bad, took = f.errors, took*(1+f.slow)
 			}
 			n := uint64(bad * float64(f.load))
-			g.Bad, g.Served, g.Seconds = g.Bad+n, g.Served+f.load-n, g.Seconds+took*float64(f.load-n)
+			g.Failed, g.Served, g.LatencySeconds = g.Failed+n, g.Served+f.load-n, g.LatencySeconds+took*float64(f.load-n)
 		}
 		l = append(l, *g)
 	}
-	f.b.See(f.now, l)
+	f.b.Observe(f.now, l)
 }
 
 func (f *fleet) has(digest string) (n int) {
 	for _, g := range f.all {
-		if g.Has == digest {
+		if g.Config == digest {
 			n++
 		}
 	}
@@ -65,7 +65,7 @@
 }
 
 func plan(back bool) Plan {
-	return Plan{ID: "r", To: "new", Owner: "t", Soak: 5 * time.Second, Back: back}
+	return Plan{ID: "r", Target: "new", Owner: "t", Soak: 5 * time.Second, RollBackOnFailure: back}
 }
 
 // run plays rounds until the release has ended, or halts; it gives the most gateways that had it at once while it was judged.
@@ -108,24 +108,24 @@
 // asked for; with too little traffic nothing is known, and it waits.
 func TestGates(t *testing.T) {
 	f := newFleet(20)
-	if err := f.b.Begin(f.now, plan(true)); err != nil {
+	if err := f.b.Start(f.now, plan(true)); err != nil {
 		t.Fatal(err)
 	}
 	f.run(t, 200)
-	if f.b.Base != "new" || f.has("new") != 20 || f.b.Ended[0].State != Done {
+	if f.b.CurrentConfig != "new" || f.has("new") != 20 || f.b.Ended[0].State != Done {
 		t.Errorf("a good one: %+v, %d have it", f.b.Ended, f.has("new"))
 	}
 	for what, spoil := range map[string]func(f *fleet){
 		"errors":  func(f *fleet) { f.errors = 0.05 },
 		"slow":    func(f *fleet) { f.slow = 2 },
-		"refused": func(f *fleet) { f.all["g00"].Refused = "line 3" },
-		"crash":   func(f *fleet) { f.round(); f.round(); f.all["g00"].Birth++ },
+		"refused": func(f *fleet) { f.all["g00"].ConfigRejected = "line 3" },
+		"crash":   func(f *fleet) { f.round(); f.round(); f.all["g00"].Incarnation++ },
 		"leak":    func(f *fleet) { f.round(); f.round(); f.all["g00"].Memory *= 4 },
-		"silence": func(f *fleet) { f.round(); f.round(); f.all["g00"].Here = false },
+		"silence": func(f *fleet) { f.round(); f.round(); f.all["g00"].Responding = false },
 	} {
 		for _, back := range []bool{false, true} {
 			f := newFleet(20)
-			if err := f.b.Begin(f.now, plan(back)); err != nil {
+			if err := f.b.Start(f.now, plan(back)); err != nil {
 				t.Fatal(err)
 			}
 			spoil(f)
@@ -133,17 +133,17 @@
 			switch {
 			case most > 2:
 				t.Errorf("%s: %d of 20 had it", what, most)
-			case !back && (f.b.Current == nil || f.b.Current.State != Halted || f.b.Current.Why == ""):
+			case !back && (f.b.Current == nil || f.b.Current.State != Halted || f.b.Current.StateReason == ""):
 				t.Errorf("%s: %+v", what, f.b.Current)
-			case back && (f.b.Current != nil || f.b.Ended[0].State != Gone || f.b.Ended[0].Why == "" || f.b.Base != ""):
+			case back && (f.b.Current != nil || f.b.Ended[0].State != RolledBack || f.b.Ended[0].StateReason == "" || f.b.CurrentConfig != ""):
 				t.Errorf("%s, back: %+v %+v", what, f.b.Current, f.b.Ended)
 			}
 		}
 	}
 	f = newFleet(20)
 	f.load = 1
-	_ = f.b.Begin(f.now, plan(true))
-	if f.run(t, 60); f.b.Current == nil || f.b.Current.Wave != 0 || !strings.Contains(f.b.Current.Why, "too little is known") {
+	_ = f.b.Start(f.now, plan(true))
+	if f.run(t, 60); f.b.Current == nil || f.b.Current.Wave != 0 || !strings.Contains(f.b.Current.StateReason, "too little is known") {
 		t.Errorf("a canary without traffic: %v", f.b.Current)
 	}
 }
@@ -151,14 +151,14 @@
 // By hand at any moment: halt, resume, back, stop; a second release waits; the same asked for again is the same.
 func TestByHand(t *testing.T) {
 	f := newFleet(20)
-	_ = f.b.Put("other", "x")
-	if err := f.b.Begin(f.now, plan(false)); err != nil {
+	_ = f.b.StoreConfig("other", "x")
+	if err := f.b.Start(f.now, plan(false)); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.b.Begin(f.now, plan(false)); err != nil {
+	if err := f.b.Start(f.now, plan(false)); err != nil {
 		t.Errorf("the same once more: %v", err)
 	}
-	if err := f.b.Begin(f.now, Plan{ID: "s", To: "other"}); err == nil {
+	if err := f.b.Start(f.now, Plan{ID: "s", Target: "other"}); err == nil {
 		t.Error("two at once")
 	}
 	for f.b.Current.Wave < 1 {
@@ -181,7 +181,7 @@
 		f.round()
 	}
 	for range 2 {
-		if err := f.b.Back(f.now, "by hand"); err != nil {
+		if err := f.b.Rollback(f.now, "by hand"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -192,12 +192,12 @@
 			t.Fatalf("%d have it on the way back, %d had", n, before)
 		}
 	}
-	if f.round(); f.has("") != 20 || f.b.Ended[0].State != Gone {
+	if f.round(); f.has("") != 20 || f.b.Ended[0].State != RolledBack {
 		t.Errorf("%d have what they had: %+v", f.has(""), f.b.Ended)
 	}
 	p := plan(false)
 	p.ID = "again"
-	_ = f.b.Begin(f.now, p)
+	_ = f.b.Start(f.now, p)
 	f.round()
 	_ = f.b.Halt(f.now, "")
 	if err := f.b.Stop(f.now, "enough"); err != nil {
@@ -206,7 +206,7 @@
 	if f.round(); f.has("new") != 2 || f.b.Ended[1].State != Stopped {
 		t.Errorf("stopped: %d have it", f.has("new"))
 	}
-	if f.b.Back(f.now, "") != ErrNone || f.b.Begin(f.now, Plan{ID: "t", To: "nobody has this"}) == nil {
+	if f.b.Rollback(f.now, "") != ErrNoRelease || f.b.Start(f.now, Plan{ID: "t", Target: "nobody has this"}) == nil {
 		t.Error("what cannot be done was done")
 	}
 }
@@ -221,7 +221,7 @@
 			state, before := State(""), 0
 			wanted := func() (n int) {
 				for _, name := range names {
-					switch w := f.b.Want(name); w {
+					switch w := f.b.DesiredConfig(name); w {
 					case "new":
 						n++
 					case "":
@@ -238,25 +238,25 @@
 			event := rapid.IntRange(0, 11).Draw(t, "event")
 			switch event {
 			case 0:
-				_ = f.b.Begin(f.now, plan(rapid.Bool().Draw(t, "back")))
+				_ = f.b.Start(f.now, plan(rapid.Bool().Draw(t, "back")))
 			case 1:
 				_ = f.b.Halt(f.now, "")
 			case 2:
 				_ = f.b.Resume(f.now)
 			case 3:
-				_ = f.b.Back(f.now, "")
+				_ = f.b.Rollback(f.now, "")
 			case 4:
 				_ = f.b.Stop(f.now, "")
 			case 5:
-				g.Here = !g.Here
+				g.Responding = !g.Responding
 			case 6:
-				g.Birth++
+				g.Incarnation++
 				g.Figures = Figures{}
 			case 7:
 				f.errors = 0.2 - f.errors
 			case 8:
 				f.now = 0
-				f.b.Lead(0)
+				f.b.BeginTerm(0)
 			case 9:
 				text, err := json.Marshal(f.b)
 				if err != nil {
@@ -270,17 +270,17 @@
 			}
 			if r := f.b.Current; r != nil && r.State == state {
 				n := wanted()
-				if state == Running && n < before || state == Going && n > before || state == Halted && n != before {
+				if state == Running && n < before || state == RollingBack && n > before || state == Halted && n != before {
 					t.Fatalf("%s: %d were to have it, now %d (event %d)", state, before, n, event)
 				}
 			}
 		}
 		f.errors = 0
 		for _, g := range f.all {
-			g.Here = true
+			g.Responding = true
 		}
 		if f.b.Current != nil && f.b.Current.State == Halted {
-			_ = f.b.Back(f.now, "")
+			_ = f.b.Rollback(f.now, "")
 		}
 		for range 400 {
 			f.round()
@@ -294,7 +294,7 @@
 // What is stored is read as it was or refused.
 func FuzzRestore(f *testing.F) {
 	x := newFleet(4)
-	_ = x.b.Begin(x.now, plan(true))
+	_ = x.b.Start(x.now, plan(true))
 	x.round()
 	text, _ := json.Marshal(x.b)
 	f.Add(text)
@@ -305,10 +305,10 @@
 			return
 		}
 		for range 3 {
-			b.See(b.Now+time.Second, []Gateway{{Name: "g00", Here: true, Has: "new"}})
+			b.Observe(b.Now+time.Second, []Gateway{{Name: "g00", Responding: true, Config: "new"}})
 		}
-		_ = b.Back(b.Now, "")
-		b.See(b.Now+time.Second, nil)
-		_ = b.Want("g00")
+		_ = b.Rollback(b.Now, "")
+		b.Observe(b.Now+time.Second, nil)
+		_ = b.DesiredConfig("g00")
 	})
 }
--- a/internal/subscription/share.go
+++ b/internal/subscription/share.go
@@ -15,9 +15,9 @@
 
 // Options are the times.
 type Options struct {
-	// OwnAfter is how long a gateway lives on what it took last without word of a holder. Then it goes to the control plane
+	// DirectAfter is how long a gateway lives on what it took last without word of a holder. Then it goes to the control plane
 	// itself, within Spread, at a moment drawn by chance so that not all do at once.
-	OwnAfter, Spread time.Duration
+	DirectAfter, Spread time.Duration
 	// Chance is from 0 to 1, drawn once for each process.
 	Chance float64
 }
@@ -28,16 +28,16 @@
 const (
 	Waiting   Mode = "waiting"   // just started: for a holder's word
 	Following Mode = "following" // on the holder's word, with no stream of its own
-	Own       Mode = "own"       // on a stream of its own
-	Holding   Mode = "holding"   // on a stream of its own, for the others as well
+	Direct    Mode = "own"       // on a stream of its own
+	Leading   Mode = "holding"   // on a stream of its own, for the others as well
 )
 
-// Push is what a holder sends. Without news it is a sign of life.
-type Push struct {
+// Update is what a holder sends. Without news it is a sign of life.
+type Update struct {
 	Token uint64 `json:"token"`
 	Seq   uint64 `json:"seq"`  // of the last change under the token; 0: nothing is known to be current yet
 	Base  uint64 `json:"base"` // what comes with it is what changed since
-	Whole bool   `json:"whole"`
+	Full  bool   `json:"whole"`
 	// Digest stands for all that the holder has in use.
 	Digest uint64 `json:"digest"`
 	// Connected: the holder has a stream. Where it has none, its word is the last that the control plane gave.
@@ -50,16 +50,16 @@
 type Verdict string
 
 const (
-	Take    Verdict = "take"    // use what comes with it
-	Same    Verdict = "same"    // nothing new in it
-	Need    Verdict = "need"    // send the whole
-	Compare Verdict = "compare" // a whole that is followed if it has all that is in use here (see Agreed)
-	Refuse  Verdict = "refuse"  // its token is older than the highest seen
-	Alone   Verdict = "alone"   // this gateway is on its own stream, which says something else
+	Accept       Verdict = "take"    // use what comes with it
+	Unchanged    Verdict = "same"    // nothing new in it
+	NeedSnapshot Verdict = "need"    // send the whole
+	Compare      Verdict = "compare" // a whole that is followed if it has all that is in use here (see Agreed)
+	Reject       Verdict = "refuse"  // its token is older than the highest seen
+	Diverged     Verdict = "alone"   // this gateway is on its own stream, which says something else
 )
 
-// Share is one gateway's. It is for one goroutine at a time.
-type Share struct {
+// Subscription is one gateway's. It is for one goroutine at a time.
+type Subscription struct {
 	opt      Options
 	mode     Mode
 	since    time.Duration
@@ -74,103 +74,103 @@
 }
 
 // New makes one that waits.
-func New(now time.Duration, opt Options) *Share {
-	return &Share{opt: opt, mode: Waiting, since: now, heard: now, missing: -1}
+func New(now time.Duration, opt Options) *Subscription {
+	return &Subscription{opt: opt, mode: Waiting, since: now, heard: now, missing: -1}
 }
 
 // Mode is where its word comes from, and since when.
-func (s *Share) Mode() (Mode, time.Duration) { return s.mode, s.since }
+func (s *Subscription) Mode() (Mode, time.Duration) { return s.mode, s.since }
 
-// Stream tells whether it wants a stream of its own.
-func (s *Share) Stream() bool { return s.mode == Own || s.mode == Holding }
+// WantsStream tells whether it wants a stream of its own.
+func (s *Subscription) WantsStream() bool { return s.mode == Direct || s.mode == Leading }
 
-// Last is what it took last, how long ago a holder spoke, and the age of the control plane's word then.
-func (s *Share) Last(now time.Duration) (token, seq uint64, heard, age time.Duration) {
+// LastUpdate is what it took last, how long ago a holder spoke, and the age of the control plane's word then.
+func (s *Subscription) LastUpdate(now time.Duration) (token, seq uint64, heard, age time.Duration) {
 	return s.token, s.seq, now - s.heard, s.age
 }
 
-// Highest is the highest token that it has seen.
-func (s *Share) Highest() uint64 { return s.fence.Highest }
+// HighestToken is the highest token that it has seen.
+func (s *Subscription) HighestToken() uint64 { return s.fence.Highest }
 
-func (s *Share) turn(now time.Duration, m Mode) {
+func (s *Subscription) turn(now time.Duration, m Mode) {
 	if s.mode != m {
 		s.mode, s.since = m, now
 	}
 }
 
-// Push takes what a holder sent. digest is of what is in use here.
-func (s *Share) Push(now time.Duration, p Push, digest uint64) Verdict {
+// Receive takes what a holder sent. digest is of what is in use here.
+func (s *Subscription) Receive(now time.Duration, p Update, digest uint64) Verdict {
 	if !s.fence.Admit(p.Token) {
-		return Refuse
+		return Reject
 	}
 	if p.Seq == 0 { // it has the lease, and no word yet that is worth more than what is in use here
-		if s.mode != Holding {
+		if s.mode != Leading {
 			s.heard = now
 		}
-		return Same
+		return Unchanged
 	}
-	if s.mode == Holding { // another holds it now: what runs here ends by itself, and then it is a gateway like any other
-		return Alone
+	if s.mode == Leading { // another holds it now: what runs here ends by itself, and then it is a gateway like any other
+		return Diverged
 	}
 	older := p.Token < s.token || p.Token == s.token && p.Seq < s.seq
 	if older { // it came late
-		return Same
+		return Unchanged
 	}
 	s.heard, s.age = now, p.Age
-	if s.mode == Own {
+	if s.mode == Direct {
 		switch {
 		case p.Digest == digest:
 			s.follow(now, p)
-			return Same
-		case p.Whole:
+			return Unchanged
+		case p.Full:
 			s.tried, s.compared = [2]uint64{p.Token, p.Seq}, true
 			return Compare
 		case !s.compared || s.tried != [2]uint64{p.Token, p.Seq}:
-			return Need
+			return NeedSnapshot
 		}
-		return Alone
+		return Diverged
 	}
 	switch {
-	case p.Token == s.token && p.Seq == s.seq && s.mode == Following && !p.Whole:
-		return Same
-	case p.Whole, p.Token == s.token && p.Base <= s.seq && s.mode == Following:
+	case p.Token == s.token && p.Seq == s.seq && s.mode == Following && !p.Full:
+		return Unchanged
+	case p.Full, p.Token == s.token && p.Base <= s.seq && s.mode == Following:
 		s.follow(now, p)
-		return Take
+		return Accept
 	}
-	return Need
+	return NeedSnapshot
 }
 
-func (s *Share) follow(now time.Duration, p Push) {
+func (s *Subscription) follow(now time.Duration, p Update) {
 	s.token, s.seq = p.Token, p.Seq
 	s.turn(now, Following)
 }
 
-// Agreed has a gateway on its own stream follow a whole that was to be compared and has all that is in use here.
-func (s *Share) Agreed(now time.Duration, p Push) bool {
-	if s.mode != Own || p.Token < s.token || p.Token == s.token && p.Seq < s.seq || p.Token < s.fence.Highest {
+// Adopt has a gateway on its own stream follow a whole that was to be compared and has all that is in use here.
+func (s *Subscription) Adopt(now time.Duration, p Update) bool {
+	if s.mode != Direct || p.Token < s.token || p.Token == s.token && p.Seq < s.seq || p.Token < s.fence.Highest {
 		return false
 	}
 	s.follow(now, p)
 	return true
 }
 
-// Hold begins and Drop ends a time as the holder. A holder whose duty ends stays on its stream until another's word is the
+// Lead begins and Drop ends a time as the holder. A holder whose duty ends stays on its stream until another's word is the
 // same as its own.
-func (s *Share) Hold(now time.Duration, token uint64) {
+func (s *Subscription) Lead(now time.Duration, token uint64) {
 	s.fence.Admit(token)
-	s.turn(now, Holding)
+	s.turn(now, Leading)
 }
 
-// Drop ends it.
-func (s *Share) Drop(now time.Duration) {
-	if s.mode == Holding {
+// Release ends it.
+func (s *Subscription) Release(now time.Duration) {
+	if s.mode == Leading {
 		s.heard = now
-		s.turn(now, Own)
+		s.turn(now, Direct)
 	}
 }
 
-// Missing takes whether something is asked for that nothing has been said of.
-func (s *Share) Missing(now time.Duration, is bool) {
+// SetMissing takes whether something is asked for that nothing has been said of.
+func (s *Subscription) SetMissing(now time.Duration, is bool) {
 	switch {
 	case !is:
 		s.missing = -1
@@ -180,17 +180,17 @@
 }
 
 // Tick takes what time has done, and gives when to call it again at the latest; 0: never.
-func (s *Share) Tick(now time.Duration) (next time.Duration) {
-	if s.Stream() {
+func (s *Subscription) Tick(now time.Duration) (next time.Duration) {
+	if s.WantsStream() {
 		return 0
 	}
 	spread := time.Duration(float64(s.opt.Spread) * s.opt.Chance)
-	at := s.heard + s.opt.OwnAfter + spread
+	at := s.heard + s.opt.DirectAfter + spread
 	if s.missing >= 0 && s.mode == Following {
-		at = min(at, s.missing+s.opt.OwnAfter+spread)
+		at = min(at, s.missing+s.opt.DirectAfter+spread)
 	}
 	if now >= at {
-		s.turn(now, Own)
+		s.turn(now, Direct)
 		s.compared = false
 		return 0
 	}
--- a/internal/supervisor/folder.go
+++ b/internal/supervisor/folder.go
@@ -19,8 +19,8 @@
 	"strings"
 )
 
-// Again is the exit code by which a process asks to be started again, as whatever current names then.
-const Again = 10
+// ExitRestart is the exit code by which a process asks to be started again, as whatever current names then.
+const ExitRestart = 10
 
 // Environment by which a process knows that it is supervised.
 const (
@@ -140,18 +140,18 @@
 	return errors.Join(f.remove(refused), f.link(previous, now), f.write(trial, label), f.link(current, label))
 }
 
-// Trial tells whether the version that the link names is on trial.
-func (f Folder) Trial() bool {
+// OnTrial tells whether the version that the link names is on trial.
+func (f Folder) OnTrial() bool {
 	label, err := os.ReadFile(f.at(trial))
 	now, err2 := f.Current()
 	return err == nil && err2 == nil && string(label) == now
 }
 
-// Proved ends a version's trial.
-func (f Folder) Proved() error { return f.remove(trial) }
+// ConfirmTrial ends a version's trial.
+func (f Folder) ConfirmTrial() error { return f.remove(trial) }
 
-// Back has the version before run from the next start on, and notes why the other one does not.
-func (f Folder) Back(why string) error {
+// Rollback has the version before run from the next start on, and notes why the other one does not.
+func (f Folder) Rollback(why string) error {
 	now, err := f.Current()
 	if err != nil {
 		return err
@@ -164,8 +164,8 @@
 	return errors.Join(f.write(refused, now+" "+why[:min(len(why), mostReason)]), f.link(current, before), f.remove(trial))
 }
 
-// Refused is which version was given up here, and why; empty: none was.
-func (f Folder) Refused() (label, why string) {
+// Rejected is which version was given up here, and why; empty: none was.
+func (f Folder) Rejected() (label, why string) {
 	text, err := os.ReadFile(f.at(refused))
 	if err != nil {
 		return "", ""
@@ -174,5 +174,5 @@
 	return label, why
 }
 
-// Forgive has a version that was given up tried again when it is asked for.
-func (f Folder) Forgive() error { return f.remove(refused) }
+// ClearRejected has a version that was given up tried again when it is asked for.
+func (f Folder) ClearRejected() error { return f.remove(refused) }
--- a/internal/supervisor/former_test.go
+++ b/internal/supervisor/former_test.go
@@ -38,16 +38,16 @@
 	if label, err := f.Previous(); label != "two" || err != nil {
 		t.Errorf("previous: %q, %v", label, err)
 	}
-	if label, why := f.Refused(); label != "three" || why != "it broke twice" {
+	if label, why := f.Rejected(); label != "three" || why != "it broke twice" {
 		t.Errorf("refused: %q, %q", label, why)
 	}
-	if !f.Trial() {
+	if !f.OnTrial() {
 		t.Error("four is not on trial")
 	}
-	if err := f.Back("it broke again"); err != nil {
+	if err := f.Rollback("it broke again"); err != nil {
 		t.Fatal(err)
 	}
-	if label, err := f.Current(); label != "two" || err != nil || f.Trial() {
-		t.Errorf("gone back: %q, %v, on trial %v", label, err, f.Trial())
+	if label, err := f.Current(); label != "two" || err != nil || f.OnTrial() {
+		t.Errorf("gone back: %q, %v, on trial %v", label, err, f.OnTrial())
 	}
 }
--- a/internal/supervisor/supervise.go
+++ b/internal/supervisor/supervise.go
@@ -51,25 +51,25 @@
 		if err != nil {
 			opt.Log.Error("cannot be started", "version", label, "err", err)
 		}
-		a := d.Ended(time.Since(began), code, ctx.Err() != nil, opt.Folder.Trial())
+		a := d.ProcessEnded(time.Since(began), code, ctx.Err() != nil, opt.Folder.OnTrial())
 		switch {
 		case a.End:
 			return nil
 		case a.GiveUp:
-			opt.Log.Error("given up: nothing is started any more", "version", label, "why", a.Why)
-			return fmt.Errorf("%w on version %s: %s", ErrGaveUp, label, a.Why)
-		case a.Back:
-			if err := opt.Folder.Back(a.Why); err != nil {
-				return fmt.Errorf("%w on version %s, %s: %w", ErrGaveUp, label, a.Why, err)
+			opt.Log.Error("given up: nothing is started any more", "version", label, "why", a.Reason)
+			return fmt.Errorf("%w on version %s: %s", ErrGaveUp, label, a.Reason)
+		case a.Rollback:
+			if err := opt.Folder.Rollback(a.Reason); err != nil {
+				return fmt.Errorf("%w on version %s, %s: %w", ErrGaveUp, label, a.Reason, err)
 			}
-			opt.Log.Error("back to the version before", "from", label, "why", a.Why)
-		case a.Why != "":
-			opt.Log.Warn("it crashed and is started again", "version", label, "in", a.Wait, "why", a.Why)
+			opt.Log.Error("back to the version before", "from", label, "why", a.Reason)
+		case a.Reason != "":
+			opt.Log.Warn("it crashed and is started again", "version", label, "in", a.Pause, "why", a.Reason)
 		default:
 			opt.Log.Info("started again as it asked", "from", label)
 		}
-		if a.Wait > 0 { // spread: a fleet that crashed at once does not come back at once
-			t := time.NewTimer(a.Wait/2 + rand.N(a.Wait))
+		if a.Pause > 0 { // spread: a fleet that crashed at once does not come back at once
+			t := time.NewTimer(a.Pause/2 + rand.N(a.Pause))
 			select {
 			case <-ctx.Done():
 				t.Stop()
@@ -137,16 +137,16 @@
 	return &Child{Folder: Folder{dir}, Version: version, again: make(chan struct{})}
 }
 
-// Again is closed when this process is to end with the exit code of that name.
-func (c *Child) Again() <-chan struct{} {
+// Restarting is closed when this process is to end with the exit code of that name.
+func (c *Child) Restarting() <-chan struct{} {
 	if c == nil {
 		return nil
 	}
 	return c.again
 }
 
-// Ask has this process end and another version start in its place. Asked once more, nothing happens.
-func (c *Child) Ask(label string) error {
+// SwitchTo has this process end and another version start in its place. Asked once more, nothing happens.
+func (c *Child) SwitchTo(label string) error {
 	if c.asked {
 		return nil
 	}
@@ -157,12 +157,12 @@
 	return nil
 }
 
-// Return has this process end and the version before start in its place.
-func (c *Child) Return(why string) error {
+// Rollback has this process end and the version before start in its place.
+func (c *Child) Rollback(why string) error {
 	if c.asked {
 		return nil
 	}
-	if err := c.Folder.Back(why); err != nil {
+	if err := c.Folder.Rollback(why); err != nil {
 		return err
 	}
 	c.end()
@@ -174,14 +174,14 @@
 	close(c.again)
 }
 
-// Proved, Forgive and Trial are the folder's.
-func (c *Child) Proved() error  { return c.Folder.Proved() }
-func (c *Child) Forgive() error { return c.Folder.Forgive() }
-func (c *Child) Trial() bool    { return c.Folder.Trial() }
+// ConfirmTrial, Forgive and Trial are the folder's.
+func (c *Child) ConfirmTrial() error  { return c.Folder.ConfirmTrial() }
+func (c *Child) ClearRejected() error { return c.Folder.ClearRejected() }
+func (c *Child) OnTrial() bool        { return c.Folder.OnTrial() }
 
-// Refuses says why this process would not start as a version; empty: it would.
-func (c *Child) Refuses(label string) string {
-	if given, why := c.Folder.Refused(); given == label {
+// RejectReason says why this process would not start as a version; empty: it would.
+func (c *Child) RejectReason(label string) string {
+	if given, why := c.Folder.Rejected(); given == label {
 		return "given up here: " + why
 	}
 	if err := c.Folder.Check(label); err != nil {
--- a/internal/supervisor/supervise_test.go
+++ b/internal/supervisor/supervise_test.go
@@ -13,35 +13,35 @@
 // within a row nor passes its bound, a version on trial is replaced by its last crash in a row and no later, and it gives up at the
 // stated number and never before.
 func TestEveryRowOfEnds(t *testing.T) {
-	rules := Rules{First: time.Second, Most: 3 * time.Second, Steady: time.Minute, Trial: 2, GiveUp: 4}
+	rules := Rules{MinPause: time.Second, MaxPause: 3 * time.Second, StableAfter: time.Minute, TrialCrashes: 2, GiveUp: 4}
 	type end struct {
 		ran   time.Duration
 		code  int
 		trial bool
 	}
-	ends := []end{{time.Second, 1, false}, {time.Second, -1, true}, {2 * time.Minute, 1, false}, {time.Second, Again, false}}
+	ends := []end{{time.Second, 1, false}, {time.Second, -1, true}, {2 * time.Minute, 1, false}, {time.Second, ExitRestart, false}}
 	walked := 0
 	var walk func(d Decider, row int, last time.Duration, depth int)
 	walk = func(d Decider, row int, last time.Duration, depth int) {
 		for _, e := range ends {
 			d, row, last := d, row, last
-			a := d.Ended(e.ran, e.code, false, e.trial)
+			a := d.ProcessEnded(e.ran, e.code, false, e.trial)
 			walked++
-			if e.code == Again {
+			if e.code == ExitRestart {
 				if a != (Action{}) {
 					t.Fatalf("asked to start again: %+v", a)
 				}
 				row, last = 0, 0
 			} else {
-				if e.ran >= rules.Steady {
+				if e.ran >= rules.StableAfter {
 					row, last = 0, 0
 				}
 				row++
-				back := e.trial && row >= rules.Trial
-				if a.Back != back || a.GiveUp != (!back && row >= rules.GiveUp) || a.Why == "" || !a.GiveUp && !back && (a.Wait < last || a.Wait < rules.First) || a.Wait > rules.Most {
+				back := e.trial && row >= rules.TrialCrashes
+				if a.Rollback != back || a.GiveUp != (!back && row >= rules.GiveUp) || a.Reason == "" || !a.GiveUp && !back && (a.Pause < last || a.Pause < rules.MinPause) || a.Pause > rules.MaxPause {
 					t.Fatalf("%d crashes in a row, trial %v, waited %v: %+v", row, e.trial, last, a)
 				}
-				if last = a.Wait; back {
+				if last = a.Pause; back {
 					row, last = 0, 0
 				}
 				if a.GiveUp {
@@ -58,7 +58,7 @@
 		t.Errorf("%d", walked)
 	}
 	d := Decider{Rules: rules}
-	if !d.Ended(time.Second, 1, true, true).End || !d.Ended(time.Second, 0, false, false).End {
+	if !d.ProcessEnded(time.Second, 1, true, true).End || !d.ProcessEnded(time.Second, 0, false, false).End {
 		t.Error("what was told to end is started again")
 	}
 }
@@ -104,19 +104,19 @@
 					}
 				}
 			case 2:
-				err := f.Back("it broke\n twice")
+				err := f.Rollback("it broke\n twice")
 				if _, none := f.Previous(); (err == nil) != (none == nil) {
 					t.Fatalf("back: %v, previous: %v", err, none)
 				}
-				if given, why := f.Refused(); err == nil && (given != now || why != "it broke twice" || f.Trial()) {
-					t.Fatalf("%s was given up, the folder says %q: %q, on trial %v", now, given, why, f.Trial())
+				if given, why := f.Rejected(); err == nil && (given != now || why != "it broke twice" || f.OnTrial()) {
+					t.Fatalf("%s was given up, the folder says %q: %q, on trial %v", now, given, why, f.OnTrial())
 				}
 			case 3:
-				if f.Proved() != nil || f.Trial() {
+				if f.ConfirmTrial() != nil || f.OnTrial() {
 					t.Fatal("still on trial")
 				}
 			case 4:
-				if err := f.Forgive(); err != nil {
+				if err := f.ClearRejected(); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -63,7 +63,7 @@
 
 func (a *Auditor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	token, err := strconv.ParseUint(r.Header.Get(fleet.TokenHeader), 10, 64)
-	began, err2 := strconv.ParseInt(r.Header.Get(fleet.BeganHeader), 10, 64)
+	began, err2 := strconv.ParseInt(r.Header.Get(fleet.JudgedAtHeader), 10, 64)
 	number, _ := strconv.Atoi(r.Header.Get(fleet.NumberHeader))
 	if err != nil || err2 != nil {
 		http.Error(w, "no token", http.StatusBadRequest)
--- a/internal/testbed/cluster/campaign.go
+++ b/internal/testbed/cluster/campaign.go
@@ -272,7 +272,7 @@
 	return Await(ctx, "all voters", back, func() bool {
 		for _, n := range voters {
 			s, err := n.Fleet()
-			if err != nil || s.Vote == nil || s.Vote.Empty || len(s.Vote.Voters) != len(voters) || s.Vote.State != "leader" && s.Vote.State != "follower" || s.Vote.Leader == "" {
+			if err != nil || s.Vote == nil || s.Vote.Unassigned || len(s.Vote.Voters) != len(voters) || s.Vote.State != "leader" && s.Vote.State != "follower" || s.Vote.Leader == "" {
 				return false
 			}
 		}
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -466,13 +466,13 @@
 }
 
 // Order has a node's admin listener pass on an order: what is drain, undrain, halt or resume.
-func (n *Node) Order(what string, o drain.Order) (x drain.Order, err error) {
+func (n *Node) Order(what string, o drain.Request) (x drain.Request, err error) {
 	err = n.post("/fleet/"+what, o, &x)
 	return x, err
 }
 
 // Releases are the fleet's, as the quorum says to a node.
-func (n *Node) Releases() (l quorum.Releases, err error) {
+func (n *Node) Releases() (l quorum.ReleaseList, err error) {
 	err = n.Get("/fleet/releases", &l)
 	return l, err
 }
@@ -502,11 +502,11 @@
 }
 
 // Orders are all orders, as the quorum says to a node, by id.
-func (n *Node) Orders() (map[string]drain.Order, error) {
-	var l quorum.Orders
-	m := map[string]drain.Order{}
+func (n *Node) Orders() (map[string]drain.Request, error) {
+	var l quorum.DrainList
+	m := map[string]drain.Request{}
 	err := n.Get("/fleet/orders", &l)
-	for _, o := range l.Orders {
+	for _, o := range l.Requests {
 		m[o.ID] = o
 	}
 	return m, err
@@ -523,7 +523,7 @@
 }
 
 // Leases are what the quorum says to a node.
-func (n *Node) Leases() (l quorum.Leases, err error) {
+func (n *Node) Leases() (l quorum.LeaseList, err error) {
 	err = n.Get("/fleet/leases", &l)
 	return l, err
 }
@@ -538,7 +538,7 @@
 		if err != nil {
 			continue
 		}
-		for _, d := range s.Duties {
+		for _, d := range s.Tasks {
 			if d.Name == duty && d.State == "holding" {
 				return n
 			}
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -138,10 +138,10 @@
 	}
 	ms := time.Millisecond
 	got := func(m string, token uint64, call, ret time.Duration) asked {
-		return asked{op: quorum.Acquire, member: m, token: token, length: 100 * ms, call: call, ret: ret, result: "granted"}
+		return asked{op: quorum.OpAcquire, member: m, token: token, length: 100 * ms, call: call, ret: ret, result: "granted"}
 	}
 	for want, ops := range map[bool][]asked{
-		true:  {got("k0", 1, 0, 5*ms), got("k1", 2, 99*ms, 101*ms), {op: quorum.Release, member: "k1", token: 2, call: 102 * ms, ret: 103 * ms, result: "unknown"}, got("k0", 3, 104*ms, 105*ms)},
+		true:  {got("k0", 1, 0, 5*ms), got("k1", 2, 99*ms, 101*ms), {op: quorum.OpRelease, member: "k1", token: 2, call: 102 * ms, ret: 103 * ms, result: "unknown"}, got("k0", 3, 104*ms, 105*ms)},
 		false: {got("k0", 1, 0, 5*ms), got("k1", 2, 50*ms, 99*ms)},
 	} {
 		if ok, decided := linearizable(ops, time.Minute); ok != want || !decided {
@@ -219,7 +219,7 @@
 		_ = sleep(t.Context(), 20*time.Millisecond)
 	}
 	for _, v := range two.vote().Voters {
-		if v.Name == one.Name && one.vote().Empty {
+		if v.Name == one.Name && one.vote().Unassigned {
 			t.Errorf("%+v was taken in", v)
 		}
 	}
@@ -303,18 +303,21 @@
 	}
 	comes(t, "five members", all(membership.Serving, "n0", "n1", "n3", "n4"))
 	comes(t, "a witness", all(membership.Witness, "n2"))
-	born := c.Nodes[0].member("n4").Birth
+	born := c.Nodes[0].member("n4").Incarnation
 	c.Alone(c.Nodes[4], Way{Cut: true})
 	comes(t, "it is dead to the others", func() bool { return c.Nodes[0].member("n4").State == membership.Dead })
 	c.Heal()
 	comes(t, "it is back", all(membership.Serving, "n4"))
-	if b := c.Nodes[0].member("n4").Birth; b != born {
+	if b := c.Nodes[0].member("n4").Incarnation; b != born {
 		t.Errorf("birth %d, was %d: it came back and was not started again", b, born)
 	}
 	if err := c.Nodes[4].Restart(false); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "it was started again", func() bool { m := c.Nodes[0].member("n4"); return m.Birth > born && m.State == membership.Serving })
+	comes(t, "it was started again", func() bool {
+		m := c.Nodes[0].member("n4")
+		return m.Incarnation > born && m.State == membership.Serving
+	})
 
 	// A split, in which one joins.
 	c.Nodes[3].Kill()
@@ -375,7 +378,7 @@
 	defer h.node.Close()
 	q := quorum.NewClient(h.node, c.Voters(), time.Second, fleet.Clock)
 	do := func(op quorum.Op, name string, birth, token uint64) (quorum.Result, error) {
-		r, _, err := q.Do(t.Context(), quorum.Command{Op: op, Lease: "one", Rules: lease.Rules{Length: testLease}, Member: lease.Member{Name: name, Birth: birth}, Token: token})
+		r, _, err := q.Do(t.Context(), quorum.Command{Op: op, Lease: "one", Rules: lease.Rules{Length: testLease}, Member: lease.Member{Name: name, Incarnation: birth}, Token: token})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -387,7 +390,7 @@
 	for i := range 20 {
 		work.Go(func() {
 			name := fmt.Sprint("a", i)
-			if r, err := do(quorum.Acquire, name, 1, 0); err == nil {
+			if r, err := do(quorum.OpAcquire, name, 1, 0); err == nil {
 				mu.Lock()
 				granted[name] = r.Grant.Token
 				mu.Unlock()
@@ -399,24 +402,24 @@
 		t.Fatalf("%v have it", granted)
 	}
 	for name, token := range granted {
-		if r, err := do(quorum.Acquire, name, 1, 0); err != nil || r.Grant.Token != token {
+		if r, err := do(quorum.OpAcquire, name, 1, 0); err != nil || r.Grant.Token != token {
 			t.Errorf("asked once more, as an answer may have been lost: %+v, %v", r, err)
 		}
-		if _, err := do(quorum.Acquire, name, 2, 0); err == nil {
+		if _, err := do(quorum.OpAcquire, name, 2, 0); err == nil {
 			t.Error("a process that was started again has it at once")
 		}
-		if _, err := do(quorum.Renew, name, 1, token); err == nil {
+		if _, err := do(quorum.OpRenew, name, 1, token); err == nil {
 			t.Error("renewed though a later birth has asked")
 		}
 		for range 2 {
-			if _, err := do(quorum.Release, name, 1, token); err != nil {
+			if _, err := do(quorum.OpRelease, name, 1, token); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 	// Whoever has it now never hears of it: it ends by itself.
 	next := uint64(0)
-	comes(t, "it ends by itself", func() bool { r, err := do(quorum.Acquire, "z", 1, 0); next = r.Grant.Token; return err == nil })
+	comes(t, "it ends by itself", func() bool { r, err := do(quorum.OpAcquire, "z", 1, 0); next = r.Grant.Token; return err == nil })
 	for _, token := range granted {
 		if next <= token {
 			t.Errorf("token %d behind %d", next, token)
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -113,13 +113,13 @@
 				}
 				own[by]++
 			}
-			o, err := n.Order("drain", drain.Order{ID: fmt.Sprint(seed, "-", step), Target: t, Owner: n.Name, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Asked++; err != nil || o.State == drain.Refused {
+			o, err := n.Order("drain", drain.Request{ID: fmt.Sprint(seed, "-", step), Target: t, Owner: n.Name, Grace: time.Second, Notice: 250 * time.Millisecond})
+			if v.Asked++; err != nil || o.State == drain.Rejected {
 				break
 			}
 			open = append(open, asked{o.ID, by, t})
 			if origin >= 0 {
-				if Await(ctx, "an endpoint to be out", 5*time.Second, func() bool { m, _ := n.Orders(); return m[o.ID].State == drain.Done }) == nil {
+				if Await(ctx, "an endpoint to be out", 5*time.Second, func() bool { m, _ := n.Orders(); return m[o.ID].State == drain.Drained }) == nil {
 					drained, drainedAt = origin, time.Now()
 				}
 			}
@@ -128,7 +128,7 @@
 			o := open[i]
 			if n.Up() {
 				until := time.Now() // it may be told of before this asker is
-				if _, err := n.Order("undrain", drain.Order{ID: o.id}); err == nil {
+				if _, err := n.Order("undrain", drain.Request{ID: o.id}); err == nil {
 					open = append(open[:i], open[i+1:]...)
 					if o.drain.Gateway != "" {
 						own[o.by]--
@@ -160,7 +160,7 @@
 	}
 	// All back: everything can be undone, by anyone.
 	for _, o := range open {
-		if err := Await(ctx, "an order to be cancelled", back, func() bool { _, err := s.Nodes[0].Order("undrain", drain.Order{ID: o.id}); return err == nil }); err != nil {
+		if err := Await(ctx, "an order to be cancelled", back, func() bool { _, err := s.Nodes[0].Order("undrain", drain.Request{ID: o.id}); return err == nil }); err != nil {
 			v.Err = err
 			return v
 		}
--- a/internal/testbed/cluster/history.go
+++ b/internal/testbed/cluster/history.go
@@ -70,13 +70,13 @@
 	to := h.voters[h.rng.IntN(len(h.voters))].Address
 	for range 3 {
 		a := asked{op: op, member: h.name, token: token, length: h.rules.Length, call: fleet.Clock()}
-		r, leader, applied, err := quorum.Once(ctx, h.node, to, 300*time.Millisecond, quorum.Command{Op: op, Lease: historyLease, Rules: h.rules,
-			Member: lease.Member{Name: h.name, Birth: h.birth}, Token: token})
+		r, leader, applied, err := quorum.DoOnce(ctx, h.node, to, 300*time.Millisecond, quorum.Command{Op: op, Lease: historyLease, Rules: h.rules,
+			Member: lease.Member{Name: h.name, Incarnation: h.birth}, Token: token})
 		a.ret = fleet.Clock()
 		switch {
 		case err == nil && applied:
 			switch e := r.Err(); {
-			case e == nil && op == quorum.Release:
+			case e == nil && op == quorum.OpRelease:
 				a.result = "done"
 			case e == nil:
 				a.result, a.token = "granted", r.Grant.Token
@@ -115,19 +115,19 @@
 	defer h.node.Close()
 	pause := func() { _ = sleep(ctx, time.Duration(20+h.rng.IntN(60))*time.Millisecond) }
 	for ctx.Err() == nil && !h.full() {
-		a := h.one(ctx, quorum.Acquire, 0)
+		a := h.one(ctx, quorum.OpAcquire, 0)
 		h.note(a)
 		pause()
 		if a.result != "granted" {
 			continue
 		}
 		for range h.rng.IntN(4) {
-			r := h.one(ctx, quorum.Renew, a.token)
+			r := h.one(ctx, quorum.OpRenew, a.token)
 			h.note(r)
 			pause()
 		}
 		if h.rng.IntN(3) > 0 { // or nobody hears of it any more
-			h.note(h.one(ctx, quorum.Release, a.token))
+			h.note(h.one(ctx, quorum.OpRelease, a.token))
 		}
 		pause()
 	}
@@ -152,7 +152,7 @@
 		s, a := state.(held), input.(asked)
 		mine := s.member == a.member
 		switch {
-		case a.op == quorum.Acquire && a.result == "granted":
+		case a.op == quorum.OpAcquire && a.result == "granted":
 			if mine && s.token == a.token {
 				return []any{held{a.member, a.token, a.call, s.last}}
 			}
@@ -160,12 +160,12 @@
 				return []any{held{a.member, a.token, a.call, a.token}}
 			}
 			return nil
-		case a.op == quorum.Renew && a.result == "granted":
+		case a.op == quorum.OpRenew && a.result == "granted":
 			if mine && s.token == a.token {
 				return []any{held{a.member, a.token, a.call, s.last}}
 			}
 			return nil
-		case a.op == quorum.Release:
+		case a.op == quorum.OpRelease:
 			freed := s
 			if mine && s.token == a.token {
 				freed.member = ""
@@ -190,7 +190,7 @@
 	for _, a := range ops {
 		ret := a.ret
 		if a.result == "unknown" {
-			if a.op != quorum.Release {
+			if a.op != quorum.OpRelease {
 				continue
 			}
 			ret = last + time.Hour
--- a/internal/testbed/cluster/orders_test.go
+++ b/internal/testbed/cluster/orders_test.go
@@ -59,15 +59,15 @@
 			return false
 		})
 	}
-	orderDrain := func(id string, at int, t drain.Target) (drain.Order, error) {
-		return s.Nodes[at].Order("drain", drain.Order{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
+	orderDrain := func(id string, at int, t drain.Target) (drain.Request, error) {
+		return s.Nodes[at].Order("drain", drain.Request{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
 	}
 	gateway := func(i int) drain.Target { return drain.Target{Gateway: s.Nodes[i].Name} }
 	comes(t, "the gateways to be known", func() bool {
 		o, err := orderDrain("first", 0, gateway(4))
-		return err == nil && o.State != drain.Asked && o.State != drain.Refused
+		return err == nil && o.State != drain.Pending && o.State != drain.Rejected
 	})
-	gets("first", drain.Done)
+	gets("first", drain.Drained)
 	if s.Nodes[4].Ready() {
 		t.Error("ready though it is taken out")
 	}
@@ -81,7 +81,7 @@
 	granted := ""
 	comes(t, "one of four", func() bool {
 		for i := range 4 {
-			if state(fmt.Sprint("all", i)) == drain.Done {
+			if state(fmt.Sprint("all", i)) == drain.Drained {
 				granted = fmt.Sprint("all", i)
 			}
 		}
@@ -89,7 +89,7 @@
 	})
 	out := 0
 	for i := range 4 {
-		if st := state(fmt.Sprint("all", i)); st != drain.Asked {
+		if st := state(fmt.Sprint("all", i)); st != drain.Pending {
 			out++
 		}
 	}
@@ -98,10 +98,10 @@
 	}
 	for i := range 4 { // those that wait go first, so that none of them takes the place
 		if id := fmt.Sprint("all", i); id != granted {
-			_, _ = s.Nodes[0].Order("undrain", drain.Order{ID: id})
+			_, _ = s.Nodes[0].Order("undrain", drain.Request{ID: id})
 		}
 	}
-	if _, err := s.Nodes[0].Order("undrain", drain.Order{ID: granted}); err != nil {
+	if _, err := s.Nodes[0].Order("undrain", drain.Request{ID: granted}); err != nil {
 		t.Fatal(err)
 	}
 	gets(granted, drain.Ended)
@@ -119,26 +119,26 @@
 			t.Fatal("ready, though it is taken out")
 		}
 	}
-	gets("first", drain.Done)
+	gets("first", drain.Drained)
 
 	// One dies: two are out, so nothing more is; and what was asked for is granted when it is back.
 	s.Nodes[3].Kill()
 	comes(t, "the loss to be counted", func() bool {
-		var l quorum.Orders
-		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && len(l.Budgets[0].Out) == 2
+		var l quorum.DrainList
+		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && len(l.Budgets[0].Unavailable) == 2
 	})
-	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != drain.Asked {
+	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != drain.Pending {
 		t.Errorf("with two out: %+v, %v", o, err)
 	}
-	if o, _ := s.Nodes[0].Orders(); !strings.Contains(o["more"].Why, "2 of 5 are out") && !strings.Contains(o["more"].Why, "budget g") {
+	if o, _ := s.Nodes[0].Orders(); !strings.Contains(o["more"].StateReason, "2 of 5 are out") && !strings.Contains(o["more"].StateReason, "budget g") {
 		t.Errorf("%+v", o["more"])
 	}
 	if err := s.Nodes[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	gets("more", drain.Done)
+	gets("more", drain.Drained)
 	for _, id := range []string{"more", "first"} {
-		if _, err := s.Nodes[1].Order("undrain", drain.Order{ID: id}); err != nil {
+		if _, err := s.Nodes[1].Order("undrain", drain.Request{ID: id}); err != nil {
 			t.Fatal(err)
 		}
 		gets(id, drain.Ended)
@@ -156,20 +156,20 @@
 	s.Alone(s.Nodes[4], Way{Cut: true})
 	e := drain.Target{Cluster: "c", Endpoint: s.Origins[0].Addr}
 	o, err := orderDrain("e", 0, e)
-	if err != nil || o.State == drain.Refused {
+	if err != nil || o.State == drain.Rejected {
 		t.Fatalf("%+v, %v", o, err)
 	}
-	gets("e", drain.UnderWay, drain.Done)
+	gets("e", drain.Draining, drain.Drained)
 	s.Heal()
 	healed := time.Now()
-	gets("e", drain.Done)
+	gets("e", drain.Drained)
 	if n := s.Origins[0].After(healed.Add(time.Second)); n != 0 {
 		t.Errorf("%d requests to an endpoint that is out", n)
 	}
-	if o, err := orderDrain("f", 1, drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != drain.Asked {
+	if o, err := orderDrain("f", 1, drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != drain.Pending {
 		t.Errorf("a second one: %+v, %v", o, err)
 	}
-	if _, err := s.Nodes[2].Order("undrain", drain.Order{ID: "e"}); err != nil {
+	if _, err := s.Nodes[2].Order("undrain", drain.Request{ID: "e"}); err != nil {
 		t.Fatal(err)
 	}
 	before := s.Origins[0].Requests()
@@ -200,7 +200,7 @@
 	defer s.Close()
 	load := s.Load(50)
 	defer load.Stop()
-	state := func() (l quorum.Releases) {
+	state := func() (l quorum.ReleaseList) {
 		for _, n := range s.Nodes {
 			if n.Up() && n.Get("/fleet/releases", &l) == nil && l.Fresh {
 				return l
@@ -212,8 +212,8 @@
 	start := func(id, text string, back bool) {
 		t.Helper()
 		digest := fleet.ConfigDigest([]byte(text))
-		for _, c := range []quorum.Command{{Op: quorum.Put, Digest: digest, Text: text}, {Op: quorum.ReleaseBegin, Plan: &release.Plan{ID: id, To: digest, Soak: time.Second, Back: back,
-			Gate: release.Gate{Requests: 50, Slower: 20, Memory: 10}}}} {
+		for _, c := range []quorum.Command{{Op: quorum.OpStoreConfig, Digest: digest, Text: text}, {Op: quorum.OpStartRelease, Plan: &release.Plan{ID: id, Target: digest, Soak: time.Second, RollBackOnFailure: back,
+			Gate: release.Gate{MinRequests: 50, MaxMeanRatio: 20, MaxMemoryRatio: 10}}}} {
 			comes(t, "the command to be taken", func() bool { return s.Nodes[5].Release(c) == nil })
 		}
 	}
@@ -233,7 +233,7 @@
 	}
 	has := func(digest string) (n int) {
 		for _, g := range state().Gateways {
-			if g.Has == digest {
+			if g.Config == digest {
 				n++
 			}
 		}
@@ -278,7 +278,7 @@
 		}
 		return false
 	})
-	if r.State != release.Gone || r.Why == "" || most > 2 || r.Wave != 0 {
+	if r.State != release.RolledBack || r.StateReason == "" || most > 2 || r.Wave != 0 {
 		t.Errorf("%v; %d gateways had it", &r, most)
 	}
 	if killed != nil && !killed.Up() {
@@ -289,7 +289,7 @@
 	comes(t, "all to have what they had", func() bool { return has(fleet.ConfigDigest([]byte(good))) == 6 })
 
 	start("unreadable", "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n", true)
-	if r := ended("unreadable"); r.State != release.Gone || !strings.Contains(r.Why, "listeners is each process's own") {
+	if r := ended("unreadable"); r.State != release.RolledBack || !strings.Contains(r.StateReason, "listeners is each process's own") {
 		t.Errorf("%v", &r)
 	}
 	comes(t, "all to have what they had", func() bool { return has(fleet.ConfigDigest([]byte(good))) == 6 })
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -111,37 +111,37 @@
 			}
 		}
 		id := fmt.Sprint(seed, "-", step)
-		p := &release.Plan{ID: id, Soak: 200 * time.Millisecond, Back: rng.IntN(2) == 0, Grace: time.Second, Notice: 250 * time.Millisecond,
-			Gate: release.Gate{Requests: 5, Slower: 50, Tail: 50, Memory: 10, InTime: 0.9}}
+		p := &release.Plan{ID: id, Soak: 200 * time.Millisecond, RollBackOnFailure: rng.IntN(2) == 0, Grace: time.Second, Notice: 250 * time.Millisecond,
+			Gate: release.Gate{MinRequests: 5, MaxMeanRatio: 50, MaxTailRatio: 50, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
 		switch k := rng.IntN(15); {
 		case k < 4:
-			p.Program, p.To = true, map[string]string{"v1": "v2", "v2": "v1"}[version]
+			p.OfProgram, p.Target = true, map[string]string{"v1": "v2", "v2": "v1"}[version]
 			if rng.IntN(4) == 0 {
-				p.To = "crash"
+				p.Target = "crash"
 			}
-			if do(n, quorum.Command{Op: quorum.ReleaseBegin, Plan: p}) {
+			if do(n, quorum.Command{Op: quorum.OpStartRelease, Plan: p}) {
 				v.Releases++
-				if p.To != "crash" {
-					version = p.To
+				if p.Target != "crash" {
+					version = p.Target
 				}
 			}
 		case k == 4:
 			text := []string{usable, unusable}[rng.IntN(2)]
-			p.To = fleet.ConfigDigest([]byte(text))
-			if do(n, quorum.Command{Op: quorum.Put, Digest: p.To, Text: text}) && do(n, quorum.Command{Op: quorum.ReleaseBegin, Plan: p}) {
+			p.Target = fleet.ConfigDigest([]byte(text))
+			if do(n, quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: text}) && do(n, quorum.Command{Op: quorum.OpStartRelease, Plan: p}) {
 				v.Releases++
 			}
 		case k < 7 && rng.IntN(2) == 0:
-			do(n, quorum.Command{Op: []quorum.Op{quorum.ReleaseHalt, quorum.ReleaseBack}[k-5], Text: "by hand"})
+			do(n, quorum.Command{Op: []quorum.Op{quorum.OpHaltRelease, quorum.OpRollbackRelease}[k-5], Text: "by hand"})
 		case k == 7:
-			do(n, quorum.Command{Op: quorum.ReleaseResume})
+			do(n, quorum.Command{Op: quorum.OpResumeRelease})
 		case k == 8 && n.Up():
-			o, err := n.Order("drain", drain.Order{ID: id, Target: drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Asked++; err == nil && o.State != drain.Refused {
+			o, err := n.Order("drain", drain.Request{ID: id, Target: drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
+			if v.Asked++; err == nil && o.State != drain.Rejected {
 				open = append(open, id)
 			}
 		case k == 9 && len(open) > 0 && n.Up():
-			if _, err := n.Order("undrain", drain.Order{ID: open[0]}); err == nil {
+			if _, err := n.Order("undrain", drain.Request{ID: open[0]}); err == nil {
 				open = open[1:]
 			}
 		case k == 10:
@@ -176,8 +176,8 @@
 	if err := Await(ctx, "orders to be cancelled", back, func() bool {
 		m, err := s.Nodes[0].Orders()
 		for id, o := range m {
-			if strings.HasPrefix(id, fmt.Sprint(seed, "-")) && o.State != drain.Ended && o.State != drain.Refused && o.State != drain.Cancelled {
-				_, e := s.Nodes[0].Order("undrain", drain.Order{ID: id})
+			if strings.HasPrefix(id, fmt.Sprint(seed, "-")) && o.State != drain.Ended && o.State != drain.Rejected && o.State != drain.Cancelled {
+				_, e := s.Nodes[0].Order("undrain", drain.Request{ID: id})
 				err = errors.Join(err, e)
 			}
 		}
@@ -185,24 +185,24 @@
 	}); err != nil {
 		return fail(err)
 	}
-	var l quorum.Releases
+	var l quorum.ReleaseList
 	what := ""
 	err = Await(ctx, "the releases to end", 2*back, func() bool {
-		l = quorum.Releases{}
+		l = quorum.ReleaseList{}
 		if err := s.Nodes[1].Get("/fleet/releases", &l); err != nil || !l.Fresh {
 			what = fmt.Sprint("no word of them: ", err)
 			return false
 		}
 		if l.Current != nil {
 			what = l.Current.String()
-			if l.Current.State != release.Going {
-				_ = s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBack, Text: "the end"})
+			if l.Current.State != release.RollingBack {
+				_ = s.Nodes[1].Release(quorum.Command{Op: quorum.OpRollbackRelease, Text: "the end"})
 			}
 			return false
 		}
 		for _, g := range l.Gateways {
-			if to := l.Programs[g.Name]; !g.Here || g.Has != l.Want[g.Name] || to != "" && g.Program != to {
-				what = fmt.Sprintf("%s here %v has %q, is to have %q, runs as %q, is to run as %q %s", g.Name, g.Here, g.Has, l.Want[g.Name], g.Program, to, g.NotThis)
+			if to := l.DesiredVersions[g.Name]; !g.Responding || g.Config != l.DesiredConfigs[g.Name] || to != "" && g.Version != to {
+				what = fmt.Sprintf("%s here %v has %q, is to have %q, runs as %q, is to run as %q %s", g.Name, g.Responding, g.Config, l.DesiredConfigs[g.Name], g.Version, to, g.VersionRejected)
 				return false
 			}
 		}
@@ -226,7 +226,7 @@
 		switch r.State {
 		case release.Done:
 			v.Done++
-		case release.Gone:
+		case release.RolledBack:
 			v.Back++
 		}
 	}
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -94,8 +94,8 @@
 		before, _ := a.Last()
 		comes(t, "an act, "+what, func() bool { x, _ := a.Last(); return x.At > before.At })
 	}
-	orderDrain := func(by int, id string) (drain.Order, error) {
-		return s.Nodes[by].Order("drain", drain.Order{ID: id, Target: drain.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
+	orderDrain := func(by int, id string) (drain.Request, error) {
+		return s.Nodes[by].Order("drain", drain.Request{ID: id, Target: drain.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
 	}
 	restart := func(n *cluster.Node, binary string) {
 		t.Helper()
@@ -120,7 +120,7 @@
 			id := fmt.Sprint("early", tries)
 			_, err := orderDrain(0, id)
 			if err == nil {
-				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].Order("undrain", drain.Order{ID: id}); return err == nil })
+				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].Order("undrain", drain.Request{ID: id}); return err == nil })
 				restart(s.Nodes[2], old)
 			}
 			return err != nil && strings.Contains(err.Error(), "earlier version")
@@ -128,8 +128,8 @@
 		comes(t, "nothing to be out", s.Nodes[3].Ready)
 	}
 	comes(t, "an order to be taken", func() bool { _, err := orderDrain(1, "late"); return err == nil })
-	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Done })
-	if _, err := s.Nodes[2].Order("undrain", drain.Order{ID: "late"}); err != nil {
+	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Drained })
+	if _, err := s.Nodes[2].Order("undrain", drain.Request{ID: "late"}); err != nil {
 		t.Fatal(err)
 	}
 	comes(t, "n3 to be back", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Ended })
@@ -156,8 +156,8 @@
 	defer s.Close()
 	load := s.Load(20)
 	defer load.Stop()
-	state := func(id string) drain.Order { m, _ := s.Nodes[2].Orders(); return m[id] }
-	ask := func(by int, o drain.Order) (drain.Order, error) {
+	state := func(id string) drain.Request { m, _ := s.Nodes[2].Orders(); return m[id] }
+	ask := func(by int, o drain.Request) (drain.Request, error) {
 		o.Owner = "test"
 		if o.Grace == 0 {
 			o.Grace, o.Notice = 5*time.Second, 300*time.Millisecond
@@ -166,26 +166,26 @@
 	}
 	back := func(id string) {
 		t.Helper()
-		if _, err := s.Nodes[1].Order("undrain", drain.Order{ID: id}); err != nil {
+		if _, err := s.Nodes[1].Order("undrain", drain.Request{ID: id}); err != nil {
 			t.Fatal(err)
 		}
 		comes(t, id+" to end", func() bool { return state(id).State == drain.Ended })
 	}
 	comes(t, "the gateways to be known", func() bool {
-		var l quorum.Orders
-		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && l.Budgets[0].Of == 4
+		var l quorum.DrainList
+		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && l.Budgets[0].Total == 4
 	})
 	var work sync.WaitGroup
 	for i, zone := range []string{"a", "b"} {
-		work.Go(func() { _, _ = ask(i, drain.Order{ID: zone, Target: drain.Target{Site: "s", Zone: zone}}) })
+		work.Go(func() { _, _ = ask(i, drain.Request{ID: zone, Target: drain.Target{Site: "s", Zone: zone}}) })
 	}
 	work.Wait()
-	comes(t, "one zone to be out", func() bool { return state("a").State == drain.Done || state("b").State == drain.Done })
+	comes(t, "one zone to be out", func() bool { return state("a").State == drain.Drained || state("b").State == drain.Drained })
 	out, waits := "a", "b"
-	if state("b").State == drain.Done {
+	if state("b").State == drain.Drained {
 		out, waits = "b", "a"
 	}
-	if o := state(waits); o.State != drain.Asked || !strings.Contains(o.Why, "2 of 4 are out") {
+	if o := state(waits); o.State != drain.Pending || !strings.Contains(o.StateReason, "2 of 4 are out") {
 		t.Errorf("the other zone: %+v", o)
 	}
 	for i, n := range s.Nodes {
@@ -196,12 +196,12 @@
 	back(waits)
 	back(out)
 	// Servers: the zone of two is out together, with one more there is no room.
-	if _, err := ask(3, drain.Order{ID: "ends", Target: drain.Target{Cluster: "c", Zone: "a"}}); err != nil {
+	if _, err := ask(3, drain.Request{ID: "ends", Target: drain.Target{Cluster: "c", Zone: "a"}}); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "a zone of servers to be out", func() bool { return state("ends").State == drain.Done })
+	comes(t, "a zone of servers to be out", func() bool { return state("ends").State == drain.Drained })
 	at := time.Now()
-	if o, err := ask(0, drain.Order{ID: "third", Target: drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}}); err != nil || o.State != drain.Asked {
+	if o, err := ask(0, drain.Request{ID: "third", Target: drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}}); err != nil || o.State != drain.Pending {
 		t.Errorf("a third server: %+v, %v", o, err)
 	}
 	before := s.Origins[1].Requests()
@@ -220,7 +220,7 @@
 		again  string
 		took   time.Duration
 	}
-	play := func(id string, o drain.Order) map[string]answer {
+	play := func(id string, o drain.Request) map[string]answer {
 		t.Helper()
 		// A request that takes longer than a grace; the server says when it has it.
 		arrived, release := make(chan struct{}, 8), make(chan struct{})
@@ -262,16 +262,16 @@
 		if _, err := ask(1, o); err != nil {
 			t.Fatal(err)
 		}
-		if o.Wait {
+		if o.WaitForAll {
 			comes(t, "it to be overdue", func() bool { return state(id).State == drain.Overdue })
-			if x := state(id); x.InHand != 2 {
-				t.Errorf("overdue with %d in hand", x.InHand)
+			if x := state(id); x.InFlight != 2 {
+				t.Errorf("overdue with %d in hand", x.InFlight)
 			}
 			close(release)
 		}
-		comes(t, "it to be done", func() bool { return state(id).State == drain.Done })
+		comes(t, "it to be done", func() bool { return state(id).State == drain.Drained })
 		work.Wait()
-		if !o.Wait {
+		if !o.WaitForAll {
 			close(release)
 		}
 		for _, x := range s.Origins {
@@ -280,11 +280,11 @@
 		back(id)
 		return got
 	}
-	got := play("answers", drain.Order{})
+	got := play("answers", drain.Request{})
 	if g, p := got[http.MethodGet], got[http.MethodPost]; g.status != 503 || g.again == "" || p.status != 504 || p.again != "" || g.took < time.Second || g.took > 6*time.Second {
 		t.Errorf("at the end of the grace: GET %+v, POST %+v", g, p)
 	}
-	if got = play("waits", drain.Order{Wait: true}); got[http.MethodGet].status != 200 || got[http.MethodPost].status != 200 {
+	if got = play("waits", drain.Request{WaitForAll: true}); got[http.MethodGet].status != 200 || got[http.MethodPost].status != 200 {
 		t.Errorf("waited for: %+v", got)
 	}
 }
@@ -331,7 +331,7 @@
 	}()
 	var v cluster.DrainVerdict
 	watch := s.Watch(&v, 1)
-	state := func() (l quorum.Releases) {
+	state := func() (l quorum.ReleaseList) {
 		for _, n := range s.Nodes {
 			if n.Up() && n.Get("/fleet/releases", &l) == nil && l.Fresh {
 				return l
@@ -342,7 +342,7 @@
 	comes(t, "the gateways to be known", func() bool { return len(state().Gateways) == 5 })
 	runAs := func(version string) (n int) {
 		for _, g := range state().Gateways {
-			if g.Here && g.Program == version {
+			if g.Responding && g.Version == version {
 				n++
 			}
 		}
@@ -350,9 +350,9 @@
 	}
 	play := func(id, to string) (r release.Release) {
 		t.Helper()
-		p := &release.Plan{ID: id, To: to, Program: true, Soak: 500 * time.Millisecond, Back: true, Grace: 2 * time.Second, Notice: 300 * time.Millisecond,
-			Gate: release.Gate{Requests: 20, Slower: 20, Tail: 20, Memory: 10}}
-		comes(t, id+" to be taken", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: p}) == nil })
+		p := &release.Plan{ID: id, Target: to, OfProgram: true, Soak: 500 * time.Millisecond, RollBackOnFailure: true, Grace: 2 * time.Second, Notice: 300 * time.Millisecond,
+			Gate: release.Gate{MinRequests: 20, MaxMeanRatio: 20, MaxTailRatio: 20, MaxMemoryRatio: 10}}
+		comes(t, id+" to be taken", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: p}) == nil })
 		last := ""
 		err := cluster.Await(t.Context(), id+" to end", long, func() bool {
 			l := state()
@@ -368,7 +368,7 @@
 			return r.ID == id
 		})
 		if err != nil {
-			var o quorum.Orders
+			var o quorum.DrainList
 			_ = s.Nodes[1].Get("/fleet/orders", &o)
 			l := state()
 			text, _ := json.Marshal(l)
@@ -387,7 +387,7 @@
 	for _, x := range []struct{ to, why string }{{"none", "is not here"}, {"crash", "given up here: it ended with 3"}, {"mute", "nobody is heard of"}, {"fails", "failed or were refused"}} {
 		failed := load.Failed.Load()
 		r := play("to "+x.to, x.to)
-		if r.State != release.Gone || r.Wave != 0 || !strings.Contains(r.Why, x.why) {
+		if r.State != release.RolledBack || r.Wave != 0 || !strings.Contains(r.StateReason, x.why) {
 			t.Errorf("%v, want why: %s", &r, x.why)
 		}
 		comes(t, "all to run as v2 again", func() bool { return runAs("v2") == 5 })
@@ -422,12 +422,12 @@
 	defer s.Close()
 	load := s.Load(30)
 	defer load.Stop()
-	state := func() (l quorum.Releases) { _ = s.Nodes[0].Get("/fleet/releases", &l); return l }
+	state := func() (l quorum.ReleaseList) { _ = s.Nodes[0].Get("/fleet/releases", &l); return l }
 	comes(t, "the gateways to be known", func() bool { return len(state().Gateways) == 5 })
-	plan := &release.Plan{ID: "r", To: "v2", Program: true, Soak: 300 * time.Millisecond, Back: true, Grace: time.Second, Notice: 300 * time.Millisecond,
-		Gate: release.Gate{Requests: 10, Slower: 1000, Tail: 1000, Memory: 10, InTime: 0.9}}
-	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: plan}) == nil })
-	if err := s.Nodes[2].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: &release.Plan{ID: "second", To: "v1", Program: true}}); err == nil {
+	plan := &release.Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 300 * time.Millisecond, RollBackOnFailure: true, Grace: time.Second, Notice: 300 * time.Millisecond,
+		Gate: release.Gate{MinRequests: 10, MaxMeanRatio: 1000, MaxTailRatio: 1000, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
+	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil })
+	if err := s.Nodes[2].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: &release.Plan{ID: "second", Target: "v1", OfProgram: true}}); err == nil {
 		t.Error("a second release began")
 	}
 	comes(t, "the second wave", func() bool {
@@ -441,7 +441,7 @@
 		n.Kill()
 	}
 	comes(t, "it to halt", func() bool { r := state().Current; return r != nil && r.State == release.Halted })
-	if r := state().Current; !strings.Contains(r.Why, `zone "b"`) && !strings.Contains(r.Why, "no answer") {
+	if r := state().Current; !strings.Contains(r.StateReason, `zone "b"`) && !strings.Contains(r.StateReason, "no answer") {
 		t.Errorf("%v", r)
 	}
 	comes(t, "those that are there to serve", func() bool {
@@ -460,30 +460,30 @@
 	comes(t, "the zone to be seen again", func() bool {
 		here := 0
 		for _, g := range state().Gateways {
-			if g.Here && g.Serving {
+			if g.Responding && g.Serving {
 				here++
 			}
 		}
 		return here == 5
 	})
-	if err := s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseResume}); err != nil {
+	if err := s.Nodes[1].Release(quorum.Command{Op: quorum.OpResumeRelease}); err != nil {
 		t.Fatal(err)
 	}
 	comes(t, "it to be done", func() bool { l := state(); return len(l.Ended) > 0 && l.Ended[0].State == release.Done })
-	plan.ID, plan.To = "again", "v1"
-	if err := s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: plan}); err != nil {
+	plan.ID, plan.Target = "again", "v1"
+	if err := s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
 		// By the second time it may have ended.
-		if err := s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBack}); err != nil && !strings.Contains(err.Error(), release.ErrNone.Error()) {
+		if err := s.Nodes[1].Release(quorum.Command{Op: quorum.OpRollbackRelease}); err != nil && !strings.Contains(err.Error(), release.ErrNoRelease.Error()) {
 			t.Fatal(err)
 		}
 	}
-	comes(t, "it to be back", func() bool { l := state(); return len(l.Ended) > 1 && l.Ended[1].State == release.Gone })
+	comes(t, "it to be back", func() bool { l := state(); return len(l.Ended) > 1 && l.Ended[1].State == release.RolledBack })
 	comes(t, "all to run as v2", func() bool {
 		for _, g := range state().Gateways {
-			if g.Program != "v2" || !g.Serving {
+			if g.Version != "v2" || !g.Serving {
 				return false
 			}
 		}
@@ -516,11 +516,11 @@
 	defer load.Stop()
 	var v cluster.DrainVerdict
 	stop := s.Watch(&v, 2)
-	state := func() (l quorum.Releases) { _ = s.Nodes[0].Get("/fleet/releases", &l); return l }
+	state := func() (l quorum.ReleaseList) { _ = s.Nodes[0].Get("/fleet/releases", &l); return l }
 	comes(t, "the gateways to be known", func() bool { return len(state().Gateways) == 5 })
-	plan := &release.Plan{ID: "r", To: "v2", Program: true, Soak: 200 * time.Millisecond, Grace: 5 * time.Second, Notice: time.Second,
-		Gate: release.Gate{Requests: 5, Slower: 50, Tail: 50, Memory: 10, InTime: 0.9}}
-	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: plan}) == nil })
+	plan := &release.Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 200 * time.Millisecond, Grace: 5 * time.Second, Notice: time.Second,
+		Gate: release.Gate{MinRequests: 5, MaxMeanRatio: 50, MaxTailRatio: 50, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
+	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil })
 	comes(t, "it to be done", func() bool { l := state(); return len(l.Ended) > 0 && l.Ended[0].State == release.Done })
 	stop()
 	if v.Over == 0 || v.Most < 3 {
--- a/internal/testbed/hollow/askers.go
+++ b/internal/testbed/hollow/askers.go
@@ -83,11 +83,11 @@
 		n.Serve()
 		life, end := context.WithCancel(ctx)
 		a.nodes, a.ends = append(a.nodes, n), append(a.ends, end)
-		r := leaderelection.NewRunner(&gate{quorum.NewClient(n, o.Voters, o.Attempt, fleet.Clock), a},
-			leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("a", i), Birth: 1}, Now: fleet.Clock, Log: quiet})
+		r := leaderelection.NewElector(&gate{quorum.NewClient(n, o.Voters, o.Attempt, fleet.Clock), a},
+			leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("a", i), Incarnation: 1}, Now: fleet.Clock, Log: quiet})
 		for _, name := range o.Duties {
 			a.work.Go(func() {
-				r.Run(life, leaderelection.Duty{Name: name, Rules: lease.Rules{Length: o.Length, Patience: min(3*o.Length, lease.MostLength)}, Run: func(ctx context.Context, _ *leaderelection.Hold) {
+				r.Run(life, leaderelection.Task{Name: name, Rules: lease.Rules{Length: o.Length, MaxWait: min(3*o.Length, lease.MaxLength)}, Run: func(ctx context.Context, _ *leaderelection.Leadership) {
 					select {
 					case a.holds <- Hold{i, name, fleet.Clock()}:
 					default: // nobody looks
--- a/internal/testbed/hollow/gateways.go
+++ b/internal/testbed/hollow/gateways.go
@@ -36,7 +36,7 @@
 	rounds  []time.Duration          // when it was told of orders, on fleet.Clock
 	drained map[string]time.Duration // when it first heard that an order has it out
 	served  uint64                   // requests that it says it has served
-	share   *subscription.Share
+	share   *subscription.Subscription
 	taken   map[[2]uint64]time.Duration // when it took a change, by token and number
 	wholes  int                         // lists taken as a whole
 	bytes   int64                       // of pushes
@@ -59,36 +59,36 @@
 // Prepare has a member take orders and news.
 func (g *Gateways) Prepare(m *Member) error {
 	t := &taker{g: g, name: m.Name, m: m, drained: map[string]time.Duration{}, taken: map[[2]uint64]time.Duration{},
-		share: subscription.New(fleet.Clock(), subscription.Options{OwnAfter: time.Hour})}
+		share: subscription.New(fleet.Clock(), subscription.Options{DirectAfter: time.Hour})}
 	g.mu.Lock()
 	g.all[m.Name] = t
 	g.mu.Unlock()
-	m.Serve(t)
+	m.SetAgent(t)
 	m.Node().Handle(sharePath, 64<<20, t.receive)
 	return nil
 }
 
-// Ordered takes what is ordered and says how it stands: in service, or out with nothing in hand.
-func (t *taker) Ordered(v drain.View, _ bool) fleet.Report {
+// ApplyDrains takes what is ordered and says how it stands: in service, or out with nothing in hand.
+func (t *taker) ApplyDrains(v drain.View, _ bool) fleet.Report {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	now := fleet.Clock()
 	if len(t.rounds) < mostTimes {
 		t.rounds = append(t.rounds, now)
 	}
-	r := fleet.Report{Version: v.Version, Serving: true, InHand: map[string]int{}}
+	r := fleet.Report{Version: v.Version, Serving: true, InFlight: map[string]int{}}
 	if t.g.shows {
 		const more, took, memory = 100, 10 * time.Millisecond, 50 << 20
 		t.served += more
-		r.Figures = release.Figures{Taken: t.served, Served: t.served, Seconds: float64(t.served) * took.Seconds(), Memory: memory,
-			Times: append(make([]uint64, release.Bucket(took)), t.served)}
+		r.Figures = release.Figures{Accepted: t.served, Served: t.served, LatencySeconds: float64(t.served) * took.Seconds(), Memory: memory,
+			LatencyCounts: append(make([]uint64, release.LatencyBucket(took)), t.served)}
 	}
-	for _, o := range v.Out {
-		if o.State.Out() && o.Target.HasGateway(t.name, t.m.Site, "z0") {
+	for _, o := range v.Requests {
+		if o.State.Unavailable() && o.Target.MatchesGateway(t.name, t.m.Site, "z0") {
 			if t.drained[o.ID] == 0 {
 				t.drained[o.ID] = now
 			}
-			r.Serving, r.InHand[o.ID] = false, 0
+			r.Serving, r.InFlight[o.ID] = false, 0
 		}
 	}
 	return r
@@ -100,30 +100,30 @@
 // receive takes a push as the gateway's does: the share decides, and what comes is read.
 func (t *taker) receive(_ context.Context, body []byte) (any, error) {
 	var p struct {
-		subscription.Push
+		subscription.Update
 		Types []struct {
 			Resources [][]byte `json:"resources"`
 		} `json:"types"`
 	}
 	if err := json.Unmarshal(body, &p); err != nil {
-		return nil, &peer.Failure{Status: http.StatusBadRequest, Err: err}
+		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	now := fleet.Clock()
-	v := t.share.Push(now, p.Push, 0)
+	v := t.share.Receive(now, p.Update, 0)
 	t.pushes++
 	t.bytes += int64(len(body))
-	if v == subscription.Take {
+	if v == subscription.Accept {
 		t.taken[[2]uint64{p.Token, p.Seq}] = now
-		if p.Whole {
+		if p.Full {
 			t.wholes++
 		}
 	}
 	return struct {
 		Verdict subscription.Verdict `json:"verdict"`
 		Highest uint64               `json:"highest"`
-	}{v, t.share.Highest()}, nil
+	}{v, t.share.HighestToken()}, nil
 }
 
 // Rounds gives the times between two of the leader's rounds as the gateways see them, sorted, and how often they were told in all,
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	v := []quorum.Voter{{Name: "v", Address: n.Addr()}}
-	s, err := quorum.Open(n, quorum.Options{Dir: t.TempDir(), Name: "v", Voters: v, Heartbeat: 50 * time.Millisecond, MostBytes: 1 << 24, Log: quiet})
+	s, err := quorum.Open(n, quorum.Options{Dir: t.TempDir(), Name: "v", Voters: v, Heartbeat: 50 * time.Millisecond, MaxLogBytes: 1 << 24, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,21 +217,21 @@
 		t.Fatal(err)
 	}
 	to, from := f.members[0], f.members[1]
-	x := drain.Order{ID: "x", Target: drain.Target{Gateway: to.Name}, State: drain.UnderWay}
-	if r := g.all[to.Name].Ordered(drain.View{Version: 3, Out: []drain.Order{x}}, false); r.Serving || r.Version != 3 || g.Drained(to.Name, "x") == 0 {
+	x := drain.Request{ID: "x", Target: drain.Target{Gateway: to.Name}, State: drain.Draining}
+	if r := g.all[to.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); r.Serving || r.Version != 3 || g.Drained(to.Name, "x") == 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := g.all[from.Name].Ordered(drain.View{Version: 3, Out: []drain.Order{x}}, false); !r.Serving || g.Drained(from.Name, "x") != 0 {
+	if r := g.all[from.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); !r.Serving || g.Drained(from.Name, "x") != 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := g.all[to.Name].Ordered(drain.View{Version: 3}, false); r.Figures.Taken != 0 {
+	if r := g.all[to.Name].ApplyDrains(drain.View{Version: 3}, false); r.Figures.Accepted != 0 {
 		t.Errorf("it shows %+v before it is to", r.Figures)
 	}
 	g.Show()
-	if a, b := g.all[to.Name].Ordered(drain.View{Version: 3}, false).Figures, g.all[to.Name].Ordered(drain.View{Version: 3}, false).Figures; a.Taken == 0 || b.Taken != 2*a.Taken || b.Served != b.Taken {
+	if a, b := g.all[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures, g.all[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures; a.Accepted == 0 || b.Accepted != 2*a.Accepted || b.Served != b.Accepted {
 		t.Errorf("it shows %+v, then %+v", a, b)
 	}
-	push := func(p subscription.Push) (v subscription.Verdict) {
+	push := func(p subscription.Update) (v subscription.Verdict) {
 		t.Helper()
 		var r struct {
 			Verdict subscription.Verdict `json:"verdict"`
@@ -242,14 +242,14 @@
 		return r.Verdict
 	}
 	for _, c := range []struct {
-		p    subscription.Push
+		p    subscription.Update
 		want subscription.Verdict
 	}{
-		{subscription.Push{Token: 2, Seq: 5, Base: 4}, subscription.Need}, // a difference from what it does not have
-		{subscription.Push{Token: 2, Seq: 5, Whole: true}, subscription.Take},
-		{subscription.Push{Token: 2, Seq: 6, Base: 5}, subscription.Take},
-		{subscription.Push{Token: 2, Seq: 6}, subscription.Same},
-		{subscription.Push{Token: 1, Seq: 9, Whole: true}, subscription.Refuse},
+		{subscription.Update{Token: 2, Seq: 5, Base: 4}, subscription.NeedSnapshot}, // a difference from what it does not have
+		{subscription.Update{Token: 2, Seq: 5, Full: true}, subscription.Accept},
+		{subscription.Update{Token: 2, Seq: 6, Base: 5}, subscription.Accept},
+		{subscription.Update{Token: 2, Seq: 6}, subscription.Unchanged},
+		{subscription.Update{Token: 1, Seq: 9, Full: true}, subscription.Reject},
 	} {
 		if v := push(c.p); v != c.want {
 			t.Errorf("%+v: %s, want %s", c.p, v, c.want)
--- a/internal/testbed/hollow/members.go
+++ b/internal/testbed/hollow/members.go
@@ -85,7 +85,7 @@
 	r.Heap = float64(heap()-before) / float64(n)
 	rate := idleRate(&r, probe)
 	one := f.members[n/2]
-	f.work.Go(func() { one.Say(membership.Draining, "c0") }) // it returns once it has been told on
+	f.work.Go(func() { one.Announce(membership.Draining, "c0") }) // it returns once it has been told on
 	if r.News, err = f.know(ctx, limit, one.Name, func(m membership.Member, _ bool) bool { return m.State == membership.Draining }); err != nil {
 		return r, err
 	}
@@ -209,7 +209,7 @@
 		version, suspected := fmt.Sprint("c", 1+try), f.Suspicions()
 		s, bytes, used, err := f.told(ctx, rate, func() {
 			for _, m := range all {
-				f.work.Go(func() { m.Say(membership.Serving, version) })
+				f.work.Go(func() { m.Announce(membership.Serving, version) })
 			}
 		}, func() int { return f.Lacking(func(m membership.Member) bool { return m.Config == version }) })
 		if err != nil {
@@ -238,10 +238,10 @@
 			if fault = f.start(m, "c1"); fault != nil {
 				return
 			}
-			births[m.Name] = m.Members().Self().Birth
+			births[m.Name] = m.Members().Self().Incarnation
 		}
 	}, func() int {
-		return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Birth >= births[m.Name] })
+		return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Incarnation >= births[m.Name] })
 	})
 	if fault != nil {
 		return fault
--- a/internal/testbed/hollow/outage.go
+++ b/internal/testbed/hollow/outage.go
@@ -83,7 +83,7 @@
 			return r, err
 		}
 		for _, m := range all {
-			m.Node().Cut(nil)
+			m.Node().SetPartition(nil)
 		}
 		r.Back, r.BackBytes, r.BackCPU, err = f.until(ctx, rate, limit, func() int { return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead }) })
 	} else {
@@ -106,10 +106,10 @@
 			if err := f.start(m, "c0"); err != nil {
 				return r, err
 			}
-			births[m.Name] = m.Members().Self().Birth
+			births[m.Name] = m.Members().Self().Incarnation
 		}
 		r.Back, r.BackBytes, r.BackCPU, err = f.until(ctx, rate, limit, func() int {
-			return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Birth >= births[m.Name] })
+			return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Incarnation >= births[m.Name] })
 		})
 	}
 	r.DeadBytes, r.BackBytes = r.DeadBytes/float64(r.Lost), r.BackBytes/float64(r.Lost)
@@ -128,7 +128,7 @@
 	}
 	for _, m := range all {
 		here := side[m.Address]
-		m.Node().Cut(func(addr string) bool { return side[addr] != here })
+		m.Node().SetPartition(func(addr string) bool { return side[addr] != here })
 	}
 	return side
 }
--- a/internal/testbed/hollow/outage_test.go
+++ b/internal/testbed/hollow/outage_test.go
@@ -68,7 +68,7 @@
 		}
 		wait("each of two sides takes the other for dead", 2*2*3)
 		for _, m := range f.members {
-			m.Node().Cut(nil)
+			m.Node().SetPartition(nil)
 		}
 		wait("all know all again", 0)
 	})
--- a/internal/unknownfields/keep_test.go
+++ b/internal/unknownfields/keep_test.go
@@ -15,8 +15,8 @@
 
 // What a newer program says in messages and in what it stores goes through this one whole.
 func TestUnknownFieldsAreHandedOn(t *testing.T) {
-	for what, v := range map[string]any{"order": &drain.Order{ID: "a"}, "orders": drain.NewBook(), "releases": release.NewBook(), "leases": lease.NewTable(),
-		"command": &quorum.Command{Op: quorum.Ask, Order: &drain.Order{ID: "a"}}, "release": &release.Release{Plan: release.Plan{ID: "r"}}} {
+	for what, v := range map[string]any{"order": &drain.Request{ID: "a"}, "orders": drain.NewLedger(), "releases": release.NewLedger(), "leases": lease.NewTable(),
+		"command": &quorum.Command{Op: quorum.OpDrain, Drain: &drain.Request{ID: "a"}}, "release": &release.Release{Plan: release.Plan{ID: "r"}}} {
 		text, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -30,14 +30,14 @@
 		}
 	}
 	// An order's own are kept from the asking to the view that gateways are told.
-	b := drain.NewBook()
-	var o drain.Order
+	b := drain.NewLedger()
+	var o drain.Request
 	if err := json.Unmarshal([]byte(`{"id":"a","target":{"gateway":"g"},"grace":1000000000,"paint":"blue"}`), &o); err != nil {
 		t.Fatal(err)
 	}
-	_ = b.Limit(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Most: 1}})
-	_ = b.See(0, 0, []drain.Gateway{{Name: "g", Serving: true}, {Name: "h", Serving: true}}, nil)
-	if _, err := b.Ask(0, o); err != nil {
+	_ = b.SetBudgets(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Max: 1}})
+	_ = b.Observe(0, 0, []drain.Gateway{{Name: "g", Serving: true}, {Name: "h", Serving: true}}, nil)
+	if _, err := b.Submit(0, o); err != nil {
 		t.Fatal(err)
 	}
 	if text, _ := json.Marshal(b.View(1)); !strings.Contains(string(text), `"paint":"blue"`) {
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -463,8 +463,8 @@
 
 // Word gives an assignment as its cluster's last word. Where the weights of localities count, a locality's weight is
 // shared among its endpoints by their own.
-func (a *Assignment) Word(source, version string, localities bool) endpoints.Word {
-	w := endpoints.Word{Source: source, Version: version, Endpoints: make([]endpoints.Endpoint, len(a.Endpoints))}
+func (a *Assignment) Word(source, version string, localities bool) endpoints.Update {
+	w := endpoints.Update{Source: source, Version: version, Endpoints: make([]endpoints.Endpoint, len(a.Endpoints))}
 	type place struct {
 		priority int
 		locality string
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -253,7 +253,7 @@
 		if proto.Unmarshal(b, &a) == nil {
 			if got, _, err := ParseAssignment(&a); err == nil {
 				var v endpoints.View
-				v.Take(1, got.Word("xds", "", true))
+				v.Apply(1, got.Word("xds", "", true))
 				for _, s := range v.Servers() {
 					if !(s.Weight > 0) {
 						t.Errorf("%+v", s)
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -275,7 +275,7 @@
 		}
 		cpu0, _, _ = spent([]*cluster.Node{leader})
 		if st, err := leader.Fleet(); err == nil {
-			b0 = st.Sent
+			b0 = st.SentBytes
 		}
 		if err := idleFor(ctx, window); err != nil {
 			return 0, 0, 0, 0, 0, 0, err
@@ -284,7 +284,7 @@
 		d := time.Since(began).Seconds()
 		cpu1, _, _ := spent([]*cluster.Node{leader})
 		if st, err := leader.Fleet(); err == nil {
-			bytes = float64(st.Sent-b0) / d
+			bytes = float64(st.SentBytes-b0) / d
 		}
 		if len(between) > 0 {
 			p50, p99 = between[len(between)/2], between[len(between)*99/100]
@@ -308,8 +308,8 @@
 	who := fmt.Sprint("h", n/2)
 	at := fleet.Clock()
 	if err := cluster.Await(ctx, "an order that is granted", 60*time.Second, func() bool {
-		o, err := c.Nodes[0].Order("drain", drain.Order{ID: "capacity", Target: drain.Target{Gateway: who}, Owner: "measure", Grace: time.Minute})
-		return err == nil && o.State != drain.Refused
+		o, err := c.Nodes[0].Order("drain", drain.Request{ID: "capacity", Target: drain.Target{Gateway: who}, Owner: "measure", Grace: time.Minute})
+		return err == nil && o.State != drain.Rejected
 	}); err != nil {
 		return err
 	}
@@ -318,7 +318,7 @@
 	}
 	told := g.Drained(who, "capacity") - at
 	done := fleet.Clock()
-	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool { l, err := c.Nodes[0].Orders(); return err == nil && l["capacity"].State == drain.Done }); err != nil {
+	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool { l, err := c.Nodes[0].Orders(); return err == nil && l["capacity"].State == drain.Drained }); err != nil {
 		return err
 	}
 	done = fleet.Clock() - at
@@ -340,7 +340,7 @@
 		return err
 	}
 	s.put("the same with 20,000 endpoints", float64(len(seen)), 0)
-	if _, err := c.Nodes[0].Order("undrain", drain.Order{ID: "capacity"}); err != nil {
+	if _, err := c.Nodes[0].Order("undrain", drain.Request{ID: "capacity"}); err != nil {
 		return fmt.Errorf("undrain: %w", err)
 	}
 	if err := releaseWaves(ctx, s, c, g, n, beat); err != nil {
@@ -354,12 +354,12 @@
 // releaseWaves has a configuration go over all gateways, by its waves.
 func releaseWaves(ctx context.Context, s *series, c *cluster.Cluster, g *hollow.Gateways, n int, beat time.Duration) error {
 	const text = "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
-	plan := &release.Plan{ID: "capacity", To: fleet.ConfigDigest([]byte(text)), Owner: "measure", Soak: 2 * beat, Gate: release.Gate{Requests: 50}}
+	plan := &release.Plan{ID: "capacity", Target: fleet.ConfigDigest([]byte(text)), Owner: "measure", Soak: 2 * beat, Gate: release.Gate{MinRequests: 50}}
 	g.Show()
 	if err := idleFor(ctx, 8*beat); err != nil { // a round in which nothing was ordered
 		return err
 	}
-	if err := c.Nodes[0].Release(quorum.Command{Op: quorum.Put, Digest: plan.To, Text: text}); err != nil {
+	if err := c.Nodes[0].Release(quorum.Command{Op: quorum.OpStoreConfig, Digest: plan.Target, Text: text}); err != nil {
 		return err
 	}
 	leader := c.Leader()
@@ -368,7 +368,7 @@
 	}
 	cpu0, _, _ := spent([]*cluster.Node{leader})
 	b0, e0, began := spoken([]*cluster.Node{leader}), applied(c), time.Now()
-	if err := c.Nodes[0].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: plan}); err != nil {
+	if err := c.Nodes[0].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
 		return err
 	}
 	waves, why := 0, ""
@@ -378,12 +378,12 @@
 			return false
 		}
 		if l.Current != nil {
-			waves, why = max(waves, len(l.Current.Waves)), fmt.Sprint(l.Current.State, ": ", l.Current.Why)
+			waves, why = max(waves, len(l.Current.Waves)), fmt.Sprint(l.Current.State, ": ", l.Current.StateReason)
 			return l.Current.State == release.Done
 		}
 		for _, r := range l.Ended {
 			if r.Plan.ID == plan.ID {
-				waves, why = max(waves, len(r.Waves)), fmt.Sprint(r.State, ": ", r.Why)
+				waves, why = max(waves, len(r.Waves)), fmt.Sprint(r.State, ": ", r.StateReason)
 				return r.State == release.Done
 			}
 		}
@@ -402,15 +402,15 @@
 }
 
 // looks is what the leader has agreed on where anything about a gateway or an endpoint has changed.
-func looks(gateways, endpoints int) quorum.Seen {
-	v := quorum.Seen{Version: 1}
+func looks(gateways, endpoints int) quorum.Observation {
+	v := quorum.Observation{Version: 1}
 	for i := range gateways {
-		g := drain.Gateway{Name: fmt.Sprint("gateway-", i), Site: "s", Zone: "z0", Birth: uint64(time.Now().UnixNano()), Serving: true}
+		g := drain.Gateway{Name: fmt.Sprint("gateway-", i), Site: "s", Zone: "z0", Incarnation: uint64(time.Now().UnixNano()), Serving: true}
 		v.Gateways = append(v.Gateways, g)
-		v.Release = append(v.Release, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Birth: g.Birth, Here: true, Serving: true})
+		v.Releases = append(v.Releases, release.Gateway{Name: g.Name, Site: g.Site, Zone: g.Zone, Incarnation: g.Incarnation, Responding: true, Serving: true})
 	}
 	for i := range endpoints {
-		v.Endpoints = append(v.Endpoints, drain.Endpoint{Cluster: fmt.Sprint("c", i/29), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/62500, i/250%250, i%250), Zone: "z0", Well: true})
+		v.Endpoints = append(v.Endpoints, drain.Endpoint{Cluster: fmt.Sprint("c", i/29), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/62500, i/250%250, i%250), Zone: "z0", Healthy: true})
 	}
 	return v
 }
--- a/tools/measure/capacity_limits.go
+++ b/tools/measure/capacity_limits.go
@@ -50,16 +50,16 @@
 		return err
 	}
 	const within = 15 * time.Second
-	var o drain.Order
+	var o drain.Request
 	began := time.Now()
-	for time.Since(began) < within && o.State != drain.Done && o.State != drain.Refused {
-		if o, err = s.Nodes[0].Order("drain", drain.Order{ID: "limits", Target: drain.Target{Gateway: s.Nodes[3].Name}, Owner: "measure", Grace: 5 * time.Second}); err != nil {
+	for time.Since(began) < within && o.State != drain.Drained && o.State != drain.Rejected {
+		if o, err = s.Nodes[0].Order("drain", drain.Request{ID: "limits", Target: drain.Target{Gateway: s.Nodes[3].Name}, Owner: "measure", Grace: 5 * time.Second}); err != nil {
 			return err
 		}
 		if err := idleFor(ctx, 200*time.Millisecond); err != nil {
 			return err
 		}
 	}
-	fmt.Printf("%5d clusters, %d endpoints: %v behind a drain of one of four gateways it is %s; %s\n", clusters, clusters*targetEach+3, time.Since(began).Round(10*time.Millisecond), o.State, o.Why)
+	fmt.Printf("%5d clusters, %d endpoints: %v behind a drain of one of four gateways it is %s; %s\n", clusters, clusters*targetEach+3, time.Since(began).Round(10*time.Millisecond), o.State, o.StateReason)
 	return nil
 }
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -184,7 +184,7 @@
 func (g *gate) Do(ctx context.Context, c quorum.Command) (quorum.Result, time.Duration, error) {
 	if g.dead.Load() {
 		<-ctx.Done()
-		return quorum.Result{}, 0, quorum.ErrNone
+		return quorum.Result{}, 0, quorum.ErrNoQuorum
 	}
 	g.asked.Add(1)
 	return g.Client.Do(ctx, c)
@@ -241,9 +241,9 @@
 		var work sync.WaitGroup
 		for i := range gates {
 			gates[i] = &gate{Client: quorum.NewClient(node, c.Voters(), 600*time.Millisecond, fleet.Clock), asked: &asked}
-			r := leaderelection.NewRunner(gates[i], leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("m", i), Birth: 1}, Now: fleet.Clock, Log: slog.New(slog.DiscardHandler)})
+			r := leaderelection.NewElector(gates[i], leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("m", i), Incarnation: 1}, Now: fleet.Clock, Log: slog.New(slog.DiscardHandler)})
 			work.Go(func() {
-				r.Run(life, leaderelection.Duty{Name: name, Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *leaderelection.Hold) {
+				r.Run(life, leaderelection.Task{Name: name, Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *leaderelection.Leadership) {
 					select {
 					case each <- began{i, fleet.Clock()}:
 					case <-ctx.Done():
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -117,9 +117,9 @@
 		}
 	}
 	if way == "release" {
-		p := &release.Plan{ID: version, To: version, Program: true, Soak: 3 * time.Second, Back: true, Grace: 5 * time.Second, Notice: 300 * time.Millisecond,
-			Gate: release.Gate{Requests: 25, Slower: 20, Tail: 20, Memory: 5}}
-		if err := s.Nodes[0].Release(quorum.Command{Op: quorum.ReleaseBegin, Plan: p}); err != nil {
+		p := &release.Plan{ID: version, Target: version, OfProgram: true, Soak: 3 * time.Second, RollBackOnFailure: true, Grace: 5 * time.Second, Notice: 300 * time.Millisecond,
+			Gate: release.Gate{MinRequests: 25, MaxMeanRatio: 20, MaxTailRatio: 20, MaxMemoryRatio: 5}}
+		if err := s.Nodes[0].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: p}); err != nil {
 			return r, err
 		}
 		err = cluster.Await(ctx, "the release to end", 5*time.Minute, func() bool {
@@ -129,7 +129,7 @@
 			}
 			has := 0
 			for _, g := range l.Gateways {
-				if g.Program == version {
+				if g.Version == version {
 					has++
 				}
 			}
