--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -22,7 +22,7 @@
 	stand                  []LocalityHealth
 	byZone                 map[string][]*server
 	running, added         int           // running servers; servers ever added
-	mostKinds              int           // kinds are looked over once there are more
+	maxKinds               int           // kinds are looked over once there are more
 	told                   bool          // the list is known, not only remembered
 	table                  []float64     // running sums of the weights of ready
 	fresh                  time.Duration // the table's age
@@ -63,8 +63,8 @@
 	asksSeq    = 0    // timer token of the list
 	looksSeq   = math.MaxInt64
 
-	longestRest = 30 * time.Second        // that a server may ask for
-	longestHold = 2500 * time.Millisecond // of a request that has nowhere to go, however long its client would wait
+	maxRest = 30 * time.Second        // that a server may ask for
+	maxHold = 2500 * time.Millisecond // of a request that has nowhere to go, however long its client would wait
 )
 
 // LongestAsk is the longest from one call for the list to the next while none succeeds. What the list has to tell counts as
@@ -79,7 +79,7 @@
 	b := &Balancer{set: s, host: host, rng: rand.New(rand.NewPCG(seed, 0x62617361)), budget: extraBurst,
 		classes: map[string]*class{}, servers: map[string]*server{}, requests: map[string]*request{},
 		bySeq: map[uint64]*request{}, byZone: map[string][]*server{}, kinds: map[string]*stat{}, zones: map[string]*stat{},
-		places: map[string]int{}, mostKinds: names, tenants: map[string]*tenant{}, aim: math.MaxInt64}
+		places: map[string]int{}, maxKinds: names, tenants: map[string]*tenant{}, aim: math.MaxInt64}
 	for _, c := range s.Classes {
 		if c.Aim <= 0 || c.Aim > c.Deadline {
 			c.Aim = c.Deadline
@@ -227,13 +227,13 @@
 	if len(b.zones) > 2*len(b.byZone)+names {
 		maps.DeleteFunc(b.zones, func(zone string, _ *stat) bool { return len(b.byZone[zone]) == 0 })
 	}
-	if len(b.kinds) > b.mostKinds {
+	if len(b.kinds) > b.maxKinds {
 		has := map[string]bool{}
 		for _, s := range b.list {
 			has[s.Kind] = true
 		}
 		maps.DeleteFunc(b.kinds, func(kind string, _ *stat) bool { return !has[kind] })
-		b.mostKinds = 2*len(b.kinds) + names
+		b.maxKinds = 2*len(b.kinds) + names
 	}
 }
 
@@ -456,7 +456,7 @@
 	if o.Result != TimedOut && o.Result != Cancelled && o.Result != NotSent {
 		s.quiet = now // it has said something
 	}
-	if rest := now + min(o.Rest, longestRest); o.Rest > 0 && rest > s.until {
+	if rest := now + min(o.Rest, maxRest); o.Rest > 0 && rest > s.until {
 		s.until, b.dirty = rest, true
 	}
 	switch o.Result {
@@ -659,11 +659,11 @@
 	if none && len(r.tries) == 0 {
 		b.asked.n--
 	}
-	if none || len(r.tries) > 0 || r.deadline-now < r.Left/4 || now-r.deadline+r.Left > longestHold { // nowhere to go: say so while the client can still use it
+	if none || len(r.tries) > 0 || r.deadline-now < r.Left/4 || now-r.deadline+r.Left > maxHold { // nowhere to go: say so while the client can still use it
 		b.finish(now, r)
 		return
 	}
-	b.host.SetTimer(r.seq, min(r.Left/8, longestHold/6)+1)
+	b.host.SetTimer(r.seq, min(r.Left/8, maxHold/6)+1)
 }
 
 func (b *Balancer) candidate(now time.Duration, r *request, p Purpose) *server {
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -226,8 +226,8 @@
 	return x
 }
 
-// mostClasses bounds what names that are not in the configuration may take. Danger: names that are ever new.
-const mostClasses = 64
+// maxClasses bounds what names that are not in the configuration may take. Danger: names that are ever new.
+const maxClasses = 64
 
 func (c *Controller) class(name string, high bool) *class {
 	if k := c.byName[named{name, high}]; k != nil {
@@ -236,7 +236,7 @@
 	if k := c.byName[named{name, !high}]; k != nil {
 		return c.add(k.Class, high)
 	}
-	if len(c.classes) >= mostClasses {
+	if len(c.classes) >= maxClasses {
 		for _, k := range slices.Backward(c.classes) {
 			if k.highPriority == high {
 				return k
@@ -313,7 +313,7 @@
 		c.served = rate{} // what was measured before a pause is too low now
 	}
 	for c.opt.PendingBytes > 0 && c.queue.bytes+a.Size > c.opt.PendingBytes { // fits said that this ends
-		c.drop(now, c.least(k).longest().first, Displaced)
+		c.drop(now, c.leastValuableClass(k).longestQueue().first, Displaced)
 	}
 	c.queue.add(k, a, now+wait)
 	p.waiting++
@@ -404,8 +404,8 @@
 	return kept <= c.opt.PendingBytes
 }
 
-// least is the class of the least worth that has requests waiting, of those that are worth less than k; nil: none.
-func (c *Controller) least(k *class) *class {
+// leastValuableClass is the class of the least worth that has requests waiting, of those that are worth less than k; nil: none.
+func (c *Controller) leastValuableClass(k *class) *class {
 	for _, o := range slices.Backward(c.classes) {
 		if o.Worth >= k.Worth {
 			return nil
@@ -420,8 +420,8 @@
 // displace makes room for a request where as many wait as may: the oldest of the class of the least worth below its own
 // leaves, or that of a tenant of its own class that has more waiting.
 func (c *Controller) displace(now time.Duration, k *class, tenant string) bool {
-	if o := c.least(k); o != nil {
-		c.drop(now, o.longest().first, Displaced)
+	if o := c.leastValuableClass(k); o != nil {
+		c.drop(now, o.longestQueue().first, Displaced)
 		return true
 	}
 	if k.waiting == 0 {
@@ -431,7 +431,7 @@
 	if l := k.tenants[tenant]; l != nil {
 		mine = l.n
 	}
-	if l := k.longest(); l.n > mine+1 {
+	if l := k.longestQueue(); l.n > mine+1 {
 		c.drop(now, l.first, Displaced)
 		return true
 	}
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	period   = 100 * time.Millisecond // of evidence, at the least
-	pause    = 2 * time.Second        // without an attempt that ends, behind which what came before says nothing
-	fewest   = 8                      // answers of a class that make evidence
-	samples  = 64                     // that are kept of a class in a period
-	quantile = 0.25
-	least    = 2.0 // requests in flight that are always allowed
+	period     = 100 * time.Millisecond // of evidence, at the least
+	pause      = 2 * time.Second        // without an attempt that ends, behind which what came before says nothing
+	minAnswers = 8                      // answers of a class that make evidence
+	samples    = 64                     // that are kept of a class in a period
+	quantile   = 0.25
+	minLimit   = 2.0 // requests in flight that are always allowed
 )
 
 // evidence is what attempts of a class showed in the period under way, and what is known of it from before.
@@ -96,7 +96,7 @@
 }
 
 func (k *class) quantile() (q float64, ok bool) {
-	if k.n < fewest {
+	if k.n < minAnswers {
 		return 0, false
 	}
 	l := k.took
@@ -139,7 +139,7 @@
 	if o.MaxRequests > 0 && o.High.MaxRequests > 0 {
 		most = float64(o.MaxRequests + o.High.MaxRequests)
 	}
-	l.now = max(min(l.now, most), min(least, most))
+	l.now = max(min(l.now, most), min(minLimit, most))
 }
 
 // look changes the limit where a period of evidence has come together, and says why where it fell.
@@ -164,11 +164,11 @@
 	}
 	all, bad, known := 0, 0, false
 	for _, k := range classes {
-		all, bad, known = all+k.all, bad+k.bad, known || k.n >= fewest
+		all, bad, known = all+k.all, bad+k.bad, known || k.n >= minAnswers
 	}
 	// Danger: at a low limit the answers of a period are spread over classes, and no class has enough of them. What is
 	// thrown away then is never enough, and the limit stays where it is for good.
-	if !known && (all < fewest || float64(bad) <= 0.25*float64(all)) {
+	if !known && (all < minAnswers || float64(bad) <= 0.25*float64(all)) {
 		return ""
 	}
 	// The class that fares best tells: one that is slow by itself says nothing of the others.
@@ -191,13 +191,13 @@
 	}
 	used := min(float64(l.peak), l.now)
 	cut := func(by float64, text string) {
-		l.now = max(used*by, least)
+		l.now = max(used*by, minLimit)
 		l.cutAt, why = now, text
 	}
 	switch {
 	case best > 1 && l.futile(now, used, classes):
 		l.now, l.high = max(l.high, l.now), 0
-	case all >= fewest && float64(bad) > 0.25*float64(all):
+	case all >= minAnswers && float64(bad) > 0.25*float64(all):
 		cut(0.8, fmt.Sprintf("%d of %d attempts turned away or without an answer in time", bad, all))
 	case math.IsInf(best, 1): // nothing is known
 	case best > 1:
@@ -226,7 +226,7 @@
 // take that long by themselves, which is their baseline from now on. Danger: other gateways before the same servers may
 // still be on their way down, and what they have in flight looks like answers that are long by themselves.
 func (l *limiter) futile(now time.Duration, used float64, classes []*class) bool {
-	if l.high == 0 || used > max(0.3*l.high, least) || now-l.highAt < 3*time.Second {
+	if l.high == 0 || used > max(0.3*l.high, minLimit) || now-l.highAt < 3*time.Second {
 		return false
 	}
 	known := false
@@ -289,5 +289,5 @@
 
 // known tells whether it counts for long enough.
 func (r *rate) known(now time.Duration) bool {
-	return r.n >= fewest && now-r.since >= 2*period && now-r.added < span
+	return r.n >= minAnswers && now-r.since >= 2*period && now-r.added < span
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -149,8 +149,8 @@
 	return l.first
 }
 
-// longest is the tenant with the most that wait.
-func (k *class) longest() *line {
+// longestQueue is the tenant with the most that wait.
+func (k *class) longestQueue() *line {
 	most := k.ring[0]
 	for _, l := range k.ring[1:] {
 		if l.n > most.n {
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -88,10 +88,10 @@
 type Share struct {
 	of *Budget
 
-	mu        sync.Mutex
-	own, most int64
-	used      int64
-	evict     []*func() bool
+	mu           sync.Mutex
+	own, maximum int64
+	used         int64
+	evict        []*func() bool
 }
 
 // Share books own descriptors for one user alone, until End. It holds at most most of them; 0: as many as there are.
@@ -107,7 +107,7 @@
 	defer s.mu.Unlock()
 	booked := func(own int64) int64 { return own + max(s.used-own, 0) }
 	s.of.used.Add(booked(int64(own)) - booked(s.own))
-	s.own, s.most = int64(own), int64(most)
+	s.own, s.maximum = int64(own), int64(most)
 }
 
 // End gives back what is its own. What it still holds goes back with each Give.
@@ -117,8 +117,8 @@
 func (s *Share) Limit() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.most > 0 {
-		return int(s.most)
+	if s.maximum > 0 {
+		return int(s.maximum)
 	}
 	return s.of.Limit()
 }
@@ -133,7 +133,7 @@
 // Take reserves a descriptor. Where none is left an idle connection makes room, if there is one.
 func (s *Share) Take() bool {
 	s.mu.Lock()
-	for s.most > 0 && s.used >= s.most {
+	for s.maximum > 0 && s.used >= s.maximum {
 		s.mu.Unlock()
 		if !s.room() {
 			return false
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -25,11 +25,11 @@
 
 // Bounds of what is read. Danger: a file may be anything.
 const (
-	MostRecords = 5_000_000
-	mostLine    = 16 << 10
-	mostName    = 256
-	mostLength  = 30 * 24 * time.Hour
-	backwards   = 2 * time.Second // by which the ends of records may go back, as they are written by many
+	MaxRecords = 5_000_000
+	maxLine    = 16 << 10
+	maxName    = 256
+	maxLength  = 30 * 24 * time.Hour
+	backwards  = 2 * time.Second // by which the ends of records may go back, as they are written by many
 )
 
 // Header is the first line.
@@ -95,7 +95,7 @@
 
 // Read reads a capture; name is for its errors, which say the line.
 func Read(name string, in io.Reader) (*Capture, error) {
-	lines := bufio.NewReaderSize(in, mostLine)
+	lines := bufio.NewReaderSize(in, maxLine)
 	c := &Capture{}
 	bad := func(line int, reason string, args ...any) error {
 		return fmt.Errorf("%s:%d: %s", name, line, fmt.Sprintf(reason, args...))
@@ -105,7 +105,7 @@
 		text, err := lines.ReadSlice('\n')
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			return nil, bad(n, "longer than %d bytes", mostLine)
+			return nil, bad(n, "longer than %d bytes", maxLine)
 		case err != nil && !errors.Is(err, io.EOF):
 			return nil, bad(n, "%v", err)
 		case len(text) == 0 && n == 1:
@@ -144,7 +144,7 @@
 	if bytes.Contains(text, []byte(`"end"`)) {
 		var t Trailer
 		if err := strictly(text, &t); err == nil && t.End {
-			if t.Records != len(c.Records) || t.Length < 0 || t.Length > mostLength.Microseconds() {
+			if t.Records != len(c.Records) || t.Length < 0 || t.Length > maxLength.Microseconds() {
 				return false, fmt.Errorf("the end says %d records over %d us, and there are %d", t.Records, t.Length, len(c.Records))
 			}
 			c.Whole, c.Missed, c.Length = true, t.Missed, time.Duration(t.Length)*time.Microsecond
@@ -156,12 +156,12 @@
 		return false, err
 	}
 	switch {
-	case len(c.Records) >= MostRecords:
-		return false, fmt.Errorf("more than %d records", MostRecords)
-	case r.Class == "" || len(r.Class) > mostName || len(r.Key) > mostName || len(r.Method) > mostName:
+	case len(c.Records) >= MaxRecords:
+		return false, fmt.Errorf("more than %d records", MaxRecords)
+	case r.Class == "" || len(r.Class) > maxName || len(r.Key) > maxName || len(r.Method) > maxName:
 		return false, errors.New("c: is missing, or a name is too long")
-	case r.At < 0 || r.Took < 0 || r.At > mostLength.Microseconds() || r.Took > mostLength.Microseconds() || r.Size < 0:
-		return false, fmt.Errorf("t, d, s: %d, %d, %d: want 0 at least, and no more than %v", r.At, r.Took, r.Size, mostLength)
+	case r.At < 0 || r.Took < 0 || r.At > maxLength.Microseconds() || r.Took > maxLength.Microseconds() || r.Size < 0:
+		return false, fmt.Errorf("t, d, s: %d, %d, %d: want 0 at least, and no more than %v", r.At, r.Took, r.Size, maxLength)
 	case !slices.Contains([]Outcome{Served, Refused, Failed, Left}, r.Outcome):
 		return false, fmt.Errorf("o: %q is not known", r.Outcome)
 	}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -34,7 +34,7 @@
 		head + `{"t":1,"c":"map","d":1,"o":"served","cookie":"x"}` + "\n":           "f:2: not a line",
 		head + line(1, 1) + line(60_000_000, 1) + line(50_000_000, 1):               "f:4: time goes back by 10s",
 		head + `{"t":9e18,"c":"map","d":1,"o":"served"}` + "\n":                     "f:2:",
-		head + `{"t":` + strings.Repeat("1", mostLine) + "\n":                       "f:2: longer than",
+		head + `{"t":` + strings.Repeat("1", maxLine) + "\n":                        "f:2: longer than",
 		head + line(1, 1) + `{"end":true,"length":5,"records":2,"missed":0}` + "\n": "f:3: the end says 2 records over 5 us, and there are 1",
 		head + `{"end":true,"length":5,"records":0,"missed":0}` + "\n" + line(1, 1): "f:3: something stands behind the end",
 	} {
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -31,8 +31,8 @@
 		return fmt.Errorf("for: want more than 0 and an hour at most, not %v", o.For)
 	case !(o.Sample > 0 && o.Sample <= 1):
 		return fmt.Errorf("sample: want more than 0 and 1 at most, not %v", o.Sample)
-	case o.Records < 0 || o.Records > MostRecords:
-		return fmt.Errorf("records: want 0 to %d, not %d", MostRecords, o.Records)
+	case o.Records < 0 || o.Records > MaxRecords:
+		return fmt.Errorf("records: want 0 to %d, not %d", MaxRecords, o.Records)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -80,7 +80,7 @@
 // Part is one cluster's of the limits.
 type Part struct {
 	Guaranteed Amount `yaml:"guaranteed"` // its own, whatever the other clusters do
-	Most       Amount `yaml:"most"`       // 0: as the whole
+	Max        Amount `yaml:"most"`       // 0: as the whole
 }
 
 // Amount is a part of each limit.
@@ -100,7 +100,7 @@
 	DarkHold      Duration   `yaml:"dark_hold"`       // worse evidence for so long: dark
 	UpHold        Duration   `yaml:"up_hold"`         // good evidence for so long: up again
 	Hold          Duration   `yaml:"hold"`            // dark at the least, twice as long each time
-	MostHold      Duration   `yaml:"most_hold"`
+	MaxHold       Duration   `yaml:"most_hold"`
 	Probe         Duration   `yaml:"probe"`         // between probes of a dark zone
 	Step          Duration   `yaml:"step"`          // of the way back, at the least
 	FirstShare    float64    `yaml:"first_share"`   // of its load, that a returning zone begins with; doubled each step
@@ -183,8 +183,8 @@
 type WarmUp struct {
 	Time  Duration `yaml:"time"`
 	Share float64  `yaml:"share"` // of its capacity, at first
-	// Most is the multiple of its warm share above which it falls over.
-	Most float64 `yaml:"most"`
+	// Max is the multiple of its warm share above which it falls over.
+	Max float64 `yaml:"most"`
 }
 
 // Endpoint is one server of a static cluster.
@@ -575,8 +575,8 @@
 	if c.WarmUp.Share <= 0 || c.WarmUp.Share > 1 {
 		d.at(field+".warm_up.share", "want more than 0 and at most 1, not %v", c.WarmUp.Share)
 	}
-	if c.WarmUp.Most < 1 || c.WarmUp.Most > 100 {
-		d.at(field+".warm_up.most", "want 1 to 100, not %v", c.WarmUp.Most)
+	if c.WarmUp.Max < 1 || c.WarmUp.Max > 100 {
+		d.at(field+".warm_up.most", "want 1 to 100, not %v", c.WarmUp.Max)
 	}
 	if p := *c.CrossZone; p < 0 || p > 1 {
 		d.at(field+".cross_zone_price", "want 0 to 1, not %v", p)
@@ -744,8 +744,8 @@
 			d.at("zones."+name, "want 10ms to 1h, not %v", v.D())
 		}
 	}
-	if z.MostHold < z.Hold {
-		d.at("zones.most_hold", "%v is shorter than hold, %v", z.MostHold.D(), z.Hold.D())
+	if z.MaxHold < z.Hold {
+		d.at("zones.most_hold", "%v is shorter than hold, %v", z.MaxHold.D(), z.Hold.D())
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 	c := f.Clusters[0]
 	if f.Zone != "sapporo" || f.Limits.Memory != 32<<20 || c.Endpoints[0].Weight != 2.5 || c.Endpoints[1].Weight != 1 ||
 		*c.Hedge || *c.CrossZone != 0 || !*f.Clusters[1].Hedge || f.Classes[0].Window.D() != 4*time.Second ||
-		f.XDS.Variant != Delta || f.Of(&c).Guaranteed.Descriptors != 20 || f.Of(&f.Clusters[1]).Most.Requests != 500 {
+		f.XDS.Variant != Delta || f.Of(&c).Guaranteed.Descriptors != 20 || f.Of(&f.Clusters[1]).Max.Requests != 500 {
 		t.Errorf("%+v", f)
 	}
 	if len(f.Classes) != 3 || f.Classes[1].Name != DefaultSafe || f.Classes[2].Effect != 2 {
@@ -373,7 +373,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p := f.SitePlan(); len(p.Sites) != 2 || p.Sites[0].Capacity["pay"] != 300 || p.Sites[1].To[0].Site != "sapporo" || p.Sites[1].MostCrossed != 0.4 {
+	if p := f.SitePlan(); len(p.Sites) != 2 || p.Sites[0].Capacity["pay"] != 300 || p.Sites[1].To[0].Site != "sapporo" || p.Sites[1].MaxCrossed != 0.4 {
 		t.Errorf("%+v", p)
 	}
 	for _, x := range [][3]string{
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -55,8 +55,8 @@
 
 // Bounds of what a file may hold: aliases can make a small one expand without end, so there are none.
 const (
-	mostDepth = 32
-	mostBytes = 64 << 20
+	maxDepth = 32
+	maxBytes = 64 << 20
 )
 
 func (d *decoder) bad(n *yaml.Node, field, reason string, args ...any) {
@@ -102,8 +102,8 @@
 // decode reads text into v, a pointer to a struct.
 func (d *decoder) decode(text []byte, v any) {
 	d.places = map[string]place{}
-	if len(text) > mostBytes {
-		d.bad(nil, "", "%d bytes, %d at most", len(text), mostBytes)
+	if len(text) > maxBytes {
+		d.bad(nil, "", "%d bytes, %d at most", len(text), maxBytes)
 		return
 	}
 	var doc yaml.Node
@@ -135,11 +135,11 @@
 var textual = reflect.TypeFor[encoding.TextUnmarshaler]()
 
 func (d *decoder) value(n *yaml.Node, path string, v reflect.Value) {
-	if d.depth++; d.depth > mostDepth {
+	if d.depth++; d.depth > maxDepth {
 		d.bad(n, path, "nested too deep")
 	}
 	defer func() { d.depth-- }()
-	if d.depth > mostDepth {
+	if d.depth > maxDepth {
 		return
 	}
 	d.places[path] = place{n.Line, n.Column}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -82,7 +82,7 @@
 	set(&z.DarkHold, Duration(300*time.Millisecond))
 	set(&z.UpHold, Duration(time.Second))
 	set(&z.Hold, Duration(time.Second))
-	set(&z.MostHold, Duration(30*time.Second))
+	set(&z.MaxHold, Duration(30*time.Second))
 	set(&z.Probe, Duration(500*time.Millisecond))
 	set(&z.Step, Duration(2*time.Second))
 	set(&z.FirstShare, 1.0/16)
@@ -110,7 +110,7 @@
 	set(&c.Attempts, 3)
 	set(&c.WarmUp.Time, Duration(10*time.Second))
 	set(&c.WarmUp.Share, 0.1)
-	set(&c.WarmUp.Most, 2.5)
+	set(&c.WarmUp.Max, 2.5)
 	set(&c.DrainGrace, Duration(time.Second))
 	o, b := &c.Overload, &c.Breakers
 	set(&o.PerEndpoint, 256)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -43,7 +43,7 @@
 	Site    string  `yaml:"site,omitempty"`    // of one site
 	Zone    string  `yaml:"zone,omitempty"`    // of one zone
 	Each    string  `yaml:"each,omitempty"`    // zone or site: each by itself
-	Most    int     `yaml:"most,omitempty"`
+	Max     int     `yaml:"most,omitempty"`
 	Part    float64 `yaml:"part,omitempty"`
 }
 
@@ -58,7 +58,7 @@
 	Voters    []Voter  `yaml:"voters"`           // one for a try, three or five
 	Folder    string   `yaml:"folder,omitempty"` // of this process's log, where it is one of them
 	Heartbeat Duration `yaml:"heartbeat"`        // without word of the leader for so long a voter stands for election
-	MostBytes Size     `yaml:"most_bytes"`       // of the log
+	MaxBytes  Size     `yaml:"most_bytes"`       // of the log
 }
 
 // Voter is one of them, by its member's name.
@@ -84,7 +84,7 @@
 }
 
 // Bounds of a fleet's names, as its members tell each other of them.
-const mostFleetName = 64
+const maxFleetName = 64
 
 func (f *Fleet) fill() {
 	set(&f.Address, "127.0.0.1:7600")
@@ -93,7 +93,7 @@
 	set(&f.Forget, Duration(time.Hour))
 	set(&f.Lease, Duration(10*time.Second))
 	set(&f.Quorum.Heartbeat, Duration(500*time.Millisecond))
-	set(&f.Quorum.MostBytes, 256<<20)
+	set(&f.Quorum.MaxBytes, 256<<20)
 	if f.Budgets == nil {
 		f.Budgets = []OutBudget{{Name: "gateways", Each: "site", Part: 0.34}, {Name: "endpoints", Cluster: "*", Each: "zone", Part: 0.34}}
 	}
@@ -123,8 +123,8 @@
 		switch {
 		case s == "" && needed:
 			d.at(field, "is missing")
-		case len(s) > mostFleetName:
-			d.at(field, "%d bytes, %d at most", len(s), mostFleetName)
+		case len(s) > maxFleetName:
+			d.at(field, "%d bytes, %d at most", len(s), maxFleetName)
 		case strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == '@' || r > '~' }):
 			d.at(field, "%q: letters, digits and signs but @ and spaces", s)
 		}
@@ -171,7 +171,7 @@
 		switch {
 		case names["budget "+b.Name]:
 			d.at(at+".name", "%q stands twice", b.Name)
-		case b.Most < 0 || b.Part < 0 || b.Part > 1 || b.Most == 0 && b.Part == 0:
+		case b.Max < 0 || b.Part < 0 || b.Part > 1 || b.Max == 0 && b.Part == 0:
 			d.at(at, "want most, a part from 0 to 1, or both")
 		case b.Each != "" && b.Each != "zone" && b.Each != "site" || b.Each == "site" && b.Cluster != "":
 			d.at(at+".each", "want zone, or site for gateways, not %q", b.Each)
@@ -220,7 +220,7 @@
 	if 4*q.Heartbeat > f.Lease {
 		d.at("fleet.lease", "%v, want four times fleet.quorum.heartbeat (%v) at the least: a lease is to outlast an election", f.Lease.D(), q.Heartbeat.D())
 	}
-	if q.MostBytes < 1<<20 {
+	if q.MaxBytes < 1<<20 {
 		d.at("fleet.quorum.most_bytes", "want 1MiB at the least")
 	}
 }
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -20,8 +20,8 @@
 	Capacity map[string]float64 `yaml:"capacity"`       // requests a second that it could serve of each class alone
 	Load     map[string]float64 `yaml:"load,omitempty"` // requests a second that are expected
 	To       []SiteWay          `yaml:"to,omitempty"`   // where its load may go, in this order
-	// MostCrossed is the part of the capacity that other sites' load may use.
-	MostCrossed *float64 `yaml:"most_crossed"`
+	// MaxCrossed is the part of the capacity that other sites' load may use.
+	MaxCrossed *float64 `yaml:"most_crossed"`
 }
 
 // SiteWay is how much of a lost site's load another one may take.
@@ -35,8 +35,8 @@
 
 func (s *Sites) fill() {
 	for i := range s.List {
-		if s.List[i].MostCrossed == nil {
-			s.List[i].MostCrossed = new(defaultCrossed)
+		if s.List[i].MaxCrossed == nil {
+			s.List[i].MaxCrossed = new(defaultCrossed)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		p.Classes = append(p.Classes, failoverplan.Class{Name: c.Name, Worth: c.Worth, Floor: f.Sites.Floors[c.Name]})
 	}
 	for _, s := range f.Sites.List {
-		x := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MostCrossed: *s.MostCrossed}
+		x := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxCrossed: *s.MaxCrossed}
 		for _, w := range s.To {
 			x.To = append(x.To, failoverplan.Way(w))
 		}
--- a/internal/demo/try.go
+++ b/internal/demo/try.go
@@ -117,8 +117,8 @@
 // fall is the multiple of its warm-up capacity at which a cold server falls over: the configuration's default.
 const fall = 2.5
 
-// most bounds the requests of one play.
-const most = 100_000
+// maxRequests bounds the requests of one play.
+const maxRequests = 100_000
 
 type server struct {
 	*origin.Origin
@@ -146,8 +146,8 @@
 // Run plays it.
 func Run(ctx context.Context, opt Options) (Summary, error) {
 	opt.Length, opt.Rate = cmp.Or(opt.Length, 20*time.Second), cmp.Or(opt.Rate, 250)
-	if n := opt.Length.Seconds() * float64(opt.Rate); n > most {
-		return Summary{}, fmt.Errorf("%.0f requests, %d at most", n, most)
+	if n := opt.Length.Seconds() * float64(opt.Rate); n > maxRequests {
+		return Summary{}, fmt.Errorf("%.0f requests, %d at most", n, maxRequests)
 	}
 	if opt.Scene = cmp.Or(opt.Scene, Scenes[0]); !slices.Contains(Scenes, opt.Scene) {
 		return Summary{}, fmt.Errorf("there is no scene %q, but %s", opt.Scene, strings.Join(Scenes, ", "))
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	longestLine = 8 << 20
-	dialTime    = time.Second
+	maxLine  = 8 << 20
+	dialTime = time.Second
 
 	// Between two lines of a watch there is an empty one every 2 s, and what a silent one misses counts as told 6 s after
 	// its last, as does what a call misses that is not answered. Half as much again as a line's time, and there is room to
@@ -386,11 +386,11 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, longestLine+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLine+1))
 	if err != nil {
 		return err
 	}
-	if len(text) > longestLine {
+	if len(text) > maxLine {
 		return errors.New("the list is too long")
 	}
 	_, err = c.take(ctx, text, known)
@@ -451,10 +451,10 @@
 	for {
 		part, err := r.ReadSlice('\n')
 		line = append(line, part...)
-		if open.read(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= longestLine {
+		if open.read(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxLine {
 			continue
 		}
-		if err != nil || len(line) > longestLine { // a line that broke off is none
+		if err != nil || len(line) > maxLine { // a line that broke off is none
 			return got
 		}
 		if open.unfinished() { // a list may come indented, over several lines
--- a/internal/drain/order.go
+++ b/internal/drain/order.go
@@ -23,12 +23,12 @@
 
 // Bounds: texts come from outside, and the book is in every snapshot.
 const (
-	mostOrders    = 1024 // that have not ended, and of those that have as many
-	mostBudgets   = 64
-	mostGateways  = 4096
-	mostEndpoints = 20_000
-	mostMore      = 16  // unknown fields of one
-	mostText      = 256 // bytes of an id, owner or reason
+	maxOrders    = 1024 // that have not ended, and of those that have as many
+	maxBudgets   = 64
+	maxGateways  = 4096
+	maxEndpoints = 20_000
+	maxMore      = 16  // unknown fields of one
+	maxText      = 256 // bytes of an id, owner or reason
 	// MaxGrace bounds how long what is in hand is waited for.
 	MaxGrace = time.Hour
 	// keepEnded is how long an order that has ended can be asked for.
@@ -225,7 +225,7 @@
 	if err := json.Unmarshal(text, b); err != nil {
 		return nil, fmt.Errorf("orders: %w", err)
 	}
-	if b.Requests == nil || b.Gateways == nil || b.Endpoints == nil || len(b.Requests) > 2*mostOrders || len(b.Budgets) > mostBudgets || b.LastToken == math.MaxUint64 ||
+	if b.Requests == nil || b.Gateways == nil || b.Endpoints == nil || len(b.Requests) > 2*maxOrders || len(b.Budgets) > maxBudgets || b.LastToken == math.MaxUint64 ||
 		b.Seq == math.MaxUint64 || b.Version == math.MaxUint64 {
 		return nil, errors.New("orders: not a book")
 	}
@@ -298,8 +298,8 @@
 func (b *Ledger) check(o *Request) error {
 	for field, s := range map[string]string{"id": o.ID, "owner": o.Owner, "reason": o.Reason, "gateway": o.Target.Gateway, "cluster": o.Target.Cluster, "endpoint": o.Target.Endpoint,
 		"site": o.Target.Site, "zone": o.Target.Zone, "restart": o.Restart} {
-		if len(s) > mostText {
-			return fmt.Errorf("%s: %d bytes, %d at most", field, len(s), mostText)
+		if len(s) > maxText {
+			return fmt.Errorf("%s: %d bytes, %d at most", field, len(s), maxText)
 		}
 	}
 	t, kinds := o.Target, 0
@@ -315,8 +315,8 @@
 		return errors.New("target: want a gateway, an endpoint of a cluster, a zone of a site, or a zone of a cluster")
 	case o.Restart != "" && t.Gateway == "":
 		return errors.New("restart: is for one gateway")
-	case len(o.Unknown) > mostMore:
-		return fmt.Errorf("%d fields that are not known, %d at most", len(o.Unknown), mostMore)
+	case len(o.Unknown) > maxMore:
+		return fmt.Errorf("%d fields that are not known, %d at most", len(o.Unknown), maxMore)
 	case strings.ContainsAny(t.Gateway+t.Endpoint+t.Cluster+t.Site+t.Zone, "*?"):
 		return errors.New("target: patterns are not taken: name each")
 	case o.Grace <= 0:
@@ -332,7 +332,7 @@
 			n++
 		}
 	}
-	if n >= mostOrders {
+	if n >= maxOrders {
 		return ErrTooMany
 	}
 	return nil
@@ -588,7 +588,7 @@
 	n := 0
 	for i := len(all) - 1; i >= 0; i-- {
 		if o := all[i]; o.State == Ended || o.State == Rejected {
-			if n++; n > mostOrders {
+			if n++; n > maxOrders {
 				delete(b.Requests, o.ID)
 			}
 		}
@@ -684,12 +684,12 @@
 // SetBudgets sets the budgets. One lowered under what is out brings nothing back by itself, and grants nothing new.
 func (b *Ledger) SetBudgets(now time.Duration, l []Budget) error {
 	b.at(now)
-	if len(l) > mostBudgets {
-		return fmt.Errorf("%d budgets, %d at most", len(l), mostBudgets)
+	if len(l) > maxBudgets {
+		return fmt.Errorf("%d budgets, %d at most", len(l), maxBudgets)
 	}
 	for _, g := range l {
 		switch {
-		case g.Name == "" || len(g.Name) > mostText:
+		case g.Name == "" || len(g.Name) > maxText:
 			return errors.New("a budget without a name")
 		case g.Scope.Gateways == (g.Scope.Cluster != ""):
 			return fmt.Errorf("budget %s: it counts gateways, or the endpoints of a cluster", g.Name)
@@ -708,8 +708,8 @@
 func (b *Ledger) Observe(now time.Duration, version uint64, gateways []Gateway, endpoints []Endpoint) error {
 	b.at(now)
 	b.ObservedVersion = max(b.ObservedVersion, min(version, b.Version))
-	if len(gateways) > mostGateways || len(endpoints) > mostEndpoints {
-		return fmt.Errorf("%d gateways and %d endpoints, %d and %d at most", len(gateways), len(endpoints), mostGateways, mostEndpoints)
+	if len(gateways) > maxGateways || len(endpoints) > maxEndpoints {
+		return fmt.Errorf("%d gateways and %d endpoints, %d and %d at most", len(gateways), len(endpoints), maxGateways, maxEndpoints)
 	}
 	clear(b.Gateways)
 	for _, g := range gateways {
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -48,13 +48,13 @@
 	{"p99", "ms", func(r *Run) float64 { return r.P99.Seconds() * 1000 }},
 }
 
-// fewestRuns is what a comparison needs at the least: of fewer, resampling makes intervals that mean nothing.
-const fewestRuns = 5
+// minRuns is what a comparison needs at the least: of fewer, resampling makes intervals that mean nothing.
+const minRuns = 5
 
 // Compare tells how B differs from A. The same reports give the same figures.
 func Compare(a, b *Report) (*Comparison, error) {
-	if len(a.Runs) < fewestRuns || len(b.Runs) < fewestRuns {
-		return nil, fmt.Errorf("%d and %d runs: want %d at least of each to tell a difference from chance", len(a.Runs), len(b.Runs), fewestRuns)
+	if len(a.Runs) < minRuns || len(b.Runs) < minRuns {
+		return nil, fmt.Errorf("%d and %d runs: want %d at least of each to tell a difference from chance", len(a.Runs), len(b.Runs), minRuns)
 	}
 	c := &Comparison{A: a.Experiment + ", " + a.Engine, B: b.Experiment + ", " + b.Engine, Runs: min(len(a.Runs), len(b.Runs)), Paired: len(a.Runs) == len(b.Runs)}
 	for i := range a.Runs {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -184,13 +184,13 @@
 
 // Bounds of an experiment. Danger: a slip of the pen in a file would run for a year, or take all memory.
 const (
-	mostRequests = 5_000_000
-	mostServers  = 2_000
-	mostGateways = 2400    // simulated; real ones have a bound of their own
-	mostViews    = 200_000 // servers times gateways
-	mostEvents   = 1_000
-	mostLength   = time.Hour
-	mostSeeds    = 1000
+	maxRequests = 5_000_000
+	maxServers  = 2_000
+	maxGateways = 2400    // simulated; real ones have a bound of their own
+	maxViews    = 200_000 // servers times gateways
+	maxEvents   = 1_000
+	maxLength   = time.Hour
+	maxSeeds    = 1000
 )
 
 // Load reads and checks a file.
@@ -350,8 +350,8 @@
 		s.Bad("name", "is missing")
 	}
 	between("seed", float64(e.Seed), 1, 1e9)
-	if l := e.Length.D(); l < time.Second || l > mostLength {
-		s.Bad("length", "want 1s to %v, not %v", mostLength, l)
+	if l := e.Length.D(); l < time.Second || l > maxLength {
+		s.Bad("length", "want 1s to %v, not %v", maxLength, l)
 		return // what follows would loop over it
 	}
 	f, g := &e.Fleet, &e.Gateways
@@ -362,12 +362,12 @@
 		}
 		seen[z] = true
 	}
-	between("fleet.servers", float64(f.Servers), 1, mostServers)
+	between("fleet.servers", float64(f.Servers), 1, maxServers)
 	between("fleet.workers", float64(f.Workers), 1, 1e6)
 	between("fleet.queue", float64(f.Queue), 0, 1e6)
 	between("fleet.warm_share", f.Share, 0.01, 1)
 	between("fleet.fall", f.Fall, 1, 1e6)
-	between("gateways.number", float64(g.Number), 1, mostGateways)
+	between("gateways.number", float64(g.Number), 1, maxGateways)
 	between("gateways.limit", float64(g.Limit), 1, 1e6)
 	between("gateways.source.places", float64(g.Source.Places), 0, 1e6)
 	between("gateways.source.takes", g.Source.Takes.D().Seconds(), 0, 60)
@@ -379,8 +379,8 @@
 	for _, g := range f.Groups {
 		servers += float64(g.Servers)
 	}
-	if servers > mostServers || servers*float64(g.Number) > mostViews {
-		s.Bad("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, g.Number, mostServers, mostViews)
+	if servers > maxServers || servers*float64(g.Number) > maxViews {
+		s.Bad("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, g.Number, maxServers, maxViews)
 	}
 	e.checkClasses(s, between)
 	e.checkLoad(s, load, between, oneOf)
@@ -410,7 +410,7 @@
 	for i, g := range f.Groups {
 		at := fmt.Sprintf("fleet.groups[%d].", i)
 		oneOf(at+"zone", g.Zone, f.Zones)
-		between(at+"servers", float64(g.Servers), 1, mostServers)
+		between(at+"servers", float64(g.Servers), 1, maxServers)
 		between(at+"workers", float64(g.Workers), 1, 1e6)
 		between(at+"queue", float64(g.Queue), 0, 1e6)
 		between(at+"speed", g.Speed, 0.01, 100)
@@ -477,8 +477,8 @@
 		between("load.keys.number", float64(k.Number), 1, 1e6)
 		between("load.keys.exponent", k.Exponent, 1.001, 10)
 	}
-	if len(l.Times) > mostEvents || len(l.Bursts) > mostEvents {
-		s.Bad("load", "%d at most of times and of bursts", mostEvents)
+	if len(l.Times) > maxEvents || len(l.Bursts) > maxEvents {
+		s.Bad("load", "%d at most of times and of bursts", maxEvents)
 		return
 	}
 	requests := float64(l.Clients) * e.Length.D().Seconds() / max((l.Think.D()+time.Millisecond).Seconds(), 1e-3)
@@ -499,12 +499,12 @@
 	for at := time.Duration(0); at < e.Length.D(); at += step {
 		requests += e.rate(at) * step.Seconds()
 	}
-	if p := e.peak(); p*e.Length.D().Seconds() > 20*mostRequests {
-		s.Bad("load.times", "a peak of %.0f requests a second over %v, %d requests at most", p, e.Length.D(), 20*mostRequests)
+	if p := e.peak(); p*e.Length.D().Seconds() > 20*maxRequests {
+		s.Bad("load.times", "a peak of %.0f requests a second over %v, %d requests at most", p, e.Length.D(), 20*maxRequests)
 		return
 	}
-	if requests > mostRequests {
-		s.Bad("load", "%.0f requests, %d at most", requests, mostRequests)
+	if requests > maxRequests {
+		s.Bad("load", "%.0f requests, %d at most", requests, maxRequests)
 	}
 	if t := l.Trace; t != nil {
 		between("load.trace.speed", t.Speed, 0.01, 100)
@@ -535,8 +535,8 @@
 }
 
 func (e *Experiment) checkEvents(s *config.Strict, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
-	if len(e.Events) > mostEvents {
-		s.Bad("events", "%d, %d at most", len(e.Events), mostEvents)
+	if len(e.Events) > maxEvents {
+		s.Bad("events", "%d, %d at most", len(e.Events), maxEvents)
 		return
 	}
 	for i, v := range e.Events {
@@ -567,9 +567,9 @@
 		if v.Late != 0 && v.Do != "revive" && v.Do != "drain" && v.Do != "undrain" {
 			s.Bad(field+".late", "is for revive, drain and undrain")
 		}
-		between(field+".renamed", float64(v.Renamed), 0, mostServers)
+		between(field+".renamed", float64(v.Renamed), 0, maxServers)
 		if v.Do == "flap" {
-			between(field+".count", float64(v.Count), 1, mostEvents)
+			between(field+".count", float64(v.Count), 1, maxEvents)
 			if v.Down >= v.Every {
 				s.Bad(field+".down", "want less than every, %v, not %v", v.Every.D(), v.Down.D())
 			}
@@ -580,8 +580,8 @@
 }
 
 func (e *Experiment) checkChecks(s *config.Strict, between func(string, float64, float64, float64)) {
-	if len(e.Checks) > mostEvents {
-		s.Bad("checks", "%d, %d at most", len(e.Checks), mostEvents)
+	if len(e.Checks) > maxEvents {
+		s.Bad("checks", "%d, %d at most", len(e.Checks), maxEvents)
 		return
 	}
 	for i, c := range e.Checks {
--- a/internal/experiment/live_test.go
+++ b/internal/experiment/live_test.go
@@ -163,7 +163,7 @@
 // A generator with too much in flight says that the figures are its own.
 func TestGeneratorSaysThatItIsTheBottleneck(t *testing.T) {
 	text := "name: slow\nlength: 1500ms\nfleet: {service: 1s, distribution: constant, workers: 100}\nload: {rate: 100}\nclasses: [{name: a, wanted: 1s, deadline: 3s}]\n"
-	r := live(t, t.Context(), text, LiveOptions{most: 10})
+	r := live(t, t.Context(), text, LiveOptions{maxInFlight: 10})
 	if !r.Generator.Bottleneck || r.Generator.Dropped < 50 || !strings.Contains(strings.Join(r.Broken, "\n"), "generator was too slow") {
 		t.Errorf("%v, %q", r.Generator, r.Broken)
 	}
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -27,12 +27,12 @@
 
 // Bounds of the loopback engine: all of it runs on one machine, in real time.
 const (
-	mostLiveLength   = 10 * time.Minute
-	mostLiveRequests = 1_000_000
-	mostLiveRate     = 20_000
-	mostLiveGateways = 8
-	mostLiveServers  = 64
-	mostInFlight     = 20_000 // of the generator
+	maxLiveLength   = 10 * time.Minute
+	maxLiveRequests = 1_000_000
+	maxLiveRate     = 20_000
+	maxLiveGateways = 8
+	maxLiveServers  = 64
+	maxInFlight     = 20_000 // of the generator
 )
 
 // The headers by which servers know where a request came from.
@@ -44,8 +44,8 @@
 	// Progress is told how it goes, every second; nil: nobody is.
 	Progress func(Progress)
 
-	started func(*playing) // for tests
-	most    int            // requests in flight of the generator; 0: mostInFlight
+	started     func(*playing) // for tests
+	maxInFlight int            // requests in flight of the generator; 0: mostInFlight
 }
 
 // Progress is how a run goes.
@@ -97,8 +97,8 @@
 	bounds := []struct {
 		what     string
 		is, most float64
-	}{{"length in seconds", e.Length.D().Seconds(), mostLiveLength.Seconds()}, {"requests", requests, mostLiveRequests}, {"requests a second", peak, mostLiveRate},
-		{"gateways", float64(e.Gateways.Number), mostLiveGateways}, {"servers", float64(servers), mostLiveServers}, {"clients", float64(e.Load.Clients), 5000}}
+	}{{"length in seconds", e.Length.D().Seconds(), maxLiveLength.Seconds()}, {"requests", requests, maxLiveRequests}, {"requests a second", peak, maxLiveRate},
+		{"gateways", float64(e.Gateways.Number), maxLiveGateways}, {"servers", float64(servers), maxLiveServers}, {"clients", float64(e.Load.Clients), 5000}}
 	for _, b := range bounds {
 		if b.is > b.most {
 			return fmt.Errorf("%s: %s: %.0f, %.0f at most on the loopback engine", e.Name, b.what, b.is, b.most)
@@ -137,8 +137,8 @@
 // Live runs an experiment over loopback, with its seed and those after it, so many in all. What was measured until ctx
 // ends or something breaks is in the report, which says so.
 func Live(ctx context.Context, e *Experiment, seeds int, opt LiveOptions) (*Report, error) {
-	if seeds < 1 || seeds > mostSeeds {
-		return nil, fmt.Errorf("%d seeds, want 1 to %d", seeds, mostSeeds)
+	if seeds < 1 || seeds > maxSeeds {
+		return nil, fmt.Errorf("%d seeds, want 1 to %d", seeds, maxSeeds)
 	}
 	if err := e.live(); err != nil {
 		return nil, err
@@ -326,7 +326,7 @@
 		p.mu.Lock()
 		p.gen.Asked++
 		record(p.gen.late, p.now()-x.at)
-		full := p.inFlight >= cmp.Or(p.opt.most, mostInFlight)
+		full := p.inFlight >= cmp.Or(p.opt.maxInFlight, maxInFlight)
 		if full {
 			p.gen.Dropped++
 		} else {
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -61,14 +61,14 @@
 
 // arrivals gives an experiment's open loop in the order of time. It is not safe for several goroutines at once.
 type arrivals struct {
-	e    *Experiment
-	rng  *rand.Rand
-	zipf *rand.Zipf
-	next time.Duration // of the process; beyond the length: none
-	most float64       // the highest rate
-	sum  float64       // of a constant one, since the last arrival
-	held []burstLeft
-	from *replaying // where the load is a trace
+	e       *Experiment
+	rng     *rand.Rand
+	zipf    *rand.Zipf
+	next    time.Duration // of the process; beyond the length: none
+	maximum float64       // the highest rate
+	sum     float64       // of a constant one, since the last arrival
+	held    []burstLeft
+	from    *replaying // where the load is a trace
 }
 
 // burstLeft is a burst that is still to come, or under way.
@@ -85,7 +85,7 @@
 	if k := e.Load.Keys; k != nil {
 		a.zipf = rand.NewZipf(a.rng, k.Exponent, 1, uint64(k.Number-1))
 	}
-	a.most = e.peak()
+	a.maximum = e.peak()
 	for _, b := range e.Load.Bursts {
 		a.held = append(a.held, burstLeft{b.At.D(), b.Every.D(), b.Size, b.Size})
 	}
@@ -107,7 +107,7 @@
 // advance finds the process's next arrival: by thinning one of the highest rate, or by the gap that the rate gives.
 func (a *arrivals) advance() {
 	end := a.e.Length.D()
-	if a.most == 0 {
+	if a.maximum == 0 {
 		a.next = end
 	}
 	for a.next < end {
@@ -120,8 +120,8 @@
 			a.next, a.sum = a.next+time.Millisecond, a.sum+rate/1000
 			continue
 		}
-		a.next += a.gap(a.rng.ExpFloat64() / a.most)
-		if a.rng.Float64()*a.most < a.e.rate(a.next) {
+		a.next += a.gap(a.rng.ExpFloat64() / a.maximum)
+		if a.rng.Float64()*a.maximum < a.e.rate(a.next) {
 			return
 		}
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -105,10 +105,10 @@
 
 // What a capture must hold to plan from it.
 const (
-	fewestPlanned  = 500
-	shortestToPlan = 10 * time.Second
-	planLength     = 40 * time.Second // of a simulation
-	planHead       = 5 * time.Second  // in which gateways learn; it does not count
+	minPlanned = 500
+	minToPlan  = 10 * time.Second
+	planLength = 40 * time.Second // of a simulation
+	planHead   = 5 * time.Second  // in which gateways learn; it does not count
 )
 
 // MakePlan answers what breaks first and at which rate, how many servers the goals need, and what the loss of each zone does.
@@ -127,9 +127,9 @@
 			return nil, fmt.Errorf("goal %v: there is no class %q in %s", g, g.Class, e.Name)
 		}
 	}
-	if c.Length < shortestToPlan || len(c.Records) < fewestPlanned {
+	if c.Length < minToPlan || len(c.Records) < minPlanned {
 		return nil, fmt.Errorf("the capture is too short to tell: %d requests over %v; want %d over %v at least", len(c.Records), c.Length.Round(time.Millisecond),
-			fewestPlanned, shortestToPlan)
+			minPlanned, minToPlan)
 	}
 	p := &Plan{Fleet: e.Name, Goals: o.Goals, e: &e, c: busiest(c, planLength)}
 	window := Fit(p.c)
@@ -357,7 +357,7 @@
 			if ok {
 				break
 			}
-			if low = high; high > 4*p.ByWork+8 || high >= mostServers {
+			if low = high; high > 4*p.ByWork+8 || high >= maxServers {
 				p.Needed = Estimate{Median: float64(high), Low: float64(high), High: float64(high), Beyond: true}
 				return nil
 			}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -24,7 +24,7 @@
 // Colours that are told apart also without red and green.
 var palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255}, {86, 180, 233, 255}, {0, 0, 0, 255}}
 
-const mostServerLines = 12 // more are drawn as their least, mean and most
+const maxServerLines = 12 // more are drawn as their least, mean and most
 
 // draw makes the pictures of a report, or of two laid over each other, the second one dashed.
 func drawAll(l []*Report) ([]picture, error) {
@@ -104,7 +104,7 @@
 
 func serverCurves(r *Report, p *plot.Plot, per float64) (l []curve) {
 	ids := r.Servers()
-	if len(ids) <= mostServerLines {
+	if len(ids) <= maxServerLines {
 		for _, id := range ids {
 			l = append(l, curve{p, id, func(x *Point) float64 { return float64(x.Sends[id]) / per }})
 		}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -196,8 +196,8 @@
 // JSON writes it for machines.
 func (r *Report) JSON(out io.Writer) error { return writeJSON(out, r) }
 
-// mostReport bounds a report's file.
-const mostReport = 64 << 20
+// maxReport bounds a report's file.
+const maxReport = 64 << 20
 
 // ReadReport reads what JSON wrote.
 func ReadReport(path string) (*Report, error) {
@@ -207,7 +207,7 @@
 	}
 	defer f.Close()
 	r := &Report{}
-	d := json.NewDecoder(io.LimitReader(f, mostReport))
+	d := json.NewDecoder(io.LimitReader(f, maxReport))
 	d.DisallowUnknownFields()
 	if err := d.Decode(r); err != nil {
 		return nil, fmt.Errorf("%s: not a report of lab run --json: %w", path, err)
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -30,10 +30,10 @@
 	Soak           time.Duration
 	Mode           string // release, loop or at-once
 	// Alarm is the share of failed requests over a minute at which whoever looks at a loop stops it and goes back.
-	Alarm float64
-	Beat  time.Duration
-	Most  time.Duration // then it is given up
-	Seed  uint64
+	Alarm       float64
+	Beat        time.Duration
+	MaxDuration time.Duration // then it is given up
+	Seed        uint64
 }
 
 // Fill sets what was left out.
@@ -41,7 +41,7 @@
 	r.Gateways, r.Sites, r.Zones = cmp.Or(r.Gateways, 200), cmp.Or(r.Sites, 2), cmp.Or(r.Zones, 3)
 	r.Rate, r.Down, r.Restart, r.Drain = cmp.Or(r.Rate, 2300), cmp.Or(r.Down, time.Minute), cmp.Or(r.Restart, 2*time.Second), cmp.Or(r.Drain, 2*time.Second)
 	r.Part, r.Soak, r.Mode, r.Alarm = cmp.Or(r.Part, 0.1), cmp.Or(r.Soak, 30*time.Second), cmp.Or(r.Mode, "release"), cmp.Or(r.Alarm, 0.01)
-	r.Beat, r.Most = cmp.Or(r.Beat, 500*time.Millisecond), cmp.Or(r.Most, 6*time.Hour)
+	r.Beat, r.MaxDuration = cmp.Or(r.Beat, 500*time.Millisecond), cmp.Or(r.MaxDuration, 6*time.Hour)
 }
 
 // RolloutResult is what came of one.
@@ -100,7 +100,7 @@
 	var window []([2]float64) // requests and failures of the last minute, by beat
 	loop, turn, backwards := 0, time.Duration(0), false
 	begun := false
-	for now := r.Beat; now < r.Most; now += r.Beat {
+	for now := r.Beat; now < r.MaxDuration; now += r.Beat {
 		// What happens by itself.
 		serving := 0
 		for _, g := range all {
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	if e.Length == 0 {
-		e.Length = config.Duration(min(max(float64(c.Length)/max(cmp.Or(t.Speed, 1), 0.01), float64(time.Second)), float64(mostLength)))
+		e.Length = config.Duration(min(max(float64(c.Length)/max(cmp.Or(t.Speed, 1), 0.01), float64(time.Second)), float64(maxLength)))
 	}
 	return c
 }
@@ -85,8 +85,8 @@
 			n++
 		}
 	}
-	if float64(n)*r.copies > mostRequests {
-		return fmt.Errorf("%.0f requests, %d at most", float64(n)*r.copies, mostRequests)
+	if float64(n)*r.copies > maxRequests {
+		return fmt.Errorf("%.0f requests, %d at most", float64(n)*r.copies, maxRequests)
 	}
 	seconds := map[time.Duration]float64{}
 	for _, x := range r.records {
--- a/internal/failoverplan/siteplan.go
+++ b/internal/failoverplan/siteplan.go
@@ -17,8 +17,8 @@
 
 // Bounds of a plan.
 const (
-	MostSites   = 16
-	mostClasses = 64
+	MaxSites   = 16
+	maxClasses = 64
 )
 
 // Rates are requests a second by class.
@@ -44,8 +44,8 @@
 	Capacity Rates
 	Load     Rates // that is expected; nil: it is not said
 	To       []Way // in this order
-	// MostCrossed is the part of the site's capacity that other sites' load may use.
-	MostCrossed float64
+	// MaxCrossed is the part of the site's capacity that other sites' load may use.
+	MaxCrossed float64
 }
 
 // Plan is all sites.
@@ -81,11 +81,11 @@
 	bad := func(field, format string, args ...any) {
 		errs = append(errs, &Error{field, fmt.Sprintf(format, args...)})
 	}
-	if len(p.Sites) < 2 || len(p.Sites) > MostSites {
-		bad("sites", "%d sites, want 2 to %d", len(p.Sites), MostSites)
+	if len(p.Sites) < 2 || len(p.Sites) > MaxSites {
+		bad("sites", "%d sites, want 2 to %d", len(p.Sites), MaxSites)
 	}
-	if len(p.Classes) > mostClasses {
-		bad("classes", "%d, %d at most", len(p.Classes), mostClasses)
+	if len(p.Classes) > maxClasses {
+		bad("classes", "%d, %d at most", len(p.Classes), maxClasses)
 	}
 	known := map[string]bool{}
 	for _, c := range p.Classes {
@@ -126,8 +126,8 @@
 				bad(at+".capacity", "says nothing of class %q, which the site has load of", c)
 			}
 		}
-		if !(s.MostCrossed >= 0 && s.MostCrossed <= 1) {
-			bad(at+".most_crossed", "%v, want 0 to 1", s.MostCrossed)
+		if !(s.MaxCrossed >= 0 && s.MaxCrossed <= 1) {
+			bad(at+".most_crossed", "%v, want 0 to 1", s.MaxCrossed)
 		}
 	}
 	for i, s := range p.Sites {
@@ -281,7 +281,7 @@
 		}
 		return cmp.Or(cmp.Compare(p.class(y.Class).Worth, p.class(x.Class).Worth), cmp.Compare(own(x), own(y)), cmp.Compare(x.Class, y.Class), cmp.Compare(x.From, y.From))
 	})
-	left, crossing := 1.0, s.MostCrossed
+	left, crossing := 1.0, s.MaxCrossed
 	give := func(x *Share, want float64) {
 		capacity := s.Capacity[x.Class]
 		if capacity <= 0 || want <= 0 {
--- a/internal/failoverplan/siteplan_test.go
+++ b/internal/failoverplan/siteplan_test.go
@@ -11,8 +11,8 @@
 
 func two() *Plan {
 	return &Plan{Classes: []Class{{Name: "maps", Worth: 1, Floor: 0.1}, {Name: "pay", Worth: 20, Floor: 0.9}}, Sites: []Site{
-		{Name: "sapporo", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 400, "pay": 40}, To: []Way{{"ishikari", 1}}, MostCrossed: 0.5},
-		{Name: "ishikari", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 500, "pay": 60}, To: []Way{{"sapporo", 0.8}}, MostCrossed: 0.5},
+		{Name: "sapporo", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 400, "pay": 40}, To: []Way{{"ishikari", 1}}, MaxCrossed: 0.5},
+		{Name: "ishikari", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 500, "pay": 60}, To: []Way{{"sapporo", 0.8}}, MaxCrossed: 0.5},
 	}}
 }
 
@@ -70,7 +70,7 @@
 		"sites[0].capacity.maps: 0":              func(p *Plan) { p.Sites[0].Capacity["maps"] = 0 },
 		"sites[0].capacity: says nothing of":     func(p *Plan) { delete(p.Sites[0].Capacity, "pay") },
 		"sites[0].load.cake: there is no class":  func(p *Plan) { p.Sites[0].Load["cake"] = 1 },
-		"sites[0].most_crossed: 2":               func(p *Plan) { p.Sites[0].MostCrossed = 2 },
+		"sites[0].most_crossed: 2":               func(p *Plan) { p.Sites[0].MaxCrossed = 2 },
 		"floors.pay: -1":                         func(p *Plan) { p.Classes[1].Floor = -1 },
 		"with sapporo lost the floors promise 1": func(p *Plan) { p.Classes[0].Floor = 1 },
 	} {
@@ -94,7 +94,7 @@
 			p.Classes = append(p.Classes, Class{Name: fmt.Sprint("c", i), Worth: float64(rapid.IntRange(1, 5).Draw(t, "worth")), Floor: rapid.Float64Range(0, 0.3).Draw(t, "floor")})
 		}
 		for i := range n {
-			s := Site{Name: fmt.Sprint("s", i), Capacity: Rates{}, Load: Rates{}, MostCrossed: rapid.Float64Range(0, 1).Draw(t, "crossed")}
+			s := Site{Name: fmt.Sprint("s", i), Capacity: Rates{}, Load: Rates{}, MaxCrossed: rapid.Float64Range(0, 1).Draw(t, "crossed")}
 			for _, c := range p.Classes {
 				s.Capacity[c.Name] = rapid.Float64Range(1, 1000).Draw(t, "capacity")
 				s.Load[c.Name] = rapid.Float64Range(0, 800).Draw(t, "load")
@@ -150,8 +150,8 @@
 			}
 		}
 		for _, s := range p.Sites {
-			if used[s.Name] > 1+1e-6 || crossed[s.Name] > s.MostCrossed+1e-6 || !near(used[s.Name], o.Used[s.Name]) {
-				t.Fatalf("%s uses %v (it says %v), crossed %v of %v", s.Name, used[s.Name], o.Used[s.Name], crossed[s.Name], s.MostCrossed)
+			if used[s.Name] > 1+1e-6 || crossed[s.Name] > s.MaxCrossed+1e-6 || !near(used[s.Name], o.Used[s.Name]) {
+				t.Fatalf("%s uses %v (it says %v), crossed %v of %v", s.Name, used[s.Name], o.Used[s.Name], crossed[s.Name], s.MaxCrossed)
 			}
 			for c, want := range s.Load {
 				if got := asked[[2]string{s.Name, c}]; !near(got, want) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -100,7 +100,7 @@
 	}
 	if c.Votes() {
 		f.server, err = quorum.Open(f.node, quorum.Options{Dir: c.Quorum.Folder, Name: c.Member, Voters: voters, Heartbeat: c.Quorum.Heartbeat.D(),
-			MaxLogBytes: int64(c.Quorum.MostBytes), Log: log})
+			MaxLogBytes: int64(c.Quorum.MaxBytes), Log: log})
 		if err != nil {
 			f.noVote = err.Error()
 			log.Error("this process does not vote", "err", err)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -31,7 +31,7 @@
 	l.Close()
 	c := &config.Fleet{Name: "f", Member: "a", Address: addr, Advertise: addr, Seeds: []string{addr}, Probe: config.Duration(50 * time.Millisecond), Forget: config.Duration(time.Minute),
 		Lease:  config.Duration(400 * time.Millisecond),
-		Quorum: config.Quorum{Voters: []config.Voter{{Name: "a", Address: addr}}, Folder: t.TempDir(), Heartbeat: config.Duration(50 * time.Millisecond), MostBytes: 8 << 20},
+		Quorum: config.Quorum{Voters: []config.Voter{{Name: "a", Address: addr}}, Folder: t.TempDir(), Heartbeat: config.Duration(50 * time.Millisecond), MaxBytes: 8 << 20},
 		Posts:  []config.Post{{Name: "p", URL: to.URL, Every: config.Duration(10 * time.Millisecond), Timeout: config.Duration(time.Second)}}}
 	last := ""
 	for range 2 {
--- a/internal/fleet/orders.go
+++ b/internal/fleet/orders.go
@@ -19,8 +19,8 @@
 	ordersPath = "/fleet/v1/orders"
 	// doubt is the part of the gateways that answer whose word makes an endpoint one that is not well.
 	doubt = 1.0 / 3
-	// mostRound is how many members are asked at once.
-	mostRound = 64
+	// maxRound is how many members are asked at once.
+	maxRound = 64
 )
 
 // Report is what a gateway says of itself, with a view of the orders taken over.
@@ -353,7 +353,7 @@
 	want := s.Desired(names)
 	reports := make([]*Report, len(all))
 	var work sync.WaitGroup
-	room := make(chan struct{}, mostRound)
+	room := make(chan struct{}, maxRound)
 	sites := map[string]bool{}
 	for i, m := range all {
 		// Also one that is given up: it may be cut off from the others, or just be back, and is to hear what is ordered before
@@ -495,7 +495,7 @@
 	var l []drain.Budget
 	for _, b := range f.conf.Budgets {
 		s := drain.Scope{Gateways: b.Cluster == "", Cluster: b.Cluster, Site: b.Site, Zone: b.Zone, EachZone: b.Each == "zone", EachSite: b.Each == "site"}
-		l = append(l, drain.Budget{Name: b.Name, Scope: s, Max: b.Most, Fraction: b.Part})
+		l = append(l, drain.Budget{Name: b.Name, Scope: s, Max: b.Max, Fraction: b.Part})
 	}
 	return l
 }
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -266,10 +266,10 @@
 	stays := &cluster{name: "stays", past: g.pastOf("stays")}
 	stays.past.Taken = 7
 	g.clusters["stays"] = stays
-	for i := range 5 * mostPast {
+	for i := range 5 * maxPast {
 		g.pastOf(fmt.Sprint("c", i))
 	}
-	if len(g.past) > mostPast+1 || g.pastOf("stays").Taken != 7 {
+	if len(g.past) > maxPast+1 || g.pastOf("stays").Taken != 7 {
 		t.Errorf("%d names, %d", len(g.past), g.pastOf("stays").Taken)
 	}
 }
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -63,14 +63,14 @@
 	dropped atomic.Uint64 // refused by drop_overloads
 }
 
-// mostPast is how many names' counters are kept. Danger: names that are ever new.
-const mostPast = 1024
+// maxPast is how many names' counters are kept. Danger: names that are ever new.
+const maxPast = 1024
 
 // pastOf gives the counters of a name. A cluster that comes back goes on with its own: counters never go back.
 func (g *Gateway) pastOf(name string) *past {
 	p := g.past[name]
 	if p == nil {
-		if len(g.past) >= mostPast {
+		if len(g.past) >= maxPast {
 			used := map[*past]bool{}
 			for _, c := range g.clusters {
 				used[c.past] = true
@@ -119,7 +119,7 @@
 		c := g.file.Clusters[i]
 		s := &spec{conf: c, part: g.file.Of(&c), source: "static", static: c.Endpoints}
 		if n := c.Breakers.MaxConnections; n > 0 {
-			s.part.Most.Descriptors = n
+			s.part.Max.Descriptors = n
 		}
 		switch {
 		case c.File != nil:
@@ -151,9 +151,9 @@
 		}
 		s.conf.Fill()
 		s.part = config.Part{Guaranteed: config.Amount{Descriptors: l.Descriptors / 8 / n, Memory: l.Memory / 4 / config.Size(n),
-			Requests: l.Requests / 4 / n}, Most: l.PerCluster.Most}
-		if c.MostConns > 0 {
-			s.part.Most.Descriptors = c.MostConns
+			Requests: l.Requests / 4 / n}, Max: l.PerCluster.Max}
+		if c.MaxConns > 0 {
+			s.part.Max.Descriptors = c.MaxConns
 		}
 	}
 	for _, s := range m {
@@ -163,9 +163,9 @@
 }
 
 func breakers(b *xds.Breakers) config.Breakers {
-	c := config.Breakers{MaxRequests: b.MostRequests, MaxPending: b.MostPending, MaxRetries: b.MostRetries}
+	c := config.Breakers{MaxRequests: b.MaxRequests, MaxPending: b.MaxPending, MaxRetries: b.MaxRetries}
 	if b.RetryBudget != nil {
-		c.RetryBudget = &config.RetryBudget{Percent: b.RetryBudget.Percent, MinConcurrency: b.RetryBudget.Least}
+		c.RetryBudget = &config.RetryBudget{Percent: b.RetryBudget.Percent, MinConcurrency: b.RetryBudget.MinRetries}
 	}
 	return c
 }
@@ -214,7 +214,7 @@
 		if c := g.clusters[name]; !c.leaving() {
 			had, want := c.kept, c.spec.part.Guaranteed
 			c.keep(config.Amount{Descriptors: min(had.Descriptors, want.Descriptors), Memory: min(had.Memory, want.Memory),
-				Requests: min(had.Requests, want.Requests)}, c.spec.part.Most)
+				Requests: min(had.Requests, want.Requests)}, c.spec.part.Max)
 		}
 	}
 	for _, name := range names {
@@ -222,7 +222,7 @@
 		if c.leaving() {
 			continue
 		}
-		if err := c.keep(c.spec.part.Guaranteed, c.spec.part.Most); err != nil {
+		if err := c.keep(c.spec.part.Guaranteed, c.spec.part.Max); err != nil {
 			g.short = true
 			g.log.Warn("less is kept for the cluster than its part until others have given up theirs", "cluster", name, "err", err)
 		}
@@ -281,8 +281,8 @@
 	delete(g.clusters, c.name)
 	c.stay()
 	c.stopTimer()
-	g.retire(c.in)                                // first: what comes from now on is routed anew
-	_ = c.keep(config.Amount{}, c.spec.part.Most) // less can always be had; what it holds goes back as it ends
+	g.retire(c.in)                               // first: what comes from now on is routed anew
+	_ = c.keep(config.Amount{}, c.spec.part.Max) // less can always be had; what it holds goes back as it ends
 	if g.short && !g.stopping {
 		g.apportion()
 	}
@@ -370,7 +370,7 @@
 	c := s.conf
 	set := balancer.Settings{Zone: s.zone, Me: s.gateway.Number, Proxies: s.gateway.Of, MaxAttempts: c.Attempts, ParallelTries: *c.Hedge,
 		MayCancel: true, RetryAdvice: true, MaxRetryAdvice: 5 * time.Second, ConnectTimeout: c.ConnectTimeout.D(), ConnIdle: c.IdleTimeout.D(),
-		Multiplex: 1, DrainGrace: c.DrainGrace.D(), ColdTime: c.WarmUp.Time.D(), ColdShare: c.WarmUp.Share, FallMultiple: c.WarmUp.Most,
+		Multiplex: 1, DrainGrace: c.DrainGrace.D(), ColdTime: c.WarmUp.Time.D(), ColdShare: c.WarmUp.Share, FallMultiple: c.WarmUp.Max,
 		FallTime: time.Second, Price: balancer.Prices{CrossZone: *c.CrossZone}, Weights: balancer.WeightNominal}
 	for _, k := range s.classes {
 		lc := balancer.Class{Name: k.Name, Aim: k.Wanted.D(), Deadline: k.Deadline.D(), Effect: balancer.Effect(k.Effect),
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -33,7 +33,7 @@
 	if f.Fleet.Subscription == nil {
 		return nil
 	}
-	fl.Node().Handle(sharePath, mostShare, func(_ context.Context, body []byte) (any, error) {
+	fl.Node().Handle(sharePath, maxShare, func(_ context.Context, body []byte) (any, error) {
 		s := g.shared.Load()
 		if s == nil {
 			return pushed{Verdict: "same"}, nil
--- a/internal/gateway/share.go
+++ b/internal/gateway/share.go
@@ -25,12 +25,12 @@
 
 const (
 	sharePath = "/fleet/v1/xds"
-	// mostShare bounds one push.
-	mostShare = 64 << 20
-	// mostPushes are on their way at once.
-	mostPushes = 64
-	// mostChanged names are kept as changed; where there are more, the whole is sent.
-	mostChanged = 10_000
+	// maxShare bounds one push.
+	maxShare = 64 << 20
+	// maxPushes are on their way at once.
+	maxPushes = 64
+	// maxChanged names are kept as changed; where there are more, the whole is sent.
+	maxChanged = 10_000
 )
 
 // shared is a source that lives on the site's one subscription, and on one of its own where there is none.
@@ -74,7 +74,7 @@
 	for _, c := range changes {
 		s.changed[named{c.Type, c.Name}] = s.seq
 	}
-	if len(s.changed) > mostChanged {
+	if len(s.changed) > maxChanged {
 		clear(s.changed)
 		s.floor = s.seq
 	}
@@ -219,7 +219,7 @@
 	s.s.Lead(fleet.Clock(), token)
 	s.mu.Unlock()
 	s.turned(before)
-	out := &pushing{s: s, h: h, acked: map[string]acked{}, room: make(chan struct{}, mostPushes)}
+	out := &pushing{s: s, h: h, acked: map[string]acked{}, room: make(chan struct{}, maxPushes)}
 	defer func() {
 		out.work.Wait()
 		s.mu.Lock()
--- a/internal/gateway/shows.go
+++ b/internal/gateway/shows.go
@@ -9,8 +9,8 @@
 	"robindrum/internal/release"
 )
 
-// mostShown bounds the classes that are counted by name. Danger: configurations bring ever new ones.
-const mostShown = 64
+// maxShown bounds the classes that are counted by name. Danger: configurations bring ever new ones.
+const maxShown = 64
 
 // shows counts what requests came to, by class and by time: by this a release is judged. Its methods may be called by several
 // goroutines at once.
@@ -51,7 +51,7 @@
 		s.classes = map[string]*classShows{}
 	}
 	c := s.classes[name]
-	if c == nil && len(s.classes) < mostShown {
+	if c == nil && len(s.classes) < maxShown {
 		c = &classShows{}
 		s.classes[name] = c
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -222,7 +222,7 @@
 	}
 	s.RateLimits = g.rateLimitStatus()
 	s.Limits = LimitsStatus{Descriptors: g.budget.Used(), DescriptorsMost: g.budget.Limit(), Memory: g.memory.Used(),
-		MemoryMost: g.memory.Most(), Requests: g.open.Used(), RequestsMost: g.open.Most(), Clients: g.front.Conns()}
+		MemoryMost: g.memory.Limit(), Requests: g.open.Used(), RequestsMost: g.open.Limit(), Clients: g.front.Conns()}
 	return s, listings
 }
 
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -21,7 +21,7 @@
 func (s *spec) zoneOptions() locality.Options {
 	z := s.zones
 	return locality.Options{Own: s.zone, Tiers: z.Tiers, Gateways: s.gateway.Of, Overprovision: z.Overprovision, Panic: orNone(*z.Panic),
-		FailHold: z.FailHold.D(), DarkHold: z.DarkHold.D(), UpHold: z.UpHold.D(), Hold: z.Hold.D(), MostHold: z.MostHold.D(),
+		FailHold: z.FailHold.D(), DarkHold: z.DarkHold.D(), UpHold: z.UpHold.D(), Hold: z.Hold.D(), MaxHold: z.MaxHold.D(),
 		Probe: z.Probe.D(), Step: z.Step.D(), Floor: orNone(*z.Floor), FirstShare: z.FirstShare, FirstRoom: z.FirstRoom,
 		Tolerance: z.Tolerance, OwnTol: z.OwnTolerance, RetryShare: orNone(*z.RetryBudget), RetryLeast: z.RetryLeast,
 		OwnFree: admission.Mode(s.conf.Overload.Mode) != admission.Off}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -27,10 +27,10 @@
 
 // Bounds of a table. Danger: names and members come from outside, and the table is in every snapshot.
 const (
-	mostLeases  = 1024
-	mostWaiters = 1024 // of one lease
-	mostMembers = 4096 // whose births are known
-	mostName    = 128  // bytes
+	maxLeases  = 1024
+	maxWaiters = 1024 // of one lease
+	maxMembers = 4096 // whose births are known
+	maxName    = 128  // bytes
 	// MinLength and MostLength bound how long a lease is.
 	MinLength = 100 * time.Millisecond
 	MaxLength = time.Hour
@@ -65,8 +65,8 @@
 		return fmt.Errorf("patience: want 0 to %v, not %v", MaxLength, r.MaxWait)
 	case r.MinHold < 0 || r.MinHold > MaxLength:
 		return fmt.Errorf("floor: want 0 to %v, not %v", MaxLength, r.MinHold)
-	case len(r.Site) > mostName:
-		return fmt.Errorf("site: %d bytes, %d at most", len(r.Site), mostName)
+	case len(r.Site) > maxName:
+		return fmt.Errorf("site: %d bytes, %d at most", len(r.Site), maxName)
 	}
 	return nil
 }
@@ -157,11 +157,11 @@
 	if err := json.Unmarshal(text, t); err != nil {
 		return nil, fmt.Errorf("leases: %w", err)
 	}
-	if t.Leases == nil || t.Incarnations == nil || len(t.Leases) > mostLeases || len(t.Incarnations) > mostMembers || t.LastToken == math.MaxUint64 || t.Term == math.MaxUint64 {
+	if t.Leases == nil || t.Incarnations == nil || len(t.Leases) > maxLeases || len(t.Incarnations) > maxMembers || t.LastToken == math.MaxUint64 || t.Term == math.MaxUint64 {
 		return nil, errors.New("leases: not a table")
 	}
 	for name, l := range t.Leases {
-		if l == nil || name == "" || len(name) > mostName || len(l.Waiters) > mostWaiters {
+		if l == nil || name == "" || len(name) > maxName || len(l.Waiters) > maxWaiters {
 			return nil, fmt.Errorf("leases: %q is no lease", name)
 		}
 		if err := l.Rules.check(); err != nil {
@@ -202,14 +202,14 @@
 
 // known takes the birth of a member that asks.
 func (t *Table) known(m Member) error {
-	if m.Name == "" || len(m.Name) > mostName || len(m.Site) > mostName {
-		return fmt.Errorf("member: a name of %d and a site of %d bytes, want 1 to %d", len(m.Name), len(m.Site), mostName)
+	if m.Name == "" || len(m.Name) > maxName || len(m.Site) > maxName {
+		return fmt.Errorf("member: a name of %d and a site of %d bytes, want 1 to %d", len(m.Name), len(m.Site), maxName)
 	}
 	b, ok := t.Incarnations[m.Name]
 	switch {
 	case ok && m.Incarnation < b:
 		return ErrStaleIncarnation
-	case !ok && len(t.Incarnations) >= mostMembers: // Forget makes room
+	case !ok && len(t.Incarnations) >= maxMembers: // Forget makes room
 		return fmt.Errorf("members: %w", ErrFull)
 	}
 	return nil
@@ -227,7 +227,7 @@
 	}
 	l := t.Leases[name]
 	if l == nil {
-		if name == "" || len(name) > mostName || len(t.Leases) >= mostLeases {
+		if name == "" || len(name) > maxName || len(t.Leases) >= maxLeases {
 			return Grant{}, fmt.Errorf("lease %q: %w", name, ErrFull)
 		}
 		l = &Lease{Rules: rules, GrantedAt: t.Now - rules.MinHold}
@@ -258,7 +258,7 @@
 			return true
 		}
 	}
-	if len(l.Waiters) >= mostWaiters {
+	if len(l.Waiters) >= maxWaiters {
 		return false
 	}
 	l.Waiters = append(l.Waiters, Waiter{Member: m, WaitingSince: t.Now, LastAskedAt: t.Now})
@@ -384,8 +384,8 @@
 		return nil
 	case err != nil:
 		return err
-	case len(heir) > mostName:
-		return fmt.Errorf("heir: %d bytes, %d at most", len(heir), mostName)
+	case len(heir) > maxName:
+		return fmt.Errorf("heir: %d bytes, %d at most", len(heir), maxName)
 	}
 	l.Holder, l.Revoked, l.Successor = Member{}, false, heir
 	l.ExpiresAt = t.Now
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -347,10 +347,10 @@
 	if f.Admit(0) || !f.Admit(1) || !f.Admit(1) || !f.Admit(3) || f.Admit(2) || !f.Admit(3) {
 		t.Errorf("%+v admits what is older, or not what is newer", f)
 	}
-	for i := range 2 * mostMembers { // ever new names
+	for i := range 2 * maxMembers { // ever new names
 		_, _ = table.Acquire(1, time.Second+time.Duration(i)*ms, "l", rules, Member{Name: fmt.Sprint(i), Incarnation: 1})
 	}
-	if n := len(table.Incarnations); n > mostMembers {
+	if n := len(table.Incarnations); n > maxMembers {
 		t.Errorf("%d births are kept", n)
 	}
 	if err := table.Forget(1, time.Hour); err != nil || len(table.Incarnations) > 0 {
--- a/internal/locality/place.go
+++ b/internal/locality/place.go
@@ -327,13 +327,13 @@
 		p.trips = 0
 	}
 	hold := time.Duration((0.75 + b.rng.Float64()/2) * float64(b.hold(p)))
-	hold = min(hold, b.opt.MostHold)
+	hold = min(hold, b.opt.MaxHold)
 	p.trips = min(p.trips+1, 16)
 	p.until, p.nextProbe, p.probesInARow, p.probing, p.step = now+hold, now+hold/2, 0, 0, 0
 	b.move(now, p, Dark, why)
 }
 
-func (b *Book) hold(p *place) time.Duration { return min(b.opt.Hold<<min(p.trips, 16), b.opt.MostHold) }
+func (b *Book) hold(p *place) time.Duration { return min(b.opt.Hold<<min(p.trips, 16), b.opt.MaxHold) }
 
 func (b *Book) move(now time.Duration, p *place, to State, why string) {
 	t := Transition{At: now, Locality: p.at, From: p.state, To: to, Evidence: why}
@@ -373,8 +373,8 @@
 // room bounds the requests at once that a locality is given, by what it has shown: it grows while what is given is
 // answered in time, and shrinks as soon as latency rises. The own zone has no bound until it is seen to be busy.
 type room struct {
-	most      float64
-	least     float64
+	maximum   float64
+	minimum   float64
 	peak      float64 // the most at once in the period under way
 	from      time.Duration
 	n, served float64 // attempts that ended, and that were served
@@ -390,9 +390,9 @@
 
 func (r *room) begin(o *Options, own bool) {
 	first := max(o.FirstRoom/float64(o.Gateways), 1)
-	*r = room{most: first, least: max(first/4, 1), tolerance: o.Tolerance, part: 0.3, probing: true, busyAt: math.MinInt64 / 2}
+	*r = room{maximum: first, minimum: max(first/4, 1), tolerance: o.Tolerance, part: 0.3, probing: true, busyAt: math.MinInt64 / 2}
 	if own {
-		r.most, r.tolerance, r.part = math.Inf(1), o.OwnTol, 0.6
+		r.maximum, r.tolerance, r.part = math.Inf(1), o.OwnTol, 0.6
 	}
 }
 
@@ -422,16 +422,16 @@
 	switch {
 	case slow || r.bad > most*r.n:
 		r.probing, r.busyAt = false, now
-		r.most = max(min(r.most, r.peak)*0.8, r.least)
-	case r.peak >= 0.7*r.most:
+		r.maximum = max(min(r.maximum, r.peak)*0.8, r.minimum)
+	case r.peak >= 0.7*r.maximum:
 		// Danger: a bound that grows without being needed is none when it is.
 		if grow := in; r.probing {
-			r.most += min(grow, r.most/2)
+			r.maximum += min(grow, r.maximum/2)
 		} else {
-			r.most += min(grow/r.most, max(r.most/10, 1))
+			r.maximum += min(grow/r.maximum, max(r.maximum/10, 1))
 		}
 	case p.own && !r.busy(now-10*window):
-		r.most = math.Inf(1)
+		r.maximum = math.Inf(1)
 	}
 	r.n, r.served, r.sum, r.bad, r.from, r.peak = 0, 0, 0, 0, now, float64(p.inFlight)
 }
@@ -474,8 +474,8 @@
 		if p.known > 0 {
 			r.Health = p.ready / p.known
 		}
-		if !math.IsInf(p.room.most, 1) {
-			r.Room = p.room.most
+		if !math.IsInf(p.room.maximum, 1) {
+			r.Room = p.room.maximum
 		}
 		l = append(l, r)
 	}
--- a/internal/locality/zone.go
+++ b/internal/locality/zone.go
@@ -56,7 +56,7 @@
 	DarkHold time.Duration // worse evidence for so long makes it Dark; 300 ms
 	UpHold   time.Duration // good evidence for so long makes it Up again; 1 s
 	Hold     time.Duration // how long it is Dark at the least; 1 s, twice as long each time
-	MostHold time.Duration // and no longer than this; 30 s
+	MaxHold  time.Duration // and no longer than this; 30 s
 	Probe    time.Duration // between probes of a Dark locality; 500 ms
 	Step     time.Duration // of the way back, at the least; 2 s
 	Floor    float64       // the part of a locality's room that each class may have whatever the others are worth; 0.05
@@ -96,7 +96,7 @@
 	set(&o.DarkHold, 300*time.Millisecond)
 	set(&o.UpHold, time.Second)
 	set(&o.Hold, time.Second)
-	set(&o.MostHold, 30*time.Second)
+	set(&o.MaxHold, 30*time.Second)
 	set(&o.Probe, 500*time.Millisecond)
 	set(&o.Step, 2*time.Second)
 	set(&o.Floor, 0.05)
@@ -130,8 +130,8 @@
 		return errors.New("tolerance: want more than 1")
 	case o.Floor < 0 || o.Floor > 0.5:
 		return fmt.Errorf("floor: want 0 to 0.5, not %v", o.Floor)
-	case o.MostHold < o.Hold:
-		return fmt.Errorf("most_hold: %v is shorter than hold, %v", o.MostHold, o.Hold)
+	case o.MaxHold < o.Hold:
+		return fmt.Errorf("most_hold: %v is shorter than hold, %v", o.MaxHold, o.Hold)
 	case o.FirstRoom < 1:
 		return fmt.Errorf("first_room: want 1 at least, not %v", o.FirstRoom)
 	case o.RetryShare < 0 || o.RetryShare > 1 || o.RetryLeast < 0:
@@ -451,7 +451,7 @@
 		if p.state != Up || p.ready == 0 || !allowed(p, a) || a.Spent && p == from {
 			continue
 		}
-		if p.at != a.From && (float64(p.inFlight) >= p.room.most/2 || p.room.busy(now)) {
+		if p.at != a.From && (float64(p.inFlight) >= p.room.maximum/2 || p.room.busy(now)) {
 			continue
 		}
 		if b.fits(now, p, a, c) {
@@ -472,11 +472,11 @@
 		return false
 	}
 	n := float64(p.inFlight)
-	if n < p.room.most*c.part {
+	if n < p.room.maximum*c.part {
 		return true
 	}
-	floor := max(b.opt.Floor*p.room.most, 1)
-	return float64(u.out) < floor && n < p.room.most*(1+b.opt.Floor)
+	floor := max(b.opt.Floor*p.room.maximum, 1)
+	return float64(u.out) < floor && n < p.room.maximum*(1+b.opt.Floor)
 }
 
 // comeBack is when those that are refused may come back.
--- a/internal/locality/zone_test.go
+++ b/internal/locality/zone_test.go
@@ -444,7 +444,7 @@
 	if _, ok, _ := b.Place(0, c); !ok {
 		t.Error("no copy to an idle zone")
 	}
-	for range int(b.find(other).room.most / 2) {
+	for range int(b.find(other).room.maximum / 2) {
 		b.Sent(0, other, balancer.Ask{Class: "map"})
 	}
 	if at, ok, _ := b.Place(0, c); ok {
@@ -756,7 +756,7 @@
 			do(v)
 			steps++
 			check(teller{t}, v.b)
-			if p := v.b.find(own); before == Dark && p.state == Up || p.state == Dark && p.until-v.now > v.b.opt.MostHold {
+			if p := v.b.find(own); before == Dark && p.state == Up || p.state == Dark && p.until-v.now > v.b.opt.MaxHold {
 				teller{t}.Fatalf("%v to %v, held for %v", before, p.state, p.until-v.now)
 			}
 			if left > 1 {
@@ -806,7 +806,7 @@
 		"share":     func(o *Options) { o.FirstShare = 2 },
 		"tolerance": func(o *Options) { o.Tolerance = 1 },
 		"floor":     func(o *Options) { o.Floor = 0.9 },
-		"hold":      func(o *Options) { o.Hold, o.MostHold = time.Minute, time.Second },
+		"hold":      func(o *Options) { o.Hold, o.MaxHold = time.Minute, time.Second },
 		"room":      func(o *Options) { o.FirstRoom = 0.5 },
 		"retries":   func(o *Options) { o.RetryShare = 2 },
 		"tiers":     func(o *Options) { o.Tiers = [][]string{{"a"}, {"b", "a"}} },
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -153,7 +153,7 @@
 
 // Watch gives a stream of events from now on. Whoever is too slow for it misses some, and has Members.
 func (l *List) Watch() <-chan Event {
-	ch := make(chan Event, mostEvents)
+	ch := make(chan Event, maxEvents)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.watch = append(l.watch, ch)
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -26,10 +26,10 @@
 
 // Bounds: names and texts come from other processes.
 const (
-	mostMembers = 4096
-	mostMeta    = 512 // bytes, memberlist's own
-	mostText    = 64  // bytes of a name, site, zone or version
-	mostEvents  = 4096
+	maxMembers = 4096
+	maxMeta    = 512 // bytes, memberlist's own
+	maxText    = 64  // bytes of a name, site, zone or version
+	maxEvents  = 4096
 )
 
 // Member is one process.
@@ -73,13 +73,13 @@
 
 func (m Member) meta() ([]byte, error) {
 	for _, s := range []string{m.Name, m.Site, m.Zone, m.Program, m.Config} {
-		if len(s) > mostText {
-			return nil, fmt.Errorf("member %q: %q has %d bytes, %d at most", m.Name, s, len(s), mostText)
+		if len(s) > maxText {
+			return nil, fmt.Errorf("member %q: %q has %d bytes, %d at most", m.Name, s, len(s), maxText)
 		}
 	}
 	b, err := json.Marshal(meta{m.Site, m.Zone, m.Program, m.Config, m.Incarnation, m.State})
-	if err == nil && len(b) > mostMeta {
-		err = fmt.Errorf("member %q: what it says of itself has %d bytes, %d at most", m.Name, len(b), mostMeta)
+	if err == nil && len(b) > maxMeta {
+		err = fmt.Errorf("member %q: what it says of itself has %d bytes, %d at most", m.Name, len(b), maxMeta)
 	}
 	return b, err
 }
@@ -87,16 +87,16 @@
 // readMeta reads what another process says of itself.
 func readMeta(name, address string, text []byte) (Member, error) {
 	var d meta
-	if name == "" || len(name) > mostText {
-		return Member{}, fmt.Errorf("a name of %d bytes, want 1 to %d", len(name), mostText)
+	if name == "" || len(name) > maxText {
+		return Member{}, fmt.Errorf("a name of %d bytes, want 1 to %d", len(name), maxText)
 	}
 	if err := json.Unmarshal(text, &d); err != nil {
 		return Member{}, fmt.Errorf("member %q: %w", name, err)
 	}
 	m := Member{Name: name, Site: d.Site, Zone: d.Zone, Program: d.Program, Config: d.Config, Incarnation: d.Birth, State: d.State, Address: address}
 	for _, s := range []string{m.Site, m.Zone, m.Program, m.Config} {
-		if len(s) > mostText {
-			return Member{}, fmt.Errorf("member %q: a text of %d bytes, %d at most", name, len(s), mostText)
+		if len(s) > maxText {
+			return Member{}, fmt.Errorf("member %q: a text of %d bytes, %d at most", name, len(s), maxText)
 		}
 	}
 	switch m.State {
@@ -136,7 +136,7 @@
 func (r *roster) alive(now time.Duration, m Member) []Event {
 	e := r.all[m.Name]
 	if e == nil {
-		if len(r.all) >= mostMembers {
+		if len(r.all) >= maxMembers {
 			return nil
 		}
 		said := m.State
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -24,10 +24,10 @@
 
 const (
 	fleetHeader = "Robindrum-Fleet"
-	// mostStreams bounds streams and calls that are open at once; more are refused.
-	mostStreams = 4096
-	mostReply   = 64 << 20
-	mostHead    = 16 << 10
+	// maxStreams bounds streams and calls that are open at once; more are refused.
+	maxStreams = 4096
+	maxReply   = 64 << 20
+	maxHead    = 16 << 10
 	// dialTime bounds how long a connection may take to come up.
 	dialTime = 3 * time.Second
 )
@@ -110,7 +110,7 @@
 	n.tcp = countedListener{n.tcp, &n.traffic}
 	n.client = &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, addr) },
 		MaxIdleConnsPerHost: 2, MaxIdleConns: 512, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}
-	n.server = &http.Server{Handler: http.HandlerFunc(n.serve), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: mostHead,
+	n.server = &http.Server{Handler: http.HandlerFunc(n.serve), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: maxHead,
 		ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelDebug)}
 	return n, nil
 }
@@ -152,7 +152,7 @@
 		http.Error(w, fmt.Sprintf("this is fleet %q, not %q", n.opt.Fleet, f), http.StatusMisdirectedRequest)
 		return
 	}
-	if n.open.Add(1) > mostStreams {
+	if n.open.Add(1) > maxStreams {
 		n.open.Add(-1)
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many calls at once", http.StatusServiceUnavailable)
@@ -249,7 +249,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostReply))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
 	if err != nil {
 		return fmt.Errorf("%s of %s: %w", path, addr, err)
 	}
@@ -322,7 +322,7 @@
 		resp, err = http.ReadResponse(in, r)
 	}
 	if err == nil && resp.StatusCode != http.StatusSwitchingProtocols {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, mostHead))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxHead))
 		err = fmt.Errorf("%w: %s of %s: %s", ErrRemoteRejected, kind, addr, bytes.TrimSpace(text))
 	}
 	if err == nil && (!end() || !n.keep(c)) {
@@ -342,7 +342,7 @@
 func (n *Node) keep(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.closed || len(n.streams) >= mostStreams {
+	if n.closed || len(n.streams) >= maxStreams {
 		return false
 	}
 	n.streams[c] = struct{}{}
@@ -395,7 +395,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(n.via) >= mostStreams { // addresses come from outside
+	if len(n.via) >= maxStreams { // addresses come from outside
 		clear(n.via)
 	}
 	n.via[addr] = a
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	LongestBody = 64 << 10 // bytes, the protocol's; longer ones of bad clients would eat what others' bodies need
-	firstPiece  = 4 << 10
+	DefaultMaxBodyBytes = 64 << 10 // bytes, the protocol's; longer ones of bad clients would eat what others' bodies need
+	firstPiece          = 4 << 10
 )
 
 var (
@@ -41,7 +41,7 @@
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil, 0, nil
 	}
-	if r.ContentLength > n.longest {
+	if r.ContentLength > n.maxBodyBytes {
 		return nil, 0, errTooLong
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
@@ -70,7 +70,7 @@
 			k, err = r.Body.Read(part[got:])
 			got += k
 		}
-		if total += int64(got); total > n.longest {
+		if total += int64(got); total > n.maxBodyBytes {
 			return nil, took, errTooLong
 		}
 		if got > 0 {
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -118,8 +118,8 @@
 	youngHead  = 250 * time.Millisecond // a head that is on its way for no longer is not shed: bursts come as fast
 	headsPart  = 4                      // of the clients' descriptors, one in so many may owe a head
 	prefixPart = 8                      // and of one address prefix, one in so many
-	mostShed   = 16                     // at once
-	mostPassed = 4                      // idle connections passed over for one descriptor
+	maxShed    = 16                     // at once
+	maxPassed  = 4                      // idle connections passed over for one descriptor
 )
 
 // owes notes that a client's head is on its way from now on; paid that it has come, and tells whether it came before the
@@ -158,7 +158,7 @@
 		return
 	}
 	n, old := c.halfOpen()
-	for range mostShed {
+	for range maxShed {
 		var from netip.Prefix
 		for p, l := range old {
 			if len(l) > len(old[from]) {
@@ -204,7 +204,7 @@
 		return d >= settled || d >= silent && !k.served.Load()
 	}
 	var passed []*client // whose next request has come: they are as good as busy
-	for len(passed) < mostPassed {
+	for len(passed) < maxPassed {
 		var oldest *client
 		var most time.Duration
 		c.mu.Lock()
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -39,11 +39,11 @@
 // Front serves clients over HTTP/1.1: whole requests in, one final answer each. Which core takes a request is its
 // Router's to say.
 type Front struct {
-	router  Router
-	longest int64 // of a body
-	whole   bool  // Retry-After
-	conns   *conns
-	bodies  bodyBudget
+	router       Router
+	maxBodyBytes int64 // of a body
+	whole        bool  // Retry-After
+	conns        *conns
+	bodies       bodyBudget
 
 	stopping, closing atomic.Bool
 	serving           atomic.Int32  // how many accept
@@ -52,20 +52,20 @@
 
 // FrontOptions bound a front.
 type FrontOptions struct {
-	Budget      *backend.Budget // of descriptors; clients' connections count against it
-	BodyBytes   int64           // for bodies whose core has no Memory of its own
-	LongestBody int64           // bytes; 0: LongestBody
-	Router      Router
-	ShedHeads   bool // clients whose heads are long in coming give way where descriptors are short
-	WholeWaits  bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
+	Budget       *backend.Budget // of descriptors; clients' connections count against it
+	BodyBytes    int64           // for bodies whose core has no Memory of its own
+	MaxBodyBytes int64           // bytes; 0: LongestBody
+	Router       Router
+	ShedHeads    bool // clients whose heads are long in coming give way where descriptors are short
+	WholeWaits   bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
 }
 
 // NewFront makes a front.
 func NewFront(opt FrontOptions) *Front {
-	f := &Front{router: opt.Router, longest: opt.LongestBody, whole: opt.WholeWaits, conns: newConns(opt.Budget, opt.ShedHeads),
+	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, whole: opt.WholeWaits, conns: newConns(opt.Budget, opt.ShedHeads),
 		atEnd: make(chan struct{})}
-	if f.longest <= 0 {
-		f.longest = LongestBody
+	if f.maxBodyBytes <= 0 {
+		f.maxBodyBytes = DefaultMaxBodyBytes
 	}
 	f.bodies.left.Store(opt.BodyBytes)
 	return f
--- a/internal/proxy/node_test.go
+++ b/internal/proxy/node_test.go
@@ -157,7 +157,7 @@
 	if code, body, h := c.answer(t); code != 200 || body != "" || h.Get("X-B") != "0" {
 		t.Errorf("%d %q %v", code, body, h)
 	}
-	long := strings.Repeat("x", LongestBody)
+	long := strings.Repeat("x", DefaultMaxBodyBytes)
 	for _, text := range []string{"a", strings.Repeat("y", 20<<10), long} {
 		c.send(head("POST", "put", "Idempotency-Key: k", fmt.Sprint("Content-Length: ", len(text))) + text)
 		if code, body, _ := c.answer(t); code != 200 || body != text {
--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -32,13 +32,13 @@
 	return &Client{node: n, voters: voters, attempt: attempt, now: now}
 }
 
-// mostAsked bounds how long a command is asked for, however many voters there are. Operators' calls have 10 s: who made one is to
+// maxAsked bounds how long a command is asked for, however many voters there are. Operators' calls have 10 s: who made one is to
 // be told that there is no quorum, and not that the time is up.
-const mostAsked = 8 * time.Second
+const maxAsked = 8 * time.Second
 
 // limit is how long a command is asked for: as three rounds over silent voters take, mostAsked at the most.
 func (c *Client) limit() time.Duration {
-	return min(time.Duration(3*len(c.voters))*c.attempt, mostAsked)
+	return min(time.Duration(3*len(c.voters))*c.attempt, maxAsked)
 }
 
 // Do has a command agreed on, within ctx and the client's limit. sent is when the attempt that
--- a/internal/quorum/disk.go
+++ b/internal/quorum/disk.go
@@ -25,8 +25,8 @@
 
 // plainDisk is the file system as it is, within a bound.
 type plainDisk struct {
-	path string
-	most int64
+	path     string
+	maxBytes int64
 }
 
 // ErrStoreFull is that the voter's store has reached its bound.
@@ -37,8 +37,8 @@
 	if err != nil {
 		return err
 	}
-	if info.Size()+int64(n) > d.most {
-		return fmt.Errorf("%w: %d bytes, %d at most", ErrStoreFull, info.Size(), d.most)
+	if info.Size()+int64(n) > d.maxBytes {
+		return fmt.Errorf("%w: %d bytes, %d at most", ErrStoreFull, info.Size(), d.maxBytes)
 	}
 	return nil
 }
@@ -129,8 +129,8 @@
 }
 
 const (
-	mostStarts = 256
-	mostVoters = 256
+	maxStarts = 256
+	maxVoters = 256
 )
 
 // knows tells whether a folder with these starts has a start of its voter in it. Danger: one that was restored from a copy has
@@ -185,7 +185,7 @@
 	}
 	id.Boot++
 	id.Starts = append(id.Starts, random())
-	id.Starts = id.Starts[max(0, len(id.Starts)-mostStarts):]
+	id.Starts = id.Starts[max(0, len(id.Starts)-maxStarts):]
 	return id, id.write(dir)
 }
 
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -829,7 +829,7 @@
 func (s *Server) meet(h http.Header, taken bool) error {
 	id, fleet, starts := h.Get(idHeader), h.Get(fleetIDField), strings.Fields(h.Get(startsHeader))
 	n, err := strconv.ParseUint(h.Get(bootHeader), 10, 64)
-	if err != nil || n == 0 || id == "" || len(id) > 256 || len(starts) == 0 || len(starts) > mostStarts || fleet == "" {
+	if err != nil || n == 0 || id == "" || len(id) > 256 || len(starts) == 0 || len(starts) > maxStarts || fleet == "" {
 		return errors.New("who is this?")
 	}
 	s.mu.Lock()
@@ -851,7 +851,7 @@
 	}
 	return s.keep(func(mine *identity) {
 		mine.Fleet = fleet
-		if len(mine.Seen) >= mostVoters || mine.Seen == nil {
+		if len(mine.Seen) >= maxVoters || mine.Seen == nil {
 			mine.Seen = map[string]start{}
 		}
 		mine.Seen[id] = now
--- a/internal/quorum/state.go
+++ b/internal/quorum/state.go
@@ -334,13 +334,13 @@
 }
 func (b snapshot) Release() {}
 
-// mostSnapshot bounds what is read of a snapshot.
-const mostSnapshot = 64 << 20
+// maxSnapshot bounds what is read of a snapshot.
+const maxSnapshot = 64 << 20
 
 // Restore is the raft library's.
 func (s *state) Restore(r io.ReadCloser) error {
 	defer r.Close()
-	b, err := io.ReadAll(io.LimitReader(r, mostSnapshot))
+	b, err := io.ReadAll(io.LimitReader(r, maxSnapshot))
 	if err != nil {
 		return err
 	}
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -26,9 +26,9 @@
 const (
 	// MaxConfigBytes bounds a configuration.
 	MaxConfigBytes = 256 << 10
-	mostTexts      = 8
-	mostPast       = 16 // releases that have ended
-	mostWord       = 256
+	maxTexts       = 8
+	maxPast        = 16 // releases that have ended
+	maxWord        = 256
 )
 
 // Gate is when a wave is good, from what its gateways show.
@@ -80,8 +80,8 @@
 
 func (p *Plan) check() error {
 	for _, s := range []string{p.ID, p.Target, p.Owner, p.Reason} {
-		if len(s) > mostWord {
-			return fmt.Errorf("a text of %d bytes, %d at most", len(s), mostWord)
+		if len(s) > maxWord {
+			return fmt.Errorf("a text of %d bytes, %d at most", len(s), maxWord)
 		}
 	}
 	switch {
@@ -316,7 +316,7 @@
 	if err := json.Unmarshal(text, b); err != nil {
 		return nil, fmt.Errorf("releases: %w", err)
 	}
-	if b.Configs == nil || b.Gateways == nil || len(b.Configs) > mostTexts || len(b.Configs) != len(b.ConfigOrder) || len(b.Ended) > mostPast {
+	if b.Configs == nil || b.Gateways == nil || len(b.Configs) > maxTexts || len(b.Configs) != len(b.ConfigOrder) || len(b.Ended) > maxPast {
 		return nil, errors.New("releases: not a book")
 	}
 	if r := b.Current; r != nil && (r.Incarnations == nil || r.AtWaveReady == nil || r.BeforeWave == nil || r.AtStart == nil || len(r.Waves) == 0 || r.Wave < 0 || r.Wave >= len(r.Waves)) {
@@ -346,13 +346,13 @@
 
 // StoreConfig keeps a configuration under its digest.
 func (b *Ledger) StoreConfig(digest, text string) error {
-	if len(text) > MaxConfigBytes || len(digest) > mostWord || digest == "" {
+	if len(text) > MaxConfigBytes || len(digest) > maxWord || digest == "" {
 		return fmt.Errorf("a configuration of %d bytes, %d at most", len(text), MaxConfigBytes)
 	}
 	if _, ok := b.Configs[digest]; ok {
 		return nil
 	}
-	for len(b.ConfigOrder) >= mostTexts {
+	for len(b.ConfigOrder) >= maxTexts {
 		i := slices.IndexFunc(b.ConfigOrder, func(d string) bool {
 			return d != b.CurrentConfig && (b.Current == nil || d != b.Current.Target && d != b.Current.Previous)
 		})
@@ -505,7 +505,7 @@
 		b.CurrentVersion = ""
 	}
 	b.Ended = append(b.Ended, *b.Current)
-	b.Ended = b.Ended[max(0, len(b.Ended)-mostPast):]
+	b.Ended = b.Ended[max(0, len(b.Ended)-maxPast):]
 	b.Current = nil
 }
 
--- a/internal/resource/limit.go
+++ b/internal/resource/limit.go
@@ -8,13 +8,13 @@
 
 // Pool is a bounded amount. Its Shares may be used by several goroutines at once.
 type Pool struct {
-	mu   sync.Mutex
-	most int64
-	used int64 // booked: what shares own, and what they hold beyond that
+	mu    sync.Mutex
+	limit int64
+	used  int64 // booked: what shares own, and what they hold beyond that
 }
 
 // NewPool makes a pool of an amount.
-func NewPool(most int64) *Pool { return &Pool{most: most} }
+func NewPool(most int64) *Pool { return &Pool{limit: most} }
 
 // Used is what is held or owned, Most what there is.
 func (p *Pool) Used() int64 {
@@ -23,14 +23,14 @@
 	return p.used
 }
 
-// Most is the whole amount.
-func (p *Pool) Most() int64 { return p.most }
+// Limit is the whole amount.
+func (p *Pool) Limit() int64 { return p.limit }
 
 // Share is one user's part: own is kept for it whatever the others do, the rest it takes from what nobody owns.
 type Share struct {
-	p         *Pool
-	own, most int64
-	used      int64
+	p          *Pool
+	own, limit int64
+	used       int64
 }
 
 // Share books own for one user until End. It holds at most most; 0: as much as there is. Where own is not to be had
@@ -38,11 +38,11 @@
 func (p *Pool) Share(own, most int64) (*Share, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if own < 0 || p.used+own > p.most {
-		return nil, fmt.Errorf("%d of %d cannot be kept: %d are booked", own, p.most, p.used)
+	if own < 0 || p.used+own > p.limit {
+		return nil, fmt.Errorf("%d of %d cannot be kept: %d are booked", own, p.limit, p.used)
 	}
 	p.used += own
-	return &Share{p: p, own: own, most: most}, nil
+	return &Share{p: p, own: own, limit: most}, nil
 }
 
 // Resize changes what is its own and the most that it may hold. What it holds stays. Where own is not to be had that
@@ -51,26 +51,26 @@
 	s.p.mu.Lock()
 	defer s.p.mu.Unlock()
 	more := own + max(s.used-own, 0) - s.own - max(s.used-s.own, 0)
-	if own < 0 || more > 0 && s.p.used+more > s.p.most {
-		return fmt.Errorf("%d of %d cannot be kept: %d are booked", own, s.p.most, s.p.used)
+	if own < 0 || more > 0 && s.p.used+more > s.p.limit {
+		return fmt.Errorf("%d of %d cannot be kept: %d are booked", own, s.p.limit, s.p.used)
 	}
 	s.p.used += more
-	s.own, s.most = own, most
+	s.own, s.limit = own, most
 	return nil
 }
 
 // End gives back what is its own. What it still holds goes back with each Give.
-func (s *Share) End() { _ = s.Resize(0, s.most) } // less can always be had
+func (s *Share) End() { _ = s.Resize(0, s.limit) } // less can always be had
 
 // Take books n, or tells that they are not to be had.
 func (s *Share) Take(n int64) bool {
 	s.p.mu.Lock()
 	defer s.p.mu.Unlock()
-	if n < 0 || s.most > 0 && s.used+n > s.most {
+	if n < 0 || s.limit > 0 && s.used+n > s.limit {
 		return false
 	}
 	more := max(s.used+n-s.own, 0) - max(s.used-s.own, 0)
-	if more > 0 && s.p.used+more > s.p.most {
+	if more > 0 && s.p.used+more > s.p.limit {
 		return false
 	}
 	s.used += n
--- a/internal/resource/limit_test.go
+++ b/internal/resource/limit_test.go
@@ -17,8 +17,8 @@
 	if _, err := p.Share(-1, 0); err == nil {
 		t.Error("less than nothing was promised")
 	}
-	if p.Used() != 6 || p.Most() != 10 {
-		t.Errorf("%d of %d", p.Used(), p.Most())
+	if p.Used() != 6 || p.Limit() != 10 {
+		t.Errorf("%d of %d", p.Used(), p.Limit())
 	}
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -33,13 +33,13 @@
 
 // Bounds of a table, for each host where that makes a difference. Compile names the route that goes over one.
 const (
-	MostAlternatives = 64 // routes of one host and path
-	MostShapes       = 32 // ways in which templates set literals and parameters
-	MostPrefixes     = 64 // distinct lengths of prefixes
-	MostSegments     = 32 // of a template
-	MostWildcards    = 8  // wildcard hosts of which one is the end of the next
-	MostConditions   = 16 // of one route
-	longestHost      = 255
+	MaxAlternatives = 64 // routes of one host and path
+	MaxShapes       = 32 // ways in which templates set literals and parameters
+	MaxPrefixes     = 64 // distinct lengths of prefixes
+	MaxSegments     = 32 // of a template
+	MaxWildcards    = 8  // wildcard hosts of which one is the end of the next
+	MaxConditions   = 16 // of one route
+	maxHost         = 255
 )
 
 // Route is one rule. Of Path, Template and Prefix at most one is set; with none any path will do.
@@ -182,8 +182,8 @@
 		}
 	}
 	for suffix := range t.wildcards {
-		if n := len(t.chain(suffix)); n > MostWildcards {
-			errs = append(errs, fmt.Errorf("hosts: %d wildcards are nested at *%s, %d at most", n, suffix, MostWildcards))
+		if n := len(t.chain(suffix)); n > MaxWildcards {
+			errs = append(errs, fmt.Errorf("hosts: %d wildcards are nested at *%s, %d at most", n, suffix, MaxWildcards))
 		}
 	}
 	for _, h := range t.hosts() {
@@ -233,7 +233,7 @@
 	case wild:
 		into, key = t.wildcards, suffix
 	}
-	if key == "" || len(key) > longestHost || strings.ContainsAny(key, "*/ ") {
+	if key == "" || len(key) > maxHost || strings.ContainsAny(key, "*/ ") {
 		return nil, fmt.Errorf("%q is not a host", name)
 	}
 	if into[key] == nil {
@@ -286,8 +286,8 @@
 	}
 	if c.Template != "" {
 		segments := strings.Split(c.Template, "/")[1:]
-		if len(segments) > MostSegments {
-			bad("template", "%d segments, %d at most", len(segments), MostSegments)
+		if len(segments) > MaxSegments {
+			bad("template", "%d segments, %d at most", len(segments), MaxSegments)
 		}
 		for _, s := range segments {
 			name, is := parameter(s)
@@ -311,8 +311,8 @@
 			bad("methods", "%q is not a method", m)
 		}
 	}
-	if n := c.conditions(); n > MostConditions {
-		bad("headers", "%d conditions, %d at most", n, MostConditions)
+	if n := c.conditions(); n > MaxConditions {
+		bad("headers", "%d conditions, %d at most", n, MaxConditions)
 	}
 	for i := range c.Headers {
 		if c.Headers[i].Name = http.CanonicalHeaderKey(c.Headers[i].Name); c.Headers[i].Name == "" {
@@ -378,8 +378,8 @@
 		}
 		i := slices.IndexFunc(h.shapes, func(s *shape) bool { return slices.Equal(s.literal, literal) })
 		if i < 0 {
-			if i = len(h.shapes); i == MostShapes {
-				return fmt.Errorf("templates set parameters in more than %d ways", MostShapes)
+			if i = len(h.shapes); i == MaxShapes {
+				return fmt.Errorf("templates set parameters in more than %d ways", MaxShapes)
 			}
 			h.shapes = append(h.shapes, &shape{literal, map[string][]*compiled{}})
 		}
@@ -393,8 +393,8 @@
 		}
 		l, ok := h.prefixes[p]
 		if !ok && !slices.Contains(h.lengths, len(p)) {
-			if len(h.lengths) == MostPrefixes {
-				return fmt.Errorf("prefixes have more than %d lengths", MostPrefixes)
+			if len(h.lengths) == MaxPrefixes {
+				return fmt.Errorf("prefixes have more than %d lengths", MaxPrefixes)
 			}
 			h.lengths = append(h.lengths, len(p))
 		}
@@ -411,9 +411,9 @@
 // finish sorts what was added and tells which routes can never win.
 func (h *host) finish() (errs []error) {
 	tidy := func(l []*compiled) {
-		if len(l) > MostAlternatives {
-			errs = append(errs, &Error{l[MostAlternatives].index, l[0].pathField(), fmt.Sprintf(
-				"%d routes have this host and path, %d at most", len(l), MostAlternatives)})
+		if len(l) > MaxAlternatives {
+			errs = append(errs, &Error{l[MaxAlternatives].index, l[0].pathField(), fmt.Sprintf(
+				"%d routes have this host and path, %d at most", len(l), MaxAlternatives)})
 			return
 		}
 		slices.SortStableFunc(l, func(x, y *compiled) int { return cmp.Compare(y.conditions(), x.conditions()) })
@@ -532,7 +532,7 @@
 	}
 	name = strings.ToLower(strings.TrimSuffix(name, "."))
 	f := finder{q: q, random: random}
-	if len(name) <= longestHost {
+	if len(name) <= maxHost {
 		if h := t.exact[name]; h != nil {
 			if r, ok := f.in(h); ok || t.opt.HostsExclude {
 				return r, ok
@@ -608,7 +608,7 @@
 	}
 	f.split = true
 	n := strings.Count(f.q.Path, "/")
-	if n > MostSegments || f.q.Path == "" {
+	if n > MaxSegments || f.q.Path == "" {
 		return
 	}
 	l := make([]string, 0, n)
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -142,18 +142,18 @@
 			[]string{"routes[1].match"}},
 		"condition within": {[]Route{{Path: "/a", Headers: []Condition{{Name: "x-b", Op: Prefix, Value: "v"}}, Clusters: to("c")},
 			{Path: "/a", Headers: []Condition{{Name: "X-B", Op: Exact, Value: "vw"}}, Clusters: to("c")}}, []string{"routes[1].match"}},
-		"alternatives": {many(MostAlternatives+1, func(i int, r *Route) {
+		"alternatives": {many(MaxAlternatives+1, func(i int, r *Route) {
 			r.Path, r.Query = "/a", []Condition{{Name: fmt.Sprint(i)}}
 		}), []string{"65 routes have this host and path"}},
-		"prefix lengths": {many(MostPrefixes+1, func(i int, r *Route) { r.Prefix = "/" + strings.Repeat("a", i+1) }), []string{"more than 64 lengths"}},
-		"shapes": {many(MostShapes+1, func(i int, r *Route) {
+		"prefix lengths": {many(MaxPrefixes+1, func(i int, r *Route) { r.Prefix = "/" + strings.Repeat("a", i+1) }), []string{"more than 64 lengths"}},
+		"shapes": {many(MaxShapes+1, func(i int, r *Route) {
 			for bit := range 6 {
 				r.Template += []string{"/a", fmt.Sprintf("/{p%d}", bit)}[i>>bit&1]
 			}
 		}), []string{"in more than 32 ways"}},
-		"segments":  {many(1, func(i int, r *Route) { r.Template = strings.Repeat("/a", MostSegments+1) }), []string{"33 segments, 32 at most"}},
-		"wildcards": {many(MostWildcards+1, func(i int, r *Route) { r.Hosts = []string{"*" + strings.Repeat(".a", i+1)} }), []string{"9 wildcards are nested"}},
-		"conditions": {many(1, func(i int, r *Route) { r.Query = make([]Condition, MostConditions+1) }),
+		"segments":  {many(1, func(i int, r *Route) { r.Template = strings.Repeat("/a", MaxSegments+1) }), []string{"33 segments, 32 at most"}},
+		"wildcards": {many(MaxWildcards+1, func(i int, r *Route) { r.Hosts = []string{"*" + strings.Repeat(".a", i+1)} }), []string{"9 wildcards are nested"}},
+		"conditions": {many(1, func(i int, r *Route) { r.Query = make([]Condition, MaxConditions+1) }),
 			[]string{"17 conditions"}},
 	} {
 		_, err := Compile(c.routes, Options{})
--- a/internal/supervisor/folder.go
+++ b/internal/supervisor/folder.go
@@ -30,8 +30,8 @@
 
 const (
 	versions, current, previous, trial, refused = "versions", "current", "previous", "trial", "refused"
-	mostLabel                                   = 64
-	mostReason                                  = 300
+	maxLabel                                    = 64
+	maxReason                                   = 300
 )
 
 // Folder is one. Its methods are for one goroutine of one process at a time; a supervisor and its process take turns.
@@ -39,8 +39,8 @@
 
 // CheckLabel tells whether a version can be called so.
 func CheckLabel(label string) error {
-	if label == "" || len(label) > mostLabel || strings.HasPrefix(label, ".") || strings.ContainsAny(label, "/\\ \t\n*?") {
-		return fmt.Errorf("version %q: want a plain name of up to %d bytes", label, mostLabel)
+	if label == "" || len(label) > maxLabel || strings.HasPrefix(label, ".") || strings.ContainsAny(label, "/\\ \t\n*?") {
+		return fmt.Errorf("version %q: want a plain name of up to %d bytes", label, maxLabel)
 	}
 	return nil
 }
@@ -161,7 +161,7 @@
 		return fmt.Errorf("there is no version to go back to: %w", err)
 	}
 	why = strings.Join(strings.Fields(why), " ")
-	return errors.Join(f.write(refused, now+" "+why[:min(len(why), mostReason)]), f.link(current, before), f.remove(trial))
+	return errors.Join(f.write(refused, now+" "+why[:min(len(why), maxReason)]), f.link(current, before), f.remove(trial))
 }
 
 // Rejected is which version was given up here, and why; empty: none was.
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -37,8 +37,8 @@
 	news  chan struct{} // closed and made anew with each act that is accepted
 }
 
-// mostActs bounds what is written down.
-const mostActs = 1 << 20
+// maxActs bounds what is written down.
+const maxActs = 1 << 20
 
 // NewAuditor starts one.
 func NewAuditor(name string) (*Auditor, error) {
@@ -72,7 +72,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ok := a.fence.Admit(token) || a.Unfenced
-	if len(a.acts) < mostActs {
+	if len(a.acts) < maxActs {
 		a.acts = append(a.acts, Act{token, r.Header.Get(fleet.MemberHeader), number, time.Duration(began), fleet.Clock(), ok})
 	}
 	if !ok {
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -52,7 +52,7 @@
 	Version  string
 	// NoFleet leaves the block out.
 	NoFleet bool
-	MostLog string // most_bytes of the voters' logs
+	MaxLog  string // most_bytes of the voters' logs
 	Seed    uint64
 	Lines   func(node int, line string) // of the logs; nil: nobody looks
 }
@@ -239,7 +239,7 @@
 			fmt.Fprintf(&b, "    - {member: %q, at: %q}\n", p.Address, c.via(n.Number, p.Number))
 		}
 	}
-	fmt.Fprintf(&b, "  quorum:\n    heartbeat: %v\n    folder: votes\n    most_bytes: %s\n    voters:\n", o.Beat, cmp.Or(o.MostLog, "64MiB"))
+	fmt.Fprintf(&b, "  quorum:\n    heartbeat: %v\n    folder: votes\n    most_bytes: %s\n    voters:\n", o.Beat, cmp.Or(o.MaxLog, "64MiB"))
 	for _, v := range c.Voters() {
 		fmt.Fprintf(&b, "      - {name: %s, address: %q}\n", v.Name, v.Address)
 	}
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -252,7 +252,7 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	c := up(t, Options{Nodes: 4, MostLog: "1MiB", Posts: map[string]*End{"audit": &a.End}})
+	c := up(t, Options{Nodes: 4, MaxLog: "1MiB", Posts: map[string]*End{"audit": &a.End}})
 	comes(t, "acts", func() bool { x, _ := a.Last(); return x.Token > 0 })
 	full := c.Nodes[2]
 	full.Kill()
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -23,7 +23,7 @@
 type DrainVerdict struct {
 	Seed           uint64
 	Asked, Granted int
-	Most           int // gateways that orders kept out at once, as an outside observer saw them
+	MaxUnavailable int // gateways that orders kept out at once, as an outside observer saw them
 	Over           int // looks at which more were out by order than may be
 	Late           int // requests to a drained endpoint later than a second
 	Requests       int64
@@ -38,7 +38,7 @@
 
 func (v *DrainVerdict) String() string {
 	s := fmt.Sprintf("seed %d: %d orders, %d granted; most out by order %d of 2, over the budget at %d of %d looks; %d requests, %d failed, %d late to a drained endpoint",
-		v.Seed, v.Asked, v.Granted, v.Most, v.Over, v.Looks, v.Requests, v.Failed, v.Late)
+		v.Seed, v.Asked, v.Granted, v.MaxUnavailable, v.Over, v.Looks, v.Requests, v.Failed, v.Late)
 	if v.First != "" {
 		s += "\n  " + v.First
 	}
@@ -51,13 +51,13 @@
 // Add adds another verdict's numbers, Sum says them.
 func (v *DrainVerdict) Add(o *DrainVerdict) {
 	v.Asked, v.Granted, v.Over, v.Late, v.Looks = v.Asked+o.Asked, v.Granted+o.Granted, v.Over+o.Over, v.Late+o.Late, v.Looks+o.Looks
-	v.Requests, v.Failed, v.Most = v.Requests+o.Requests, v.Failed+o.Failed, max(v.Most, o.Most)
+	v.Requests, v.Failed, v.MaxUnavailable = v.Requests+o.Requests, v.Failed+o.Failed, max(v.MaxUnavailable, o.MaxUnavailable)
 }
 
 // Sum says the numbers of several.
 func (v *DrainVerdict) Sum() string {
 	return fmt.Sprintf("orders by hand %d, slots granted %d; most out %d (%d may be), over the budget at %d of %d looks; requests %d, failed %d; late to a drained endpoint %d",
-		v.Asked, v.Granted, v.Most, drainBudget, v.Over, v.Looks, v.Requests, v.Failed, v.Late)
+		v.Asked, v.Granted, v.MaxUnavailable, drainBudget, v.Over, v.Looks, v.Requests, v.Failed, v.Late)
 }
 
 // Numbers of a schedule of drains.
@@ -231,7 +231,7 @@
 		}
 		all.Wait()
 		v.Looks++
-		v.Most = max(v.Most, len(out))
+		v.MaxUnavailable = max(v.MaxUnavailable, len(out))
 		if len(out) > most {
 			if v.Over++; v.First == "" {
 				v.First = fmt.Sprintf("%d gateways are out by order: %v", len(out), out)
--- a/internal/testbed/cluster/history.go
+++ b/internal/testbed/cluster/history.go
@@ -44,8 +44,8 @@
 // historyLease is what clients ask for.
 const historyLease = "history"
 
-// mostHistory bounds a client's operations: the check takes longer than linear time.
-const mostHistory = 150
+// maxHistory bounds a client's operations: the check takes longer than linear time.
+const maxHistory = 150
 
 func (c *Cluster) newClient(k int, seed uint64) (*historyClient, error) {
 	name := "k" + string(rune('0'+k))
@@ -107,7 +107,7 @@
 func (h *historyClient) full() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.ops) >= mostHistory
+	return len(h.ops) >= maxHistory
 }
 
 // run asks, renews, gives back and forgets, by chance, until ctx ends.
--- a/internal/testbed/cluster/relay.go
+++ b/internal/testbed/cluster/relay.go
@@ -227,15 +227,15 @@
 	}
 }
 
-// mostHeld bounds packets that are on their way.
-const mostHeld = 4096
+// maxHeld bounds packets that are on their way.
+const maxHeld = 4096
 
 func (r *relay) packets() {
 	to, err := net.ResolveUDPAddr("udp", r.to)
 	if err != nil {
 		return
 	}
-	held := make(chan struct{}, mostHeld)
+	held := make(chan struct{}, maxHeld)
 	b := make([]byte, 64<<10)
 	for {
 		n, _, err := r.udp.ReadFromUDP(b)
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -403,7 +403,7 @@
 		}
 	}
 	watch()
-	if v.Over > 0 || v.Most == 0 {
+	if v.Over > 0 || v.MaxUnavailable == 0 {
 		t.Errorf("%s", &v)
 	}
 	t.Log(fmt.Sprint(&v))
@@ -523,7 +523,7 @@
 	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil })
 	comes(t, "it to be done", func() bool { l := state(); return len(l.Ended) > 0 && l.Ended[0].State == release.Done })
 	stop()
-	if v.Over == 0 || v.Most < 3 {
+	if v.Over == 0 || v.MaxUnavailable < 3 {
 		t.Errorf("without budgets nothing was found: the observer is blind: %s", &v)
 	}
 }
--- a/internal/testbed/fleet/restart.go
+++ b/internal/testbed/fleet/restart.go
@@ -29,7 +29,7 @@
 // The waits between calls of a gateway that failed: doubled each time, half of it at random, as internal/xds does.
 const (
 	firstWait = 500 * time.Millisecond
-	mostWait  = 30 * time.Second
+	maxWait   = 30 * time.Second
 )
 
 // askSource has a gateway ask the source for the list; n is how often it failed.
@@ -52,7 +52,7 @@
 			if w == c {
 				s.line = append(s.line[:i], s.line[i+1:]...)
 				f.result.SourceFailed++
-				wait := min(firstWait<<min(n, 10), mostWait)
+				wait := min(firstWait<<min(n, 10), maxWait)
 				f.after(wait/2+time.Duration(f.rng.Float64()*float64(wait/2)), func() { f.askSource(g, n+1) })
 				return
 			}
--- a/internal/testbed/hollow/bounds.go
+++ b/internal/testbed/hollow/bounds.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// mostProcesses of the program a rig starts.
-const mostProcesses = 200
+// maxProcesses of the program a rig starts.
+const maxProcesses = 200
 
 // Need is what a size would take of the machine.
 type Need struct {
@@ -49,12 +49,12 @@
 }
 
 // Refuse gives why a size is not tried on this machine: half of its memory, 200 processes and the descriptors of one process bound it.
-func (n Need) Refuse() error { return n.refuse(machineMemory(), mostFiles()) }
+func (n Need) Refuse() error { return n.refuse(machineMemory(), maxFiles()) }
 
 func (n Need) refuse(memory, files int64) error {
 	switch {
-	case n.Processes > mostProcesses:
-		return fmt.Errorf("needs %d processes, %d at most", n.Processes, mostProcesses)
+	case n.Processes > maxProcesses:
+		return fmt.Errorf("needs %d processes, %d at most", n.Processes, maxProcesses)
 	case memory > 0 && n.Memory > memory/2:
 		return fmt.Errorf("needs an estimated %d MiB of memory, half of this machine's is %d MiB", n.Memory>>20, memory>>21)
 	case files > 0 && n.Files > files:
@@ -79,7 +79,7 @@
 	return 0
 }
 
-func mostFiles() int64 {
+func maxFiles() int64 {
 	var l syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) != nil {
 		return 0
--- a/internal/testbed/hollow/fit.go
+++ b/internal/testbed/hollow/fit.go
@@ -14,8 +14,8 @@
 	Residual float64
 	// Power is the slope between the last two sizes on logarithmic scales: 1 a figure that grows as the size does, 0 one that does
 	// not grow, 2 one that grows as its square.
-	Power       float64
-	least, most float64
+	Power             float64
+	smallest, largest float64
 }
 
 const (
@@ -33,14 +33,14 @@
 		return f, fmt.Errorf("a fit of %d sizes and %d values: want two or more of each", len(sizes), len(values))
 	}
 	var sx, sy, sxx, sxy, largest float64
-	f.least, f.most = math.Inf(1), math.Inf(-1)
+	f.smallest, f.largest = math.Inf(1), math.Inf(-1)
 	for i, x := range sizes {
 		y := values[i]
 		if i > 0 && x <= sizes[i-1] || x <= 0 {
 			return f, fmt.Errorf("a fit: size %v behind %v: want rising sizes over 0", x, sizes[max(i-1, 0)])
 		}
 		sx, sy, sxx, sxy, largest = sx+x, sy+y, sxx+x*x, sxy+x*y, max(largest, math.Abs(y))
-		f.least, f.most = min(f.least, y), max(f.most, y)
+		f.smallest, f.largest = min(f.smallest, y), max(f.largest, y)
 	}
 	f.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
 	f.Start = (sy - f.Slope*sx) / n
@@ -60,7 +60,7 @@
 
 // Flat tells that the points do not differ by more than noise: a slope between them would be noise, too, and large where it is drawn
 // out to another size.
-func (f *Fit) Flat() bool { return f.least >= 0 && f.most-f.least <= flat*f.most }
+func (f *Fit) Flat() bool { return f.smallest >= 0 && f.largest-f.smallest <= flat*f.largest }
 
 // Bends tells that no line stands for the points.
 func (f *Fit) Bends() bool { return !f.Flat() && f.Residual > bend }
@@ -70,8 +70,8 @@
 func (f *Fit) At(size float64) (value, far float64) {
 	last := len(f.Sizes) - 1
 	far = size / f.Sizes[last]
-	if f.Flat() || f.least >= 0 && !f.Bends() && f.line(size) < 0 { // a line below zero is noise that was drawn out
-		return f.most, far
+	if f.Flat() || f.smallest >= 0 && !f.Bends() && f.line(size) < 0 { // a line below zero is noise that was drawn out
+		return f.largest, far
 	}
 	if f.Bends() {
 		return f.Values[last] * math.Pow(far, f.Power), far
@@ -83,7 +83,7 @@
 func (f *Fit) Crosses(bound float64) float64 {
 	last := len(f.Sizes) - 1
 	if f.Flat() {
-		if f.most > bound {
+		if f.largest > bound {
 			return f.Sizes[0]
 		}
 		return math.Inf(1)
@@ -103,7 +103,7 @@
 // String tells the formula, its residual and, where it bends, that.
 func (f *Fit) String() string {
 	if f.Flat() {
-		return fmt.Sprintf("flat, %.4g to %.4g", f.least, f.most)
+		return fmt.Sprintf("flat, %.4g to %.4g", f.smallest, f.largest)
 	}
 	s := fmt.Sprintf("%.4g + %.4g x size, residual %.0f%%", f.Start, f.Slope, 100*f.Residual)
 	if f.Bends() {
--- a/internal/testbed/hollow/gateways.go
+++ b/internal/testbed/hollow/gateways.go
@@ -23,8 +23,8 @@
 	shows bool
 }
 
-// mostTimes are kept of what one was told.
-const mostTimes = 4096
+// maxTimes are kept of what one was told.
+const maxTimes = 4096
 
 // taker is one's agent.
 type taker struct {
@@ -73,7 +73,7 @@
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
 	now := fleet.Clock()
-	if len(t.rounds) < mostTimes {
+	if len(t.rounds) < maxTimes {
 		t.rounds = append(t.rounds, now)
 	}
 	r := fleet.Report{Version: v.Version, Serving: true, InFlight: map[string]int{}}
--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -15,8 +15,8 @@
 
 // Queues are bounded as sockets' are.
 const (
-	mostWaiting = 512 // connections that nobody has accepted
-	mostPackets = 512 // packets that nobody has read
+	maxWaiting = 512 // connections that nobody has accepted
+	maxPackets = 512 // packets that nobody has read
 )
 
 // errRefused is that nobody listens there.
@@ -51,7 +51,7 @@
 	if n.listeners[a.String()] != nil {
 		return nil, fmt.Errorf("listen %s: address already in use", addr)
 	}
-	l := &listener{n: n, addr: a, waiting: make(chan net.Conn, mostWaiting), closed: make(chan struct{})}
+	l := &listener{n: n, addr: a, waiting: make(chan net.Conn, maxWaiting), closed: make(chan struct{})}
 	n.listeners[a.String()] = l
 	return l, nil
 }
@@ -63,7 +63,7 @@
 	if n.packets[addr.String()] != nil {
 		return nil, fmt.Errorf("listen %s: address already in use", addr)
 	}
-	p := &packetConn{n: n, addr: addr, in: make(chan packet, mostPackets), closed: make(chan struct{})}
+	p := &packetConn{n: n, addr: addr, in: make(chan packet, maxPackets), closed: make(chan struct{})}
 	n.packets[addr.String()] = p
 	return p, nil
 }
--- a/internal/testbed/memnet/memnet_test.go
+++ b/internal/testbed/memnet/memnet_test.go
@@ -49,7 +49,7 @@
 
 		// Nobody accepts: as many as there is room for wait, one more in vain, and the close breaks them.
 		var waiting []net.Conn
-		for range mostWaiting {
+		for range maxWaiting {
 			c, err := n.Dial(t.Context(), "127.0.0.1:7")
 			if err != nil {
 				t.Fatal(err)
@@ -83,7 +83,7 @@
 		if _, err := n.ListenPacket(at(9)); err == nil {
 			t.Error("an address was taken twice for packets")
 		}
-		for range mostPackets + 3 {
+		for range maxPackets + 3 {
 			_, _ = p.WriteTo([]byte("x"), at(9))
 		}
 		_, _ = p.WriteTo([]byte("x"), at(10))
--- a/internal/testbed/origin/origin.go
+++ b/internal/testbed/origin/origin.go
@@ -57,15 +57,15 @@
 	capacity atomic.Pointer[Capacity]
 	slots    atomic.Pointer[chan struct{}] // one for each worker
 
-	mu       sync.Mutex
-	server   *http.Server
-	started  time.Time // zero: long ago
-	worst    float64
-	done     chan struct{}
-	times    []time.Time // of requests, as their head came
-	drained  time.Time   // since when it wants nothing new; zero: it does
-	inflight int
-	most     int
+	mu          sync.Mutex
+	server      *http.Server
+	started     time.Time // zero: long ago
+	worst       float64
+	done        chan struct{}
+	times       []time.Time // of requests, as their head came
+	drained     time.Time   // since when it wants nothing new; zero: it does
+	inflight    int
+	maxInFlight int
 }
 
 // Capacity is what an origin can do: so many requests at once, the others wait; for a while after a Revive it takes the
@@ -221,7 +221,7 @@
 func (o *Origin) InFlight() (now, most int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.inflight, o.most
+	return o.inflight, o.maxInFlight
 }
 
 // ServeHTTP answers 200 with the path, after the delay. What has an effect is a POST: keyed by its Idempotency-Key, or,
@@ -233,7 +233,7 @@
 	o.mu.Lock()
 	o.times = append(o.times, time.Now())
 	o.inflight++
-	o.most = max(o.most, o.inflight)
+	o.maxInFlight = max(o.maxInFlight, o.inflight)
 	c, warmth := o.capacity.Load(), 1.0
 	if c != nil {
 		warmth = o.measure(c, time.Now())
--- a/internal/xds/fields_test.go
+++ b/internal/xds/fields_test.go
@@ -24,7 +24,7 @@
 	}{
 		{"Cluster", clusterTable}, {"Cluster.EdsClusterConfig", edsConfigTable}, {"CircuitBreakers", breakersTable},
 		{"CircuitBreakers.Thresholds", thresholdsTable}, {"HttpProtocolOptions (common)", httpTable}, {"Cluster.CommonLbConfig", lbConfigTable},
-		{"Cluster.LeastRequestLbConfig", leastTable}, {"Cluster.RoundRobinLbConfig", roundTable}, {"Cluster.SlowStartConfig", slowStartTable},
+		{"Cluster.LeastRequestLbConfig", minTable}, {"Cluster.RoundRobinLbConfig", roundTable}, {"Cluster.SlowStartConfig", slowStartTable},
 		{"ClusterLoadAssignment", assignmentTable}, {"ClusterLoadAssignment.Policy", policyTable}, {"LocalityLbEndpoints", localityTable},
 		{"LbEndpoint", lbTable}, {"Endpoint", endpointTable}, {"SocketAddress", addressTable}, {"RouteConfiguration", routesTable},
 		{"VirtualHost", hostTable}, {"Route", routeTable}, {"RouteMatch", matchTable}, {"RouteAction", actionTable},
--- a/internal/xds/file.go
+++ b/internal/xds/file.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	longestFile = 64 << 20
+	maxFile = 64 << 20
 	// pollEvery is for file systems that tell nothing; where they do, a change is noticed at once.
 	pollEvery = 2 * time.Second
 	// settleTime lets several events of one change pass as one.
@@ -178,8 +178,8 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if info.Size() > longestFile {
-		return nil, "", fmt.Errorf("%d bytes, %d at most", info.Size(), longestFile)
+	if info.Size() > maxFile {
+		return nil, "", fmt.Errorf("%d bytes, %d at most", info.Size(), maxFile)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/xds/machine.go
+++ b/internal/xds/machine.go
@@ -410,7 +410,7 @@
 	t.named[name] = true
 	r := t.k.all[name]
 	if err != nil {
-		if r == nil && t.k.wildcard && len(t.k.all) < mostResources {
+		if r == nil && t.k.wildcard && len(t.k.all) < maxResources {
 			r = &Resource{Name: name, asked: t.now}
 			t.k.all[name] = r
 		}
@@ -421,8 +421,8 @@
 		if !t.k.wildcard {
 			return // told though not asked for, as one that is not wanted any more may be
 		}
-		if len(t.k.all) >= mostResources {
-			t.refuse("", fmt.Errorf("resources[%d] %q: more than %d resources", i, name, mostResources))
+		if len(t.k.all) >= maxResources {
+			t.refuse("", fmt.Errorf("resources[%d] %q: more than %d resources", i, name, maxResources))
 			return
 		}
 		r = &Resource{Name: name, asked: t.now}
@@ -720,15 +720,15 @@
 	return name, value, warn, err
 }
 
-// mostResources of one type are kept.
-const mostResources = 100_000
+// maxResources of one type are kept.
+const maxResources = 100_000
 
-// mostDetail bounds what is said of an error; a response can hold any number of them.
-const mostDetail = 4 << 10
+// maxDetail bounds what is said of an error; a response can hold any number of them.
+const maxDetail = 4 << 10
 
 func cut(s string) string {
-	if len(s) > mostDetail {
-		return strings.ToValidUTF8(s[:mostDetail], "") + " ..."
+	if len(s) > maxDetail {
+		return strings.ToValidUTF8(s[:maxDetail], "") + " ..."
 	}
 	return strings.ToValidUTF8(s, "?")
 }
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -60,10 +60,10 @@
 
 // Bounds of one resource.
 const (
-	mostEndpoints = 100_000
-	mostPriority  = 128 // Envoy's
-	mostThreshold = 1_000_000
-	leastPercent  = 1e-9 // of a retry budget: it is there, and allows nothing
+	maxEndpoints = 100_000
+	maxPriority  = 128 // Envoy's
+	maxThreshold = 1_000_000
+	minPercent   = 1e-9 // of a retry budget: it is there, and allows nothing
 )
 
 // Cluster is a cluster as a control plane describes it.
@@ -81,11 +81,11 @@
 
 // Breakers are the circuit breakers of a routing priority; 0: not said.
 type Breakers struct {
-	MostConns    int
-	MostRequests int
-	MostPending  int
-	MostRetries  int
-	RetryBudget  *RetryBudget // nil: not said
+	MaxConns    int
+	MaxRequests int
+	MaxPending  int
+	MaxRetries  int
+	RetryBudget *RetryBudget // nil: not said
 }
 
 func (b *Breakers) read(t *clusterv3.CircuitBreakers_Thresholds) error {
@@ -93,10 +93,10 @@
 		name string
 		v    *wrapperspb.UInt32Value
 		n    *int
-	}{{"max_connections", t.GetMaxConnections(), &b.MostConns}, {"max_requests", t.GetMaxRequests(), &b.MostRequests},
-		{"max_pending_requests", t.GetMaxPendingRequests(), &b.MostPending}, {"max_retries", t.GetMaxRetries(), &b.MostRetries}} {
+	}{{"max_connections", t.GetMaxConnections(), &b.MaxConns}, {"max_requests", t.GetMaxRequests(), &b.MaxRequests},
+		{"max_pending_requests", t.GetMaxPendingRequests(), &b.MaxPending}, {"max_retries", t.GetMaxRetries(), &b.MaxRetries}} {
 		if to.v != nil {
-			*to.n = int(min(to.v.GetValue(), mostThreshold))
+			*to.n = int(min(to.v.GetValue(), maxThreshold))
 		}
 		if to.v != nil && to.v.GetValue() == 0 && to.name != "max_retries" {
 			return fmt.Errorf("%s: 0 would refuse all requests", to.name)
@@ -104,23 +104,23 @@
 	}
 	switch r := t.GetRetryBudget(); {
 	case r != nil: // Envoy's defaults where one is left out
-		b.RetryBudget = &RetryBudget{Percent: 20, Least: 3}
+		b.RetryBudget = &RetryBudget{Percent: 20, MinRetries: 3}
 		if p := r.GetBudgetPercent(); p != nil {
-			b.RetryBudget.Percent = max(p.GetValue(), leastPercent)
+			b.RetryBudget.Percent = max(p.GetValue(), minPercent)
 		}
 		if n := r.GetMinRetryConcurrency(); n != nil {
-			b.RetryBudget.Least = int(min(n.GetValue(), mostThreshold))
+			b.RetryBudget.MinRetries = int(min(n.GetValue(), maxThreshold))
 		}
-	case t.GetMaxRetries() != nil && b.MostRetries == 0:
-		b.RetryBudget = &RetryBudget{Percent: leastPercent} // none at all
+	case t.GetMaxRetries() != nil && b.MaxRetries == 0:
+		b.RetryBudget = &RetryBudget{Percent: minPercent} // none at all
 	}
 	return nil
 }
 
 // RetryBudget bounds retries in flight by requests in flight, in place of MostRetries.
 type RetryBudget struct {
-	Percent float64
-	Least   int
+	Percent    float64
+	MinRetries int
 }
 
 // Assignment is a cluster's endpoints.
@@ -159,7 +159,7 @@
 	httpTable     = table{honoured: []string{"idle_timeout"}, ignored: []string{"max_connection_duration", "max_headers_count", "max_requests_per_connection"}}
 	lbConfigTable = table{honoured: []string{"locality_weighted_lb_config"},
 		ignored: []string{"healthy_panic_threshold", "zone_aware_lb_config", "update_merge_window", "ignore_new_hosts_until_first_hc", "close_connections_on_host_set_change"}}
-	leastTable      = table{honoured: []string{"slow_start_config"}, ignored: []string{"choice_count", "active_request_bias", "locality_lb_config", "enable_full_scan", "selection_method"}}
+	minTable        = table{honoured: []string{"slow_start_config"}, ignored: []string{"choice_count", "active_request_bias", "locality_lb_config", "enable_full_scan", "selection_method"}}
 	roundTable      = table{honoured: []string{"slow_start_config"}, ignored: []string{"locality_lb_config"}}
 	slowStartTable  = table{honoured: []string{"slow_start_window"}, ignored: []string{"aggression", "min_weight_percent"}}
 	assignmentTable = table{honoured: []string{"cluster_name", "endpoints", "policy"}}
@@ -289,7 +289,7 @@
 		}
 	}
 	if l := m.GetLeastRequestLbConfig(); l != nil {
-		sub(leastTable, l, "least_request_lb_config.")
+		sub(minTable, l, "least_request_lb_config.")
 		slow(l.GetSlowStartConfig(), "least_request_lb_config.slow_start_config.")
 	}
 	if l := m.GetRoundRobinLbConfig(); l != nil {
@@ -331,8 +331,8 @@
 		}
 		p, loc := l.GetPriority(), l.GetLocality()
 		name := strings.Join([]string{loc.GetRegion(), loc.GetZone(), loc.GetSubZone()}, "/")
-		if p > mostPriority {
-			return nil, nil, fmt.Errorf("%spriority: %d, %d at most", path, p, mostPriority)
+		if p > maxPriority {
+			return nil, nil, fmt.Errorf("%spriority: %d, %d at most", path, p, maxPriority)
 		}
 		if key := fmt.Sprint(p, name); localities[key] {
 			return nil, nil, fmt.Errorf("%slocality: %s stands twice in priority %d", path, name, p)
@@ -363,8 +363,8 @@
 			}
 			ep.Zone, ep.SubZone = cmp.Or(loc.GetZone(), loc.GetRegion()), loc.GetSubZone()
 			ep.Locality, ep.LocalityWeight, ep.Priority = name, w.GetValue(), int(p)
-			if a.Endpoints = append(a.Endpoints, ep); len(a.Endpoints) > mostEndpoints {
-				return nil, nil, fmt.Errorf("endpoints: more than %d", mostEndpoints)
+			if a.Endpoints = append(a.Endpoints, ep); len(a.Endpoints) > maxEndpoints {
+				return nil, nil, fmt.Errorf("endpoints: more than %d", maxEndpoints)
 			}
 		}
 	}
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -64,14 +64,14 @@
 		"circuit_breakers":{"thresholds":[{"priority":"HIGH","max_requests":1,"max_retries":0},{"max_connections":5,"max_requests":6,"max_pending_requests":4294967295,"max_retries":8,
 		"retry_budget":{"budget_percent":{"value":12.5}}}]}}`))
 	want := Cluster{Name: "a", Service: "b", ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 9 * time.Second, WarmUp: 7 * time.Second, Localities: true,
-		Breakers: Breakers{MostConns: 5, MostRequests: 6, MostPending: mostThreshold, MostRetries: 8, RetryBudget: &RetryBudget{Percent: 12.5, Least: 3}},
-		High:     Breakers{MostRequests: 1, RetryBudget: &RetryBudget{Percent: leastPercent}}}
+		Breakers: Breakers{MaxConns: 5, MaxRequests: 6, MaxPending: maxThreshold, MaxRetries: 8, RetryBudget: &RetryBudget{Percent: 12.5, MinRetries: 3}},
+		High:     Breakers{MaxRequests: 1, RetryBudget: &RetryBudget{Percent: minPercent}}}
 	if err != nil || !reflect.DeepEqual(*c, want) {
 		t.Errorf("%+v, %v", c, err)
 	}
 	c, _, err = ParseCluster(read(t, &clusterv3.Cluster{}, `{"name":"a","type":"EDS","eds_cluster_config":{"eds_config":{"self":{}}},
 		"lb_policy":"LEAST_REQUEST","circuit_breakers":{"thresholds":[{"max_retries":0}]}}`))
-	if err != nil || c.RetryBudget == nil || c.RetryBudget.Least != 0 || c.RetryBudget.Percent > 0.01 {
+	if err != nil || c.RetryBudget == nil || c.RetryBudget.MinRetries != 0 || c.RetryBudget.Percent > 0.01 {
 		t.Errorf("no retries at all: %+v, %v", c, err)
 	}
 }
--- a/internal/xds/routes.go
+++ b/internal/xds/routes.go
@@ -21,8 +21,8 @@
 
 // mostRoutes of a RouteConfiguration, and of one virtual host, whose order is checked pair by pair.
 const (
-	mostRoutes     = 100_000
-	mostHostRoutes = 2_000
+	maxRoutes     = 100_000
+	maxHostRoutes = 2_000
 )
 
 var (
@@ -68,8 +68,8 @@
 		if len(h.GetDomains()) == 0 {
 			return nil, nil, fmt.Errorf("%sdomains: none is given", at)
 		}
-		if len(h.GetRoutes()) > mostHostRoutes {
-			return nil, nil, fmt.Errorf("%sroutes: %d, %d at most", at, len(h.GetRoutes()), mostHostRoutes)
+		if len(h.GetRoutes()) > maxHostRoutes {
+			return nil, nil, fmt.Errorf("%sroutes: %d, %d at most", at, len(h.GetRoutes()), maxHostRoutes)
 		}
 		first := len(c.Routes)
 		for j, r := range h.GetRoutes() {
@@ -84,8 +84,8 @@
 						at, j, k-first)
 				}
 			}
-			if c.Routes = append(c.Routes, out); len(c.Routes) > mostRoutes {
-				return nil, nil, fmt.Errorf("virtual_hosts: more than %d routes", mostRoutes)
+			if c.Routes = append(c.Routes, out); len(c.Routes) > maxRoutes {
+				return nil, nil, fmt.Errorf("virtual_hosts: more than %d routes", maxRoutes)
 			}
 		}
 	}
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -10,8 +10,8 @@
 	"robindrum/internal/testbed/cluster"
 )
 
-// mostSchedules bounds a campaign.
-const mostSchedules = 2000
+// maxSchedules bounds a campaign.
+const maxSchedules = 2000
 
 // duties plays seeded schedules of faults against fleets of the built program, and then a few with each safeguard off.
 func duties(seeds, at int, first uint64, previous string) error {
@@ -25,7 +25,7 @@
 		return err
 	}
 	began := time.Now()
-	seeds = min(seeds, mostSchedules)
+	seeds = min(seeds, maxSchedules)
 	sum, broken, ops, unlinear, undecided := cluster.Finding{}, 0, 0, 0, 0
 	gaps := map[cluster.Fault][]time.Duration{}
 	var list []uint64
@@ -113,7 +113,7 @@
 	}
 	machine()
 	for _, apart := range []bool{false, true} {
-		n := min(seeds, mostSchedules)
+		n := min(seeds, maxSchedules)
 		if apart {
 			n = min(n, 10)
 		}
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -25,13 +25,13 @@
 
 // rolled is what one way of bringing a version to all gateways came to.
 type rolled struct {
-	took          time.Duration // until all have it, or all are back
-	stopped       time.Duration // from its begin until it went no further; 0: it did not stop
-	asked, failed int64
-	untilStop     int64
-	most          int // gateways that ran as it at once
-	p99           int64
-	end           string
+	took           time.Duration // until all have it, or all are back
+	stopped        time.Duration // from its begin until it went no further; 0: it did not stop
+	asked, failed  int64
+	untilStop      int64
+	maxUnavailable int // gateways that ran as it at once
+	p99            int64
+	end            string
 }
 
 // worth brings a good and a bad version (a tenth of its requests fail) to twenty processes under load: as a release, by a loop with
@@ -56,7 +56,7 @@
 				return fmt.Errorf("%s, %s: %w", version, way, err)
 			}
 			fmt.Printf("%-8s %-10s %-10s %8v %14v %9d %7d %14d %12d %7d\n", version, way, r.end, r.took.Round(100*time.Millisecond), r.stopped.Round(100*time.Millisecond), r.asked, r.failed,
-				r.untilStop, r.most, r.p99)
+				r.untilStop, r.maxUnavailable, r.p99)
 		}
 	}
 	return ctx.Err()
@@ -133,7 +133,7 @@
 					has++
 				}
 			}
-			r.most = max(r.most, has)
+			r.maxUnavailable = max(r.maxUnavailable, has)
 			if l.Current != nil && l.Current.State != release.Running {
 				stop()
 			}
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	r.most = int(had.Load())
+	r.maxUnavailable = int(had.Load())
 	if !alarmed() {
 		return nil
 	}
