--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,55 +8,55 @@
 type Verdict uint8
 
 const (
-	Start  Verdict = iota // now
-	Wait                  // until Next gives it
-	Refuse                // at once
+	Admit   Verdict = iota // now
+	Enqueue                // until Next gives it
+	Reject                 // at once
 )
 
 // Arrival is a request that has come.
 type Arrival struct {
 	Seq           uint64 // by which Next and Leave name it
 	Class, Tenant string
-	Left          time.Duration
-	High          bool  // of Envoy's two routing priorities
+	TimeLeft      time.Duration
+	HighPriority  bool  // of Envoy's two routing priorities
 	Size          int64 // bytes that are kept while it waits
 }
 
 // Sample is how an attempt went, told once for each: as its answer began, or as it ended without one.
 type Sample struct {
-	Class  string
-	High   bool
-	Retry  bool // it was not its request's first
-	Sent   time.Duration
-	Took   time.Duration
-	Result Result
+	Class        string
+	HighPriority bool
+	Retry        bool // it was not its request's first
+	SentAt       time.Duration
+	Latency      time.Duration
+	Result       Result
 }
 
 // Admission says which requests may start, and bounds further attempts. It is called as a Host is: from one goroutine at a
 // time, and it must not call back. A Balancer that has none goes by its own estimate of an overload.
 type Admission interface {
-	// Endpoints tells how many servers are to be used.
-	Endpoints(now time.Duration, running int)
+	// SetEndpoints tells how many servers are to be used.
+	SetEndpoints(now time.Duration, running int)
 	// Arrive decides about a request. after is, with Wait, how long it waits at the most, with Refuse, when its client may
 	// come back.
 	Arrive(now time.Duration, a Arrival) (v Verdict, after time.Duration)
 	// Next gives a request that waited and is to start or to be refused; false where there is none now.
 	Next(now time.Duration) (seq uint64, v Verdict, after time.Duration, ok bool)
-	// Leave tells that a request that waits is given up.
-	Leave(seq uint64)
+	// Withdraw tells that a request that waits is given up.
+	Withdraw(seq uint64)
 	// Done tells that a request that started has its answer, or that its long answer has begun.
 	Done(now time.Duration, high bool)
-	// Ended tells how an attempt went.
-	Ended(now time.Duration, s Sample)
+	// AttemptEnded tells how an attempt went.
+	AttemptEnded(now time.Duration, s Sample)
 	// MayRetry tells whether one more attempt may be made for a request that has had one; Retried that it was.
 	MayRetry(now time.Duration, high bool) bool
-	Retried(now time.Duration, high bool)
+	RetryStarted(now time.Duration, high bool)
 }
 
 // arrive asks whether a request may start.
 func (b *Balancer) arrive(now time.Duration, r *request) {
-	v, after := b.set.Admission.Arrive(now, Arrival{Seq: r.seq, Class: r.Class, Tenant: r.Tenant, Left: r.Left, High: r.High, Size: r.Size})
-	if v == Wait {
+	v, after := b.set.Admission.Arrive(now, Arrival{Seq: r.seq, Class: r.Class, Tenant: r.Tenant, TimeLeft: r.TimeLeft, HighPriority: r.HighPriority, Size: r.Size})
+	if v == Enqueue {
 		r.waits = true
 		b.host.SetTimer(r.seq, after)
 	} else {
@@ -85,7 +85,7 @@
 }
 
 func (b *Balancer) admit(now time.Duration, r *request, v Verdict, after time.Duration) {
-	if r.started = v == Start; r.started {
+	if r.started = v == Admit; r.started {
 		b.tend(now, r)
 		return
 	}
@@ -96,9 +96,9 @@
 // vacate tells that a request starts nothing more or has begun to stream: its room is another's.
 func (b *Balancer) vacate(now time.Duration, r *request) {
 	if r.waits {
-		b.set.Admission.Leave(r.seq)
+		b.set.Admission.Withdraw(r.seq)
 	} else if r.started {
-		b.set.Admission.Done(now, r.High)
+		b.set.Admission.Done(now, r.HighPriority)
 	}
 	r.waits, r.started = false, false
 }
@@ -106,14 +106,14 @@
 // sample tells how an attempt went.
 func (b *Balancer) sample(now time.Duration, r *request, n int, res Result, took time.Duration) {
 	if b.set.Admission != nil {
-		b.set.Admission.Ended(now, Sample{Class: r.Class, High: r.High, Retry: n > 0, Sent: r.tries[n].sent, Took: took, Result: res})
+		b.set.Admission.AttemptEnded(now, Sample{Class: r.Class, HighPriority: r.HighPriority, Retry: n > 0, SentAt: r.tries[n].sent, Latency: took, Result: res})
 	}
 }
 
 // spent tells whether no further attempt may be made beside first ones.
 func (b *Balancer) spent(now time.Duration, r *request) bool {
 	if b.set.Admission != nil {
-		return !b.set.Admission.MayRetry(now, r.High)
+		return !b.set.Admission.MayRetry(now, r.HighPriority)
 	}
 	return b.budget < 1
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -16,13 +16,13 @@
 	samples int
 }
 
-func (g *gate) Endpoints(time.Duration, int) {}
+func (g *gate) SetEndpoints(time.Duration, int) {}
 func (g *gate) Arrive(_ time.Duration, a Arrival) (Verdict, time.Duration) {
 	v := Verdict(rapid.IntRange(0, 2).Draw(g.t, "verdict"))
 	switch v {
-	case Start:
+	case Admit:
 		g.started++
-	case Wait:
+	case Enqueue:
 		g.waits = append(g.waits, a.Seq)
 	}
 	return v, 50 * ms
@@ -36,12 +36,12 @@
 	g.waits = g.waits[1:]
 	if rapid.Bool().Draw(g.t, "starts") {
 		g.started++
-		return seq, Start, 0, true
+		return seq, Admit, 0, true
 	}
-	return seq, Refuse, time.Second, true
+	return seq, Reject, time.Second, true
 }
 
-func (g *gate) Leave(seq uint64) {
+func (g *gate) Withdraw(seq uint64) {
 	for i, w := range g.waits {
 		if w == seq {
 			g.waits = append(g.waits[:i], g.waits[i+1:]...)
@@ -56,9 +56,9 @@
 		g.t.Fatal("more are done than started")
 	}
 }
-func (g *gate) Ended(time.Duration, Sample)       { g.samples++ }
-func (g *gate) MayRetry(time.Duration, bool) bool { return rapid.Bool().Draw(g.t, "retry") }
-func (g *gate) Retried(time.Duration, bool)       {}
+func (g *gate) AttemptEnded(time.Duration, Sample) { g.samples++ }
+func (g *gate) MayRetry(time.Duration, bool) bool  { return rapid.Bool().Draw(g.t, "retry") }
+func (g *gate) RetryStarted(time.Duration, bool)   {}
 
 // Whatever an admission says: each request has one final answer, none is sent before it starts, and what starts, waits and
 // ends is told once.
@@ -66,13 +66,13 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		g := &gate{t: rt}
 		set := settings()
-		set.Admission, set.RetryAdvice, set.MaxRetryAdvice = g, true, 5*time.Second
+		set.Admission, set.RetryAfter, set.MaxRetryAfter = g, true, 5*time.Second
 		h := &recorder{}
 		b, err := New(set, 7, h)
 		if err != nil {
 			rt.Fatal(err)
 		}
-		b.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: fleet(4)})
+		b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(4)})
 		h.take()
 		final, out := map[string]int{}, map[string]int{}
 		waiting := func(id string) bool { r := b.requests[id]; return r != nil && r.waits }
@@ -100,11 +100,11 @@
 			case 0, 1:
 				id = fmt.Sprint(n)
 				n++
-				b.Request(now, Request{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "once"}).Draw(rt, "class"), Left: time.Second})
+				b.Request(now, Request{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "once"}).Draw(rt, "class"), TimeLeft: time.Second})
 			case 2:
 				if b.requests[id] != nil && final[id] == 0 {
 					final[id]++
-					b.Gone(now, id)
+					b.ClientGone(now, id)
 				}
 			case 3:
 				for token, at := range h.timers {
@@ -115,7 +115,7 @@
 					}
 				}
 			case 4:
-				b.Fleet(now, FleetUpdate{Kind: FleetAll, Servers: fleet(rapid.IntRange(0, 4).Draw(rt, "servers"))})
+				b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(rapid.IntRange(0, 4).Draw(rt, "servers"))})
 			default:
 				if r := b.requests[id]; r != nil {
 					for i := range r.tries {
@@ -127,7 +127,7 @@
 							}
 							out[id]--
 							ends++
-							b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Took: ms, Done: done || r.done, Rest: time.Duration(rapid.IntRange(0, 3).Draw(rt, "rest")) * time.Second})
+							b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Latency: ms, Final: done || r.done, RetryAfter: time.Duration(rapid.IntRange(0, 3).Draw(rt, "rest")) * time.Second})
 							break
 						}
 					}
@@ -154,11 +154,11 @@
 func TestServersOwnRest(t *testing.T) {
 	set := settings()
 	b, h := start(t, set, oneZone(2))
-	b.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: oneZone(2)})
+	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: oneZone(2)})
 	first := ask(t, b, h, 0, "a", "safe")
-	b.Outcome(ms, Outcome{ID: "a", Result: TurnedAway, Took: ms, Rest: 5 * time.Second})
+	b.Outcome(ms, Outcome{ID: "a", Result: Rejected, Latency: ms, RetryAfter: 5 * time.Second})
 	h.take()
-	b.Outcome(2*ms, Outcome{ID: "a", Attempt: 1, Result: Served, Took: ms, Done: true})
+	b.Outcome(2*ms, Outcome{ID: "a", Attempt: 1, Result: Served, Latency: ms, Final: true})
 	for i := range 40 {
 		now := time.Duration(i+1) * 100 * ms
 		id := fmt.Sprint("r", i)
@@ -180,9 +180,9 @@
 // before it was ejected says nothing.
 func TestServesThoughEjected(t *testing.T) {
 	set := settings()
-	set.Tiers = &fixed{at: Locality{Zone: "za"}}
+	set.Localities = &fixed{at: Locality{Zone: "za"}}
 	b, h := start(t, set, oneZone(1))
-	b.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: oneZone(1)})
+	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: oneZone(1)})
 	old := ask(t, b, h, 0, "old", "once")
 	now := ms
 	for i := range 4 {
@@ -213,9 +213,9 @@
 // A locality of which every server is ejected gets its probes though they are half of all servers, and no more.
 func TestEjectedLocalityIsProbed(t *testing.T) {
 	set := settings()
-	set.Tiers = &fixed{at: Locality{Zone: "zb"}}
+	set.Localities = &fixed{at: Locality{Zone: "zb"}}
 	b, h := start(t, set, fleet(4))
-	b.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: fleet(4)})
+	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(4)})
 	for _, s := range b.byZone["zb"] {
 		b.eject(0, s)
 	}
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -24,9 +24,9 @@
 type Effect uint8
 
 const (
-	Safe Effect = iota // harmless
-	Keyed
-	Unsafe // never allowed
+	Idempotent Effect = iota // harmless
+	IdempotentWithKey
+	NonIdempotent // never allowed
 )
 
 // Group says which servers drop the repeats of a Keyed request.
@@ -40,70 +40,70 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration
-	AimStretch float64
-	Deadline   time.Duration // how long a client waits over all its tries
-	Effect     Effect
-	Group      Group         // Keyed only
-	Window     time.Duration // Keyed only: how long repeats are dropped, from the first send that may have run
-	Worth      float64
-	LateWorth  float64 // fraction of Worth for an answer after Aim
-	Stream     bool
+	Name               string
+	LatencyObjective   time.Duration
+	ObjectiveStretch   float64
+	Deadline           time.Duration // how long a client waits over all its tries
+	Effect             Effect
+	Group              Group         // Keyed only
+	Window             time.Duration // Keyed only: how long repeats are dropped, from the first send that may have run
+	PriorityWeight     float64
+	LatePriorityWeight float64 // fraction of Worth for an answer after Aim
+	Stream             bool
 }
 
 // Tenant is a customer who shares the service.
 type Tenant struct {
 	Name  string
 	Rate  float64 // requests a second inside its share, over all proxies
-	Share float64
+	Quota float64
 }
 
 // Settings is what a proxy is told at its start. Zero limits mean "none" unless said otherwise.
 type Settings struct {
 	Zone    string
 	Zones   []string
-	Me      int // this proxy's number, from 0
+	Index   int // this proxy's number, from 0
 	Proxies int
 
 	Classes []Class
 	Tenants []Tenant
-	// OverShareWorth is what a request beyond its tenant's share is worth, as a fraction.
-	OverShareWorth float64
-	WorthByWork    bool
-
-	MaxAttempts    int // for one request; 0 is taken as 1
-	ParallelTries  bool
-	MayCancel      bool
-	MayProbe       bool
-	RetryAdvice    bool // clients are told how long to wait
-	MaxRetryAdvice time.Duration
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration
-	Multiplex      int // requests one connection carries at once
-	WarmKeys       bool
-
-	Ask       bool          // the list of servers must be asked for
-	MustAskIn time.Duration // unasked for this long, a proxy counts as told
-
-	AnswerGrace  time.Duration // how long after the deadline a final answer still counts
-	DrainGrace   time.Duration
-	ColdTime     time.Duration
-	ColdShare    float64 // and begins with this part of its capacity or more
-	FallMultiple float64 // above this multiple of its capacity
-	FallTime     time.Duration
+	// OverQuotaWeight is what a request beyond its tenant's share is worth, as a fraction.
+	OverQuotaWeight float64
+	WeightByWork    bool
+
+	MaxAttempts      int // for one request; 0 is taken as 1
+	ParallelAttempts bool
+	MayCancel        bool
+	MayHealthCheck   bool
+	RetryAfter       bool // clients are told how long to wait
+	MaxRetryAfter    time.Duration
+	ConnectTimeout   time.Duration
+	ConnIdle         time.Duration
+	Multiplex        int // requests one connection carries at once
+	WarmKeys         bool
+
+	Polled          bool          // the list of servers must be asked for
+	MaxPollInterval time.Duration // unasked for this long, a proxy counts as told
+
+	AnswerGrace      time.Duration // how long after the deadline a final answer still counts
+	DrainGrace       time.Duration
+	WarmUpTime       time.Duration
+	WarmUpShare      float64 // and begins with this part of its capacity or more
+	OverloadMultiple float64 // above this multiple of its capacity
+	OverloadWindow   time.Duration
 
 	Price   Prices
 	Weights WeightSource
 	Report  ReportMode
 
-	Tiers     Tiers     // nil: none
-	Admission Admission // nil: the module's own estimate
+	Localities LocalityPicker // nil: none
+	Admission  Admission      // nil: the module's own estimate
 }
 
 // Prices are fractions of the service given for each unit.
 type Prices struct {
-	CrossZone, Waste, Connection, Handshake, Probe, LateFail, Discovery, Peer float64
+	CrossZone, Waste, Connection, Handshake, HealthCheck, LateFail, Discovery, Gossip float64
 }
 
 // WeightSource says what Server.Weight holds.
@@ -122,7 +122,7 @@
 const (
 	ReportNone ReportMode = iota
 	ReportAnswers
-	ReportProbes
+	ReportHealthChecks
 )
 
 // State is what the list says of a server.
@@ -146,23 +146,23 @@
 	Priority int           // its tier, where Settings.Tiers are told of it; 0 else
 }
 
-// FleetKind says what a FleetUpdate holds.
-type FleetKind uint8
+// UpdateKind says what a FleetUpdate holds.
+type UpdateKind uint8
 
 const (
-	FleetChanges    FleetKind = iota // entries that changed
-	FleetAll                         // the whole list
-	FleetRemembered                  // the whole list as last known, perhaps stale
-	FleetRefused                     // a Watch or Fetch failed, or the watch broke; no entries
+	UpdateDelta    UpdateKind = iota // entries that changed
+	UpdateSnapshot                   // the whole list
+	UpdateCached                     // the whole list as last known, perhaps stale
+	UpdateFailed                     // a Watch or Fetch failed, or the watch broke; no entries
 )
 
-// FleetUpdate is news of the list.
-type FleetUpdate struct {
-	Kind    FleetKind
+// EndpointUpdate is news of the list.
+type EndpointUpdate struct {
+	Kind    UpdateKind
 	Servers []Server
-	// Silent is FleetRefused's alone: for how long a watch that broke had told nothing by then, 0 where a call failed. The
+	// SilentFor is FleetRefused's alone: for how long a watch that broke had told nothing by then, 0 where a call failed. The
 	// next call is due so much sooner.
-	Silent time.Duration
+	SilentFor time.Duration
 }
 
 // Request is a client's request that this proxy has taken and owes one final answer.
@@ -170,14 +170,14 @@
 	ID     string
 	Class  string
 	Tenant string
-	// High and Size are for an Admission: the priority HIGH of Envoy's circuit breakers, and the bytes kept while it waits.
-	High  bool
-	Size  int64
-	Left  time.Duration
-	Work  time.Duration // expected work; 0: not known
-	Key   string        // what it concerns; may be empty
-	Write bool
-	Retry bool
+	// HighPriority and Size are for an Admission: the priority HIGH of Envoy's circuit breakers, and the bytes kept while it waits.
+	HighPriority bool
+	Size         int64
+	TimeLeft     time.Duration
+	Work         time.Duration // expected work; 0: not known
+	Key          string        // what it concerns; may be empty
+	Write        bool
+	Retry        bool
 }
 
 // Result is how an attempt ended.
@@ -185,41 +185,41 @@
 
 const (
 	Served Result = iota
-	Errored
-	TurnedAway   // proved not run
+	ServerError
+	Rejected     // proved not run
 	TimedOut     // may still run
 	NotConnected // proved not run
-	ConnLost
+	ConnectionLost
 	Cancelled
 	NotSent
 )
 
 // Outcome ends an attempt; there is one for each Send.
 type Outcome struct {
-	ID      string
-	Attempt int // sends of a request are numbered from 0
-	Result  Result
-	Took    time.Duration
-	Done    bool          // the request has its final answer
-	Rest    time.Duration // how long the server asks to be left alone for; 0: it does not
-	Load    map[string]float64
+	ID         string
+	Attempt    int // sends of a request are numbered from 0
+	Result     Result
+	Latency    time.Duration
+	Final      bool          // the request has its final answer
+	RetryAfter time.Duration // how long the server asks to be left alone for; 0: it does not
+	LoadReport map[string]float64
 }
 
-// ProbeResult ends a probe.
-type ProbeResult struct {
-	Server string
-	Result Result
-	Took   time.Duration
-	Load   map[string]float64
+// HealthCheckResult ends a probe.
+type HealthCheckResult struct {
+	Server     string
+	Result     Result
+	Latency    time.Duration
+	LoadReport map[string]float64
 }
 
 // Host carries out what a Balancer decides.
 type Host interface {
 	Send(id, server string, expire time.Duration)
-	Refuse(id string, retryAfter time.Duration)
+	Reject(id string, retryAfter time.Duration)
 	Fail(id string)
 	Cancel(id string, attempt int) // stop waiting for an attempt
-	Probe(server string)
+	HealthCheck(server string)
 	CloseIdle(server string)
 	SetTimer(token uint64, after time.Duration) // ask for a Timer event
 	Watch(on bool)                              // follow changes of the list
@@ -236,9 +236,9 @@
 		switch {
 		case c.Deadline <= 0:
 			return fmt.Errorf("Classes[%q].Deadline: %v is not positive", c.Name, c.Deadline)
-		case c.Effect > Unsafe:
+		case c.Effect > NonIdempotent:
 			return fmt.Errorf("Classes[%q].Effect: %d is not known", c.Name, c.Effect)
-		case c.Effect == Keyed && c.Group > GroupCell:
+		case c.Effect == IdempotentWithKey && c.Group > GroupCell:
 			return fmt.Errorf("Classes[%q].Group: %d is not known", c.Name, c.Group)
 		}
 	}
--- a/balancer/ask_test.go
+++ b/balancer/ask_test.go
@@ -60,11 +60,11 @@
 		if a.life != life {
 			return
 		}
-		u := FleetUpdate{Kind: FleetRefused}
+		u := EndpointUpdate{Kind: UpdateFailed}
 		if a.failed = !ok; ok {
-			a.had, u.Kind = a.s.now, FleetAll
+			a.had, u.Kind = a.s.now, UpdateSnapshot
 		}
-		a.bal.Fleet(a.s.now, u)
+		a.bal.UpdateEndpoints(a.s.now, u)
 	})
 }
 
@@ -78,7 +78,7 @@
 // start gives a proxy a new process, which knows an old list.
 func (s *askers) start(t *testing.T, i int, seed uint64) {
 	set := settings()
-	set.Ask, set.MustAskIn, set.Me, set.Proxies = true, 10*time.Second, i, len(s.all)
+	set.Polled, set.MaxPollInterval, set.Index, set.Proxies = true, 10*time.Second, i, len(s.all)
 	a := s.all[i]
 	a.life++
 	a.had = 0
@@ -86,13 +86,13 @@
 	if a.bal, err = New(set, seed, a); err != nil {
 		t.Fatal(err)
 	}
-	a.bal.Fleet(s.now, FleetUpdate{Kind: FleetRemembered, Servers: fleet(4)})
+	a.bal.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateCached, Servers: fleet(4)})
 }
 
 // breaks ends the watches of all, each after so long, in which it is silent for the time given.
 func (s *askers) breaks(after func(i int) time.Duration, silent time.Duration) {
 	for i, a := range s.all {
-		s.at(s.now+after(i), func() { a.bal.Fleet(s.now, FleetUpdate{Kind: FleetRefused, Silent: silent}) })
+		s.at(s.now+after(i), func() { a.bal.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateFailed, SilentFor: silent}) })
 	}
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -67,9 +67,9 @@
 	maxHold = 2500 * time.Millisecond // of a request that has nowhere to go, however long its client would wait
 )
 
-// LongestAsk is the longest from one call for the list to the next while none succeeds. What the list has to tell counts as
+// MaxPollInterval is the longest from one call for the list to the next while none succeeds. What the list has to tell counts as
 // told 6 s after it can be reached, whatever failed before: the rest of that is for the queue there.
-const LongestAsk = 5 * time.Second
+const MaxPollInterval = 5 * time.Second
 
 // New makes the balancer of one proxy.
 func New(s Settings, seed uint64, host Host) (*Balancer, error) {
@@ -81,11 +81,11 @@
 		bySeq: map[uint64]*request{}, byZone: map[string][]*server{}, kinds: map[string]*stat{}, zones: map[string]*stat{},
 		places: map[string]int{}, maxKinds: names, tenants: map[string]*tenant{}, aim: math.MaxInt64}
 	for _, c := range s.Classes {
-		if c.Aim <= 0 || c.Aim > c.Deadline {
-			c.Aim = c.Deadline
+		if c.LatencyObjective <= 0 || c.LatencyObjective > c.Deadline {
+			c.LatencyObjective = c.Deadline
 		}
 		b.classes[c.Name] = &class{Class: c}
-		b.aim, b.pace = min(b.aim, c.Aim), max(b.pace, 5*c.Aim)
+		b.aim, b.pace = min(b.aim, c.LatencyObjective), max(b.pace, 5*c.LatencyObjective)
 		b.life = max(b.life, 2*c.Deadline)
 	}
 	for _, t := range s.Tenants {
@@ -93,20 +93,20 @@
 		b.tenants[t.Name] = &tenant{rate: rate, left: rate}
 	}
 	// A server's state holds for about as long as it takes one to warm up.
-	b.life = max(b.life, s.ColdTime)
+	b.life = max(b.life, s.WarmUpTime)
 	return b, nil
 }
 
 // ---- the list ----
 
-// Fleet takes news of the list: new servers start at zero, departed ones are dropped.
-func (b *Balancer) Fleet(now time.Duration, u FleetUpdate) {
-	if u.Kind == FleetRefused { // the list is overloaded or away: come back later, and not all at once
+// UpdateEndpoints takes news of the list: new servers start at zero, departed ones are dropped.
+func (b *Balancer) UpdateEndpoints(now time.Duration, u EndpointUpdate) {
+	if u.Kind == UpdateFailed { // the list is overloaded or away: come back later, and not all at once
 		span := b.askSpan()
 		switch {
 		case !b.calling: // a watch broke, and may have been ended in place of telling a change
 			b.broke = true
-			b.ask(b.turn(min(span*3/10, span-u.Silent)))
+			b.ask(b.turn(min(span*3/10, span-u.SilentFor)))
 		// Danger: a service with a queue works on calls that it has failed, too. Proxies that call again soon after they fail
 		// keep the queue longer than a call may wait, for good. They are spread once, and keep their places at one pace.
 		case b.broke:
@@ -120,7 +120,7 @@
 		return
 	}
 	b.dirty = true
-	if u.Kind != FleetChanges {
+	if u.Kind != UpdateDelta {
 		seen := make(map[string]bool, len(u.Servers))
 		for _, e := range u.Servers {
 			seen[e.ID] = true
@@ -141,7 +141,7 @@
 		}
 		if s == nil {
 			// Both shares of a golden section: proxies and servers are spread evenly however many there are.
-			_, place := math.Modf(math.Phi*float64(b.places[e.Zone]) + math.Sqrt2*float64(max(b.set.Me, 0)))
+			_, place := math.Modf(math.Phi*float64(b.places[e.Zone]) + math.Sqrt2*float64(max(b.set.Index, 0)))
 			s = &server{place: place, added: b.added}
 			b.places[e.Zone]++
 			b.added++
@@ -166,17 +166,17 @@
 	}
 	b.forget()
 	if b.set.Admission != nil {
-		b.set.Admission.Endpoints(now, b.running)
+		b.set.Admission.SetEndpoints(now, b.running)
 	}
-	b.told = b.told || u.Kind != FleetRemembered
+	b.told = b.told || u.Kind != UpdateCached
 	if b.told && b.running == 0 { // what is held has nowhere to go, and there is nothing to wait for
 		for _, seq := range slices.Sorted(maps.Keys(b.bySeq)) {
 			b.tend(now, b.bySeq[seq])
 		}
 	}
 	b.pull(now)
-	if u.Kind == FleetRemembered {
-		if b.set.Ask {
+	if u.Kind == UpdateCached {
+		if b.set.Polled {
 			// Danger: over less, proxies that start together wait longer than a call may, and each call that failed is one more.
 			b.ask(b.turn(b.askSpan()))
 		}
@@ -238,7 +238,7 @@
 }
 
 func (b *Balancer) ask(after time.Duration) {
-	if b.set.Ask && !b.asking {
+	if b.set.Polled && !b.asking {
 		b.asking = true
 		b.host.SetTimer(asksSeq, max(after, 0))
 	}
@@ -246,15 +246,15 @@
 
 // askSpan is the time over which all proxies ask for the list, and within which each asks again.
 func (b *Balancer) askSpan() time.Duration {
-	if m := b.set.MustAskIn / 2; m > 0 && m < LongestAsk {
+	if m := b.set.MaxPollInterval / 2; m > 0 && m < MaxPollInterval {
 		return m
 	}
-	return LongestAsk
+	return MaxPollInterval
 }
 
 // turn is this proxy's part of a span that all take for one call each: spread evenly, whichever of them call.
 func (b *Balancer) turn(span time.Duration) time.Duration {
-	_, place := math.Modf(math.Phi*float64(max(b.set.Me, 0)) + b.rng.Float64()/float64(max(b.set.Proxies, 1)))
+	_, place := math.Modf(math.Phi*float64(max(b.set.Index, 0)) + b.rng.Float64()/float64(max(b.set.Proxies, 1)))
 	return time.Duration(place * float64(max(span, 0)))
 }
 
@@ -267,7 +267,7 @@
 	var warm, all, bad, sum, sent stat
 	proven := false
 	some := b.near(now)
-	if b.set.Tiers != nil {
+	if b.set.Localities != nil {
 		b.health(now, some)
 	}
 	for _, s := range some {
@@ -284,7 +284,7 @@
 		if w := b.warmth(s, now); w < 1 {
 			s.weight = min(s.weight, warm.mean(s.weight, 0.001)) * w
 		}
-		if !s.home && b.set.Tiers == nil {
+		if !s.home && b.set.Localities == nil {
 			s.weight *= b.spill(s.Zone, now)
 		}
 		if all.add(s.weight); b.ejected(s, now) {
@@ -299,7 +299,7 @@
 		if s.State == Running && !(calm && b.ejected(s, now)) && taken[s.Zone] < b.most() {
 			taken[s.Zone]++
 			w := b.warmth(s, now)
-			sent.sum, sent.n, proven = sent.sum+s.sent.fade(now, b.set.FallTime+1).n, sent.n+w, proven || w == 1
+			sent.sum, sent.n, proven = sent.sum+s.sent.fade(now, b.set.OverloadWindow+1).n, sent.n+w, proven || w == 1
 			sum.add(s.weight)
 			b.ready, b.table = append(b.ready, s), append(b.table, sum.sum)
 		}
@@ -346,17 +346,17 @@
 // warmth is the part of its capacity that a server that has just started has at the least.
 func (b *Balancer) warmth(s *server, now time.Duration) float64 {
 	age := now - s.Since
-	if s.Since == 0 || age >= b.set.ColdTime {
+	if s.Since == 0 || age >= b.set.WarmUpTime {
 		return 1
 	}
-	return b.set.ColdShare + (1-b.set.ColdShare)*float64(max(age, 0))/float64(b.set.ColdTime)
+	return b.set.WarmUpShare + (1-b.set.WarmUpShare)*float64(max(age, 0))/float64(b.set.WarmUpTime)
 }
 
 // pushed tells whether a cold server has had its part from this proxy, if all others do alike: its warmth
 // times half the multiple of what a warm one gets, as proxies differ. Danger: a burst right after its start.
 func (b *Balancer) pushed(s *server, now time.Duration) bool {
 	w := b.warmth(s, now)
-	return w < 1 && s.sent.fade(now, b.set.FallTime+1).n >= max(b.set.FallMultiple/2*w*b.usual, 1)
+	return w < 1 && s.sent.fade(now, b.set.OverloadWindow+1).n >= max(b.set.OverloadMultiple/2*w*b.usual, 1)
 }
 
 func (b *Balancer) slowness(s *server, now time.Duration) float64 {
@@ -456,30 +456,30 @@
 	if o.Result != TimedOut && o.Result != Cancelled && o.Result != NotSent {
 		s.quiet = now // it has said something
 	}
-	if rest := now + min(o.Rest, maxRest); o.Rest > 0 && rest > s.until {
+	if rest := now + min(o.RetryAfter, maxRest); o.RetryAfter > 0 && rest > s.until {
 		s.until, b.dirty = rest, true
 	}
 	switch o.Result {
 	case Served:
-		took := float64(o.Took)
+		took := float64(o.Latency)
 		c.learn(took)
 		b.flow.add(c.lat)
-		loss = took / float64(c.Aim)
+		loss = took / float64(c.LatencyObjective)
 		loss = min(loss*loss, 1)
 		s.strikes, s.trips, s.trial = 0, 0, false
 		// One that was asked all the same, by a probe or for want of others, and serves is back at once.
-		if (b.set.Tiers != nil || b.set.Admission != nil) && now < s.until && a.sent >= s.outAt {
+		if (b.set.Localities != nil || b.set.Admission != nil) && now < s.until && a.sent >= s.outAt {
 			s.until, b.dirty = 0, true
 		}
 		delete(s.turned, c)
 		b.observe(now, s, took/max(c.lat, 1))
 	case Cancelled, NotSent:
 		return
-	case TurnedAway:
+	case Rejected:
 		b.observe(now, s, 4)
 		b.turnedAway(now, s, c)
-	case Errored, NotConnected, ConnLost, TimedOut:
-		if o.Result == TimedOut && now >= r.deadline && o.Took < c.Aim { // the client left it no time
+	case ServerError, NotConnected, ConnectionLost, TimedOut:
+		if o.Result == TimedOut && now >= r.deadline && o.Latency < c.LatencyObjective { // the client left it no time
 			return
 		}
 		b.observe(now, s, 4)
@@ -538,15 +538,15 @@
 	if len(r.tries) > 0 && (len(r.tries) >= max(b.set.MaxAttempts, 1) || r.done || r.streams) {
 		return false
 	}
-	if r.out > 0 && !b.set.ParallelTries {
+	if r.out > 0 && !b.set.ParallelAttempts {
 		return false
 	}
 	for i := range r.tries {
 		a := &r.tries[i]
-		if a.proved || r.class.Effect == Safe {
+		if a.proved || r.class.Effect == Idempotent {
 			continue
 		}
-		if r.class.Effect == Unsafe || now-a.sent >= r.class.Window {
+		if r.class.Effect == NonIdempotent || now-a.sent >= r.class.Window {
 			return false
 		}
 		if r.class.Group == GroupZone && a.to.Zone != s.Zone ||
@@ -560,7 +560,7 @@
 // mayRefuse is the rule of effects for a refusal, which promises that trying again is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
 	for i := range r.tries {
-		if !r.tries[i].proved && r.class.Effect != Safe && (r.class.Effect == Unsafe || r.class.Group != GroupAll) {
+		if !r.tries[i].proved && r.class.Effect != Idempotent && (r.class.Effect == NonIdempotent || r.class.Group != GroupAll) {
 			return false
 		}
 	}
@@ -570,14 +570,14 @@
 func (b *Balancer) overloaded(now time.Duration, r *request) bool {
 	b.asked.fade(now, b.pace)
 	b.value.fade(now, b.pace)
-	worth := r.class.Worth
-	if !b.set.WorthByWork && r.class.n > 0 {
+	worth := r.class.PriorityWeight
+	if !b.set.WeightByWork && r.class.n > 0 {
 		worth /= r.class.lat
 	}
 	if t := b.tenants[r.Tenant]; t != nil && t.rate > 0 { // a second's worth of the share at once
 		t.left, t.at = min(t.left+t.rate*(now-t.at).Seconds(), max(t.rate, 1)), now
 		if t.left--; t.left < 0 {
-			t.left, worth = 0, worth*max(b.set.OverShareWorth, 0.01)
+			t.left, worth = 0, worth*max(b.set.OverQuotaWeight, 0.01)
 		}
 	}
 	b.value.add(1 / worth)
@@ -593,10 +593,10 @@
 	// Two thirds of the aim leave room for spread. Danger of less than the cube, or of the greater alone: with
 	// much to refuse, latency stays near the aim for as long.
 	// Danger: servers have one queue for all. What is worth little and may wait for long makes what is worth more late.
-	stretch := float64(r.class.Aim) / max(r.class.lat, 1)
+	stretch := float64(r.class.LatencyObjective) / max(r.class.lat, 1)
 	for _, k := range b.classes {
-		if k.n >= minSamples && k.density(b.set.WorthByWork) > r.class.density(b.set.WorthByWork) {
-			stretch = min(stretch, float64(k.Aim)/max(k.lat, 1))
+		if k.n >= minSamples && k.density(b.set.WeightByWork) > r.class.density(b.set.WeightByWork) {
+			stretch = min(stretch, float64(k.LatencyObjective)/max(k.lat, 1))
 		}
 	}
 	fits := (usual*stretch/1.5 + spare) / float64(b.out-b.stuck+1)
@@ -618,13 +618,13 @@
 	}
 	c := b.classes[q.Class]
 	if c == nil {
-		b.host.Refuse(q.ID, 0)
+		b.host.Reject(q.ID, 0)
 		return
 	}
 	if b.seq++; b.first == 0 {
 		b.first = now
 	}
-	r := &request{Request: q, seq: b.seq, class: c, deadline: now + q.Left}
+	r := &request{Request: q, seq: b.seq, class: c, deadline: now + q.TimeLeft}
 	b.requests[q.ID], b.bySeq[r.seq] = r, r
 	if b.set.Admission != nil {
 		b.arrive(now, r)
@@ -645,9 +645,9 @@
 		b.finish(now, r)
 		return
 	}
-	p := First
+	p := FirstAttempt
 	if len(r.tries) > 0 {
-		p = Again
+		p = Retry
 	}
 	if s := b.candidate(now, r, p); s != nil {
 		b.send(now, r, s)
@@ -655,20 +655,20 @@
 	}
 	// Danger: a list that is known to have no running server is not one that has yet to come: waiting helps nobody.
 	// Nor is it an overload, which would have most of what comes refused once there are servers again.
-	none := b.told && (b.running == 0 || b.set.Tiers != nil)
+	none := b.told && (b.running == 0 || b.set.Localities != nil)
 	if none && len(r.tries) == 0 {
 		b.asked.n--
 	}
-	if none || len(r.tries) > 0 || r.deadline-now < r.Left/4 || now-r.deadline+r.Left > maxHold { // nowhere to go: say so while the client can still use it
+	if none || len(r.tries) > 0 || r.deadline-now < r.TimeLeft/4 || now-r.deadline+r.TimeLeft > maxHold { // nowhere to go: say so while the client can still use it
 		b.finish(now, r)
 		return
 	}
-	b.host.SetTimer(r.seq, min(r.Left/8, maxHold/6)+1)
+	b.host.SetTimer(r.seq, min(r.TimeLeft/8, maxHold/6)+1)
 }
 
 func (b *Balancer) candidate(now time.Duration, r *request, p Purpose) *server {
-	again := p != First
-	if again && b.spent(now, r) && (p != Copy || b.set.Tiers == nil) {
+	again := p != FirstAttempt
+	if again && b.spent(now, r) && (p != Hedge || b.set.Localities == nil) {
 		return nil
 	}
 	may := func(s *server) bool {
@@ -680,7 +680,7 @@
 		return !b.pushed(s, now) && b.mayResend(r, s, now)
 	}
 	var s *server
-	if b.set.Tiers != nil {
+	if b.set.Localities != nil {
 		s = b.placed(now, r, p, may)
 	} else if s = b.pick(now, func(s *server) bool { return s.takes(r.class, now) && may(s) }); s == nil && !again { // all turn it away: better asked than left out
 		s = b.pick(now, may)
@@ -688,7 +688,7 @@
 	switch {
 	case s == nil || !again:
 	case b.set.Admission != nil:
-		b.set.Admission.Retried(now, r.High)
+		b.set.Admission.RetryStarted(now, r.HighPriority)
 	case b.budget >= 1:
 		b.budget--
 	}
@@ -700,14 +700,14 @@
 		s.quiet = now
 	}
 	s.inFlight++
-	s.sent.fade(now, b.set.FallTime+1).n++
+	s.sent.fade(now, b.set.OverloadWindow+1).n++
 	b.out++
 	r.tries = append(r.tries, attempt{to: s, sent: now, out: true})
 	r.out++
-	if b.set.Tiers != nil {
-		r.ask.Sent = now
+	if b.set.Localities != nil {
+		r.ask.SentAt = now
 		r.tries[len(r.tries)-1].ask = r.ask
-		b.set.Tiers.Sent(now, s.locality(), r.ask)
+		b.set.Localities.AttemptSent(now, s.locality(), r.ask)
 	}
 	b.host.Send(r.ID, s.ID, 0)
 	b.look()
@@ -715,7 +715,7 @@
 
 // look has what is out looked over after a while: one timer for all, as one for each costs a busy node dear.
 func (b *Balancer) look() {
-	if b.set.ParallelTries && !b.looking {
+	if b.set.ParallelAttempts && !b.looking {
 		b.looking = true
 		b.host.SetTimer(looksSeq, b.aim/4)
 	}
@@ -726,7 +726,7 @@
 	if len(b.bySeq) == 0 {
 		return
 	}
-	if b.set.Admission != nil || b.set.Tiers != nil || b.budget >= 1 {
+	if b.set.Admission != nil || b.set.Localities != nil || b.budget >= 1 {
 		for _, seq := range slices.Sorted(maps.Keys(b.bySeq)) {
 			if r := b.bySeq[seq]; r.out > 0 {
 				b.hedge(now, r)
@@ -739,10 +739,10 @@
 func (b *Balancer) hedge(now time.Duration, r *request) {
 	n := len(r.tries)
 	// Danger: where a zone says nothing, a copy within it is as lost as the first: tiers may send one more elsewhere.
-	if n > 1 && b.set.Tiers == nil || r.class.Effect == Unsafe || r.streams || now-r.tries[n-1].sent < r.class.patience() {
+	if n > 1 && b.set.Localities == nil || r.class.Effect == NonIdempotent || r.streams || now-r.tries[n-1].sent < r.class.patience() {
 		return
 	}
-	if s := b.candidate(now, r, Copy); s != nil {
+	if s := b.candidate(now, r, Hedge); s != nil {
 		b.send(now, r, s)
 	}
 }
@@ -750,19 +750,19 @@
 // comeBack is when a client that is refused should ask again: when what is out now has ended, which takes the longer
 // the more there is over the usual. Danger: clients that are told nothing ask again at once, and feed the overload.
 func (b *Balancer) comeBack(now time.Duration, r *request) time.Duration {
-	if b.set.RetryAdvice && r.wait > 0 {
-		return min(r.wait, b.set.MaxRetryAdvice)
+	if b.set.RetryAfter && r.wait > 0 {
+		return min(r.wait, b.set.MaxRetryAfter)
 	}
-	if !b.set.RetryAdvice || r.class.n < minSamples {
+	if !b.set.RetryAfter || r.class.n < minSamples {
 		return 0
 	}
 	wait := r.class.lat * max(float64(b.out-b.stuck)/max(b.usualOut(now), 1), 1)
-	return min(time.Duration(wait), b.set.MaxRetryAdvice)
+	return min(time.Duration(wait), b.set.MaxRetryAfter)
 }
 
 func (b *Balancer) finish(now time.Duration, r *request) {
 	if b.mayRefuse(r) {
-		b.host.Refuse(r.ID, b.comeBack(now, r))
+		b.host.Reject(r.ID, b.comeBack(now, r))
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -829,14 +829,14 @@
 		return
 	}
 	a := &r.tries[o.Attempt]
-	a.out, a.proved = false, o.Result == TurnedAway || o.Result == NotConnected || o.Result == NotSent
+	a.out, a.proved = false, o.Result == Rejected || o.Result == NotConnected || o.Result == NotSent
 	b.lower(a)
 	r.out--
 	if !r.streams {
-		b.sample(now, r, o.Attempt, o.Result, o.Took)
+		b.sample(now, r, o.Attempt, o.Result, o.Latency)
 	}
-	if b.set.Tiers != nil {
-		b.set.Tiers.Ended(now, a.to.locality(), a.ask, o.Result, o.Took)
+	if b.set.Localities != nil {
+		b.set.Localities.AttemptEnded(now, a.to.locality(), a.ask, o.Result, o.Latency)
 	}
 	b.judge(now, r, a, o)
 	switch {
@@ -844,12 +844,12 @@
 		if r.out == 0 {
 			delete(b.requests, r.ID)
 		}
-	case o.Done:
+	case o.Final:
 		at := now
 		if r.begun > 0 {
 			at = r.begun
 		}
-		if o.Result == Served && at-r.deadline+r.Left <= r.class.Aim {
+		if o.Result == Served && at-r.deadline+r.TimeLeft <= r.class.LatencyObjective {
 			b.asked.sum++
 			b.budget = min(b.budget+extraShare, extraBurst)
 		}
@@ -861,8 +861,8 @@
 	b.pull(now)
 }
 
-// Gone notes that the client has left, or that its time is over.
-func (b *Balancer) Gone(now time.Duration, id string) {
+// ClientGone notes that the client has left, or that its time is over.
+func (b *Balancer) ClientGone(now time.Duration, id string) {
 	if r := b.requests[id]; r != nil && !r.done {
 		b.end(now, r)
 		b.pull(now)
@@ -896,5 +896,5 @@
 	b.pull(now)
 }
 
-// Probed takes what a probe found. Nothing on the ordinary path asks for one.
-func (b *Balancer) Probed(time.Duration, ProbeResult) {}
+// HealthChecked takes what a probe found. Nothing on the ordinary path asks for one.
+func (b *Balancer) HealthChecked(time.Duration, HealthCheckResult) {}
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -54,16 +54,16 @@
 	took, result := time.Duration(f.rng.ExpFloat64()*float64(40*ms))+2*ms, Served
 	switch x := f.rng.IntN(100); {
 	case x < 2:
-		took, result = 2*ms, TurnedAway
+		took, result = 2*ms, Rejected
 	case x < 4:
-		took, result = 10*ms, Errored
+		took, result = 10*ms, ServerError
 	case x < 5:
-		took, result = 900*ms, Errored
+		took, result = 900*ms, ServerError
 	}
 	f.at(f.now+took, func() {
 		if p.life == life && !try.over {
 			try.over = true
-			p.bal.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: result, Took: took, Done: result == Served})
+			p.bal.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: result, Latency: took, Final: result == Served})
 		}
 	})
 }
@@ -73,7 +73,7 @@
 	f.at(f.now, func() {
 		if p.life == life && !try.over {
 			try.over = true
-			p.bal.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: Cancelled, Done: true})
+			p.bal.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: Cancelled, Final: true})
 		}
 	})
 }
@@ -83,7 +83,7 @@
 	p.life++
 	p.out = map[string][]*coldTry{}
 	set := p.f.set
-	set.Me = p.me
+	set.Index = p.me
 	var err error
 	if p.bal, err = New(set, seed, p); err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	p.bal.Fleet(p.f.now, FleetUpdate{Kind: FleetAll, Servers: l})
+	p.bal.UpdateEndpoints(p.f.now, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
 }
 
 // load has requests come to a proxy, so many a second.
@@ -109,7 +109,7 @@
 	var next func()
 	next = func() {
 		p.f.ids++
-		p.bal.Request(p.f.now, Request{ID: fmt.Sprint(p.f.ids), Class: "safe", Left: time.Second})
+		p.bal.Request(p.f.now, Request{ID: fmt.Sprint(p.f.ids), Class: "safe", TimeLeft: time.Second})
 		p.f.at(p.f.now+time.Duration(p.f.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	p.f.at(p.f.now+time.Duration(p.f.rng.ExpFloat64()/rate*float64(time.Second)), next)
@@ -149,7 +149,7 @@
 			}
 			f := &coldFleet{rng: rand.New(rand.NewPCG(seed, uint64(c.proxies))), set: settings(), sent: map[string][]time.Duration{}}
 			f.now = time.Hour
-			f.set.Proxies, f.set.ColdTime, f.set.ColdShare, f.set.FallMultiple, f.set.FallTime = c.proxies, 8*time.Second, 0.3, 3, 2*time.Second
+			f.set.Proxies, f.set.WarmUpTime, f.set.WarmUpShare, f.set.OverloadMultiple, f.set.OverloadWindow = c.proxies, 8*time.Second, 0.3, 3, 2*time.Second
 			f.since = f.now + warmup
 			for i := range c.servers {
 				s := Server{ID: fmt.Sprint("s", i), Zone: []string{"za", "zb"}[i%2], Cell: i % 4, Weight: 1}
@@ -177,12 +177,12 @@
 			}
 			f.run(f.since + 10*time.Second)
 			warmth := func(at time.Duration) float64 {
-				age := min(max(at-f.since, 0), f.set.ColdTime)
-				return capacity * (f.set.ColdShare + (1-f.set.ColdShare)*float64(age)/float64(f.set.ColdTime))
+				age := min(max(at-f.since, 0), f.set.WarmUpTime)
+				return capacity * (f.set.WarmUpShare + (1-f.set.WarmUpShare)*float64(age)/float64(f.set.WarmUpTime))
 			}
 			worst, at, got := math.Inf(-1), "", 0
 			for id, times := range f.sent {
-				if x, n := over(times, f.set.FallTime, f.set.FallMultiple, warmth); x > worst {
+				if x, n := over(times, f.set.OverloadWindow, f.set.OverloadMultiple, warmth); x > worst {
 					worst, at, got = x, id, n
 				}
 			}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -15,16 +15,16 @@
 
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "page", Aim: 100 * time.Millisecond, Deadline: time.Second}},
+		Classes: []balancer.Class{{Name: "page", LatencyObjective: 100 * time.Millisecond, Deadline: time.Second}},
 	}, 1, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := 5 * time.Second // any clock that does not go back
-	b.Fleet(now, balancer.FleetUpdate{Kind: balancer.FleetRemembered, Servers: []balancer.Server{{ID: "a", Weight: 1}}})
-	b.Request(now, balancer.Request{ID: "r1", Class: "page", Left: time.Second})
+	b.UpdateEndpoints(now, balancer.EndpointUpdate{Kind: balancer.UpdateCached, Servers: []balancer.Server{{ID: "a", Weight: 1}}})
+	b.Request(now, balancer.Request{ID: "r1", Class: "page", TimeLeft: time.Second})
 	now += 20 * time.Millisecond
-	b.Outcome(now, balancer.Outcome{ID: "r1", Result: balancer.Served, Took: 20 * time.Millisecond, Done: true})
+	b.Outcome(now, balancer.Outcome{ID: "r1", Result: balancer.Served, Latency: 20 * time.Millisecond, Final: true})
 	// Output: send r1 to a
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -10,7 +10,7 @@
 // refusal, and never leave it unasked for as long as the settings allow.
 func TestFollowsTheList(t *testing.T) {
 	set := settings()
-	set.Ask, set.MustAskIn = true, 10*time.Second
+	set.Polled, set.MaxPollInterval = true, 10*time.Second
 	starts := map[time.Duration]bool{}
 	for seed := range uint64(50) {
 		h := &recorder{}
@@ -18,7 +18,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Fleet(0, FleetUpdate{Kind: FleetRemembered, Servers: fleet(4)})
+		b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateCached, Servers: fleet(4)})
 		now, longest := time.Duration(0), time.Duration(0)
 		for range 30 {
 			at, ok := h.timers[asksSeq]
@@ -35,15 +35,15 @@
 			if a := h.take(); len(a) != 1 || a[0].what != "watch" {
 				t.Fatalf("%v, want one call", a)
 			}
-			b.Fleet(now, FleetUpdate{Kind: FleetRefused})
-			b.Fleet(now, FleetUpdate{Kind: FleetRefused}) // a second refusal plans no second call
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed})
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed}) // a second refusal plans no second call
 		}
-		if longest >= set.MustAskIn {
+		if longest >= set.MaxPollInterval {
 			t.Errorf("seed %d: unasked for %v", seed, longest)
 		}
 		delete(h.timers, asksSeq)
 		b.Timer(now, asksSeq)
-		b.Fleet(now, FleetUpdate{Kind: FleetChanges})
+		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta})
 		if b.asking || b.calling || len(h.timers) != 0 {
 			t.Errorf("seed %d: after an answer a call is due (%v, %v), %d timers", seed, b.asking, b.calling, len(h.timers))
 		}
@@ -102,9 +102,9 @@
 			now := time.Duration(i) * 2 * ms
 			id := fmt.Sprint("r", i)
 			h.now = now
-			b.Request(now, Request{ID: id, Class: "safe", Left: time.Second})
+			b.Request(now, Request{ID: id, Class: "safe", TimeLeft: time.Second})
 			if i > 5 {
-				b.Outcome(now, Outcome{ID: fmt.Sprint("r", i-5), Result: Result(i % 3), Took: 10 * ms, Done: i%3 == 0})
+				b.Outcome(now, Outcome{ID: fmt.Sprint("r", i-5), Result: Result(i % 3), Latency: 10 * ms, Final: i%3 == 0})
 			}
 		}
 		return fmt.Sprint(h.acts)
@@ -146,7 +146,7 @@
 // which settles ties, nor by what it leaves unanswered.
 func TestRestartForgets(t *testing.T) {
 	set := settings()
-	set.ColdTime = 0
+	set.WarmUpTime = 0
 	b, h := start(t, set, oneZone(2))
 	now := 10 * ms
 	for i := range 40 {
@@ -168,7 +168,7 @@
 	}
 	again := s.Server
 	again.Since = now
-	b.Fleet(now, FleetUpdate{Kind: FleetChanges, Servers: []Server{again}})
+	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{again}})
 	if b.ejected(s, now+ms) || s.recent.n != 0 || s.slow.n != 0 {
 		t.Errorf("the new process: out %v, %v answers of late, %v in all", b.ejected(s, now+ms), s.recent.n, s.slow.n)
 	}
--- a/balancer/floors_test.go
+++ b/balancer/floors_test.go
@@ -64,13 +64,13 @@
 			done := res == Served && f.open[id] != nil
 			if done {
 				part := 1.0
-				if f.now-r.at > r.class.Aim {
-					part = r.class.LateWorth
+				if f.now-r.at > r.class.LatencyObjective {
+					part = r.class.LatePriorityWeight
 				}
 				f.counts(f.served, r, part)
 				delete(f.open, id)
 			}
-			p.bal.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: res, Took: f.now - began, Done: done})
+			p.bal.Outcome(f.now, Outcome{ID: id, Attempt: n, Result: res, Latency: f.now - began, Final: done})
 		}
 	}
 	f.at(max(r.at+r.class.Deadline, f.now), func() { ends(TimedOut) })
@@ -86,7 +86,7 @@
 	f.at(f.now, func() { f.next(s) }) // not within Send
 }
 
-func (p *floorsProxy) Refuse(id string, _ time.Duration) { delete(p.f.open, id) }
+func (p *floorsProxy) Reject(id string, _ time.Duration) { delete(p.f.open, id) }
 func (p *floorsProxy) Fail(id string)                    { delete(p.f.open, id) }
 func (p *floorsProxy) Cancel(id string, n int) {
 	f, r := p.f, p.f.open[id]
@@ -105,7 +105,7 @@
 func (f *floorsFleet) counts(in map[string][3]float64, r *floorsRequest, part float64) {
 	for _, k := range []string{"", r.class.Name, r.tenant} {
 		v := in[k]
-		v[min(int(r.at/f.third), 2)] += part * r.class.Worth
+		v[min(int(r.at/f.third), 2)] += part * r.class.PriorityWeight
 		in[k] = v
 	}
 }
@@ -120,7 +120,7 @@
 		f.open[id] = r
 		f.counts(f.asked, r, 1)
 		p := f.proxies[f.rng.IntN(len(f.proxies))]
-		p.bal.Request(f.now, Request{ID: id, Class: class.Name, Tenant: tenant, Left: class.Deadline})
+		p.bal.Request(f.now, Request{ID: id, Class: class.Name, Tenant: tenant, TimeLeft: class.Deadline})
 		if third := int(f.now / f.third); third < 3 {
 			f.at(f.now+time.Duration(f.rng.ExpFloat64()/rate(third)*float64(time.Second)), again)
 		}
@@ -149,9 +149,9 @@
 				open: map[string]*floorsRequest{}, asked: map[string][3]float64{}, served: map[string][3]float64{},
 				work: map[string]time.Duration{"map": 20 * ms, "hold": 30 * ms, "pay": 40 * ms}}
 			f.set.Classes = []Class{
-				{Name: "map", Aim: 200 * ms, Deadline: 800 * ms, Effect: Safe, Worth: 1, LateWorth: 0.5},
-				{Name: "hold", Aim: 200 * ms, Deadline: time.Second, Effect: Keyed, Group: GroupCell, Window: 400 * ms, Worth: 4, LateWorth: 0.5},
-				{Name: "pay", Aim: 400 * ms, Deadline: 2 * time.Second, Effect: Unsafe, Worth: 8, LateWorth: 0.5}}
+				{Name: "map", LatencyObjective: 200 * ms, Deadline: 800 * ms, Effect: Idempotent, PriorityWeight: 1, LatePriorityWeight: 0.5},
+				{Name: "hold", LatencyObjective: 200 * ms, Deadline: time.Second, Effect: IdempotentWithKey, Group: GroupCell, Window: 400 * ms, PriorityWeight: 4, LatePriorityWeight: 0.5},
+				{Name: "pay", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent, PriorityWeight: 8, LatePriorityWeight: 0.5}}
 			calm := map[string]float64{"map": 0.35, "hold": 0.25, "pay": 0.1}
 			capacity := float64(servers * places) // seconds of work a second
 			worth := 0.0                          // a second, of a calm third
@@ -159,10 +159,10 @@
 				worth += calm[k.Name] * capacity / f.work[k.Name].Seconds()
 			}
 			for name, share := range shares {
-				f.set.Tenants = append(f.set.Tenants, Tenant{Name: name, Share: share, Rate: share * worth * 1.2})
+				f.set.Tenants = append(f.set.Tenants, Tenant{Name: name, Quota: share, Rate: share * worth * 1.2})
 			}
 			slices.SortFunc(f.set.Tenants, func(x, y Tenant) int { return int(x.Name[0]) - int(y.Name[0]) })
-			f.set.OverShareWorth, f.set.Proxies = 0.2, 4
+			f.set.OverQuotaWeight, f.set.Proxies = 0.2, 4
 			var list []Server
 			for i := range servers {
 				s := Server{ID: fmt.Sprint("s", i), Zone: []string{"za", "zb"}[i%2], Cell: i % 4, Weight: 1}
@@ -171,23 +171,23 @@
 			for i := range f.set.Proxies {
 				p := &floorsProxy{recorder: &recorder{}, f: f}
 				set := f.set
-				set.Me = i
+				set.Index = i
 				var err error
 				if p.bal, err = New(set, uint64(i), p); err != nil {
 					t.Fatal(err)
 				}
-				p.bal.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: list})
+				p.bal.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: list})
 				f.proxies = append(f.proxies, p)
 			}
 			for _, k := range f.set.Classes {
 				full := capacity / f.work[k.Name].Seconds() // of this class alone, a second
 				for _, tenant := range f.set.Tenants {
 					f.comes(k, tenant.Name, func(third int) float64 {
-						own := tenant.Share * calm[k.Name]
+						own := tenant.Quota * calm[k.Name]
 						switch {
 						case third != 1:
 						case c.over == "":
-							own = tenant.Share * c.peak[k.Name]
+							own = tenant.Quota * c.peak[k.Name]
 						case c.over == tenant.Name:
 							own += c.peak[k.Name] - calm[k.Name]
 						}
@@ -201,14 +201,14 @@
 			could := map[string][3]float64{}
 			byWorth := slices.Clone(f.set.Classes)
 			slices.SortFunc(byWorth, func(x, y Class) int {
-				return int(y.Worth/f.work[y.Name].Seconds() - x.Worth/f.work[x.Name].Seconds())
+				return int(y.PriorityWeight/f.work[y.Name].Seconds() - x.PriorityWeight/f.work[x.Name].Seconds())
 			})
 			for third := range 3 {
 				left := capacity * f.third.Seconds()
 				for _, k := range byWorth {
 					came := f.asked[k.Name][third]
-					part := min(came, left*k.Worth/f.work[k.Name].Seconds())
-					left -= part / k.Worth * f.work[k.Name].Seconds()
+					part := min(came, left*k.PriorityWeight/f.work[k.Name].Seconds())
+					left -= part / k.PriorityWeight * f.work[k.Name].Seconds()
 					for _, name := range []string{"", k.Name} {
 						v := could[name]
 						v[third] += part
@@ -239,7 +239,7 @@
 			}
 			for _, tenant := range f.set.Tenants {
 				if tenant.Name != c.over {
-					holds("tenant "+tenant.Name, sum(f.served[tenant.Name]), tenant.Share*sum(could[""]), 1.0/3)
+					holds("tenant "+tenant.Name, sum(f.served[tenant.Name]), tenant.Quota*sum(could[""]), 1.0/3)
 				}
 			}
 		})
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -13,7 +13,7 @@
 	for i := range 60 {
 		for _, class := range []string{"safe", "once"} {
 			id := fmt.Sprint(class, i)
-			b.Request(time.Duration(i)*10*ms, Request{ID: id, Class: class, Left: 1000 * ms})
+			b.Request(time.Duration(i)*10*ms, Request{ID: id, Class: class, TimeLeft: 1000 * ms})
 			h.take()
 			end(b, time.Duration(i)*10*ms+10*ms, id, Served, time.Duration(8+4*(i%2))*ms)
 		}
@@ -32,12 +32,12 @@
 		spoil func(*Balancer)
 	}{
 		"unsafe":      {"once", func(*Balancer) {}},
-		"not allowed": {"safe", func(b *Balancer) { b.set.ParallelTries = false }},
+		"not allowed": {"safe", func(b *Balancer) { b.set.ParallelAttempts = false }},
 		"no budget":   {"safe", func(b *Balancer) { b.budget = 0.5 }},
 	} {
 		b, h := known(t, settings())
 		c.spoil(b)
-		b.Request(700*ms, Request{ID: "r", Class: c.class, Left: 1000 * ms})
+		b.Request(700*ms, Request{ID: "r", Class: c.class, TimeLeft: 1000 * ms})
 		h.take()
 		b.Timer(1200*ms, looksSeq)
 		if a := h.take(); len(a) != 0 {
@@ -53,7 +53,7 @@
 	if c := b.classes["safe"]; c.dev < 1e6 || c.dev > 3e6 {
 		t.Fatalf("mean deviation %v ns, want about 2 ms", c.dev)
 	}
-	b.Request(700*ms, Request{ID: "r", Class: "safe", Left: 1000 * ms})
+	b.Request(700*ms, Request{ID: "r", Class: "safe", TimeLeft: 1000 * ms})
 	first := h.take()
 	b.Timer(725*ms, looksSeq) // two and a half times the mean, but within 14 deviations
 	if a := h.take(); len(a) != 0 {
@@ -68,7 +68,7 @@
 // A server is held to hang by the spread as well: twice the mean is no silence to speak of.
 func TestUsualSilenceEjectsNobody(t *testing.T) {
 	b, h := known(t, settings())
-	b.Request(700*ms, Request{ID: "r", Class: "once", Left: 1000 * ms})
+	b.Request(700*ms, Request{ID: "r", Class: "once", TimeLeft: 1000 * ms})
 	s := b.servers[h.take()[0].server]
 	if b.ejected(s, 725*ms) {
 		t.Error("out after 25 ms, where answers take 10 give or take 2")
--- a/balancer/list_test.go
+++ b/balancer/list_test.go
@@ -15,23 +15,23 @@
 		draining[i].State = Draining
 	}
 	for name, c := range map[string]struct {
-		u    FleetUpdate
+		u    EndpointUpdate
 		want string
 	}{
-		"remembered, empty":    {FleetUpdate{Kind: FleetRemembered}, ""},
-		"told, empty":          {FleetUpdate{Kind: FleetAll}, "refuse"},
-		"told, all draining":   {FleetUpdate{Kind: FleetAll, Servers: draining}, "refuse"},
-		"changes, none added":  {FleetUpdate{Kind: FleetChanges}, "refuse"},
-		"refused is no news":   {FleetUpdate{Kind: FleetRefused}, ""},
-		"told, one is running": {FleetUpdate{Kind: FleetAll, Servers: fleet(1)}, "send"},
+		"remembered, empty":    {EndpointUpdate{Kind: UpdateCached}, ""},
+		"told, empty":          {EndpointUpdate{Kind: UpdateSnapshot}, "refuse"},
+		"told, all draining":   {EndpointUpdate{Kind: UpdateSnapshot, Servers: draining}, "refuse"},
+		"changes, none added":  {EndpointUpdate{Kind: UpdateDelta}, "refuse"},
+		"refused is no news":   {EndpointUpdate{Kind: UpdateFailed}, ""},
+		"told, one is running": {EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(1)}, "send"},
 	} {
 		h := &recorder{}
 		b, err := New(settings(), 1, h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Fleet(0, c.u)
-		b.Request(ms, Request{ID: "r", Class: "once", Left: time.Second})
+		b.UpdateEndpoints(0, c.u)
+		b.Request(ms, Request{ID: "r", Class: "once", TimeLeft: time.Second})
 		got := ""
 		if a := h.take(); len(a) > 0 {
 			got = a[0].what
@@ -49,14 +49,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Fleet(0, FleetUpdate{Kind: FleetRemembered})
+	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateCached})
 	for i := range 3 {
-		b.Request(ms, Request{ID: fmt.Sprint("r", i), Class: "once", Left: time.Second})
+		b.Request(ms, Request{ID: fmt.Sprint("r", i), Class: "once", TimeLeft: time.Second})
 	}
 	if a := h.take(); len(a) != 0 {
 		t.Fatalf("%v before anything is known", a)
 	}
-	b.Fleet(2*ms, FleetUpdate{Kind: FleetAll})
+	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot})
 	a := h.take()
 	if len(a) != 3 || a[0] != (act{what: "refuse", id: "r0"}) || a[2].id != "r2" {
 		t.Errorf("%v, want three refusals in order", a)
@@ -64,7 +64,7 @@
 	if len(b.requests)+len(b.bySeq) != 0 {
 		t.Error("refused requests are kept")
 	}
-	b.Fleet(3*ms, FleetUpdate{Kind: FleetAll, Servers: fleet(2)})
+	b.UpdateEndpoints(3*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(2)})
 	if ask(t, b, h, 4*ms, "later", "once") == "" {
 		t.Error("the list came back and nothing is sent")
 	}
@@ -77,9 +77,9 @@
 		b, _ := start(t, settings(), nil)
 		want := map[string]Server{}
 		for step := range 200 {
-			u := FleetUpdate{Kind: FleetChanges}
+			u := EndpointUpdate{Kind: UpdateDelta}
 			if rng.IntN(10) == 0 {
-				u.Kind = FleetAll
+				u.Kind = UpdateSnapshot
 				want = map[string]Server{}
 			}
 			for range rng.IntN(12) {
@@ -90,7 +90,7 @@
 					want[s.ID] = s
 				}
 			}
-			b.Fleet(time.Duration(step)*ms, u)
+			b.UpdateEndpoints(time.Duration(step)*ms, u)
 			running, zoned := 0, 0
 			for zone, l := range b.byZone {
 				zoned += len(l)
@@ -124,7 +124,7 @@
 		for i := range l {
 			l[i] = Server{ID: fmt.Sprint(sec, i), Zone: fmt.Sprint("z", sec, i%4), Kind: fmt.Sprint("k", sec, i), Weight: 1}
 		}
-		b.Fleet(now, FleetUpdate{Kind: FleetAll, Servers: l})
+		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
 		for i := range 4 {
 			id := fmt.Sprint("r", sec, i)
 			if ask(t, b, h, now, id, "once") != "" {
@@ -159,7 +159,7 @@
 	for i := range l {
 		l[i].State = Running
 	}
-	b.Fleet(2*ms, FleetUpdate{Kind: FleetAll, Servers: l})
+	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
 	ask(t, b, h, 3*ms, "all", "once")
 	if len(b.some) > 4*weighed {
 		t.Errorf("%d of %d servers were weighed", len(b.some), len(l))
@@ -177,7 +177,7 @@
 				b.Fatal(err)
 			}
 			l := fleet(n)
-			bal.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: l})
+			bal.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, bal, h, l)
@@ -187,8 +187,8 @@
 
 func serveOne(bal *Balancer, h *recorder, i int) {
 	now := time.Duration(i) * ms / 10
-	bal.Request(now, Request{ID: "r", Class: "once", Left: time.Second})
-	bal.Outcome(now, Outcome{ID: "r", Result: Served, Took: 10 * ms, Done: true})
+	bal.Request(now, Request{ID: "r", Class: "once", TimeLeft: time.Second})
+	bal.Outcome(now, Outcome{ID: "r", Result: Served, Latency: 10 * ms, Final: true})
 	h.acts = h.acts[:0]
 }
 
@@ -207,7 +207,7 @@
 		for i := range b.N {
 			s := l[i%len(l)]
 			s.State = State(i / len(l) % 2)
-			bal.Fleet(time.Duration(i)*ms/10, FleetUpdate{Kind: FleetChanges, Servers: []Server{s}})
+			bal.UpdateEndpoints(time.Duration(i)*ms/10, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{s}})
 			serveOne(bal, h, i)
 		}
 	})
@@ -216,11 +216,11 @@
 // However often a call for the list fails, it is asked for again, and soon.
 func TestListIsAskedForHoweverOftenThatFails(t *testing.T) {
 	s := settings()
-	s.Ask, s.MustAskIn = true, 10*time.Second
+	s.Polled, s.MaxPollInterval = true, 10*time.Second
 	b, h := start(t, s, nil)
 	for i := range 300 {
 		at, ok := h.timers[asksSeq]
-		if !ok || at-h.now > LongestAsk {
+		if !ok || at-h.now > MaxPollInterval {
 			t.Fatalf("call %d: due in %v, %v", i, at-h.now, ok)
 		}
 		h.now = at
@@ -230,8 +230,8 @@
 			t.Fatalf("call %d: %v", i, a)
 		}
 		if i == 150 { // it worked once, and its watch broke
-			b.Fleet(h.now, FleetUpdate{Kind: FleetAll, Servers: fleet(2)})
+			b.UpdateEndpoints(h.now, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(2)})
 		}
-		b.Fleet(h.now, FleetUpdate{Kind: FleetRefused})
+		b.UpdateEndpoints(h.now, EndpointUpdate{Kind: UpdateFailed})
 	}
 }
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -13,7 +13,7 @@
 		now += 10 * ms
 		h.now = now
 		id := fmt.Sprint("r", i)
-		b.Request(now, Request{ID: id, Class: "safe", Left: 1000 * ms})
+		b.Request(now, Request{ID: id, Class: "safe", TimeLeft: 1000 * ms})
 		switch a := h.take(); {
 		case len(a) == 1 && a[0].what == "refuse":
 			refused++
@@ -25,7 +25,7 @@
 			b.Started(now+5*ms, id, 0)
 			continue
 		}
-		b.Outcome(now+5*ms, Outcome{ID: id, Result: Served, Took: 5 * ms, Done: true})
+		b.Outcome(now+5*ms, Outcome{ID: id, Result: Served, Latency: 5 * ms, Final: true})
 	}
 	if refused > 0 {
 		t.Errorf("%d of 400 were refused by idle servers", refused)
@@ -37,7 +37,7 @@
 	}
 	sum := b.asked.sum
 	for i := 0; i < 400; i += 5 {
-		b.Outcome(now+5*ms, Outcome{ID: fmt.Sprint("r", i), Result: Served, Took: 5 * ms, Done: true})
+		b.Outcome(now+5*ms, Outcome{ID: fmt.Sprint("r", i), Result: Served, Latency: 5 * ms, Final: true})
 	}
 	if b.out != 0 || len(b.requests) != 0 || b.asked.sum < sum+79 {
 		t.Errorf("%d out, %d requests, %v timely of 80", b.out, len(b.requests), b.asked.sum-sum)
@@ -49,13 +49,13 @@
 	set := settings()
 	set.Classes[0].Stream = true
 	b, h := start(t, set, oneZone(1))
-	b.Request(ms, Request{ID: "r", Class: "safe", Left: 1000 * ms})
+	b.Request(ms, Request{ID: "r", Class: "safe", TimeLeft: 1000 * ms})
 	h.take()
 	b.Started(2*ms, "r", 0)
 	if b.out != 1 || b.list[0].inFlight != 1 {
 		t.Errorf("%d out, %d in flight", b.out, b.list[0].inFlight)
 	}
-	b.Outcome(900*ms, Outcome{ID: "r", Result: Served, Took: ms, Done: true})
+	b.Outcome(900*ms, Outcome{ID: "r", Result: Served, Latency: ms, Final: true})
 	if b.out != 0 || b.list[0].inFlight != 0 {
 		t.Errorf("after it: %d out, %d in flight", b.out, b.list[0].inFlight)
 	}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -11,7 +11,7 @@
 func ask(t *testing.T, b *Balancer, h *recorder, now time.Duration, id, class string) string {
 	t.Helper()
 	h.now = now
-	b.Request(now, Request{ID: id, Class: class, Left: time.Second})
+	b.Request(now, Request{ID: id, Class: class, TimeLeft: time.Second})
 	for _, a := range h.take() {
 		if a.what == "send" {
 			return a.server
@@ -21,7 +21,7 @@
 }
 
 func end(b *Balancer, now time.Duration, id string, res Result, took time.Duration) {
-	b.Outcome(now, Outcome{ID: id, Result: res, Took: took, Done: res == Served})
+	b.Outcome(now, Outcome{ID: id, Result: res, Latency: took, Final: res == Served})
 }
 
 func oneZone(n int) []Server {
@@ -48,7 +48,7 @@
 
 // Every end of an attempt lowers the counter.
 func TestEveryEndLowersTheCounter(t *testing.T) {
-	for _, res := range []Result{Served, Errored, TurnedAway, TimedOut, NotConnected, ConnLost, Cancelled, NotSent} {
+	for _, res := range []Result{Served, ServerError, Rejected, TimedOut, NotConnected, ConnectionLost, Cancelled, NotSent} {
 		b, h := start(t, settings(), oneZone(1))
 		ask(t, b, h, 0, "r", "once")
 		if b.list[0].inFlight != 1 {
@@ -56,7 +56,7 @@
 		}
 		end(b, ms, "r", res, ms)
 		end(b, ms, "r", res, ms) // a second report of the same attempt is passed over
-		b.Gone(ms, "no such request")
+		b.ClientGone(ms, "no such request")
 		if b.list[0].inFlight != 0 {
 			t.Errorf("result %d leaves %d in flight", res, b.list[0].inFlight)
 		}
@@ -85,7 +85,7 @@
 // the warm ones, just as many of them are replaced at once.
 func TestColdDrawsFollowWarmth(t *testing.T) {
 	set := settings()
-	set.ColdTime, set.ColdShare = 10*time.Second, 0.25
+	set.WarmUpTime, set.WarmUpShare = 10*time.Second, 0.25
 	l := oneZone(4)
 	l[0].Since = 10 * time.Second
 	b, _ := start(t, set, l)
@@ -111,13 +111,13 @@
 	if len(b.list) != 3 {
 		t.Fatalf("%d servers, want 3: the same one listed twice counts once", len(b.list))
 	}
-	b.Fleet(ms, FleetUpdate{Kind: FleetChanges, Servers: []Server{{ID: "s0", Zone: "za", State: Draining, Weight: 1}, {ID: "s1", State: Removed}}})
+	b.UpdateEndpoints(ms, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: "s0", Zone: "za", State: Draining, Weight: 1}, {ID: "s1", State: Removed}}})
 	for i := range 8 {
 		if got := ask(t, b, h, ms, fmt.Sprint("r", i), "once"); got != "s2" {
 			t.Fatalf("request %d sent to %q, only s2 is ready", i, got)
 		}
 	}
-	b.Fleet(2*ms, FleetUpdate{Kind: FleetAll, Servers: []Server{{ID: "s9", Zone: "za", Weight: 1}}})
+	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: []Server{{ID: "s9", Zone: "za", Weight: 1}}})
 	if got := ask(t, b, h, 2*ms, "x", "once"); got != "s9" || b.servers["s9"].inFlight != 1 {
 		t.Errorf("sent to %q after a whole list that names s9 only", got)
 	}
@@ -164,7 +164,7 @@
 
 func TestUnknownClassIsRefused(t *testing.T) {
 	b, h := start(t, settings(), oneZone(2))
-	b.Request(0, Request{ID: "r", Class: "nobody", Left: time.Second})
+	b.Request(0, Request{ID: "r", Class: "nobody", TimeLeft: time.Second})
 	if a := h.take(); len(a) != 1 || a[0].what != "refuse" {
 		t.Errorf("%v", a)
 	}
@@ -178,7 +178,7 @@
 		id, now := fmt.Sprint("r", i), time.Duration(i)*5*ms
 		if ask(t, b, h, now, id, "once") == "s3" {
 			bad++
-			end(b, now+ms, id, ConnLost, ms)
+			end(b, now+ms, id, ConnectionLost, ms)
 		} else {
 			end(b, now+ms, id, Served, 10*ms)
 		}
@@ -222,9 +222,9 @@
 			id, old := fmt.Sprint("r", i), fmt.Sprint("r", i-8) // eight are out at any time
 			h.now = now
 			if k, ok := tries[old]; ok {
-				b.Outcome(now, Outcome{ID: old, Attempt: k, Result: Served, Took: 40 * ms, Done: true})
+				b.Outcome(now, Outcome{ID: old, Attempt: k, Result: Served, Latency: 40 * ms, Final: true})
 			}
-			b.Request(now, Request{ID: id, Class: class, Left: time.Second})
+			b.Request(now, Request{ID: id, Class: class, TimeLeft: time.Second})
 			for k := 0; ; k++ {
 				a := h.take()
 				if len(a) != 1 || a[0].what != "send" {
@@ -233,7 +233,7 @@
 				tries[id] = k
 				if n[class+a[0].server]++; away && class == "once" && a[0].server == "s3" {
 					delete(tries, id)
-					b.Outcome(now, Outcome{ID: id, Attempt: k, Result: TurnedAway, Took: ms})
+					b.Outcome(now, Outcome{ID: id, Attempt: k, Result: Rejected, Latency: ms})
 				}
 			}
 		}
@@ -255,7 +255,7 @@
 		if ask(t, b, h, now, fmt.Sprint("r", i), "safe") == "" {
 			continue // refused by the throttle
 		}
-		end(b, now, fmt.Sprint("r", i), ConnLost, ms)
+		end(b, now, fmt.Sprint("r", i), ConnectionLost, ms)
 		h.take()
 	}
 	b.dirty = true
@@ -302,7 +302,7 @@
 				sent++
 				r := b.requests[id]
 				r.deadline -= took // as if it had come that long ago
-				b.Outcome(now, Outcome{ID: id, Result: Served, Took: took, Done: true})
+				b.Outcome(now, Outcome{ID: id, Result: Served, Latency: took, Final: true})
 			}
 			_ = i
 		}
@@ -328,11 +328,11 @@
 		low, top time.Duration
 	}{{true, time.Second, 10 * ms, 500 * ms}, {true, 2 * ms, 2 * ms, 2 * ms}, {false, time.Second, 0, 0}} {
 		set := settings()
-		set.RetryAdvice, set.MaxRetryAdvice = c.advice, c.limit
+		set.RetryAfter, set.MaxRetryAfter = c.advice, c.limit
 		b, h := known(t, set)
 		refused := 0
 		for i := range 200 { // at once: more than fits
-			b.Request(605*ms, Request{ID: fmt.Sprint("r", i), Class: "safe", Left: time.Second})
+			b.Request(605*ms, Request{ID: fmt.Sprint("r", i), Class: "safe", TimeLeft: time.Second})
 			for _, a := range h.take() {
 				if a.what != "refuse" {
 					continue
@@ -347,7 +347,7 @@
 		}
 	}
 	set := settings()
-	set.RetryAdvice, set.MaxRetryAdvice = true, time.Second
+	set.RetryAfter, set.MaxRetryAfter = true, time.Second
 	b, _ := start(t, set, oneZone(1))
 	if d := b.comeBack(ms, &request{class: b.classes["safe"]}); d != 0 {
 		t.Errorf("%v before anything is known", d)
@@ -373,10 +373,10 @@
 			now := time.Duration(i) * 3 * ms
 			h.now = now
 			id := fmt.Sprint("r", i)
-			b.Request(now, Request{ID: id, Class: set.Classes[i%3].Name, Tenant: set.Tenants[i%2].Name, Left: time.Second})
+			b.Request(now, Request{ID: id, Class: set.Classes[i%3].Name, Tenant: set.Tenants[i%2].Name, TimeLeft: time.Second})
 			if i >= 10 {
 				res := Result(i * 7 % 11 % 8)
-				b.Outcome(now, Outcome{ID: fmt.Sprint("r", i-10), Result: res, Took: 30 * ms, Done: res == Served})
+				b.Outcome(now, Outcome{ID: fmt.Sprint("r", i-10), Result: res, Latency: 30 * ms, Final: res == Served})
 			}
 			for _, a := range h.take() {
 				if a.server != "" {
@@ -400,7 +400,7 @@
 	for _, n := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			lb, _ := New(settings(), 1, &recorder{})
-			lb.Fleet(0, FleetUpdate{Kind: FleetRemembered, Servers: fleet(n)})
+			lb.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateCached, Servers: fleet(n)})
 			any := func(*server) bool { return true }
 			b.ReportAllocs()
 			for b.Loop() {
@@ -418,14 +418,14 @@
 	now := 10*time.Second + ms
 	for range 20 {
 		for _, s := range b.list[1:] {
-			s.sent.fade(now, b.set.FallTime+1).n++
+			s.sent.fade(now, b.set.OverloadWindow+1).n++
 		}
 	}
 	cold := b.servers["s0"]
 	b.refresh(now)
 	n := 0
 	for ; !b.pushed(cold, now) && n < 100; n++ {
-		cold.sent.fade(now, b.set.FallTime+1).n++
+		cold.sent.fade(now, b.set.OverloadWindow+1).n++
 	}
 	// Warm servers had 20 each; 0.3 of that times half of 2.5 is 7.5, a little less as it dilutes the usual.
 	if n < 5 || n > 9 {
@@ -440,7 +440,7 @@
 // more.
 func TestAllColdAtOnce(t *testing.T) {
 	set := settings()
-	set.ColdTime, set.ColdShare, set.FallMultiple, set.FallTime = 10*time.Second, 0.1, 2.5, time.Second
+	set.WarmUpTime, set.WarmUpShare, set.OverloadMultiple, set.OverloadWindow = 10*time.Second, 0.1, 2.5, time.Second
 	b, h := start(t, set, oneZone(2))
 	now, served := time.Duration(0), 0
 	step := func(id string) { // a client that asks 400 times a second
@@ -449,7 +449,7 @@
 			served++
 			end(b, now+ms, id, Served, ms)
 		} else {
-			b.Gone(now, id)
+			b.ClientGone(now, id)
 			h.take()
 		}
 	}
@@ -461,7 +461,7 @@
 	for i := range l {
 		l[i].ID, l[i].Since = l[i].ID+"'", now
 	}
-	b.Fleet(now, FleetUpdate{Kind: FleetAll, Servers: l})
+	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
 	served = 0
 	for i := range 800 { // two seconds: warmth 0.1 to 0.28, of what was 400 a second
 		step(fmt.Sprint("c", i))
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -25,10 +25,10 @@
 
 func (r *recorder) add(a act)                           { r.acts = append(r.acts, a) }
 func (r *recorder) Send(id, s string, at time.Duration) { r.add(act{"send", id, s, 0, at}) }
-func (r *recorder) Refuse(id string, d time.Duration)   { r.add(act{what: "refuse", id: id, at: d}) }
+func (r *recorder) Reject(id string, d time.Duration)   { r.add(act{what: "refuse", id: id, at: d}) }
 func (r *recorder) Fail(id string)                      { r.add(act{what: "fail", id: id}) }
 func (r *recorder) Cancel(id string, n int)             { r.add(act{what: "cancel", id: id, n: n}) }
-func (r *recorder) Probe(s string)                      { r.add(act{what: "probe", server: s}) }
+func (r *recorder) HealthCheck(s string)                { r.add(act{what: "probe", server: s}) }
 func (r *recorder) CloseIdle(s string)                  { r.add(act{what: "close", server: s}) }
 func (r *recorder) Watch(bool)                          { r.add(act{what: "watch"}) }
 func (r *recorder) Fetch()                              { r.add(act{what: "fetch"}) }
@@ -49,11 +49,11 @@
 func settings() Settings {
 	return Settings{Zone: "za", Zones: []string{"za", "zb"}, Proxies: 2,
 		Classes: []Class{
-			{Name: "safe", Aim: 100 * ms, Deadline: 1000 * ms, Effect: Safe, Worth: 1},
-			{Name: "keyed", Aim: 100 * ms, Deadline: 1000 * ms, Effect: Keyed, Group: GroupCell, Window: 400 * ms, Worth: 1},
-			{Name: "once", Aim: 100 * ms, Deadline: 1000 * ms, Effect: Unsafe, Worth: 5}},
-		MaxAttempts: 4, ParallelTries: true, MayCancel: true, ColdTime: 8 * time.Second, ColdShare: 0.3,
-		FallMultiple: 2.5, FallTime: time.Second, DrainGrace: 500 * ms, Price: Prices{CrossZone: 0.05}}
+			{Name: "safe", LatencyObjective: 100 * ms, Deadline: 1000 * ms, Effect: Idempotent, PriorityWeight: 1},
+			{Name: "keyed", LatencyObjective: 100 * ms, Deadline: 1000 * ms, Effect: IdempotentWithKey, Group: GroupCell, Window: 400 * ms, PriorityWeight: 1},
+			{Name: "once", LatencyObjective: 100 * ms, Deadline: 1000 * ms, Effect: NonIdempotent, PriorityWeight: 5}},
+		MaxAttempts: 4, ParallelAttempts: true, MayCancel: true, WarmUpTime: 8 * time.Second, WarmUpShare: 0.3,
+		OverloadMultiple: 2.5, OverloadWindow: time.Second, DrainGrace: 500 * ms, Price: Prices{CrossZone: 0.05}}
 }
 
 func fleet(n int) []Server {
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Fleet(0, FleetUpdate{Kind: FleetRemembered, Servers: list})
+	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateCached, Servers: list})
 	h.take()
 	return b, h
 }
@@ -98,14 +98,14 @@
 		out, proved bool
 	}
 	first := &server{Server: Server{ID: "a", Zone: "za", Cell: 1}}
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for _, effect := range []Effect{Idempotent, IdempotentWithKey, NonIdempotent} {
 		for _, group := range []Group{GroupAll, GroupZone, GroupCell} {
 			for _, e := range []end{{"proved", false, true}, {"may have run", false, false}, {"still out", true, false}} {
 				for _, late := range []bool{false, true} {
 					for _, parallel := range []bool{false, true} {
 						for _, to := range []Server{{Zone: "za", Cell: 1}, {Zone: "za", Cell: 2}, {Zone: "zb", Cell: 3}} {
 							set := settings()
-							set.ParallelTries = parallel
+							set.ParallelAttempts = parallel
 							b, _ := start(t, set, fleet(4))
 							c := &class{Class: Class{Effect: effect, Group: group, Window: 400 * ms}}
 							r := &request{class: c, tries: []attempt{{to: first, out: e.out, proved: e.proved}}}
@@ -118,13 +118,13 @@
 							}
 							same := group == GroupAll || to.Zone == "za" && (group == GroupZone || to.Cell == 1)
 							want := !e.out || parallel
-							if !e.proved && effect == Unsafe || !e.proved && effect == Keyed && (late || !same) {
+							if !e.proved && effect == NonIdempotent || !e.proved && effect == IdempotentWithKey && (late || !same) {
 								want = false
 							}
 							if got := b.mayResend(r, &server{Server: to}, now); got != want {
 								t.Errorf("resend effect %d group %d %s late %v parallel %v to %v: %v", effect, group, e.name, late, parallel, to, got)
 							}
-							want = effect == Safe || e.proved || effect == Keyed && group == GroupAll
+							want = effect == Idempotent || e.proved || effect == IdempotentWithKey && group == GroupAll
 							if got := b.mayRefuse(r); got != want {
 								t.Errorf("refuse effect %d group %d %s: %v", effect, group, e.name, got)
 							}
@@ -140,7 +140,7 @@
 func referee(t *testing.T, seed uint64, steps int, spoil func(*Balancer)) (broken string) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := settings()
-	set.ParallelTries, set.Ask, set.MustAskIn = seed%2 == 0, seed%3 == 0, 10*time.Second
+	set.ParallelAttempts, set.Polled, set.MaxPollInterval = seed%2 == 0, seed%3 == 0, 10*time.Second
 	list := fleet(12)
 	b, h := start(t, set, list)
 	if spoil != nil {
@@ -189,21 +189,21 @@
 				var first *try
 				for i := range q.tries {
 					p := &q.tries[i]
-					if p.out && !set.ParallelTries {
+					if p.out && !set.ParallelAttempts {
 						bad("%s has two attempts out", a.id)
 					}
 					if !p.proved && first == nil {
 						first = p
 					}
 				}
-				if first != nil && (q.class.Effect == Unsafe || q.class.Effect == Keyed &&
+				if first != nil && (q.class.Effect == NonIdempotent || q.class.Effect == IdempotentWithKey &&
 					(now-first.sent >= q.class.Window || zone[first.server] != zone[a.server] || cell[first.server] != cell[a.server])) {
 					bad("%s (%s) sent again", a.id, q.class.Name)
 				}
 				q.tries = append(q.tries, try{server: a.server, sent: now, out: true, expire: a.at})
 			case "refuse":
 				for _, p := range q.tries {
-					if !p.proved && q.class.Effect != Safe {
+					if !p.proved && q.class.Effect != Idempotent {
 						bad("%s (%s) refused though it may have run", a.id, q.class.Name)
 					}
 				}
@@ -217,7 +217,7 @@
 			}
 		}
 	}
-	results := []Result{Served, Served, Served, Served, Errored, TurnedAway, NotConnected, ConnLost, Cancelled}
+	results := []Result{Served, Served, Served, Served, ServerError, Rejected, NotConnected, ConnectionLost, Cancelled}
 	for n := range steps {
 		now += time.Duration(rng.IntN(10)) * ms
 		h.now = now
@@ -234,7 +234,7 @@
 				p := &q.tries[i]
 				if p.out && (now >= q.deadline || p.expire > 0 && now >= p.expire) {
 					p.out = false
-					b.Outcome(now, Outcome{ID: id, Attempt: i, Result: TimedOut, Took: now - p.sent, Done: q.final || q.gone})
+					b.Outcome(now, Outcome{ID: id, Attempt: i, Result: TimedOut, Latency: now - p.sent, Final: q.final || q.gone})
 					drain()
 				}
 			}
@@ -249,16 +249,16 @@
 			left := c.Deadline * time.Duration(3+rng.IntN(8)) / 10
 			reqs[id] = &req{class: c, deadline: now + left}
 			ids = append(ids, id)
-			b.Request(now, Request{ID: id, Class: c.Name, Left: left})
+			b.Request(now, Request{ID: id, Class: c.Name, TimeLeft: left})
 		case k < 16 && len(ids) > 0:
 			id := ids[len(ids)-1-rng.IntN(min(len(ids), 40))]
 			q := reqs[id]
 			for i := range q.tries {
 				if p := &q.tries[i]; p.out {
 					res := results[rng.IntN(len(results))]
-					p.out, p.proved = false, res == TurnedAway || res == NotConnected
+					p.out, p.proved = false, res == Rejected || res == NotConnected
 					q.final = q.final || res == Served
-					b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Took: now - p.sent, Done: q.final || q.gone})
+					b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Latency: now - p.sent, Final: q.final || q.gone})
 					break
 				}
 			}
@@ -267,7 +267,7 @@
 			if q := reqs[id]; !q.final && !q.gone {
 				q.gone, q.final = true, true
 			}
-			b.Gone(now, id)
+			b.ClientGone(now, id)
 		case k == 17:
 			s := list[rng.IntN(len(list))]
 			s.State = State(rng.IntN(2))
@@ -280,9 +280,9 @@
 					s.Since = now
 				}
 			}
-			b.Fleet(now, FleetUpdate{Kind: FleetChanges, Servers: []Server{s}})
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{s}})
 		case k == 18 && rng.IntN(5) == 0:
-			b.Fleet(now, FleetUpdate{Kind: FleetRefused})
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed})
 		}
 		drain()
 	}
@@ -296,7 +296,7 @@
 		for i := range q.tries {
 			if q.tries[i].out {
 				q.tries[i].out = false
-				b.Outcome(now, Outcome{ID: id, Attempt: i, Result: TimedOut, Took: time.Second, Done: q.final})
+				b.Outcome(now, Outcome{ID: id, Attempt: i, Result: TimedOut, Latency: time.Second, Final: q.final})
 				drain()
 			}
 		}
@@ -320,7 +320,7 @@
 // The referee must see a module that takes unsafe requests for safe ones.
 func TestRefereeSeesABrokenModule(t *testing.T) {
 	for seed := range uint64(10) {
-		if referee(t, seed, 1500, func(b *Balancer) { b.classes["once"].Effect = Safe }) != "" {
+		if referee(t, seed, 1500, func(b *Balancer) { b.classes["once"].Effect = Idempotent }) != "" {
 			return
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -39,8 +39,8 @@
 	out    bool
 	proved bool
 
-	lowered bool // out of the counters
-	ask     Ask  // where there are tiers
+	lowered bool            // out of the counters
+	ask     LocalityRequest // where there are tiers
 }
 
 type request struct {
@@ -52,11 +52,11 @@
 	out      int
 	done     bool // has its final answer
 	streams  bool
-	waits    bool          // for the admission to start it
-	started  bool          // the admission counts it
-	begun    time.Duration // when a long answer to a class that does not stream began
-	wait     time.Duration // what the tiers said last of coming back
-	ask      Ask           // what the tiers gave the next attempt's locality for
+	waits    bool            // for the admission to start it
+	started  bool            // the admission counts it
+	begun    time.Duration   // when a long answer to a class that does not stream began
+	wait     time.Duration   // what the tiers said last of coming back
+	ask      LocalityRequest // what the tiers gave the next attempt's locality for
 }
 
 type class struct {
@@ -68,9 +68,9 @@
 // density is the worth of a request over the work that it takes.
 func (c *class) density(byWork bool) float64 {
 	if byWork {
-		return c.Worth
+		return c.PriorityWeight
 	}
-	return c.Worth / max(c.lat, 1)
+	return c.PriorityWeight / max(c.lat, 1)
 }
 
 // learn takes the latency of a served attempt.
@@ -128,8 +128,8 @@
 	return s.fade(now, life)
 }
 
-// Each tells of each server of the list how many of this proxy's attempts are out at it, and whether it is ejected.
-func (b *Balancer) Each(now time.Duration, fn func(id string, inFlight int, ejected bool)) {
+// EachServer tells of each server of the list how many of this proxy's attempts are out at it, and whether it is ejected.
+func (b *Balancer) EachServer(now time.Duration, fn func(id string, inFlight int, ejected bool)) {
 	for _, s := range b.list {
 		fn(s.ID, s.inFlight, b.ejected(s, now))
 	}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -18,7 +18,7 @@
 		}
 		for i := range c.proxies {
 			set := settings()
-			set.Me, set.Proxies = c.first+c.step*i, c.first+c.step*c.proxies
+			set.Index, set.Proxies = c.first+c.step*i, c.first+c.step*c.proxies
 			b, _ := start(t, set, oneZone(c.servers))
 			b.refresh(time.Second)
 			if len(b.ready) != size(c.servers) {
@@ -28,7 +28,7 @@
 				in[s.ID]++
 			}
 			lost := b.ready[0].ID
-			b.Fleet(2*time.Second, FleetUpdate{Kind: FleetChanges, Servers: []Server{{ID: lost, State: Removed}}})
+			b.UpdateEndpoints(2*time.Second, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: lost, State: Removed}}})
 			b.refresh(2 * time.Second)
 			if want := size(c.servers - 1); len(b.ready) != want || b.ready[0].ID == lost {
 				t.Fatalf("%v: %d servers after one is lost, want %d", c, len(b.ready), want)
@@ -52,7 +52,7 @@
 		list = append(list, Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%5), Weight: 1})
 	}
 	set := settings()
-	set.Proxies, set.Me, set.Zone, set.Price.CrossZone = 300, 7, "z2", 0.02
+	set.Proxies, set.Index, set.Zone, set.Price.CrossZone = 300, 7, "z2", 0.02
 	b, h := start(t, set, list)
 	met, away := map[string]int{}, 0
 	const requests = 400
@@ -79,7 +79,7 @@
 	b, h := start(t, set, oneZone(90))
 	used := map[string]bool{}
 	for i := range 300 {
-		b.Request(time.Duration(i+1)*time.Second/10, Request{ID: fmt.Sprint(i), Class: set.Classes[0].Name, Left: time.Hour})
+		b.Request(time.Duration(i+1)*time.Second/10, Request{ID: fmt.Sprint(i), Class: set.Classes[0].Name, TimeLeft: time.Hour})
 	}
 	for _, a := range h.take() {
 		if a.what == "send" {
@@ -99,7 +99,7 @@
 		set.Proxies = proxies
 		b, h := start(t, set, oneZone(20))
 		for i := range 40 {
-			b.Request(time.Second+time.Duration(i), Request{ID: fmt.Sprint(i), Class: set.Classes[0].Name, Left: time.Second})
+			b.Request(time.Second+time.Duration(i), Request{ID: fmt.Sprint(i), Class: set.Classes[0].Name, TimeLeft: time.Second})
 		}
 		for _, a := range h.take() {
 			if a.what == "send" {
@@ -138,7 +138,7 @@
 			}
 			h.take()
 			id := fmt.Sprint(now)
-			b.Request(now, Request{ID: id, Class: set.Classes[0].Name, Left: time.Second})
+			b.Request(now, Request{ID: id, Class: set.Classes[0].Name, TimeLeft: time.Second})
 			for _, a := range h.take() {
 				if a.what == "send" {
 					out = append(out, sent{a.id, now, took})
@@ -164,8 +164,8 @@
 		least, most float64 // part of the maps refused
 	}{{true, 0.5, 0.95}, {false, 0, 0.05}} {
 		set := settings()
-		set.Classes = []Class{{Name: "map", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "hold", Aim: 150 * ms, Deadline: time.Second, Worth: 2}}
+		set.Classes = []Class{{Name: "map", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "hold", LatencyObjective: 150 * ms, Deadline: time.Second, PriorityWeight: 2}}
 		b, _ := start(t, set, oneZone(8))
 		now := time.Second
 		for i := range 600 { // 100 a second, in time all of them
@@ -173,7 +173,7 @@
 			if now += 10 * ms; c.holds {
 				k = set.Classes[i%2]
 			}
-			b.Request(now, Request{ID: fmt.Sprint(i), Class: k.Name, Left: time.Second})
+			b.Request(now, Request{ID: fmt.Sprint(i), Class: k.Name, TimeLeft: time.Second})
 			end(b, now, fmt.Sprint(i), Served, 90*ms)
 		}
 		b.out = int(3 * b.usualOut(now)) // each takes three times its time now, 270 ms
--- a/balancer/tiers_test.go
+++ b/balancer/tiers_test.go
@@ -16,10 +16,10 @@
 	told int
 }
 
-func (d *dice) Health(_ time.Duration, l []LocalityHealth) {
+func (d *dice) UpdateHealth(_ time.Duration, l []LocalityHealth) {
 	seen := map[Locality]bool{}
 	for _, h := range l {
-		if seen[h.Locality] || h.Ready > h.Running || h.Running > h.Known || h.Known <= 0 {
+		if seen[h.Locality] || h.Ready > h.Running || h.Running > h.Listed || h.Listed <= 0 {
 			d.t.Errorf("%+v", h)
 		}
 		seen[h.Locality] = true
@@ -27,11 +27,11 @@
 	d.told += len(l)
 }
 
-func (d *dice) Place(_ time.Duration, a Ask) (Locality, bool, time.Duration) {
-	if a.Draw < 0 || a.Draw >= 1 || a.Left <= 0 {
+func (d *dice) Pick(_ time.Duration, a LocalityRequest) (Locality, bool, time.Duration) {
+	if a.Draw < 0 || a.Draw >= 1 || a.TimeLeft <= 0 {
 		d.t.Errorf("%+v", a)
 	}
-	if a.Purpose == First && (a.Bound != "" || a.From != Locality{}) || a.Purpose > Copy {
+	if a.Purpose == FirstAttempt && (a.OnlyZone != "" || a.Previous != Locality{}) || a.Purpose > Hedge {
 		d.t.Errorf("%+v", a)
 	}
 	if d.rng.IntN(8) == 0 {
@@ -40,17 +40,17 @@
 	return Locality{Zone: []string{"za", "zb", "zc"}[d.rng.IntN(3)], Priority: d.rng.IntN(2)}, true, 0
 }
 
-func (d *dice) Sent(_ time.Duration, at Locality, a Ask) {
+func (d *dice) AttemptSent(_ time.Duration, at Locality, a LocalityRequest) {
 	d.out[at]++
 	d.sent++
-	for _, not := range a.Not {
+	for _, not := range a.Excluded {
 		if not == at {
 			d.t.Errorf("%v though it had nobody: %+v", at, a)
 		}
 	}
 }
 
-func (d *dice) Ended(_ time.Duration, at Locality, _ Ask, _ Result, _ time.Duration) {
+func (d *dice) AttemptEnded(_ time.Duration, at Locality, _ LocalityRequest, _ Result, _ time.Duration) {
 	if d.out[at]--; d.out[at] < 0 {
 		d.t.Errorf("%v: more ends than sends", at)
 	}
@@ -60,7 +60,7 @@
 func TestRulesWhateverTheTiersSay(t *testing.T) {
 	for seed := range uint64(20) {
 		d := &dice{t: t, rng: rand.New(rand.NewPCG(seed, 2)), out: map[Locality]int{}}
-		if broken := referee(t, seed, 1500, func(b *Balancer) { b.set.Tiers = d }); broken != "" {
+		if broken := referee(t, seed, 1500, func(b *Balancer) { b.set.Localities = d }); broken != "" {
 			t.Errorf("seed %d: %s", seed, broken)
 		}
 		for at, n := range d.out {
@@ -78,27 +78,27 @@
 type fixed struct {
 	at   Locality
 	no   bool
-	asks []Ask
+	asks []LocalityRequest
 }
 
-func (f *fixed) Health(time.Duration, []LocalityHealth) {}
-func (f *fixed) Place(_ time.Duration, a Ask) (Locality, bool, time.Duration) {
+func (f *fixed) UpdateHealth(time.Duration, []LocalityHealth) {}
+func (f *fixed) Pick(_ time.Duration, a LocalityRequest) (Locality, bool, time.Duration) {
 	f.asks = append(f.asks, a)
-	return f.at, !f.no && len(a.Not) == 0, 700 * ms
+	return f.at, !f.no && len(a.Excluded) == 0, 700 * ms
 }
-func (f *fixed) Sent(time.Duration, Locality, Ask)                         {}
-func (f *fixed) Ended(time.Duration, Locality, Ask, Result, time.Duration) {}
+func (f *fixed) AttemptSent(time.Duration, Locality, LocalityRequest)                         {}
+func (f *fixed) AttemptEnded(time.Duration, Locality, LocalityRequest, Result, time.Duration) {}
 
 // What the tiers have no room for is refused at once, with their word of when to come back, and is no overload.
 func TestNoRoomIsRefusedAtOnce(t *testing.T) {
 	set := settings()
 	f := &fixed{at: Locality{Zone: "zb"}, no: true}
-	set.Tiers, set.RetryAdvice, set.MaxRetryAdvice = f, true, 5*time.Second
+	set.Localities, set.RetryAfter, set.MaxRetryAfter = f, true, 5*time.Second
 	b, h := start(t, set, nil)
-	b.Fleet(0, FleetUpdate{Kind: FleetAll, Servers: fleet(8)})
+	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(8)})
 	for i := range 300 {
 		h.now = time.Duration(i) * ms
-		b.Request(h.now, Request{ID: fmt.Sprint("n", i), Class: "safe", Left: time.Second})
+		b.Request(h.now, Request{ID: fmt.Sprint("n", i), Class: "safe", TimeLeft: time.Second})
 		l := h.take()
 		if len(l) != 1 || l[0].what != "refuse" || l[0].at != 700*ms {
 			t.Fatalf("request %d: %+v", i, l)
@@ -121,17 +121,17 @@
 // A list that is not known yet is waited for, tiers or none.
 func TestListIsWaitedForWithTiers(t *testing.T) {
 	set := settings()
-	set.Tiers = &fixed{at: Locality{Zone: "za"}}
+	set.Localities = &fixed{at: Locality{Zone: "za"}}
 	h := &recorder{}
 	b, err := New(set, 1, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Request(0, Request{ID: "r", Class: "safe", Left: time.Second})
+	b.Request(0, Request{ID: "r", Class: "safe", TimeLeft: time.Second})
 	if l := h.take(); len(l) != 0 {
 		t.Fatalf("%+v before the list", l)
 	}
-	b.Fleet(ms, FleetUpdate{Kind: FleetAll, Servers: fleet(4)})
+	b.UpdateEndpoints(ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(4)})
 	for token, at := range h.timers {
 		b.Timer(at, token)
 	}
@@ -145,7 +145,7 @@
 	set := settings()
 	set.Classes[1].Group = GroupZone
 	f := &fixed{at: Locality{Zone: "za"}}
-	set.Tiers = f
+	set.Localities = f
 	l := fleet(8)
 	for i := range l {
 		l[i].Priority = i / 4
@@ -153,7 +153,7 @@
 	for _, c := range []struct {
 		res   Result
 		bound string
-	}{{ConnLost, "za"}, {TurnedAway, ""}} {
+	}{{ConnectionLost, "za"}, {Rejected, ""}} {
 		b, h := start(t, set, l)
 		f.asks = nil
 		got := ask(t, b, h, ms, "r", "keyed")
@@ -161,7 +161,7 @@
 			t.Fatalf("goes to %q", got)
 		}
 		end(b, 2*ms, "r", c.res, ms)
-		if len(f.asks) != 2 || f.asks[1].Purpose != Again || f.asks[1].Bound != c.bound || f.asks[1].From != f.at {
+		if len(f.asks) != 2 || f.asks[1].Purpose != Retry || f.asks[1].OnlyZone != c.bound || f.asks[1].Previous != f.at {
 			t.Errorf("result %d: %+v", c.res, f.asks)
 		}
 	}
--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -165,11 +165,11 @@
 		memory = 192 << 20
 	}
 	budget := backend.NewBudget(sockets - spareSockets)
-	pool := backend.NewPool(backend.Options{ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.ConnIdle, Rest: answerRest}, budget)
+	pool := backend.NewPool(backend.Options{ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.ConnIdle, ReuseDelay: answerRest}, budget)
 	opt := proxy.Options{Settings: settings, Seed: seed, MaxOpen: c.Settings.Caps.MaxOpen, BodyBytes: memory * 3 / 10,
-		Budget: budget, ProbePath: "/health/live", LoadReports: settings.Report != balancer.ReportNone}
-	if settings.Report == balancer.ReportProbes {
-		opt.ProbePath = "/stats"
+		Budget: budget, HealthCheckPath: "/health/live", LoadReports: settings.Report != balancer.ReportNone}
+	if settings.Report == balancer.ReportHealthChecks {
+		opt.HealthCheckPath = "/stats"
 	}
 	n, err := proxy.New(opt, pool)
 	if err != nil {
@@ -179,7 +179,7 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	news := discovery.New(c.Discovery, !settings.Ask, n.Fleet)
+	news := discovery.New(c.Discovery, !settings.Polled, n.UpdateEndpoints)
 	if err := n.Start(news, c.Known); err != nil {
 		slog.Warn("the known list is of no use", "err", err)
 	}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -35,9 +35,9 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name   string
-	Worth  float64       // classes of higher worth start first
-	Wanted time.Duration // an answer later than it is late
+	Name             string
+	PriorityWeight   float64       // classes of higher worth start first
+	LatencyObjective time.Duration // an answer later than it is late
 }
 
 // Options are what a Controller goes by. Zero values are filled in by Fill, unless they say that they mean something; Floor,
@@ -51,7 +51,7 @@
 	Limit       int // of a Fixed mode, for the cluster; 1024
 	// Breakers are of the priority DEFAULT, High of HIGH: each counts its own requests.
 	Breakers
-	High         Breakers
+	HighPriority Breakers
 	PendingBytes int64         // of the requests that wait, both priorities together; 0: no bound
 	MaxWait      time.Duration // of a request; 0: what its class's wanted time leaves
 	Floor        float64       // the part of starts that a class has for sure while requests of it wait; 0.05
@@ -60,7 +60,7 @@
 	RetryRate  float64       // and earned a second in any case; 10
 	RetryTTL   time.Duration // over which what is earned is kept; 10 s
 
-	MostAdvice time.Duration // the longest that a client is told to wait; 5 s
+	MaxRetryAfter time.Duration // the longest that a client is told to wait; 5 s
 
 	// Notify is told when the cluster becomes short, and when it is well again; nil: nobody is. It must not call back.
 	Notify func(Change)
@@ -74,24 +74,24 @@
 	// Where RetryPercent is above 0, retries in flight are bounded by this part of the requests in flight or waiting, but
 	// no lower than RetryLeast, in place of MaxRetries: Envoy's retry_budget.
 	RetryPercent float64
-	RetryLeast   int
+	MinRetries   int
 }
 
 // Change is that a cluster becomes short or well.
 type Change struct {
-	At       time.Duration
-	Short    bool
-	Limit    int
-	Evidence string
+	At         time.Duration
+	Overloaded bool
+	Limit      int
+	Evidence   string
 }
 
 // Fill sets what was left out.
 func (o *Options) Fill() {
 	o.Gateways = cmp.Or(o.Gateways, 1)
 	o.PerEndpoint, o.Limit = cmp.Or(o.PerEndpoint, 256), cmp.Or(o.Limit, 1024)
-	o.MaxPending, o.High.MaxPending, o.Floor = cmp.Or(o.MaxPending, 1024), cmp.Or(o.High.MaxPending, 1024), cmp.Or(o.Floor, 0.05)
+	o.MaxPending, o.HighPriority.MaxPending, o.Floor = cmp.Or(o.MaxPending, 1024), cmp.Or(o.HighPriority.MaxPending, 1024), cmp.Or(o.Floor, 0.05)
 	o.RetryRatio, o.RetryRate, o.RetryTTL = cmp.Or(o.RetryRatio, 0.2), cmp.Or(o.RetryRate, 10), cmp.Or(o.RetryTTL, 10*time.Second)
-	o.MostAdvice = cmp.Or(o.MostAdvice, 5*time.Second)
+	o.MaxRetryAfter = cmp.Or(o.MaxRetryAfter, 5*time.Second)
 	o.Floor, o.RetryRatio, o.RetryRate = max(o.Floor, 0), max(o.RetryRatio, 0), max(o.RetryRate, 0)
 }
 
@@ -104,14 +104,14 @@
 		return fmt.Errorf("gateways: want 1 at least, not %d", o.Gateways)
 	case o.PerEndpoint < 1 || o.Limit < 1:
 		return fmt.Errorf("limit: want 1 at least, not %d for each endpoint and %d in all", o.PerEndpoint, o.Limit)
-	case o.Breakers.negative() || o.High.negative() || o.PendingBytes < 0:
-		return fmt.Errorf("circuit breakers: want 0 at least, not %+v, %+v, %d bytes", o.Breakers, o.High, o.PendingBytes)
+	case o.Breakers.negative() || o.HighPriority.negative() || o.PendingBytes < 0:
+		return fmt.Errorf("circuit breakers: want 0 at least, not %+v, %+v, %d bytes", o.Breakers, o.HighPriority, o.PendingBytes)
 	case !(o.Floor >= 0 && o.Floor <= 0.5):
 		return fmt.Errorf("floor: want 0 to 0.5, not %v", o.Floor)
 	case !(o.RetryRatio >= 0 && o.RetryRatio <= 10) || !(o.RetryRate >= 0) || o.RetryTTL <= 0:
 		return fmt.Errorf("retry budget: want a ratio of 0 to 10 and a rate of 0 at least, not %v and %v", o.RetryRatio, o.RetryRate)
-	case o.MaxWait < 0 || o.MostAdvice <= 0:
-		return fmt.Errorf("waits: %v and %v: want no less than 0", o.MaxWait, o.MostAdvice)
+	case o.MaxWait < 0 || o.MaxRetryAfter <= 0:
+		return fmt.Errorf("waits: %v and %v: want no less than 0", o.MaxWait, o.MaxRetryAfter)
 	}
 	return nil
 }
@@ -122,10 +122,10 @@
 type Reason uint8
 
 const (
-	QueueFull  Reason = iota // as many wait as may, of no less worth
-	NoProspect               // its turn would come too late
-	Waited                   // its turn did not come in time
-	Displaced                // another of more worth, or of a tenant that has fewer waiting, took its place
+	QueueFull     Reason = iota // as many wait as may, of no less worth
+	TooLate                     // its turn would come too late
+	WaitedTooLong               // its turn did not come in time
+	Displaced                   // another of more worth, or of a tenant that has fewer waiting, took its place
 	reasons
 )
 
@@ -205,7 +205,7 @@
 	}
 	c := &Controller{opt: o, rng: rand.New(rand.NewPCG(seed, 0x61646d6974)), byName: map[named]*class{}, endpoints: 1,
 		retries: budget{ratio: o.RetryRatio, rate: o.RetryRate, ttl: o.RetryTTL}}
-	c.priority[0].Breakers, c.priority[1].Breakers = &c.opt.Breakers, &c.opt.High
+	c.priority[0].Breakers, c.priority[1].Breakers = &c.opt.Breakers, &c.opt.HighPriority
 	for _, k := range o.Classes {
 		c.add(k, false)
 	}
@@ -217,10 +217,10 @@
 	x := &class{Class: k, highPriority: high, tenants: map[string]*line{}}
 	c.byName[named{k.Name, high}] = x
 	i, _ := slices.BinarySearchFunc(c.classes, x, func(a, b *class) int {
-		if a.Worth == b.Worth && a.highPriority != b.highPriority { // HIGH starts first where both are worth the same
+		if a.PriorityWeight == b.PriorityWeight && a.highPriority != b.highPriority { // HIGH starts first where both are worth the same
 			return map[bool]int{true: -1, false: 1}[a.highPriority]
 		}
-		return cmp.Compare(b.Worth, a.Worth)
+		return cmp.Compare(b.PriorityWeight, a.PriorityWeight)
 	})
 	c.classes = slices.Insert(c.classes, i, x)
 	return x
@@ -243,7 +243,7 @@
 			}
 		}
 	}
-	return c.add(Class{Name: name, Worth: 1, Wanted: time.Second}, high)
+	return c.add(Class{Name: name, PriorityWeight: 1, LatencyObjective: time.Second}, high)
 }
 
 func (c *Controller) tick(now time.Duration) time.Duration {
@@ -251,8 +251,8 @@
 	return c.now
 }
 
-// Endpoints takes how many endpoints are to be used.
-func (c *Controller) Endpoints(now time.Duration, n int) {
+// SetEndpoints takes how many endpoints are to be used.
+func (c *Controller) SetEndpoints(now time.Duration, n int) {
 	c.tick(now)
 	if n = max(n, 1); n != c.endpoints {
 		c.limit.resize(&c.opt, c.endpoints, n)
@@ -290,21 +290,21 @@
 func (c *Controller) Arrive(now time.Duration, a balancer.Arrival) (balancer.Verdict, time.Duration) {
 	now = c.tick(now)
 	c.retries.earn(now)
-	k, p := c.class(a.Class, a.High), c.of(a.High)
+	k, p := c.class(a.Class, a.HighPriority), c.of(a.HighPriority)
 	k.arrivals.add(now)
-	if p.waiting == 0 && c.room(a.High) {
-		c.start(now, a.High)
-		return balancer.Start, 0
+	if p.waiting == 0 && c.room(a.HighPriority) {
+		c.start(now, a.HighPriority)
+		return balancer.Admit, 0
 	}
-	wait := c.mayWait(k, a.Left)
+	wait := c.mayWait(k, a.TimeLeft)
 	if standing := k.waiting > 0 && now-k.since > wait; standing {
 		wait /= 8 // it is not a burst that passes
 	}
 	if c.prospect(now, k, a.Tenant) > wait {
-		return balancer.Refuse, c.refuse(now, k, NoProspect)
+		return balancer.Reject, c.refuse(now, k, TooLate)
 	}
 	if !c.fits(k, a.Size) || p.waiting >= p.MaxPending && !c.displace(now, k, a.Tenant) {
-		return balancer.Refuse, c.refuse(now, k, QueueFull)
+		return balancer.Reject, c.refuse(now, k, QueueFull)
 	}
 	if k.waiting == 0 {
 		k.since = now
@@ -317,7 +317,7 @@
 	}
 	c.queue.add(k, a, now+wait)
 	p.waiting++
-	return balancer.Wait, wait
+	return balancer.Enqueue, wait
 }
 
 func (c *Controller) start(now time.Duration, high bool) {
@@ -331,7 +331,7 @@
 // mayWait is how long a request may wait so that its answer is in time; where answers take nearly that long by themselves,
 // a quarter of what is wanted.
 func (c *Controller) mayWait(k *class, left time.Duration) time.Duration {
-	wanted := min(k.Wanted, left)
+	wanted := min(k.LatencyObjective, left)
 	takes := k.mean
 	if b := c.boundOf(k.highPriority); c.could > 0 && b < math.MaxInt { // the mean may be of a time when more was in flight
 		takes = min(takes, k.base+float64(b)/c.could*float64(time.Second))
@@ -355,9 +355,9 @@
 				mine = l.n
 			}
 			ahead += min(k.waiting, (mine+1)*len(k.tenants))
-		case o.Worth >= k.Worth:
+		case o.PriorityWeight >= k.PriorityWeight:
 			ahead += o.waiting
-			if o.Worth > k.Worth {
+			if o.PriorityWeight > k.PriorityWeight {
 				more += o.arrivals.per(now)
 			}
 		}
@@ -397,7 +397,7 @@
 	}
 	kept := c.queue.bytes + size
 	for _, o := range c.classes {
-		if o.Worth < k.Worth && o.highPriority == k.highPriority {
+		if o.PriorityWeight < k.PriorityWeight && o.highPriority == k.highPriority {
 			kept -= o.bytes
 		}
 	}
@@ -407,7 +407,7 @@
 // leastValuableClass is the class of the least worth that has requests waiting, of those that are worth less than k; nil: none.
 func (c *Controller) leastValuableClass(k *class) *class {
 	for _, o := range slices.Backward(c.classes) {
-		if o.Worth >= k.Worth {
+		if o.PriorityWeight >= k.PriorityWeight {
 			return nil
 		}
 		if o.waiting > 0 && o.highPriority == k.highPriority {
@@ -454,20 +454,20 @@
 		c.short = true
 		c.tell(now)
 	}
-	return resource.Advice(c.wentBad.per(now), c.throughput(now), c.opt.MostAdvice, c.rng.Float64())
+	return resource.RetryAfter(c.wentBad.per(now), c.throughput(now), c.opt.MaxRetryAfter, c.rng.Float64())
 }
 
 func (c *Controller) tell(now time.Duration) {
 	if c.opt.Notify != nil {
-		c.opt.Notify(Change{At: now, Short: c.short, Limit: c.boundOf(false), Evidence: c.evidence})
+		c.opt.Notify(Change{At: now, Overloaded: c.short, Limit: c.boundOf(false), Evidence: c.evidence})
 	}
 }
 
 // well is how long nothing is refused before a cluster that was short is well.
 const well = 5 * time.Second
 
-// Short tells whether the cluster is short, and has Notify told where it is no more.
-func (c *Controller) Short(now time.Duration) bool {
+// Overloaded tells whether the cluster is short, and has Notify told where it is no more.
+func (c *Controller) Overloaded(now time.Duration) bool {
 	now = c.tick(now)
 	if c.short && now-c.shortAt > well && c.queue.n == 0 {
 		c.short = false
@@ -493,26 +493,26 @@
 // Next gives a request that waited and is to start, or to be refused.
 func (c *Controller) Next(now time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
 	now = c.tick(now)
-	c.Short(now)
+	c.Overloaded(now)
 	for e := c.queue.overdue(now); e != nil; e = c.queue.overdue(now) {
-		c.drop(now, e, Waited)
+		c.drop(now, e, WaitedTooLong)
 	}
 	if n := len(c.queue.dropped); n > 0 {
 		d := c.queue.dropped[n-1]
 		c.queue.dropped = c.queue.dropped[:n-1]
-		return d.seq, balancer.Refuse, d.after, true
+		return d.seq, balancer.Reject, d.after, true
 	}
 	k := c.turn()
 	if k == nil {
 		return 0, 0, 0, false
 	}
-	e := k.next(now-k.since > c.mayWait(k, k.Wanted))
+	e := k.next(now-k.since > c.mayWait(k, k.LatencyObjective))
 	seq := e.seq
 	c.remove(e)
 	c.queue.free(e)
 	c.queued++
 	c.start(now, k.highPriority)
-	return seq, balancer.Start, 0, true
+	return seq, balancer.Admit, 0, true
 }
 
 // remove takes a request out of those that wait.
@@ -545,8 +545,8 @@
 	return next
 }
 
-// Leave ends the wait of a request.
-func (c *Controller) Leave(seq uint64) {
+// Withdraw ends the wait of a request.
+func (c *Controller) Withdraw(seq uint64) {
 	if e := c.queue.bySeq[seq]; e != nil {
 		c.remove(e)
 		c.queue.free(e)
@@ -569,17 +569,17 @@
 	}
 }
 
-// Ended takes how an attempt went.
-func (c *Controller) Ended(now time.Duration, s balancer.Sample) {
+// AttemptEnded takes how an attempt went.
+func (c *Controller) AttemptEnded(now time.Duration, s balancer.Sample) {
 	now = c.tick(now)
 	if s.Retry {
-		p := c.of(s.High)
+		p := c.of(s.HighPriority)
 		p.retries = max(p.retries-1, 0)
 	}
 	if s.Result == balancer.Cancelled || s.Result == balancer.NotSent {
 		return
 	}
-	k := c.class(s.Class, s.High)
+	k := c.class(s.Class, s.HighPriority)
 	k.observe(now, s, c.limit.cutAt)
 	if c.opt.Mode == Adaptive {
 		if why := c.limit.look(now, &c.opt, c.classes, c.endpoints, c.active); why != "" {
@@ -601,7 +601,7 @@
 
 func (p *priority) mayRetry() bool {
 	if p.RetryPercent > 0 {
-		return p.retries < max(int(p.RetryPercent/100*float64(p.active+p.waiting)), p.RetryLeast)
+		return p.retries < max(int(p.RetryPercent/100*float64(p.active+p.waiting)), p.MinRetries)
 	}
 	return p.MaxRetries == 0 || p.retries < p.MaxRetries
 }
@@ -614,28 +614,28 @@
 	return c.retries.have(now)
 }
 
-// Retried takes that it was made.
-func (c *Controller) Retried(now time.Duration, high bool) {
+// RetryStarted takes that it was made.
+func (c *Controller) RetryStarted(now time.Duration, high bool) {
 	c.retries.spend(c.tick(now))
 	c.of(high).retries++
 }
 
 // Report is how a cluster stands.
 type Report struct {
-	Mode       Mode
-	Limit      int // requests in flight; 0: no bound
-	Active     int
-	Waiting    int
-	Bytes      int64   // of the requests that wait
-	Throughput float64 // requests a second that the endpoints do, as it is known; 0: not known
-	Short      bool
-	Evidence   string // of the last time that the limit fell
-	Started    uint64
-	Queued     uint64
-	Refused    map[string]uint64 // by reason
-	Retries    int               // that the budget has left; -1: none more, as the most are in flight
-	Denied     uint64            // retries
-	Classes    []ClassReport
+	Mode          Mode
+	Limit         int // requests in flight; 0: no bound
+	Active        int
+	Waiting       int
+	Bytes         int64   // of the requests that wait
+	Throughput    float64 // requests a second that the endpoints do, as it is known; 0: not known
+	Overloaded    bool
+	Evidence      string // of the last time that the limit fell
+	Started       uint64
+	Queued        uint64
+	Rejected      map[string]uint64 // by reason
+	RetriesLeft   int               // that the budget has left; -1: none more, as the most are in flight
+	RetriesDenied uint64            // retries
+	Classes       []ClassReport
 }
 
 // ClassReport is how a class stands.
@@ -652,13 +652,13 @@
 // Report tells how it stands.
 func (c *Controller) Report(now time.Duration) Report {
 	now = c.tick(now)
-	r := Report{Mode: c.opt.Mode, Active: c.active, Waiting: c.queue.n, Bytes: c.queue.bytes, Throughput: c.throughput(now), Short: c.short && now-c.shortAt <= well, Evidence: c.evidence,
-		Started: c.started, Queued: c.queued, Refused: map[string]uint64{}, Retries: c.have(now), Denied: c.denied}
+	r := Report{Mode: c.opt.Mode, Active: c.active, Waiting: c.queue.n, Bytes: c.queue.bytes, Throughput: c.throughput(now), Overloaded: c.short && now-c.shortAt <= well, Evidence: c.evidence,
+		Started: c.started, Queued: c.queued, Rejected: map[string]uint64{}, RetriesLeft: c.have(now), RetriesDenied: c.denied}
 	if b := c.boundOf(false); b < math.MaxInt {
 		r.Limit = b
 	}
 	for i, n := range c.refused {
-		r.Refused[Reason(i).String()] = n
+		r.Rejected[Reason(i).String()] = n
 	}
 	for _, k := range c.classes {
 		r.Classes = append(r.Classes, ClassReport{Name: k.Name, High: k.highPriority, Baseline: time.Duration(k.base), Mean: time.Duration(k.mean),
--- a/internal/admission/admit_test.go
+++ b/internal/admission/admit_test.go
@@ -31,14 +31,14 @@
 }
 
 func (c *Controller) ask(now time.Duration, seq uint64, class, tenant string) balancer.Verdict {
-	v, _ := c.Arrive(now, balancer.Arrival{Seq: seq, Class: class, Tenant: tenant, Left: 2 * time.Second})
+	v, _ := c.Arrive(now, balancer.Arrival{Seq: seq, Class: class, Tenant: tenant, TimeLeft: 2 * time.Second})
 	return v
 }
 
 func (c *Controller) answered(t *testing.T, now, took time.Duration, class string) {
 	t.Helper()
 	c.Done(now, false)
-	c.Ended(now, balancer.Sample{Class: class, Sent: now - took, Took: took, Result: balancer.Served})
+	c.AttemptEnded(now, balancer.Sample{Class: class, SentAt: now - took, Latency: took, Result: balancer.Served})
 }
 
 // starts gives what starts until nothing more may.
@@ -48,7 +48,7 @@
 		if !ok {
 			return l
 		}
-		if v == balancer.Start {
+		if v == balancer.Admit {
 			l = append(l, seq)
 		}
 	}
@@ -60,7 +60,7 @@
 	c.ask(0, 1, "map", "")
 	for i := range uint64(60) {
 		for j, class := range []string{"map", "hold", "pay"} {
-			if v := c.ask(0, 10+3*i+uint64(j), class, ""); v != balancer.Wait {
+			if v := c.ask(0, 10+3*i+uint64(j), class, ""); v != balancer.Enqueue {
 				t.Fatalf("verdict %d", v)
 			}
 		}
@@ -84,11 +84,11 @@
 	for i := range uint64(40) {
 		c.ask(0, 100+i, "map", "flood")
 	}
-	if v := c.ask(0, 200, "map", "flood"); v != balancer.Refuse {
+	if v := c.ask(0, 200, "map", "flood"); v != balancer.Reject {
 		t.Errorf("one more of those that flood: verdict %d", v)
 	}
 	for i := range uint64(5) {
-		if v := c.ask(0, 300+i, "map", "small"); v != balancer.Wait {
+		if v := c.ask(0, 300+i, "map", "small"); v != balancer.Enqueue {
 			t.Fatalf("a small tenant beside a flood: verdict %d", v)
 		}
 	}
@@ -104,7 +104,7 @@
 	if small != 5 || c.refused[Displaced] != 5 {
 		t.Errorf("%d of 5 starts in 10, %d displaced", small, c.refused[Displaced])
 	}
-	if v := c.ask(0, 400, "pay", "flood"); v != balancer.Wait {
+	if v := c.ask(0, 400, "pay", "flood"); v != balancer.Enqueue {
 		t.Errorf("what is worth more: verdict %d", v)
 	}
 }
@@ -118,11 +118,11 @@
 	if l := c.starts(260 * ms); len(l) != 0 {
 		t.Errorf("%v start while one is in flight", l)
 	}
-	if seq, v, after, ok := c.Next(271 * ms); !ok || seq != 2 || v != balancer.Refuse || after <= 0 {
+	if seq, v, after, ok := c.Next(271 * ms); !ok || seq != 2 || v != balancer.Reject || after <= 0 {
 		t.Errorf("%d: verdict %d, come back in %v", seq, v, after)
 	}
-	if c.refused[Waited] != 1 || c.queue.n != 1 {
-		t.Errorf("%d waited too long, %d wait", c.refused[Waited], c.queue.n)
+	if c.refused[WaitedTooLong] != 1 || c.queue.n != 1 {
+		t.Errorf("%d waited too long, %d wait", c.refused[WaitedTooLong], c.queue.n)
 	}
 	c.ask(272*ms, 4, "map", "")
 	c.Done(280*ms, false)
@@ -200,7 +200,7 @@
 			c.answered(t, now, now-sent, "map")
 		}
 		if i%5 == 0 { // 200 a second, one of eight long: 125 in flight
-			if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Start {
+			if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Admit {
 				t.Fatalf("verdict %d at %v, limit %d, %d in flight", v, now, c.bound(), c.active)
 			}
 			at := now + 5*ms
@@ -243,11 +243,11 @@
 	before := c.bound()
 	for i := range 20000 {
 		now := time.Duration(i+1) * ms
-		if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Start {
+		if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Admit {
 			t.Fatalf("verdict %d", v)
 		}
 		c.Done(now+ms, false)
-		c.Ended(now+ms, balancer.Sample{Class: "map", Sent: now, Took: ms, Result: []balancer.Result{balancer.Errored, balancer.ConnLost, balancer.NotConnected}[i%3]})
+		c.AttemptEnded(now+ms, balancer.Sample{Class: "map", SentAt: now, Latency: ms, Result: []balancer.Result{balancer.ServerError, balancer.ConnectionLost, balancer.NotConnected}[i%3]})
 	}
 	if c.bound() != before {
 		t.Errorf("limit %d, %d before", c.bound(), before)
@@ -267,7 +267,7 @@
 		if !ok {
 			break
 		}
-		if v == balancer.Refuse && after > 0 && after <= c.opt.MostAdvice {
+		if v == balancer.Reject && after > 0 && after <= c.opt.MaxRetryAfter {
 			refused++
 		}
 	}
@@ -280,7 +280,7 @@
 	if c.bound() < before || c.active != 0 {
 		t.Errorf("limit %d, %d in flight", c.bound(), c.active)
 	}
-	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", Left: time.Second}) // time that goes back
+	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", TimeLeft: time.Second}) // time that goes back
 	if c.now != now {
 		t.Errorf("the time went back to %v", c.now)
 	}
@@ -291,7 +291,7 @@
 	c := controller(t, func(o *Options) { o.RetryRatio, o.RetryRate, o.RetryTTL = 0.2, 1, 10*time.Second })
 	spend := func(now time.Duration) (n int) {
 		for c.MayRetry(now, false) && n < 1000 {
-			c.Retried(now, false)
+			c.RetryStarted(now, false)
 			n++
 		}
 		return n
@@ -310,13 +310,13 @@
 	}
 	for name, o := range map[string]func(*Options){
 		"max_retries":  func(o *Options) { o.MaxRetries = 3 },
-		"retry_budget": func(o *Options) { o.RetryPercent, o.RetryLeast = 10, 3 },
+		"retry_budget": func(o *Options) { o.RetryPercent, o.MinRetries = 10, 3 },
 	} {
 		c = controller(t, o)
 		if n := spend(0); n != 3 {
 			t.Errorf("%s: %d in flight", name, n)
 		}
-		c.Ended(0, balancer.Sample{Class: "map", Retry: true, Result: balancer.Cancelled})
+		c.AttemptEnded(0, balancer.Sample{Class: "map", Retry: true, Result: balancer.Cancelled})
 		if n := spend(0); n != 1 {
 			t.Errorf("%s: %d more as one has ended", name, n)
 		}
@@ -336,17 +336,17 @@
 	c := controller(t, func(o *Options) {
 		o.Mode, o.Limit, o.RetryRate = Fixed, 3, 100
 		o.Breakers = Breakers{MaxRequests: 2, MaxPending: 1, MaxRetries: 1}
-		o.High = Breakers{MaxRequests: 2, MaxPending: 2, MaxRetries: 2}
+		o.HighPriority = Breakers{MaxRequests: 2, MaxPending: 2, MaxRetries: 2}
 	})
 	ask := func(seq uint64, high bool) balancer.Verdict {
-		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: "map", High: high, Left: time.Second})
+		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: "map", HighPriority: high, TimeLeft: time.Second})
 		return v
 	}
 	for i, want := range []struct {
 		high bool
 		v    balancer.Verdict
-	}{{false, balancer.Start}, {false, balancer.Start}, {false, balancer.Wait}, {false, balancer.Refuse}, {true, balancer.Start}, {true, balancer.Wait}, {true, balancer.Wait},
-		{true, balancer.Refuse}} {
+	}{{false, balancer.Admit}, {false, balancer.Admit}, {false, balancer.Enqueue}, {false, balancer.Reject}, {true, balancer.Admit}, {true, balancer.Enqueue}, {true, balancer.Enqueue},
+		{true, balancer.Reject}} {
 		if v := ask(uint64(i), want.high); v != want.v {
 			t.Errorf("request %d, high %v: verdict %d, want %d", i, want.high, v, want.v)
 		}
@@ -363,13 +363,13 @@
 	for _, high := range []bool{false, true} {
 		n := 0
 		for ; n < 10 && c.MayRetry(0, high); n++ {
-			c.Retried(0, high)
+			c.RetryStarted(0, high)
 		}
 		if want := map[bool]int{false: 1, true: 2}[high]; n != want {
 			t.Errorf("high %v: %d retries in flight, want %d", high, n, want)
 		}
 	}
-	if c.Ended(0, balancer.Sample{Class: "map", High: true, Retry: true, Result: balancer.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
+	if c.AttemptEnded(0, balancer.Sample{Class: "map", HighPriority: true, Retry: true, Result: balancer.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
 		t.Error("a retry of HIGH ended: one more of HIGH may be made, none of DEFAULT")
 	}
 }
@@ -380,7 +380,7 @@
 	seq := uint64(0)
 	ask := func(class string, size int64) balancer.Verdict {
 		seq++
-		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: class, Size: size, Left: time.Second})
+		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: class, Size: size, TimeLeft: time.Second})
 		return v
 	}
 	ask("map", 1000) // starts: what is in flight is not what waits
@@ -389,8 +389,8 @@
 		size  int64
 		v     balancer.Verdict
 		kept  int64
-	}{{"map", 60, balancer.Wait, 60}, {"map", 41, balancer.Refuse, 60}, {"map", 40, balancer.Wait, 100}, {"pay", 101, balancer.Refuse, 100}, {"pay", 50, balancer.Wait, 90},
-		{"hold", 60, balancer.Refuse, 90}, {"hold", 50, balancer.Wait, 100}} {
+	}{{"map", 60, balancer.Enqueue, 60}, {"map", 41, balancer.Reject, 60}, {"map", 40, balancer.Enqueue, 100}, {"pay", 101, balancer.Reject, 100}, {"pay", 50, balancer.Enqueue, 90},
+		{"hold", 60, balancer.Reject, 90}, {"hold", 50, balancer.Enqueue, 100}} {
 		if v := ask(want.class, want.size); v != want.v || c.queue.bytes != want.kept {
 			t.Errorf("%d, %s of %d bytes: verdict %d, %d kept; want %d, %d", i, want.class, want.size, v, c.queue.bytes, want.v, want.kept)
 		}
@@ -408,7 +408,7 @@
 		o.Mode = Mode(rapid.IntRange(0, 2).Draw(t, "mode"))
 		o.PerEndpoint, o.Limit = rapid.IntRange(1, 20).Draw(t, "per endpoint"), rapid.IntRange(1, 20).Draw(t, "limit")
 		o.MaxPending, o.MaxRequests = rapid.IntRange(1, 20).Draw(t, "pending"), rapid.IntRange(0, 30).Draw(t, "most")
-		o.High.MaxPending, o.High.MaxRequests = rapid.IntRange(1, 20).Draw(t, "high pending"), rapid.IntRange(0, 30).Draw(t, "high most")
+		o.HighPriority.MaxPending, o.HighPriority.MaxRequests = rapid.IntRange(1, 20).Draw(t, "high pending"), rapid.IntRange(0, 30).Draw(t, "high most")
 		o.PendingBytes = int64(rapid.IntRange(0, 100).Draw(t, "bytes"))
 		c, err := New(o, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
@@ -426,9 +426,9 @@
 					t.Fatalf("%d does not wait", id)
 				}
 				delete(waits, id)
-				if v == balancer.Start {
+				if v == balancer.Admit {
 					started = append(started, high[id])
-				} else if after <= 0 || after > c.opt.MostAdvice {
+				} else if after <= 0 || after > c.opt.MaxRetryAfter {
 					t.Fatalf("come back in %v", after)
 				}
 			}
@@ -441,24 +441,24 @@
 			case 0, 1, 2:
 				seq++
 				high[seq], size[seq] = rapid.Bool().Draw(t, "high"), int64(rapid.IntRange(0, 60).Draw(t, "size"))
-				v, after := c.Arrive(now, balancer.Arrival{Seq: seq, High: high[seq], Size: size[seq], Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
-					Tenant: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant"), Left: time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms})
+				v, after := c.Arrive(now, balancer.Arrival{Seq: seq, HighPriority: high[seq], Size: size[seq], Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
+					Tenant: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant"), TimeLeft: time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms})
 				switch {
-				case v == balancer.Start:
+				case v == balancer.Admit:
 					started = append(started, high[seq])
-				case v == balancer.Wait && after > 0:
+				case v == balancer.Enqueue && after > 0:
 					waits[seq] = true
 				case after <= 0:
 					t.Fatalf("verdict %d after %v", v, after)
 				}
 			case 3:
 				for id := range waits {
-					c.Leave(id)
+					c.Withdraw(id)
 					delete(waits, id)
 					break
 				}
 			case 4:
-				c.Endpoints(now, rapid.IntRange(0, 5).Draw(t, "endpoints"))
+				c.SetEndpoints(now, rapid.IntRange(0, 5).Draw(t, "endpoints"))
 				evidence = true
 			default:
 				if len(started) > 0 {
@@ -466,7 +466,7 @@
 					started = started[1:]
 					took := time.Duration(rapid.IntRange(0, 900).Draw(t, "took")) * ms
 					c.Done(now, h)
-					c.Ended(now, balancer.Sample{High: h, Class: "map", Sent: now - took, Took: took, Result: balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result"))})
+					c.AttemptEnded(now, balancer.Sample{HighPriority: h, Class: "map", SentAt: now - took, Latency: took, Result: balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result"))})
 					evidence = true
 				}
 			}
@@ -487,7 +487,7 @@
 			if bytes != c.queue.bytes || o.PendingBytes > 0 && bytes > o.PendingBytes {
 				t.Fatalf("%d bytes wait, counted %d, %d may", bytes, c.queue.bytes, o.PendingBytes)
 			}
-			for i, p := range []Breakers{o.Breakers, o.High} {
+			for i, p := range []Breakers{o.Breakers, o.HighPriority} {
 				of := c.priority[i]
 				if of.waiting != count[i] || of.waiting > p.MaxPending || p.MaxRequests > 0 && of.active > p.MaxRequests {
 					t.Fatalf("priority %d: %d of %d wait, %d of %d in flight", i, of.waiting, p.MaxPending, of.active, p.MaxRequests)
@@ -536,7 +536,7 @@
 		"budget": func(o *Options) { o.RetryRatio = math.NaN() },
 		"wait":   func(o *Options) { o.MaxWait = -1 },
 		"most":   func(o *Options) { o.MaxRequests = -1 },
-		"high":   func(o *Options) { o.High.MaxRetries = -1 },
+		"high":   func(o *Options) { o.HighPriority.MaxRetries = -1 },
 		"bytes":  func(o *Options) { o.PendingBytes = -1 },
 	} {
 		o := options()
@@ -553,12 +553,12 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * 100 * time.Microsecond
-		if v, _ := c.Arrive(now, balancer.Arrival{Seq: uint64(i), Class: "map", Left: time.Second}); v != balancer.Start {
+		if v, _ := c.Arrive(now, balancer.Arrival{Seq: uint64(i), Class: "map", TimeLeft: time.Second}); v != balancer.Admit {
 			b.Fatal("not started")
 		}
 		c.Next(now)
 		c.Done(now, false)
-		c.Ended(now, balancer.Sample{Class: "map", Sent: now, Took: 5 * ms, Result: balancer.Served})
+		c.AttemptEnded(now, balancer.Sample{Class: "map", SentAt: now, Latency: 5 * ms, Result: balancer.Served})
 		c.Next(now)
 	}
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -36,13 +36,13 @@
 // target is the quantile above which answers show a queue: four times the baseline, but no less than a sixth and no more
 // than a third of what is wanted. Where answers take longer than that by themselves it is half above the baseline.
 func (k *class) target() float64 {
-	wanted := float64(k.Wanted)
+	wanted := float64(k.LatencyObjective)
 	return max(min(wanted/3, max(4*k.base, wanted/6)), 1.5*k.base)
 }
 
 // observe notes an attempt. What was sent before the limit fell last says nothing of the one in use.
 func (k *class) observe(now time.Duration, s balancer.Sample, cutAt time.Duration) {
-	took := float64(s.Took)
+	took := float64(s.Latency)
 	good := s.Result == balancer.Served
 	if good {
 		k.seen.add(now)
@@ -52,7 +52,7 @@
 		k.dev += (math.Abs(took-k.mean) - k.dev) / 32
 		k.mean += (took - k.mean) / 32
 	}
-	if s.Sent < cutAt {
+	if s.SentAt < cutAt {
 		return
 	}
 	k.all++
@@ -60,10 +60,10 @@
 	case good:
 		k.took[k.n%samples] = took
 		k.n++
-		if s.Took > k.Wanted {
+		if s.Latency > k.LatencyObjective {
 			k.late++
 		}
-	case s.Result == balancer.TurnedAway, s.Result == balancer.TimedOut && s.Took > k.Wanted, s.Result == balancer.NotConnected && took > float64(k.Wanted)/4:
+	case s.Result == balancer.Rejected, s.Result == balancer.TimedOut && s.Latency > k.LatencyObjective, s.Result == balancer.NotConnected && took > float64(k.LatencyObjective)/4:
 		k.bad++ // a failure that comes at once shows that an endpoint is sick, not that it is short
 	}
 }
@@ -78,7 +78,7 @@
 	}
 	switch {
 	case k.base == 0 && !calm:
-		k.base = min(q, float64(k.Wanted)/8)
+		k.base = min(q, float64(k.LatencyObjective)/8)
 	case k.base == 0 || q < k.base:
 		k.base = q
 	case calm:
@@ -136,8 +136,8 @@
 
 func (l *limiter) clamp(o *Options) {
 	most := 1e6
-	if o.MaxRequests > 0 && o.High.MaxRequests > 0 {
-		most = float64(o.MaxRequests + o.High.MaxRequests)
+	if o.MaxRequests > 0 && o.HighPriority.MaxRequests > 0 {
+		most = float64(o.MaxRequests + o.HighPriority.MaxRequests)
 	}
 	l.now = max(min(l.now, most), min(minLimit, most))
 }
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// WholeAnswer is the longest answer that is read whole before it is passed on; a longer one streams.
-	WholeAnswer = 64 << 10
-	headLimit   = 64 << 10
-	longest     = 32 << 20 // no answer is longer: one that says so is spoilt
-	inlineBody  = 16 << 10
-	streamStall = 1500 * time.Millisecond
-	answerPause = 250 * time.Millisecond
-	answerSpare = 5 * time.Millisecond
-	spareTime   = 20 * time.Millisecond // what an error's body may take for its connection to be kept
+	// CompleteAnswerBytes is the longest answer that is read whole before it is passed on; a longer one streams.
+	CompleteAnswerBytes     = 64 << 10
+	headLimit               = 64 << 10
+	defaultMaxResponseBytes = 32 << 20 // no answer is longer: one that says so is spoilt
+	inlineBody              = 16 << 10
+	streamStall             = 1500 * time.Millisecond
+	answerPause             = 250 * time.Millisecond
+	answerSpare             = 5 * time.Millisecond
+	spareTime               = 20 * time.Millisecond // what an error's body may take for its connection to be kept
 )
 
 // Body is a request's body in pieces; it can be read any number of times.
@@ -45,23 +45,23 @@
 	Host   string
 	Header http.Header
 	Body   Body
-	// Wanted is asked right before an attempt connects, and before it writes the request: does anybody still wait for the
+	// StillWanted is asked right before an attempt connects, and before it writes the request: does anybody still wait for the
 	// answer? It may be called by several goroutines at once, and must not wait. nil: somebody does.
-	Wanted func() bool
+	StillWanted func() bool
 }
 
 // Reply is how an attempt ended.
 type Reply struct {
-	Result   balancer.Result
-	Status   int // 0: there is no whole answer to pass on
-	Header   http.Header
-	Body     []byte
-	Length   int64 // of the body that an answer to HEAD stands for; -1: not said
-	Streamed bool
-	Unwanted bool          // nothing was written, as nobody waits for the answer any more
-	Rest     time.Duration // what a 503's Retry-After asks for; 0: nothing
-	First    time.Time     // when a streamed answer's first bytes came
-	Load     string
+	Result      balancer.Result
+	Status      int // 0: there is no whole answer to pass on
+	Header      http.Header
+	Body        []byte
+	Length      int64 // of the body that an answer to HEAD stands for; -1: not said
+	Streamed    bool
+	Unwanted    bool          // nothing was written, as nobody waits for the answer any more
+	RetryAfter  time.Duration // what a 503's Retry-After asks for; 0: nothing
+	FirstByteAt time.Time     // when a streamed answer's first bytes came
+	LoadReport  string
 }
 
 // Begin is asked once an answer is known to be long: it commits the request to this attempt and gives the
@@ -102,10 +102,10 @@
 	}
 }
 
-// Withdraw has an attempt whose request is over write no more of it, whether or not it may be cancelled: a backend begins
+// Abort has an attempt whose request is over write no more of it, whether or not it may be cancelled: a backend begins
 // no request before its last byte has come. An attempt that has written that byte goes on; another one ends as not sent.
 // It neither blocks nor waits.
-func (a *Attempt) Withdraw() {
+func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.written {
@@ -230,7 +230,7 @@
 	return c, nil
 }
 
-func (a *Attempt) wanted() bool { return a.req.Wanted == nil || a.req.Wanted() }
+func (a *Attempt) wanted() bool { return a.req.StillWanted == nil || a.req.StillWanted() }
 
 var heads = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
@@ -318,22 +318,22 @@
 	if err != nil {
 		return Reply{Result: a.broken(err, join())}, false
 	}
-	reply.Load = resp.Header.Get("Endpoint-Load-Metrics")
+	reply.LoadReport = resp.Header.Get("Endpoint-Load-Metrics")
 	if !a.up.pool.answers(resp.StatusCode) {
-		reply.Result = balancer.Errored
+		reply.Result = balancer.ServerError
 		if s := resp.StatusCode; (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) &&
 			resp.Header.Get("X-Never-Ran") == "1" {
-			reply.Result = balancer.TurnedAway
+			reply.Result = balancer.Rejected
 		}
 		if resp.StatusCode == http.StatusServiceUnavailable {
-			reply.Rest = rest(resp.Header.Get("Retry-After"), time.Now())
+			reply.RetryAfter = rest(resp.Header.Get("Retry-After"), time.Now())
 		}
 		if join() != nil || resp.Close || !delimited(resp) {
 			return reply, false
 		}
 		c.attempt = nil
 		a.extend(c, time.Now().Add(spareTime))
-		if a.up.pool.opt.Answers == nil {
+		if a.up.pool.opt.IsAnswer == nil {
 			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, headLimit))
 			return reply, err == nil && n < headLimit && c.br.Buffered() == 0
 		}
@@ -346,8 +346,8 @@
 	}
 	// Where an answer ends without saying cannot be told from where it broke. Danger: one that says 3 GB keeps
 	// coming, and once its client has the head nobody else can serve the request.
-	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.up.pool.longest() && a.req.Method != http.MethodHead {
-		return Reply{Result: balancer.ConnLost, Load: reply.Load}, false
+	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.up.pool.maxResponseBytes() && a.req.Method != http.MethodHead {
+		return Reply{Result: balancer.ConnectionLost, LoadReport: reply.LoadReport}, false
 	}
 	if !a.body(c, resp, begin, &reply) {
 		return reply, false
@@ -425,18 +425,18 @@
 	case errors.Is(read, os.ErrDeadlineExceeded): // it stopped half way
 		return balancer.TimedOut
 	}
-	return balancer.ConnLost
+	return balancer.ConnectionLost
 }
 
 func (a *Attempt) body(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
-	size := int64(WholeAnswer)
+	size := int64(CompleteAnswerBytes)
 	if n := resp.ContentLength; n >= 0 && n <= size {
 		size = n
 	} else if n > size {
 		size = 4 << 10 // its first bytes are as good as it gets: it is streamed anyway
 	}
 	buf := make([]byte, 0, min(size+1, 1<<10))
-	atOnce := a.up.pool.opt.AtOnce != nil && a.req.Method != http.MethodHead && a.up.pool.opt.AtOnce(resp.Header)
+	atOnce := a.up.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.up.pool.opt.StreamResponse(resp.Header)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
@@ -451,11 +451,11 @@
 			reply.Result = a.broken(err, nil)
 			return false
 		}
-		if atOnce && len(buf) > 0 || int64(len(buf)) > WholeAnswer || resp.ContentLength > WholeAnswer && len(buf) > 0 {
+		if atOnce && len(buf) > 0 || int64(len(buf)) > CompleteAnswerBytes || resp.ContentLength > CompleteAnswerBytes && len(buf) > 0 {
 			break
 		}
 	}
-	reply.First = time.Now()
+	reply.FirstByteAt = time.Now()
 	w := begin(resp.StatusCode, resp.Header, resp.ContentLength)
 	if w == nil {
 		reply.Result = balancer.Cancelled
@@ -485,7 +485,7 @@
 			return true
 		}
 		if end != nil {
-			reply.Result = balancer.ConnLost
+			reply.Result = balancer.ConnectionLost
 			return false
 		}
 		a.extend(c, time.Now().Add(a.up.pool.stall()))
@@ -495,8 +495,8 @@
 	}
 }
 
-// Probe asks a backend for path beside the requests, and tells how that ended.
-func Probe(ctx context.Context, up *Upstream, path string, timeout time.Duration) Reply {
+// HealthCheck asks a backend for path beside the requests, and tells how that ended.
+func HealthCheck(ctx context.Context, up *Upstream, path string, timeout time.Duration) Reply {
 	req := &Request{Method: http.MethodGet, URI: path, Header: http.Header{}}
 	a := NewAttempt(up, req, time.Now().Add(timeout))
 	defer context.AfterFunc(ctx, a.Cancel)()
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -57,29 +57,29 @@
 		{"served", ok, balancer.Served},
 		{"served, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Served},
 		{"served after 1xx", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + ok, balancer.Served},
-		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		{"503, never ran", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.TurnedAway},
-		{"504, never ran", "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.TurnedAway},
-		{"never ran, the body breaks", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nx", balancer.TurnedAway},
-		{"503 that proves nothing", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		{"503, the header says no", "HTTP/1.1 503 Full\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		{"500, never ran", "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		{"429", "HTTP/1.1 429 Slow down\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		{"404", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", balancer.Errored},
-		{"204", "HTTP/1.1 204 None\r\n\r\n", balancer.Errored},
-		{"no answer, closed", "", balancer.ConnLost},
-		{"cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.ConnLost},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnLost},
-		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.ConnLost},
-		{"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnLost},
-		{"a chunk of no number", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnLost},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.ConnLost},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnLost},
-		{"not HTTP", "SSH-2.0-hello\r\n\r\n", balancer.ConnLost},
-		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 3*headLimit/8), balancer.ConnLost},
-		{"an endless line", "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("b", 3*headLimit), balancer.ConnLost},
-		{"nothing but 1xx", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), balancer.ConnLost},
-		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n", balancer.ConnLost},
+		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"503, never ran", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		{"504, never ran", "HTTP/1.1 504 Late\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected},
+		{"never ran, the body breaks", "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 9\r\n\r\nx", balancer.Rejected},
+		{"503 that proves nothing", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"503, the header says no", "HTTP/1.1 503 Full\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"500, never ran", "HTTP/1.1 500 Oops\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"429", "HTTP/1.1 429 Slow down\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"404", "HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", balancer.ServerError},
+		{"204", "HTTP/1.1 204 None\r\n\r\n", balancer.ServerError},
+		{"no answer, closed", "", balancer.ConnectionLost},
+		{"cut in the head", "HTTP/1.1 200 OK\r\nContent-Le", balancer.ConnectionLost},
+		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost},
+		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", balancer.ConnectionLost},
+		{"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost},
+		{"a chunk of no number", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnectionLost},
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.ConnectionLost},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost},
+		{"not HTTP", "SSH-2.0-hello\r\n\r\n", balancer.ConnectionLost},
+		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 3*headLimit/8), balancer.ConnectionLost},
+		{"an endless line", "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("b", 3*headLimit), balancer.ConnectionLost},
+		{"nothing but 1xx", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), balancer.ConnectionLost},
+		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n", balancer.ConnectionLost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := testbed.NewPeer(t, func(conn net.Conn, _ int) {
@@ -110,7 +110,7 @@
 func TestResetIsLost(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); testbed.Reset(c) })
-	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != balancer.ConnLost {
+	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != balancer.ConnectionLost {
 		t.Errorf("result %d", r.Result)
 	}
 }
@@ -150,7 +150,7 @@
 func TestAnswerBeforeTheBodyEnds(t *testing.T) {
 	testbed.Leaks(t)
 	for status, want := range map[string]balancer.Result{
-		"503 Full\r\nX-Never-Ran: 1": balancer.TurnedAway, "500 Oops": balancer.Errored} {
+		"503 Full\r\nX-Never-Ran: 1": balancer.Rejected, "500 Oops": balancer.ServerError} {
 		over := make(chan struct{})
 		b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 			readRequest(c)
@@ -205,13 +205,13 @@
 	do(up, get("/get"))
 	r := post(10)
 	r.Header["Idempotency-Key"] = []string{"k"}
-	if reply := do(up, r); reply.Result != balancer.ConnLost {
+	if reply := do(up, r); reply.Result != balancer.ConnectionLost {
 		t.Errorf("result %d", reply.Result)
 	}
 	if n := len(b.Seen()); n != 2 {
 		t.Errorf("the backend has seen %d requests", n)
 	}
-	if reply := do(up, get("/get")); reply.Result != balancer.ConnLost || len(b.Seen()) != 3 {
+	if reply := do(up, get("/get")); reply.Result != balancer.ConnectionLost || len(b.Seen()) != 3 {
 		t.Errorf("result %d, %d requests", reply.Result, len(b.Seen()))
 	}
 }
@@ -242,7 +242,7 @@
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{}, 2)
 	for p.budget.Used() < p.budget.Limit() {
-		p.budget.Take()
+		p.budget.Acquire()
 	}
 	for name, up := range map[string]*Upstream{"no descriptor": p.Upstream(b.Addr, 0), "no address": p.Nowhere()} {
 		if r := do(up, get("/get")); r.Result != balancer.NotSent {
@@ -315,8 +315,8 @@
 	}{
 		{"whole", sized + long, balancer.Served, true},
 		{"chunked", chunked + chunk + "0\r\n\r\n", balancer.Served, true},
-		{"cut", sized + long[:len(long)-1], balancer.ConnLost, false},
-		{"chunked, cut", chunked + chunk, balancer.ConnLost, false},
+		{"cut", sized + long[:len(long)-1], balancer.ConnectionLost, false},
+		{"chunked, cut", chunked + chunk, balancer.ConnectionLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := testbed.NewPeer(t, func(conn net.Conn, _ int) { readRequest(conn); io.WriteString(conn, c.reply) })
@@ -325,7 +325,7 @@
 			begun := 0
 			a := NewAttempt(up, get("/get"), time.Now().Add(testbed.Patience))
 			r := a.Do(func(int, http.Header, int64) io.Writer { begun++; return &got })
-			if r.Result != c.want || !r.Streamed || begun != 1 || r.First.IsZero() {
+			if r.Result != c.want || !r.Streamed || begun != 1 || r.FirstByteAt.IsZero() {
 				t.Errorf("result %d, streamed %v, begun %d", r.Result, r.Streamed, begun)
 			}
 			if c.whole && got.String() != long || !strings.HasPrefix(long, got.String()) {
@@ -353,7 +353,7 @@
 	})
 	defer close(over)
 	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
-	if r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard }); r.Result != balancer.ConnLost || !r.Streamed {
+	if r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard }); r.Result != balancer.ConnectionLost || !r.Streamed {
 		t.Errorf("result %d, streamed %v", r.Result, r.Streamed)
 	}
 }
@@ -387,7 +387,7 @@
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return nil })
 		close(over)
-		if r.Result != balancer.ConnLost || p.budget.Used() != 0 {
+		if r.Result != balancer.ConnectionLost || p.budget.Used() != 0 {
 			t.Errorf("%s: result %d, %d descriptors", name, r.Result, p.budget.Used())
 		}
 	}
@@ -445,8 +445,8 @@
 		}
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2\r\nContent-Length: 0\r\n\r\n"
 	})
-	r := Probe(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", testbed.Patience)
-	load := ParseLoad(r.Load)
+	r := HealthCheck(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", testbed.Patience)
+	load := ParseLoad(r.LoadReport)
 	if r.Result != balancer.Served || load["inflight"] != 7 || load["queue"] != 2 {
 		t.Errorf("result %d, load %v", r.Result, load)
 	}
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -8,8 +8,8 @@
 
 // Descriptors are what a pool's connections are booked on.
 type Descriptors interface {
-	Take() bool // reserves one, or tells that none is left
-	Give()
+	Acquire() bool // reserves one, or tells that none is left
+	Release()
 	OnShort(fn func() bool) (leave func())
 	Used() int
 	Limit() int
@@ -40,15 +40,15 @@
 	}
 }
 
-// Take reserves a descriptor for a dial. Where none is left an idle connection makes room, if there is one.
-func (b *Budget) Take() bool {
+// Acquire reserves a descriptor for a dial. Where none is left an idle connection makes room, if there is one.
+func (b *Budget) Acquire() bool {
 	for {
 		u := b.used.Load()
 		if u < b.limit {
 			if b.used.CompareAndSwap(u, u+1) {
 				return true
 			}
-		} else if !b.Room() {
+		} else if !b.HasRoom() {
 			return false
 		}
 	}
@@ -57,12 +57,12 @@
 // Force books a descriptor that is held already: an accepted connection. It makes room behind itself.
 func (b *Budget) Force() {
 	if b.used.Add(1) > b.limit {
-		b.Room()
+		b.HasRoom()
 	}
 }
 
-// Give returns a descriptor.
-func (b *Budget) Give() { b.used.Add(-1) }
+// Release returns a descriptor.
+func (b *Budget) Release() { b.used.Add(-1) }
 
 // Limit is how many descriptors there are.
 func (b *Budget) Limit() int { return int(b.limit) }
@@ -70,8 +70,8 @@
 // Used is how many are held.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
-// Room closes one idle connection, and tells whether there was one.
-func (b *Budget) Room() bool {
+// HasRoom closes one idle connection, and tells whether there was one.
+func (b *Budget) HasRoom() bool {
 	b.mu.Lock()
 	evict := b.evict
 	b.mu.Unlock()
@@ -110,8 +110,8 @@
 	s.own, s.maximum = int64(own), int64(most)
 }
 
-// End gives back what is its own. What it still holds goes back with each Give.
-func (s *Share) End() { s.Resize(0, 0) }
+// Close gives back what is its own. What it still holds goes back with each Give.
+func (s *Share) Close() { s.Resize(0, 0) }
 
 // Limit is how many may be held.
 func (s *Share) Limit() int {
@@ -130,8 +130,8 @@
 	return int(s.used)
 }
 
-// Take reserves a descriptor. Where none is left an idle connection makes room, if there is one.
-func (s *Share) Take() bool {
+// Acquire reserves a descriptor. Where none is left an idle connection makes room, if there is one.
+func (s *Share) Acquire() bool {
 	s.mu.Lock()
 	for s.maximum > 0 && s.used >= s.maximum {
 		s.mu.Unlock()
@@ -143,7 +143,7 @@
 	s.used++
 	own := s.used <= s.own
 	s.mu.Unlock()
-	if own || s.of.Take() { // not under the lock: room is made by giving back, maybe here
+	if own || s.of.Acquire() { // not under the lock: room is made by giving back, maybe here
 		return true
 	}
 	s.mu.Lock()
@@ -155,12 +155,12 @@
 	return false
 }
 
-// Give returns a descriptor.
-func (s *Share) Give() {
+// Release returns a descriptor.
+func (s *Share) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.used--; s.used >= s.own {
-		s.of.Give()
+		s.of.Release()
 	}
 }
 
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -20,31 +20,31 @@
 		t.Fatalf("%d booked", b.Used())
 	}
 	held := 0
-	for sick.Take() {
+	for sick.Acquire() {
 		held++
 	}
 	if held != 14 {
 		t.Errorf("the greedy one got %d, want its 4 and the 10 that nobody owns", held)
 	}
 	for i := range 6 {
-		if !well.Take() {
+		if !well.Acquire() {
 			t.Fatalf("its own descriptor %d is not to be had", i)
 		}
 	}
-	if well.Take() {
+	if well.Acquire() {
 		t.Error("more than there are")
 	}
 	for range held {
-		sick.Give()
+		sick.Release()
 	}
 	for range 6 {
-		well.Give()
+		well.Release()
 	}
 	if b.Used() != 10 {
 		t.Errorf("%d booked after all was given back", b.Used())
 	}
-	sick.End()
-	well.End()
+	sick.Close()
+	well.Close()
 	if b.Used() != 0 {
 		t.Errorf("%d booked in the end", b.Used())
 	}
@@ -59,20 +59,20 @@
 			return false
 		}
 		idle--
-		s.Give()
+		s.Release()
 		return true
 	})
 	for i := range 5 {
-		if !s.Take() {
+		if !s.Acquire() {
 			t.Fatal("refused at ", i)
 		}
 	}
 	for range 2 {
-		if !s.Take() {
+		if !s.Acquire() {
 			t.Error("an idle one does not make room")
 		}
 	}
-	if s.Take() || s.Used() != 5 || b.Used() != 5 {
+	if s.Acquire() || s.Used() != 5 || b.Used() != 5 {
 		t.Errorf("%d held, %d booked", s.Used(), b.Used())
 	}
 	leave()
@@ -86,16 +86,16 @@
 	b := NewBudget(8)
 	s, other := b.Share(3, 0), b.Share(0, 0)
 	closed := 0
-	s.OnShort(func() bool { closed++; s.Give(); return true })
+	s.OnShort(func() bool { closed++; s.Release(); return true })
 	for range 4 {
-		s.Take()
+		s.Acquire()
 	}
 	for range 5 {
-		if !other.Take() {
+		if !other.Acquire() {
 			t.Fatal("refused")
 		}
 	}
-	if other.Take() {
+	if other.Acquire() {
 		t.Error("took what is another's own")
 	}
 	if closed != 1 || s.Used() != 3 {
@@ -117,14 +117,14 @@
 					s.Resize(rng.IntN(9), 0)
 				}
 				if held > 0 && rng.IntN(2) == 0 {
-					s.Give()
+					s.Release()
 					held--
-				} else if s.Take() {
+				} else if s.Acquire() {
 					held++
 				}
 			}
 			for range held {
-				s.Give()
+				s.Release()
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 		if s.Used() != 0 {
 			t.Errorf("%d held", s.Used())
 		}
-		s.End()
+		s.Close()
 	}
 	if b.Used() != 0 {
 		t.Errorf("%d booked in the end", b.Used())
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -29,7 +29,7 @@
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.RequestURI), req.RequestURI)
 			}
 		})
-		p := newPool(t, Options{Rest: time.Hour}, 9)
+		p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
 		up := p.Upstream(b.Addr, 0)
 		for _, path := range []string{"/1", "/2", "/3"} {
 			if r := do(up, get(path)); r.Result != balancer.Served || string(r.Body) != path {
@@ -43,7 +43,7 @@
 func TestRestedConnectionsAreUsed(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
-	p := newPool(t, Options{Rest: time.Hour}, 9)
+	p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 3 {
 		do(up, get("/get"))
@@ -73,7 +73,7 @@
 func TestUnusedConnectionsStayOld(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
-	p := newPool(t, Options{Rest: time.Hour}, 9)
+	p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 2 {
 		do(up, get("/get"))
@@ -82,13 +82,13 @@
 		t.Fatalf("%d connections", n)
 	}
 	p.mu.Lock()
-	p.opt.Rest = 0
+	p.opt.ReuseDelay = 0
 	older, newer := up.idle[0], up.idle[1]
 	older.since, newer.since = older.since.Add(-30*time.Minute), newer.since.Add(-20*time.Minute)
 	was := newer.since
 	p.mu.Unlock()
 	r := get("/left")
-	r.Wanted = func() bool { return false }
+	r.StillWanted = func() bool { return false }
 	if got := do(up, r); !got.Unwanted || got.Result != balancer.NotSent {
 		t.Errorf("result %d, unwanted %t", got.Result, got.Unwanted)
 	}
@@ -123,10 +123,10 @@
 		want balancer.Result
 	}{
 		"as the request comes":     {big, "", false, balancer.NotConnected},
-		"behind the last byte":     {get("/get"), "", true, balancer.ConnLost},
-		"in the head":              {get("/get"), "HTTP/1.1 200 OK\r\nCont", true, balancer.ConnLost},
-		"in the body":              {get("/get"), "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true, balancer.ConnLost},
-		"behind a body of its own": {post(100), "", true, balancer.ConnLost},
+		"behind the last byte":     {get("/get"), "", true, balancer.ConnectionLost},
+		"in the head":              {get("/get"), "HTTP/1.1 200 OK\r\nCont", true, balancer.ConnectionLost},
+		"in the body":              {get("/get"), "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true, balancer.ConnectionLost},
+		"behind a body of its own": {post(100), "", true, balancer.ConnectionLost},
 	} {
 		b := testbed.NewPeer(t, func(k net.Conn, _ int) {
 			r := bufio.NewReader(k)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -23,29 +23,31 @@
 type Options struct {
 	ConnectTimeout time.Duration // a connection that is not up by then never was
 	IdleTimeout    time.Duration
-	// Rest is how long a connection is left alone behind an answer before it carries another request. What a backend sends
+	// ReuseDelay is how long a connection is left alone behind an answer before it carries another request. What a backend sends
 	// unasked some milliseconds late would pass for the answer to that one: HTTP/1.1 cannot tell. 0: not at all.
-	Rest time.Duration
-	// Answers tells which statuses are answers to pass on; others are failures of the backend, whose short answers
+	ReuseDelay time.Duration
+	// IsAnswer tells which statuses are answers to pass on; others are failures of the backend, whose short answers
 	// come with the Reply as well. nil: 200 alone, and nothing of a failure's answer is kept.
-	Answers func(status int) bool
+	IsAnswer func(status int) bool
 	// Pause is how long an answer may stand still once it has begun, Stall the same of one that is passed on already;
 	// 0: 250 ms and 1.5 s, the platform's. Longest is the length that none may say to have; 0: 32 MiB, the platform's.
-	Pause, Stall time.Duration
-	Longest      int64
-	// AtOnce tells from an answer's head that it is to be passed on as it comes, however short; nil: none is.
-	AtOnce func(head http.Header) bool
+	Pause, Stall     time.Duration
+	MaxResponseBytes int64
+	// StreamResponse tells from an answer's head that it is to be passed on as it comes, however short; nil: none is.
+	StreamResponse func(head http.Header) bool
 }
 
 func (p *Pool) pause() time.Duration { return cmp.Or(p.opt.Pause, answerPause) }
 func (p *Pool) stall() time.Duration { return cmp.Or(p.opt.Stall, streamStall) }
-func (p *Pool) longest() int64       { return cmp.Or(p.opt.Longest, longest) }
+func (p *Pool) maxResponseBytes() int64 {
+	return cmp.Or(p.opt.MaxResponseBytes, defaultMaxResponseBytes)
+}
 
 func (p *Pool) answers(status int) bool {
-	if p.opt.Answers == nil {
+	if p.opt.IsAnswer == nil {
 		return status == 200
 	}
-	return p.opt.Answers(status)
+	return p.opt.IsAnswer(status)
 }
 
 // Pool keeps the idle connections of all backends.
@@ -194,7 +196,7 @@
 
 func (c *conn) drop() {
 	c.TCPConn.Close()
-	c.up.pool.budget.Give()
+	c.up.pool.budget.Release()
 }
 
 func (p *Pool) idleFor() time.Duration { return p.opt.IdleTimeout * 7 / 10 }
@@ -204,7 +206,7 @@
 	for {
 		p.mu.Lock()
 		i := len(u.idle) - 1
-		for i >= 0 && p.opt.Rest > 0 && time.Since(u.idle[i].since) < p.opt.Rest {
+		for i >= 0 && p.opt.ReuseDelay > 0 && time.Since(u.idle[i].since) < p.opt.ReuseDelay {
 			i--
 		}
 		if i < 0 {
@@ -334,7 +336,7 @@
 	if u.addr == "" {
 		return nil, errNoAddress
 	}
-	if !p.budget.Take() {
+	if !p.budget.Acquire() {
 		return nil, errNoDescriptor
 	}
 	until := time.Now().Add(p.opt.ConnectTimeout)
@@ -345,7 +347,7 @@
 	defer cancel()
 	nc, err := p.dialer.DialContext(ctx, "tcp", u.addr)
 	if err != nil {
-		p.budget.Give() // or a backend that is down eats the descriptors, one for each try
+		p.budget.Release() // or a backend that is down eats the descriptors, one for each try
 		return nil, err
 	}
 	c := &conn{TCPConn: nc.(*net.TCPConn), up: u, left: -1}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -26,11 +26,11 @@
 	w.Fetch()
 	fetch := testbed.Within(t, "a call", w.calls)
 	watch.chunk(line(9, false, entry("s1", "DRAINING")) + "\n")
-	w.expect(t, balancer.FleetChanges, "s1")
+	w.expect(t, balancer.UpdateDelta, "s1")
 	fetch.whole(line(8, true, entry("s1", "SERVING")))
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 	watch.chunk(line(10, false) + "\n") // the watch goes on
-	w.expect(t, balancer.FleetChanges)
+	w.expect(t, balancer.UpdateDelta)
 }
 
 // Two whole lists are asked for, and the one that was made first is read last.
@@ -41,9 +41,9 @@
 	first := testbed.Within(t, "a call", w.calls)
 	w.Fetch()
 	testbed.Within(t, "a call", w.calls).whole(line(9, true, entry("s1", "DRAINING")))
-	w.expect(t, balancer.FleetAll, "s1")
+	w.expect(t, balancer.UpdateSnapshot, "s1")
 	first.whole(line(8, true, entry("s1", "SERVING")))
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 }
 
 // A service that has lost its versions begins anew: what it tells then is the list.
@@ -55,9 +55,9 @@
 		c := testbed.Within(t, "a call", w.calls)
 		c.begin()
 		c.chunk(line(2, true, entry("s2", "SERVING")) + "\n")
-		w.expect(t, balancer.FleetAll, "s2")
+		w.expect(t, balancer.UpdateSnapshot, "s2")
 		c.chunk(line(1, true, entry("s3", "SERVING")) + "\n") // and once more, on the same watch
-		w.expect(t, balancer.FleetAll, "s3")
+		w.expect(t, balancer.UpdateSnapshot, "s3")
 	}
 }
 
@@ -78,9 +78,9 @@
 	io.Copy(io.Discard, fetch.conn) // it has been read, or never will be
 	c.begin()
 	c.chunk(line(3, true, entry("s3", "SERVING")) + "\n")
-	old.expect(t, balancer.FleetAll, "s3")
+	old.expect(t, balancer.UpdateSnapshot, "s3")
 	c.conn.Close()
-	old.expect(t, balancer.FleetRefused)
+	old.expect(t, balancer.UpdateFailed)
 	old.Watch(true)
 	if c := testbed.Within(t, "a call", next.calls); c.uri != "/registry/instances?watch=1&after=3" {
 		t.Errorf("called %s", c.uri)
@@ -104,7 +104,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
-		if w.expect(t, balancer.FleetRefused); t.Failed() {
+		if w.expect(t, balancer.UpdateFailed); t.Failed() {
 			t.Fatal(name)
 		}
 	}
@@ -121,7 +121,7 @@
 		if text != "" {
 			c.chunk(text)
 		}
-		w.expect(t, balancer.FleetRefused)
+		w.expect(t, balancer.UpdateFailed)
 	}
 }
 
@@ -143,11 +143,11 @@
 		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with what looks like the end of it in a name
 		c.chunk("\n" + text[:30])
 		c.chunk(text[30:] + "\n")
-		w.expect(t, balancer.FleetAll, fmt.Sprintf(`s{%d}"\`, i))
+		w.expect(t, balancer.UpdateSnapshot, fmt.Sprintf(`s{%d}"\`, i))
 	}
 	w.Fetch()
 	testbed.Within(t, "a call", w.calls).whole(indented(9, "s9", "SERVING"))
-	w.expect(t, balancer.FleetAll, "s9")
+	w.expect(t, balancer.UpdateSnapshot, "s9")
 }
 
 // However often a pushed list's calls hang, are refused or end, it is asked for again, and between two calls there is less
@@ -168,7 +168,7 @@
 	c := testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, false, entry("s1", "DRAINING")) + "\n")
-	w.expect(t, balancer.FleetChanges, "s1")
+	w.expect(t, balancer.UpdateDelta, "s1")
 	if most := agentTime + retryMost/2 + retryMost; most >= time.Second {
 		t.Errorf("%v between two calls", most)
 	}
@@ -186,7 +186,7 @@
 				w.Watch(true)
 				late := testbed.Within(t, "a call", w.calls)
 				io.WriteString(late.conn, half)
-				w.expect(t, balancer.FleetRefused)
+				w.expect(t, balancer.UpdateFailed)
 				w.firstTime = testbed.Patience // from here on no time is to matter
 				w.Watch(true)
 				next := testbed.Within(t, "a call beside it", w.calls)
@@ -203,15 +203,15 @@
 				default:
 					answers.chunk(line(7, true, entry("s1", "DRAINING")) + "\n")
 				}
-				w.expect(t, balancer.FleetAll, "s1")
+				w.expect(t, balancer.UpdateSnapshot, "s1")
 				testbed.Eventually(t, "the other one to be ended", func() bool { _, err := ended.conn.Write([]byte("\n")); return err != nil })
 				if lateAnswers { // the module may have planned to ask before it heard: the one that is on goes on
 					w.Watch(true)
 				}
 				answers.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
-				w.expect(t, balancer.FleetChanges, "s2")
+				w.expect(t, balancer.UpdateDelta, "s2")
 				answers.conn.Close()
-				w.expect(t, balancer.FleetRefused)
+				w.expect(t, balancer.UpdateFailed)
 				if len(w.updates) != 0 || len(w.calls) != 0 {
 					t.Errorf("%d more updates, %d more calls", len(w.updates), len(w.calls))
 				}
@@ -228,7 +228,7 @@
 	for range 6 {
 		w.Watch(true)
 		calls = append(calls, testbed.Within(t, "a call", w.calls))
-		w.expect(t, balancer.FleetRefused)
+		w.expect(t, balancer.UpdateFailed)
 	}
 	for i, c := range calls[:4] {
 		testbed.Eventually(t, fmt.Sprint("the end of call ", i), func() bool { _, err := c.conn.Write([]byte("\n")); return err != nil })
@@ -241,7 +241,7 @@
 // What a change counts as told by, whatever came before it, on paper: a call that hung, or a watch that fell silent, in the
 // moment in which discovery can be reached. The next call begins within the module's span of the one before, or of the last line.
 func TestToldWithinItsTime(t *testing.T) {
-	const told, span = 6 * time.Second, balancer.LongestAsk
+	const told, span = 6 * time.Second, balancer.MaxPollInterval
 	for name, at := range map[string]time.Duration{"an overdue call": silence, "a silent watch": silence, "a dial": dialTime} {
 		if at > span {
 			t.Errorf("%s is noticed after %v, behind the next call", name, at)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -37,7 +37,7 @@
 
 // Update is one piece of news.
 type Update struct {
-	balancer.FleetUpdate
+	balancer.EndpointUpdate
 	Endpoints map[string]string
 }
 
@@ -69,9 +69,9 @@
 	if l.Rev == nil || l.Targets == nil {
 		return 0, u, errors.New("list: rev or targets is missing")
 	}
-	u.Kind = balancer.FleetChanges
+	u.Kind = balancer.UpdateDelta
 	if l.All {
-		u.Kind = balancer.FleetAll
+		u.Kind = balancer.UpdateSnapshot
 	}
 	u.Endpoints = make(map[string]string, len(*l.Targets))
 	for _, t := range *l.Targets {
@@ -185,7 +185,7 @@
 			u = Update{}
 		}
 	}
-	u.Kind = balancer.FleetRemembered
+	u.Kind = balancer.UpdateCached
 	c.deliver(u)
 	if c.pushed {
 		c.all.Go(func() { c.follow() })
@@ -336,7 +336,7 @@
 	c.order.Lock()
 	defer c.order.Unlock()
 	if ctx.Err() == nil {
-		c.deliver(Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetRefused, Silent: silent}})
+		c.deliver(Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateFailed, SilentFor: silent}})
 	}
 }
 
@@ -410,7 +410,7 @@
 	}
 	// Danger: old news would undo newer, a drain say. A whole list that is older than what was known as it was asked for
 	// is none: the versions have begun anew. One that another call has overtaken since is.
-	if c.has && rev < c.rev && (u.Kind == balancer.FleetChanges || known != (version{c.rev, true})) {
+	if c.has && rev < c.rev && (u.Kind == balancer.UpdateDelta || known != (version{c.rev, true})) {
 		return known, fmt.Errorf("version %d after %d", rev, c.rev)
 	}
 	c.rev, c.has = rev, true
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -25,7 +25,7 @@
 
 func TestParse(t *testing.T) {
 	rev, u, err := Parse([]byte(line(41, true, entry("s1", "SERVING"), entry("s2", "DRAINING"))))
-	if err != nil || rev != 41 || u.Kind != balancer.FleetAll {
+	if err != nil || rev != 41 || u.Kind != balancer.UpdateSnapshot {
 		t.Fatalf("%d %+v %v", rev, u, err)
 	}
 	want := balancer.Server{ID: "s1", Zone: "a", Kind: "m2", Cell: 3, State: balancer.Running, Weight: 1.5, Since: time.Second}
@@ -102,7 +102,7 @@
 	if err := w.Start([]byte(known)); err != nil {
 		t.Fatal(err)
 	}
-	if u := w.next(t); u.Kind != balancer.FleetRemembered {
+	if u := w.next(t); u.Kind != balancer.UpdateCached {
 		t.Fatalf("first came %+v", u)
 	}
 	return w
@@ -113,7 +113,7 @@
 	return testbed.Within(t, "an update", w.updates)
 }
 
-func (w *world) expect(t *testing.T, kind balancer.FleetKind, ids ...string) {
+func (w *world) expect(t *testing.T, kind balancer.UpdateKind, ids ...string) {
 	t.Helper()
 	u := w.next(t)
 	var got []string
@@ -135,19 +135,19 @@
 	}
 	c.begin()
 	c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
-	w.expect(t, balancer.FleetChanges, "s2")
+	w.expect(t, balancer.UpdateDelta, "s2")
 	text := line(9, false, entry("s3", "SERVING"), entry("s2", "DELETED")) + "\n" // in pieces, with others behind
 	c.chunk("\n" + text[:20])
 	c.chunk(text[20:])
-	w.expect(t, balancer.FleetChanges, "s3", "s2")
+	w.expect(t, balancer.UpdateDelta, "s3", "s2")
 	long := line(10, true, entry("s"+strings.Repeat("x", 100<<10), "SERVING")) + "\n"
 	c.chunk("\r\n" + long + line(11, false) + "\n")
-	if u := w.next(t); u.Kind != balancer.FleetAll || len(u.Servers) != 1 {
+	if u := w.next(t); u.Kind != balancer.UpdateSnapshot || len(u.Servers) != 1 {
 		t.Errorf("a long line: %d servers", len(u.Servers))
 	}
-	w.expect(t, balancer.FleetChanges)
+	w.expect(t, balancer.UpdateDelta)
 	c.chunk(line(5, false, entry("old", "SERVING")) + "\n") // older than what is known: not to be followed
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
 	c = testbed.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1&after=11" {
@@ -155,24 +155,24 @@
 	}
 	c.begin()
 	c.chunk("{nonsense\n" + line(12, false, entry("s4", "SERVING")) + "\n") // ends the watch, and nothing else
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
 	c = testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false)[:9]) // breaks off in a line
 	c.conn.Close()
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
 	c = testbed.Within(t, "a call", w.calls)
 	io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
 	testbed.Within(t, "a call", w.calls)
 	w.Watch(true) // takes the place of the one that waits, which fails nobody
 	c = testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false) + "\n")
-	w.expect(t, balancer.FleetChanges)
+	w.expect(t, balancer.UpdateDelta)
 	w.Watch(false)
 	testbed.Eventually(t, "the watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
 	if len(w.updates) != 0 {
@@ -190,12 +190,12 @@
 	}
 	text := line(3, true, entry("s1", "SERVING"))
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-	w.expect(t, balancer.FleetAll, "s1")
+	w.expect(t, balancer.UpdateSnapshot, "s1")
 	w.Fetch()
 	c = testbed.Within(t, "a call", w.calls)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text)+1, text)
 	c.conn.Close()
-	w.expect(t, balancer.FleetRefused)
+	w.expect(t, balancer.UpdateFailed)
 }
 
 // A machine that is cut off says nothing: a watch without its empty lines is dead.
@@ -207,13 +207,13 @@
 	if c.uri != "/registry/instances?watch=1" {
 		t.Errorf("called %s", c.uri)
 	}
-	w.expect(t, balancer.FleetRefused) // never an answer
+	w.expect(t, balancer.UpdateFailed) // never an answer
 	w.Watch(true)
 	c = testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(1, true, entry("s1", "SERVING")) + "\n")
-	w.expect(t, balancer.FleetAll, "s1")
-	w.expect(t, balancer.FleetRefused) // then nothing more
+	w.expect(t, balancer.UpdateSnapshot, "s1")
+	w.expect(t, balancer.UpdateFailed) // then nothing more
 }
 
 func TestPushed(t *testing.T) {
@@ -230,7 +230,7 @@
 	c := testbed.Within(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, true, entry("s1", "SERVING")) + "\n")
-	w.expect(t, balancer.FleetAll, "s1")
+	w.expect(t, balancer.UpdateSnapshot, "s1")
 	c.conn.Close()
 	if c := testbed.Within(t, "a call", w.calls); c.uri != "/registry/instances?watch=1&after=8" {
 		t.Errorf("resumed with %s", c.uri)
@@ -250,7 +250,7 @@
 		c := testbed.Within(t, "a call", old.calls)
 		c.begin()
 		c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
-		old.expect(t, balancer.FleetChanges, "s2")
+		old.expect(t, balancer.UpdateDelta, "s2")
 		old.Move(next.addr)
 		testbed.Eventually(t, "the old watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
 		c = testbed.Within(t, "a call at the new address", next.calls)
@@ -259,7 +259,7 @@
 		}
 		c.begin()
 		c.chunk(line(3, true, entry("s3", "SERVING")) + "\n") // its versions are its own
-		old.expect(t, balancer.FleetAll, "s3")
+		old.expect(t, balancer.UpdateSnapshot, "s3")
 		if len(old.updates) != 0 || len(old.calls) != 0 {
 			t.Errorf("pushed %v: moving told %d more and called the old address %d times", pushed, len(old.updates), len(old.calls))
 		}
@@ -274,7 +274,7 @@
 	if err := c.Start([]byte(`{"rev":1,"targets":[{"uid":"x","state":"ODD"}]}`)); err == nil {
 		t.Error("it was taken")
 	}
-	if u := <-updates; u.Kind != balancer.FleetRemembered || len(u.Servers) != 0 {
+	if u := <-updates; u.Kind != balancer.UpdateCached || len(u.Servers) != 0 {
 		t.Errorf("%+v", u)
 	}
 }
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -43,7 +43,7 @@
 func (m *module) deliver(u Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.bal.Fleet(time.Duration(time.Now().UnixNano()), u.FleetUpdate)
+	m.bal.UpdateEndpoints(time.Duration(time.Now().UnixNano()), u.EndpointUpdate)
 	for _, s := range u.Servers {
 		if s.State == balancer.Draining {
 			select {
@@ -170,8 +170,8 @@
 			m.client = New("127.0.0.1:1", false, m.deliver)
 			m.client.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: s.dial}}
 			var err error
-			m.bal, err = balancer.New(balancer.Settings{Ask: true, MustAskIn: 10 * time.Second, Me: int(seed), Proxies: 300,
-				Classes: []balancer.Class{{Name: "get", Deadline: time.Second, Worth: 1}}}, seed, m)
+			m.bal, err = balancer.New(balancer.Settings{Polled: true, MaxPollInterval: 10 * time.Second, Index: int(seed), Proxies: 300,
+				Classes: []balancer.Class{{Name: "get", Deadline: time.Second, PriorityWeight: 1}}}, seed, m)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/endpoints/membership.go
+++ b/internal/endpoints/membership.go
@@ -98,7 +98,7 @@
 	v.choose()
 	sent := make(map[string]balancer.Server, len(servers))
 	u := &discovery.Update{Endpoints: map[string]string{}}
-	u.Kind = balancer.FleetChanges
+	u.Kind = balancer.UpdateDelta
 	for _, e := range w.Endpoints {
 		s := servers[e.Address].balancer(v.Tiers)
 		if old, ok := v.sent[s.ID]; first || !ok || old != s {
@@ -115,7 +115,7 @@
 	}
 	v.sent = sent
 	if first {
-		u.Kind = balancer.FleetAll
+		u.Kind = balancer.UpdateSnapshot
 	} else if len(u.Servers) == 0 {
 		return nil
 	}
@@ -191,7 +191,7 @@
 		return nil
 	}
 	u := &discovery.Update{Endpoints: make(map[string]string, len(v.sent))}
-	u.Kind = balancer.FleetAll
+	u.Kind = balancer.UpdateSnapshot
 	for _, s := range v.Servers() {
 		u.Servers = append(u.Servers, v.sent[s.Address])
 		u.Endpoints[s.Address] = s.Address
--- a/internal/endpoints/membership_test.go
+++ b/internal/endpoints/membership_test.go
@@ -73,7 +73,7 @@
 	a, b := Endpoint{Address: "a", Zone: "z"}, Endpoint{Address: "b", Zone: "z"}
 	v.Apply(10, Update{Endpoints: []Endpoint{a}})
 	u := v.Apply(20, Update{Endpoints: []Endpoint{a, b}})
-	if len(u.Servers) != 1 || u.Kind != balancer.FleetChanges || u.Servers[0].ID != "b" {
+	if len(u.Servers) != 1 || u.Kind != balancer.UpdateDelta || u.Servers[0].ID != "b" {
 		t.Errorf("%+v", u)
 	}
 	if m := since(); m["a"] != 0 || m["b"] != 20 {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -444,7 +444,7 @@
 		if c.Wanted > c.Deadline {
 			s.Bad(field+".wanted", "%v is longer than the deadline, %v", c.Wanted.D(), c.Deadline.D())
 		}
-		if balancer.Effect(c.Effect) == balancer.Keyed && c.Window == 0 {
+		if balancer.Effect(c.Effect) == balancer.IdempotentWithKey && c.Window == 0 {
 			s.Bad(field+".window", "a keyed class needs it")
 		}
 	}
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -394,7 +394,7 @@
 	ctx, cancel := context.WithDeadline(ctx, p.at(due+c.Deadline.D()+2*time.Second))
 	defer cancel()
 	method, id := http.MethodGet, strconv.FormatUint(p.ids.Add(1), 10)
-	if balancer.Effect(c.Effect) != balancer.Safe {
+	if balancer.Effect(c.Effect) != balancer.Idempotent {
 		method = http.MethodPost
 	}
 	i, gate := p.front(x.gateway)
@@ -410,7 +410,7 @@
 	if x.key != "" {
 		r.Header.Set("X-Tenant", x.key)
 	}
-	if balancer.Effect(c.Effect) == balancer.Keyed {
+	if balancer.Effect(c.Effect) == balancer.IdempotentWithKey {
 		r.Header.Set("Idempotency-Key", id)
 	}
 	broken := func() (outcome, time.Duration) {
@@ -531,10 +531,10 @@
 
 // ran takes an effect; a repeat of a key is dropped within its group.
 func (p *playing) ran(r *http.Request, c *Class, zone string) {
-	if balancer.Effect(c.Effect) == balancer.Safe {
+	if balancer.Effect(c.Effect) == balancer.Idempotent {
 		return
 	}
-	keyed := balancer.Effect(c.Effect) == balancer.Keyed
+	keyed := balancer.Effect(c.Effect) == balancer.IdempotentWithKey
 	if keyed && balancer.Group(c.Group) == balancer.GroupAll {
 		zone = ""
 	}
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -43,7 +43,7 @@
 		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, Queue: g.Queue, Speed: g.at})
 	}
 	for _, c := range e.Classes {
-		o.Classes = append(o.Classes, fleet.Class{Part: c.Part, Draw: c.draw, Answer: f.Link.takes(c.Answer), Class: balancer.Class{Name: c.Name, Aim: c.Wanted.D(), Deadline: c.Deadline.D(), Worth: c.Worth,
+		o.Classes = append(o.Classes, fleet.Class{Part: c.Part, Draw: c.draw, Answer: f.Link.takes(c.Answer), Class: balancer.Class{Name: c.Name, LatencyObjective: c.Wanted.D(), Deadline: c.Deadline.D(), PriorityWeight: c.Worth,
 			Effect: balancer.Effect(c.Effect), Group: balancer.Group(c.Group), Window: c.Window.D()}})
 	}
 	if g.Admission != "estimate" {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -15,7 +15,7 @@
 		Breakers: admitBreakers(b), PendingBytes: int64(v.MaxWaiting),
 		RetryRatio: orNone(*v.Retries.Ratio), RetryRate: orNone(*v.Retries.Rate), RetryTTL: v.Retries.TTL.D()}
 	if b.High != nil {
-		o.High = admitBreakers(b.High)
+		o.HighPriority = admitBreakers(b.High)
 	}
 	return o
 }
@@ -23,7 +23,7 @@
 func admitBreakers(b *config.Breakers) admission.Breakers {
 	o := admission.Breakers{MaxRequests: b.MaxRequests, MaxPending: b.MaxPending, MaxRetries: b.MaxRetries}
 	if r := b.RetryBudget; r != nil {
-		o.RetryPercent, o.RetryLeast = r.Percent, r.MinConcurrency
+		o.RetryPercent, o.MinRetries = r.Percent, r.MinConcurrency
 	}
 	return o
 }
@@ -32,14 +32,14 @@
 func (g *Gateway) admission(c *cluster) *admission.Controller {
 	o := c.spec.admitOptions()
 	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, admission.Class{Name: k.Name, Worth: k.Worth, Wanted: k.Wanted.D()})
-		if balancer.Effect(k.Effect) == balancer.Keyed {
-			o.Classes = append(o.Classes, admission.Class{Name: k.Name + unkeyed, Worth: k.Worth, Wanted: k.Wanted.D()})
+		o.Classes = append(o.Classes, admission.Class{Name: k.Name, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D()})
+		if balancer.Effect(k.Effect) == balancer.IdempotentWithKey {
+			o.Classes = append(o.Classes, admission.Class{Name: k.Name + unkeyed, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D()})
 		}
 	}
 	log, name := g.log, c.name
 	o.Notify = func(t admission.Change) {
-		if !t.Short {
+		if !t.Overloaded {
 			log.Info("the cluster is well again", "cluster", name, "limit", t.Limit)
 			return
 		}
@@ -65,7 +65,7 @@
 	in := c.in
 	g.mu.Unlock()
 	short := false
-	in.core.Inspect(func(now time.Duration) { short = in.admission.Short(now) })
+	in.core.Inspect(func(now time.Duration) { short = in.admission.Overloaded(now) })
 	if short {
 		time.AfterFunc(time.Second, func() { g.watchShort(c) })
 	}
@@ -102,8 +102,8 @@
 func (in *instance) admissionStatus() AdmissionStatus {
 	var r admission.Report
 	in.core.Inspect(func(now time.Duration) { r = in.admission.Report(now) })
-	s := AdmissionStatus{Mode: r.Mode.String(), Limit: r.Limit, Active: r.Active, Waiting: r.Waiting, Bytes: r.Bytes, Throughput: r.Throughput, Short: r.Short,
-		Evidence: r.Evidence, Started: r.Started, Waited: r.Queued, Refused: r.Refused, Retries: r.Retries, Denied: r.Denied}
+	s := AdmissionStatus{Mode: r.Mode.String(), Limit: r.Limit, Active: r.Active, Waiting: r.Waiting, Bytes: r.Bytes, Throughput: r.Throughput, Short: r.Overloaded,
+		Evidence: r.Evidence, Started: r.Started, Waited: r.Queued, Refused: r.Rejected, Retries: r.RetriesLeft, Denied: r.RetriesDenied}
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
 	for _, k := range r.Classes {
 		if k.High {
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -264,12 +264,12 @@
 func TestCountersOfFormerNamesAreBounded(t *testing.T) {
 	g := &Gateway{past: map[string]*past{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}}
 	stays := &cluster{name: "stays", past: g.pastOf("stays")}
-	stays.past.Taken = 7
+	stays.past.Accepted = 7
 	g.clusters["stays"] = stays
 	for i := range 5 * maxPast {
 		g.pastOf(fmt.Sprint("c", i))
 	}
-	if len(g.past) > maxPast+1 || g.pastOf("stays").Taken != 7 {
-		t.Errorf("%d names, %d", len(g.past), g.pastOf("stays").Taken)
+	if len(g.past) > maxPast+1 || g.pastOf("stays").Accepted != 7 {
+		t.Errorf("%d names, %d", len(g.past), g.pastOf("stays").Accepted)
 	}
 }
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -13,11 +13,11 @@
 
 // ended hands a request that has its answer to the recording under way, if there is one. It is called with a core's lock
 // held, and never waits.
-func (g *Gateway) ended(e proxy.Ended) {
+func (g *Gateway) ended(e proxy.Completed) {
 	if g.fleet != nil {
-		class := strings.TrimSuffix(e.Words.Class, unkeyed)
+		class := strings.TrimSuffix(e.Attributes.Class, unkeyed)
 		wanted, known := g.routes.Load().wanted[class]
-		g.shows.add(class, e.Outcome, e.Took, known && e.Took <= wanted)
+		g.shows.add(class, e.Outcome, e.Latency, known && e.Latency <= wanted)
 	}
 	r := g.recorder.Load()
 	if r == nil {
@@ -27,16 +27,16 @@
 	switch e.Outcome {
 	case proxy.OutcomeServed:
 		out = capture.Served
-	case proxy.OutcomeRefused:
+	case proxy.OutcomeRejected:
 		out = capture.Refused
-	case proxy.OutcomeLeft:
+	case proxy.OutcomeClientLeft:
 		out = capture.Left
 	}
-	key := e.Words.Key
+	key := e.Attributes.Key
 	if key == "" {
-		key = e.Words.Tenant
+		key = e.Attributes.Tenant
 	}
-	r.Add(strings.TrimSuffix(e.Words.Class, unkeyed), key, e.Method, e.Words.Size, e.Took, out)
+	r.Add(strings.TrimSuffix(e.Attributes.Class, unkeyed), key, e.Method, e.Attributes.Size, e.Latency, out)
 }
 
 // capture streams a recording of the load: POST /capture?seconds=60&sample=1&records=1000000. There is one at a time.
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -53,7 +53,7 @@
 	core *proxy.Core
 	of   *cluster
 	// Both belong to the core, and are looked at by its Inspect alone.
-	zones     *locality.Book // nil: none
+	zones     *locality.Picker // nil: none
 	admission *admission.Controller
 }
 
@@ -315,14 +315,14 @@
 	set.Admission = in.admission
 	if c.spec.zones != nil {
 		in.zones = g.book(c)
-		set.Tiers = in.zones
+		set.Localities = in.zones
 	}
 	pool := backend.NewPool(backend.Options{ConnectTimeout: c.spec.conf.ConnectTimeout.D(), IdleTimeout: c.spec.conf.IdleTimeout.D(),
-		Answers: func(status int) bool { return status < http.StatusInternalServerError },
+		IsAnswer: func(status int) bool { return status < http.StatusInternalServerError },
 		// What the origin says goes: how long its answers are and when they pause is its own affair, within the deadline and
 		// the time that a client is kept for nothing.
-		Pause: time.Minute, Stall: 5 * time.Minute, Longest: math.MaxInt64, AtOnce: events}, c.conns)
-	core, err := proxy.NewCore(proxy.Options{Settings: set, Seed: uint64(g.Now()), Open: c.requests, Memory: c.mem, Rests: true, Ended: g.ended}, pool)
+		Pause: time.Minute, Stall: 5 * time.Minute, MaxResponseBytes: math.MaxInt64, StreamResponse: events}, c.conns)
+	core, err := proxy.NewCore(proxy.Options{Settings: set, Seed: uint64(g.Now()), Open: c.requests, Memory: c.mem, Rests: true, OnCompleted: g.ended}, pool)
 	if err != nil { // the configuration was checked: this cannot be
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
@@ -332,7 +332,7 @@
 		c.view.Resend()
 	}
 	if u := c.view.Snapshot(); u != nil {
-		core.Fleet(*u)
+		core.UpdateEndpoints(*u)
 	}
 	if c.in != nil {
 		g.retire(c.in)
@@ -368,16 +368,16 @@
 // settings words a cluster for the decision module.
 func settings(s *spec) balancer.Settings {
 	c := s.conf
-	set := balancer.Settings{Zone: s.zone, Me: s.gateway.Number, Proxies: s.gateway.Of, MaxAttempts: c.Attempts, ParallelTries: *c.Hedge,
-		MayCancel: true, RetryAdvice: true, MaxRetryAdvice: 5 * time.Second, ConnectTimeout: c.ConnectTimeout.D(), ConnIdle: c.IdleTimeout.D(),
-		Multiplex: 1, DrainGrace: c.DrainGrace.D(), ColdTime: c.WarmUp.Time.D(), ColdShare: c.WarmUp.Share, FallMultiple: c.WarmUp.Max,
-		FallTime: time.Second, Price: balancer.Prices{CrossZone: *c.CrossZone}, Weights: balancer.WeightNominal}
+	set := balancer.Settings{Zone: s.zone, Index: s.gateway.Number, Proxies: s.gateway.Of, MaxAttempts: c.Attempts, ParallelAttempts: *c.Hedge,
+		MayCancel: true, RetryAfter: true, MaxRetryAfter: 5 * time.Second, ConnectTimeout: c.ConnectTimeout.D(), ConnIdle: c.IdleTimeout.D(),
+		Multiplex: 1, DrainGrace: c.DrainGrace.D(), WarmUpTime: c.WarmUp.Time.D(), WarmUpShare: c.WarmUp.Share, OverloadMultiple: c.WarmUp.Max,
+		OverloadWindow: time.Second, Price: balancer.Prices{CrossZone: *c.CrossZone}, Weights: balancer.WeightNominal}
 	for _, k := range s.classes {
-		lc := balancer.Class{Name: k.Name, Aim: k.Wanted.D(), Deadline: k.Deadline.D(), Effect: balancer.Effect(k.Effect),
-			Group: balancer.Group(k.Group), Window: k.Window.D(), Worth: k.Worth}
+		lc := balancer.Class{Name: k.Name, LatencyObjective: k.Wanted.D(), Deadline: k.Deadline.D(), Effect: balancer.Effect(k.Effect),
+			Group: balancer.Group(k.Group), Window: k.Window.D(), PriorityWeight: k.Worth}
 		set.Classes = append(set.Classes, lc)
-		if lc.Effect == balancer.Keyed {
-			lc.Name, lc.Effect, lc.Window, lc.Group = lc.Name+unkeyed, balancer.Unsafe, 0, 0
+		if lc.Effect == balancer.IdempotentWithKey {
+			lc.Name, lc.Effect, lc.Window, lc.Group = lc.Name+unkeyed, balancer.NonIdempotent, 0, 0
 			set.Classes = append(set.Classes, lc)
 		}
 	}
@@ -456,10 +456,10 @@
 	if u == nil {
 		return
 	}
-	c.in.core.Fleet(*u)
+	c.in.core.UpdateEndpoints(*u)
 	for in := range g.old {
 		if in.of == c {
-			in.core.Fleet(*u)
+			in.core.UpdateEndpoints(*u)
 		}
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -92,7 +92,7 @@
 		if late {
 			n := 0
 			for _, c := range cores {
-				n += c.Expire(last(f))
+				n += c.ExpireAll(last(f))
 			}
 			g.log.Info("the grace of an order is over: what was in hand is answered", "id", id, "requests", n)
 		}
@@ -138,9 +138,9 @@
 
 func effectName(e config.Effect) string {
 	switch balancer.Effect(e) {
-	case balancer.Safe:
+	case balancer.Idempotent:
 		return "safe"
-	case balancer.Keyed:
+	case balancer.IdempotentWithKey:
 		return "keyed"
 	}
 	return "unsafe"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 		listeners: map[string]*listener{}, feeds: map[string]*feed{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}, past: map[string]*past{}}
 	g.base = time.Duration(g.boot.UnixNano())
 	g.life, g.end = context.WithCancel(context.Background())
-	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), MaxBodyBytes: int64(f.Limits.Body), Router: g, WholeWaits: true, ShedHeads: true})
+	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), MaxBodyBytes: int64(f.Limits.Body), Router: g, FinishComplete: true, ShedSilentClients: true})
 	g.routes.Store(&routing{file: &route.Table{}, clusters: map[string]*cluster{}})
 	g.local = f
 	err := g.joinFleet(f)
@@ -322,7 +322,7 @@
 
 func (g *Gateway) destination(r *http.Request, from proxy.Peer) proxy.Destination {
 	if g.refuses.Load() {
-		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "this gateway is taken out of service", Wait: time.Second, Close: true}
+		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "this gateway is taken out of service", RetryAfter: time.Second, Close: true}
 	}
 	t := g.routes.Load()
 	path := r.URL.EscapedPath()
@@ -345,7 +345,7 @@
 		c.past.dropped.Add(1)
 		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "refused by the control plane's drop_overloads"}
 	}
-	w := balancer.Request{ID: strconv.FormatUint(g.ids.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, High: found.Route.High}
+	w := balancer.Request{ID: strconv.FormatUint(g.ids.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, HighPriority: found.Route.High}
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		if w.Class == "" {
@@ -364,13 +364,13 @@
 		w.Class += unkeyed
 	}
 	core := c.core.Load()
-	if w.Left = core.Deadline(w.Class); w.Left <= 0 { // a class that went with the last configuration
+	if w.TimeLeft = core.Deadline(w.Class); w.TimeLeft <= 0 { // a class that went with the last configuration
 		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "class " + found.Class + " is not known"}
 	}
-	if ms, err := strconv.ParseInt(r.Header.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < w.Left.Milliseconds() {
-		w.Left = time.Duration(ms) * time.Millisecond
+	if ms, err := strconv.ParseInt(r.Header.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < w.TimeLeft.Milliseconds() {
+		w.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
-	return proxy.Destination{Core: core, Words: w}
+	return proxy.Destination{Core: core, Attributes: w}
 }
 
 // climbs tells whether a path has a segment that leads elsewhere than it says. Danger: who stands behind the gateway
@@ -403,7 +403,7 @@
 	}
 	for _, c := range g.file.Classes {
 		r.wanted[c.Name] = c.Wanted.D()
-		if balancer.Effect(c.Effect) == balancer.Keyed {
+		if balancer.Effect(c.Effect) == balancer.IdempotentWithKey {
 			r.keyed[c.Name] = true
 		}
 	}
@@ -581,7 +581,7 @@
 		in.core.Retire()
 		in.core.Close()
 	}
-	g.front.Shut()
+	g.front.CloseIdle()
 	g.work.Wait()
 	if g.fleet != nil {
 		g.fleet.Stop(leaveFleet)
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -63,7 +63,7 @@
 		g.fleet.Restart(own.Restart)
 	}
 	g.drain = own
-	g.front.Closing(own != nil)
+	g.front.SetClosing(own != nil)
 	g.refuses.Store(own != nil && g.Now()-g.drainAt >= own.Notice)
 	old := g.held
 	g.held = held
@@ -102,7 +102,7 @@
 	for name, c := range g.clusters {
 		out := map[string]bool{}
 		count := func(in *instance) {
-			in.core.Endpoints(func(id string, n int, ejected bool) {
+			in.core.EachServer(func(id string, n int, ejected bool) {
 				inHand[drain.Target{Cluster: name, Endpoint: id}] += n
 				out[id] = out[id] || ejected && in == c.in
 			})
@@ -137,7 +137,7 @@
 		case g.mine(o):
 			n := 0
 			for _, c := range g.cores() {
-				n += c.InHand()
+				n += c.InFlight()
 			}
 			if !g.refuses.Load() { // what still may come counts as one
 				n++
@@ -160,7 +160,7 @@
 		t.Add(in.core.Stats())
 	}
 	nowhere := g.nowhere.Load()
-	return release.Figures{Accepted: t.Taken + nowhere, Failed: t.Failed + t.Refused + nowhere, Served: t.Served, LatencySeconds: t.Took.Seconds(), Memory: resident(),
+	return release.Figures{Accepted: t.Accepted + nowhere, Failed: t.Failed + t.Rejected + nowhere, Served: t.Served, LatencySeconds: t.TotalLatency.Seconds(), Memory: resident(),
 		LatencyCounts: g.shows.times(), Classes: g.shows.all()}
 }
 
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -57,7 +57,7 @@
 		if !l.covers(from.Listener, route, class) {
 			continue
 		}
-		d := l.table.Take(now, l.hash(r, from.Addr))
+		d := l.table.Allow(now, l.hash(r, from.Addr))
 		if d.OK {
 			l.allowed.Add(1)
 			continue
@@ -65,8 +65,8 @@
 		l.refused.Add(1)
 		// The fields of draft-ietf-httpapi-ratelimit-headers. Danger: all that share a key would come back at the same moment.
 		return &proxy.Destination{Status: http.StatusTooManyRequests, Text: "rate limit " + l.conf.Name,
-			Wait:   time.Duration(float64(d.RetryAfter) * (1 + rand.Float64()/2)),
-			Header: http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {fmt.Sprintf("%q;r=%d;t=%d", l.conf.Name, d.Remaining, seconds(d.Reset))}}}
+			RetryAfter: time.Duration(float64(d.RetryAfter) * (1 + rand.Float64()/2)),
+			Header:     http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {fmt.Sprintf("%q;r=%d;t=%d", l.conf.Name, d.Remaining, seconds(d.Reset))}}}
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 
 func (g *Gateway) rateLimitStatus() (l []RateLimitStatus) {
 	for _, x := range g.limits {
-		l = append(l, RateLimitStatus{x.conf.Name, x.allowed.Load(), x.refused.Load(), x.table.Rest()})
+		l = append(l, RateLimitStatus{x.conf.Name, x.allowed.Load(), x.refused.Load(), x.table.SharedCount()})
 	}
 	return l
 }
--- a/internal/gateway/shows.go
+++ b/internal/gateway/shows.go
@@ -27,7 +27,7 @@
 	if out == proxy.OutcomeServed {
 		s.buckets[release.LatencyBucket(took)].Add(1)
 	}
-	if out == proxy.OutcomeLeft {
+	if out == proxy.OutcomeClientLeft {
 		return
 	}
 	s.mu.RLock()
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -134,8 +134,8 @@
 	Clients         int   `json:"client_connections"`
 }
 
-var results = [...]string{balancer.Served: "served", balancer.Errored: "error", balancer.TurnedAway: "turned_away", balancer.TimedOut: "timed_out",
-	balancer.NotConnected: "not_connected", balancer.ConnLost: "connection_lost", balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent"}
+var results = [...]string{balancer.Served: "served", balancer.ServerError: "error", balancer.Rejected: "turned_away", balancer.TimedOut: "timed_out",
+	balancer.NotConnected: "not_connected", balancer.ConnectionLost: "connection_lost", balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent"}
 
 // Status tells how the gateway stands. Of each cluster at most endpoints endpoints are named; 0: all.
 func (g *Gateway) Status(endpoints int) Status {
@@ -222,7 +222,7 @@
 	}
 	s.RateLimits = g.rateLimitStatus()
 	s.Limits = LimitsStatus{Descriptors: g.budget.Used(), DescriptorsMost: g.budget.Limit(), Memory: g.memory.Used(),
-		MemoryMost: g.memory.Limit(), Requests: g.open.Used(), RequestsMost: g.open.Limit(), Clients: g.front.Conns()}
+		MemoryMost: g.memory.Limit(), Requests: g.open.Used(), RequestsMost: g.open.Limit(), Clients: g.front.ConnectionCount()}
 	return s, listings
 }
 
@@ -230,7 +230,7 @@
 	w, at := c.view.LastUpdate()
 	s := ClusterStatus{Name: c.name, Source: cmp.Or(w.Source, sourceName(c.spec.source)), Service: c.spec.service, Version: w.Version,
 		Stale: w.Stale, Refused: c.refused, Warnings: c.warn, Leaving: c.leaving(), Drop: float64(c.drop.Load()) / (1 << 32),
-		Dropped: c.past.dropped.Load(), Usable: c.view.Usable(), InHand: c.in.core.InHand(), Endpoints: []EndpointStatus{},
+		Dropped: c.past.dropped.Load(), Usable: c.view.Usable(), InHand: c.in.core.InFlight(), Endpoints: []EndpointStatus{},
 		Holds: HoldStatus{Descriptors: c.conns.Used(), Memory: c.mem.Used(), Requests: c.requests.Used()}}
 	if c.view.Known() {
 		s.Age = new(max(now-at, 0).Seconds())
@@ -239,11 +239,11 @@
 	s.Admission = c.in.admissionStatus()
 	for in := range g.old {
 		if in.of == c {
-			s.Old += in.core.InHand()
+			s.Old += in.core.InFlight()
 		}
 	}
 	t := g.total(c)
-	s.Requests = RequestStatus{Taken: t.Taken, Served: t.Served, Refused: t.Refused, Failed: t.Failed, Left: t.Left, Sends: t.Sends,
+	s.Requests = RequestStatus{Taken: t.Accepted, Served: t.Served, Refused: t.Rejected, Failed: t.Failed, Left: t.ClientLeft, Sends: t.Sends,
 		Retries: t.Retries, Attempts: map[string]uint64{}}
 	for i, n := range t.Attempts {
 		if n > 0 {
@@ -251,7 +251,7 @@
 		}
 	}
 	if t.Served > 0 {
-		s.Requests.MeanMS = t.Took.Seconds() * 1000 / float64(t.Served)
+		s.Requests.MeanMS = t.TotalLatency.Seconds() * 1000 / float64(t.Served)
 	}
 	return s
 }
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -20,20 +20,20 @@
 
 func (s *spec) zoneOptions() locality.Options {
 	z := s.zones
-	return locality.Options{Own: s.zone, Tiers: z.Tiers, Gateways: s.gateway.Of, Overprovision: z.Overprovision, Panic: orNone(*z.Panic),
+	return locality.Options{OwnZone: s.zone, Tiers: z.Tiers, Gateways: s.gateway.Of, Overprovision: z.Overprovision, Panic: orNone(*z.Panic),
 		FailHold: z.FailHold.D(), DarkHold: z.DarkHold.D(), UpHold: z.UpHold.D(), Hold: z.Hold.D(), MaxHold: z.MaxHold.D(),
-		Probe: z.Probe.D(), Step: z.Step.D(), Floor: orNone(*z.Floor), FirstShare: z.FirstShare, FirstRoom: z.FirstRoom,
-		Tolerance: z.Tolerance, OwnTol: z.OwnTolerance, RetryShare: orNone(*z.RetryBudget), RetryLeast: z.RetryLeast,
+		ProbeInterval: z.Probe.D(), Step: z.Step.D(), Floor: orNone(*z.Floor), FirstShare: z.FirstShare, FirstRoom: z.FirstRoom,
+		Tolerance: z.Tolerance, OwnTolerance: z.OwnTolerance, RetryShare: orNone(*z.RetryBudget), MinRetries: z.RetryLeast,
 		OwnFree: admission.Mode(s.conf.Overload.Mode) != admission.Off}
 }
 
 // book makes the tiers of a cluster's core. Where the core before had some, what they knew goes on.
-func (g *Gateway) book(c *cluster) *locality.Book {
+func (g *Gateway) book(c *cluster) *locality.Picker {
 	o := c.spec.zoneOptions()
 	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, locality.Class{Name: k.Name, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Effect(k.Effect)})
-		if balancer.Effect(k.Effect) == balancer.Keyed {
-			o.Classes = append(o.Classes, locality.Class{Name: k.Name + unkeyed, Worth: k.Worth, Aim: k.Wanted.D(), Effect: balancer.Unsafe})
+		o.Classes = append(o.Classes, locality.Class{Name: k.Name, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D(), Effect: balancer.Effect(k.Effect)})
+		if balancer.Effect(k.Effect) == balancer.IdempotentWithKey {
+			o.Classes = append(o.Classes, locality.Class{Name: k.Name + unkeyed, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D(), Effect: balancer.NonIdempotent})
 		}
 	}
 	log, name := g.log, c.name
--- a/internal/locality/place.go
+++ b/internal/locality/place.go
@@ -191,7 +191,7 @@
 			if best == 0 {
 				for _, c := range o.Classes {
 					if c.Name == name {
-						best = float64(c.Aim) / 2
+						best = float64(c.LatencyObjective) / 2
 					}
 				}
 			}
@@ -214,7 +214,7 @@
 }
 
 // turn moves a locality to the state that the evidence says.
-func (b *Book) turn(now time.Duration, p *place) {
+func (b *Picker) turn(now time.Duration, p *place) {
 	o := &b.opt
 	if p.running == 0 {
 		if p.state != Dark {
@@ -307,7 +307,7 @@
 }
 
 // back begins a step of the way back.
-func (b *Book) back(now time.Duration, p *place, why string) {
+func (b *Picker) back(now time.Duration, p *place, why string) {
 	p.stepAt = now
 	for _, u := range p.classes { // what it did before says nothing now
 		u.stepGood, u.stepBad = 0, 0
@@ -322,7 +322,7 @@
 	b.split()
 }
 
-func (b *Book) dark(now time.Duration, p *place, why string) {
+func (b *Picker) dark(now time.Duration, p *place, why string) {
 	if p.state == Up && now-p.since > 10*b.hold(p) { // it held for long
 		p.trips = 0
 	}
@@ -333,9 +333,11 @@
 	b.move(now, p, Dark, why)
 }
 
-func (b *Book) hold(p *place) time.Duration { return min(b.opt.Hold<<min(p.trips, 16), b.opt.MaxHold) }
+func (b *Picker) hold(p *place) time.Duration {
+	return min(b.opt.Hold<<min(p.trips, 16), b.opt.MaxHold)
+}
 
-func (b *Book) move(now time.Duration, p *place, to State, why string) {
+func (b *Picker) move(now time.Duration, p *place, to State, why string) {
 	t := Transition{At: now, Locality: p.at, From: p.state, To: to, Evidence: why}
 	if to == Dark {
 		t.Hold = max(p.until-now, 0)
@@ -355,11 +357,11 @@
 // probeDue tells whether a request of a class is to find out about a dark locality: safe ones first, others where none
 // come.
 func (p *place) probeDue(now time.Duration, o *Options, c *class) bool {
-	if p.state != Dark || p.running == 0 || p.probing > 0 && now < p.nextProbe+8*o.Probe || now < p.nextProbe {
+	if p.state != Dark || p.running == 0 || p.probing > 0 && now < p.nextProbe+8*o.ProbeInterval || now < p.nextProbe {
 		return false
 	}
-	patience := map[balancer.Effect]time.Duration{balancer.Safe: 0, balancer.Keyed: 4, balancer.Unsafe: 16}[c.Effect]
-	return now >= p.nextProbe+patience*o.Probe
+	patience := map[balancer.Effect]time.Duration{balancer.Idempotent: 0, balancer.IdempotentWithKey: 4, balancer.NonIdempotent: 16}[c.Effect]
+	return now >= p.nextProbe+patience*o.ProbeInterval
 }
 
 func (p *place) probed(good bool) {
@@ -392,7 +394,7 @@
 	first := max(o.FirstRoom/float64(o.Gateways), 1)
 	*r = room{maximum: first, minimum: max(first/4, 1), tolerance: o.Tolerance, part: 0.3, probing: true, busyAt: math.MinInt64 / 2}
 	if own {
-		r.maximum, r.tolerance, r.part = math.Inf(1), o.OwnTol, 0.6
+		r.maximum, r.tolerance, r.part = math.Inf(1), o.OwnTolerance, 0.6
 	}
 }
 
@@ -460,7 +462,7 @@
 }
 
 // Report tells how all localities stand, in order of preference.
-func (b *Book) Report(now time.Duration) []Report {
+func (b *Picker) Report(now time.Duration) []Report {
 	l := make([]Report, 0, len(b.places))
 	tier := -1
 	var rank [2]int
@@ -483,10 +485,10 @@
 }
 
 // Refused is how many requests were refused for want of room anywhere.
-func (b *Book) Refused() uint64 { return b.refused }
+func (b *Picker) Refused() uint64 { return b.refused }
 
 // Inherit takes over what another book knew of the localities' states, where the cluster goes on under new settings.
-func (b *Book) Inherit(now time.Duration, old []Report) {
+func (b *Picker) Inherit(now time.Duration, old []Report) {
 	for _, r := range old {
 		p := b.find(r.Locality)
 		if p == nil {
