--- a/internal/locality/zone.go
+++ b/internal/locality/zone.go
@@ -36,15 +36,15 @@
 
 // Class is a kind of request, as the book needs it.
 type Class struct {
-	Name   string
-	Worth  float64
-	Aim    time.Duration // an answer later than it is late
-	Effect balancer.Effect
+	Name             string
+	PriorityWeight   float64
+	LatencyObjective time.Duration // an answer later than it is late
+	Effect           balancer.Effect
 }
 
 // Options are what a Book goes by. Zero values are filled in by Fill; Panic, Floor and RetryShare below 0 mean 0.
 type Options struct {
-	Own      string     // the gateway's zone
+	OwnZone  string     // the gateway's zone
 	Tiers    [][]string // zones in order of preference, "*" for all others; empty: the own one, then all others
 	Gateways int        // before the same servers; each takes its part of what is unknown
 	Classes  []Class
@@ -52,27 +52,27 @@
 	Overprovision float64 // Envoy's overprovisioning factor; 1.4
 	Panic         float64 // Envoy's panic threshold, as a fraction; 0.5
 
-	FailHold time.Duration // bad evidence for so long makes an Up locality Failing; 200 ms
-	DarkHold time.Duration // worse evidence for so long makes it Dark; 300 ms
-	UpHold   time.Duration // good evidence for so long makes it Up again; 1 s
-	Hold     time.Duration // how long it is Dark at the least; 1 s, twice as long each time
-	MaxHold  time.Duration // and no longer than this; 30 s
-	Probe    time.Duration // between probes of a Dark locality; 500 ms
-	Step     time.Duration // of the way back, at the least; 2 s
-	Floor    float64       // the part of a locality's room that each class may have whatever the others are worth; 0.05
+	FailHold      time.Duration // bad evidence for so long makes an Up locality Failing; 200 ms
+	DarkHold      time.Duration // worse evidence for so long makes it Dark; 300 ms
+	UpHold        time.Duration // good evidence for so long makes it Up again; 1 s
+	Hold          time.Duration // how long it is Dark at the least; 1 s, twice as long each time
+	MaxHold       time.Duration // and no longer than this; 30 s
+	ProbeInterval time.Duration // between probes of a Dark locality; 500 ms
+	Step          time.Duration // of the way back, at the least; 2 s
+	Floor         float64       // the part of a locality's room that each class may have whatever the others are worth; 0.05
 
-	FirstShare float64 // of its load, that a returning locality begins with; doubled each step; 1/16
-	FirstRoom  float64 // requests at once that may cross to where nothing is known, over all gateways; 16
-	Tolerance  float64 // latency over its best, above which a locality that is crossed to is busy; 1.5
-	OwnTol     float64 // the same of the own zone: its own requests go first; 4
+	FirstShare   float64 // of its load, that a returning locality begins with; doubled each step; 1/16
+	FirstRoom    float64 // requests at once that may cross to where nothing is known, over all gateways; 16
+	Tolerance    float64 // latency over its best, above which a locality that is crossed to is busy; 1.5
+	OwnTolerance float64 // the same of the own zone: its own requests go first; 4
 
 	// OwnFree leaves the own zone without a limit on what it gets, where admission bounds the cluster as a whole.
 	OwnFree bool
 
 	RetryShare float64 // retries out at a tier, as a part of all that is out there; 0.2
-	RetryLeast int     // and so many in any case; 3
+	MinRetries int     // and so many in any case; 3
 
-	MostAdvice time.Duration // the longest that a client is told to wait; 5 s
+	MaxRetryAfter time.Duration // the longest that a client is told to wait; 5 s
 
 	// Notify is told of each transition; nil: nobody is. It must not call back.
 	Notify func(Transition)
@@ -97,16 +97,16 @@
 	set(&o.UpHold, time.Second)
 	set(&o.Hold, time.Second)
 	set(&o.MaxHold, 30*time.Second)
-	set(&o.Probe, 500*time.Millisecond)
+	set(&o.ProbeInterval, 500*time.Millisecond)
 	set(&o.Step, 2*time.Second)
 	set(&o.Floor, 0.05)
 	set(&o.FirstShare, 1.0/16)
 	set(&o.FirstRoom, 16)
 	set(&o.Tolerance, 1.5)
-	set(&o.OwnTol, 4)
+	set(&o.OwnTolerance, 4)
 	set(&o.RetryShare, 0.2)
-	set(&o.RetryLeast, 3)
-	set(&o.MostAdvice, 5*time.Second)
+	set(&o.MinRetries, 3)
+	set(&o.MaxRetryAfter, 5*time.Second)
 	o.Panic, o.Floor, o.RetryShare = max(o.Panic, 0), max(o.Floor, 0), max(o.RetryShare, 0)
 }
 
@@ -126,7 +126,7 @@
 		return fmt.Errorf("panic_threshold: want 0 to 1, not %v", o.Panic)
 	case o.FirstShare <= 0 || o.FirstShare > 1:
 		return fmt.Errorf("first_share: want more than 0 and at most 1, not %v", o.FirstShare)
-	case o.Tolerance <= 1 || o.OwnTol <= 1:
+	case o.Tolerance <= 1 || o.OwnTolerance <= 1:
 		return errors.New("tolerance: want more than 1")
 	case o.Floor < 0 || o.Floor > 0.5:
 		return fmt.Errorf("floor: want 0 to 0.5, not %v", o.Floor)
@@ -134,7 +134,7 @@
 		return fmt.Errorf("most_hold: %v is shorter than hold, %v", o.MaxHold, o.Hold)
 	case o.FirstRoom < 1:
 		return fmt.Errorf("first_room: want 1 at least, not %v", o.FirstRoom)
-	case o.RetryShare < 0 || o.RetryShare > 1 || o.RetryLeast < 0:
+	case o.RetryShare < 0 || o.RetryShare > 1 || o.MinRetries < 0:
 		return errors.New("retry budget: want a share from 0 to 1 and at least 0 retries")
 	}
 	seen := map[string]bool{}
@@ -157,8 +157,8 @@
 	steady     = 3                      // good answers that a step of the way back needs
 )
 
-// Book decides for one cluster.
-type Book struct {
+// Picker decides for one cluster.
+type Picker struct {
 	opt     Options
 	src     *rand.PCG
 	rng     *rand.Rand
@@ -175,23 +175,23 @@
 }
 
 // New makes a book.
-func New(o Options, seed uint64) (*Book, error) {
+func New(o Options, seed uint64) (*Picker, error) {
 	o.Fill()
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
-	b := &Book{opt: o, src: rand.NewPCG(seed, 0x7a6f6e65), classes: map[string]*class{}}
+	b := &Picker{opt: o, src: rand.NewPCG(seed, 0x7a6f6e65), classes: map[string]*class{}}
 	b.rng = rand.New(b.src)
 	worths := map[float64]bool{}
 	for _, c := range o.Classes {
-		worths[c.Worth] = true
+		worths[c.PriorityWeight] = true
 		b.classes[c.Name] = &class{Class: c}
 	}
 	// The class of the highest worth may fill the room, the one of the lowest two thirds of it.
 	for _, c := range b.classes {
 		below := 0
 		for w := range worths {
-			if w < c.Worth {
+			if w < c.PriorityWeight {
 				below++
 			}
 		}
@@ -204,7 +204,7 @@
 }
 
 // SetOverprovision changes the overprovisioning factor. One that cannot be used changes nothing.
-func (b *Book) SetOverprovision(f float64) {
+func (b *Picker) SetOverprovision(f float64) {
 	if f > 0 && f <= 1e9 {
 		b.opt.Overprovision = f
 		b.split()
@@ -212,10 +212,10 @@
 }
 
 // rank is a locality's tier: its priority, and in it that of its zone.
-func (b *Book) rank(l balancer.Locality) (r [2]int) {
+func (b *Picker) rank(l balancer.Locality) (r [2]int) {
 	r[0] = l.Priority
 	if len(b.opt.Tiers) == 0 {
-		if l.Zone != b.opt.Own {
+		if l.Zone != b.opt.OwnZone {
 			r[1] = 1
 		}
 		return r
@@ -233,8 +233,8 @@
 	return r
 }
 
-// Health takes how the localities on the list stand. One that is not told has left the list.
-func (b *Book) Health(now time.Duration, l []balancer.LocalityHealth) {
+// UpdateHealth takes how the localities on the list stand. One that is not told has left the list.
+func (b *Picker) UpdateHealth(now time.Duration, l []balancer.LocalityHealth) {
 	for _, p := range b.places {
 		p.known, p.running, p.ready = 0, 0, 0
 	}
@@ -243,7 +243,7 @@
 		if p == nil {
 			p = b.add(now, h)
 		}
-		p.known, p.running, p.ready = h.Known, h.Running, h.Ready
+		p.known, p.running, p.ready = h.Listed, h.Running, h.Ready
 	}
 	b.told = b.told || len(l) > 0
 	for _, p := range b.places {
@@ -255,7 +255,7 @@
 	b.split()
 }
 
-func (b *Book) find(l balancer.Locality) *place {
+func (b *Picker) find(l balancer.Locality) *place {
 	for _, p := range b.places {
 		if p.at == l {
 			return p
@@ -265,9 +265,9 @@
 }
 
 // add takes a locality on. Those of the first list are up; one that comes later has shown nothing yet.
-func (b *Book) add(now time.Duration, h balancer.LocalityHealth) *place {
+func (b *Picker) add(now time.Duration, h balancer.LocalityHealth) *place {
 	p := &place{at: h.Locality, rank: b.rank(h.Locality), classes: map[string]*use{}, word: now}
-	p.own = p.at.Zone == b.opt.Own
+	p.own = p.at.Zone == b.opt.OwnZone
 	p.room.begin(&b.opt, p.own)
 	if b.told {
 		p.state, p.since, p.evidence, p.stepAt = Returning, now, "new on the list", now
@@ -284,7 +284,7 @@
 // split gives each locality its share of the load as Envoy does for priorities: a tier takes its health times the
 // overprovisioning factor, what is left goes to the next; where all of them together are not enough, what there is is
 // scaled up to the whole. What a state holds back of a share goes on to the next tier and is not scaled up.
-func (b *Book) split() {
+func (b *Picker) split() {
 	var total float64
 	tiers(b.places, func(t []*place) { total += b.tierHealth(t, false) })
 	none := total == 0 // every endpoint is ejected: then that says nothing
@@ -327,7 +327,7 @@
 }
 
 // tierHealth is what Envoy calls the health of a priority, from 0 to 1. In a panic servers that are ejected count as well.
-func (b *Book) tierHealth(t []*place, mayPanic bool) float64 {
+func (b *Picker) tierHealth(t []*place, mayPanic bool) float64 {
 	var known, ready float64
 	for _, p := range t {
 		known, ready = known+p.known, ready+p.weight(mayPanic && p.ready < b.opt.Panic*p.known)
@@ -358,33 +358,33 @@
 	return 1
 }
 
-// Place gives the locality of an attempt, or tells that there is none now and when the client may come back.
-func (b *Book) Place(now time.Duration, a balancer.Ask) (at balancer.Locality, ok bool, comeBack time.Duration) {
+// Pick gives the locality of an attempt, or tells that there is none now and when the client may come back.
+func (b *Picker) Pick(now time.Duration, a balancer.LocalityRequest) (at balancer.Locality, ok bool, comeBack time.Duration) {
 	for _, p := range b.places {
 		b.turn(now, p)
 	}
 	b.split()
 	c := b.classes[a.Class]
 	if c == nil {
-		c = &class{Class: Class{Name: a.Class, Worth: 1, Aim: time.Second, Effect: balancer.Unsafe}, part: 2.0 / 3}
+		c = &class{Class: Class{Name: a.Class, PriorityWeight: 1, LatencyObjective: time.Second, Effect: balancer.NonIdempotent}, part: 2.0 / 3}
 	}
 	var p *place
 	switch a.Purpose {
-	case balancer.First:
+	case balancer.FirstAttempt:
 		p = b.first(now, a, c)
-	case balancer.Again:
+	case balancer.Retry:
 		p = b.again(now, a, c)
-	case balancer.Copy:
+	case balancer.Hedge:
 		p = b.copied(now, a, c)
 	}
 	if p != nil {
 		return p.at, true, 0
 	}
-	if a.Purpose == balancer.First {
+	if a.Purpose == balancer.FirstAttempt {
 		b.refused++
 		b.short.at(now).n++
 		for _, p := range b.places { // the one that it would have gone to
-			if p.known > 0 && !slices.Contains(a.Not, p.at) || p == b.places[len(b.places)-1] {
+			if p.known > 0 && !slices.Contains(a.Excluded, p.at) || p == b.places[len(b.places)-1] {
 				p.refused++
 				break
 			}
@@ -393,7 +393,7 @@
 	return balancer.Locality{}, false, b.comeBack(now)
 }
 
-func (b *Book) first(now time.Duration, a balancer.Ask, c *class) *place {
+func (b *Picker) first(now time.Duration, a balancer.LocalityRequest, c *class) *place {
 	for _, p := range b.places {
 		if p.probeDue(now, &b.opt, c) && allowed(p, a) {
 			return p
@@ -420,17 +420,17 @@
 	return nil
 }
 
-func allowed(p *place, a balancer.Ask) bool {
-	return !slices.Contains(a.Not, p.at) && (a.Bound == "" || a.Bound == p.at.Zone)
+func allowed(p *place, a balancer.LocalityRequest) bool {
+	return !slices.Contains(a.Excluded, p.at) && (a.OnlyZone == "" || a.OnlyZone == p.at.Zone)
 }
 
 // again is where a retry goes: the most preferred that has room and whose tier's retry budget is not spent.
-func (b *Book) again(now time.Duration, a balancer.Ask, c *class) *place {
+func (b *Picker) again(now time.Duration, a balancer.LocalityRequest, c *class) *place {
 	for _, p := range b.places {
 		if p.state > Failing || p.weight(p.panic) == 0 || !allowed(p, a) {
 			continue
 		}
-		if float64(p.retries) >= max(b.opt.RetryShare*float64(p.inFlight), float64(b.opt.RetryLeast)) {
+		if float64(p.retries) >= max(b.opt.RetryShare*float64(p.inFlight), float64(b.opt.MinRetries)) {
 			p.retriesDenied++
 			continue
 		}
@@ -442,16 +442,16 @@
 }
 
 // copied is where a copy goes: beside the first, and to another locality only where that is up and not busy.
-func (b *Book) copied(now time.Duration, a balancer.Ask, c *class) *place {
-	from := b.find(a.From)
-	if a.Spent && from != nil && from.state == Up {
+func (b *Picker) copied(now time.Duration, a balancer.LocalityRequest, c *class) *place {
+	from := b.find(a.Previous)
+	if a.BudgetSpent && from != nil && from.state == Up {
 		return nil // one slow answer is no reason: this is for those that a zone keeps
 	}
 	for _, p := range b.places {
-		if p.state != Up || p.ready == 0 || !allowed(p, a) || a.Spent && p == from {
+		if p.state != Up || p.ready == 0 || !allowed(p, a) || a.BudgetSpent && p == from {
 			continue
 		}
-		if p.at != a.From && (float64(p.inFlight) >= p.room.maximum/2 || p.room.busy(now)) {
+		if p.at != a.Previous && (float64(p.inFlight) >= p.room.maximum/2 || p.room.busy(now)) {
 			continue
 		}
 		if b.fits(now, p, a, c) {
@@ -462,12 +462,12 @@
 }
 
 // fits tells whether a locality has room for a request of a class, and the request time for it.
-func (b *Book) fits(now time.Duration, p *place, a balancer.Ask, c *class) bool {
+func (b *Picker) fits(now time.Duration, p *place, a balancer.LocalityRequest, c *class) bool {
 	u := p.use(a.Class)
 	if u.deaf(now) {
 		return false
 	}
-	if u.best > 0 && a.Left < time.Duration(u.best) {
+	if u.best > 0 && a.TimeLeft < time.Duration(u.best) {
 		p.noTime++
 		return false
 	}
@@ -480,16 +480,16 @@
 }
 
 // comeBack is when those that are refused may come back.
-func (b *Book) comeBack(now time.Duration) time.Duration {
+func (b *Picker) comeBack(now time.Duration) time.Duration {
 	served := 0.0
 	for _, p := range b.places {
 		served += p.good.at(now).n
 	}
-	return resource.Advice(b.short.at(now).n, served, b.opt.MostAdvice, b.rng.Float64())
+	return resource.RetryAfter(b.short.at(now).n, served, b.opt.MaxRetryAfter, b.rng.Float64())
 }
 
-// Sent takes that an attempt went to a locality.
-func (b *Book) Sent(now time.Duration, at balancer.Locality, a balancer.Ask) {
+// AttemptSent takes that an attempt went to a locality.
+func (b *Picker) AttemptSent(now time.Duration, at balancer.Locality, a balancer.LocalityRequest) {
 	p := b.find(at)
 	if p == nil {
 		return
@@ -505,7 +505,7 @@
 	u := p.use(a.Class)
 	u.out++
 	p.room.peak = max(p.room.peak, float64(p.inFlight))
-	if a.Purpose == balancer.Again {
+	if a.Purpose == balancer.Retry {
 		p.retries++
 		p.retried++
 	}
@@ -515,25 +515,25 @@
 		}
 		p.probing++
 		// The part of all gateways' probes that is this one's.
-		gap := float64(b.opt.Probe) * max(float64(b.opt.Gateways)/16, 1)
+		gap := float64(b.opt.ProbeInterval) * max(float64(b.opt.Gateways)/16, 1)
 		p.nextProbe = now + time.Duration((0.75+b.rng.Float64()/2)*gap)
 	}
 	u.next(now)
 }
 
-// Ended takes how an attempt ended.
-func (b *Book) Ended(now time.Duration, at balancer.Locality, a balancer.Ask, r balancer.Result, took time.Duration) {
+// AttemptEnded takes how an attempt ended.
+func (b *Picker) AttemptEnded(now time.Duration, at balancer.Locality, a balancer.LocalityRequest, r balancer.Result, took time.Duration) {
 	p := b.find(at)
 	if p == nil {
 		return
 	}
 	p.inFlight = max(p.inFlight-1, 0)
-	if a.Purpose == balancer.Again {
+	if a.Purpose == balancer.Retry {
 		p.retries = max(p.retries-1, 0)
 	}
 	u := p.use(a.Class)
 	u.out = max(u.out-1, 0)
-	probe := p.state == Dark && p.probing > 0 && a.Sent >= p.probesFrom
+	probe := p.state == Dark && p.probing > 0 && a.SentAt >= p.probesFrom
 	if probe {
 		p.probing--
 	}
@@ -545,13 +545,13 @@
 	c := b.classes[a.Class]
 	var aim time.Duration
 	if c != nil {
-		aim = c.Aim
+		aim = c.LatencyObjective
 	}
-	late := good && c != nil && c.Aim > 0 && took > c.Aim
-	if good || r == balancer.TurnedAway || r == balancer.Errored {
+	late := good && c != nil && c.LatencyObjective > 0 && took > c.LatencyObjective
+	if good || r == balancer.Rejected || r == balancer.ServerError {
 		p.word = now
 	}
-	if r == balancer.TimedOut && c != nil && took < c.Aim { // the client left it no time
+	if r == balancer.TimedOut && c != nil && took < c.LatencyObjective { // the client left it no time
 		return
 	}
 	u.learn(now, good, late, took)
@@ -570,7 +570,7 @@
 	if probe {
 		p.probed(good)
 	}
-	if p.state == Returning && a.Sent >= p.stepAt { // what was sent before says nothing of this step
+	if p.state == Returning && a.SentAt >= p.stepAt { // what was sent before says nothing of this step
 		if good && !late {
 			u.stepGood++
 		} else {
--- a/internal/locality/zone_test.go
+++ b/internal/locality/zone_test.go
@@ -24,13 +24,13 @@
 )
 
 func options() Options {
-	return Options{Own: "a", Tiers: [][]string{{"a"}, {"b"}, {"*"}}, Classes: []Class{
-		{Name: "map", Worth: 1, Aim: 100 * ms, Effect: balancer.Safe},
-		{Name: "hold", Worth: 5, Aim: 100 * ms, Effect: balancer.Keyed},
-		{Name: "pay", Worth: 20, Aim: 100 * ms, Effect: balancer.Unsafe}}}
+	return Options{OwnZone: "a", Tiers: [][]string{{"a"}, {"b"}, {"*"}}, Classes: []Class{
+		{Name: "map", PriorityWeight: 1, LatencyObjective: 100 * ms, Effect: balancer.Idempotent},
+		{Name: "hold", PriorityWeight: 5, LatencyObjective: 100 * ms, Effect: balancer.IdempotentWithKey},
+		{Name: "pay", PriorityWeight: 20, LatencyObjective: 100 * ms, Effect: balancer.NonIdempotent}}}
 }
 
-func book(t testing.TB, o Options) *Book {
+func book(t testing.TB, o Options) *Picker {
 	t.Helper()
 	b, err := New(o, 1)
 	if err != nil {
@@ -41,18 +41,18 @@
 
 func whole(l ...balancer.Locality) (h []balancer.LocalityHealth) {
 	for _, x := range l {
-		h = append(h, balancer.LocalityHealth{Locality: x, Known: 4, Running: 4, Ready: 4})
+		h = append(h, balancer.LocalityHealth{Locality: x, Listed: 4, Running: 4, Ready: 4})
 	}
 	return h
 }
 
 func ready(l balancer.Locality, known, running, ready float64) balancer.LocalityHealth {
-	return balancer.LocalityHealth{Locality: l, Known: known, Running: running, Ready: ready}
+	return balancer.LocalityHealth{Locality: l, Listed: known, Running: running, Ready: ready}
 }
 
 // world answers a book's attempts: each locality as its entry says.
 type world struct {
-	b    *Book
+	b    *Picker
 	now  time.Duration
 	does map[balancer.Locality]func(class string) (balancer.Result, time.Duration)
 	sent map[balancer.Locality]int
@@ -64,7 +64,7 @@
 type answer struct {
 	at   time.Duration
 	to   balancer.Locality
-	ask  balancer.Ask
+	ask  balancer.LocalityRequest
 	r    balancer.Result
 	took time.Duration
 }
@@ -82,15 +82,15 @@
 	for end := w.now + long; w.now < end; w.now += gap {
 		w.settle()
 		w.draw = math.Mod(w.draw+math.Phi, 1)
-		a := balancer.Ask{Class: class, Left: 2 * time.Second, Draw: w.draw}
-		at, ok, _ := w.b.Place(w.now, a)
+		a := balancer.LocalityRequest{Class: class, TimeLeft: 2 * time.Second, Draw: w.draw}
+		at, ok, _ := w.b.Pick(w.now, a)
 		if !ok {
 			w.no++
 			continue
 		}
 		w.sent[at]++
-		a.Sent = w.now
-		w.b.Sent(w.now, at, a)
+		a.SentAt = w.now
+		w.b.AttemptSent(w.now, at, a)
 		do := w.does[at]
 		if do == nil {
 			do = served
@@ -107,7 +107,7 @@
 			keep = append(keep, a)
 			continue
 		}
-		w.b.Ended(a.at, a.to, a.ask, a.r, a.took)
+		w.b.AttemptEnded(a.at, a.to, a.ask, a.r, a.took)
 	}
 	w.out = keep
 }
@@ -119,7 +119,7 @@
 // In good times all goes to the own zone.
 func TestOwnZoneFirst(t *testing.T) {
 	w := &world{b: book(t, options())}
-	w.b.Health(0, whole(own, other, third))
+	w.b.UpdateHealth(0, whole(own, other, third))
 	w.play(5*time.Second, 400, "map")
 	if w.sent[own] != 2000 || w.no != 0 {
 		t.Errorf("%v, %d refused", w.sent, w.no)
@@ -150,7 +150,7 @@
 		for i, h := range c.health {
 			l = append(l, ready(p(i), 100, 100, h))
 		}
-		b.Health(0, l)
+		b.UpdateHealth(0, l)
 		for i, want := range c.want {
 			if got := b.find(p(i)).share; math.Abs(got-want) > 0.011 {
 				t.Errorf("%v: priority %d gets %.3f, want %.3f", c.health, i, got, want)
@@ -162,7 +162,7 @@
 // Half a zone dies: below the panic threshold, and with too little elsewhere, the ejected count again.
 func TestPanicThreshold(t *testing.T) {
 	b := book(t, options())
-	b.Health(0, []balancer.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 1)})
+	b.UpdateHealth(0, []balancer.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 1)})
 	for _, l := range []balancer.Locality{own, other} {
 		if !b.find(l).panic {
 			t.Errorf("%v does not panic", l)
@@ -171,7 +171,7 @@
 	if s := b.find(own).share; math.Abs(s-0.75) > 0.01 {
 		t.Errorf("the own zone gets %v in a panic", s)
 	}
-	b.Health(0, []balancer.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 10)}) // enough elsewhere
+	b.UpdateHealth(0, []balancer.LocalityHealth{ready(own, 10, 10, 3), ready(other, 10, 10, 10)}) // enough elsewhere
 	if b.find(own).panic {
 		t.Error("a panic though the other zone can take it")
 	}
@@ -179,7 +179,7 @@
 		t.Errorf("the own zone gets %v with 3 of 10 ready", s)
 	}
 	// What the list says is out stays out in a panic.
-	b.Health(0, []balancer.LocalityHealth{ready(own, 10, 0, 0), ready(other, 10, 2, 1)})
+	b.UpdateHealth(0, []balancer.LocalityHealth{ready(own, 10, 0, 0), ready(other, 10, 2, 1)})
 	if p := b.find(own); p.share != 0 || p.panic {
 		t.Errorf("a zone of which none is to be used gets %v", p.share)
 	}
@@ -194,12 +194,12 @@
 	}{
 		{"refuses connections", refuses, time.Second},
 		{"accepts and says nothing", silent, 1500 * ms},
-		{"answers 503", func(string) (balancer.Result, time.Duration) { return balancer.TurnedAway, ms }, time.Second},
-		{"resets after the last byte", func(string) (balancer.Result, time.Duration) { return balancer.ConnLost, 2 * ms }, time.Second},
+		{"answers 503", func(string) (balancer.Result, time.Duration) { return balancer.Rejected, ms }, time.Second},
+		{"resets after the last byte", func(string) (balancer.Result, time.Duration) { return balancer.ConnectionLost, 2 * ms }, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}
-			w.b.Health(0, whole(own, other))
+			w.b.UpdateHealth(0, whole(own, other))
 			w.play(3*time.Second, 200, "map")
 			w.does[own] = c.do
 			began := w.now
@@ -224,7 +224,7 @@
 // 80% of the answers are lost: what does come keeps the zone from being silent, and it goes dark all the same.
 func TestMostAnswersAreLost(t *testing.T) {
 	w, n := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	w.play(3*time.Second, 200, "map")
 	w.does[own] = func(string) (balancer.Result, time.Duration) {
 		if n++; n%5 == 0 {
@@ -241,7 +241,7 @@
 // Latency that doubles each second has the load go over before answers are later than their clients wait.
 func TestLatencyDoubles(t *testing.T) {
 	w, took := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 5*ms
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	w.play(3*time.Second, 200, "map")
 	w.does[own] = func(string) (balancer.Result, time.Duration) {
 		if took > 2*time.Second {
@@ -272,7 +272,7 @@
 		}
 	}
 	w.b = book(t, o)
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	w.play(3*time.Second, 200, "map")
 	failed := 0
 	for i := range 60 {
@@ -296,7 +296,7 @@
 // The way back: the share at most doubles each step, a step that fails goes back one, and not to nothing.
 func TestWayBack(t *testing.T) {
 	w := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refuses}}
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	w.play(3*time.Second, 400, "map")
 	if w.state(own) != Dark {
 		t.Fatal(w.state(own))
@@ -323,7 +323,7 @@
 	n := 0
 	w.does[own] = func(string) (balancer.Result, time.Duration) { // a third of what it gets now is too much
 		if n++; n%3 == 0 {
-			return balancer.Errored, ms
+			return balancer.ServerError, ms
 		}
 		return balancer.Served, 5 * ms
 	}
@@ -343,14 +343,14 @@
 // A zone whose endpoints leave the list is remembered: it returns by steps, whatever ids its servers have.
 func TestLeavesTheListAndReturns(t *testing.T) {
 	w := &world{b: book(t, options())}
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	w.play(time.Second, 200, "map")
-	w.b.Health(w.now, whole(other))
+	w.b.UpdateHealth(w.now, whole(other))
 	w.play(10*time.Second, 200, "map") // the source is late
 	if w.state(own) != Dark || w.no > 20 {
 		t.Errorf("%v, %d refused", w.state(own), w.no)
 	}
-	w.b.Health(w.now, whole(own, other))
+	w.b.UpdateHealth(w.now, whole(own, other))
 	w.clear()
 	w.play(time.Second, 200, "map")
 	if n := w.sent[own]; n == 0 || n > 20 {
@@ -363,11 +363,11 @@
 	w := &world{b: book(t, options())}
 	w.does = map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: func(class string) (balancer.Result, time.Duration) {
 		if class == "hold" {
-			return balancer.TurnedAway, ms
+			return balancer.Rejected, ms
 		}
 		return balancer.Served, 5 * ms
 	}}
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	for range 400 {
 		w.play(25*ms, 200, "map")
 		w.play(25*ms, 200, "hold")
@@ -392,7 +392,7 @@
 // All zones dark: what comes is refused at once, and the first one back is found within two probes' time.
 func TestAllDark(t *testing.T) {
 	w := &world{b: book(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refuses, other: refuses}}
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	w.play(10*time.Second, 200, "map")
 	w.clear()
 	w.play(5*time.Second, 200, "map")
@@ -417,37 +417,37 @@
 // Retries have a budget of their own at each tier, a bound one stays in its zone, copies do not go where it is busy.
 func TestRetriesAndCopies(t *testing.T) {
 	b := book(t, options())
-	b.Health(0, whole(own, other))
+	b.UpdateHealth(0, whole(own, other))
 	for range 40 {
-		b.Sent(0, own, balancer.Ask{Class: "map"})
+		b.AttemptSent(0, own, balancer.LocalityRequest{Class: "map"})
 	}
 	n := 0
 	for range 40 {
-		a := balancer.Ask{Class: "map", Purpose: balancer.Again, From: own, Left: time.Second, Not: []balancer.Locality{other}}
-		if at, ok, _ := b.Place(0, a); ok {
-			b.Sent(0, at, a)
+		a := balancer.LocalityRequest{Class: "map", Purpose: balancer.Retry, Previous: own, TimeLeft: time.Second, Excluded: []balancer.Locality{other}}
+		if at, ok, _ := b.Pick(0, a); ok {
+			b.AttemptSent(0, at, a)
 			n++
 		}
 	}
 	if n < 8 || n > 10 { // a fifth of all that is out, the retries included
 		t.Errorf("%d retries beside 40 attempts", n)
 	}
-	a := balancer.Ask{Class: "hold", Purpose: balancer.Again, Bound: "a", From: own, Left: time.Second}
-	if at, ok, _ := b.Place(0, a); ok {
+	a := balancer.LocalityRequest{Class: "hold", Purpose: balancer.Retry, OnlyZone: "a", Previous: own, TimeLeft: time.Second}
+	if at, ok, _ := b.Pick(0, a); ok {
 		t.Errorf("bound to a zone without budget it goes to %v", at)
 	}
-	a.Bound = ""
-	if at, ok, _ := b.Place(0, a); !ok || at != other {
+	a.OnlyZone = ""
+	if at, ok, _ := b.Pick(0, a); !ok || at != other {
 		t.Errorf("%v %v", at, ok)
 	}
-	c := balancer.Ask{Class: "map", Purpose: balancer.Copy, From: own, Left: time.Second, Not: []balancer.Locality{own}}
-	if _, ok, _ := b.Place(0, c); !ok {
+	c := balancer.LocalityRequest{Class: "map", Purpose: balancer.Hedge, Previous: own, TimeLeft: time.Second, Excluded: []balancer.Locality{own}}
+	if _, ok, _ := b.Pick(0, c); !ok {
 		t.Error("no copy to an idle zone")
 	}
 	for range int(b.find(other).room.maximum / 2) {
-		b.Sent(0, other, balancer.Ask{Class: "map"})
+		b.AttemptSent(0, other, balancer.LocalityRequest{Class: "map"})
 	}
-	if at, ok, _ := b.Place(0, c); ok {
+	if at, ok, _ := b.Pick(0, c); ok {
 		t.Errorf("a copy to %v, which is busy", at)
 	}
 }
@@ -457,15 +457,15 @@
 	o := options()
 	o.FirstRoom, o.Floor = 30, 0.1
 	b := book(t, o)
-	b.Health(0, whole(other))
+	b.UpdateHealth(0, whole(other))
 	fill := func(class string) (n int) {
 		for range 100 {
-			a := balancer.Ask{Class: class, Left: time.Second}
-			at, ok, _ := b.Place(0, a)
+			a := balancer.LocalityRequest{Class: class, TimeLeft: time.Second}
+			at, ok, _ := b.Pick(0, a)
 			if !ok {
 				break
 			}
-			b.Sent(0, at, a)
+			b.AttemptSent(0, at, a)
 			n++
 		}
 		return n
@@ -475,7 +475,7 @@
 		t.Errorf("%d maps, %d holds, %d pays at once in a room of 30", maps, holds, pays)
 	}
 	b = book(t, o)
-	b.Health(0, whole(other))
+	b.UpdateHealth(0, whole(other))
 	if pays = fill("pay"); pays != 30 {
 		t.Errorf("%d pays alone", pays)
 	}
@@ -491,22 +491,22 @@
 		o := options()
 		o.FirstRoom = 1
 		b := book(t, o)
-		b.Health(0, whole(other))
-		b.Sent(0, other, balancer.Ask{Class: "map"})
-		b.Sent(0, other, balancer.Ask{Class: "pay"})
+		b.UpdateHealth(0, whole(other))
+		b.AttemptSent(0, other, balancer.LocalityRequest{Class: "map"})
+		b.AttemptSent(0, other, balancer.LocalityRequest{Class: "pay"})
 		var tenths [10]int
 		for i := range refused + 1000 {
-			_, ok, wait := b.Place(0, balancer.Ask{Class: "map", Left: time.Second})
-			if ok || wait <= 0 || wait > b.opt.MostAdvice {
+			_, ok, wait := b.Pick(0, balancer.LocalityRequest{Class: "map", TimeLeft: time.Second})
+			if ok || wait <= 0 || wait > b.opt.MaxRetryAfter {
 				t.Fatalf("%v, come back in %v", ok, wait)
 			}
 			if i >= refused {
-				tenths[min(int(10*wait/b.opt.MostAdvice), 9)]++
+				tenths[min(int(10*wait/b.opt.MaxRetryAfter), 9)]++
 			}
 		}
 		for i, n := range tenths {
 			if n > 250 {
-				t.Errorf("after %d refusals %d of 1000 are told the tenth %d of %v: %v", refused, n, i, b.opt.MostAdvice, tenths)
+				t.Errorf("after %d refusals %d of 1000 are told the tenth %d of %v: %v", refused, n, i, b.opt.MaxRetryAfter, tenths)
 			}
 		}
 	}
@@ -515,50 +515,50 @@
 // Attempts from before a zone went dark are no probes, whenever they end and however: neither good ones lead it back nor
 // bad ones keep it dark.
 func TestEarlierAttemptsAreNoProbes(t *testing.T) {
-	for _, late := range []balancer.Result{balancer.Served, balancer.Errored} {
+	for _, late := range []balancer.Result{balancer.Served, balancer.ServerError} {
 		b := book(t, options())
-		b.Health(0, whole(own, other))
-		old := balancer.Ask{Class: "map", Left: time.Minute}
+		b.UpdateHealth(0, whole(own, other))
+		old := balancer.LocalityRequest{Class: "map", TimeLeft: time.Minute}
 		for range 20 {
-			b.Sent(0, own, old)
+			b.AttemptSent(0, own, old)
 		}
 		now := ms
 		for ; b.find(own).state != Dark; now += 10 * ms {
-			a := balancer.Ask{Class: "map", Left: time.Second, Sent: now}
-			b.Sent(now, own, a)
-			b.Ended(now+ms, own, a, balancer.NotConnected, ms)
+			a := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second, SentAt: now}
+			b.AttemptSent(now, own, a)
+			b.AttemptEnded(now+ms, own, a, balancer.NotConnected, ms)
 		}
-		probe := func() balancer.Ask {
+		probe := func() balancer.LocalityRequest {
 			for ; ; now += 10 * ms {
-				a := balancer.Ask{Class: "map", Left: time.Second, Sent: now}
-				if at, ok, _ := b.Place(now, a); ok && at == own {
-					b.Sent(now, own, a)
+				a := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second, SentAt: now}
+				if at, ok, _ := b.Pick(now, a); ok && at == own {
+					b.AttemptSent(now, own, a)
 					return a
 				}
 			}
 		}
 		a := probe()
 		for range 5 {
-			b.Ended(now, own, old, late, now)
+			b.AttemptEnded(now, own, old, late, now)
 		}
 		p := b.find(own)
 		if p.probing != 1 || p.probesInARow != 0 || p.state != Dark {
 			t.Fatalf("%v: %d probes out, %d good in a row, %v", late, p.probing, p.probesInARow, p.state)
 		}
-		b.Ended(now, own, a, balancer.Served, ms)
-		if b.Ended(now, own, old, late, now); p.probesInARow != 1 {
+		b.AttemptEnded(now, own, a, balancer.Served, ms)
+		if b.AttemptEnded(now, own, old, late, now); p.probesInARow != 1 {
 			t.Fatalf("%v: %d good in a row after a good probe", late, p.probesInARow)
 		}
 		a = probe()
 		for now < p.until { // its hold
 			now += 10 * ms
 		}
-		b.Ended(now, own, a, balancer.Served, ms)
+		b.AttemptEnded(now, own, a, balancer.Served, ms)
 		if p.state != Returning {
 			t.Fatalf("%v: %v after two good probes", late, p.state)
 		}
 		for range steady {
-			b.Ended(now, own, old, late, now)
+			b.AttemptEnded(now, own, old, late, now)
 		}
 		if good, bad := p.steps(); good != 0 || bad != 0 {
 			t.Errorf("%v: %d good and %d bad attempts count for a step that they were not sent in", late, good, bad)
@@ -570,12 +570,12 @@
 func TestNoTimeLeft(t *testing.T) {
 	w := &world{b: book(t, options())}
 	w.does = map[balancer.Locality]func(string) (balancer.Result, time.Duration){other: func(string) (balancer.Result, time.Duration) { return balancer.Served, 50 * ms }}
-	w.b.Health(0, whole(other))
+	w.b.UpdateHealth(0, whole(other))
 	w.play(3*time.Second, 100, "map")
-	if at, ok, _ := w.b.Place(w.now, balancer.Ask{Class: "map", Left: 40 * ms}); ok {
+	if at, ok, _ := w.b.Pick(w.now, balancer.LocalityRequest{Class: "map", TimeLeft: 40 * ms}); ok {
 		t.Errorf("goes to %v with 40 ms left of 50", at)
 	}
-	if _, ok, _ := w.b.Place(w.now, balancer.Ask{Class: "map", Left: 200 * ms}); !ok {
+	if _, ok, _ := w.b.Pick(w.now, balancer.LocalityRequest{Class: "map", TimeLeft: 200 * ms}); !ok {
 		t.Error("refused with 200 ms left of 50")
 	}
 }
@@ -592,7 +592,7 @@
 func check(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}, b *Book) {
+}, b *Picker) {
 	t.Helper()
 	sum := 0.0
 	for _, p := range b.places {
@@ -623,7 +623,7 @@
 		}
 		type out struct {
 			at  balancer.Locality
-			ask balancer.Ask
+			ask balancer.LocalityRequest
 		}
 		var open []out
 		now := time.Duration(0)
@@ -667,29 +667,29 @@
 					running := min(known, float64(rapid.IntRange(0, 4).Draw(t, "running")))
 					l = append(l, ready(x, known, running, min(running, float64(rapid.IntRange(0, 4).Draw(t, "ready")))))
 				}
-				b.Health(now, l)
+				b.UpdateHealth(now, l)
 			case 1, 2, 3, 4:
-				a := balancer.Ask{Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
-					Purpose: balancer.Purpose(rapid.IntRange(0, 2).Draw(t, "purpose")), Left: time.Second,
-					Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw"), From: rapid.SampledFrom(localities).Draw(t, "from")}
-				if at, ok, wait := b.Place(now, a); ok {
+				a := balancer.LocalityRequest{Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
+					Purpose: balancer.Purpose(rapid.IntRange(0, 2).Draw(t, "purpose")), TimeLeft: time.Second,
+					Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw"), Previous: rapid.SampledFrom(localities).Draw(t, "from")}
+				if at, ok, wait := b.Pick(now, a); ok {
 					p := b.find(at)
 					if p == nil || p.running == 0 {
 						t.Fatalf("%v has nobody", at)
 					}
 					if p.state == Dark {
-						if a.Purpose != balancer.First {
+						if a.Purpose != balancer.FirstAttempt {
 							t.Fatalf("purpose %d goes to %v, which is dark", a.Purpose, at)
 						}
 						darkSends[at] = append(darkSends[at], now)
-						if s := darkSends[at]; len(s) > 1 && s[len(s)-1]-s[len(s)-2] < b.opt.Probe*3/4 {
+						if s := darkSends[at]; len(s) > 1 && s[len(s)-1]-s[len(s)-2] < b.opt.ProbeInterval*3/4 {
 							t.Fatalf("probes of %v at %v and %v", at, s[len(s)-2], s[len(s)-1])
 						}
 					}
-					a.Sent = now
-					b.Sent(now, at, a)
+					a.SentAt = now
+					b.AttemptSent(now, at, a)
 					open = append(open, out{at, a})
-				} else if a.Purpose == balancer.First && (wait <= 0 || wait > b.opt.MostAdvice) {
+				} else if a.Purpose == balancer.FirstAttempt && (wait <= 0 || wait > b.opt.MaxRetryAfter) {
 					t.Fatalf("come back in %v", wait)
 				}
 			default:
@@ -697,7 +697,7 @@
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 					x := open[i]
 					open = append(open[:i], open[i+1:]...)
-					b.Ended(now, x.at, x.ask, balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result")),
+					b.AttemptEnded(now, x.at, x.ask, balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result")),
 						time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*ms)
 				}
 			}
@@ -707,7 +707,7 @@
 }
 
 // clone is a book that goes on as b would.
-func clone(b *Book) *Book {
+func clone(b *Picker) *Picker {
 	c := *b
 	src := *b.src
 	c.src, c.rng = &src, rand.New(&src)
@@ -735,9 +735,9 @@
 		func(w *world) { w.does[own] = served; w.play(2500*ms, 4, "map") },
 		func(w *world) {
 			if w.b.find(own).running > 0 {
-				w.b.Health(w.now, whole(other))
+				w.b.UpdateHealth(w.now, whole(other))
 			} else {
-				w.b.Health(w.now, whole(own, other))
+				w.b.UpdateHealth(w.now, whole(own, other))
 			}
 		},
 	}
@@ -766,7 +766,7 @@
 		return steps
 	}
 	w := &world{b: book(t, options())}
-	w.b.Health(0, whole(own, other))
+	w.b.UpdateHealth(0, whole(own, other))
 	// Each first event has a goroutine of its own.
 	seen, steps := map[[2]State]int{}, 0
 	var work sync.WaitGroup
@@ -823,7 +823,7 @@
 func TestZonesThatAreEverNew(t *testing.T) {
 	b := book(t, options())
 	for i := range 10_000 {
-		b.Health(time.Duration(i)*time.Second, whole(own, balancer.Locality{Zone: fmt.Sprint("z", i)}))
+		b.UpdateHealth(time.Duration(i)*time.Second, whole(own, balancer.Locality{Zone: fmt.Sprint("z", i)}))
 	}
 	if len(b.places) > remembered+2 {
 		t.Errorf("%d are remembered", len(b.places))
@@ -836,17 +836,17 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	book.Health(0, whole(own, other, third))
-	a := balancer.Ask{Class: "map", Left: time.Second}
+	book.UpdateHealth(0, whole(own, other, third))
+	a := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second}
 	now := time.Duration(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 100 * time.Microsecond
-		at, ok, _ := book.Place(now, a)
+		at, ok, _ := book.Pick(now, a)
 		if !ok {
 			b.Fatal("no place")
 		}
-		book.Sent(now, at, a)
-		book.Ended(now, at, a, balancer.Served, 5*ms)
+		book.AttemptSent(now, at, a)
+		book.AttemptEnded(now, at, a, balancer.Served, 5*ms)
 	}
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -24,8 +24,8 @@
 
 type bodyBudget struct{ left atomic.Int64 }
 
-// Take books n bytes.
-func (b *bodyBudget) Take(n int64) bool {
+// Acquire books n bytes.
+func (b *bodyBudget) Acquire(n int64) bool {
 	if b.left.Add(-n) >= 0 {
 		return true
 	}
@@ -33,11 +33,11 @@
 	return false
 }
 
-// Give returns n bytes.
-func (b *bodyBudget) Give(n int64) { b.left.Add(n) }
+// Release returns n bytes.
+func (b *bodyBudget) Release(n int64) { b.left.Add(n) }
 
 // read reads a body, which is to be whole by until. What it took of memory is the caller's to give back.
-func (n *Front) read(c *client, r *http.Request, memory Allowance, until time.Time) (body backend.Body, took int64, err error) {
+func (n *Front) read(c *client, r *http.Request, memory Quota, until time.Time) (body backend.Body, took int64, err error) {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil, 0, nil
 	}
@@ -56,7 +56,7 @@
 		if r.ContentLength > 0 {
 			piece = min(piece, r.ContentLength-total+1)
 		}
-		if !memory.Take(piece) {
+		if !memory.Acquire(piece) {
 			return nil, took, errNoMemory
 		}
 		took += piece
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -371,7 +371,7 @@
 	return x.stream
 }
 
-func (x *exchange) End(whole bool) {
+func (x *exchange) Finish(whole bool) {
 	x.finish(func(bool) error {
 		if !whole {
 			return errBroken
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -77,7 +77,7 @@
 }
 
 func (c *conns) remove(k *client) {
-	c.budget.Give()
+	c.budget.Release()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.all, k)
@@ -287,7 +287,7 @@
 			l.(deadliner).SetDeadline(time.Now().Add(lastAccept))
 			continue
 		case err != nil:
-			n.conns.budget.Room()
+			n.conns.budget.HasRoom()
 			time.Sleep(acceptRetry)
 			continue
 		}
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -23,31 +23,31 @@
 
 // Options are what a core is told beside the module's settings.
 type Options struct {
-	Settings    balancer.Settings
-	Seed        uint64
-	MaxOpen     int  // requests in hand; 0: no limit
-	LoadReports bool // answers or probes carry them
-	ProbePath   string
-	Rests       bool  // a server's own Retry-After counts
-	BodyBytes   int64 // for all requests' bodies together
-	Budget      *backend.Budget
+	Settings        balancer.Settings
+	Seed            uint64
+	MaxOpen         int  // requests in hand; 0: no limit
+	LoadReports     bool // answers or probes carry them
+	HealthCheckPath string
+	Rests           bool  // a server's own Retry-After counts
+	BodyBytes       int64 // for all requests' bodies together
+	Budget          *backend.Budget
 	// Open bounds the requests in hand beside MaxOpen, over all cores that share it; nil: no limit.
-	Open Allowance
+	Open Quota
 	// Memory is what the requests' bodies are booked on; nil: the front's own.
-	Memory Allowance
-	// Ended is told of each request that has ended, once, with the core's lock held: it must not wait or call back; nil:
+	Memory Quota
+	// OnCompleted is told of each request that has ended, once, with the core's lock held: it must not wait or call back; nil:
 	// nobody is.
-	Ended func(Ended)
+	OnCompleted func(Completed)
 	// Source is asked for the list where the module decides when to ask; nil where nothing is asked for.
 	Source Source
 }
 
-// Ended is how a request ended.
-type Ended struct {
-	Words   balancer.Request
-	Method  string
-	Took    time.Duration // until its answer was given, or its long answer was whole
-	Outcome RequestOutcome
+// Completed is how a request ended.
+type Completed struct {
+	Attributes balancer.Request
+	Method     string
+	Latency    time.Duration // until its answer was given, or its long answer was whole
+	Outcome    RequestOutcome
 }
 
 // RequestOutcome is what became of a request.
@@ -56,15 +56,15 @@
 // What may become of one.
 const (
 	OutcomeServed RequestOutcome = iota
-	OutcomeRefused
+	OutcomeRejected
 	OutcomeFailed
-	OutcomeLeft // its client, or its time ran out
+	OutcomeClientLeft // its client, or its time ran out
 )
 
-// Allowance is a part of what several cores share. Its methods may be called by several goroutines at once.
-type Allowance interface {
-	Take(n int64) bool // books n, or tells that they are not to be had
-	Give(n int64)      // ends that
+// Quota is a part of what several cores share. Its methods may be called by several goroutines at once.
+type Quota interface {
+	Acquire(n int64) bool // books n, or tells that they are not to be had
+	Release(n int64)      // ends that
 }
 
 // Source is where the list of backends is asked for.
@@ -80,8 +80,8 @@
 	// Begin gives the head of an answer whose body is long and where the body goes. A write fails where the client
 	// has left or stands still.
 	Begin(status int, h http.Header, length int64) io.Writer
-	// End ends it. Where it is not whole the client must be able to tell.
-	End(whole bool)
+	// Finish ends it. Where it is not whole the client must be able to tell.
+	Finish(whole bool)
 }
 
 // Answer is a request's one final answer.
@@ -96,10 +96,10 @@
 
 // Request is a client's request as a front hands it over. A front makes one for each and leaves it alone until Done.
 type Request struct {
-	Words  balancer.Request // its ID is the core's alone
-	Send   backend.Request
-	Client Client
-	Held   int64 // bytes of the Allowance that end with it
+	Attributes    balancer.Request // its ID is the core's alone
+	Send          backend.Request
+	Client        Client
+	ReservedBytes int64 // bytes of the Allowance that end with it
 
 	id       string
 	taken    time.Duration
@@ -110,7 +110,7 @@
 	answer   Answer
 	failed   *Answer          // a backend's own word of its failure
 	stream   *backend.Attempt // whose long answer is being passed on
-	memory   Allowance
+	memory   Quota
 	done     chan struct{} // closed when the answer is written
 }
 
@@ -177,25 +177,25 @@
 // Clock is the core's reading of the time, as Unix time: what Server.Since is told on.
 func (n *Core) Clock() time.Duration { return n.now() }
 
-// Take has the core see to a request. Where it does not, the status says why and nothing else happens: 409 where the
+// Accept has the core see to a request. Where it does not, the status says why and nothing else happens: 409 where the
 // ID is in hand, 503 where there are too many, 0 with false where the core is retired and another may take it.
-func (n *Core) Take(q *Request) (status int, ok bool) {
+func (n *Core) Accept(q *Request) (status int, ok bool) {
 	n.do(func(now time.Duration) {
 		switch {
 		case n.retired:
-		case n.requests[q.Words.ID] != nil:
+		case n.requests[q.Attributes.ID] != nil:
 			status = http.StatusConflict
-		case n.opt.MaxOpen > 0 && n.open >= n.opt.MaxOpen, n.opt.Open != nil && !n.opt.Open.Take(1):
+		case n.opt.MaxOpen > 0 && n.open >= n.opt.MaxOpen, n.opt.Open != nil && !n.opt.Open.Acquire(1):
 			status = http.StatusServiceUnavailable
 		default:
 			ok = true
-			q.id, q.done, q.memory = q.Words.ID, make(chan struct{}), n.opt.Memory
+			q.id, q.done, q.memory = q.Attributes.ID, make(chan struct{}), n.opt.Memory
 			n.requests[q.id] = q
 			n.open++
-			n.stats.Taken++
+			n.stats.Accepted++
 			q.taken = now
-			q.deadline = n.boot.Add(now - n.base + q.Words.Left)
-			n.bal.Request(now, q.Words)
+			q.deadline = n.boot.Add(now - n.base + q.Attributes.TimeLeft)
+			n.bal.Request(now, q.Attributes)
 		}
 	})
 	return status, ok
@@ -205,9 +205,9 @@
 func (n *Core) Abandon(q *Request) {
 	n.do(func(now time.Duration) {
 		if n.settle(q, Answer{Status: http.StatusBadGateway}) {
-			n.stats.Left++
-			n.ended(now, q, OutcomeLeft)
-			n.bal.Gone(now, q.id)
+			n.stats.ClientLeft++
+			n.ended(now, q, OutcomeClientLeft)
+			n.bal.ClientGone(now, q.id)
 			n.release(q)
 		}
 	})
@@ -219,25 +219,25 @@
 	n.Abandon(q) // where the module does not know of it
 }
 
-// Expire gives every request in hand that has no answer yet its one answer now, as say words it: sent tells whether an attempt may
+// ExpireAll gives every request in hand that has no answer yet its one answer now, as say words it: sent tells whether an attempt may
 // have run. What is being passed on to a client goes on. It gives how many were answered.
-func (n *Core) Expire(say func(w balancer.Request, sent bool) Answer) (count int) {
+func (n *Core) ExpireAll(say func(w balancer.Request, sent bool) Answer) (count int) {
 	n.do(func(now time.Duration) {
 		for _, q := range n.requests {
 			if q.answered {
 				continue
 			}
-			a := say(q.Words, len(q.attempts) > 0)
+			a := say(q.Attributes, len(q.attempts) > 0)
 			n.settle(q, a)
 			count++
 			if a.Status == http.StatusServiceUnavailable {
-				n.stats.Refused++
-				n.ended(now, q, OutcomeRefused)
+				n.stats.Rejected++
+				n.ended(now, q, OutcomeRejected)
 			} else {
 				n.stats.Failed++
 				n.ended(now, q, OutcomeFailed)
 			}
-			n.bal.Gone(now, q.id)
+			n.bal.ClientGone(now, q.id)
 			n.release(q)
 		}
 	})
@@ -267,21 +267,21 @@
 
 // Stats counts what a core did since its start.
 type Stats struct {
-	Taken    uint64 // requests
-	Served   uint64 // answered with an endpoint's answer
-	Refused  uint64 // answered 503: asking again is harmless
-	Failed   uint64 // answered, but not with a good answer
-	Left     uint64 // whose client left, or whose time ran out with no word of the decision module
-	Sends    uint64
-	Retries  uint64                       // of them, those after a request's first
-	Attempts [balancer.NotSent + 1]uint64 // by result
-	Took     time.Duration                // from the request to its answer, all served ones together
+	Accepted     uint64 // requests
+	Served       uint64 // answered with an endpoint's answer
+	Rejected     uint64 // answered 503: asking again is harmless
+	Failed       uint64 // answered, but not with a good answer
+	ClientLeft   uint64 // whose client left, or whose time ran out with no word of the decision module
+	Sends        uint64
+	Retries      uint64                       // of them, those after a request's first
+	Attempts     [balancer.NotSent + 1]uint64 // by result
+	TotalLatency time.Duration                // from the request to its answer, all served ones together
 }
 
 // Add adds o to s.
 func (s *Stats) Add(o Stats) {
-	s.Taken, s.Served, s.Refused, s.Failed = s.Taken+o.Taken, s.Served+o.Served, s.Refused+o.Refused, s.Failed+o.Failed
-	s.Left, s.Sends, s.Retries, s.Took = s.Left+o.Left, s.Sends+o.Sends, s.Retries+o.Retries, s.Took+o.Took
+	s.Accepted, s.Served, s.Rejected, s.Failed = s.Accepted+o.Accepted, s.Served+o.Served, s.Rejected+o.Rejected, s.Failed+o.Failed
+	s.ClientLeft, s.Sends, s.Retries, s.TotalLatency = s.ClientLeft+o.ClientLeft, s.Sends+o.Sends, s.Retries+o.Retries, s.TotalLatency+o.TotalLatency
 	for i := range s.Attempts {
 		s.Attempts[i] += o.Attempts[i]
 	}
@@ -301,15 +301,15 @@
 	fn(n.now())
 }
 
-// Endpoints tells of each server of the last list how many attempts are out at it, and whether it is ejected.
-func (n *Core) Endpoints(fn func(id string, inFlight int, ejected bool)) {
+// EachServer tells of each server of the last list how many attempts are out at it, and whether it is ejected.
+func (n *Core) EachServer(fn func(id string, inFlight int, ejected bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.bal.Each(n.now(), fn)
+	n.bal.EachServer(n.now(), fn)
 }
 
-// InHand is how many requests have no answer yet.
-func (n *Core) InHand() int {
+// InFlight is how many requests have no answer yet.
+func (n *Core) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	in := n.open
@@ -344,26 +344,26 @@
 	return settled
 }
 
-// Fleet takes news of the list.
-func (n *Core) Fleet(u discovery.Update) {
+// UpdateEndpoints takes news of the list.
+func (n *Core) UpdateEndpoints(u discovery.Update) {
 	settled := n.locked(func(now time.Duration) {
-		if u.Kind != balancer.FleetRefused {
+		if u.Kind != balancer.UpdateFailed {
 			n.follow(u)
 		}
-		n.bal.Fleet(now, u.FleetUpdate)
+		n.bal.UpdateEndpoints(now, u.EndpointUpdate)
 	})
 	// Danger: a client that reads nothing would hold up who brings the news.
 	for _, r := range settled {
 		n.work.Go(func() { n.tell(r) })
 	}
-	if u.Kind == balancer.FleetAll || u.Kind == balancer.FleetChanges || len(u.Servers) > 0 {
+	if u.Kind == balancer.UpdateSnapshot || u.Kind == balancer.UpdateDelta || len(u.Servers) > 0 {
 		n.ready.Store(true)
 	}
 }
 
 // follow brings the pools up to date.
 func (n *Core) follow(u discovery.Update) {
-	if u.Kind != balancer.FleetChanges {
+	if u.Kind != balancer.UpdateDelta {
 		for uid := range n.upstreams {
 			if _, ok := u.Endpoints[uid]; !ok {
 				n.retire(uid)
@@ -413,16 +413,16 @@
 	if reply.Unwanted { // before the module is told how the attempt ended, or it would make another one
 		n.Abandon(r)
 	}
-	o := balancer.Outcome{ID: r.id, Attempt: i, Result: reply.Result, Took: time.Since(sent)}
+	o := balancer.Outcome{ID: r.id, Attempt: i, Result: reply.Result, Latency: time.Since(sent)}
 	if n.opt.LoadReports {
-		o.Load = backend.ParseLoad(reply.Load)
+		o.LoadReport = backend.ParseLoad(reply.LoadReport)
 	}
 	if n.opt.Rests {
-		o.Rest = reply.Rest
+		o.RetryAfter = reply.RetryAfter
 	}
 	if streams {
-		o.Took = reply.First.Sub(sent)
-		r.Client.End(reply.Result == balancer.Served)
+		o.Latency = reply.FirstByteAt.Sub(sent)
+		r.Client.Finish(reply.Result == balancer.Served)
 		close(r.done)
 	}
 	n.do(func(now time.Duration) {
@@ -440,11 +440,11 @@
 			if n.settle(r, own) {
 				n.served(now, r)
 			}
-		case reply.Result == balancer.Errored && reply.Status != 0:
+		case reply.Result == balancer.ServerError && reply.Status != 0:
 			r.failed = &own
 		}
 		n.stats.Attempts[reply.Result]++
-		o.Done = r.answered && r.stream == nil
+		o.Final = r.answered && r.stream == nil
 		n.bal.Outcome(now, o)
 		n.release(r)
 	})
@@ -464,13 +464,13 @@
 
 func (n *Core) served(now time.Duration, r *request) {
 	n.stats.Served++
-	n.stats.Took += now - r.taken
+	n.stats.TotalLatency += now - r.taken
 	n.ended(now, r, OutcomeServed)
 }
 
 func (n *Core) ended(now time.Duration, r *request, out RequestOutcome) {
-	if n.opt.Ended != nil {
-		n.opt.Ended(Ended{Words: r.Words, Method: r.Send.Method, Took: now - r.taken, Outcome: out})
+	if n.opt.OnCompleted != nil {
+		n.opt.OnCompleted(Completed{Attributes: r.Attributes, Method: r.Send.Method, Latency: now - r.taken, Outcome: out})
 	}
 }
 
@@ -479,7 +479,7 @@
 func (q *Request) withdraw() {
 	for _, a := range q.attempts {
 		if a != nil && a != q.stream {
-			a.Withdraw()
+			a.Abort()
 		}
 	}
 }
@@ -488,7 +488,7 @@
 func (n *Core) close() {
 	n.open--
 	if n.opt.Open != nil {
-		n.opt.Open.Give(1)
+		n.opt.Open.Release(1)
 	}
 }
 
@@ -508,7 +508,7 @@
 	if r.answered && r.running == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
 		if r.memory != nil {
-			r.memory.Give(r.Held)
+			r.memory.Release(r.ReservedBytes)
 		}
 		n.emptied()
 	}
@@ -552,7 +552,7 @@
 	go n.attempt(r, i, a)
 }
 
-func (h *host) Refuse(id string, retryAfter time.Duration) {
+func (h *host) Reject(id string, retryAfter time.Duration) {
 	h.answer(id, Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter})
 }
 
@@ -566,8 +566,8 @@
 	}
 	if n.settle(r, a) {
 		if a.Status == http.StatusServiceUnavailable && r.failed == nil {
-			n.stats.Refused++
-			n.ended(n.now(), r, OutcomeRefused)
+			n.stats.Rejected++
+			n.ended(n.now(), r, OutcomeRejected)
 		} else {
 			n.stats.Failed++
 			n.ended(n.now(), r, OutcomeFailed)
@@ -583,20 +583,20 @@
 	}
 }
 
-func (h *host) Probe(server string) {
+func (h *host) HealthCheck(server string) {
 	n := (*Core)(h)
 	up := n.upstream(server)
 	n.work.Go(func() {
 		sent := time.Now()
-		reply := backend.Probe(n.life, up, n.opt.ProbePath, probeTime)
-		p := balancer.ProbeResult{Server: server, Result: reply.Result, Took: time.Since(sent)}
+		reply := backend.HealthCheck(n.life, up, n.opt.HealthCheckPath, probeTime)
+		p := balancer.HealthCheckResult{Server: server, Result: reply.Result, Latency: time.Since(sent)}
 		if n.opt.LoadReports {
-			p.Load = backend.ParseLoad(reply.Load)
-			if p.Load == nil {
-				p.Load = backend.ParseLoad(string(reply.Body))
+			p.LoadReport = backend.ParseLoad(reply.LoadReport)
+			if p.LoadReport == nil {
+				p.LoadReport = backend.ParseLoad(string(reply.Body))
 			}
 		}
-		n.do(func(now time.Duration) { n.bal.Probed(now, p) })
+		n.do(func(now time.Duration) { n.bal.HealthChecked(now, p) })
 	})
 }
 
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -31,8 +31,8 @@
 			leave(c.Conn)
 			// Else the module refuses it once it has waited for too long.
 			testbed.Eventually(t, "its end to be seen", func() bool { return w.held() == 0 })
-			if s := w.Stats(); s.Left != 1 || s.Refused != 0 {
-				t.Errorf("left %d, refused %d", s.Left, s.Refused)
+			if s := w.Stats(); s.ClientLeft != 1 || s.Rejected != 0 {
+				t.Errorf("left %d, refused %d", s.ClientLeft, s.Rejected)
 			}
 			w.list(b.Addr)
 			for code := 0; code != 200; { // the module may refuse some, as the first one was not served
@@ -115,7 +115,7 @@
 		t.Errorf("%v, %v, and %d requests were sent", resp, err, len(b.Seen()))
 	}
 	c.Close()
-	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
+	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.ConnectionCount() == 0 })
 	l.Close()
 	<-served
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -27,13 +27,13 @@
 
 // Destination is the core that takes a request and the words it gets, or, where Core is nil, the answer at once.
 type Destination struct {
-	Core   *Core
-	Words  balancer.Request // Left is positive
-	Status int
-	Text   string
-	Header http.Header
-	Wait   time.Duration // until the client may come back; 0: not said
-	Close  bool          // the connection ends with that answer
+	Core       *Core
+	Attributes balancer.Request // Left is positive
+	Status     int
+	Text       string
+	Header     http.Header
+	RetryAfter time.Duration // until the client may come back; 0: not said
+	Close      bool          // the connection ends with that answer
 }
 
 // Front serves clients over HTTP/1.1: whole requests in, one final answer each. Which core takes a request is its
@@ -52,17 +52,17 @@
 
 // FrontOptions bound a front.
 type FrontOptions struct {
-	Budget       *backend.Budget // of descriptors; clients' connections count against it
-	BodyBytes    int64           // for bodies whose core has no Memory of its own
-	MaxBodyBytes int64           // bytes; 0: LongestBody
-	Router       Router
-	ShedHeads    bool // clients whose heads are long in coming give way where descriptors are short
-	WholeWaits   bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
+	Budget            *backend.Budget // of descriptors; clients' connections count against it
+	BodyBytes         int64           // for bodies whose core has no Memory of its own
+	MaxBodyBytes      int64           // bytes; 0: LongestBody
+	Router            Router
+	ShedSilentClients bool // clients whose heads are long in coming give way where descriptors are short
+	FinishComplete    bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
 }
 
 // NewFront makes a front.
 func NewFront(opt FrontOptions) *Front {
-	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, whole: opt.WholeWaits, conns: newConns(opt.Budget, opt.ShedHeads),
+	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, whole: opt.FinishComplete, conns: newConns(opt.Budget, opt.ShedSilentClients),
 		atEnd: make(chan struct{})}
 	if f.maxBodyBytes <= 0 {
 		f.maxBodyBytes = DefaultMaxBodyBytes
@@ -84,17 +84,17 @@
 	}
 }
 
-// Closing has each connection end behind its next answer, or go on again.
-func (f *Front) Closing(on bool) { f.closing.Store(on) }
+// SetClosing has each connection end behind its next answer, or go on again.
+func (f *Front) SetClosing(on bool) { f.closing.Store(on) }
 
 // Stopping tells whether Stop was called.
 func (f *Front) Stopping() bool { return f.stopping.Load() }
 
-// Conns is how many clients are connected.
-func (f *Front) Conns() int { return len(f.conns.list()) }
+// ConnectionCount is how many clients are connected.
+func (f *Front) ConnectionCount() int { return len(f.conns.list()) }
 
-// Shut closes all connections.
-func (f *Front) Shut() {
+// CloseIdle closes all connections.
+func (f *Front) CloseIdle() {
 	for _, k := range f.conns.list() {
 		k.Close()
 	}
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -76,7 +76,7 @@
 				first <- struct{}{}
 				io.Copy(io.Discard, c)
 			})
-			w := start(t, func(o *Options) { o.Settings.ParallelTries = true }, b.Addr, b.Addr)
+			w := start(t, func(o *Options) { o.Settings.ParallelAttempts = true }, b.Addr, b.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get", "X-Trace-Id: q"))
 			testbed.Within(t, "the first attempt", first)
@@ -104,13 +104,13 @@
 				read := w.holdReaders(t)
 				leave(c.Conn)
 				goOn()
-				testbed.Eventually(t, "its end to be seen", func() bool { return w.Stats().Left == 1 })
+				testbed.Eventually(t, "its end to be seen", func() bool { return w.Stats().ClientLeft == 1 })
 				read()
-				testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
+				testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.ConnectionCount() == 0 })
 				if len(came) != 0 {
 					t.Errorf("sent on: %q", <-came)
 				}
-				if s := w.Stats(); s.Refused+s.Served+s.Failed != 0 {
+				if s := w.Stats(); s.Rejected+s.Served+s.Failed != 0 {
 					t.Errorf("%+v", s)
 				}
 			})
@@ -137,9 +137,9 @@
 				return !waits && l[0].served.Load()
 			})
 			leave(c.Conn)
-			testbed.Eventually(t, "its end to be seen", func() bool { return w.Conns() == 0 })
-			if s := w.Stats(); s.Taken != 0 || len(came) != 0 {
-				t.Errorf("%d taken, %d sent on", s.Taken, len(came))
+			testbed.Eventually(t, "its end to be seen", func() bool { return w.ConnectionCount() == 0 })
+			if s := w.Stats(); s.Accepted != 0 || len(came) != 0 {
+				t.Errorf("%d taken, %d sent on", s.Accepted, len(came))
 			}
 		})
 	}
@@ -175,7 +175,7 @@
 			w := start(t, shape, testbed.NewPeer(t, script).Addr)
 			var read func()
 			return place{w, func([]*peer) {
-				testbed.Eventually(t, "them", func() bool { return w.Conns() == many })
+				testbed.Eventually(t, "them", func() bool { return w.ConnectionCount() == many })
 				read = w.holdReaders(t)
 			}, func() bool {
 				for _, k := range w.conns.list() {
@@ -209,7 +209,7 @@
 			// A retry is a send too: that all are there is told by what was taken.
 			return place{w, nil, func() bool {
 				s := w.Stats()
-				return s.Taken == many && s.Sends+s.Refused >= many && s.Sends >= 40
+				return s.Accepted == many && s.Sends+s.Rejected >= many && s.Sends >= 40
 			}, l.Open}
 		},
 	}
@@ -240,7 +240,7 @@
 			}
 			p.goOn()
 			if name == "in their dials" { // the kernel has them come up in the course of seconds: some before this, the rest behind it
-				testbed.Eventually(t, "an end to be seen", func() bool { return w.Stats().Left > 0 })
+				testbed.Eventually(t, "an end to be seen", func() bool { return w.Stats().ClientLeft > 0 })
 				read()
 			}
 			for code, i := 0, 0; code != 200; i++ { // the module may refuse some, as it has served nothing yet
@@ -250,10 +250,10 @@
 				c.Close()
 			}
 			if name != "unread in their sockets" {
-				testbed.Eventually(t, "their end", func() bool { s := w.Stats(); return s.Left+s.Refused >= many })
+				testbed.Eventually(t, "their end", func() bool { s := w.Stats(); return s.ClientLeft+s.Rejected >= many })
 			}
 			read()
-			testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.Conns() == 0 })
+			testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.ConnectionCount() == 0 })
 			for len(came) > 0 {
 				_, id, _ := strings.Cut(<-came, "X-Trace-Id: ")
 				id, _, _ = strings.Cut(id, "\r\n")
--- a/internal/proxy/node.go
+++ b/internal/proxy/node.go
@@ -52,7 +52,7 @@
 	case id == "":
 		return Destination{Status: http.StatusBadRequest, Text: "X-Trace-Id is missing", Close: true}
 	}
-	return Destination{Core: n.Core, Words: n.words(r, id)}
+	return Destination{Core: n.Core, Attributes: n.words(r, id)}
 }
 
 func (n *Node) words(r *http.Request, id string) balancer.Request {
@@ -67,9 +67,9 @@
 	if us, err := strconv.ParseInt(h.Get("X-Size-Hint"), 10, 64); err == nil && us > 0 && us < 1<<40 {
 		q.Work = time.Duration(us) * time.Microsecond
 	}
-	q.Left = n.classes[q.Class]
-	if ms, err := strconv.ParseInt(h.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < int64(q.Left/time.Millisecond) {
-		q.Left = time.Duration(ms) * time.Millisecond
+	q.TimeLeft = n.classes[q.Class]
+	if ms, err := strconv.ParseInt(h.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < int64(q.TimeLeft/time.Millisecond) {
+		q.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
 	return q
 }
@@ -81,5 +81,5 @@
 		n.news.Stop()
 	}
 	n.Core.Close()
-	n.Shut()
+	n.CloseIdle()
 }
--- a/internal/proxy/node_test.go
+++ b/internal/proxy/node_test.go
@@ -36,10 +36,10 @@
 	t.Helper()
 	s := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true,
 		Classes: []balancer.Class{
-			{Name: "get", Deadline: testbed.Patience, Effect: balancer.Safe, Worth: 1},
-			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: balancer.Safe, Worth: 1},
-			{Name: "put", Deadline: testbed.Patience, Effect: balancer.Keyed, Group: balancer.GroupCell, Window: time.Minute, Worth: 1},
-			{Name: "post", Deadline: testbed.Patience, Effect: balancer.Unsafe, Worth: 1},
+			{Name: "get", Deadline: testbed.Patience, Effect: balancer.Idempotent, PriorityWeight: 1},
+			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: balancer.Idempotent, PriorityWeight: 1},
+			{Name: "put", Deadline: testbed.Patience, Effect: balancer.IdempotentWithKey, Group: balancer.GroupCell, Window: time.Minute, PriorityWeight: 1},
+			{Name: "post", Deadline: testbed.Patience, Effect: balancer.NonIdempotent, PriorityWeight: 1},
 		}}
 	w := &world{budget: backend.NewBudget(64), served: make(chan struct{})}
 	opt := Options{Settings: s, Seed: 1, BodyBytes: 64 << 20, Budget: w.budget}
@@ -72,16 +72,16 @@
 }
 
 func (w *world) list(addrs ...string) {
-	u := discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetAll}, Endpoints: map[string]string{}}
+	u := discovery.Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot}, Endpoints: map[string]string{}}
 	if len(addrs) == 0 { // one that has yet to come: requests are held
-		u.Kind = balancer.FleetRemembered
+		u.Kind = balancer.UpdateCached
 	}
 	for i, a := range addrs {
 		id := fmt.Sprint("s", i)
 		u.Servers = append(u.Servers, balancer.Server{ID: id, Zone: "a", Weight: 1})
 		u.Endpoints[id] = a
 	}
-	w.Fleet(u)
+	w.UpdateEndpoints(u)
 }
 
 func (w *world) held() int {
@@ -252,8 +252,8 @@
 		if why := malformed(r); (why != "") != (want == 0) {
 			t.Errorf("%q: malformed %q", text, why)
 		}
-		if q := n.words(r, "t"); want != 0 && q.Left != want {
-			t.Errorf("%q: %v", text, q.Left)
+		if q := n.words(r, "t"); want != 0 && q.TimeLeft != want {
+			t.Errorf("%q: %v", text, q.TimeLeft)
 		}
 	}
 }
@@ -333,7 +333,7 @@
 	testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
 	w.do(func(time.Duration) {
 		for id := range w.requests {
-			(*host)(w.Core).Refuse(id, 40*time.Millisecond)
+			(*host)(w.Core).Reject(id, 40*time.Millisecond)
 		}
 	})
 	if code, _, h := c.answer(t); code != 503 || h.Get("Retry-After") != "0.040" {
@@ -654,8 +654,8 @@
 		}
 	}
 	w := start(t, func(o *Options) {
-		o.Settings.ParallelTries = true
-		o.Settings.Classes[0].Aim = 20 * time.Millisecond
+		o.Settings.ParallelAttempts = true
+		o.Settings.Classes[0].LatencyObjective = 20 * time.Millisecond
 	}, testbed.NewPeer(t, script).Addr, testbed.NewPeer(t, script).Addr)
 	c := w.dial(t)
 	for range 30 { // so that the module knows how long an answer takes
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -40,7 +40,7 @@
 			late, came := make(chan string, 9), make(chan string, 9)
 			l := testbed.NewLate(t, wholes(late))
 			b := testbed.NewPeer(t, wholes(came))
-			w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelTries = false, true }, l.Addr)
+			w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelAttempts = false, true }, l.Addr)
 			c := w.dial(t)
 			class := "get"
 			if name == "expired" {
@@ -90,7 +90,7 @@
 		io.WriteString(c, ok)
 		io.Copy(io.Discard, c)
 	})
-	w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelTries = false, true }, b.Addr, b.Addr)
+	w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelAttempts = false, true }, b.Addr, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get", "X-Trace-Id: q"))
 	testbed.Within(t, "the request", came)
@@ -130,7 +130,7 @@
 			if i%2 == 0 {
 				a.Cancel()
 			} else {
-				a.Withdraw()
+				a.Abort()
 			}
 			close(cancelled)
 		}()
@@ -169,7 +169,7 @@
 		t.Fatal(name)
 	}
 	inFlight := func() (n int) {
-		w.Endpoints(func(_ string, k int, _ bool) { n += k })
+		w.EachServer(func(_ string, k int, _ bool) { n += k })
 		return n
 	}
 	w.list(next.Addr)
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -48,8 +48,8 @@
 	}
 	q := &Request{}
 	var err error
-	if q.Send.Body, q.Held, err = n.read(c, r, memory, until); err != nil {
-		memory.Give(q.Held)
+	if q.Send.Body, q.ReservedBytes, err = n.read(c, r, memory, until); err != nil {
+		memory.Release(q.ReservedBytes)
 		status := http.StatusBadRequest
 		switch {
 		case errors.Is(err, errTooLong):
@@ -65,14 +65,14 @@
 	// Danger: clients send one request at a time, so what stands behind one belongs to its body, whose length was
 	// given wrong, or is meant to be taken for somebody else's request.
 	if c.br.Buffered() > 0 {
-		memory.Give(q.Held)
+		memory.Release(q.ReservedBytes)
 		c.reject(http.StatusBadRequest, "more came than the request")
 		return false
 	}
 	x := &exchange{c: c, wantsClose: r.Close, noBody: r.Method == http.MethodHead}
 	q.Client = x
 	// Danger: the end of a client is read by a goroutine of its own, which on a busy node may wait its turn behind thousands.
-	q.Send.Wanted = func() bool {
+	q.Send.StillWanted = func() bool {
 		_, left := c.look()
 		return !left
 	}
@@ -82,21 +82,21 @@
 	q.Send.Header = header
 	// Danger: a client may have left while its request waited to be read. Nobody wants the answer, and the work is real.
 	if _, left := c.look(); left {
-		memory.Give(q.Held)
+		memory.Release(q.ReservedBytes)
 		c.reject(http.StatusServiceUnavailable, "the client has left")
 		return false
 	}
 	c.taken()
 	for range reroutes {
-		q.Words = d.Words
-		q.Words.Size = q.Send.Body.Len()
-		c.SetReadDeadline(time.Now().Add(q.Words.Left + guardTime))
+		q.Attributes = d.Attributes
+		q.Attributes.Size = q.Send.Body.Len()
+		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + guardTime))
 		if n.ending() { // not sooner: who ends what is in hand wakes its reader by that time
-			memory.Give(q.Held)
+			memory.Release(q.ReservedBytes)
 			c.reject(http.StatusServiceUnavailable, errEnding.Error())
 			return false
 		}
-		status, ok := d.Core.Take(q)
+		status, ok := d.Core.Accept(q)
 		switch {
 		case ok:
 			return c.watch(d.Core, q, x)
@@ -106,17 +106,17 @@
 			}
 			status = d.Status
 		}
-		memory.Give(q.Held)
+		memory.Release(q.ReservedBytes)
 		c.reject(status, http.StatusText(status))
 		return false
 	}
-	memory.Give(q.Held)
+	memory.Release(q.ReservedBytes)
 	c.reject(http.StatusServiceUnavailable, "the routes keep changing")
 	return false
 }
 
 func (d *Destination) answer() Answer {
-	a := Answer{Status: d.Status, Header: d.Header, RetryAfter: d.Wait}
+	a := Answer{Status: d.Status, Header: d.Header, RetryAfter: d.RetryAfter}
 	if d.Text != "" {
 		a.Body = []byte(d.Text + "\n")
 	}
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -95,14 +95,14 @@
 				say("mixed: %s of %q, key %q, came as of %q, key %q", q.id, q.tenant, q.key, s.tenant, s.key)
 			}
 			for _, p := range tries[:i] {
-				if out := p.over.Sub(s.at); out > auditSlack && (!a.parallel || c.Effect == balancer.Unsafe) {
+				if out := p.over.Sub(s.at); out > auditSlack && (!a.parallel || c.Effect == balancer.NonIdempotent) {
 					say("twice: %s was out at %s for %v more as it went to %s", q.id, p.server.ID, out, s.server.ID)
 				}
 			}
 			for _, p := range ran {
 				far := c.Group == balancer.GroupZone && p.server.Zone != s.server.Zone ||
 					c.Group == balancer.GroupCell && (p.server.Zone != s.server.Zone || p.server.Cell != s.server.Cell)
-				if c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && (far || s.at.Sub(p.at) > c.Window+auditSlack) {
+				if c.Effect == balancer.NonIdempotent || c.Effect == balancer.IdempotentWithKey && (far || s.at.Sub(p.at) > c.Window+auditSlack) {
 					say("effect: %s may have run at %s and went to %s, %v later", q.id, p.server.ID, s.server.ID, s.at.Sub(p.at))
 				}
 			}
@@ -111,7 +111,7 @@
 			}
 		}
 		if refused := q.status == http.StatusServiceUnavailable || q.status == http.StatusTooManyRequests; refused && len(ran) > 0 &&
-			(c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && c.Group != balancer.GroupAll) {
+			(c.Effect == balancer.NonIdempotent || c.Effect == balancer.IdempotentWithKey && c.Group != balancer.GroupAll) {
 			say("refusal: %s may have run and was answered %d", q.id, q.status)
 		}
 	}
@@ -136,19 +136,19 @@
 	}
 	flip := func() bool { return rng.IntN(2) == 0 }
 	s := &site{set: balancer.Settings{Zone: "z0", Zones: []string{"z0", "z1"}, Proxies: 1 + rng.IntN(40), MaxAttempts: 1 + rng.IntN(5),
-		MayCancel: flip(), ParallelTries: flip(), RetryAdvice: flip(), MaxRetryAdvice: time.Second, OverShareWorth: 0.1, WorthByWork: flip(),
-		ColdTime: time.Second, ColdShare: 0.3, FallMultiple: 3, FallTime: time.Second, DrainGrace: time.Second}}
+		MayCancel: flip(), ParallelAttempts: flip(), RetryAfter: flip(), MaxRetryAfter: time.Second, OverQuotaWeight: 0.1, WeightByWork: flip(),
+		WarmUpTime: time.Second, WarmUpShare: 0.3, OverloadMultiple: 3, OverloadWindow: time.Second, DrainGrace: time.Second}}
 	s.set.Price.CrossZone = rng.Float64() * 0.05
 	for range 1 + rng.IntN(4) {
 		d := time.Duration(80+rng.IntN(300)) * time.Millisecond
-		c := balancer.Class{Name: name() + fmt.Sprint(len(s.set.Classes)), Aim: d / time.Duration(1+rng.IntN(4)), Deadline: d,
-			Effect: balancer.Effect(rng.IntN(3)), Group: balancer.Group(rng.IntN(3)), Window: time.Duration(30+rng.IntN(400)) * time.Millisecond, Worth: 1 + rng.Float64()}
+		c := balancer.Class{Name: name() + fmt.Sprint(len(s.set.Classes)), LatencyObjective: d / time.Duration(1+rng.IntN(4)), Deadline: d,
+			Effect: balancer.Effect(rng.IntN(3)), Group: balancer.Group(rng.IntN(3)), Window: time.Duration(30+rng.IntN(400)) * time.Millisecond, PriorityWeight: 1 + rng.Float64()}
 		s.set.Classes = append(s.set.Classes, c)
 	}
 	for range rng.IntN(3) {
-		s.set.Tenants = append(s.set.Tenants, balancer.Tenant{Name: name(), Rate: 1 + 200*rng.Float64(), Share: rng.Float64()})
+		s.set.Tenants = append(s.set.Tenants, balancer.Tenant{Name: name(), Rate: 1 + 200*rng.Float64(), Quota: rng.Float64()})
 	}
-	s.audit = auditor{classes: map[string]balancer.Class{}, parallel: s.set.ParallelTries, most: s.set.MaxAttempts, drained: map[string]time.Time{}}
+	s.audit = auditor{classes: map[string]balancer.Class{}, parallel: s.set.ParallelAttempts, most: s.set.MaxAttempts, drained: map[string]time.Time{}}
 	for _, c := range s.set.Classes {
 		s.audit.classes[c.Name] = c
 	}
@@ -221,7 +221,7 @@
 			r = bufio.NewReader(c)
 		}
 		q := asked{id: fmt.Sprintf("c%d-%d", who, i), class: "none-such"}
-		effect := balancer.Safe
+		effect := balancer.Idempotent
 		if k := rng.IntN(20); k > 0 {
 			class := s.set.Classes[rng.IntN(len(s.set.Classes))]
 			q.class, q.deadline, effect = class.Name, class.Deadline, s.audit.classes[class.Name].Effect
@@ -231,7 +231,7 @@
 			q.deadline = q.deadline.Truncate(time.Millisecond)
 		}
 		text := "GET /" + q.class + "/x"
-		if effect != balancer.Safe {
+		if effect != balancer.Idempotent {
 			text = "POST /" + q.class + "/x"
 		}
 		if rng.IntN(3) > 0 {
@@ -251,13 +251,13 @@
 		if q.tenant != "" {
 			text += "X-Customer: " + q.tenant + "\r\n"
 		}
-		if effect == balancer.Keyed {
+		if effect == balancer.IdempotentWithKey {
 			text += "Idempotency-Key: " + q.id + "\r\n"
 		}
 		if q.deadline > 0 {
 			text += fmt.Sprintf("X-Expires-In-Ms: %d\r\n", q.deadline.Milliseconds())
 		}
-		if effect != balancer.Safe {
+		if effect != balancer.Idempotent {
 			text += "Content-Length: 1\r\n\r\nx"
 		} else {
 			text += "\r\n"
@@ -305,7 +305,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetAll}, Endpoints: map[string]string{}}
+	u := discovery.Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot}, Endpoints: map[string]string{}}
 	for i := range 4 + rng.IntN(5) {
 		server := balancer.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%2), Cell: i % 4 / 2, Weight: 1}
 		s.servers = append(s.servers, server)
@@ -316,7 +316,7 @@
 		u.Servers = append(u.Servers, balancer.Server{ID: "none", Zone: "z0", Weight: 1})
 		u.Endpoints["none"] = testbed.Refusing(t)
 	}
-	n.Fleet(u)
+	n.UpdateEndpoints(u)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -331,7 +331,7 @@
 	time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 	drained := s.servers[rng.IntN(len(s.servers))]
 	drained.State = balancer.Draining
-	n.Fleet(discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetChanges, Servers: []balancer.Server{drained}},
+	n.UpdateEndpoints(discovery.Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateDelta, Servers: []balancer.Server{drained}},
 		Endpoints: map[string]string{drained.ID: u.Endpoints[drained.ID]}})
 	s.mu.Lock()
 	s.audit.drained[drained.ID] = time.Now()
@@ -375,10 +375,10 @@
 	for name, plant := range map[string]func(*balancer.Settings){
 		"effect:": func(s *balancer.Settings) {
 			for i := range s.Classes {
-				s.Classes[i].Effect = balancer.Safe
+				s.Classes[i].Effect = balancer.Idempotent
 			}
 		},
-		"refusal:":  func(s *balancer.Settings) { s.Classes[0].Effect = balancer.Safe },
+		"refusal:":  func(s *balancer.Settings) { s.Classes[0].Effect = balancer.Idempotent },
 		"attempts:": func(s *balancer.Settings) { s.MaxAttempts = 6 },
 	} {
 		found := false
@@ -388,9 +388,9 @@
 			s.audit.most = 2
 			s.set.MaxAttempts = 2
 			for i := range s.set.Classes {
-				s.set.Classes[i].Effect, s.set.Classes[i].Group, s.set.Classes[i].Window = balancer.Keyed, balancer.GroupCell, time.Minute
+				s.set.Classes[i].Effect, s.set.Classes[i].Group, s.set.Classes[i].Window = balancer.IdempotentWithKey, balancer.GroupCell, time.Minute
 				if name == "attempts:" {
-					s.set.Classes[i].Effect = balancer.Safe
+					s.set.Classes[i].Effect = balancer.Idempotent
 				}
 				s.audit.classes[s.set.Classes[i].Name] = s.set.Classes[i]
 			}
@@ -424,21 +424,21 @@
 		q     asked
 		seen  []seen
 	}{
-		"":              {class(balancer.Keyed, balancer.GroupCell), q, []seen{one, later(a, 300)}},
-		"lost: none":    {class(balancer.Safe, 0), with(func(q *asked) { q.status = 0 }), nil},
-		"lost: late":    {class(balancer.Safe, 0), with(func(q *asked) { q.at = at(1400) }), []seen{one}},
-		"lost: other":   {class(balancer.Safe, 0), with(func(q *asked) { q.body = "p@a" }), []seen{one}},
-		"effect: twice": {class(balancer.Unsafe, 0), q, []seen{one, later(a, 400)}},
-		"effect: cell":  {class(balancer.Keyed, balancer.GroupCell), q, []seen{one, later(b, 400)}},
-		"effect: over":  {class(balancer.Keyed, balancer.GroupAll), q, []seen{one, later(a, 890)}},
-		"twice: out":    {class(balancer.Safe, 0), q, []seen{{id: "q", server: a, at: at(100), over: at(700), ran: true}, later(b, 300)}},
-		"late: sent":    {class(balancer.Safe, 0), q, []seen{one, later(a, 1300)}},
-		"late: left":    {class(balancer.Safe, 0), with(func(q *asked) { q.left = at(100) }), []seen{later(a, 400)}},
-		"mixed: tenant": {class(balancer.Safe, 0), with(func(q *asked) { q.tenant = "t" }), []seen{one}},
-		"refusal: ran":  {class(balancer.Unsafe, 0), with(func(q *asked) { q.status = 503 }), []seen{one}},
-		"drain: sent":   {class(balancer.Safe, 0), with(func(q *asked) { q.body = "q@b" }), []seen{later(b, 500)}},
-		"attempts: 4":   {class(balancer.Safe, 0), q, []seen{one, later(a, 300), later(a, 400), later(a, 500)}},
-		"class: none":   {class(balancer.Safe, 0), with(func(q *asked) { q.class = "x" }), []seen{one}},
+		"":              {class(balancer.IdempotentWithKey, balancer.GroupCell), q, []seen{one, later(a, 300)}},
+		"lost: none":    {class(balancer.Idempotent, 0), with(func(q *asked) { q.status = 0 }), nil},
+		"lost: late":    {class(balancer.Idempotent, 0), with(func(q *asked) { q.at = at(1400) }), []seen{one}},
+		"lost: other":   {class(balancer.Idempotent, 0), with(func(q *asked) { q.body = "p@a" }), []seen{one}},
+		"effect: twice": {class(balancer.NonIdempotent, 0), q, []seen{one, later(a, 400)}},
+		"effect: cell":  {class(balancer.IdempotentWithKey, balancer.GroupCell), q, []seen{one, later(b, 400)}},
+		"effect: over":  {class(balancer.IdempotentWithKey, balancer.GroupAll), q, []seen{one, later(a, 890)}},
+		"twice: out":    {class(balancer.Idempotent, 0), q, []seen{{id: "q", server: a, at: at(100), over: at(700), ran: true}, later(b, 300)}},
+		"late: sent":    {class(balancer.Idempotent, 0), q, []seen{one, later(a, 1300)}},
+		"late: left":    {class(balancer.Idempotent, 0), with(func(q *asked) { q.left = at(100) }), []seen{later(a, 400)}},
+		"mixed: tenant": {class(balancer.Idempotent, 0), with(func(q *asked) { q.tenant = "t" }), []seen{one}},
+		"refusal: ran":  {class(balancer.NonIdempotent, 0), with(func(q *asked) { q.status = 503 }), []seen{one}},
+		"drain: sent":   {class(balancer.Idempotent, 0), with(func(q *asked) { q.body = "q@b" }), []seen{later(b, 500)}},
+		"attempts: 4":   {class(balancer.Idempotent, 0), q, []seen{one, later(a, 300), later(a, 400), later(a, 500)}},
+		"class: none":   {class(balancer.Idempotent, 0), with(func(q *asked) { q.class = "x" }), []seen{one}},
 	} {
 		x := auditor{classes: map[string]balancer.Class{"c": c.class}, most: 3, asked: []asked{c.q}, seen: c.seen, drained: map[string]time.Time{"b": at(200)}}
 		if name == "effect: cell" {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -68,9 +68,9 @@
 	return t, nil
 }
 
-// Take counts a request of the key with this hash. The hash has to be even and unknown to who chooses the keys. Readings of
+// Allow counts a request of the key with this hash. The hash has to be even and unknown to who chooses the keys. Readings of
 // time that go back count as they are: a key is then further ahead.
-func (t *Table) Take(now time.Duration, hash uint64) Decision {
+func (t *Table) Allow(now time.Duration, hash uint64) Decision {
 	hash = max(hash, 1) // 0 marks a free slot
 	s := &t.shards[hash%shards]
 	s.mu.Lock()
@@ -113,8 +113,8 @@
 // Window is the time in which a whole burst comes back.
 func (t *Table) Window() time.Duration { return t.gap * time.Duration(t.burst) }
 
-// Rest is how many requests were counted together with others, as there was no room for their keys.
-func (t *Table) Rest() (n uint64) {
+// SharedCount is how many requests were counted together with others, as there was no room for their keys.
+func (t *Table) SharedCount() (n uint64) {
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -22,23 +22,23 @@
 func TestBurstAndRate(t *testing.T) {
 	x := table(t, 10, 5, 100)
 	for i := range 5 {
-		if d := x.Take(0, 7); !d.OK || d.Remaining != 4-i || d.Reset != time.Duration(i+1)*100*time.Millisecond {
+		if d := x.Allow(0, 7); !d.OK || d.Remaining != 4-i || d.Reset != time.Duration(i+1)*100*time.Millisecond {
 			t.Errorf("%d: %+v", i, d)
 		}
 	}
-	if d := x.Take(0, 7); d.OK || d.RetryAfter != 100*time.Millisecond || d.Reset != 500*time.Millisecond {
+	if d := x.Allow(0, 7); d.OK || d.RetryAfter != 100*time.Millisecond || d.Reset != 500*time.Millisecond {
 		t.Errorf("beyond the burst: %+v", d)
 	}
-	if d := x.Take(0, 8); !d.OK {
+	if d := x.Allow(0, 8); !d.OK {
 		t.Errorf("another key: %+v", d)
 	}
-	if d := x.Take(99*time.Millisecond, 7); d.OK {
+	if d := x.Allow(99*time.Millisecond, 7); d.OK {
 		t.Errorf("a moment too soon: %+v", d)
 	}
-	if d := x.Take(100*time.Millisecond, 7); !d.OK || d.Remaining != 0 {
+	if d := x.Allow(100*time.Millisecond, 7); !d.OK || d.Remaining != 0 {
 		t.Errorf("when it was told to: %+v", d)
 	}
-	if d := x.Take(time.Hour, 7); !d.OK || d.Remaining != 4 {
+	if d := x.Allow(time.Hour, 7); !d.OK || d.Remaining != 4 {
 		t.Errorf("after a long rest: %+v", d)
 	}
 }
@@ -55,12 +55,12 @@
 		var taken []time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "n") {
 			now += time.Duration(rapid.Int64Range(0, int64(2*time.Second)/int64(rate+1)).Draw(t, "gap"))
-			d := x.Take(now, 3)
+			d := x.Allow(now, 3)
 			if !d.OK {
 				if d.RetryAfter <= 0 {
 					t.Fatalf("%+v", d)
 				}
-				if now += d.RetryAfter; !x.Take(now, 3).OK {
+				if now += d.RetryAfter; !x.Allow(now, 3).OK {
 					t.Fatalf("refused when it was told to come")
 				}
 			}
@@ -84,20 +84,20 @@
 		return maphash.Bytes(seed, []byte{kind, byte(i), byte(i >> 8), byte(i >> 16), byte(i >> 24)})
 	}
 	for i := range keys {
-		x.Take(0, hash('k', i))
+		x.Allow(0, hash('k', i))
 	}
-	if n := x.Rest(); n > keys/200 {
+	if n := x.SharedCount(); n > keys/200 {
 		t.Errorf("%d of %d keys found no room", n, keys)
 	}
 	gap := time.Second / 100_000
 	for i := range 500_000 {
-		x.Take(time.Duration(i)*gap, hash('n', i))
+		x.Allow(time.Duration(i)*gap, hash('n', i))
 	}
 	wrong := 0
 	for range 20_000 {
 		i := rand.IntN(keys)
 		// One of two is spent at 0 and a half of it is back: one more is allowed, and not two.
-		if a, b := x.Take(5*time.Second, hash('k', i)), x.Take(5*time.Second, hash('k', i)); !a.OK || b.OK {
+		if a, b := x.Allow(5*time.Second, hash('k', i)), x.Allow(5*time.Second, hash('k', i)); !a.OK || b.OK {
 			wrong++
 		}
 	}
@@ -125,7 +125,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			x.Take(time.Duration(rand.Int64()>>20), rand.Uint64()|1)
+			x.Allow(time.Duration(rand.Int64()>>20), rand.Uint64()|1)
 		}
 	})
 }
@@ -150,7 +150,7 @@
 			if n := part * 400; n > 0 {
 				gap := time.Duration(float64(time.Second) / n)
 				for now := time.Duration(0); now < seconds*time.Second; now += gap {
-					if x.Take(now, 1).OK {
+					if x.Allow(now, 1).OK {
 						allowed++
 					}
 				}
--- a/internal/resource/limit.go
+++ b/internal/resource/limit.go
@@ -59,11 +59,11 @@
 	return nil
 }
 
-// End gives back what is its own. What it still holds goes back with each Give.
-func (s *Share) End() { _ = s.Resize(0, s.limit) } // less can always be had
+// Close gives back what is its own. What it still holds goes back with each Give.
+func (s *Share) Close() { _ = s.Resize(0, s.limit) } // less can always be had
 
-// Take books n, or tells that they are not to be had.
-func (s *Share) Take(n int64) bool {
+// Acquire books n, or tells that they are not to be had.
+func (s *Share) Acquire(n int64) bool {
 	s.p.mu.Lock()
 	defer s.p.mu.Unlock()
 	if n < 0 || s.limit > 0 && s.used+n > s.limit {
@@ -78,8 +78,8 @@
 	return true
 }
 
-// Give ends the booking of n.
-func (s *Share) Give(n int64) {
+// Release ends the booking of n.
+func (s *Share) Release(n int64) {
 	s.p.mu.Lock()
 	defer s.p.mu.Unlock()
 	s.p.used -= max(s.used-s.own, 0) - max(s.used-n-s.own, 0)
--- a/internal/resource/limit_test.go
+++ b/internal/resource/limit_test.go
@@ -46,7 +46,7 @@
 				}
 				u := rapid.SampledFrom(users).Draw(t, "user")
 				n := rapid.Int64Range(0, 40).Draw(t, "n")
-				ok := u.Take(n)
+				ok := u.Acquire(n)
 				if ok {
 					u.held += n
 				}
@@ -63,7 +63,7 @@
 				}
 				u := rapid.SampledFrom(users).Draw(t, "user")
 				n := rapid.Int64Range(0, u.held).Draw(t, "n")
-				u.Give(n)
+				u.Release(n)
 				u.held -= n
 			},
 			"end": func(t *rapid.T) {
@@ -71,7 +71,7 @@
 					t.Skip()
 				}
 				u := rapid.SampledFrom(users).Draw(t, "user")
-				u.End()
+				u.Close()
 				u.ended = true
 			},
 			"resize": func(t *rapid.T) {
--- a/internal/simprotocol/wire.go
+++ b/internal/simprotocol/wire.go
@@ -219,14 +219,14 @@
 }
 
 var (
-	effects  = map[string]balancer.Effect{"free": balancer.Safe, "guarded": balancer.Keyed, "single_shot": balancer.Unsafe}
+	effects  = map[string]balancer.Effect{"free": balancer.Idempotent, "guarded": balancer.IdempotentWithKey, "single_shot": balancer.NonIdempotent}
 	groups   = map[string]balancer.Group{"": 0, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
 	states   = map[string]balancer.State{"Running": balancer.Running, "Stopping": balancer.Draining, "Deleted": balancer.Removed}
 	weights  = map[string]balancer.WeightSource{"off": 0, "nominal": balancer.WeightNominal, "rough": balancer.WeightRough, "live": balancer.WeightLive}
-	reports  = map[string]balancer.ReportMode{"off": 0, "inline": balancer.ReportAnswers, "on_probe": balancer.ReportProbes}
-	fleets   = map[string]balancer.FleetKind{"changes": balancer.FleetChanges, "all": balancer.FleetAll, "remembered": balancer.FleetRemembered, "refused": balancer.FleetRefused}
-	outcomes = map[string]balancer.Result{"served": balancer.Served, "server_error": balancer.Errored, "turned_away": balancer.TurnedAway,
-		"no_answer": balancer.TimedOut, "no_connection": balancer.NotConnected, "connection_lost": balancer.ConnLost,
+	reports  = map[string]balancer.ReportMode{"off": 0, "inline": balancer.ReportAnswers, "on_probe": balancer.ReportHealthChecks}
+	fleets   = map[string]balancer.UpdateKind{"changes": balancer.UpdateDelta, "all": balancer.UpdateSnapshot, "remembered": balancer.UpdateCached, "refused": balancer.UpdateFailed}
+	outcomes = map[string]balancer.Result{"served": balancer.Served, "server_error": balancer.ServerError, "turned_away": balancer.Rejected,
+		"no_answer": balancer.TimedOut, "no_connection": balancer.NotConnected, "connection_lost": balancer.ConnectionLost,
 		"called_off": balancer.Cancelled, "not_sent": balancer.NotSent}
 )
 
@@ -234,17 +234,17 @@
 func (i *Info) Settings() (balancer.Settings, error) {
 	c, k := &i.Caps, &i.Contract
 	s := balancer.Settings{
-		Zone: i.AZ, Zones: i.AZs, Me: i.Me, Proxies: i.Replicas,
-		OverShareWorth: i.OverShareWorth, WorthByWork: i.WorthBy == "work",
-		MaxAttempts: c.Attempts, ParallelTries: c.Parallel, MayCancel: c.MayCancel, MayProbe: c.Probes,
-		RetryAdvice: c.RetryAfter, MaxRetryAdvice: c.MaxRetryAfter, ConnectTimeout: c.ConnectTimeout,
+		Zone: i.AZ, Zones: i.AZs, Index: i.Me, Proxies: i.Replicas,
+		OverQuotaWeight: i.OverShareWorth, WeightByWork: i.WorthBy == "work",
+		MaxAttempts: c.Attempts, ParallelAttempts: c.Parallel, MayCancel: c.MayCancel, MayHealthCheck: c.Probes,
+		RetryAfter: c.RetryAfter, MaxRetryAfter: c.MaxRetryAfter, ConnectTimeout: c.ConnectTimeout,
 		ConnIdle: c.ConnIdle, Multiplex: c.Multiplex, WarmKeys: i.FamilyInfo.WarmKeys,
-		Ask: i.Discovery == "on_request", MustAskIn: k.MustAskIn,
-		AnswerGrace: k.Grace, DrainGrace: k.DrainGrace, ColdTime: k.Cold, ColdShare: k.ColdShare,
-		FallMultiple: k.FallMultiple, FallTime: k.OverloadFor,
+		Polled: i.Discovery == "on_request", MaxPollInterval: k.MustAskIn,
+		AnswerGrace: k.Grace, DrainGrace: k.DrainGrace, WarmUpTime: k.Cold, WarmUpShare: k.ColdShare,
+		OverloadMultiple: k.FallMultiple, OverloadWindow: k.OverloadFor,
 		Price: balancer.Prices{CrossZone: i.Costs["cross-zone"], Waste: i.Costs["waste"],
-			Connection: i.Costs["connection"], Handshake: i.Costs["handshake"], Probe: i.Costs["probe"],
-			LateFail: i.Costs["late-fail"], Discovery: i.Costs["discovery"], Peer: i.Costs["peer"]},
+			Connection: i.Costs["connection"], Handshake: i.Costs["handshake"], HealthCheck: i.Costs["probe"],
+			LateFail: i.Costs["late-fail"], Discovery: i.Costs["discovery"], Gossip: i.Costs["peer"]},
 		Weights: weights[i.WeightSource], Report: reports[i.Reporting.How],
 	}
 	for _, p := range i.Profiles {
@@ -256,12 +256,12 @@
 		if !ok {
 			return s, fmt.Errorf("profiles[%q].group: %q is not known", p.Name, p.Group)
 		}
-		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, Aim: p.SLO, AimStretch: p.AimStretch,
-			Deadline: p.Deadline, Effect: effect, Group: group, Window: p.Window, Worth: p.Gain,
-			LateWorth: p.LateValue, Stream: p.Stream})
+		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, LatencyObjective: p.SLO, ObjectiveStretch: p.AimStretch,
+			Deadline: p.Deadline, Effect: effect, Group: group, Window: p.Window, PriorityWeight: p.Gain,
+			LatePriorityWeight: p.LateValue, Stream: p.Stream})
 	}
 	for _, t := range i.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Rate: t.Quota, Share: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Rate: t.Quota, Quota: t.Fraction})
 	}
 	return s, nil
 }
@@ -309,7 +309,7 @@
 	o.shut()
 }
 
-func (o *outbox) Refuse(id string, after time.Duration) {
+func (o *outbox) Reject(id string, after time.Duration) {
 	o.open("SayNo", "call", id)
 	if after > 0 {
 		o.num("come-back", int64(after))
@@ -321,11 +321,11 @@
 func (o *outbox) Cancel(id string, n int) {
 	o.open("StopAttempt", "call", id).num("shot", int64(n)).shut()
 }
-func (o *outbox) Probe(server string)     { o.open("Touch", "backend", server).shut() }
-func (o *outbox) CloseIdle(server string) { o.open("LetGo", "backend", server).shut() }
-func (o *outbox) Fetch()                  { o.open("Lookup", "", "").shut() }
-func (o *outbox) Log(text string)         { o.open("JournalLine", "body-text", text).shut() }
-func (o *outbox) fatal(text string)       { o.open("Fatal", "body-text", text).shut() }
+func (o *outbox) HealthCheck(server string) { o.open("Touch", "backend", server).shut() }
+func (o *outbox) CloseIdle(server string)   { o.open("LetGo", "backend", server).shut() }
+func (o *outbox) Fetch()                    { o.open("Lookup", "", "").shut() }
+func (o *outbox) Log(text string)           { o.open("JournalLine", "body-text", text).shut() }
+func (o *outbox) fatal(text string)         { o.open("Fatal", "body-text", text).shut() }
 
 func (o *outbox) SetTimer(token uint64, after time.Duration) {
 	const longest = 70 * time.Minute // the wire takes 71
@@ -444,16 +444,16 @@
 		if !ok {
 			return fmt.Errorf("Fleet: how %q is not known", e.Fleet.How)
 		}
-		u := balancer.FleetUpdate{Kind: kind}
-		if kind != balancer.FleetRefused {
+		u := balancer.EndpointUpdate{Kind: kind}
+		if kind != balancer.UpdateFailed {
 			if u.Servers, ok = h.lists[e.Fleet.Table]; !ok {
 				return fmt.Errorf("Fleet: table %d was never sent", e.Fleet.Table)
 			}
 		}
-		in.lb.Fleet(now, u)
+		in.lb.UpdateEndpoints(now, u)
 	case e.Knock != nil:
 		k := e.Knock
-		in.lb.Request(now, balancer.Request{ID: k.Call, Class: k.Grade, Tenant: string(k.Tenant), Left: k.Left,
+		in.lb.Request(now, balancer.Request{ID: k.Call, Class: k.Grade, Tenant: string(k.Tenant), TimeLeft: k.Left,
 			Work: k.Hint, Key: k.Key, Write: k.Update, Retry: k.Retry})
 	case e.Started != nil:
 		in.lb.Started(now, e.Started.Call, e.Started.Shot)
@@ -463,10 +463,10 @@
 		if !ok {
 			return fmt.Errorf("Verdict: ending %q is not known", v.Ending)
 		}
-		in.lb.Outcome(now, balancer.Outcome{ID: v.Call, Attempt: v.Shot, Result: result, Took: v.Lag,
-			Done: v.Finished, Load: v.Metrics})
+		in.lb.Outcome(now, balancer.Outcome{ID: v.Call, Attempt: v.Shot, Result: result, Latency: v.Lag,
+			Final: v.Finished, LoadReport: v.Metrics})
 	case e.Hangup != nil:
-		in.lb.Gone(now, e.Hangup.Call)
+		in.lb.ClientGone(now, e.Hangup.Call)
 	case e.Ring != nil:
 		in.lb.Timer(now, e.Ring.Handle)
 	case e.Sampled != nil:
@@ -474,8 +474,8 @@
 		if !ok {
 			return fmt.Errorf("Sampled: ending %q is not known", e.Sampled.Ending)
 		}
-		in.lb.Probed(now, balancer.ProbeResult{Server: e.Sampled.Backend, Result: result, Took: e.Sampled.Lag,
-			Load: e.Sampled.Metrics})
+		in.lb.HealthChecked(now, balancer.HealthCheckResult{Server: e.Sampled.Backend, Result: result, Latency: e.Sampled.Lag,
+			LoadReport: e.Sampled.Metrics})
 	case e.Message != nil: // proxies share nothing
 	}
 	return nil
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -96,10 +96,10 @@
 func TestActionsOnTheWire(t *testing.T) {
 	var o outbox
 	o.Send("r", "b", 9)
-	o.Refuse("r", 5)
+	o.Reject("r", 5)
 	o.Fail("r")
 	o.Cancel("r", 2)
-	o.Probe("b")
+	o.HealthCheck("b")
 	o.CloseIdle("b")
 	o.SetTimer(7, 3)
 	o.Watch(true)
--- a/internal/testbed/fleet/admission.go
+++ b/internal/testbed/fleet/admission.go
@@ -12,7 +12,7 @@
 // Admit gives the admissions of Options.Admission: a Controller each, with the classes of o.
 func Admit(o Options, a admission.Options) func(int) (balancer.Admission, error) {
 	for _, c := range o.Classes {
-		a.Classes = append(a.Classes, admission.Class{Name: c.Name, Worth: c.Worth, Wanted: c.Aim})
+		a.Classes = append(a.Classes, admission.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, LatencyObjective: c.LatencyObjective})
 	}
 	a.Gateways = o.Gateways
 	return func(i int) (balancer.Admission, error) { return admission.New(a, o.Seed*100+uint64(i)) }
@@ -23,7 +23,7 @@
 func AIMD(o Options, first float64) func(int) (balancer.Admission, error) {
 	wanted := map[string]time.Duration{}
 	for _, c := range o.Classes {
-		wanted[c.Name] = c.Aim
+		wanted[c.Name] = c.LatencyObjective
 	}
 	return func(int) (balancer.Admission, error) { return &aimd{limit: first, wanted: wanted}, nil }
 }
@@ -35,30 +35,30 @@
 	wanted map[string]time.Duration
 }
 
-func (a *aimd) Endpoints(time.Duration, int) {}
+func (a *aimd) SetEndpoints(time.Duration, int) {}
 func (a *aimd) Arrive(time.Duration, balancer.Arrival) (balancer.Verdict, time.Duration) {
 	if float64(a.active) >= a.limit {
-		return balancer.Refuse, time.Second
+		return balancer.Reject, time.Second
 	}
 	a.active++
-	return balancer.Start, 0
+	return balancer.Admit, 0
 }
 func (a *aimd) Next(time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
 	return 0, 0, 0, false
 }
-func (a *aimd) Leave(uint64)             {}
+func (a *aimd) Withdraw(uint64)          {}
 func (a *aimd) Done(time.Duration, bool) { a.active-- }
-func (a *aimd) Ended(now time.Duration, s balancer.Sample) {
+func (a *aimd) AttemptEnded(now time.Duration, s balancer.Sample) {
 	switch {
 	case s.Result == balancer.Cancelled || s.Result == balancer.NotSent:
-	case s.Result == balancer.Served && s.Took <= a.wanted[s.Class]:
+	case s.Result == balancer.Served && s.Latency <= a.wanted[s.Class]:
 		a.limit += 1 / a.limit
 	case now-a.cut > 100*time.Millisecond:
 		a.limit, a.cut = max(a.limit*0.9, 1), now
 	}
 }
 func (a *aimd) MayRetry(time.Duration, bool) bool { return true }
-func (a *aimd) Retried(time.Duration, bool)       {}
+func (a *aimd) RetryStarted(time.Duration, bool)  {}
 
 // Quantile is the time within which the part q of the answers of all classes came; 0 where there were none.
 func (p *Phase) Quantile(q float64) time.Duration {
--- a/internal/testbed/fleet/admission_test.go
+++ b/internal/testbed/fleet/admission_test.go
@@ -13,15 +13,15 @@
 
 // web is a cluster with the classes that a file of four lines has, shop one whose classes are worth different things.
 func web(o Options) Options {
-	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", Aim: s, Deadline: 15 * s, Worth: 1}, Part: 1}}
+	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Part: 1}}
 	return admitted(o)
 }
 
 func shop(o Options) Options {
 	o.Classes = []Class{
-		{Class: balancer.Class{Name: "seat-map", Aim: 300 * ms, Deadline: 3 * s, Worth: 1}, Part: 0.90},
-		{Class: balancer.Class{Name: "seat-hold", Aim: 150 * ms, Deadline: 2 * s, Worth: 5, Effect: balancer.Keyed, Group: balancer.GroupAll, Window: 4 * s}, Part: 0.08},
-		{Class: balancer.Class{Name: "pay", Aim: 300 * ms, Deadline: 2 * s, Worth: 20, Effect: balancer.Unsafe}, Part: 0.02},
+		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Part: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Group: balancer.GroupAll, Window: 4 * s}, Part: 0.08},
+		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Part: 0.02},
 	}
 	return admitted(o)
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -244,7 +244,7 @@
 	number int
 	zone   string
 	bal    *balancer.Balancer
-	book   *locality.Book
+	book   *locality.Picker
 	open   map[string]*request
 	idle   map[string][]time.Duration // connections by server: since when, where they cost anything
 	ready  bool                       // the list has come
@@ -293,10 +293,10 @@
 	o.Cross, o.Length = cmp.Or(o.Cross, 8*time.Millisecond), cmp.Or(o.Length, 30*time.Second)
 	if len(o.Classes) == 0 {
 		o.Classes = []Class{
-			{Class: balancer.Class{Name: "seat-map", Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}, Part: 0.7},
-			{Class: balancer.Class{Name: "seat-hold", Aim: 150 * time.Millisecond, Deadline: 2 * time.Second, Worth: 5, Effect: balancer.Keyed,
+			{Class: balancer.Class{Name: "seat-map", LatencyObjective: 200 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}, Part: 0.7},
+			{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 5, Effect: balancer.IdempotentWithKey,
 				Group: balancer.GroupZone, Window: 4 * time.Second}, Part: 0.25},
-			{Class: balancer.Class{Name: "pay", Aim: 200 * time.Millisecond, Deadline: 2 * time.Second, Worth: 20, Effect: balancer.Unsafe}, Part: 0.05},
+			{Class: balancer.Class{Name: "pay", LatencyObjective: 200 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Part: 0.05},
 		}
 	}
 	f := &Fleet{opt: o, now: origin, rng: rand.New(rand.NewPCG(o.Seed, 0x666c656574)), servers: map[string]*server{},
@@ -391,18 +391,18 @@
 	made := uint64(f.made)
 	f.made++
 	g := &gateway{f: f, number: i, zone: o.Zones[i%len(o.Zones)], open: map[string]*request{}, idle: map[string][]time.Duration{}}
-	set := balancer.Settings{Zone: g.zone, Me: i, Proxies: o.Gateways, MaxAttempts: 3, ParallelTries: true, MayCancel: true, RetryAdvice: true,
-		MaxRetryAdvice: 5 * time.Second, Multiplex: 1, DrainGrace: time.Second, ColdTime: o.Warm, ColdShare: o.Share, FallMultiple: o.Fall,
-		FallTime: time.Second, Price: balancer.Prices{CrossZone: 0.05}, Weights: balancer.WeightNominal}
+	set := balancer.Settings{Zone: g.zone, Index: i, Proxies: o.Gateways, MaxAttempts: 3, ParallelAttempts: true, MayCancel: true, RetryAfter: true,
+		MaxRetryAfter: 5 * time.Second, Multiplex: 1, DrainGrace: time.Second, WarmUpTime: o.Warm, WarmUpShare: o.Share, OverloadMultiple: o.Fall,
+		OverloadWindow: time.Second, Price: balancer.Prices{CrossZone: 0.05}, Weights: balancer.WeightNominal}
 	for _, c := range o.Classes {
 		set.Classes = append(set.Classes, c.Class)
 	}
 	switch o.Mode {
 	case Tiers:
 		z := o.Zone
-		z.Own, z.Gateways = g.zone, o.Gateways
+		z.OwnZone, z.Gateways = g.zone, o.Gateways
 		for _, c := range o.Classes {
-			z.Classes = append(z.Classes, locality.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim, Effect: c.Effect})
+			z.Classes = append(z.Classes, locality.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, LatencyObjective: c.LatencyObjective, Effect: c.Effect})
 		}
 		if o.Trace != nil {
 			z.Notify = func(t locality.Transition) {
@@ -413,9 +413,9 @@
 		if g.book, err = locality.New(z, o.Seed+made); err != nil {
 			return nil, err
 		}
-		set.Tiers = g.book
+		set.Localities = g.book
 	case Failover:
-		set.Tiers = &failover{own: g.zone}
+		set.Localities = &failover{own: g.zone}
 	}
 	var err error
 	if o.Admission != nil {
@@ -433,7 +433,7 @@
 	l   []balancer.LocalityHealth
 }
 
-func (x *failover) Health(_ time.Duration, l []balancer.LocalityHealth) {
+func (x *failover) UpdateHealth(_ time.Duration, l []balancer.LocalityHealth) {
 	x.l = slices.Clone(l)
 	slices.SortStableFunc(x.l, func(a, b balancer.LocalityHealth) int {
 		if (a.Zone == x.own) == (b.Zone == x.own) {
@@ -446,17 +446,17 @@
 	})
 }
 
-func (x *failover) Place(_ time.Duration, a balancer.Ask) (balancer.Locality, bool, time.Duration) {
+func (x *failover) Pick(_ time.Duration, a balancer.LocalityRequest) (balancer.Locality, bool, time.Duration) {
 	for _, h := range x.l {
-		if h.Ready > 0 && !slices.Contains(a.Not, h.Locality) && (a.Bound == "" || a.Bound == h.Zone) {
+		if h.Ready > 0 && !slices.Contains(a.Excluded, h.Locality) && (a.OnlyZone == "" || a.OnlyZone == h.Zone) {
 			return h.Locality, true, 0
 		}
 	}
 	return balancer.Locality{}, false, time.Second
 }
 
-func (*failover) Sent(time.Duration, balancer.Locality, balancer.Ask) {}
-func (*failover) Ended(time.Duration, balancer.Locality, balancer.Ask, balancer.Result, time.Duration) {
+func (*failover) AttemptSent(time.Duration, balancer.Locality, balancer.LocalityRequest) {}
+func (*failover) AttemptEnded(time.Duration, balancer.Locality, balancer.LocalityRequest, balancer.Result, time.Duration) {
 }
 
 // Tell hands all gateways the list as it stands now, after a while.
@@ -473,7 +473,7 @@
 		}
 		for _, g := range f.gateways {
 			if g.ready {
-				g.bal.Fleet(f.now, balancer.FleetUpdate{Kind: balancer.FleetAll, Servers: l})
+				g.bal.UpdateEndpoints(f.now, balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot, Servers: l})
 			}
 		}
 	})
@@ -502,7 +502,7 @@
 			s.how = how
 			if how == Refuses || how == Resets || how == Says503 {
 				for _, a := range s.queue {
-					f.finish(a, balancer.ConnLost)
+					f.finish(a, balancer.ConnectionLost)
 				}
 				s.queue, s.busy = nil, 0
 			}
@@ -673,12 +673,12 @@
 func (g *gateway) request(r *request) {
 	f := g.f
 	f.ids++
-	if r.id = strconv.Itoa(f.ids); r.class.Effect != balancer.Safe && r.key == "" {
+	if r.id = strconv.Itoa(f.ids); r.class.Effect != balancer.Idempotent && r.key == "" {
 		r.key = r.id
 	}
 	r.asked = f.now
 	g.open[r.id] = r
-	g.bal.Request(f.now, balancer.Request{ID: r.id, Class: r.class.Name, Left: r.deadline - f.now, Key: r.key, Tenant: r.tenant, Write: r.class.Effect != balancer.Safe})
+	g.bal.Request(f.now, balancer.Request{ID: r.id, Class: r.class.Name, TimeLeft: r.deadline - f.now, Key: r.key, Tenant: r.tenant, Write: r.class.Effect != balancer.Idempotent})
 }
 
 // ---- gateway ----
@@ -710,7 +710,7 @@
 	end := func(res balancer.Result, at time.Duration) {
 		if res == balancer.Served {
 			if at += r.class.Answer; l.Loss > 0 && f.rng.Float64() < l.Loss {
-				res = balancer.ConnLost
+				res = balancer.ConnectionLost
 			}
 		}
 		f.after(at, func() { g.ended(a, res) })
@@ -741,16 +741,16 @@
 		delete(g.open, r.id)
 		g.f.answer(r, func(c *Count) {
 			c.Took = append(c.Took, took)
-			if took <= r.class.Aim {
+			if took <= r.class.LatencyObjective {
 				if c.InTime++; r.home {
 					c.HomeInTime++
 				}
 			} else {
 				c.Late++
 			}
-		}, Answer{InTime: took <= r.class.Aim, Late: took > r.class.Aim})
+		}, Answer{InTime: took <= r.class.LatencyObjective, Late: took > r.class.LatencyObjective})
 	}
-	g.bal.Outcome(g.f.now, balancer.Outcome{ID: r.id, Attempt: a.n, Result: res, Took: g.f.now - a.sent, Done: done || r.answered})
+	g.bal.Outcome(g.f.now, balancer.Outcome{ID: r.id, Attempt: a.n, Result: res, Latency: g.f.now - a.sent, Final: done || r.answered})
 }
 
 // answer gives a request its one answer.
@@ -778,7 +778,7 @@
 	delete(g.open, id)
 	g.f.answer(r, func(c *Count) {
 		took := g.f.now - r.asked
-		if took > r.class.Aim {
+		if took > r.class.LatencyObjective {
 			c.FailedLate++
 		}
 		if refused {
@@ -790,13 +790,13 @@
 	}, Answer{Refused: refused, Failed: !refused})
 }
 
-// Refuse answers a client, who may ask again. Its request counts as refused once it gives up.
-func (g *gateway) Refuse(id string, after time.Duration) {
+// Reject answers a client, who may ask again. Its request counts as refused once it gives up.
+func (g *gateway) Reject(id string, after time.Duration) {
 	f, r := g.f, g.open[id]
 	if f.opt.Again == AtOnce || after <= 0 {
 		after = f.opt.Cross
 	}
-	if r == nil || r.answered || f.opt.Again == GivesUp || f.now+after >= r.began+r.class.Aim {
+	if r == nil || r.answered || f.opt.Again == GivesUp || f.now+after >= r.began+r.class.LatencyObjective {
 		g.no(id, true)
 		return
 	}
@@ -825,11 +825,11 @@
 	}
 }
 
-func (g *gateway) Probe(string)     {}
-func (g *gateway) CloseIdle(string) {}
-func (g *gateway) Watch(bool)       {}
-func (g *gateway) Fetch()           {}
-func (g *gateway) Log(string)       {}
+func (g *gateway) HealthCheck(string) {}
+func (g *gateway) CloseIdle(string)   {}
+func (g *gateway) Watch(bool)         {}
+func (g *gateway) Fetch()             {}
+func (g *gateway) Log(string)         {}
 
 func (g *gateway) SetTimer(token uint64, after time.Duration) {
 	g.f.after(after, func() {
@@ -875,7 +875,7 @@
 			p.Fallen++
 			s.until = f.now + 2*time.Second
 			for _, q := range s.queue {
-				f.finish(q, balancer.ConnLost)
+				f.finish(q, balancer.ConnectionLost)
 			}
 			s.queue = nil
 		}
@@ -885,10 +885,10 @@
 		end(balancer.NotConnected)
 	case s.how == Silent:
 	case s.how == Says503, s.sick[a.r.class.Name], len(s.queue) >= s.limit:
-		end(balancer.TurnedAway)
+		end(balancer.Rejected)
 	case s.how == Resets:
 		s.run(a)
-		end(balancer.ConnLost)
+		end(balancer.ConnectionLost)
 	default:
 		s.queue = append(s.queue, a)
 		p.Queue = max(p.Queue, s.busy+len(s.queue))
@@ -957,10 +957,10 @@
 		s.f.ran[a.r.key] = zones
 	}
 	group := s.zone
-	if a.r.class.Effect == balancer.Keyed && a.r.class.Group == balancer.GroupAll {
+	if a.r.class.Effect == balancer.IdempotentWithKey && a.r.class.Group == balancer.GroupAll {
 		group = "" // all servers drop a repeat
 	}
-	if a.r.class.Effect == balancer.Keyed && zones[group] > 0 {
+	if a.r.class.Effect == balancer.IdempotentWithKey && zones[group] > 0 {
 		return
 	}
 	zones[group]++
--- a/internal/testbed/fleet/restart.go
+++ b/internal/testbed/fleet/restart.go
@@ -67,7 +67,7 @@
 	f.after(s.Takes, func() {
 		s.busy--
 		if g := c.g; !g.dead && !f.away {
-			g.bal.Fleet(f.now, balancer.FleetUpdate{Kind: balancer.FleetAll, Servers: f.list()})
+			g.bal.UpdateEndpoints(f.now, balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot, Servers: f.list()})
 			if !g.ready {
 				g.ready = true
 				f.result.Back = max(f.result.Back, f.now-g.born)
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -222,18 +222,18 @@
 		end = func() { s.Close() }
 	case "robindrum-node":
 		budget := backend.NewBudget(1024)
-		set := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelTries: true,
-			Classes: []balancer.Class{{Name: "x", Aim: time.Second, Deadline: 5 * time.Second, Effect: balancer.Safe, Worth: 1}}}
+		set := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelAttempts: true,
+			Classes: []balancer.Class{{Name: "x", LatencyObjective: time.Second, Deadline: 5 * time.Second, Effect: balancer.Idempotent, PriorityWeight: 1}}}
 		n, err := proxy.New(proxy.Options{Settings: set, Seed: 1, BodyBytes: 64 << 20, Budget: budget}, backend.NewPool(backend.Options{}, budget))
 		if err != nil {
 			return err
 		}
-		u := discovery.Update{FleetUpdate: balancer.FleetUpdate{Kind: balancer.FleetAll}, Endpoints: map[string]string{}}
+		u := discovery.Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot}, Endpoints: map[string]string{}}
 		for _, a := range args {
 			u.Servers = append(u.Servers, balancer.Server{ID: a, Zone: "a", Weight: 1})
 			u.Endpoints[a] = a
 		}
-		n.Fleet(u)
+		n.UpdateEndpoints(u)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -14,9 +14,9 @@
 func overload() error {
 	const s, ms = time.Second, time.Millisecond
 	classes := []fleet.Class{
-		{Class: balancer.Class{Name: "seat-map", Aim: 300 * ms, Deadline: 3 * s, Worth: 1}, Part: 0.90},
-		{Class: balancer.Class{Name: "seat-hold", Aim: 150 * ms, Deadline: 2 * s, Worth: 5, Effect: balancer.Keyed, Window: 4 * s}, Part: 0.08},
-		{Class: balancer.Class{Name: "pay", Aim: 300 * ms, Deadline: 2 * s, Worth: 20, Effect: balancer.Unsafe}, Part: 0.02},
+		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Part: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Window: 4 * s}, Part: 0.08},
+		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Part: 0.02},
 	}
 	ways := []struct {
 		name string
@@ -88,7 +88,7 @@
 		for _, n := range []int{8, 32, 64, 200, 500, 1000} {
 			for _, w := range ways {
 				o := fleet.Options{Mode: fleet.Price, Zones: []string{"a"}, Gateways: 1, Servers: 2, Seed: 1, Rate: 0.001, Service: 5 * ms, Workers: workers, Queue: 100000,
-					Length: 60 * s, Cross: ms, Classes: []fleet.Class{{Class: balancer.Class{Name: "default-safe", Aim: s, Deadline: 15 * s, Worth: 1}, Part: 1}}}
+					Length: 60 * s, Cross: ms, Classes: []fleet.Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Part: 1}}}
 				o.Admission = w.of(o)
 				gap := 200*ms + time.Duration(float64(n)/(2*float64(min(workers, n))/0.005)*float64(s)) + 50*ms
 				for i := range 25 {
