--- a/internal/drain/order.go
+++ b/internal/drain/drain.go
@@ -9,7 +9,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
@@ -219,22 +218,23 @@
 	return &Ledger{Requests: map[string]*Request{}, Gateways: map[string]Gateway{}, Endpoints: map[string]Endpoint{}}
 }
 
-// Restore reads a book as encoding/json wrote it. One that no calls can have made is an error.
+// Restore reads a ledger as encoding/json wrote it. A ledger that no calls can have led to is an error.
 func Restore(text []byte) (*Ledger, error) {
-	b := NewLedger()
-	if err := json.Unmarshal(text, b); err != nil {
-		return nil, fmt.Errorf("orders: %w", err)
-	}
+	return unknownfields.Restore("orders", text, NewLedger())
+}
+
+// Validate returns an error where no sequence of calls can have led to the ledger.
+func (b *Ledger) Validate() error {
 	if b.Requests == nil || b.Gateways == nil || b.Endpoints == nil || len(b.Requests) > 2*maxOrders || len(b.Budgets) > maxBudgets || b.LastToken == math.MaxUint64 ||
 		b.Seq == math.MaxUint64 || b.Version == math.MaxUint64 {
-		return nil, errors.New("orders: not a book")
+		return errors.New("not a ledger")
 	}
 	for id, o := range b.Requests {
 		if o == nil || o.ID != id || o.Token > b.LastToken || o.Seq > b.Seq {
-			return nil, fmt.Errorf("orders: %q is no order", id)
+			return fmt.Errorf("%q is no drain request", id)
 		}
 	}
-	return b, nil
+	return nil
 }
 
 // What an asker may be told.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -14,7 +14,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
@@ -150,28 +149,29 @@
 	return &Table{Leases: map[string]*Lease{}, Incarnations: map[string]uint64{}}
 }
 
-// Restore reads a table as encoding/json wrote it. One that no commands can have made is an error: a token that was given
-// out twice would undo what fencing is for.
+// Restore reads a table as encoding/json wrote it. A table that no commands can have led to is an error: a token that is
+// granted twice would defeat fencing.
 func Restore(text []byte) (*Table, error) {
-	t := NewTable()
-	if err := json.Unmarshal(text, t); err != nil {
-		return nil, fmt.Errorf("leases: %w", err)
-	}
+	return unknownfields.Restore("leases", text, NewTable())
+}
+
+// Validate returns an error where no sequence of commands can have led to the table.
+func (t *Table) Validate() error {
 	if t.Leases == nil || t.Incarnations == nil || len(t.Leases) > maxLeases || len(t.Incarnations) > maxMembers || t.LastToken == math.MaxUint64 || t.Term == math.MaxUint64 {
-		return nil, errors.New("leases: not a table")
+		return errors.New("not a table")
 	}
 	for name, l := range t.Leases {
 		if l == nil || name == "" || len(name) > maxName || len(l.Waiters) > maxWaiters {
-			return nil, fmt.Errorf("leases: %q is no lease", name)
+			return fmt.Errorf("%q is no lease", name)
 		}
 		if err := l.Rules.check(); err != nil {
-			return nil, fmt.Errorf("leases: %q: %w", name, err)
+			return fmt.Errorf("%q: %w", name, err)
 		}
 		if l.Token > t.LastToken {
-			return nil, fmt.Errorf("leases: %q has token %d, the last one given out is %d", name, l.Token, t.LastToken)
+			return fmt.Errorf("%q has token %d, the last one granted is %d", name, l.Token, t.LastToken)
 		}
 	}
-	return t, nil
+	return nil
 }
 
 // BeginTerm begins a term. Every lease that is held, and every floor, counts from now on.
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -8,7 +8,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"maps"
@@ -310,19 +309,20 @@
 	return &Ledger{Configs: map[string]string{}, Gateways: map[string]Gateway{}}
 }
 
-// Restore reads a book as encoding/json wrote it.
+// Restore reads a ledger as encoding/json wrote it. A ledger that no calls can have led to is an error.
 func Restore(text []byte) (*Ledger, error) {
-	b := NewLedger()
-	if err := json.Unmarshal(text, b); err != nil {
-		return nil, fmt.Errorf("releases: %w", err)
-	}
+	return unknownfields.Restore("releases", text, NewLedger())
+}
+
+// Validate returns an error where no sequence of calls can have led to the ledger.
+func (b *Ledger) Validate() error {
 	if b.Configs == nil || b.Gateways == nil || len(b.Configs) > maxTexts || len(b.Configs) != len(b.ConfigOrder) || len(b.Ended) > maxPast {
-		return nil, errors.New("releases: not a book")
+		return errors.New("not a ledger")
 	}
 	if r := b.Current; r != nil && (r.Incarnations == nil || r.AtWaveReady == nil || r.BeforeWave == nil || r.AtStart == nil || len(r.Waves) == 0 || r.Wave < 0 || r.Wave >= len(r.Waves)) {
-		return nil, errors.New("releases: not a release")
+		return errors.New("not a release")
 	}
-	return b, nil
+	return nil
 }
 
 // What an asker may be told.
--- a/internal/unknownfields/keep.go
+++ b/internal/unknownfields/unknownfields.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"maps"
 	"reflect"
 	"slices"
@@ -74,3 +75,20 @@
 	b.WriteByte('}')
 	return b.Bytes(), nil
 }
+
+// State is a state machine's stored form. Validate returns an error where no sequence of commands can have led to it.
+type State interface {
+	Validate() error
+}
+
+// Restore decodes a stored state into an empty one and validates it. Errors begin with the name of the state.
+func Restore[S State](name string, text []byte, empty S) (S, error) {
+	var none S
+	if err := json.Unmarshal(text, empty); err != nil {
+		return none, fmt.Errorf("%s: %w", name, err)
+	}
+	if err := empty.Validate(); err != nil {
+		return none, fmt.Errorf("%s: %w", name, err)
+	}
+	return empty, nil
+}
