--- a/cmd/robindrum-node/crowd_test.go
+++ b/cmd/robindrum-node/crowd_test.go
@@ -36,7 +36,7 @@
 					}
 				}
 				stop := context.AfterFunc(ctx, func() { c.Close() })
-				io.Copy(io.Discard, c)
+				_, _ = io.Copy(io.Discard, c)
 				stop()
 				c.Close()
 				select {
@@ -97,7 +97,7 @@
 				continue
 			}
 			c.SetDeadline(time.Now().Add(3 * time.Second))
-			io.WriteString(c, text)
+			_, _ = io.WriteString(c, text)
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				c.Close()
@@ -141,6 +141,6 @@
 		t.Errorf("%d of %d requests were not served", bad, n)
 	}
 	end()
-	p.Process.Signal(syscall.SIGTERM)
+	_ = p.Process.Signal(syscall.SIGTERM)
 	p.ends(t)
 }
--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -99,7 +99,7 @@
 	if _, err := c.Settings.Settings(); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := running.same(&c); err != nil {
+	if err := running.checkReload(&c); err != nil {
 		return err
 	}
 	news.Move(c.Discovery)
@@ -107,16 +107,16 @@
 	return nil
 }
 
-// same names the field by which c is another node's or deployment's, if any.
-func (running *config) same(c *config) error {
+// checkReload returns an error that names the field by which newer is of another node or deployment.
+func (c *config) checkReload(newer *config) error {
 	switch {
-	case c.Name != running.Name:
-		return fmt.Errorf("the configuration's name: %q, and this node is %q", c.Name, running.Name)
-	case c.Listen != running.Listen:
-		return fmt.Errorf("the configuration's listen: %q, and this node listens on %q", c.Listen, running.Listen)
+	case newer.Name != c.Name:
+		return fmt.Errorf("the configuration's name: %q, and this node is %q", newer.Name, c.Name)
+	case newer.Listen != c.Listen:
+		return fmt.Errorf("the configuration's listen: %q, and this node listens on %q", newer.Listen, c.Listen)
 	}
-	for _, class := range c.Settings.Profiles {
-		for _, own := range running.Settings.Profiles {
+	for _, class := range newer.Settings.Profiles {
+		for _, own := range c.Settings.Profiles {
 			if class.Name == own.Name {
 				return nil
 			}
--- a/cmd/robindrum-node/main_test.go
+++ b/cmd/robindrum-node/main_test.go
@@ -27,7 +27,7 @@
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
-		defer os.RemoveAll(programs)
+		defer func() { _ = os.RemoveAll(programs) }()
 		if out, err := exec.Command("go", "build", "-o", programs, "robindrum/cmd/...").CombinedOutput(); err != nil {
 			fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 			return 1
@@ -90,7 +90,7 @@
 		if resp.StatusCode != http.StatusOK || string(body) != "ok" {
 			t.Errorf("%d %q", resp.StatusCode, body)
 		}
-		cmd.Process.Signal(syscall.SIGTERM)
+		_ = cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
 			t.Errorf("after SIGTERM: %v\n%s", err, log.Bytes())
 		}
@@ -108,7 +108,7 @@
 			"rejected":       configText("127.0.0.1:0", "127.0.0.1:1", `{"profiles":[]}`),
 			"unknown effect": configText("127.0.0.1:0", "127.0.0.1:1", strings.Replace(settings, "free", "odd", 1))} {
 			path := filepath.Join(dir, "config.json")
-			os.Remove(path)
+			_ = os.Remove(path)
 			if text != "" {
 				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 					t.Fatal(err)
@@ -201,17 +201,17 @@
 		strings.Replace(good, `"name":"n0"`, `"name":"n1"`, 1), strings.Replace(good, listen, "127.0.0.1:2", 1),
 		strings.Replace(good, `"name":"get"`, `"name":"other"`, 1)} { // the last three are another node's or deployment's
 		write(bad)
-		cmd.Process.Signal(syscall.SIGHUP)
+		_ = cmd.Process.Signal(syscall.SIGHUP)
 		said("of no use")
 	}
 	ask("1")
 	write(at(discovery("second")))
-	cmd.Process.Signal(syscall.SIGHUP)
+	_ = cmd.Process.Signal(syscall.SIGHUP)
 	if name := testbed.Within(t, "a call after the move", calls); name != "second" {
 		t.Errorf("called %s", name)
 	}
 	ask("2") // the list is the old one's until the new one tells another
-	cmd.Process.Signal(syscall.SIGTERM)
+	_ = cmd.Process.Signal(syscall.SIGTERM)
 	for range lines {
 	}
 	if err := cmd.Wait(); err != nil {
--- a/cmd/robindrum-node/ready_test.go
+++ b/cmd/robindrum-node/ready_test.go
@@ -43,7 +43,7 @@
 				c := http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 				for time.Since(began) < 30*time.Second {
 					if resp, err := c.Get("http://" + p.listen + "/health/ready"); err == nil {
-						io.Copy(io.Discard, resp.Body)
+						_, _ = io.Copy(io.Discard, resp.Body)
 						resp.Body.Close()
 						if resp.StatusCode == http.StatusOK {
 							took <- time.Since(began)
@@ -55,7 +55,7 @@
 				t.Errorf("discovery %s: not ready within 30 s", name)
 			})
 			t.Cleanup(func() {
-				p.Process.Signal(syscall.SIGTERM)
+				_ = p.Process.Signal(syscall.SIGTERM)
 				p.ends(t)
 			})
 		}
--- a/cmd/robindrum-node/signals_test.go
+++ b/cmd/robindrum-node/signals_test.go
@@ -44,8 +44,8 @@
 	}
 	t.Cleanup(func() {
 		if p.ProcessState == nil {
-			p.Process.Kill()
-			p.Wait()
+			_ = p.Process.Kill()
+			_ = p.Wait()
 		}
 	})
 	return p
@@ -93,7 +93,7 @@
 		t.Errorf("no answer: %v", err)
 		return 0
 	}
-	io.Copy(io.Discard, resp.Body)
+	_, _ = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode
 }
 
@@ -129,8 +129,8 @@
 		return strings.Replace(configText(listen, "127.0.0.1:1", settings), `"targets":[`, `"targets":[`+many.String(), 1)
 	})
 	c := p.connect(t)
-	p.Process.Signal(syscall.SIGTERM)
-	io.WriteString(c, request("1"))
+	_ = p.Process.Signal(syscall.SIGTERM)
+	_, _ = io.WriteString(c, request("1"))
 	if code := status(t, c); code == 0 {
 		t.Error("not answered")
 	}
@@ -170,7 +170,7 @@
 		t.Errorf("called %s", name)
 	}
 	c := p.connect(t)
-	io.WriteString(c, request("1"))
+	_, _ = io.WriteString(c, request("1"))
 	if name := testbed.Within(t, "the request", came); name != "a" {
 		t.Errorf("sent to %s", name)
 	}
@@ -178,11 +178,11 @@
 	var late []net.Conn
 	for i := range 12 {
 		k := p.connect(t)
-		io.WriteString(k, fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: x\r\nX-Qos: get\r\nX-Trace-Id: late%d\r\n", i))
+		_, _ = io.WriteString(k, fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: x\r\nX-Qos: get\r\nX-Trace-Id: late%d\r\n", i))
 		late = append(late, k)
 	}
 	p.write(t, at(second)(p.listen))
-	p.Process.Signal(syscall.SIGTERM)
+	_ = p.Process.Signal(syscall.SIGTERM)
 	testbed.Eventually(t, "the shutdown", func() bool { // it is not ready any more
 		resp, err := http.Get("http://" + p.listen + "/health/ready")
 		if err != nil {
@@ -191,15 +191,15 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
-	p.Process.Signal(syscall.SIGHUP)
-	p.Process.Signal(syscall.SIGTERM)
+	_ = p.Process.Signal(syscall.SIGHUP)
+	_ = p.Process.Signal(syscall.SIGTERM)
 	if name := testbed.Within(t, "a call at the new address", calls); name != "second" {
 		t.Errorf("called %s", name)
 	}
 	// The list has been written to the node, which may need a moment to read it: from the first request on that goes by it, all do.
 	read := false
 	for _, k := range late {
-		io.WriteString(k, "\r\n")
+		_, _ = io.WriteString(k, "\r\n")
 		code := status(t, k)
 		if code == http.StatusServiceUnavailable { // the module may refuse one of a burst
 			continue
@@ -237,8 +237,8 @@
 	})
 	testbed.Within(t, "a call", calls)
 	c := p.connect(t)
-	io.WriteString(c, request("1"))
-	p.Process.Signal(syscall.SIGTERM)
+	_, _ = io.WriteString(c, request("1"))
+	_ = p.Process.Signal(syscall.SIGTERM)
 	if code := status(t, c); code != http.StatusServiceUnavailable {
 		t.Errorf("%d", code)
 	}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -264,11 +264,11 @@
 		rest = nil
 	}
 	*p = b
-	if _, err := c.TCPConn.Write(b); err != nil {
+	if _, err := c.Write(b); err != nil {
 		return err
 	}
 	for _, part := range rest {
-		if _, err := c.TCPConn.Write(part); err != nil {
+		if _, err := c.Write(part); err != nil {
 			return err
 		}
 	}
@@ -310,7 +310,7 @@
 			c.SetWriteDeadline(longAgo)
 			return <-done
 		})
-		defer join()
+		defer func() { _ = join() }()
 	}
 	c.attempt, c.begun = a, false
 	defer func() { c.attempt = nil }()
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -84,7 +84,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := testbed.NewPeer(t, func(conn net.Conn, _ int) {
 				readRequest(conn)
-				io.WriteString(conn, c.reply)
+				_, _ = io.WriteString(conn, c.reply)
 			})
 			reply := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get/x?obj=1"))
 			if reply.Result != c.want {
@@ -154,7 +154,7 @@
 		over := make(chan struct{})
 		b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 			readRequest(c)
-			io.WriteString(c, "HTTP/1.1 "+status+"\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 "+status+"\r\nContent-Length: 0\r\n\r\n")
 			<-over
 		})
 		up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
@@ -319,7 +319,7 @@
 		{"chunked, cut", chunked + chunk, balancer.ConnectionLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := testbed.NewPeer(t, func(conn net.Conn, _ int) { readRequest(conn); io.WriteString(conn, c.reply) })
+			b := testbed.NewPeer(t, func(conn net.Conn, _ int) { readRequest(conn); _, _ = io.WriteString(conn, c.reply) })
 			up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
 			var got bytes.Buffer
 			begun := 0
@@ -348,7 +348,7 @@
 	over := make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\nbegun")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\nbegun")
 		<-over
 	})
 	defer close(over)
@@ -364,7 +364,7 @@
 	for _, begun := range []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"} {
 		over := make(chan struct{})
-		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); io.WriteString(c, begun); <-over })
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); _, _ = io.WriteString(c, begun); <-over })
 		p := newPool(t, Options{}, 9)
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(time.Hour))
 		got := make(chan Reply, 1)
@@ -382,7 +382,7 @@
 	for name, begun := range map[string]string{"noise": "\x16\x03\x01", "noise that begins well": "HTTP/2",
 		"3 GB": "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nthey keep coming"} {
 		over := make(chan struct{})
-		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); io.WriteString(c, begun); <-over })
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); _, _ = io.WriteString(c, begun); <-over })
 		p := newPool(t, Options{}, 9)
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return nil })
@@ -400,7 +400,7 @@
 		readRequest(c)
 		time.Sleep(2 * answerPause)
 		for _, part := range []string{ok[:9], ok[9:30], ok[30:]} {
-			io.WriteString(c, part)
+			_, _ = io.WriteString(c, part)
 			time.Sleep(answerPause / 5)
 		}
 	})
@@ -415,14 +415,14 @@
 	came, over := make(chan struct{}), make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
-		io.WriteString(c, ok[:9])
+		_, _ = io.WriteString(c, ok[:9])
 		close(came)
 		for {
 			select {
 			case <-over:
 				return
 			case <-time.After(answerPause / 10):
-				io.WriteString(c, "x")
+				_, _ = io.WriteString(c, "x")
 			}
 		}
 	})
@@ -466,7 +466,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, answer []byte) {
-		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); c.Write(answer) })
+		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); _, _ = c.Write(answer) })
 		p := newPool(t, Options{}, 9)
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard })
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -24,7 +24,7 @@
 					return
 				}
 				if n > 0 { // it stands on the connection that carried the one before
-					io.WriteString(c, extra)
+					_, _ = io.WriteString(c, extra)
 				}
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.RequestURI), req.RequestURI)
 			}
@@ -130,18 +130,18 @@
 	} {
 		b := testbed.NewPeer(t, func(k net.Conn, _ int) {
 			r := bufio.NewReader(k)
-			http.ReadRequest(r)
-			io.WriteString(k, ok)
+			_, _ = http.ReadRequest(r)
+			_, _ = io.WriteString(k, ok)
 			if c.read {
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
-				io.Copy(io.Discard, req.Body)
+				_, _ = io.Copy(io.Discard, req.Body)
 			} else {
-				r.Peek(1)
+				_, _ = r.Peek(1)
 			}
-			io.WriteString(k, c.text)
+			_, _ = io.WriteString(k, c.text)
 			testbed.Reset(k)
 		})
 		up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
@@ -161,8 +161,8 @@
 func TestClosedBeforeItIsReused(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
-		http.ReadRequest(bufio.NewReader(c))
-		io.WriteString(c, ok)
+		_, _ = http.ReadRequest(bufio.NewReader(c))
+		_, _ = io.WriteString(c, ok)
 	})
 	up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
 	for i := range 3 {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -195,7 +195,7 @@
 }
 
 func (c *conn) drop() {
-	c.TCPConn.Close()
+	c.Close()
 	c.up.pool.budget.Release()
 }
 
--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading the capture: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return Read(path, f)
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -209,11 +209,11 @@
 	if err != nil {
 		return err
 	}
-	var h slog.Handler = slog.DiscardHandler
+	handler := slog.DiscardHandler
 	if p.opt.Verbose {
-		h = slog.NewTextHandler(p.opt.Out, nil)
+		handler = slog.NewTextHandler(p.opt.Out, nil)
 	}
-	log := slog.New(&listener{h, p.news})
+	log := slog.New(&listener{handler, p.news})
 	p.g, err = gateway.New(f, log)
 	return err
 }
--- a/internal/demo/lease.go
+++ b/internal/demo/lease.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	a, err := cluster.NewAuditor("receiver")
 	if err != nil {
 		return err
--- a/internal/demo/release.go
+++ b/internal/demo/release.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	began := time.Now()
 	say := func(format string, args ...any) {
 		fmt.Fprintf(out, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("called %s", c.uri)
 	}
 	fetch.whole(line(8, true, entry("late", "SERVING")))
-	io.Copy(io.Discard, fetch.conn) // it has been read, or never will be
+	_, _ = io.Copy(io.Discard, fetch.conn) // it has been read, or never will be
 	c.begin()
 	c.chunk(line(3, true, entry("s3", "SERVING")) + "\n")
 	old.expect(t, balancer.UpdateSnapshot, "s3")
@@ -162,7 +162,7 @@
 		case 1:
 			testbed.Reset(c.conn)
 		case 2:
-			io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
 	c := testbed.Within(t, "a call", w.calls)
@@ -185,7 +185,7 @@
 				w := start(t, false, line(1, true, entry("s0", "SERVING")), func(c *Client) { c.firstTime = 50 * time.Millisecond })
 				w.Watch(true)
 				late := testbed.Within(t, "a call", w.calls)
-				io.WriteString(late.conn, half)
+				_, _ = io.WriteString(late.conn, half)
 				w.expect(t, balancer.UpdateFailed)
 				w.firstTime = testbed.Patience // from here on no time is to matter
 				w.Watch(true)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -70,7 +70,7 @@
 func (c call) chunk(text string) { fmt.Fprintf(c.conn, "%x\r\n%s\r\n", len(text), text) }
 
 func (c call) begin() {
-	io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
 type world struct {
@@ -164,7 +164,7 @@
 	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
 	c = testbed.Within(t, "a call", w.calls)
-	io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+	_, _ = io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
 	testbed.Within(t, "a call", w.calls)
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -107,13 +107,13 @@
 	if down {
 		switch way {
 		case 2: // hangs
-			io.Copy(io.Discard, c)
+			_, _ = io.Copy(io.Discard, c)
 		case 3: // the head alone
-			io.WriteString(c, head)
-			io.Copy(io.Discard, c)
+			_, _ = io.WriteString(c, head)
+			_, _ = io.Copy(io.Discard, c)
 		case 4: // half a line
-			io.WriteString(c, head+"9\r\n{\"rev\":1,\r\n")
-			io.Copy(io.Discard, c)
+			_, _ = io.WriteString(c, head+"9\r\n{\"rev\":1,\r\n")
+			_, _ = io.Copy(io.Discard, c)
 		case 5: // trickles
 			if _, err := io.WriteString(c, head); err != nil {
 				return
@@ -128,7 +128,7 @@
 			time.Sleep(2 * time.Second)
 			fallthrough
 		case 7: // turned away at once
-			io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+			_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		} // or closed with no answer
 		return
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -193,7 +193,7 @@
 	maxSeeds    = 1000
 )
 
-// Load reads and checks a file.
+// Open reads and checks a file.
 func Open(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -455,7 +455,7 @@
 
 func (e *Experiment) checkLoad(s *config.Strict, load bool, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	l := &e.Load
-	oneOf("load.again", l.Again, agains)
+	oneOf("load.again", l.Again, clientRetryModes)
 	between("load.rate", l.Rate, 0, 1e6)
 	for i, t := range l.Times {
 		field := fmt.Sprintf("load.times[%d]", i)
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -84,7 +84,7 @@
 	done := h.done
 	h.mu.Unlock()
 	if server != nil {
-		server.Close()
+		_ = server.Close()
 		<-done
 	}
 }
--- a/internal/experiment/live_test.go
+++ b/internal/experiment/live_test.go
@@ -41,7 +41,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if path, err := binary(); err == nil {
-		os.RemoveAll(filepath.Dir(path))
+		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -225,7 +225,7 @@
 	if err != nil {
 		return fmt.Errorf("a folder for the gateways: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	p.dir = dir
 	for i := range p.e.Gateways.Number {
 		c, err := p.e.begin(ctx, p.opt.Binary, dir, i, p.plane.Addr)
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -205,7 +205,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading the report: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	r := &Report{}
 	d := json.NewDecoder(io.LimitReader(f, maxReport))
 	d.DisallowUnknownFields()
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -11,11 +11,11 @@
 
 // The words of the file, and what they are in the simulation.
 var (
-	zoneModes  = []string{"tiers", "price", "failover"}
-	admissions = []string{"adaptive", "fixed", "off", "estimate"}
-	agains     = []string{"gives_up", "at_once", "heeds"}
-	deeds      = []string{"kill", "revive", "slow", "drain", "undrain", "flap", "push", "away", "back", "restart"}
-	hows       = map[string]fleet.How{"refuses": fleet.Refuses, "silent": fleet.Silent, "says_503": fleet.Says503, "resets": fleet.Resets, "loses": fleet.Loses}
+	zoneModes        = []string{"tiers", "price", "failover"}
+	admissions       = []string{"adaptive", "fixed", "off", "estimate"}
+	clientRetryModes = []string{"gives_up", "at_once", "heeds"}
+	deeds            = []string{"kill", "revive", "slow", "drain", "undrain", "flap", "push", "away", "back", "restart"}
+	hows             = map[string]fleet.How{"refuses": fleet.Refuses, "silent": fleet.Silent, "says_503": fleet.Says503, "resets": fleet.Resets, "loses": fleet.Loses}
 )
 
 func index(l []string, v string) int {
@@ -38,7 +38,7 @@
 		},
 		Link:   fleet.Link{Delay: f.Link.Delay.D(), Jitter: f.Link.Jitter.D(), Loss: f.Link.Loss},
 		Length: e.Length.D(), Workers: f.Workers, Service: f.Service.D(), Queue: f.Queue, Warm: f.WarmUp.D(), Share: f.Share, Fall: f.Fall,
-		Cross: f.Cross.D(), Connect: f.Connect.D(), Source: fleet.Source{Places: g.Source.Places, Takes: g.Source.Takes.D(), Patience: g.Source.Patience.D()}, Again: fleet.Again(index(agains, e.Load.Again))}
+		Cross: f.Cross.D(), Connect: f.Connect.D(), Source: fleet.Source{Places: g.Source.Places, Takes: g.Source.Takes.D(), Patience: g.Source.Patience.D()}, Again: fleet.Again(index(clientRetryModes, e.Load.Again))}
 	for _, g := range f.Groups {
 		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, Queue: g.Queue, Speed: g.at})
 	}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -11,10 +11,10 @@
 	"robindrum/internal/backend"
 )
 
-const (
-	DefaultMaxBodyBytes = 64 << 10 // bytes, the protocol's; longer ones of bad clients would eat what others' bodies need
-	firstPiece          = 4 << 10
-)
+// DefaultMaxBodyBytes bounds a request's body where FrontOptions does not, so that one client cannot use up the memory for bodies.
+const DefaultMaxBodyBytes = 64 << 10
+
+const firstChunk = 4 << 10 // bytes of a body that are reserved and read at first; each chunk is twice the one before
 
 var (
 	errTooLong  = errors.New("the body is too long")
@@ -37,11 +37,11 @@
 func (b *bodyBudget) Release(n int64) { b.left.Add(n) }
 
 // read reads a body, which is to be whole by until. What it took of memory is the caller's to give back.
-func (n *Front) read(c *client, r *http.Request, memory Quota, until time.Time) (body backend.Body, took int64, err error) {
+func (f *Front) read(c *client, r *http.Request, memory Quota, until time.Time) (body backend.Body, reserved int64, err error) {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil, 0, nil
 	}
-	if r.ContentLength > n.maxBodyBytes {
+	if r.ContentLength > f.maxBodyBytes {
 		return nil, 0, errTooLong
 	}
 	if strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
@@ -51,37 +51,37 @@
 		}
 	}
 	var total int64
-	piece := int64(firstPiece)
+	chunk := int64(firstChunk)
 	for {
 		if r.ContentLength > 0 {
-			piece = min(piece, r.ContentLength-total+1)
+			chunk = min(chunk, r.ContentLength-total+1)
 		}
-		if !memory.Acquire(piece) {
-			return nil, took, errNoMemory
+		if !memory.Acquire(chunk) {
+			return nil, reserved, errNoMemory
 		}
-		took += piece
-		part := make([]byte, piece)
-		got := 0
-		for got < len(part) && err == nil {
-			if c.SetReadDeadline(until); n.ending() {
-				return nil, took, errEnding
+		reserved += chunk
+		buffer := make([]byte, chunk)
+		filled := 0
+		for filled < len(buffer) && err == nil {
+			if c.SetReadDeadline(until); f.ending() {
+				return nil, reserved, errEnding
 			}
 			var k int
-			k, err = r.Body.Read(part[got:])
-			got += k
+			k, err = r.Body.Read(buffer[filled:])
+			filled += k
 		}
-		if total += int64(got); total > n.maxBodyBytes {
-			return nil, took, errTooLong
+		if total += int64(filled); total > f.maxBodyBytes {
+			return nil, reserved, errTooLong
 		}
-		if got > 0 {
-			body = append(body, part[:got])
+		if filled > 0 {
+			body = append(body, buffer[:filled])
 		}
 		if errors.Is(err, io.EOF) {
-			return body, took, nil
+			return body, reserved, nil
 		}
 		if err != nil {
-			return nil, took, err
+			return nil, reserved, err
 		}
-		piece *= 2
+		chunk *= 2
 	}
 }
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -100,7 +100,7 @@
 	ends = ends && !c.gone.Swap(true)
 	c.reading.Unlock()
 	if ends { // not under the lock: closing waits for who reads
-		c.end()
+		_ = c.end()
 	}
 	return ends
 }
@@ -133,7 +133,7 @@
 
 // serve serves the client's requests, one after the other.
 func (c *client) serve() {
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	defer func() { // a fault in serving one client is not to end the others
 		if p := recover(); p != nil {
 			slog.Error("serving a client", "panic", p, "stack", string(debug.Stack()))
@@ -286,9 +286,9 @@
 
 func (c *client) hangUp() {
 	c.front.conns.rest(c)
-	c.CloseWrite()
+	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(linger))
-	io.CopyN(io.Discard, c.br, lingerBytes)
+	_, _ = io.CopyN(io.Discard, c.br, lingerBytes)
 }
 
 func (c *client) reject(status int, text string) {
@@ -297,7 +297,7 @@
 
 // turnAway answers and ends the connection.
 func (c *client) turnAway(a Answer) {
-	c.write(a, true)
+	_ = c.write(a, true)
 	c.hangUp()
 }
 
@@ -329,7 +329,7 @@
 			return err
 		}
 	}
-	_, err := c.TCPConn.Write(b)
+	_, err := c.Write(b)
 	return err
 }
 
@@ -400,7 +400,7 @@
 		s.body, s.end = w, w
 	}
 	c.SetWriteDeadline(time.Now().Add(clientStall))
-	c.TCPConn.Write(append(b, "\r\n"...)) // an error shows with the first part
+	_, _ = c.Write(append(b, "\r\n"...)) // an error shows with the first part
 	return s
 }
 
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -69,7 +69,7 @@
 	}
 	if !room {
 		if waits, _ := k.look(); !waits {
-			k.Close()
+			_ = k.Close()
 			return false
 		}
 	}
@@ -176,7 +176,7 @@
 			}
 		}
 		if l[at].owing.CompareAndSwap(since, -1) { // else its head has come meanwhile
-			l[at].Close()
+			_ = l[at].Close()
 		}
 		old[from] = slices.Delete(l, at, at+1)
 		n--
@@ -266,12 +266,12 @@
 
 // Serve accepts clients on l and serves them until l is closed, or Stop has had its backlog emptied. Nothing else ends it:
 // where accepting fails, for want of a descriptor mostly, room is made, as what waits in the backlog counts as taken.
-func (n *Front) Serve(l net.Listener) { n.ServeAs("", l) }
+func (f *Front) Serve(l net.Listener) { f.ServeAs("", l) }
 
 // ServeAs is Serve under a name, which the Router is told.
-func (n *Front) ServeAs(name string, l net.Listener) {
-	n.serving.Add(1)
-	defer n.serving.Add(-1)
+func (f *Front) ServeAs(name string, l net.Listener) {
+	f.serving.Add(1)
+	defer f.serving.Add(-1)
 	for empty := false; ; {
 		nc, err := l.Accept()
 		switch {
@@ -279,20 +279,20 @@
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded): // Stop has come
 			// Danger: a time that was over before Accept began says nothing of the backlog.
-			if empty || !n.stopping.Load() {
+			if empty || !f.stopping.Load() {
 				l.Close()
 				return
 			}
 			empty = true
-			l.(deadliner).SetDeadline(time.Now().Add(lastAccept))
+			_ = l.(deadliner).SetDeadline(time.Now().Add(lastAccept))
 			continue
 		case err != nil:
-			n.conns.budget.HasRoom()
+			f.conns.budget.HasRoom()
 			time.Sleep(acceptRetry)
 			continue
 		}
 		empty = false
-		k := &client{TCPConn: nc.(*net.TCPConn), front: n, peer: Peer{Listener: name}}
+		k := &client{TCPConn: nc.(*net.TCPConn), front: f, peer: Peer{Listener: name}}
 		if k.raw, err = k.SyscallConn(); err != nil { // it is closed already
 			nc.Close()
 			continue
@@ -300,11 +300,11 @@
 		if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 			k.peer.Addr = a.AddrPort().Addr().Unmap()
 		}
-		if n.conns.heads {
+		if f.conns.heads {
 			k.prefix = PrefixOf(k.peer.Addr, 24, 56)
-			n.conns.shedHeads()
+			f.conns.shedHeads()
 		}
-		if n.conns.add(k) {
+		if f.conns.add(k) {
 			go k.serve()
 		}
 	}
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -17,7 +17,7 @@
 // A client has sent the first bytes of another request, and then leaves: that is seen, and what it waited for is not sent.
 func TestLeavesBehindEarlyBytes(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
-		"half closed": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }} {
+		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
 			b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
@@ -94,7 +94,7 @@
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	h := &heldReads{w, make(chan struct{})}
-	w.Front.router = h
+	w.router = h
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,8 +104,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, head("POST", "put", "Idempotency-Key: k", "Content-Length: 1")+"x")
-	c.(*net.TCPConn).CloseWrite()
+	_, _ = io.WriteString(c, head("POST", "put", "Idempotency-Key: k", "Content-Length: 1")+"x")
+	_ = c.(*net.TCPConn).CloseWrite()
 	served := make(chan struct{})
 	go func() { w.Serve(l); close(served) }() // only now is anything read
 	c.SetDeadline(time.Now().Add(testbed.Patience))
@@ -128,7 +128,7 @@
 		buf := make([]byte, 4<<10)
 		n, _ := c.Read(buf)
 		came <- string(buf[:n])
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 	})
 	w := start(t, nil, b.Addr)
 	sent := map[string]*peer{}
@@ -191,10 +191,10 @@
 	goOn := make(chan struct{})
 	half := strings.Repeat("0123456789abcdef", 8<<10)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
-		c.Read(make([]byte, 4<<10))
-		io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(half), half))
+		_, _ = c.Read(make([]byte, 4<<10))
+		_, _ = io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(half), half))
 		<-goOn
-		io.WriteString(c, half)
+		_, _ = io.WriteString(c, half)
 	})
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -28,7 +28,7 @@
 		var all []*client
 		defer func() {
 			for _, k := range all {
-				k.Close()
+				_ = k.Close()
 			}
 		}()
 		add := func(text string) (k *client, taken bool, far net.Conn) {
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -96,6 +96,6 @@
 // CloseIdle closes all connections.
 func (f *Front) CloseIdle() {
 	for _, k := range f.conns.list() {
-		k.Close()
+		_ = k.Close()
 	}
 }
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -32,7 +32,7 @@
 var leaves = map[string]func(net.Conn){
 	"closed":      func(c net.Conn) { c.Close() },
 	"reset":       testbed.Reset,
-	"half closed": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
+	"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 }
 
 // A client leaves, and nobody has read its end yet: wherever its request stands, no attempt begins any more, first or further.
@@ -72,9 +72,9 @@
 					wholes(came)(c, n)
 					return
 				}
-				c.Read(make([]byte, 4<<10))
+				_, _ = c.Read(make([]byte, 4<<10))
 				first <- struct{}{}
-				io.Copy(io.Discard, c)
+				_, _ = io.Copy(io.Discard, c)
 			})
 			w := start(t, func(o *Options) { o.Settings.ParallelAttempts = true }, b.Addr, b.Addr)
 			c := w.dial(t)
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -24,7 +24,7 @@
 			}
 			if text += string(b[:n]); strings.Contains(text, "\r\n\r\n") {
 				came <- text
-				io.WriteString(c, ok)
+				_, _ = io.WriteString(c, ok)
 				text = ""
 			}
 		}
@@ -87,8 +87,8 @@
 		k, _ := c.Read(buf)
 		came <- string(buf[:k])
 		<-goOn
-		io.WriteString(c, ok)
-		io.Copy(io.Discard, c)
+		_, _ = io.WriteString(c, ok)
+		_, _ = io.Copy(io.Discard, c)
 	})
 	w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelAttempts = false, true }, b.Addr, b.Addr)
 	c := w.dial(t)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -22,7 +22,7 @@
 func New(opt Options, pool *backend.Pool) (*Node, error) {
 	n := &Node{}
 	n.Front = NewFront(FrontOptions{Budget: opt.Budget, BodyBytes: opt.BodyBytes, Router: n})
-	opt.Memory, opt.Source = &n.Front.bodies, n
+	opt.Memory, opt.Source = &n.bodies, n
 	var err error
 	n.Core, err = NewCore(opt, pool)
 	return n, err
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -123,7 +123,7 @@
 	return h + "\r\n"
 }
 
-func (c *peer) send(text string) { io.WriteString(c, text) }
+func (c *peer) send(text string) { _, _ = io.WriteString(c, text) }
 
 func (c *peer) answer(t *testing.T) (int, string, http.Header) {
 	t.Helper()
@@ -288,7 +288,7 @@
 func TestClientsTimeCounts(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
-	silent := testbed.NewPeer(t, func(c net.Conn, _ int) { io.Copy(io.Discard, c) })
+	silent := testbed.NewPeer(t, func(c net.Conn, _ int) { _, _ = io.Copy(io.Discard, c) })
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get", "X-Expires-In-Ms: 4800"))
@@ -383,7 +383,7 @@
 	testbed.Leaks(t)
 	ended := make(chan struct{}, 1)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 		ended <- struct{}{}
 	})
 	w := start(t, nil, b.Addr)
@@ -400,14 +400,14 @@
 	testbed.Leaks(t)
 	came, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
-		c.Read(make([]byte, 4<<10))
+		_, _ = c.Read(make([]byte, 4<<10))
 		came <- struct{}{}
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 		ended <- struct{}{}
 	})
 	w := start(t, nil, b.Addr)
 	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
-		"half closed": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }} {
+		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
 		c := w.dial(t)
 		c.send(head("POST", "put", "Idempotency-Key: k", "Content-Length: 1") + "x")
 		testbed.Within(t, "the request", came)
@@ -434,8 +434,8 @@
 		n := 0
 		b := testbed.NewPeer(t, func(c net.Conn, k int) {
 			n++
-			http.ReadRequest(bufio.NewReader(c))
-			io.WriteString(c, reply)
+			_, _ = http.ReadRequest(bufio.NewReader(c))
+			_, _ = io.WriteString(c, reply)
 		})
 		w := start(t, nil, b.Addr)
 		c := w.dial(t)
@@ -562,10 +562,10 @@
 		b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 		w := start(t, nil, b.Addr)
 		c := w.dial(t)
-		c.Write(text)
-		c.Conn.(*net.TCPConn).CloseWrite()
+		_, _ = c.Write(text)
+		_ = c.Conn.(*net.TCPConn).CloseWrite()
 		var out bytes.Buffer
-		io.Copy(&out, c)
+		_, _ = io.Copy(&out, c)
 		if out.Len() > 0 && !bytes.HasPrefix(out.Bytes(), []byte("HTTP/1.")) {
 			t.Errorf("answered %q", out.Bytes())
 		}
@@ -592,7 +592,7 @@
 				return
 			}
 			if req.URL.Query().Get("obj") != "7" {
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\nbegun")
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\nbegun")
 				for { // a byte now and then, as it stays under way
 					select {
 					case <-over:
@@ -604,7 +604,7 @@
 					}
 				}
 			}
-			io.WriteString(c, ok)
+			_, _ = io.WriteString(c, ok)
 		}
 	})
 	defer close(over)
@@ -639,16 +639,16 @@
 			case err != nil:
 				return
 			case req.URL.Query().Get("obj") == "7":
-				io.WriteString(c, ok)
+				_, _ = io.WriteString(c, ok)
 			case copies.Add(1) == 1: // silent, until it is called off
-				r.ReadByte()
+				_, _ = r.ReadByte()
 				lost <- struct{}{}
 				return
 			default:
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[1:])
 				<-lost
 				time.Sleep(50 * time.Millisecond) // the node hears of it
-				io.WriteString(c, "x")
+				_, _ = io.WriteString(c, "x")
 				return
 			}
 		}
@@ -683,7 +683,7 @@
 	} {
 		b := testbed.NewPeer(t, func(c net.Conn, n int) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-				io.WriteString(c, text)
+				_, _ = io.WriteString(c, text)
 			}
 		})
 		w := start(t, nil, b.Addr)
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -17,15 +17,15 @@
 
 // request takes a client's request, whose body is to be whole by until, and sees to its answer; false if the
 // connection ends with it.
-func (n *Front) request(c *client, r *http.Request, until time.Time) bool {
+func (f *Front) request(c *client, r *http.Request, until time.Time) bool {
 	c.served.Store(true)
-	d := n.router.Route(r, c.peer)
+	d := f.router.Route(r, c.peer)
 	switch {
 	case d.Core == nil && (d.Close || r.ContentLength != 0): // a body that nobody reads stands before the next request
 		c.turnAway(d.answer())
 		return false
 	case d.Core == nil:
-		last := n.last(r.Close)
+		last := f.last(r.Close)
 		a := d.answer()
 		a.noBody = r.Method == http.MethodHead
 		if c.write(a, last) != nil {
@@ -38,23 +38,23 @@
 			c.hangUp()
 		}
 		return !last
-	case n.conns.full():
+	case f.conns.full():
 		c.reject(http.StatusServiceUnavailable, "too many connections")
 		return false
 	}
 	memory := d.Core.opt.Memory
 	if memory == nil {
-		memory = &n.bodies
+		memory = &f.bodies
 	}
 	q := &Request{}
 	var err error
-	if q.Send.Body, q.ReservedBytes, err = n.read(c, r, memory, until); err != nil {
+	if q.Send.Body, q.ReservedBytes, err = f.read(c, r, memory, until); err != nil {
 		memory.Release(q.ReservedBytes)
 		status := http.StatusBadRequest
 		switch {
 		case errors.Is(err, errTooLong):
 			status = http.StatusRequestEntityTooLarge
-		case errors.Is(err, errNoMemory), n.ending(): // it has not been sent on
+		case errors.Is(err, errNoMemory), f.ending(): // it has not been sent on
 			status = http.StatusServiceUnavailable
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			status = http.StatusRequestTimeout
@@ -91,7 +91,7 @@
 		q.Attributes = d.Attributes
 		q.Attributes.Size = q.Send.Body.Len()
 		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + guardTime))
-		if n.ending() { // not sooner: who ends what is in hand wakes its reader by that time
+		if f.ending() { // not sooner: who ends what is in hand wakes its reader by that time
 			memory.Release(q.ReservedBytes)
 			c.reject(http.StatusServiceUnavailable, errEnding.Error())
 			return false
@@ -101,7 +101,7 @@
 		case ok:
 			return c.watch(d.Core, q, x)
 		case status == 0: // its core was retired while the body came
-			if d = n.router.Route(r, c.peer); d.Core != nil {
+			if d = f.router.Route(r, c.peer); d.Core != nil {
 				continue
 			}
 			status = d.Status
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -182,7 +182,7 @@
 				out, ends = out[:len(out)-1], true
 			case 6: // says nothing
 				c.SetReadDeadline(time.Now().Add(2 * time.Second))
-				r.Peek(1)
+				_, _ = r.Peek(1)
 				out, ends = "", true
 			default: // or late, unless it is given up before
 				c.SetReadDeadline(time.Now().Add(time.Duration(rng.IntN(60)) * time.Millisecond))
@@ -195,7 +195,7 @@
 			s.mu.Lock()
 			s.audit.seen = append(s.audit.seen, a)
 			s.mu.Unlock()
-			if io.WriteString(c, out); ends {
+			if _, _ = io.WriteString(c, out); ends {
 				return
 			}
 		}
@@ -263,7 +263,7 @@
 			text += "\r\n"
 		}
 		q.sent = time.Now()
-		io.WriteString(c, text)
+		_, _ = io.WriteString(c, text)
 		if rng.IntN(8) == 0 { // leaves
 			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 			c.Close()
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -20,24 +20,24 @@
 // Stop ends the front without losing a request: it goes on accepting while the front still sends, has every
 // client close behind its answer, closes what is idle and waits for the rest. Shortly before ctx's deadline what is still in
 // hand gets its answer as it stands, and nothing new is taken; what is being passed on goes on until ctx ends.
-func (n *Front) Stop(ctx context.Context, listeners ...net.Listener) {
-	n.stopping.Store(true)
+func (f *Front) Stop(ctx context.Context, listeners ...net.Listener) {
+	f.stopping.Store(true)
 	pause(ctx, acceptOn)
-	n.empty(ctx, listeners)
+	f.empty(ctx, listeners)
 	if end, ok := ctx.Deadline(); ok {
 		call := time.AfterFunc(time.Until(end)-lastCall, func() {
-			close(n.atEnd)
-			n.conns.interrupt()
+			close(f.atEnd)
+			f.conns.interrupt()
 		})
 		defer call.Stop()
 	}
 	done := make(chan struct{})
 	go func() {
-		n.conns.drained()
+		f.conns.drained()
 		close(done)
 	}()
 	for ctx.Err() == nil {
-		n.conns.shut(settled)
+		f.conns.shut(settled)
 		select {
 		case <-done:
 			return
@@ -49,13 +49,13 @@
 
 // empty accepts what the listeners' backlogs hold, and closes them. Danger: a connection that the kernel has taken may
 // carry a request, and closing the listener resets it.
-func (n *Front) empty(ctx context.Context, listeners []net.Listener) {
+func (f *Front) empty(ctx context.Context, listeners []net.Listener) {
 	for _, l := range listeners {
 		if d, ok := l.(deadliner); ok {
-			d.SetDeadline(longAgo)
+			_ = d.SetDeadline(longAgo)
 		}
 	}
-	for end := time.Now().Add(emptyMost); n.serving.Load() > 0 && ctx.Err() == nil && time.Now().Before(end); {
+	for end := time.Now().Add(emptyMost); f.serving.Load() > 0 && ctx.Err() == nil && time.Now().Before(end); {
 		pause(ctx, time.Millisecond)
 	}
 	for _, l := range listeners {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -72,8 +72,9 @@
 // Op is how a condition compares.
 type Op uint8
 
+// The comparisons there are.
 const (
-	Present Op = iota
+	Present Op = iota // the header or parameter exists
 	Exact
 	Prefix
 	Suffix
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -48,6 +48,7 @@
 	}
 }
 
+// Boot is the first event of an instance.
 type Boot struct {
 	Seed uint64 `json:"random-seed"`
 	Info Info   `json:"boot-info"`
@@ -133,11 +134,13 @@
 	Gain       float64       `json:"gain"`
 }
 
+// Inventory is a list of servers, which later events name by its number.
 type Inventory struct {
 	Table   int      `json:"table"`
 	Members []Member `json:"members"`
 }
 
+// Member is a server of an Inventory, as the simulator words it.
 type Member struct {
 	Backend      string        `json:"backend"`
 	Zone         string        `json:"region-part"`
@@ -148,12 +151,14 @@
 	Since        time.Duration `json:"since"`
 }
 
+// Fleet is an update of the list of servers.
 type Fleet struct {
 	How   string `json:"how"`
 	Gen   uint64 `json:"gen"`
 	Table int    `json:"table"`
 }
 
+// Knock is a client's request.
 type Knock struct {
 	Call   string        `json:"call"`
 	Tenant tenantName    `json:"tenant"`
@@ -175,12 +180,14 @@
 	return nil
 }
 
+// Started is the beginning of a streamed answer.
 type Started struct {
 	Call string        `json:"call"`
 	Shot int           `json:"shot"`
 	Lag  time.Duration `json:"lag"`
 }
 
+// Verdict is the end of an attempt.
 type Verdict struct {
 	Call     string        `json:"call"`
 	Shot     int           `json:"shot"`
@@ -190,6 +197,7 @@
 	Metrics  metrics       `json:"metrics"`
 }
 
+// Sampled is the end of a health check.
 type Sampled struct {
 	Ending  string        `json:"ending"`
 	Lag     time.Duration `json:"lag"`
--- a/internal/testbed/backlog.go
+++ b/internal/testbed/backlog.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { syscall.Close(fd) })
+	t.Cleanup(func() { _ = syscall.Close(fd) })
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 					t.Fatal(err)
 				}
 				f := os.NewFile(uintptr(dup), "backlog")
-				defer f.Close()
+				defer func() { _ = f.Close() }()
 				l, err := net.FileListener(f)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -57,7 +57,7 @@
 
 // Close ends it.
 func (a *Auditor) Close() {
-	a.server.Close()
+	_ = a.server.Close()
 	<-a.done
 }
 
--- a/internal/testbed/cluster/campaign.go
+++ b/internal/testbed/cluster/campaign.go
@@ -123,7 +123,7 @@
 		v.Err = err
 		return v
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	a, err := NewAuditor("receiver")
 	if err != nil {
 		v.Err = err
@@ -412,7 +412,7 @@
 	if dir, err = os.MkdirTemp(dir, "flap-"); err != nil {
 		return f, 0, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	const lease = 2 * time.Second
 	c, err := New(Options{Binary: binary, Dir: dir, Nodes: 5, Lease: lease, Beat: lease / 6, Posts: map[string]*End{"audit": &a.End}})
 	if err != nil {
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -40,7 +40,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if dir, err := folder(); err == nil {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 	}
 	os.Exit(code)
 }
@@ -263,7 +263,7 @@
 	if err := f.Truncate(1 << 20); err != nil {
 		t.Fatal(err)
 	}
-	f.Close()
+	_ = f.Close()
 	if err := full.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	crash := filepath.Join(dir, "crash")
 	if err := os.WriteFile(crash, []byte("#!/bin/sh\nexit 3\n"), 0o700); err != nil {
 		return fail(err)
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -48,7 +48,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if path, err := built(); err == nil {
-		os.RemoveAll(filepath.Dir(path))
+		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -20,6 +20,7 @@
 // Mode is how gateways choose among zones.
 type Mode uint8
 
+// The modes there are.
 const (
 	Tiers    Mode = iota // a zone.Book each
 	Price                // no tiers: another zone is weighed by its price alone
@@ -118,6 +119,7 @@
 // Again is what a client does that is refused.
 type Again uint8
 
+// What clients do.
 const (
 	GivesUp Again = iota
 	AtOnce        // asks again after a round trip, for as long as an answer is of use to it
@@ -205,6 +207,7 @@
 // How a server is down.
 type How uint8
 
+// The ways of being down.
 const (
 	Lives   How = iota
 	Refuses     // connections
--- a/internal/testbed/fleet/restart.go
+++ b/internal/testbed/fleet/restart.go
@@ -22,8 +22,7 @@
 
 // call is one gateway's, which waits for a place.
 type call struct {
-	g      *gateway
-	failed bool
+	g *gateway
 }
 
 // The waits between calls of a gateway that failed: doubled each time, half of it at random, as internal/xds does.
--- a/internal/testbed/hollow/bounds.go
+++ b/internal/testbed/hollow/bounds.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return 0
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		if rest, ok := strings.CutPrefix(lines.Text(), "MemTotal:"); ok {
 			kib, _ := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 10, 64)
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -69,7 +69,7 @@
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if plain.dir != "" {
-		os.RemoveAll(plain.dir)
+		_ = os.RemoveAll(plain.dir)
 	}
 	os.Exit(code)
 }
--- a/internal/testbed/memnet/memnet_test.go
+++ b/internal/testbed/memnet/memnet_test.go
@@ -93,8 +93,8 @@
 		if k, from, err := q.ReadFrom(b); k != 1 || from.String() != "127.0.0.1:7" || err != nil {
 			t.Errorf("%d bytes from %v, %v", k, from, err)
 		}
-		p.Close()
-		q.Close()
+		_ = p.Close()
+		_ = q.Close()
 		if _, err := p.WriteTo([]byte("x"), at(9)); !errors.Is(err, net.ErrClosed) {
 			t.Errorf("behind the close: %v", err)
 		}
--- a/internal/testbed/origin/origin.go
+++ b/internal/testbed/origin/origin.go
@@ -149,7 +149,7 @@
 	o.server = nil
 	o.mu.Unlock()
 	if server != nil {
-		server.Close()
+		_ = server.Close()
 		<-done
 	}
 }
--- a/internal/testbed/proc/proc.go
+++ b/internal/testbed/proc/proc.go
@@ -96,7 +96,7 @@
 func (p *Process) Died() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return fmt.Errorf("%s ended by itself: %v; its last words:\n%s", p.Name, p.err, strings.Join(p.last, "\n"))
+	return fmt.Errorf("%s ended by itself: %w; its last output:\n%s", p.Name, p.err, strings.Join(p.last, "\n"))
 }
 
 // Killed tells whether Kill was called.
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -178,7 +178,7 @@
 
 // Reset closes a connection so that the other side sees it broken.
 func Reset(c net.Conn) {
-	c.(*net.TCPConn).SetLinger(0)
+	_ = c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -317,11 +317,10 @@
 		return err
 	}
 	told := g.Drained(who, "capacity") - at
-	done := fleet.Clock()
 	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool { l, err := c.Nodes[0].Orders(); return err == nil && l["capacity"].State == drain.Drained }); err != nil {
 		return err
 	}
-	done = fleet.Clock() - at
+	done := fleet.Clock() - at
 	if calls, entries, bytes, cpu, p50, p99, err = look(); err != nil {
 		return err
 	}
@@ -382,7 +381,7 @@
 			return l.Current.State == release.Done
 		}
 		for _, r := range l.Ended {
-			if r.Plan.ID == plan.ID {
+			if r.ID == plan.ID {
 				waves, why = max(waves, len(r.Waves)), fmt.Sprint(r.State, ": ", r.StateReason)
 				return r.State == release.Done
 			}
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	origin, err := bare()
 	if err != nil {
 		return err
@@ -268,7 +268,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	for _, n := range sizes {
 		if ctx.Err() != nil {
 			return ctx.Err()
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -149,7 +149,7 @@
 		sum := cluster.ReleaseVerdict{}
 		cluster.CampaignReleases(ctx, list, at, opt, func(v cluster.ReleaseVerdict) {
 			each(&v, v.Broken())
-			sum.DrainVerdict.Add(&v.DrainVerdict)
+			sum.Add(&v.DrainVerdict)
 			sum.Releases, sum.Done, sum.Back, sum.Starts, sum.Same = sum.Releases+v.Releases, sum.Done+v.Done, sum.Back+v.Back, sum.Starts+v.Starts, sum.Same+v.Same
 		})
 		return fmt.Sprintf("%s\n  releases %d, done %d, back %d; starts of versions %d, %d twice", sum.Sum(), sum.Releases, sum.Done, sum.Back, sum.Starts, sum.Same), sum.Over
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -219,7 +219,7 @@
 		s := &http.Server{Handler: p}
 		go func() { _ = s.Serve(l) }()
 		fmt.Println(l.Addr())
-		end = func() { s.Close() }
+		end = func() { _ = s.Close() }
 	case "robindrum-node":
 		budget := backend.NewBudget(1024)
 		set := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true, ParallelAttempts: true,
@@ -331,7 +331,7 @@
 					continue
 				}
 				if err != nil || resp.StatusCode != http.StatusOK {
-					errs <- fmt.Errorf("%s, %v", resp.Status, err)
+					errs <- errors.Join(errors.New(resp.Status), err)
 					return
 				}
 			}
