--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -17,13 +17,13 @@
 const (
 	// CompleteAnswerBytes is the longest answer that is read whole before it is passed on; a longer one streams.
 	CompleteAnswerBytes     = 64 << 10
-	headLimit               = 64 << 10
+	maxHeadBytes            = 64 << 10
 	defaultMaxResponseBytes = 32 << 20 // no answer is longer: one that says so is spoilt
-	inlineBody              = 16 << 10
-	streamStall             = 1500 * time.Millisecond
-	answerPause             = 250 * time.Millisecond
-	answerSpare             = 5 * time.Millisecond
-	spareTime               = 20 * time.Millisecond // what an error's body may take for its connection to be kept
+	maxInlineBodyBytes      = 16 << 10
+	defaultStallTimeout     = 1500 * time.Millisecond
+	defaultPauseTimeout     = 250 * time.Millisecond
+	pauseGrace              = 5 * time.Millisecond
+	errorBodyTimeout        = 20 * time.Millisecond // what an error's body may take for its connection to be kept
 )
 
 // Body is a request's body in pieces; it can be read any number of times.
@@ -70,21 +70,21 @@
 
 // Attempt is one send of a request to one backend.
 type Attempt struct {
-	up       *Upstream
+	upstream *Upstream
 	req      *Request
 	deadline time.Time
 
-	mu        sync.Mutex
-	conn      *conn
-	stop      context.CancelFunc // ends the dial
-	cancelled bool
-	withdrawn bool // what has not been written of the request is not to be
-	written   bool // its last byte has been
+	mu         sync.Mutex
+	conn       *conn
+	cancelDial context.CancelFunc // ends the dial
+	cancelled  bool
+	aborted    bool // what has not been written of the request is not to be
+	written    bool // its last byte has been
 }
 
 // NewAttempt prepares an attempt that is given up at deadline.
 func NewAttempt(up *Upstream, req *Request, deadline time.Time) *Attempt {
-	return &Attempt{up: up, req: req, deadline: deadline}
+	return &Attempt{upstream: up, req: req, deadline: deadline}
 }
 
 var longAgo = time.Unix(1, 0)
@@ -94,8 +94,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cancelled = true
-	if a.stop != nil {
-		a.stop()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 	if a.conn != nil {
 		a.conn.SetDeadline(longAgo)
@@ -111,28 +111,28 @@
 	if a.written {
 		return
 	}
-	a.withdrawn = true
-	if a.stop != nil {
-		a.stop()
+	a.aborted = true
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 	if a.conn != nil {
 		a.conn.SetWriteDeadline(longAgo)
 	}
 }
 
-// void tells, under the lock, whether the attempt is to go no further.
-func (a *Attempt) void() bool { return a.cancelled || a.withdrawn && !a.written }
+// isOverLocked tells, under the lock, whether the attempt is to go no further.
+func (a *Attempt) isOverLocked() bool { return a.cancelled || a.aborted && !a.written }
 
-// take makes c the connection that Cancel and Withdraw interrupt; false if one of them has come already.
-func (a *Attempt) take(c *conn) bool {
+// bind makes c the connection that Cancel and Withdraw interrupt; false if one of them has come already.
+func (a *Attempt) bind(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	return !a.void()
+	return !a.isOverLocked()
 }
 
-// letGo ends that hold on the connection; false if it was used.
-func (a *Attempt) letGo() bool { return a.take(nil) }
+// unbind ends that hold on the connection; false if it was used.
+func (a *Attempt) unbind() bool { return a.bind(nil) }
 
 func (a *Attempt) isCancelled() bool {
 	a.mu.Lock()
@@ -140,21 +140,21 @@
 	return a.cancelled
 }
 
-func (a *Attempt) isVoid() bool {
+func (a *Attempt) isOver() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.void()
+	return a.isOverLocked()
 }
 
-func (a *Attempt) extend(c *conn, to time.Time) bool {
+func (a *Attempt) extendDeadline(c *conn, to time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.void() && c.SetDeadline(to) == nil
+	return !a.isOverLocked() && c.SetDeadline(to) == nil
 }
 
-func (a *Attempt) within(c *conn, d time.Duration) bool {
+func (a *Attempt) extendWithin(c *conn, d time.Duration) bool {
 	t := time.Now().Add(d)
-	return t.Before(a.deadline) && a.extend(c, t)
+	return t.Before(a.deadline) && a.extendDeadline(c, t)
 }
 
 // Do runs the attempt.
@@ -163,24 +163,24 @@
 	if err != nil {
 		var timeout interface{ Timeout() bool }
 		switch {
-		case errors.Is(err, errUnwanted):
+		case errors.Is(err, errNotWanted):
 			return Reply{Result: balancer.NotSent, Unwanted: true}
 		case a.isCancelled():
 			return Reply{Result: balancer.Cancelled}
-		case a.isVoid():
+		case a.isOver():
 			return Reply{Result: balancer.NotSent}
 		case errors.As(err, &timeout) && timeout.Timeout() && !time.Now().Before(a.deadline):
 			// It was the client's time that ran out: that says nothing against the backend.
 			return Reply{Result: balancer.TimedOut}
-		case local(err):
+		case isLocalError(err):
 			return Reply{Result: balancer.NotSent}
 		}
 		return Reply{Result: balancer.NotConnected}
 	}
-	reply, clean := a.exchange(c, begin)
+	reply, clean := a.roundTrip(c, begin)
 	// A cancel that comes now would leave its mark on a connection that is somebody else's by then.
-	if a.letGo() && clean {
-		c.keep()
+	if a.unbind() && clean {
+		c.returnToPool()
 	} else {
 		c.drop()
 	}
@@ -188,65 +188,65 @@
 }
 
 func (a *Attempt) connect() (*conn, error) {
-	if a.isVoid() {
+	if a.isOver() {
 		return nil, context.Canceled
 	}
-	c := a.up.reuse(a.deadline)
-	if !a.wanted() {
+	c := a.upstream.reuse(a.deadline)
+	if !a.stillWanted() {
 		if c != nil {
-			c.putBack()
+			c.insertIdle()
 		}
-		return nil, errUnwanted
+		return nil, errNotWanted
 	}
 	if c == nil {
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		a.mu.Lock()
-		a.stop = stop
+		a.cancelDial = stop
 		a.mu.Unlock()
-		if a.isVoid() {
+		if a.isOver() {
 			return nil, context.Canceled
 		}
 		var err error
-		if c, err = a.up.dial(ctx, a.deadline); err != nil {
+		if c, err = a.upstream.dial(ctx, a.deadline); err != nil {
 			return nil, err
 		}
 		// Danger: a connection may be long in coming up, and whoever reads from the client may be as late to see its end.
-		if !a.wanted() {
-			c.keep()
-			return nil, errUnwanted
+		if !a.stillWanted() {
+			c.returnToPool()
+			return nil, errNotWanted
 		}
 	}
-	if !a.take(c) {
+	if !a.bind(c) {
 		c.drop()
 		return nil, context.Canceled
 	}
 	// Danger: a connection may be long in coming up, and the list may say meanwhile that nothing more goes there.
-	if a.up.closed.Load() {
-		a.letGo()
+	if a.upstream.closedToNew.Load() {
+		a.unbind()
 		c.drop()
 		return nil, errNoAddress
 	}
 	return c, nil
 }
 
-func (a *Attempt) wanted() bool { return a.req.StillWanted == nil || a.req.StillWanted() }
+func (a *Attempt) stillWanted() bool { return a.req.StillWanted == nil || a.req.StillWanted() }
 
-var heads = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
+var headBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-func (a *Attempt) write(c *conn) error {
+func (a *Attempt) writeRequest(c *conn) error {
 	r := a.req
-	p := heads.Get().(*[]byte)
-	defer heads.Put(p)
+	p := headBuffers.Get().(*[]byte)
+	defer headBuffers.Put(p)
 	b := append(append(append(append((*p)[:0], r.Method...), ' '), r.URI...), " HTTP/1.1\r\n"...)
 	host := r.Host
 	if host == "" {
-		host = a.up.addr
+		host = a.upstream.addr
 	}
-	b = field(b, "Host", host)
+	b = appendField(b, "Host", host)
 	for name, values := range r.Header {
 		for _, v := range values {
-			b = field(b, name, v)
+			b = appendField(b, name, v)
 		}
 	}
 	b = append(b, "X-Expires-In-Ms: "...)
@@ -257,7 +257,7 @@
 	}
 	b = append(b, "\r\n\r\n"...)
 	rest := r.Body
-	if n <= inlineBody {
+	if n <= maxInlineBodyBytes {
 		for _, part := range rest {
 			b = append(b, part...)
 		}
@@ -278,26 +278,26 @@
 	return nil
 }
 
-func field(b []byte, name, value string) []byte {
+func appendField(b []byte, name, value string) []byte {
 	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 }
 
-// exchange writes the request and reads the answer. clean: the connection can carry another request.
-func (a *Attempt) exchange(c *conn, begin Begin) (reply Reply, clean bool) {
+// roundTrip writes the request and reads the answer. clean: the connection can carry another request.
+func (a *Attempt) roundTrip(c *conn, begin Begin) (reply Reply, clean bool) {
 	var wrote error
 	join := func() error { return wrote }
-	if a.req.Body.Len() <= inlineBody {
-		if wrote = a.write(c); wrote != nil {
-			a.within(c, spareTime)
+	if a.req.Body.Len() <= maxInlineBodyBytes {
+		if wrote = a.writeRequest(c); wrote != nil {
+			a.extendWithin(c, errorBodyTimeout)
 		}
 	} else {
 		// Danger: a backend may answer, with an error say, and read no further. A node that first writes it
 		// all would wait for a reader that is not there.
 		done := make(chan error, 1)
 		go func() {
-			err := a.write(c)
+			err := a.writeRequest(c)
 			if err != nil {
-				a.within(c, spareTime)
+				a.extendWithin(c, errorBodyTimeout)
 			}
 			done <- err
 		}()
@@ -312,33 +312,33 @@
 		})
 		defer func() { _ = join() }()
 	}
-	c.attempt, c.begun = a, false
+	c.attempt, c.responseBegun = a, false
 	defer func() { c.attempt = nil }()
-	resp, err := a.head(c)
+	resp, err := a.readHead(c)
 	if err != nil {
-		return Reply{Result: a.broken(err, join())}, false
+		return Reply{Result: a.classifyFailure(err, join())}, false
 	}
 	reply.LoadReport = resp.Header.Get("Endpoint-Load-Metrics")
-	if !a.up.pool.answers(resp.StatusCode) {
+	if !a.upstream.pool.isAnswer(resp.StatusCode) {
 		reply.Result = balancer.ServerError
 		if s := resp.StatusCode; (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) &&
 			resp.Header.Get("X-Never-Ran") == "1" {
 			reply.Result = balancer.Rejected
 		}
 		if resp.StatusCode == http.StatusServiceUnavailable {
-			reply.RetryAfter = rest(resp.Header.Get("Retry-After"), time.Now())
+			reply.RetryAfter = parseRetryAfter(resp.Header.Get("Retry-After"), time.Now())
 		}
 		if join() != nil || resp.Close || !delimited(resp) {
 			return reply, false
 		}
 		c.attempt = nil
-		a.extend(c, time.Now().Add(spareTime))
-		if a.up.pool.opt.IsAnswer == nil {
-			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, headLimit))
-			return reply, err == nil && n < headLimit && c.br.Buffered() == 0
+		a.extendDeadline(c, time.Now().Add(errorBodyTimeout))
+		if a.upstream.pool.opt.IsAnswer == nil {
+			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeadBytes))
+			return reply, err == nil && n < maxHeadBytes && c.br.Buffered() == 0
 		}
-		text, err := io.ReadAll(io.LimitReader(resp.Body, headLimit))
-		if err != nil || len(text) == headLimit {
+		text, err := io.ReadAll(io.LimitReader(resp.Body, maxHeadBytes))
+		if err != nil || len(text) == maxHeadBytes {
 			return reply, false
 		}
 		reply.Status, reply.Header, reply.Body = resp.StatusCode, resp.Header, text
@@ -346,10 +346,10 @@
 	}
 	// Where an answer ends without saying cannot be told from where it broke. Danger: one that says 3 GB keeps
 	// coming, and once its client has the head nobody else can serve the request.
-	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.up.pool.maxResponseBytes() && a.req.Method != http.MethodHead {
+	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.upstream.pool.maxResponseBytes() && a.req.Method != http.MethodHead {
 		return Reply{Result: balancer.ConnectionLost, LoadReport: reply.LoadReport}, false
 	}
-	if !a.body(c, resp, begin, &reply) {
+	if !a.readBody(c, resp, begin, &reply) {
 		return reply, false
 	}
 	// Danger: set any sooner, the head of an answer whose body broke off would pass for an answer.
@@ -357,8 +357,8 @@
 	return reply, join() == nil && !resp.Close && c.br.Buffered() == 0
 }
 
-// rest reads a Retry-After, in seconds or as a date (RFC 9110, 10.2.3); 0 where there is none that can be read.
-func rest(text string, now time.Time) time.Duration {
+// parseRetryAfter reads a Retry-After, in seconds or as a date (RFC 9110, 10.2.3); 0 where there is none that can be read.
+func parseRetryAfter(text string, now time.Time) time.Duration {
 	if n, err := strconv.ParseUint(text, 10, 31); err == nil {
 		return time.Duration(n) * time.Second
 	}
@@ -373,12 +373,12 @@
 	return r.ContentLength >= 0 || len(r.TransferEncoding) == 1 && r.TransferEncoding[0] == "chunked"
 }
 
-// head reads the head of the final answer.
-func (a *Attempt) head(c *conn) (*http.Response, error) {
-	c.left = headLimit
-	defer func() { c.left = -1 }()
+// readHead reads the head of the final answer.
+func (a *Attempt) readHead(c *conn) (*http.Response, error) {
+	c.headBytesLeft = maxHeadBytes
+	defer func() { c.headBytesLeft = -1 }()
 	for range 8 {
-		if err := c.speaks(); err != nil {
+		if err := c.awaitVersion(); err != nil {
 			return nil, err
 		}
 		resp, err := http.ReadResponse(c.br, &http.Request{Method: a.req.Method})
@@ -395,9 +395,9 @@
 	return nil, errors.New("no final answer")
 }
 
-// speaks waits until an answer shows that it is one. Danger: net/http's parser waits for the end of a line, which
+// awaitVersion waits until an answer shows that it is one. Danger: net/http's parser waits for the end of a line, which
 // noise may not have, while another backend could still serve the request.
-func (c *conn) speaks() error {
+func (c *conn) awaitVersion() error {
 	const version = "HTTP/1."
 	for n := range len(version) {
 		b, err := c.br.Peek(n + 1)
@@ -411,12 +411,12 @@
 	return nil
 }
 
-// broken words an exchange that ended with no answer. wrote is how the writing ended.
-func (a *Attempt) broken(read, wrote error) balancer.Result {
+// classifyFailure words an exchange that ended with no answer. wrote is how the writing ended.
+func (a *Attempt) classifyFailure(read, wrote error) balancer.Result {
 	switch {
 	case a.isCancelled():
 		return balancer.Cancelled
-	case wrote != nil && a.isVoid():
+	case wrote != nil && a.isOver():
 		return balancer.NotSent
 	case !time.Now().Before(a.deadline) && errors.Is(read, os.ErrDeadlineExceeded):
 		return balancer.TimedOut
@@ -428,7 +428,7 @@
 	return balancer.ConnectionLost
 }
 
-func (a *Attempt) body(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
+func (a *Attempt) readBody(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
 	size := int64(CompleteAnswerBytes)
 	if n := resp.ContentLength; n >= 0 && n <= size {
 		size = n
@@ -436,7 +436,7 @@
 		size = 4 << 10 // its first bytes are as good as it gets: it is streamed anyway
 	}
 	buf := make([]byte, 0, min(size+1, 1<<10))
-	atOnce := a.up.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.up.pool.opt.StreamResponse(resp.Header)
+	atOnce := a.upstream.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.upstream.pool.opt.StreamResponse(resp.Header)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
@@ -448,7 +448,7 @@
 			return true
 		}
 		if err != nil {
-			reply.Result = a.broken(err, nil)
+			reply.Result = a.classifyFailure(err, nil)
 			return false
 		}
 		if atOnce && len(buf) > 0 || int64(len(buf)) > CompleteAnswerBytes || resp.ContentLength > CompleteAnswerBytes && len(buf) > 0 {
@@ -488,7 +488,7 @@
 			reply.Result = balancer.ConnectionLost
 			return false
 		}
-		a.extend(c, time.Now().Add(a.up.pool.stall()))
+		a.extendDeadline(c, time.Now().Add(a.upstream.pool.stallTimeout()))
 		var n int
 		n, end = resp.Body.Read(*p)
 		part = (*p)[:n]
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -76,8 +76,8 @@
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nok", balancer.ConnectionLost},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost},
 		{"not HTTP", "SSH-2.0-hello\r\n\r\n", balancer.ConnectionLost},
-		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 3*headLimit/8), balancer.ConnectionLost},
-		{"an endless line", "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("b", 3*headLimit), balancer.ConnectionLost},
+		{"an endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 3*maxHeadBytes/8), balancer.ConnectionLost},
+		{"an endless line", "HTTP/1.1 200 OK\r\nX-A: " + strings.Repeat("b", 3*maxHeadBytes), balancer.ConnectionLost},
 		{"nothing but 1xx", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), balancer.ConnectionLost},
 		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n", balancer.ConnectionLost},
 	} {
@@ -398,10 +398,10 @@
 	testbed.Leaks(t)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
-		time.Sleep(2 * answerPause)
+		time.Sleep(2 * defaultPauseTimeout)
 		for _, part := range []string{ok[:9], ok[9:30], ok[30:]} {
 			_, _ = io.WriteString(c, part)
-			time.Sleep(answerPause / 5)
+			time.Sleep(defaultPauseTimeout / 5)
 		}
 	})
 	if r := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get")); r.Result != balancer.Served {
@@ -421,7 +421,7 @@
 			select {
 			case <-over:
 				return
-			case <-time.After(answerPause / 10):
+			case <-time.After(defaultPauseTimeout / 10):
 				_, _ = io.WriteString(c, "x")
 			}
 		}
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -17,10 +17,10 @@
 
 // Budget counts the descriptors that clients and backend connections hold together.
 type Budget struct {
-	limit int64
-	used  atomic.Int64
-	mu    sync.Mutex
-	evict []*func() bool
+	limit    int64
+	used     atomic.Int64
+	mu       sync.Mutex
+	evictors []*func() bool
 }
 
 // NewBudget makes a budget of limit descriptors.
@@ -32,11 +32,11 @@
 	p := &fn
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.evict = append(slices.Clone(b.evict), p)
+	b.evictors = append(slices.Clone(b.evictors), p)
 	return func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.evict = slices.DeleteFunc(slices.Clone(b.evict), func(q *func() bool) bool { return q == p })
+		b.evictors = slices.DeleteFunc(slices.Clone(b.evictors), func(q *func() bool) bool { return q == p })
 	}
 }
 
@@ -48,7 +48,7 @@
 			if b.used.CompareAndSwap(u, u+1) {
 				return true
 			}
-		} else if !b.HasRoom() {
+		} else if !b.EvictOne() {
 			return false
 		}
 	}
@@ -57,7 +57,7 @@
 // Force books a descriptor that is held already: an accepted connection. It makes room behind itself.
 func (b *Budget) Force() {
 	if b.used.Add(1) > b.limit {
-		b.HasRoom()
+		b.EvictOne()
 	}
 }
 
@@ -70,10 +70,10 @@
 // Used is how many are held.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
-// HasRoom closes one idle connection, and tells whether there was one.
-func (b *Budget) HasRoom() bool {
+// EvictOne closes one idle connection, and tells whether there was one.
+func (b *Budget) EvictOne() bool {
 	b.mu.Lock()
-	evict := b.evict
+	evict := b.evictors
 	b.mu.Unlock()
 	for _, fn := range evict {
 		if (*fn)() {
@@ -86,17 +86,17 @@
 // Share is one cluster's part of a Budget: some descriptors are its own whatever the others do, the rest it takes from
 // what nobody owns.
 type Share struct {
-	of *Budget
+	budget *Budget
 
-	mu           sync.Mutex
-	own, maximum int64
-	used         int64
-	evict        []*func() bool
+	mu              sync.Mutex
+	reserved, limit int64
+	used            int64
+	evictors        []*func() bool
 }
 
 // Share books own descriptors for one user alone, until End. It holds at most most of them; 0: as many as there are.
 func (b *Budget) Share(own, most int) *Share {
-	s := &Share{of: b}
+	s := &Share{budget: b}
 	s.Resize(own, most)
 	return s
 }
@@ -106,8 +106,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	booked := func(own int64) int64 { return own + max(s.used-own, 0) }
-	s.of.used.Add(booked(int64(own)) - booked(s.own))
-	s.own, s.maximum = int64(own), int64(most)
+	s.budget.used.Add(booked(int64(own)) - booked(s.reserved))
+	s.reserved, s.limit = int64(own), int64(most)
 }
 
 // Close gives back what is its own. What it still holds goes back with each Give.
@@ -117,10 +117,10 @@
 func (s *Share) Limit() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.maximum > 0 {
-		return int(s.maximum)
+	if s.limit > 0 {
+		return int(s.limit)
 	}
-	return s.of.Limit()
+	return s.budget.Limit()
 }
 
 // Used is how many are held.
@@ -133,24 +133,24 @@
 // Acquire reserves a descriptor. Where none is left an idle connection makes room, if there is one.
 func (s *Share) Acquire() bool {
 	s.mu.Lock()
-	for s.maximum > 0 && s.used >= s.maximum {
+	for s.limit > 0 && s.used >= s.limit {
 		s.mu.Unlock()
-		if !s.room() {
+		if !s.evictOne() {
 			return false
 		}
 		s.mu.Lock()
 	}
 	s.used++
-	own := s.used <= s.own
+	own := s.used <= s.reserved
 	s.mu.Unlock()
-	if own || s.of.Acquire() { // not under the lock: room is made by giving back, maybe here
+	if own || s.budget.Acquire() { // not under the lock: room is made by giving back, maybe here
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// One that was given back meanwhile counted as one of the Budget's, since this one stood before it.
-	if s.used--; s.used < s.own {
-		s.of.used.Add(1)
+	if s.used--; s.used < s.reserved {
+		s.budget.used.Add(1)
 	}
 	return false
 }
@@ -159,20 +159,20 @@
 func (s *Share) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.used--; s.used >= s.own {
-		s.of.Release()
+	if s.used--; s.used >= s.reserved {
+		s.budget.Release()
 	}
 }
 
-func (s *Share) beyondItsOwn() bool {
+func (s *Share) exceedsReservation() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.used > s.own
+	return s.used > s.reserved
 }
 
-func (s *Share) room() bool {
+func (s *Share) evictOne() bool {
 	s.mu.Lock()
-	evict := s.evict
+	evict := s.evictors
 	s.mu.Unlock()
 	for _, fn := range evict {
 		if (*fn)() {
@@ -186,13 +186,13 @@
 func (s *Share) OnShort(fn func() bool) (leave func()) {
 	p := &fn
 	s.mu.Lock()
-	s.evict = append(slices.Clone(s.evict), p)
+	s.evictors = append(slices.Clone(s.evictors), p)
 	s.mu.Unlock()
-	out := s.of.OnShort(func() bool { return s.beyondItsOwn() && fn() })
+	out := s.budget.OnShort(func() bool { return s.exceedsReservation() && fn() })
 	return func() {
 		out()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.evict = slices.DeleteFunc(slices.Clone(s.evict), func(q *func() bool) bool { return q == p })
+		s.evictors = slices.DeleteFunc(slices.Clone(s.evictors), func(q *func() bool) bool { return q == p })
 	}
 }
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -76,7 +76,7 @@
 		t.Errorf("%d held, %d booked", s.Used(), b.Used())
 	}
 	leave()
-	if len(b.evict) != 0 || len(s.evict) != 0 {
+	if len(b.evictors) != 0 || len(s.evictors) != 0 {
 		t.Error("who has left is still asked")
 	}
 }
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -54,14 +54,14 @@
 	p.mu.Lock()
 	second := up.idle[1]
 	for _, c := range up.idle[:2] {
-		c.since = c.since.Add(-time.Hour)
+		c.lastUsed = c.lastUsed.Add(-time.Hour)
 	}
 	p.opt.IdleTimeout = 10 * time.Hour
 	p.mu.Unlock()
 	if c := up.reuse(time.Now().Add(testbed.Patience)); c != second {
 		t.Error("another one is used")
 	} else {
-		c.keep()
+		c.returnToPool()
 	}
 	if n := len(up.idle); n != 3 || p.budget.Used() != 3 {
 		t.Errorf("%d are idle, %d descriptors held", n, p.budget.Used())
@@ -84,8 +84,8 @@
 	p.mu.Lock()
 	p.opt.ReuseDelay = 0
 	older, newer := up.idle[0], up.idle[1]
-	older.since, newer.since = older.since.Add(-30*time.Minute), newer.since.Add(-20*time.Minute)
-	was := newer.since
+	older.lastUsed, newer.lastUsed = older.lastUsed.Add(-30*time.Minute), newer.lastUsed.Add(-20*time.Minute)
+	was := newer.lastUsed
 	p.mu.Unlock()
 	r := get("/left")
 	r.StillWanted = func() bool { return false }
@@ -93,16 +93,16 @@
 		t.Errorf("result %d, unwanted %t", got.Result, got.Unwanted)
 	}
 	p.mu.Lock()
-	if len(up.idle) != 2 || up.idle[1] != newer || !newer.since.Equal(was) {
-		t.Errorf("%d are idle, the one not used for %v", len(up.idle), time.Since(newer.since))
+	if len(up.idle) != 2 || up.idle[1] != newer || !newer.lastUsed.Equal(was) {
+		t.Errorf("%d are idle, the one not used for %v", len(up.idle), time.Since(newer.lastUsed))
 	}
 	p.mu.Unlock()
 	first, second := up.reuse(time.Now().Add(testbed.Patience)), up.reuse(time.Now().Add(testbed.Patience))
 	if first != newer || second != older {
 		t.Fatal("others are used")
 	}
-	first.putBack()
-	second.putBack()
+	first.insertIdle()
+	second.insertIdle()
 	if up.idle[0] != older || up.idle[1] != newer {
 		t.Error("the one used last is not at the end")
 	}
@@ -173,7 +173,7 @@
 		idle := append([]*conn(nil), up.idle...)
 		up.pool.mu.Unlock()
 		for _, c := range idle {
-			testbed.Eventually(t, "its end", func() bool { return !c.quiet() })
+			testbed.Eventually(t, "its end", func() bool { return !c.isUsable() })
 		}
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -29,21 +29,21 @@
 	// IsAnswer tells which statuses are answers to pass on; others are failures of the backend, whose short answers
 	// come with the Reply as well. nil: 200 alone, and nothing of a failure's answer is kept.
 	IsAnswer func(status int) bool
-	// Pause is how long an answer may stand still once it has begun, Stall the same of one that is passed on already;
+	// PauseTimeout is how long an answer may stand still once it has begun, Stall the same of one that is passed on already;
 	// 0: 250 ms and 1.5 s, the platform's. Longest is the length that none may say to have; 0: 32 MiB, the platform's.
-	Pause, Stall     time.Duration
-	MaxResponseBytes int64
+	PauseTimeout, StallTimeout time.Duration
+	MaxResponseBytes           int64
 	// StreamResponse tells from an answer's head that it is to be passed on as it comes, however short; nil: none is.
 	StreamResponse func(head http.Header) bool
 }
 
-func (p *Pool) pause() time.Duration { return cmp.Or(p.opt.Pause, answerPause) }
-func (p *Pool) stall() time.Duration { return cmp.Or(p.opt.Stall, streamStall) }
+func (p *Pool) pauseTimeout() time.Duration { return cmp.Or(p.opt.PauseTimeout, defaultPauseTimeout) }
+func (p *Pool) stallTimeout() time.Duration { return cmp.Or(p.opt.StallTimeout, defaultStallTimeout) }
 func (p *Pool) maxResponseBytes() int64 {
 	return cmp.Or(p.opt.MaxResponseBytes, defaultMaxResponseBytes)
 }
 
-func (p *Pool) answers(status int) bool {
+func (p *Pool) isAnswer(status int) bool {
 	if p.opt.IsAnswer == nil {
 		return status == 200
 	}
@@ -52,10 +52,10 @@
 
 // Pool keeps the idle connections of all backends.
 type Pool struct {
-	opt    Options
-	budget Descriptors
-	leave  func() // ends the pool's part in making room
-	dialer net.Dialer
+	opt          Options
+	budget       Descriptors
+	stopEvicting func() // ends the pool's part in making room
+	dialer       net.Dialer
 
 	mu        sync.Mutex
 	upstreams map[*Upstream]struct{}
@@ -65,53 +65,53 @@
 
 // Upstream is one backend at one address.
 type Upstream struct {
-	pool  *Pool
-	addr  string
-	since time.Duration
-	idle  []*conn // by since: the one used last is at the end
-	gone  bool
-	// closed: it has left the list or is draining, and nothing new goes there.
-	closed atomic.Bool
+	pool    *Pool
+	addr    string
+	since   time.Duration
+	idle    []*conn // by since: the one used last is at the end
+	retired bool
+	// closedToNew: it has left the list or is draining, and nothing new goes there.
+	closedToNew atomic.Bool
 }
 
 // conn is a connection to a backend; it carries one request at a time.
 type conn struct {
 	*net.TCPConn
-	br    *bufio.Reader
-	left  int64
-	since time.Time // when it was used last
-	up    *Upstream
+	br            *bufio.Reader
+	headBytesLeft int64
+	lastUsed      time.Time // when it was used last
+	upstream      *Upstream
 
-	attempt *Attempt
-	begun   bool // some of that answer has come
+	attempt       *Attempt
+	responseBegun bool // some of that answer has come
 }
 
 var errHeadTooLong = errors.New("the head of the answer is too long")
 
 // Read bounds the head: net/http's parser has no limit of its own for an endless one.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.left < 0 {
-		return c.read(p)
+	if c.headBytesLeft < 0 {
+		return c.readBounded(p)
 	}
-	if c.left == 0 {
+	if c.headBytesLeft == 0 {
 		return 0, errHeadTooLong
 	}
-	n, err := c.read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
+	n, err := c.readBounded(p[:min(int64(len(p)), c.headBytesLeft)])
+	c.headBytesLeft -= int64(n)
 	return n, err
 }
 
-// read bounds the pauses of an answer that has begun. Danger: a backend whose answer stops half way would hold
+// readBounded bounds the pauses of an answer that has begun. Danger: a backend whose answer stops half way would hold
 // the request until the client's time is up, when another could still have served it.
-func (c *conn) read(p []byte) (int, error) {
+func (c *conn) readBounded(p []byte) (int, error) {
 	a := c.attempt
-	bounded := a != nil && c.begun && a.within(c, a.up.pool.pause())
+	bounded := a != nil && c.responseBegun && a.extendWithin(c, a.upstream.pool.pauseTimeout())
 	n, err := c.TCPConn.Read(p)
-	if bounded && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && a.within(c, answerSpare) {
+	if bounded && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && a.extendWithin(c, pauseGrace) {
 		// Where this node got no CPU for so long, the rest may have come meanwhile.
 		n, err = c.TCPConn.Read(p)
 	}
-	c.begun = c.begun || n > 0
+	c.responseBegun = c.responseBegun || n > 0
 	return n, err
 }
 
@@ -125,12 +125,12 @@
 	}
 	p := &Pool{opt: opt, budget: budget, upstreams: map[*Upstream]struct{}{}}
 	p.dialer = net.Dialer{KeepAlive: -1}
-	p.leave = budget.OnShort(p.evict)
+	p.stopEvicting = budget.OnShort(p.evict)
 	return p
 }
 
 // Nowhere is a backend that the node has no address for: nothing is sent to it.
-func (p *Pool) Nowhere() *Upstream { return &Upstream{pool: p, gone: true} }
+func (p *Pool) Nowhere() *Upstream { return &Upstream{pool: p, retired: true} }
 
 // Upstream adds a backend that started at since.
 func (p *Pool) Upstream(addr string, since time.Duration) *Upstream {
@@ -149,9 +149,9 @@
 
 // Retire forgets a backend that is gone or has moved. Attempts that are out end as they would have.
 func (u *Upstream) Retire() {
-	u.closed.Store(true)
+	u.closedToNew.Store(true)
 	u.pool.mu.Lock()
-	u.gone = true
+	u.retired = true
 	delete(u.pool.upstreams, u)
 	u.pool.mu.Unlock()
 	u.CloseIdle()
@@ -159,7 +159,7 @@
 
 // SetDraining says whether anything new may go to the backend. Attempts that have not begun by then end as not sent.
 func (u *Upstream) SetDraining(on bool) {
-	u.closed.Store(on)
+	u.closedToNew.Store(on)
 	if on {
 		u.CloseIdle()
 	}
@@ -171,7 +171,7 @@
 	idle := u.idle
 	u.idle = nil
 	u.pool.mu.Unlock()
-	u.pool.discard(idle)
+	u.pool.dropAll(idle)
 }
 
 // Close closes all idle connections, and those that come back later.
@@ -184,11 +184,11 @@
 		u.idle = nil
 	}
 	p.mu.Unlock()
-	p.leave()
-	p.discard(idle)
+	p.stopEvicting()
+	p.dropAll(idle)
 }
 
-func (p *Pool) discard(conns []*conn) {
+func (p *Pool) dropAll(conns []*conn) {
 	for _, c := range conns {
 		c.drop()
 	}
@@ -196,17 +196,17 @@
 
 func (c *conn) drop() {
 	c.Close()
-	c.up.pool.budget.Release()
+	c.upstream.pool.budget.Release()
 }
 
-func (p *Pool) idleFor() time.Duration { return p.opt.IdleTimeout * 7 / 10 }
+func (p *Pool) maxIdle() time.Duration { return p.opt.IdleTimeout * 7 / 10 }
 
 func (u *Upstream) reuse(deadline time.Time) *conn {
 	p := u.pool
 	for {
 		p.mu.Lock()
 		i := len(u.idle) - 1
-		for i >= 0 && p.opt.ReuseDelay > 0 && time.Since(u.idle[i].since) < p.opt.ReuseDelay {
+		for i >= 0 && p.opt.ReuseDelay > 0 && time.Since(u.idle[i].lastUsed) < p.opt.ReuseDelay {
 			i--
 		}
 		if i < 0 {
@@ -216,15 +216,15 @@
 		c := u.idle[i]
 		u.idle = slices.Delete(u.idle, i, i+1)
 		p.mu.Unlock()
-		if time.Since(c.since) < p.idleFor() && c.SetDeadline(deadline) == nil && c.quiet() {
+		if time.Since(c.lastUsed) < p.maxIdle() && c.SetDeadline(deadline) == nil && c.isUsable() {
 			return c
 		}
 		c.drop()
 	}
 }
 
-// quiet tells whether the peer has neither closed the connection nor sent anything unasked.
-func (c *conn) quiet() bool {
+// isUsable tells whether the peer has neither closed the connection nor sent anything unasked.
+func (c *conn) isUsable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -242,27 +242,27 @@
 	return ok && err == nil
 }
 
-// keep puts the connection in the pool, or closes it where there is none to go back to. Danger: one that did
+// returnToPool puts the connection in the pool, or closes it where there is none to go back to. Danger: one that did
 // neither would hold its descriptor, and a place at the backend, for good.
-func (c *conn) keep() {
-	c.since = time.Now()
-	c.putBack()
+func (c *conn) returnToPool() {
+	c.lastUsed = time.Now()
+	c.insertIdle()
 }
 
-// putBack is keep for a connection that was not used: to the backend it has been idle for as long as before.
-func (c *conn) putBack() {
-	u, p := c.up, c.up.pool
+// insertIdle is keep for a connection that was not used: to the backend it has been idle for as long as before.
+func (c *conn) insertIdle() {
+	u, p := c.upstream, c.upstream.pool
 	p.mu.Lock()
-	kept := !u.gone && !p.closed
+	kept := !u.retired && !p.closed
 	if kept {
 		at := len(u.idle)
-		for at > 0 && u.idle[at-1].since.After(c.since) {
+		for at > 0 && u.idle[at-1].lastUsed.After(c.lastUsed) {
 			at--
 		}
 		u.idle = slices.Insert(u.idle, at, c)
 		if !p.sweeping {
 			p.sweeping = true
-			time.AfterFunc(p.sweepEvery(), p.sweep)
+			time.AfterFunc(p.sweepInterval(), p.sweep)
 		}
 	}
 	p.mu.Unlock()
@@ -271,7 +271,7 @@
 	}
 }
 
-func (p *Pool) sweepEvery() time.Duration { return max(p.idleFor()/8, time.Millisecond) }
+func (p *Pool) sweepInterval() time.Duration { return max(p.maxIdle()/8, time.Millisecond) }
 
 func (p *Pool) sweep() {
 	var old []*conn
@@ -279,7 +279,7 @@
 	p.mu.Lock()
 	for u := range p.upstreams {
 		n := 0
-		for n < len(u.idle) && time.Since(u.idle[n].since) >= p.idleFor() {
+		for n < len(u.idle) && time.Since(u.idle[n].lastUsed) >= p.maxIdle() {
 			n++
 		}
 		old = append(old, u.idle[:n]...)
@@ -288,17 +288,17 @@
 	}
 	p.sweeping = any
 	if any {
-		time.AfterFunc(p.sweepEvery(), p.sweep)
+		time.AfterFunc(p.sweepInterval(), p.sweep)
 	}
 	p.mu.Unlock()
-	p.discard(old)
+	p.dropAll(old)
 }
 
 func (p *Pool) evict() bool {
 	p.mu.Lock()
 	var oldest *Upstream
 	for u := range p.upstreams {
-		if len(u.idle) > 0 && (oldest == nil || u.idle[0].since.Before(oldest.idle[0].since)) {
+		if len(u.idle) > 0 && (oldest == nil || u.idle[0].lastUsed.Before(oldest.idle[0].lastUsed)) {
 			oldest = u
 		}
 	}
@@ -316,12 +316,12 @@
 var (
 	errNoDescriptor = errors.New("no descriptor is left for a connection")
 	errNoAddress    = errors.New("the backend is not on the list")
-	errUnwanted     = errors.New("nobody waits for the answer any more")
+	errNotWanted    = errors.New("nobody waits for the answer any more")
 )
 
-// local tells whether a dial failed for want of something of this node's. Danger: taken for a backend that does
+// isLocalError tells whether a dial failed for want of something of this node's. Danger: taken for a backend that does
 // not let itself be connected to, a shortage here has healthy backends put out of the draws.
-func local(err error) bool {
+func isLocalError(err error) bool {
 	for _, e := range []error{errNoDescriptor, errNoAddress, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 		syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, e) {
@@ -350,7 +350,7 @@
 		p.budget.Release() // or a backend that is down eats the descriptors, one for each try
 		return nil, err
 	}
-	c := &conn{TCPConn: nc.(*net.TCPConn), up: u, left: -1}
+	c := &conn{TCPConn: nc.(*net.TCPConn), upstream: u, headBytesLeft: -1}
 	c.br = bufio.NewReaderSize(io.Reader(c), 4<<10)
 	if err := c.SetDeadline(deadline); err != nil {
 		c.drop()
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -91,7 +91,7 @@
 func TestTrickle(t *testing.T) {
 	testbed.Leaks(t)
 	for name, text := range map[string]string{"half a line": "x", "lines in half a list": "\n"} {
-		w := start(t, false, "", func(c *Client) { c.firstTime, c.silence = 100*time.Millisecond, 100*time.Millisecond })
+		w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 100*time.Millisecond, 100*time.Millisecond })
 		w.Watch(true)
 		c := testbed.Within(t, "a call", w.calls)
 		c.begin()
@@ -113,7 +113,7 @@
 // A watch that is answered and says nothing from its first line on, or stops within a line, is given up.
 func TestQuietFromTheFirstLine(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, "", func(c *Client) { c.firstTime, c.silence = 50*time.Millisecond, 50*time.Millisecond })
+	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	for _, text := range []string{"", `{"rev":1,"all":true,"tar`, "{\n"} {
 		w.Watch(true)
 		c := testbed.Within(t, "a call", w.calls)
@@ -154,7 +154,7 @@
 // time than sends to a draining server may go on.
 func TestPushedIsAskedForAgain(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, true, line(7, true), func(c *Client) { c.firstTime, c.retryFirst = 20*time.Millisecond, time.Millisecond })
+	w := start(t, true, line(7, true), func(c *Client) { c.firstLineTimeout, c.minRetryPause = 20*time.Millisecond, time.Millisecond })
 	for i := range 12 {
 		c := testbed.Within(t, "a call", w.calls)
 		switch i % 3 {
@@ -169,7 +169,7 @@
 	c.begin()
 	c.chunk(line(8, false, entry("s1", "DRAINING")) + "\n")
 	w.expect(t, balancer.UpdateDelta, "s1")
-	if most := agentTime + retryMost/2 + retryMost; most >= time.Second {
+	if most := agentTimeout + maxRetryPause/2 + maxRetryPause; most >= time.Second {
 		t.Errorf("%v between two calls", most)
 	}
 }
@@ -182,12 +182,12 @@
 		for _, lateAnswers := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", the late one answers: ", lateAnswers), func(t *testing.T) {
 				testbed.Leaks(t)
-				w := start(t, false, line(1, true, entry("s0", "SERVING")), func(c *Client) { c.firstTime = 50 * time.Millisecond })
+				w := start(t, false, line(1, true, entry("s0", "SERVING")), func(c *Client) { c.firstLineTimeout = 50 * time.Millisecond })
 				w.Watch(true)
 				late := testbed.Within(t, "a call", w.calls)
 				_, _ = io.WriteString(late.conn, half)
 				w.expect(t, balancer.UpdateFailed)
-				w.firstTime = testbed.Patience // from here on no time is to matter
+				w.firstLineTimeout = testbed.Patience // from here on no time is to matter
 				w.Watch(true)
 				next := testbed.Within(t, "a call beside it", w.calls)
 				answers, ended := next, late
@@ -223,7 +223,7 @@
 // However many calls in a row hang, each is told as refused in its time, and no more than two are on at once.
 func TestCallsThatHangInARow(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, "", func(c *Client) { c.firstTime = 20 * time.Millisecond })
+	w := start(t, false, "", func(c *Client) { c.firstLineTimeout = 20 * time.Millisecond })
 	var calls []call
 	for range 6 {
 		w.Watch(true)
@@ -242,7 +242,7 @@
 // moment in which discovery can be reached. The next call begins within the module's span of the one before, or of the last line.
 func TestToldWithinItsTime(t *testing.T) {
 	const told, span = 6 * time.Second, balancer.MaxPollInterval
-	for name, at := range map[string]time.Duration{"an overdue call": silence, "a silent watch": silence, "a dial": dialTime} {
+	for name, at := range map[string]time.Duration{"an overdue call": defaultSilenceTimeout, "a silent watch": defaultSilenceTimeout, "a dial": dialTimeout} {
 		if at > span {
 			t.Errorf("%s is noticed after %v, behind the next call", name, at)
 		}
@@ -250,7 +250,7 @@
 	if span >= told {
 		t.Errorf("no time is left for the call")
 	}
-	if pushed := agentTime + retryMost/2 + retryMost + silence; pushed >= told {
+	if pushed := agentTimeout + maxRetryPause/2 + maxRetryPause + defaultSilenceTimeout; pushed >= told {
 		t.Errorf("a pushed list's half answer takes %v until the next one", pushed)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	maxLine  = 8 << 20
-	dialTime = time.Second
+	maxLineBytes = 8 << 20
+	dialTimeout  = time.Second
 
 	// Between two lines of a watch there is an empty one every 2 s, and what a silent one misses counts as told 6 s after
 	// its last, as does what a call misses that is not answered. Half as much again as a line's time, and there is room to
 	// ask anew, and for that call to wait for 2 s.
-	silence = 3500 * time.Millisecond
+	defaultSilenceTimeout = 3500 * time.Millisecond
 	// An agent on the node's own machine answers at once, and what it has counts as told whether or not it was asked:
 	// nothing between two calls may take as long as sends to a draining server may go on, a second.
-	agentTime  = 400 * time.Millisecond
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 300 * time.Millisecond
+	agentTimeout         = 400 * time.Millisecond
+	defaultMinRetryPause = 100 * time.Millisecond
+	maxRetryPause        = 300 * time.Millisecond
 )
 
 // Update is one piece of news.
@@ -41,13 +41,13 @@
 	Endpoints map[string]string
 }
 
-type list struct {
-	Rev     *uint64   `json:"rev"`
-	All     bool      `json:"all"`
-	Targets *[]target `json:"targets"`
+type listMessage struct {
+	Rev     *uint64          `json:"rev"`
+	All     bool             `json:"all"`
+	Targets *[]targetMessage `json:"targets"`
 }
 
-type target struct {
+type targetMessage struct {
 	UID      string   `json:"uid"`
 	Endpoint string   `json:"endpoint"`
 	AZ       string   `json:"az"`
@@ -58,11 +58,11 @@
 	BootMS   int64    `json:"boot_ms"`
 }
 
-var states = map[string]balancer.State{"SERVING": balancer.Running, "DRAINING": balancer.Draining, "DELETED": balancer.Removed}
+var statesByWireName = map[string]balancer.State{"SERVING": balancer.Running, "DRAINING": balancer.Draining, "DELETED": balancer.Removed}
 
 // Parse reads one line. Anything odd makes all of it useless: half a change is not the list.
 func Parse(line []byte) (rev uint64, u Update, err error) {
-	var l list
+	var l listMessage
 	if err := json.Unmarshal(line, &l); err != nil {
 		return 0, u, fmt.Errorf("list: %w", err)
 	}
@@ -75,7 +75,7 @@
 	}
 	u.Endpoints = make(map[string]string, len(*l.Targets))
 	for _, t := range *l.Targets {
-		state, ok := states[t.State]
+		state, ok := statesByWireName[t.State]
 		if !ok || t.UID == "" {
 			return 0, u, fmt.Errorf("list: uid %q, state %q", t.UID, t.State)
 		}
@@ -102,53 +102,53 @@
 	pushed  bool
 	deliver func(Update)
 	http    *http.Client
-	life    context.Context
-	end     context.CancelFunc
-	all     sync.WaitGroup
-
-	callTime   time.Duration // for all of a list
-	firstTime  time.Duration // until a pushed list's watch is answered, or a watch that was asked for has told its first line
-	silence    time.Duration // longer than this between two lines, and a watch is dead
-	retryFirst time.Duration // before a pushed list is watched again; longer each time
-
-	order sync.Mutex // updates leave one after the other, also those of calls side by side
-	rev   uint64
-	has   bool
-
-	mu    sync.Mutex // taken behind order
-	base  string
-	here  context.Context // ends with the address
-	leave context.CancelFunc
-	on    *attempt      // the watch that was asked for last, nil once it has ended
-	late  *attempt      // the one before it, if that is overdue and may yet be answered
-	moved chan struct{} // a pushed list is to be watched elsewhere
+	ctx     context.Context
+	cancel  context.CancelFunc
+	calls   sync.WaitGroup
+
+	fetchTimeout     time.Duration // for all of a list
+	firstLineTimeout time.Duration // until a pushed list's watch is answered, or a watch that was asked for has told its first line
+	silenceTimeout   time.Duration // longer than this between two lines, and a watch is dead
+	minRetryPause    time.Duration // before a pushed list is watched again; longer each time
+
+	deliverMu   sync.Mutex // updates leave one after the other, also those of calls side by side
+	revision    uint64
+	hasRevision bool
+
+	mu             sync.Mutex // taken behind order
+	url            string
+	addressCtx     context.Context // ends with the address
+	cancelAddress  context.CancelFunc
+	currentWatch   *watchCall    // the watch that was asked for last, nil once it has ended
+	overdueWatch   *watchCall    // the one before it, if that is overdue and may yet be answered
+	addressChanged chan struct{} // a pushed list is to be watched elsewhere
 }
 
-// attempt is one call for a watch. Its fields are the Client's, under mu.
-type attempt struct {
-	cancel  context.CancelFunc
-	overdue bool          // it was told as refused
-	spoke   chan struct{} // closed with its first line
-	heard   time.Time     // its last line; zero: none
+// watchCall is one call for a watch. Its fields are the Client's, under mu.
+type watchCall struct {
+	cancel    context.CancelFunc
+	overdue   bool          // it was told as refused
+	firstLine chan struct{} // closed with its first line
+	lastLine  time.Time     // its last line; zero: none
 }
 
 // New makes a client; known is the list that the node had, delivered as remembered when Start is called.
 func New(addr string, pushed bool, deliver func(Update)) *Client {
-	c := &Client{base: base(addr), moved: make(chan struct{}, 1), pushed: pushed, deliver: deliver,
-		callTime: 5 * time.Second, firstTime: silence, silence: silence, retryFirst: retryFirst}
+	c := &Client{url: instancesURL(addr), addressChanged: make(chan struct{}, 1), pushed: pushed, deliver: deliver,
+		fetchTimeout: 5 * time.Second, firstLineTimeout: defaultSilenceTimeout, silenceTimeout: defaultSilenceTimeout, minRetryPause: defaultMinRetryPause}
 	if pushed {
-		c.firstTime = agentTime
+		c.firstLineTimeout = agentTimeout
 	}
-	c.life, c.end = context.WithCancel(context.Background())
-	c.here, c.leave = context.WithCancel(c.life)
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.addressCtx, c.cancelAddress = context.WithCancel(c.ctx)
 	// No connection is used twice: a call on one that has just died would be sent again unasked.
 	c.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
-		DialContext:            (&net.Dialer{Timeout: dialTime, KeepAlive: -1}).DialContext,
+		DialContext:            (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		MaxResponseHeaderBytes: 64 << 10}}
 	return c
 }
 
-func base(addr string) string { return "http://" + addr + "/registry/instances" }
+func instancesURL(addr string) string { return "http://" + addr + "/registry/instances" }
 
 // Move asks at another address from now on. The list that was told stays; the whole of it is asked for anew, as
 // nothing says that the versions go on there.
@@ -156,17 +156,17 @@
 // Danger: address and version change in one step, and calls at the old one end with it. Else a watch would ask the new
 // one for what changed since a version of the old one's, or a late list of the old one's would pass for the new one's.
 func (c *Client) Move(addr string) {
-	c.order.Lock()
+	c.deliverMu.Lock()
 	c.mu.Lock()
-	c.base, c.has = base(addr), false
-	c.leave()
-	c.here, c.leave = context.WithCancel(c.life)
-	c.on, c.late = nil, nil
+	c.url, c.hasRevision = instancesURL(addr), false
+	c.cancelAddress()
+	c.addressCtx, c.cancelAddress = context.WithCancel(c.ctx)
+	c.currentWatch, c.overdueWatch = nil, nil
 	c.mu.Unlock()
-	c.order.Unlock()
+	c.deliverMu.Unlock()
 	if c.pushed {
 		select {
-		case c.moved <- struct{}{}:
+		case c.addressChanged <- struct{}{}:
 		default:
 		}
 		return
@@ -179,8 +179,8 @@
 	var u Update
 	var err error
 	if len(known) > 0 && !bytes.Equal(known, []byte("null")) {
-		if c.rev, u, err = Parse(known); err == nil {
-			c.has = true
+		if c.revision, u, err = Parse(known); err == nil {
+			c.hasRevision = true
 		} else {
 			u = Update{}
 		}
@@ -188,34 +188,34 @@
 	u.Kind = balancer.UpdateCached
 	c.deliver(u)
 	if c.pushed {
-		c.all.Go(func() { c.follow() })
+		c.calls.Go(func() { c.followPushed() })
 	}
 	return err
 }
 
 // Stop ends all calls; nothing is delivered after it has returned.
 func (c *Client) Stop() {
-	c.end()
-	c.all.Wait()
+	c.cancel()
+	c.calls.Wait()
 }
 
-func (c *Client) follow() {
-	wait := c.retryFirst
-	for c.life.Err() == nil {
+func (c *Client) followPushed() {
+	wait := c.minRetryPause
+	for c.ctx.Err() == nil {
 		c.mu.Lock()
-		here := c.here
+		here := c.addressCtx
 		c.mu.Unlock()
-		if c.watch(here, nil) {
-			wait = c.retryFirst
+		if c.readWatch(here, nil) {
+			wait = c.minRetryPause
 		}
 		select {
-		case <-c.life.Done():
-		case <-c.moved:
-			wait = c.retryFirst
+		case <-c.ctx.Done():
+		case <-c.addressChanged:
+			wait = c.minRetryPause
 			continue
 		case <-time.After(wait/2 + rand.N(wait)):
 		}
-		wait = min(2*wait, retryMost)
+		wait = min(2*wait, maxRetryPause)
 	}
 }
 
@@ -227,141 +227,141 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if on && c.on != nil && c.on.overdue && !c.on.heard.IsZero() { // answered after all
+	if on && c.currentWatch != nil && c.currentWatch.overdue && !c.currentWatch.lastLine.IsZero() { // answered after all
 		return
 	}
-	old := c.on
-	if c.on = nil; old != nil && (!on || !old.overdue) {
+	old := c.currentWatch
+	if c.currentWatch = nil; old != nil && (!on || !old.overdue) {
 		old.cancel()
 		old = nil
 	}
 	if old != nil || !on {
-		if c.late != nil {
-			c.late.cancel()
+		if c.overdueWatch != nil {
+			c.overdueWatch.cancel()
 		}
-		c.late = old
+		c.overdueWatch = old
 	}
-	if !on || c.life.Err() != nil {
+	if !on || c.ctx.Err() != nil {
 		return
 	}
-	ctx, cancel := context.WithCancel(c.here)
-	a := &attempt{cancel: cancel, spoke: make(chan struct{})}
-	c.on = a
-	c.all.Go(func() { c.overdue(ctx, a) })
-	c.all.Go(func() {
+	ctx, cancel := context.WithCancel(c.addressCtx)
+	a := &watchCall{cancel: cancel, firstLine: make(chan struct{})}
+	c.currentWatch = a
+	c.calls.Go(func() { c.reportOverdue(ctx, a) })
+	c.calls.Go(func() {
 		defer cancel()
-		c.watch(ctx, a)
-		c.over(ctx, a)
+		c.readWatch(ctx, a)
+		c.watchEnded(ctx, a)
 	})
 }
 
-// overdue tells that a watch has said nothing for too long, and leaves it on.
-func (c *Client) overdue(ctx context.Context, a *attempt) {
-	t := time.NewTimer(c.firstTime)
+// reportOverdue tells that a watch has said nothing for too long, and leaves it on.
+func (c *Client) reportOverdue(ctx context.Context, a *watchCall) {
+	t := time.NewTimer(c.firstLineTimeout)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 		return
-	case <-a.spoke:
+	case <-a.firstLine:
 		return
 	case <-t.C:
 	}
 	c.mu.Lock()
-	a.overdue = a.heard.IsZero()
+	a.overdue = a.lastLine.IsZero()
 	tell := a.overdue
 	c.mu.Unlock()
 	if tell {
-		c.refused(ctx, 0)
+		c.deliverFailure(ctx, 0)
 	}
 }
 
-// heard notes a line of a watch. The first one ends the other watch, if there are two.
-func (c *Client) heard(a *attempt) {
+// lineReceived notes a line of a watch. The first one ends the other watch, if there are two.
+func (c *Client) lineReceived(a *watchCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.heard.IsZero() {
-		close(a.spoke)
+	if a.lastLine.IsZero() {
+		close(a.firstLine)
 		switch {
-		case c.late == a && c.on != nil:
-			c.on.cancel()
+		case c.overdueWatch == a && c.currentWatch != nil:
+			c.currentWatch.cancel()
 			fallthrough
-		case c.late == a:
-			c.on, c.late = a, nil
-		case c.late != nil:
-			c.late.cancel()
-			c.late = nil
+		case c.overdueWatch == a:
+			c.currentWatch, c.overdueWatch = a, nil
+		case c.overdueWatch != nil:
+			c.overdueWatch.cancel()
+			c.overdueWatch = nil
 		}
 	}
-	a.heard = time.Now()
+	a.lastLine = time.Now()
 }
 
-// over tells that a watch has ended, unless that was told already or it was ended from here.
-func (c *Client) over(ctx context.Context, a *attempt) {
+// watchEnded tells that a watch has ended, unless that was told already or it was ended from here.
+func (c *Client) watchEnded(ctx context.Context, a *watchCall) {
 	c.mu.Lock()
-	if c.on == a {
-		c.on = nil
+	if c.currentWatch == a {
+		c.currentWatch = nil
 	}
-	if c.late == a {
-		c.late = nil
+	if c.overdueWatch == a {
+		c.overdueWatch = nil
 	}
-	tell, silent := !a.overdue || !a.heard.IsZero(), time.Duration(0)
-	if !a.heard.IsZero() {
-		silent = time.Since(a.heard)
+	tell, silent := !a.overdue || !a.lastLine.IsZero(), time.Duration(0)
+	if !a.lastLine.IsZero() {
+		silent = time.Since(a.lastLine)
 	}
 	c.mu.Unlock()
 	if tell {
-		c.refused(ctx, silent)
+		c.deliverFailure(ctx, silent)
 	}
 }
 
 // Fetch asks for the whole list once.
 func (c *Client) Fetch() {
-	if c.life.Err() != nil {
+	if c.ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	here := c.here
+	here := c.addressCtx
 	c.mu.Unlock()
-	c.all.Go(func() {
-		ctx, cancel := context.WithTimeout(here, c.callTime)
+	c.calls.Go(func() {
+		ctx, cancel := context.WithTimeout(here, c.fetchTimeout)
 		defer cancel()
 		if c.fetch(ctx) != nil {
-			c.refused(here, 0)
+			c.deliverFailure(here, 0)
 		}
 	})
 }
 
-// refused tells that a call failed or a watch ended that was silent for so long, unless it was ended from here.
-func (c *Client) refused(ctx context.Context, silent time.Duration) {
-	c.order.Lock()
-	defer c.order.Unlock()
+// deliverFailure tells that a call failed or a watch ended that was silent for so long, unless it was ended from here.
+func (c *Client) deliverFailure(ctx context.Context, silent time.Duration) {
+	c.deliverMu.Lock()
+	defer c.deliverMu.Unlock()
 	if ctx.Err() == nil {
 		c.deliver(Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateFailed, SilentFor: silent}})
 	}
 }
 
-// ask begins a call, of a watch or of a whole list, and gives the version that was known as it began.
-func (c *Client) ask(ctx context.Context, watch bool) (resp *http.Response, known version, err error) {
-	c.order.Lock()
+// startCall begins a call, of a watch or of a whole list, and gives the version that was known as it began.
+func (c *Client) startCall(ctx context.Context, watch bool) (resp *http.Response, known knownRevision, err error) {
+	c.deliverMu.Lock()
 	c.mu.Lock()
-	known = version{c.rev, c.has}
-	url := c.base
+	known = knownRevision{c.revision, c.hasRevision}
+	url := c.url
 	c.mu.Unlock()
-	c.order.Unlock()
+	c.deliverMu.Unlock()
 	if watch {
 		url += "?watch=1"
-		if known.has {
-			url += "&after=" + strconv.FormatUint(known.rev, 10)
+		if known.known {
+			url += "&after=" + strconv.FormatUint(known.revision, 10)
 		}
 	}
 	resp, err = c.get(ctx, url)
 	return resp, known, err
 }
 
-// version is that of the list that was delivered last, if any.
-type version struct {
-	rev uint64
-	has bool
+// knownRevision is that of the list that was delivered last, if any.
+type knownRevision struct {
+	revision uint64
+	known    bool
 }
 
 func (c *Client) get(ctx context.Context, url string) (*http.Response, error) {
@@ -381,50 +381,50 @@
 }
 
 func (c *Client) fetch(ctx context.Context) error {
-	resp, known, err := c.ask(ctx, false)
+	resp, known, err := c.startCall(ctx, false)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLine+1))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxLineBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(text) > maxLine {
+	if len(text) > maxLineBytes {
 		return errors.New("the list is too long")
 	}
-	_, err = c.take(ctx, text, known)
+	_, err = c.deliverLine(ctx, text, known)
 	return err
 }
 
-// take delivers a line of a call that began, or had its last line, as known was known, and gives what is known then.
-func (c *Client) take(ctx context.Context, line []byte, known version) (version, error) {
+// deliverLine delivers a line of a call that began, or had its last line, as known was known, and gives what is known then.
+func (c *Client) deliverLine(ctx context.Context, line []byte, known knownRevision) (knownRevision, error) {
 	rev, u, err := Parse(line)
 	if err != nil {
 		return known, err
 	}
-	c.order.Lock()
-	defer c.order.Unlock()
+	c.deliverMu.Lock()
+	defer c.deliverMu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return known, err
 	}
 	// Danger: old news would undo newer, a drain say. A whole list that is older than what was known as it was asked for
 	// is none: the versions have begun anew. One that another call has overtaken since is.
-	if c.has && rev < c.rev && (u.Kind == balancer.UpdateDelta || known != (version{c.rev, true})) {
-		return known, fmt.Errorf("version %d after %d", rev, c.rev)
+	if c.hasRevision && rev < c.revision && (u.Kind == balancer.UpdateDelta || known != (knownRevision{c.revision, true})) {
+		return known, fmt.Errorf("version %d after %d", rev, c.revision)
 	}
-	c.rev, c.has = rev, true
+	c.revision, c.hasRevision = rev, true
 	c.deliver(u)
-	return version{rev, true}, nil
+	return knownRevision{rev, true}, nil
 }
 
-// watch reads a watch to its end and tells whether a list came. a is nil where lists are pushed.
-func (c *Client) watch(parent context.Context, a *attempt) (got bool) {
+// readWatch reads a watch to its end and tells whether a list came. a is nil where lists are pushed.
+func (c *Client) readWatch(parent context.Context, a *watchCall) (got bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	// Danger: a machine that is cut off says nothing. Without the empty lines the watch is dead, and bytes that make no
 	// line are no sign of life either.
-	first := c.firstTime
+	first := c.firstLineTimeout
 	if a != nil { // overdue by then, and given as long again beside the next call
 		first *= 2
 	}
@@ -437,55 +437,55 @@
 		alive = time.AfterFunc(d, cancel)
 		return true
 	}
-	resp, known, err := c.ask(ctx, true)
+	resp, known, err := c.startCall(ctx, true)
 	if err != nil {
 		return false
 	}
 	defer resp.Body.Close()
-	if a == nil && !lasts(c.silence) { // where it is asked for, the head alone is no life: half an answer is none
+	if a == nil && !lasts(c.silenceTimeout) { // where it is asked for, the head alone is no life: half an answer is none
 		return false
 	}
 	r := bufio.NewReaderSize(resp.Body, 4<<10)
 	var line []byte
-	var open object
+	var open objectScanner
 	for {
 		part, err := r.ReadSlice('\n')
 		line = append(line, part...)
-		if open.read(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxLine {
+		if open.scan(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxLineBytes {
 			continue
 		}
-		if err != nil || len(line) > maxLine { // a line that broke off is none
+		if err != nil || len(line) > maxLineBytes { // a line that broke off is none
 			return got
 		}
 		if open.unfinished() { // a list may come indented, over several lines
 			continue
 		}
-		if !lasts(c.silence) {
+		if !lasts(c.silenceTimeout) {
 			return got
 		}
 		if a != nil {
-			c.heard(a)
+			c.lineReceived(a)
 		}
 		if text := bytes.TrimSpace(line); len(text) > 0 {
-			if known, err = c.take(parent, text, known); err != nil {
+			if known, err = c.deliverLine(parent, text, known); err != nil {
 				return got
 			}
 			got = true
 		}
-		open = object{}
+		open = objectScanner{}
 		if line = line[:0]; cap(line) > 64<<10 {
 			line = nil
 		}
 	}
 }
 
-// object follows whether a JSON object that begins a line has ended with it.
-type object struct {
+// objectScanner follows whether a JSON object that begins a line has ended with it.
+type objectScanner struct {
 	depth           int
 	quoted, escaped bool
 }
 
-func (o *object) read(part []byte) {
+func (o *objectScanner) scan(part []byte) {
 	for _, ch := range part {
 		switch {
 		case o.escaped:
@@ -503,4 +503,4 @@
 }
 
 // unfinished tells whether more is to come behind the end of the line; none does in the middle of a string.
-func (o *object) unfinished() bool { return o.depth > 0 && !o.quoted }
+func (o *objectScanner) unfinished() bool { return o.depth > 0 && !o.quoted }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -201,7 +201,7 @@
 // A machine that is cut off says nothing: a watch without its empty lines is dead.
 func TestSilentWatch(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, "", func(c *Client) { c.firstTime, c.silence = 50*time.Millisecond, 50*time.Millisecond })
+	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	w.Watch(true)
 	c := testbed.Within(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1" {
@@ -218,7 +218,7 @@
 
 func TestPushed(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, true, line(7, true), func(c *Client) { c.retryFirst = time.Millisecond })
+	w := start(t, true, line(7, true), func(c *Client) { c.minRetryPause = time.Millisecond })
 	w.Watch(true) // has no meaning here
 	for range 2 {
 		c := testbed.Within(t, "a call", w.calls)
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -80,7 +80,7 @@
 	case down && way == 0:
 		return nil, errors.New("refused")
 	case down && way == 1:
-		ctx, cancel := context.WithTimeout(ctx, dialTime)
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -122,7 +122,7 @@
 		listeners: map[string]*listener{}, feeds: map[string]*feed{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}, past: map[string]*past{}}
 	g.base = time.Duration(g.boot.UnixNano())
 	g.life, g.end = context.WithCancel(context.Background())
-	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), MaxBodyBytes: int64(f.Limits.Body), Router: g, FinishComplete: true, ShedSilentClients: true})
+	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), MaxBodyBytes: int64(f.Limits.Body), Router: g, WholeSeconds: true, ShedSilentClients: true})
 	g.routes.Store(&routing{file: &route.Table{}, clusters: map[string]*cluster{}})
 	g.local = f
 	err := g.joinFleet(f)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -36,8 +36,8 @@
 // Release returns n bytes.
 func (b *bodyBudget) Release(n int64) { b.left.Add(n) }
 
-// read reads a body, which is to be whole by until. What it took of memory is the caller's to give back.
-func (f *Front) read(c *client, r *http.Request, memory Quota, until time.Time) (body backend.Body, reserved int64, err error) {
+// readBody reads a body, which is to be whole by until. What it took of memory is the caller's to give back.
+func (f *Front) readBody(c *client, r *http.Request, memory Quota, until time.Time) (body backend.Body, reserved int64, err error) {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil, 0, nil
 	}
@@ -63,7 +63,7 @@
 		buffer := make([]byte, chunk)
 		filled := 0
 		for filled < len(buffer) && err == nil {
-			if c.SetReadDeadline(until); f.ending() {
+			if c.SetReadDeadline(until); f.hasExpired() {
 				return nil, reserved, errEnding
 			}
 			var k int
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	headLimit   = 8 << 10
-	sendTime    = 2500 * time.Millisecond // what a request may take to come whole; the first one's counts from the connection's start
-	clientIdle  = 90 * time.Second        // between two requests of a client
-	clientStall = 10 * time.Second
-	linger      = 500 * time.Millisecond
-	lingerBytes = 1 << 20
+	maxHeadBytes       = 8 << 10
+	requestReadTimeout = 2500 * time.Millisecond // what a request may take to come whole; the first one's counts from the connection's start
+	clientIdle         = 90 * time.Second        // between two requests of a client
+	clientStall        = 10 * time.Second
+	lingerTimeout      = 500 * time.Millisecond
+	maxLingerBytes     = 1 << 20
 )
 
 type client struct {
 	*net.TCPConn
-	front  *Front
-	raw    syscall.RawConn
-	br     *bufio.Reader
-	quiet  atomic.Int64 // since when nothing is asked or read, on the node's clock; 0: something is
-	ahead  atomic.Bool  // its reader waits behind what came before the answer
-	served atomic.Bool
-	owing  atomic.Int64 // since when its head is on its way, on the node's clock; 0: it is not; -1: it was shed
-	prefix netip.Prefix
-	peer   Peer
-
-	reading sync.Mutex // held while what has come is taken, and while the connection is closed as idle
-	begun   bool       // something has been read since the last request was taken
-	gone    atomic.Bool
+	front            *Front
+	raw              syscall.RawConn
+	br               *bufio.Reader
+	idleSince        atomic.Int64 // since when nothing is asked or read, on the node's clock; 0: something is
+	readAhead        atomic.Bool  // its reader waits behind what came before the answer
+	served           atomic.Bool
+	headPendingSince atomic.Int64 // since when its head is on its way, on the node's clock; 0: it is not; -1: it was shed
+	prefix           netip.Prefix
+	peer             Peer
+
+	reading   sync.Mutex // held while what has come is taken, and while the connection is closed as idle
+	bytesRead bool       // something has been read since the last request was taken
+	closed    atomic.Bool
 }
 
 var errHeadTooLong = errors.New("the head is too long")
@@ -54,15 +54,15 @@
 	if werr := c.raw.Read(func(fd uintptr) bool {
 		c.reading.Lock()
 		defer c.reading.Unlock()
-		if c.gone.Load() {
+		if c.closed.Load() {
 			err = net.ErrClosed
 			return true
 		}
 		for n, err = syscall.Read(int(fd), p); err == syscall.EINTR; n, err = syscall.Read(int(fd), p) {
 		}
 		if n > 0 {
-			c.quiet.Store(0)
-			c.begun = true
+			c.idleSince.Store(0)
+			c.bytesRead = true
 		}
 		return err != syscall.EAGAIN
 	}); werr != nil {
@@ -74,19 +74,19 @@
 	return max(n, 0), err
 }
 
-// taken notes that what was read belongs to a request that is taken now; rests that its answer is written: the connection
+// requestAccepted notes that what was read belongs to a request that is taken now; rests that its answer is written: the connection
 // is idle unless a next one has begun.
-func (c *client) taken() {
+func (c *client) requestAccepted() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	c.begun = false
+	c.bytesRead = false
 }
 
-func (c *client) rests() {
+func (c *client) answerWritten() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
-	if !c.begun {
-		c.front.conns.rest(c)
+	if !c.bytesRead {
+		c.front.conns.markIdle(c)
 	}
 }
 
@@ -94,20 +94,20 @@
 func (c *client) closeIdle(idle func() bool) bool {
 	c.reading.Lock()
 	ends := idle()
-	if waits, _ := c.look(); waits { // looked at last, as it is the kernel's to take more at any time
+	if waits, _ := c.peek(); waits { // looked at last, as it is the kernel's to take more at any time
 		ends = false
 	}
-	ends = ends && !c.gone.Swap(true)
+	ends = ends && !c.closed.Swap(true)
 	c.reading.Unlock()
 	if ends { // not under the lock: closing waits for who reads
-		_ = c.end()
+		_ = c.closeConnection()
 	}
 	return ends
 }
 
-// look tells whether something waits to be read, and whether the client has left, or has ended its sending, with
+// peek tells whether something waits to be read, and whether the client has left, or has ended its sending, with
 // nothing behind what was read.
-func (c *client) look() (waits, left bool) {
+func (c *client) peek() (waits, left bool) {
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -119,13 +119,13 @@
 
 // Close gives the descriptor back, once.
 func (c *client) Close() error {
-	if c.gone.Swap(true) {
+	if c.closed.Swap(true) {
 		return nil
 	}
-	return c.end()
+	return c.closeConnection()
 }
 
-func (c *client) end() error {
+func (c *client) closeConnection() error {
 	err := c.TCPConn.Close()
 	c.front.conns.remove(c)
 	return err
@@ -139,31 +139,31 @@
 			slog.Error("serving a client", "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
-	c.br = bufio.NewReaderSize(c, headLimit)
+	c.br = bufio.NewReaderSize(c, maxHeadBytes)
 	// Danger: one that connects and says nothing, or half a request, holds a descriptor that others need.
-	until := time.Now().Add(sendTime)
+	until := time.Now().Add(requestReadTimeout)
 	c.SetReadDeadline(until)
-	for c.next(until) {
+	for c.serveNext(until) {
 		until = time.Time{}
 	}
 }
 
-// next serves one request, which is to come whole by until, or soon after its first byte where that is zero; false
+// serveNext serves one request, which is to come whole by until, or soon after its first byte where that is zero; false
 // if it was the last one of the connection.
-func (c *client) next(until time.Time) bool {
+func (c *client) serveNext(until time.Time) bool {
 	if _, err := c.br.Peek(1); err != nil {
 		return false
 	}
-	c.quiet.Store(0)
-	if c.owing.Load() == 0 {
-		c.front.conns.owes(c)
+	c.idleSince.Store(0)
+	if c.headPendingSince.Load() == 0 {
+		c.front.conns.headPending(c)
 	}
 	if until.IsZero() {
-		until = time.Now().Add(sendTime)
+		until = time.Now().Add(requestReadTimeout)
 	}
 	c.SetReadDeadline(until)
-	head, err := c.head()
-	if !c.front.conns.paid(c) {
+	head, err := c.readHead()
+	if !c.front.conns.headArrived(c) {
 		return false
 	}
 	switch {
@@ -195,11 +195,11 @@
 		c.reject(http.StatusBadRequest, text)
 		return false
 	}
-	return c.front.request(c, r, until)
+	return c.front.handleRequest(c, r, until)
 }
 
-// head waits for the head of a request and gives it, still in the buffer.
-func (c *client) head() ([]byte, error) {
+// readHead waits for the head of a request and gives it, still in the buffer.
+func (c *client) readHead() ([]byte, error) {
 	for n := 1; ; {
 		_, err := c.br.Peek(n)
 		b, _ := c.br.Peek(c.br.Buffered())
@@ -240,36 +240,36 @@
 	return length, coded
 }
 
-// watch waits for the end of a request; false if the connection ends with it.
-func (c *client) watch(core *Core, q *Request, x *exchange) bool {
+// awaitAnswer waits for the end of a request; false if the connection ends with it.
+func (c *client) awaitAnswer(core *Core, q *Request, x *exchange) bool {
 	_, err := c.br.Peek(1)
 	if err == nil && !q.isDone() { // the next request, or one that comes too early
 		// Danger: with nobody reading on, a client that leaves now is not seen to, and its request is sent all the same.
-		c.ahead.Store(true)
-		for err == nil && !x.over.Load() {
+		c.readAhead.Store(true)
+		for err == nil && !x.finished.Load() {
 			_, err = c.br.Peek(c.br.Buffered() + 1)
 		}
-		c.ahead.Store(false)
+		c.readAhead.Store(false)
 	}
 	switch {
 	case err == nil:
 	case errors.Is(err, bufio.ErrBufferFull): // what is not read hides whether the client leaves
-		guard := time.NewTimer(time.Until(q.deadline) + guardTime)
+		guard := time.NewTimer(time.Until(q.deadline) + abandonMargin)
 		defer guard.Stop()
 		select {
 		case <-q.done:
 		case <-guard.C:
 			core.Abandon(q)
-		case <-c.front.atEnd:
+		case <-c.front.expired:
 			core.End(q)
 		}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		if c.front.ending() {
+		if c.front.hasExpired() {
 			core.End(q)
 		} else if !q.isDone() {
 			core.Abandon(q)
 		}
-		if <-q.done; !x.last {
+		if <-q.done; !x.closes {
 			c.SetReadDeadline(time.Now().Add(clientIdle))
 		}
 	default: // the client left, or has ended its sending and may yet read
@@ -277,36 +277,36 @@
 		<-q.done
 		return false
 	}
-	if <-q.done; x.last {
-		c.hangUp()
+	if <-q.done; x.closes {
+		c.closeGracefully()
 		return false
 	}
 	return true
 }
 
-func (c *client) hangUp() {
-	c.front.conns.rest(c)
+func (c *client) closeGracefully() {
+	c.front.conns.markIdle(c)
 	_ = c.CloseWrite()
-	c.SetReadDeadline(time.Now().Add(linger))
-	_, _ = io.CopyN(io.Discard, c.br, lingerBytes)
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.CopyN(io.Discard, c.br, maxLingerBytes)
 }
 
 func (c *client) reject(status int, text string) {
-	c.turnAway(Answer{Status: status, Body: []byte(text + "\n")})
+	c.answerAndClose(Answer{Status: status, Body: []byte(text + "\n")})
 }
 
-// turnAway answers and ends the connection.
-func (c *client) turnAway(a Answer) {
-	_ = c.write(a, true)
-	c.hangUp()
+// answerAndClose answers and ends the connection.
+func (c *client) answerAndClose(a Answer) {
+	_ = c.writeAnswer(a, true)
+	c.closeGracefully()
 }
 
-// write writes a whole answer.
-func (c *client) write(a Answer, last bool) error {
-	p := buffers.Get().(*[]byte)
-	defer buffers.Put(p)
+// writeAnswer writes a whole answer.
+func (c *client) writeAnswer(a Answer, last bool) error {
+	p := responseBuffers.Get().(*[]byte)
+	defer responseBuffers.Put(p)
 	b := appendHead((*p)[:0], a.Status, a.Header, last)
-	if a.RetryAfter > 0 && c.front.whole {
+	if a.RetryAfter > 0 && c.front.wholeSeconds {
 		b = append(strconv.AppendInt(append(b, "Retry-After: "...), int64(math.Ceil(a.RetryAfter.Seconds())), 10), "\r\n"...)
 	} else if a.RetryAfter > 0 {
 		b = append(strconv.AppendFloat(append(b, "Retry-After: "...), a.RetryAfter.Seconds(), 'f', 3, 64), "\r\n"...)
@@ -335,11 +335,11 @@
 
 // exchange is one request of the connection, as its core sees it.
 type exchange struct {
-	c          *client
+	client     *client
 	wantsClose bool
 	noBody     bool
-	last       bool // the connection ends with the answer; set before the request is done
-	over       atomic.Bool
+	closes     bool // the connection ends with the answer; set before the request is done
+	finished   atomic.Bool
 	stream     *stream
 }
 
@@ -350,24 +350,24 @@
 
 // finish writes an answer and lets the client's connection go on, or end.
 func (x *exchange) finish(write func(last bool) error) {
-	c := x.c
-	x.last = c.front.last(x.wantsClose)
-	if write(x.last) != nil {
-		x.last = true
+	c := x.client
+	x.closes = c.front.closesAfterAnswer(x.wantsClose)
+	if write(x.closes) != nil {
+		x.closes = true
 	}
-	c.rests()
-	if x.over.Store(true); x.last || c.ahead.Load() {
+	c.answerWritten()
+	if x.finished.Store(true); x.closes || c.readAhead.Load() {
 		c.SetReadDeadline(longAgo) // wakes the reader, to close the connection or to serve what it has
 	}
 }
 
 func (x *exchange) Answer(a Answer) {
 	a.noBody = x.noBody
-	x.finish(func(last bool) error { return x.c.write(a, last) })
+	x.finish(func(last bool) error { return x.client.writeAnswer(a, last) })
 }
 
 func (x *exchange) Begin(status int, h http.Header, length int64) io.Writer {
-	x.stream = x.c.begin(status, h, length, x.wantsClose || x.c.front.stopping.Load() || x.c.front.closing.Load())
+	x.stream = x.client.beginStream(status, h, length, x.wantsClose || x.client.front.stopping.Load() || x.client.front.closing.Load())
 	return x.stream
 }
 
@@ -381,23 +381,23 @@
 }
 
 type stream struct {
-	c    *client
-	body io.Writer
-	end  io.Closer
+	client  *client
+	body    io.Writer
+	trailer io.Closer
 }
 
-// begin writes the head of a long answer.
-func (c *client) begin(status int, h http.Header, length int64, last bool) *stream {
-	p := buffers.Get().(*[]byte)
-	defer buffers.Put(p)
+// beginStream writes the head of a long answer.
+func (c *client) beginStream(status int, h http.Header, length int64, last bool) *stream {
+	p := responseBuffers.Get().(*[]byte)
+	defer responseBuffers.Put(p)
 	b := appendHead((*p)[:0], status, h, last)
-	s := &stream{c: c, body: c.TCPConn}
+	s := &stream{client: c, body: c.TCPConn}
 	if length >= 0 {
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
 	} else {
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
 		w := httputil.NewChunkedWriter(c.TCPConn)
-		s.body, s.end = w, w
+		s.body, s.trailer = w, w
 	}
 	c.SetWriteDeadline(time.Now().Add(clientStall))
 	_, _ = c.Write(append(b, "\r\n"...)) // an error shows with the first part
@@ -406,19 +406,19 @@
 
 // Write passes on a part. A client that stops reading is not waited for.
 func (s *stream) Write(p []byte) (int, error) {
-	s.c.SetWriteDeadline(time.Now().Add(clientStall))
+	s.client.SetWriteDeadline(time.Now().Add(clientStall))
 	return s.body.Write(p)
 }
 
 // Close ends an answer that is whole.
 func (s *stream) Close() error {
-	if s.end == nil {
+	if s.trailer == nil {
 		return nil
 	}
-	if err := s.end.Close(); err != nil {
+	if err := s.trailer.Close(); err != nil {
 		return err
 	}
-	_, err := io.WriteString(s.c.TCPConn, "\r\n") // no trailers
+	_, err := io.WriteString(s.client.TCPConn, "\r\n") // no trailers
 	return err
 }
 
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -15,32 +15,32 @@
 
 const (
 	acceptRetry = 5 * time.Millisecond
-	settled     = 50 * time.Millisecond
-	fresh       = 10 * time.Millisecond // a client that has said nothing for so long makes room for a dial
+	minIdle     = 50 * time.Millisecond
+	minSilence  = 10 * time.Millisecond // a client that has said nothing for so long makes room for a dial
 )
 
-type conns struct {
-	budget *backend.Budget
-	slots  int // above this many, clients leave too little for backends
-	boot   time.Time
-	heads  bool // clients that owe a head are shed where they are many
+type clientSet struct {
+	budget     *backend.Budget
+	maxClients int // above this many, clients leave too little for backends
+	boot       time.Time
+	shedSilent bool // clients that owe a head are shed where they are many
 
-	mu    sync.Mutex
-	all   map[*client]struct{}
-	empty *sync.Cond
+	mu      sync.Mutex
+	clients map[*client]struct{}
+	empty   *sync.Cond
 }
 
-func newConns(budget *backend.Budget, heads bool) *conns {
-	c := &conns{budget: budget, heads: heads, slots: budget.Limit() * 3 / 4, boot: time.Now(), all: map[*client]struct{}{}}
+func newClientSet(budget *backend.Budget, heads bool) *clientSet {
+	c := &clientSet{budget: budget, shedSilent: heads, maxClients: budget.Limit() * 3 / 4, boot: time.Now(), clients: map[*client]struct{}{}}
 	c.empty = sync.NewCond(&c.mu)
-	budget.OnShort(func() bool { return c.shutOldest(fresh) })
+	budget.OnShort(func() bool { return c.closeOldestIdle(minSilence) })
 	return c
 }
 
-func (c *conns) rest(k *client) { k.quiet.Store(int64(time.Since(c.boot)) + 1) }
+func (c *clientSet) markIdle(k *client) { k.idleSince.Store(int64(time.Since(c.boot)) + 1) }
 
-func (c *conns) idle(k *client) time.Duration {
-	q := k.quiet.Load()
+func (c *clientSet) idleTime(k *client) time.Duration {
+	q := k.idleSince.Load()
 	if q == 0 {
 		return 0
 	}
@@ -55,20 +55,20 @@
 // Danger: idle clients that come faster than they are shut hold what discovery, backends and the health check need. And where it
 // is the new one that is shut, instead of the oldest, a good client whose request is a moment behind its connection is too, on
 // each connection that it tries.
-func (c *conns) add(k *client) bool {
-	c.rest(k)
-	c.owes(k)
+func (c *clientSet) add(k *client) bool {
+	c.markIdle(k)
+	c.headPending(k)
 	c.mu.Lock()
-	c.all[k] = struct{}{}
-	n := len(c.all)
+	c.clients[k] = struct{}{}
+	n := len(c.clients)
 	c.mu.Unlock()
-	room := c.heads || n <= c.slots || c.shutOldest(settled) || n <= (c.slots+c.budget.Limit())/2 || c.shutOldest(0)
+	room := c.shedSilent || n <= c.maxClients || c.closeOldestIdle(minIdle) || n <= (c.maxClients+c.budget.Limit())/2 || c.closeOldestIdle(0)
 	c.budget.Force()
-	if k.gone.Load() { // nobody else was to be had
+	if k.closed.Load() { // nobody else was to be had
 		return false
 	}
 	if !room {
-		if waits, _ := k.look(); !waits {
+		if waits, _ := k.peek(); !waits {
 			_ = k.Close()
 			return false
 		}
@@ -76,71 +76,71 @@
 	return true
 }
 
-func (c *conns) remove(k *client) {
+func (c *clientSet) remove(k *client) {
 	c.budget.Release()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.all, k)
-	if len(c.all) == 0 {
+	delete(c.clients, k)
+	if len(c.clients) == 0 {
 		c.empty.Broadcast()
 	}
 }
 
-func (c *conns) crowded() bool { return c.budget.Used() >= c.budget.Limit() }
+func (c *clientSet) crowded() bool { return c.budget.Used() >= c.budget.Limit() }
 
 // full tells whether there are too many clients to take a request of one more. Those that owe a head, or have said nothing
 // yet, hold a descriptor, but ask nothing of backends.
-func (c *conns) full() bool {
+func (c *clientSet) full() bool {
 	c.mu.Lock()
-	n := len(c.all)
-	if n > c.slots && !c.heads {
+	n := len(c.clients)
+	if n > c.maxClients && !c.shedSilent {
 		n = 0
-		for k := range c.all {
-			if k.served.Load() || k.quiet.Load() == 0 {
+		for k := range c.clients {
+			if k.served.Load() || k.idleSince.Load() == 0 {
 				n++
 			}
 		}
 	}
 	c.mu.Unlock()
-	if n <= c.slots {
+	if n <= c.maxClients {
 		return false
 	}
-	if c.heads {
-		c.shedHeads()
-		if open, _ := c.halfOpen(); n-open <= c.slots {
+	if c.shedSilent {
+		c.shedPendingHeads()
+		if open, _ := c.halfOpen(); n-open <= c.maxClients {
 			return false
 		}
 	}
-	return !c.shutOldest(settled)
+	return !c.closeOldestIdle(minIdle)
 }
 
 const (
-	youngHead  = 250 * time.Millisecond // a head that is on its way for no longer is not shed: bursts come as fast
-	headsPart  = 4                      // of the clients' descriptors, one in so many may owe a head
-	prefixPart = 8                      // and of one address prefix, one in so many
-	maxShed    = 16                     // at once
-	maxPassed  = 4                      // idle connections passed over for one descriptor
+	minHeadAge          = 250 * time.Millisecond // a head that is on its way for no longer is not shed: bursts come as fast
+	pendingHeadsDivisor = 4                      // of the clients' descriptors, one in so many may owe a head
+	prefixDivisor       = 8                      // and of one address prefix, one in so many
+	maxShedAtOnce       = 16                     // at once
+	maxBusySkipped      = 4                      // idle connections passed over for one descriptor
 )
 
-// owes notes that a client's head is on its way from now on; paid that it has come, and tells whether it came before the
+// headPending notes that a client's head is on its way from now on; paid that it has come, and tells whether it came before the
 // client was shed.
-func (c *conns) owes(k *client) {
-	if c.heads {
-		k.owing.Store(int64(time.Since(c.boot)) + 1)
+func (c *clientSet) headPending(k *client) {
+	if c.shedSilent {
+		k.headPendingSince.Store(int64(time.Since(c.boot)) + 1)
 	}
 }
 
-func (c *conns) paid(k *client) bool { return k.owing.Swap(0) >= 0 }
+func (c *clientSet) headArrived(k *client) bool { return k.headPendingSince.Swap(0) >= 0 }
 
 // halfOpen counts the clients that owe a head, and gives those that do for long by their address prefix.
-func (c *conns) halfOpen() (n int, old map[netip.Prefix][]*client) {
+func (c *clientSet) halfOpen() (n int, old map[netip.Prefix][]*client) {
 	now := int64(time.Since(c.boot)) + 1
 	old = map[netip.Prefix][]*client{}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k := range c.all {
-		if at := k.owing.Load(); at > 0 {
-			if n++; now-at >= int64(youngHead) {
+	for k := range c.clients {
+		if at := k.headPendingSince.Load(); at > 0 {
+			if n++; now-at >= int64(minHeadAge) {
 				old[k.prefix] = append(old[k.prefix], k)
 			}
 		}
@@ -148,17 +148,17 @@
 	return n, old
 }
 
-// shedHeads closes the oldest of the clients that owe a head, where they are too many: of the address prefix that has the
+// shedPendingHeads closes the oldest of the clients that owe a head, where they are too many: of the address prefix that has the
 // most of them. Danger: each holds a descriptor for as long as a request may take to come, and good clients have none.
-func (c *conns) shedHeads() {
+func (c *clientSet) shedPendingHeads() {
 	c.mu.Lock()
-	many := len(c.all) > c.slots/prefixPart
+	many := len(c.clients) > c.maxClients/prefixDivisor
 	c.mu.Unlock()
-	if !c.heads || !many {
+	if !c.shedSilent || !many {
 		return
 	}
 	n, old := c.halfOpen()
-	for range maxShed {
+	for range maxShedAtOnce {
 		var from netip.Prefix
 		for p, l := range old {
 			if len(l) > len(old[from]) {
@@ -166,16 +166,16 @@
 			}
 		}
 		l := old[from]
-		if len(l) == 0 || n <= c.slots/headsPart && len(l) <= c.slots/prefixPart {
+		if len(l) == 0 || n <= c.maxClients/pendingHeadsDivisor && len(l) <= c.maxClients/prefixDivisor {
 			return
 		}
 		at, since := 0, int64(math.MaxInt64)
 		for i, k := range l {
-			if v := k.owing.Load(); v > 0 && v < since {
+			if v := k.headPendingSince.Load(); v > 0 && v < since {
 				at, since = i, v
 			}
 		}
-		if l[at].owing.CompareAndSwap(since, -1) { // else its head has come meanwhile
+		if l[at].headPendingSince.CompareAndSwap(since, -1) { // else its head has come meanwhile
 			_ = l[at].Close()
 		}
 		old[from] = slices.Delete(l, at, at+1)
@@ -193,23 +193,23 @@
 	return p
 }
 
-// shutOldest closes the client that has been idle for longest, if one has been for long enough; one that has never said anything
+// closeOldestIdle closes the client that has been idle for longest, if one has been for long enough; one that has never said anything
 // has after so long already, as clients send as soon as they have connected.
-func (c *conns) shutOldest(silent time.Duration) bool {
+func (c *clientSet) closeOldestIdle(silent time.Duration) bool {
 	old := func(k *client) bool {
-		d := c.idle(k)
-		if c.heads { // who owes a head is shed by other rules
-			return d >= settled && (k.served.Load() || d >= sendTime)
+		d := c.idleTime(k)
+		if c.shedSilent { // who owes a head is shed by other rules
+			return d >= minIdle && (k.served.Load() || d >= requestReadTimeout)
 		}
-		return d >= settled || d >= silent && !k.served.Load()
+		return d >= minIdle || d >= silent && !k.served.Load()
 	}
 	var passed []*client // whose next request has come: they are as good as busy
-	for len(passed) < maxPassed {
+	for len(passed) < maxBusySkipped {
 		var oldest *client
 		var most time.Duration
 		c.mu.Lock()
-		for k := range c.all {
-			if d := c.idle(k); d > most && old(k) && !slices.Contains(passed, k) {
+		for k := range c.clients {
+			if d := c.idleTime(k); d > most && old(k) && !slices.Contains(passed, k) {
 				oldest, most = k, d
 			}
 		}
@@ -225,11 +225,11 @@
 	return false
 }
 
-// shut closes the connections that have been idle for so long, and new ones on which nothing came for five times that.
-func (c *conns) shut(idle time.Duration) {
+// closeIdle closes the connections that have been idle for so long, and new ones on which nothing came for five times that.
+func (c *clientSet) closeIdle(idle time.Duration) {
 	for _, k := range c.list() {
 		old := func() bool {
-			d := c.idle(k)
+			d := c.idleTime(k)
 			return d >= 5*idle || d >= idle && k.served.Load()
 		}
 		if old() {
@@ -238,28 +238,28 @@
 	}
 }
 
-// interrupt wakes all who read.
-func (c *conns) interrupt() {
+// interruptReads wakes all who read.
+func (c *clientSet) interruptReads() {
 	for _, k := range c.list() {
 		k.SetReadDeadline(longAgo)
 	}
 }
 
-func (c *conns) list() []*client {
+func (c *clientSet) list() []*client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := make([]*client, 0, len(c.all))
-	for k := range c.all {
+	l := make([]*client, 0, len(c.clients))
+	for k := range c.clients {
 		l = append(l, k)
 	}
 	return l
 }
 
-// drained waits until no connection is left.
-func (c *conns) drained() {
+// awaitEmpty waits until no connection is left.
+func (c *clientSet) awaitEmpty() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.all) > 0 {
+	for len(c.clients) > 0 {
 		c.empty.Wait()
 	}
 }
@@ -270,8 +270,8 @@
 
 // ServeAs is Serve under a name, which the Router is told.
 func (f *Front) ServeAs(name string, l net.Listener) {
-	f.serving.Add(1)
-	defer f.serving.Add(-1)
+	f.accepting.Add(1)
+	defer f.accepting.Add(-1)
 	for empty := false; ; {
 		nc, err := l.Accept()
 		switch {
@@ -284,10 +284,10 @@
 				return
 			}
 			empty = true
-			_ = l.(deadliner).SetDeadline(time.Now().Add(lastAccept))
+			_ = l.(deadliner).SetDeadline(time.Now().Add(backlogWait))
 			continue
 		case err != nil:
-			f.conns.budget.HasRoom()
+			f.conns.budget.EvictOne()
 			time.Sleep(acceptRetry)
 			continue
 		}
@@ -300,9 +300,9 @@
 		if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 			k.peer.Addr = a.AddrPort().Addr().Unmap()
 		}
-		if f.conns.heads {
+		if f.conns.shedSilent {
 			k.prefix = PrefixOf(k.peer.Addr, 24, 56)
-			f.conns.shedHeads()
+			f.conns.shedPendingHeads()
 		}
 		if f.conns.add(k) {
 			go k.serve()
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	probeTime = 500 * time.Millisecond
-	logGap    = 200 * time.Millisecond // between two lines of the module
+	healthCheckTimeout = 500 * time.Millisecond
+	logInterval        = 200 * time.Millisecond // between two lines of the module
 )
 
 // Options are what a core is told beside the module's settings.
@@ -101,17 +101,17 @@
 	Client        Client
 	ReservedBytes int64 // bytes of the Allowance that end with it
 
-	id       string
-	taken    time.Duration
-	deadline time.Time
-	attempts []*backend.Attempt
-	running  int
-	answered bool
-	answer   Answer
-	failed   *Answer          // a backend's own word of its failure
-	stream   *backend.Attempt // whose long answer is being passed on
-	memory   Quota
-	done     chan struct{} // closed when the answer is written
+	id              string
+	acceptedAt      time.Duration
+	deadline        time.Time
+	attempts        []*backend.Attempt
+	attemptsRunning int
+	answered        bool
+	answer          Answer
+	endpointError   *Answer          // a backend's own word of its failure
+	stream          *backend.Attempt // whose long answer is being passed on
+	memory          Quota
+	done            chan struct{} // closed when the answer is written
 }
 
 type request = Request
@@ -131,45 +131,45 @@
 // Core runs the requests of one cluster: it carries out what one Balancer decides, knows no client's protocol, and
 // gives each request one final answer.
 type Core struct {
-	opt     Options
-	classes map[string]time.Duration // their deadlines
-	pool    *backend.Pool
-	boot    time.Time
-	base    time.Duration // boot as Unix time
-	life    context.Context
-	end     context.CancelFunc
-	work    sync.WaitGroup // attempts and probes
+	opt            Options
+	classDeadlines map[string]time.Duration // their deadlines
+	pool           *backend.Pool
+	boot           time.Time
+	bootUnix       time.Duration // boot as Unix time
+	ctx            context.Context
+	cancel         context.CancelFunc
+	attempts       sync.WaitGroup // attempts and probes
 
 	ready atomic.Bool
 
-	mu        sync.Mutex
-	bal       *balancer.Balancer
-	requests  map[string]*request // in hand: unanswered, or with attempts out
-	open      int                 // unanswered
-	upstreams map[string]*backend.Upstream
-	logged    time.Time
-	settled   []*request // to be told their answer once the lock is free
-	stats     Stats
-	retired   bool
-	idle      chan struct{} // closed when it is retired and nothing is in hand
+	mu         sync.Mutex
+	balancer   *balancer.Balancer
+	requests   map[string]*request // in hand: unanswered, or with attempts out
+	unanswered int                 // unanswered
+	upstreams  map[string]*backend.Upstream
+	lastLogged time.Time
+	toAnswer   []*request // to be told their answer once the lock is free
+	stats      Stats
+	retired    bool
+	idle       chan struct{} // closed when it is retired and nothing is in hand
 }
 
 // NewCore makes a core whose attempts go through pool.
 func NewCore(opt Options, pool *backend.Pool) (*Core, error) {
-	n := &Core{opt: opt, pool: pool, boot: time.Now(), classes: map[string]time.Duration{}, idle: make(chan struct{}),
+	n := &Core{opt: opt, pool: pool, boot: time.Now(), classDeadlines: map[string]time.Duration{}, idle: make(chan struct{}),
 		requests: map[string]*request{}, upstreams: map[string]*backend.Upstream{}}
-	n.base = time.Duration(n.boot.UnixNano())
-	n.life, n.end = context.WithCancel(context.Background())
+	n.bootUnix = time.Duration(n.boot.UnixNano())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	for _, c := range opt.Settings.Classes {
-		n.classes[c.Name] = c.Deadline
+		n.classDeadlines[c.Name] = c.Deadline
 	}
 	var err error
-	n.bal, err = balancer.New(opt.Settings, opt.Seed, (*host)(n))
+	n.balancer, err = balancer.New(opt.Settings, opt.Seed, (*host)(n))
 	return n, err
 }
 
 // Deadline is how long a request of a class may take over all its tries; 0 if there is no such class.
-func (n *Core) Deadline(class string) time.Duration { return n.classes[class] }
+func (n *Core) Deadline(class string) time.Duration { return n.classDeadlines[class] }
 
 // Ready tells whether a list has come.
 func (n *Core) Ready() bool { return n.ready.Load() }
@@ -180,22 +180,22 @@
 // Accept has the core see to a request. Where it does not, the status says why and nothing else happens: 409 where the
 // ID is in hand, 503 where there are too many, 0 with false where the core is retired and another may take it.
 func (n *Core) Accept(q *Request) (status int, ok bool) {
-	n.do(func(now time.Duration) {
+	n.withBalancer(func(now time.Duration) {
 		switch {
 		case n.retired:
 		case n.requests[q.Attributes.ID] != nil:
 			status = http.StatusConflict
-		case n.opt.MaxOpen > 0 && n.open >= n.opt.MaxOpen, n.opt.Open != nil && !n.opt.Open.Acquire(1):
+		case n.opt.MaxOpen > 0 && n.unanswered >= n.opt.MaxOpen, n.opt.Open != nil && !n.opt.Open.Acquire(1):
 			status = http.StatusServiceUnavailable
 		default:
 			ok = true
 			q.id, q.done, q.memory = q.Attributes.ID, make(chan struct{}), n.opt.Memory
 			n.requests[q.id] = q
-			n.open++
+			n.unanswered++
 			n.stats.Accepted++
-			q.taken = now
-			q.deadline = n.boot.Add(now - n.base + q.Attributes.TimeLeft)
-			n.bal.Request(now, q.Attributes)
+			q.acceptedAt = now
+			q.deadline = n.boot.Add(now - n.bootUnix + q.Attributes.TimeLeft)
+			n.balancer.Request(now, q.Attributes)
 		}
 	})
 	return status, ok
@@ -203,42 +203,42 @@
 
 // Abandon ends a request whose client has left, or whose time is over.
 func (n *Core) Abandon(q *Request) {
-	n.do(func(now time.Duration) {
-		if n.settle(q, Answer{Status: http.StatusBadGateway}) {
+	n.withBalancer(func(now time.Duration) {
+		if n.settleAnswer(q, Answer{Status: http.StatusBadGateway}) {
 			n.stats.ClientLeft++
-			n.ended(now, q, OutcomeClientLeft)
-			n.bal.ClientGone(now, q.id)
-			n.release(q)
+			n.notifyCompleted(now, q, OutcomeClientLeft)
+			n.balancer.ClientGone(now, q.id)
+			n.forgetIfFinished(q)
 		}
 	})
 }
 
 // End gives a request that has no answer yet the one that the decision module words as things stand.
 func (n *Core) End(q *Request) {
-	n.do(func(now time.Duration) { n.bal.Expire(now, q.id) })
+	n.withBalancer(func(now time.Duration) { n.balancer.Expire(now, q.id) })
 	n.Abandon(q) // where the module does not know of it
 }
 
 // ExpireAll gives every request in hand that has no answer yet its one answer now, as say words it: sent tells whether an attempt may
 // have run. What is being passed on to a client goes on. It gives how many were answered.
 func (n *Core) ExpireAll(say func(w balancer.Request, sent bool) Answer) (count int) {
-	n.do(func(now time.Duration) {
+	n.withBalancer(func(now time.Duration) {
 		for _, q := range n.requests {
 			if q.answered {
 				continue
 			}
 			a := say(q.Attributes, len(q.attempts) > 0)
-			n.settle(q, a)
+			n.settleAnswer(q, a)
 			count++
 			if a.Status == http.StatusServiceUnavailable {
 				n.stats.Rejected++
-				n.ended(now, q, OutcomeRejected)
+				n.notifyCompleted(now, q, OutcomeRejected)
 			} else {
 				n.stats.Failed++
-				n.ended(now, q, OutcomeFailed)
+				n.notifyCompleted(now, q, OutcomeFailed)
 			}
-			n.bal.ClientGone(now, q.id)
-			n.release(q)
+			n.balancer.ClientGone(now, q.id)
+			n.forgetIfFinished(q)
 		}
 	})
 	return count
@@ -246,16 +246,16 @@
 
 // Retire has the core take nothing more. What it gives is closed once nothing is in hand.
 func (n *Core) Retire() <-chan struct{} {
-	n.do(func(time.Duration) {
+	n.withBalancer(func(time.Duration) {
 		if !n.retired {
 			n.retired = true
-			n.emptied()
+			n.closeIdleIfRetired()
 		}
 	})
 	return n.idle
 }
 
-func (n *Core) emptied() {
+func (n *Core) closeIdleIfRetired() {
 	if n.retired && len(n.requests) == 0 {
 		select {
 		case <-n.idle:
@@ -305,14 +305,14 @@
 func (n *Core) EachServer(fn func(id string, inFlight int, ejected bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.bal.EachServer(n.now(), fn)
+	n.balancer.EachServer(n.now(), fn)
 }
 
 // InFlight is how many requests have no answer yet.
 func (n *Core) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	in := n.open
+	in := n.unanswered
 	for _, q := range n.requests {
 		if q.stream != nil { // answered, and still being passed on
 			in++
@@ -321,52 +321,52 @@
 	return in
 }
 
-func (n *Core) now() time.Duration { return n.base + time.Since(n.boot) }
+func (n *Core) now() time.Duration { return n.bootUnix + time.Since(n.boot) }
 
-func (n *Core) do(event func(now time.Duration)) {
-	for _, r := range n.locked(event) {
-		n.tell(r)
+func (n *Core) withBalancer(event func(now time.Duration)) {
+	for _, r := range n.runLocked(event) {
+		n.writeAnswer(r)
 	}
 }
 
-// tell gives a request its whole answer.
-func (n *Core) tell(r *request) {
+// writeAnswer gives a request its whole answer.
+func (n *Core) writeAnswer(r *request) {
 	r.Client.Answer(r.answer)
 	close(r.done)
 }
 
-func (n *Core) locked(event func(now time.Duration)) []*request {
+func (n *Core) runLocked(event func(now time.Duration)) []*request {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	event(n.now())
-	settled := n.settled
-	n.settled = nil
+	settled := n.toAnswer
+	n.toAnswer = nil
 	return settled
 }
 
 // UpdateEndpoints takes news of the list.
 func (n *Core) UpdateEndpoints(u discovery.Update) {
-	settled := n.locked(func(now time.Duration) {
+	settled := n.runLocked(func(now time.Duration) {
 		if u.Kind != balancer.UpdateFailed {
-			n.follow(u)
+			n.updateUpstreams(u)
 		}
-		n.bal.UpdateEndpoints(now, u.EndpointUpdate)
+		n.balancer.UpdateEndpoints(now, u.EndpointUpdate)
 	})
 	// Danger: a client that reads nothing would hold up who brings the news.
 	for _, r := range settled {
-		n.work.Go(func() { n.tell(r) })
+		n.attempts.Go(func() { n.writeAnswer(r) })
 	}
 	if u.Kind == balancer.UpdateSnapshot || u.Kind == balancer.UpdateDelta || len(u.Servers) > 0 {
 		n.ready.Store(true)
 	}
 }
 
-// follow brings the pools up to date.
-func (n *Core) follow(u discovery.Update) {
+// updateUpstreams brings the pools up to date.
+func (n *Core) updateUpstreams(u discovery.Update) {
 	if u.Kind != balancer.UpdateDelta {
 		for uid := range n.upstreams {
 			if _, ok := u.Endpoints[uid]; !ok {
-				n.retire(uid)
+				n.retireUpstream(uid)
 			}
 		}
 	}
@@ -375,11 +375,11 @@
 		old := n.upstreams[s.ID]
 		switch {
 		case !ok:
-			n.retire(s.ID)
+			n.retireUpstream(s.ID)
 		case old == nil:
 			n.upstreams[s.ID] = n.pool.Upstream(addr, s.Since)
 		case old.Addr() != addr || old.Since() != s.Since:
-			n.retire(s.ID)
+			n.retireUpstream(s.ID)
 			n.upstreams[s.ID] = n.pool.Upstream(addr, s.Since)
 		}
 		if up := n.upstreams[s.ID]; up != nil {
@@ -388,22 +388,22 @@
 	}
 }
 
-func (n *Core) retire(uid string) {
+func (n *Core) retireUpstream(uid string) {
 	if u := n.upstreams[uid]; u != nil {
 		u.Retire()
 		delete(n.upstreams, uid)
 	}
 }
 
-// attempt runs one attempt and reports how it ended.
-func (n *Core) attempt(r *request, i int, a *backend.Attempt) {
-	defer n.work.Done()
+// runAttempt runs one attempt and reports how it ended.
+func (n *Core) runAttempt(r *request, i int, a *backend.Attempt) {
+	defer n.attempts.Done()
 	sent := time.Now()
 	reply := backend.Reply{Result: balancer.NotSent}
 	streams := false
 	if a != nil {
 		reply = a.Do(func(status int, h http.Header, length int64) io.Writer {
-			if !n.begin(r, i) {
+			if !n.beginStream(r, i) {
 				return nil
 			}
 			streams = true
@@ -425,58 +425,58 @@
 		r.Client.Finish(reply.Result == balancer.Served)
 		close(r.done)
 	}
-	n.do(func(now time.Duration) {
-		r.running--
+	n.withBalancer(func(now time.Duration) {
+		r.attemptsRunning--
 		switch own := (Answer{Status: reply.Status, Header: reply.Header, Body: reply.Body, Length: reply.Length}); {
 		case streams:
 			r.stream = nil
 			if reply.Result == balancer.Served {
-				n.served(now, r)
+				n.recordServed(now, r)
 			} else {
 				n.stats.Failed++
-				n.ended(now, r, OutcomeFailed)
+				n.notifyCompleted(now, r, OutcomeFailed)
 			}
 		case reply.Result == balancer.Served:
-			if n.settle(r, own) {
-				n.served(now, r)
+			if n.settleAnswer(r, own) {
+				n.recordServed(now, r)
 			}
 		case reply.Result == balancer.ServerError && reply.Status != 0:
-			r.failed = &own
+			r.endpointError = &own
 		}
 		n.stats.Attempts[reply.Result]++
 		o.Final = r.answered && r.stream == nil
-		n.bal.Outcome(now, o)
-		n.release(r)
+		n.balancer.Outcome(now, o)
+		n.forgetIfFinished(r)
 	})
 }
 
-func (n *Core) begin(r *request, i int) (ok bool) {
-	n.do(func(now time.Duration) {
+func (n *Core) beginStream(r *request, i int) (ok bool) {
+	n.withBalancer(func(now time.Duration) {
 		if ok = !r.answered; ok {
 			r.answered, r.stream = true, r.attempts[i]
-			n.close()
-			r.withdraw()
-			n.bal.Started(now, r.id, i)
+			n.countAnswered()
+			r.abortUnsent()
+			n.balancer.Started(now, r.id, i)
 		}
 	})
 	return ok
 }
 
-func (n *Core) served(now time.Duration, r *request) {
+func (n *Core) recordServed(now time.Duration, r *request) {
 	n.stats.Served++
-	n.stats.TotalLatency += now - r.taken
-	n.ended(now, r, OutcomeServed)
+	n.stats.TotalLatency += now - r.acceptedAt
+	n.notifyCompleted(now, r, OutcomeServed)
 }
 
-func (n *Core) ended(now time.Duration, r *request, out RequestOutcome) {
+func (n *Core) notifyCompleted(now time.Duration, r *request, out RequestOutcome) {
 	if n.opt.OnCompleted != nil {
-		n.opt.OnCompleted(Completed{Attributes: r.Attributes, Method: r.Send.Method, Latency: now - r.taken, Outcome: out})
+		n.opt.OnCompleted(Completed{Attributes: r.Attributes, Method: r.Send.Method, Latency: now - r.acceptedAt, Outcome: out})
 	}
 }
 
-// withdraw has what is not yet written of a request that is over written nowhere. Danger: the module may not call off an
+// abortUnsent has what is not yet written of a request that is over written nowhere. Danger: the module may not call off an
 // attempt everywhere, and one whose connection comes up late would send the request long after its answer.
-func (q *Request) withdraw() {
+func (q *Request) abortUnsent() {
 	for _, a := range q.attempts {
 		if a != nil && a != q.stream {
 			a.Abort()
@@ -484,33 +484,33 @@
 	}
 }
 
-// close counts a request as answered.
-func (n *Core) close() {
-	n.open--
+// countAnswered counts a request as answered.
+func (n *Core) countAnswered() {
+	n.unanswered--
 	if n.opt.Open != nil {
 		n.opt.Open.Release(1)
 	}
 }
 
-func (n *Core) settle(r *request, a Answer) bool {
+func (n *Core) settleAnswer(r *request, a Answer) bool {
 	if r == nil || r.answered {
 		return false
 	}
 	r.answered, r.answer = true, a
-	n.close()
-	r.withdraw()
-	n.settled = append(n.settled, r)
+	n.countAnswered()
+	r.abortUnsent()
+	n.toAnswer = append(n.toAnswer, r)
 	return true
 }
 
-// release forgets a request that is answered and has nothing out.
-func (n *Core) release(r *request) {
-	if r.answered && r.running == 0 && n.requests[r.id] == r {
+// forgetIfFinished forgets a request that is answered and has nothing out.
+func (n *Core) forgetIfFinished(r *request) {
+	if r.answered && r.attemptsRunning == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
 		if r.memory != nil {
 			r.memory.Release(r.ReservedBytes)
 		}
-		n.emptied()
+		n.closeIdleIfRetired()
 	}
 }
 
@@ -536,10 +536,10 @@
 	if i > 0 {
 		n.stats.Retries++
 	}
-	r.running++
+	r.attemptsRunning++
 	deadline := r.deadline
 	if expire > 0 {
-		if t := n.boot.Add(expire - n.base); t.Before(deadline) {
+		if t := n.boot.Add(expire - n.bootUnix); t.Before(deadline) {
 			deadline = t
 		}
 	}
@@ -548,8 +548,8 @@
 		a = backend.NewAttempt(n.upstream(server), &r.Send, deadline)
 	}
 	r.attempts = append(r.attempts, a)
-	n.work.Add(1)
-	go n.attempt(r, i, a)
+	n.attempts.Add(1)
+	go n.runAttempt(r, i, a)
 }
 
 func (h *host) Reject(id string, retryAfter time.Duration) {
@@ -561,18 +561,18 @@
 func (h *host) answer(id string, a Answer) {
 	n := (*Core)(h)
 	r := n.requests[id]
-	if r != nil && r.failed != nil { // the backend's own word says more
-		a = *r.failed
+	if r != nil && r.endpointError != nil { // the backend's own word says more
+		a = *r.endpointError
 	}
-	if n.settle(r, a) {
-		if a.Status == http.StatusServiceUnavailable && r.failed == nil {
+	if n.settleAnswer(r, a) {
+		if a.Status == http.StatusServiceUnavailable && r.endpointError == nil {
 			n.stats.Rejected++
-			n.ended(n.now(), r, OutcomeRejected)
+			n.notifyCompleted(n.now(), r, OutcomeRejected)
 		} else {
 			n.stats.Failed++
-			n.ended(n.now(), r, OutcomeFailed)
+			n.notifyCompleted(n.now(), r, OutcomeFailed)
 		}
-		n.release(r)
+		n.forgetIfFinished(r)
 	}
 }
 
@@ -586,9 +586,9 @@
 func (h *host) HealthCheck(server string) {
 	n := (*Core)(h)
 	up := n.upstream(server)
-	n.work.Go(func() {
+	n.attempts.Go(func() {
 		sent := time.Now()
-		reply := backend.HealthCheck(n.life, up, n.opt.HealthCheckPath, probeTime)
+		reply := backend.HealthCheck(n.ctx, up, n.opt.HealthCheckPath, healthCheckTimeout)
 		p := balancer.HealthCheckResult{Server: server, Result: reply.Result, Latency: time.Since(sent)}
 		if n.opt.LoadReports {
 			p.LoadReport = backend.ParseLoad(reply.LoadReport)
@@ -596,7 +596,7 @@
 				p.LoadReport = backend.ParseLoad(string(reply.Body))
 			}
 		}
-		n.do(func(now time.Duration) { n.bal.HealthChecked(now, p) })
+		n.withBalancer(func(now time.Duration) { n.balancer.HealthChecked(now, p) })
 	})
 }
 
@@ -609,8 +609,8 @@
 func (h *host) SetTimer(token uint64, after time.Duration) {
 	n := (*Core)(h)
 	time.AfterFunc(max(after, 0), func() {
-		if n.life.Err() == nil {
-			n.do(func(now time.Duration) { n.bal.Timer(now, token) })
+		if n.ctx.Err() == nil {
+			n.withBalancer(func(now time.Duration) { n.balancer.Timer(now, token) })
 		}
 	})
 }
@@ -628,15 +628,15 @@
 }
 
 func (h *host) Log(text string) {
-	if t := time.Now(); t.Sub(h.logged) >= logGap {
-		h.logged = t
+	if t := time.Now(); t.Sub(h.lastLogged) >= logInterval {
+		h.lastLogged = t
 		slog.Info(text)
 	}
 }
 
 // Close ends what the core still runs: attempts are called off, and what they were for is answered by the module.
 func (n *Core) Close() {
-	n.end()
+	n.cancel()
 	n.mu.Lock()
 	for _, r := range n.requests {
 		for _, a := range r.attempts {
@@ -646,6 +646,6 @@
 		}
 	}
 	n.mu.Unlock()
-	n.work.Wait()
+	n.attempts.Wait()
 	n.pool.Close()
 }
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -27,7 +27,7 @@
 			testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
 			c.send("GET ")
 			k := w.conns.list()[0]
-			testbed.Eventually(t, "the early bytes to be read", func() bool { waits, _ := k.look(); return !waits })
+			testbed.Eventually(t, "the early bytes to be read", func() bool { waits, _ := k.peek(); return !waits })
 			leave(c.Conn)
 			// Else the module refuses it once it has waited for too long.
 			testbed.Eventually(t, "its end to be seen", func() bool { return w.held() == 0 })
@@ -156,13 +156,13 @@
 	stopped := make(chan struct{}, 2)
 	for _, w := range []*world{w, sentTo} {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), acceptOn+lastCall+300*time.Millisecond)
+			ctx, cancel := context.WithTimeout(context.Background(), acceptAfterStop+expireMargin+300*time.Millisecond)
 			defer cancel()
 			w.Stop(ctx, w.l)
 			stopped <- struct{}{}
 		}()
 	}
-	testbed.Within(t, "the end to be near", w.atEnd)
+	testbed.Within(t, "the end to be near", w.expired)
 	last.send("X-Trace-Id: last\r\nX-Qos: get\r\n\r\n")
 	for name, c := range sent {
 		code, _, _ := c.answer(t)
@@ -204,12 +204,12 @@
 	}
 	stopped := make(chan struct{})
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), acceptOn+lastCall+300*time.Millisecond)
+		ctx, cancel := context.WithTimeout(context.Background(), acceptAfterStop+expireMargin+300*time.Millisecond)
 		defer cancel()
 		w.Stop(ctx, w.l)
 		close(stopped)
 	}()
-	testbed.Within(t, "the end to be near", w.atEnd)
+	testbed.Within(t, "the end to be near", w.expired)
 	close(goOn)
 	if code, body, _ := c.answer(t); code != 200 || body != half+half {
 		t.Errorf("%d and %d bytes", code, len(body))
@@ -226,11 +226,11 @@
 	c.send(head("GET", "get"))
 	c.answer(t)
 	k := w.conns.list()[0]
-	testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idle(k) > 0 })
+	testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idleTime(k) > 0 })
 	shut := k.closeIdle(func() bool {
 		c.send(head("GET", "get"))
 		// However long this takes, its reader waits for the end of it. One that did not would have read by now.
-		for end := time.Now().Add(200 * time.Millisecond); w.conns.idle(k) > 0 && time.Now().Before(end); {
+		for end := time.Now().Add(200 * time.Millisecond); w.conns.idleTime(k) > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		return true // what was seen before it came
@@ -260,13 +260,13 @@
 				k[i] = x
 			}
 		}
-		testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idle(k[i]) >= settled })
+		testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idleTime(k[i]) >= minIdle })
 	}
 	k[0].reading.Lock()
 	c[0].send(head("GET", "get"))
-	testbed.Eventually(t, "the request", func() bool { waits, _ := k[0].look(); return waits })
+	testbed.Eventually(t, "the request", func() bool { waits, _ := k[0].peek(); return waits })
 	go k[0].reading.Unlock()
-	if !w.conns.shutOldest(settled) {
+	if !w.conns.closeOldestIdle(minIdle) {
 		t.Error("no room was made")
 	}
 	if code, _, _ := c[0].answer(t); code != 200 {
@@ -315,7 +315,7 @@
 	h := &heldListener{TCPListener: l.(*net.TCPListener), ends: make(chan struct{})}
 	served := make(chan struct{})
 	go func() { w.ServeAs("held", h); close(served) }()
-	testbed.Eventually(t, "both to serve", func() bool { return w.serving.Load() == 2 })
+	testbed.Eventually(t, "both to serve", func() bool { return w.accepting.Load() == 2 })
 	var c []*peer
 	for range 20 {
 		k, err := net.Dial("tcp", l.Addr().String())
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 16
 		budget := backend.NewBudget(limit)
-		f := &Front{conns: newConns(budget, false)}
+		f := &Front{conns: newClientSet(budget, false)}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -69,26 +69,26 @@
 		}
 		flood(14)
 		k, taken, far := add("")
-		if !taken || k.gone.Load() {
+		if !taken || k.closed.Load() {
 			t.Fatal("it is shut as soon as it has connected")
 		}
-		if !silent[0].gone.Load() || silent[1].gone.Load() {
+		if !silent[0].closed.Load() || silent[1].closed.Load() {
 			t.Error("it is not the oldest of the silent ones that makes room")
 		}
 		flood(13)
-		if k.gone.Load() {
+		if k.closed.Load() {
 			t.Fatal("it is shut, though all others are younger")
 		}
 		if _, err := io.WriteString(far, "GET / HTTP/1.1\r\n"); err != nil {
 			t.Fatal(err)
 		}
 		flood(40)
-		if k.gone.Load() {
+		if k.closed.Load() {
 			t.Error("it is shut over its request")
 		}
 		// Where all say something there is nobody to make room, but one that says nothing itself.
 		for i := range silent {
-			if !silent[i].gone.Load() {
+			if !silent[i].closed.Load() {
 				add("GET / HTTP/1.1\r\n")
 			}
 		}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -10,8 +10,8 @@
 	"robindrum/internal/backend"
 )
 
-// reroutes is how often a request may be routed: its core can be retired while its body comes.
-const reroutes = 4
+// maxRoutings is how often a request may be routed: its core can be retired while its body comes.
+const maxRoutings = 4
 
 // Router says where requests go. Route may be called by several goroutines at once, and again for a request whose
 // core was retired meanwhile; it neither reads the body nor keeps or changes r.
@@ -41,13 +41,13 @@
 type Front struct {
 	router       Router
 	maxBodyBytes int64 // of a body
-	whole        bool  // Retry-After
-	conns        *conns
+	wholeSeconds bool  // Retry-After
+	conns        *clientSet
 	bodies       bodyBudget
 
 	stopping, closing atomic.Bool
-	serving           atomic.Int32  // how many accept
-	atEnd             chan struct{} // closed when what is in hand is to have its answer at once
+	accepting         atomic.Int32  // how many accept
+	expired           chan struct{} // closed when what is in hand is to have its answer at once
 }
 
 // FrontOptions bound a front.
@@ -57,13 +57,13 @@
 	MaxBodyBytes      int64           // bytes; 0: LongestBody
 	Router            Router
 	ShedSilentClients bool // clients whose heads are long in coming give way where descriptors are short
-	FinishComplete    bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
+	WholeSeconds      bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
 }
 
 // NewFront makes a front.
 func NewFront(opt FrontOptions) *Front {
-	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, whole: opt.FinishComplete, conns: newConns(opt.Budget, opt.ShedSilentClients),
-		atEnd: make(chan struct{})}
+	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, wholeSeconds: opt.WholeSeconds, conns: newClientSet(opt.Budget, opt.ShedSilentClients),
+		expired: make(chan struct{})}
 	if f.maxBodyBytes <= 0 {
 		f.maxBodyBytes = DefaultMaxBodyBytes
 	}
@@ -71,13 +71,13 @@
 	return f
 }
 
-func (f *Front) last(wantsClose bool) bool {
+func (f *Front) closesAfterAnswer(wantsClose bool) bool {
 	return wantsClose || f.stopping.Load() || f.closing.Load() || f.conns.crowded()
 }
 
-func (f *Front) ending() bool {
+func (f *Front) hasExpired() bool {
 	select {
-	case <-f.atEnd:
+	case <-f.expired:
 		return true
 	default:
 		return false
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -133,7 +133,7 @@
 				if len(l) == 0 {
 					return false
 				}
-				waits, _ := l[0].look()
+				waits, _ := l[0].peek()
 				return !waits && l[0].served.Load()
 			})
 			leave(c.Conn)
@@ -150,7 +150,7 @@
 func stands(k *client) bool {
 	k.reading.Lock()
 	defer k.reading.Unlock()
-	return k.served.Load() && !k.begun
+	return k.served.Load() && !k.bytesRead
 }
 
 // 500 clients leave at once, and nobody has read their ends as their requests go on from where they stand: none of theirs is sent
@@ -179,7 +179,7 @@
 				read = w.holdReaders(t)
 			}, func() bool {
 				for _, k := range w.conns.list() {
-					if waits, _ := k.look(); !waits {
+					if waits, _ := k.peek(); !waits {
 						return false
 					}
 				}
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -96,13 +96,13 @@
 	testbed.Within(t, "the request", came)
 	w.mu.Lock()
 	q := w.requests["q"]
-	w.settle(q, Answer{Status: http.StatusBadGateway})
+	w.settleAnswer(q, Answer{Status: http.StatusBadGateway})
 	(*host)(w.Core).Send("q", "s1", 0)
 	if q.attempts[1] != nil {
 		t.Error("an attempt was made for a request that is over")
 	}
 	w.mu.Unlock()
-	w.do(func(time.Duration) {}) // tells the client
+	w.withBalancer(func(time.Duration) {}) // tells the client
 	if code, _, _ := c.answer(t); code != http.StatusBadGateway {
 		t.Errorf("%d", code)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,7 +15,7 @@
 type Node struct {
 	*Core
 	*Front
-	news *discovery.Client
+	discovery *discovery.Client
 }
 
 // New makes a node. Start has it watch the list of backends.
@@ -30,15 +30,15 @@
 
 // Start delivers the list that the node remembers and begins to follow news of it.
 func (n *Node) Start(news *discovery.Client, known []byte) error {
-	n.news = news
+	n.discovery = news
 	return news.Start(known)
 }
 
 // Watch begins to follow the list, or ends that.
-func (n *Node) Watch(on bool) { n.news.Watch(on) }
+func (n *Node) Watch(on bool) { n.discovery.Watch(on) }
 
 // Fetch asks for the whole list once.
-func (n *Node) Fetch() { n.news.Fetch() }
+func (n *Node) Fetch() { n.discovery.Fetch() }
 
 // Route is the platform's protocol: one core, the class in a header or the path.
 func (n *Node) Route(r *http.Request, _ Peer) Destination {
@@ -52,10 +52,10 @@
 	case id == "":
 		return Destination{Status: http.StatusBadRequest, Text: "X-Trace-Id is missing", Close: true}
 	}
-	return Destination{Core: n.Core, Attributes: n.words(r, id)}
+	return Destination{Core: n.Core, Attributes: n.attributes(r, id)}
 }
 
-func (n *Node) words(r *http.Request, id string) balancer.Request {
+func (n *Node) attributes(r *http.Request, id string) balancer.Request {
 	h := r.Header
 	q := balancer.Request{ID: id, Class: h.Get("X-Qos"), Tenant: h.Get("X-Customer"), Retry: h.Get("X-Second-Try") == "1"}
 	if q.Class == "" {
@@ -67,7 +67,7 @@
 	if us, err := strconv.ParseInt(h.Get("X-Size-Hint"), 10, 64); err == nil && us > 0 && us < 1<<40 {
 		q.Work = time.Duration(us) * time.Microsecond
 	}
-	q.TimeLeft = n.classes[q.Class]
+	q.TimeLeft = n.classDeadlines[q.Class]
 	if ms, err := strconv.ParseInt(h.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < int64(q.TimeLeft/time.Millisecond) {
 		q.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
@@ -76,9 +76,9 @@
 
 // Close ends what the node still runs.
 func (n *Node) Close() {
-	n.end()
-	if n.news != nil {
-		n.news.Stop()
+	n.cancel()
+	if n.discovery != nil {
+		n.discovery.Stop()
 	}
 	n.Core.Close()
 	n.CloseIdle()
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -66,7 +66,7 @@
 		w.l.Close()
 		testbed.Within(t, "the end of serving", w.served)
 		w.Close()
-		w.conns.drained()
+		w.conns.awaitEmpty()
 	})
 	return w
 }
@@ -173,8 +173,8 @@
 			t.Errorf("request %d: %v", i, s.Header)
 		}
 	}
-	if w.held() != 0 || w.open != 0 || w.bodies.left.Load() != 64<<20 {
-		t.Errorf("left: %d requests, %d open, %d bytes", w.held(), w.open, w.bodies.left.Load())
+	if w.held() != 0 || w.unanswered != 0 || w.bodies.left.Load() != 64<<20 {
+		t.Errorf("left: %d requests, %d open, %d bytes", w.held(), w.unanswered, w.bodies.left.Load())
 	}
 }
 
@@ -244,7 +244,7 @@
 
 // What a client says of its time counts below the class's deadline; what is no positive number is turned away.
 func TestExpires(t *testing.T) {
-	n := &Node{Core: &Core{classes: map[string]time.Duration{"get": time.Second}}}
+	n := &Node{Core: &Core{classDeadlines: map[string]time.Duration{"get": time.Second}}}
 	for text, want := range map[string]time.Duration{"x": 0, "0": 0, "-5": 0, "1.5": 0, "99999999999999999999": 0,
 		"2000": time.Second, "480": 480 * time.Millisecond} {
 		r := &http.Request{ProtoMajor: 1, Host: "x", Header: http.Header{"X-Qos": {"get"}, "X-Expires-In-Ms": {text}}}
@@ -252,7 +252,7 @@
 		if why := malformed(r); (why != "") != (want == 0) {
 			t.Errorf("%q: malformed %q", text, why)
 		}
-		if q := n.words(r, "t"); want != 0 && q.TimeLeft != want {
+		if q := n.attributes(r, "t"); want != 0 && q.TimeLeft != want {
 			t.Errorf("%q: %v", text, q.TimeLeft)
 		}
 	}
@@ -278,7 +278,7 @@
 			t.Errorf("%q: something was answered", text)
 		}
 	}
-	if d := time.Since(began); d < sendTime {
+	if d := time.Since(began); d < requestReadTimeout {
 		t.Errorf("a client had %v for its request", d)
 	}
 }
@@ -331,7 +331,7 @@
 	c := w.dial(t)
 	c.send(head("GET", "get"))
 	testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
-	w.do(func(time.Duration) {
+	w.withBalancer(func(time.Duration) {
 		for id := range w.requests {
 			(*host)(w.Core).Reject(id, 40*time.Millisecond)
 		}
@@ -542,12 +542,12 @@
 		})
 		c.send(early)
 		w.mu.Lock()
-		w.bal, _ = balancer.New(w.opt.Settings, 1, (*host)(w.Core))
+		w.balancer, _ = balancer.New(w.opt.Settings, 1, (*host)(w.Core))
 		w.mu.Unlock()
 		if code, _, _ := c.answer(t); code != http.StatusBadGateway {
 			t.Errorf("%d", code)
 		}
-		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.open == 0 })
+		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.unanswered == 0 })
 	}
 }
 
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-const guardTime = 15 * time.Millisecond
+const abandonMargin = 15 * time.Millisecond
 
-// buffers hold the heads of answers, and whole short ones.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
+// responseBuffers hold the heads of answers, and whole short ones.
+var responseBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// request takes a client's request, whose body is to be whole by until, and sees to its answer; false if the
+// handleRequest takes a client's request, whose body is to be whole by until, and sees to its answer; false if the
 // connection ends with it.
-func (f *Front) request(c *client, r *http.Request, until time.Time) bool {
+func (f *Front) handleRequest(c *client, r *http.Request, until time.Time) bool {
 	c.served.Store(true)
 	d := f.router.Route(r, c.peer)
 	switch {
 	case d.Core == nil && (d.Close || r.ContentLength != 0): // a body that nobody reads stands before the next request
-		c.turnAway(d.answer())
+		c.answerAndClose(d.answer())
 		return false
 	case d.Core == nil:
-		last := f.last(r.Close)
+		last := f.closesAfterAnswer(r.Close)
 		a := d.answer()
 		a.noBody = r.Method == http.MethodHead
-		if c.write(a, last) != nil {
+		if c.writeAnswer(a, last) != nil {
 			return false
 		}
 		if c.br.Buffered() == 0 {
-			c.front.conns.rest(c)
+			c.front.conns.markIdle(c)
 		}
 		if last {
-			c.hangUp()
+			c.closeGracefully()
 		}
 		return !last
 	case f.conns.full():
@@ -48,13 +48,13 @@
 	}
 	q := &Request{}
 	var err error
-	if q.Send.Body, q.ReservedBytes, err = f.read(c, r, memory, until); err != nil {
+	if q.Send.Body, q.ReservedBytes, err = f.readBody(c, r, memory, until); err != nil {
 		memory.Release(q.ReservedBytes)
 		status := http.StatusBadRequest
 		switch {
 		case errors.Is(err, errTooLong):
 			status = http.StatusRequestEntityTooLarge
-		case errors.Is(err, errNoMemory), f.ending(): // it has not been sent on
+		case errors.Is(err, errNoMemory), f.hasExpired(): // it has not been sent on
 			status = http.StatusServiceUnavailable
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			status = http.StatusRequestTimeout
@@ -69,11 +69,11 @@
 		c.reject(http.StatusBadRequest, "more came than the request")
 		return false
 	}
-	x := &exchange{c: c, wantsClose: r.Close, noBody: r.Method == http.MethodHead}
+	x := &exchange{client: c, wantsClose: r.Close, noBody: r.Method == http.MethodHead}
 	q.Client = x
 	// Danger: the end of a client is read by a goroutine of its own, which on a busy node may wait its turn behind thousands.
 	q.Send.StillWanted = func() bool {
-		_, left := c.look()
+		_, left := c.peek()
 		return !left
 	}
 	// d's words were taken before the header loses what concerns this connection only, its time with it.
@@ -81,17 +81,17 @@
 	header := endToEnd(r.Header)
 	q.Send.Header = header
 	// Danger: a client may have left while its request waited to be read. Nobody wants the answer, and the work is real.
-	if _, left := c.look(); left {
+	if _, left := c.peek(); left {
 		memory.Release(q.ReservedBytes)
 		c.reject(http.StatusServiceUnavailable, "the client has left")
 		return false
 	}
-	c.taken()
-	for range reroutes {
+	c.requestAccepted()
+	for range maxRoutings {
 		q.Attributes = d.Attributes
 		q.Attributes.Size = q.Send.Body.Len()
-		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + guardTime))
-		if f.ending() { // not sooner: who ends what is in hand wakes its reader by that time
+		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + abandonMargin))
+		if f.hasExpired() { // not sooner: who ends what is in hand wakes its reader by that time
 			memory.Release(q.ReservedBytes)
 			c.reject(http.StatusServiceUnavailable, errEnding.Error())
 			return false
@@ -99,7 +99,7 @@
 		status, ok := d.Core.Accept(q)
 		switch {
 		case ok:
-			return c.watch(d.Core, q, x)
+			return c.awaitAnswer(d.Core, q, x)
 		case status == 0: // its core was retired while the body came
 			if d = f.router.Route(r, c.peer); d.Core != nil {
 				continue
@@ -125,13 +125,13 @@
 
 // malformed tells what is wrong with a request that net/http's parser lets through, if anything.
 func malformed(r *http.Request) string {
-	if r.Host == "" && r.ProtoAtLeast(1, 1) || !plain(r.Host) || strings.ContainsRune(r.Host, ' ') {
+	if r.Host == "" && r.ProtoAtLeast(1, 1) || !isPlainText(r.Host) || strings.ContainsRune(r.Host, ' ') {
 		return "Host is missing or malformed"
 	}
 	if r.ProtoMajor != 1 {
 		return "not HTTP/1"
 	}
-	if uri := r.URL.RequestURI(); !strings.HasPrefix(uri, "/") || !plain(uri) || strings.ContainsRune(uri, ' ') {
+	if uri := r.URL.RequestURI(); !strings.HasPrefix(uri, "/") || !isPlainText(uri) || strings.ContainsRune(uri, ' ') {
 		return "not a path"
 	}
 	for _, v := range r.Header["X-Expires-In-Ms"] {
@@ -141,7 +141,7 @@
 	}
 	for _, values := range r.Header {
 		for _, v := range values {
-			if !plain(v) {
+			if !isPlainText(v) {
 				return "a header's value is malformed"
 			}
 		}
@@ -149,7 +149,7 @@
 	return ""
 }
 
-func plain(text string) bool {
+func isPlainText(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -342,7 +342,7 @@
 	n.Stop(ctx, l)
 	<-served
 	n.Close()
-	n.conns.drained()
+	n.conns.awaitEmpty()
 	if n.budget() != 0 {
 		t.Errorf("%d descriptors are held at the end", n.budget())
 	}
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	acceptOn = 550 * time.Millisecond // connections still come for up to 0.4 s after the signal
-	shutGap  = 10 * time.Millisecond
-	lastCall = 100 * time.Millisecond
+	acceptAfterStop   = 550 * time.Millisecond // connections still come for up to 0.4 s after the signal
+	idleCloseInterval = 10 * time.Millisecond
+	expireMargin      = 100 * time.Millisecond
 
-	lastAccept = 10 * time.Millisecond // with none in the backlog for so long, twice, it is empty
-	emptyMost  = time.Second
+	backlogWait    = 10 * time.Millisecond // with none in the backlog for so long, twice, it is empty
+	maxBacklogTime = time.Second
 )
 
 type deadliner interface{ SetDeadline(t time.Time) error }
@@ -22,40 +22,40 @@
 // hand gets its answer as it stands, and nothing new is taken; what is being passed on goes on until ctx ends.
 func (f *Front) Stop(ctx context.Context, listeners ...net.Listener) {
 	f.stopping.Store(true)
-	pause(ctx, acceptOn)
-	f.empty(ctx, listeners)
+	pause(ctx, acceptAfterStop)
+	f.drainBacklogs(ctx, listeners)
 	if end, ok := ctx.Deadline(); ok {
-		call := time.AfterFunc(time.Until(end)-lastCall, func() {
-			close(f.atEnd)
-			f.conns.interrupt()
+		call := time.AfterFunc(time.Until(end)-expireMargin, func() {
+			close(f.expired)
+			f.conns.interruptReads()
 		})
 		defer call.Stop()
 	}
 	done := make(chan struct{})
 	go func() {
-		f.conns.drained()
+		f.conns.awaitEmpty()
 		close(done)
 	}()
 	for ctx.Err() == nil {
-		f.conns.shut(settled)
+		f.conns.closeIdle(minIdle)
 		select {
 		case <-done:
 			return
 		case <-ctx.Done():
-		case <-time.After(shutGap):
+		case <-time.After(idleCloseInterval):
 		}
 	}
 }
 
-// empty accepts what the listeners' backlogs hold, and closes them. Danger: a connection that the kernel has taken may
+// drainBacklogs accepts what the listeners' backlogs hold, and closes them. Danger: a connection that the kernel has taken may
 // carry a request, and closing the listener resets it.
-func (f *Front) empty(ctx context.Context, listeners []net.Listener) {
+func (f *Front) drainBacklogs(ctx context.Context, listeners []net.Listener) {
 	for _, l := range listeners {
 		if d, ok := l.(deadliner); ok {
 			_ = d.SetDeadline(longAgo)
 		}
 	}
-	for end := time.Now().Add(emptyMost); f.serving.Load() > 0 && ctx.Err() == nil && time.Now().Before(end); {
+	for end := time.Now().Add(maxBacklogTime); f.accepting.Load() > 0 && ctx.Err() == nil && time.Now().Before(end); {
 		pause(ctx, time.Millisecond)
 	}
 	for _, l := range listeners {
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -28,9 +28,9 @@
 
 // Share is one user's part: own is kept for it whatever the others do, the rest it takes from what nobody owns.
 type Share struct {
-	p          *Pool
-	own, limit int64
-	used       int64
+	pool            *Pool
+	reserved, limit int64
+	used            int64
 }
 
 // Share books own for one user until End. It holds at most most; 0: as much as there is. Where own is not to be had
@@ -42,20 +42,20 @@
 		return nil, fmt.Errorf("%d of %d cannot be kept: %d are booked", own, p.limit, p.used)
 	}
 	p.used += own
-	return &Share{p: p, own: own, limit: most}, nil
+	return &Share{pool: p, reserved: own, limit: most}, nil
 }
 
 // Resize changes what is its own and the most that it may hold. What it holds stays. Where own is not to be had that
 // is an error, and nothing changes.
 func (s *Share) Resize(own, most int64) error {
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
-	more := own + max(s.used-own, 0) - s.own - max(s.used-s.own, 0)
-	if own < 0 || more > 0 && s.p.used+more > s.p.limit {
-		return fmt.Errorf("%d of %d cannot be kept: %d are booked", own, s.p.limit, s.p.used)
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	more := own + max(s.used-own, 0) - s.reserved - max(s.used-s.reserved, 0)
+	if own < 0 || more > 0 && s.pool.used+more > s.pool.limit {
+		return fmt.Errorf("%d of %d cannot be kept: %d are booked", own, s.pool.limit, s.pool.used)
 	}
-	s.p.used += more
-	s.own, s.limit = own, most
+	s.pool.used += more
+	s.reserved, s.limit = own, most
 	return nil
 }
 
@@ -64,31 +64,31 @@
 
 // Acquire books n, or tells that they are not to be had.
 func (s *Share) Acquire(n int64) bool {
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
 	if n < 0 || s.limit > 0 && s.used+n > s.limit {
 		return false
 	}
-	more := max(s.used+n-s.own, 0) - max(s.used-s.own, 0)
-	if more > 0 && s.p.used+more > s.p.limit {
+	more := max(s.used+n-s.reserved, 0) - max(s.used-s.reserved, 0)
+	if more > 0 && s.pool.used+more > s.pool.limit {
 		return false
 	}
 	s.used += n
-	s.p.used += more
+	s.pool.used += more
 	return true
 }
 
 // Release ends the booking of n.
 func (s *Share) Release(n int64) {
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
-	s.p.used -= max(s.used-s.own, 0) - max(s.used-n-s.own, 0)
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
+	s.pool.used -= max(s.used-s.reserved, 0) - max(s.used-n-s.reserved, 0)
 	s.used -= n
 }
 
 // Used is what is held.
 func (s *Share) Used() int64 {
-	s.p.mu.Lock()
-	defer s.p.mu.Unlock()
+	s.pool.mu.Lock()
+	defer s.pool.mu.Unlock()
 	return s.used
 }
