--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -322,7 +322,7 @@
 		// What the origin says goes: how long its answers are and when they pause is its own affair, within the deadline and
 		// the time that a client is kept for nothing.
 		PauseTimeout: time.Minute, StallTimeout: 5 * time.Minute, MaxResponseBytes: math.MaxInt64, StreamResponse: events}, c.conns)
-	core, err := proxy.NewCore(proxy.Options{Settings: set, Seed: uint64(g.Now()), Open: c.requests, Memory: c.mem, Rests: true, OnCompleted: g.ended}, pool)
+	core, err := proxy.NewCore(proxy.Options{Settings: set, Seed: uint64(g.Now()), Open: c.requests, Memory: c.mem, HonorRetryAfter: true, OnCompleted: g.ended}, pool)
 	if err != nil { // the configuration was checked: this cannot be
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -36,7 +36,7 @@
 // Release returns n bytes.
 func (b *bodyBudget) Release(n int64) { b.left.Add(n) }
 
-// readBody reads a body, which is to be whole by until. What it took of memory is the caller's to give back.
+// readBody reads a body, which must be complete by until. The caller releases the reserved bytes, also after an error.
 func (f *Front) readBody(c *client, r *http.Request, memory Quota, until time.Time) (body backend.Body, reserved int64, err error) {
 	if r.ContentLength == 0 || r.Body == nil {
 		return nil, 0, nil
--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -22,34 +22,35 @@
 
 const (
 	maxHeadBytes       = 8 << 10
-	requestReadTimeout = 2500 * time.Millisecond // what a request may take to come whole; the first one's counts from the connection's start
-	clientIdle         = 90 * time.Second        // between two requests of a client
+	requestReadTimeout = 2500 * time.Millisecond // for a complete request; of the first one from the connection's start
+	clientIdle         = 90 * time.Second        // between two requests of a connection
 	clientStall        = 10 * time.Second
 	lingerTimeout      = 500 * time.Millisecond
 	maxLingerBytes     = 1 << 20
 )
 
+// client is the connection of one client, served by one goroutine.
 type client struct {
 	*net.TCPConn
 	front            *Front
 	raw              syscall.RawConn
 	br               *bufio.Reader
-	idleSince        atomic.Int64 // since when nothing is asked or read, on the node's clock; 0: something is
-	readAhead        atomic.Bool  // its reader waits behind what came before the answer
+	idleSince        atomic.Int64 // ns on the clientSet's clock since which nothing is read or answered; 0 while something is
+	readAhead        atomic.Bool  // the reader waits behind bytes that came before the answer
 	served           atomic.Bool
-	headPendingSince atomic.Int64 // since when its head is on its way, on the node's clock; 0: it is not; -1: it was shed
+	headPendingSince atomic.Int64 // ns on the clientSet's clock since which a request head is awaited; 0 if none is, -1 once the client was shed
 	prefix           netip.Prefix
 	peer             Peer
 
-	reading   sync.Mutex // held while what has come is taken, and while the connection is closed as idle
-	bytesRead bool       // something has been read since the last request was taken
+	reading   sync.Mutex // held while bytes are read, and while the connection is closed as idle
+	bytesRead bool       // since the last request was accepted
 	closed    atomic.Bool
 }
 
 var errHeadTooLong = errors.New("the head is too long")
 
-// Read notes that the connection is not idle, in one step with taking what has come. Danger: in two, a request that was
-// read in between is closed with the connection, and its client has no way to tell that it was not taken.
+// Read reads from the connection and marks it as not idle in one step. In two steps, a request that was read in between
+// could be closed with the idle connection, and its client could not tell that it was not processed.
 func (c *client) Read(p []byte) (n int, err error) {
 	if werr := c.raw.Read(func(fd uintptr) bool {
 		c.reading.Lock()
@@ -74,14 +75,14 @@
 	return max(n, 0), err
 }
 
-// requestAccepted notes that what was read belongs to a request that is taken now; rests that its answer is written: the connection
-// is idle unless a next one has begun.
+// requestAccepted notes that the bytes read so far belong to a request that is now accepted.
 func (c *client) requestAccepted() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
 	c.bytesRead = false
 }
 
+// answerWritten marks the connection as idle unless bytes of a next request have been read.
 func (c *client) answerWritten() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -90,23 +91,22 @@
 	}
 }
 
-// closeIdle closes the connection, if idle still says so and nothing waits to be read.
+// closeIdle closes the connection if idle still returns true and nothing waits to be read.
 func (c *client) closeIdle(idle func() bool) bool {
 	c.reading.Lock()
 	ends := idle()
-	if waits, _ := c.peek(); waits { // looked at last, as it is the kernel's to take more at any time
+	if waits, _ := c.peek(); waits { // last, since bytes may arrive at any time
 		ends = false
 	}
 	ends = ends && !c.closed.Swap(true)
 	c.reading.Unlock()
-	if ends { // not under the lock: closing waits for who reads
+	if ends { // not under the lock: closing waits for the reader
 		_ = c.closeConnection()
 	}
 	return ends
 }
 
-// peek tells whether something waits to be read, and whether the client has left, or has ended its sending, with
-// nothing behind what was read.
+// peek reports whether bytes wait to be read, and whether the client has closed its side with nothing left to read.
 func (c *client) peek() (waits, left bool) {
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -117,7 +117,7 @@
 	return waits, left || err != nil
 }
 
-// Close gives the descriptor back, once.
+// Close closes the connection and releases its descriptor, once.
 func (c *client) Close() error {
 	if c.closed.Swap(true) {
 		return nil
@@ -131,16 +131,16 @@
 	return err
 }
 
-// serve serves the client's requests, one after the other.
+// serve serves the connection's requests one after the other until it ends.
 func (c *client) serve() {
 	defer func() { _ = c.Close() }()
-	defer func() { // a fault in serving one client is not to end the others
+	defer func() { // a panic in serving one client must not end the others
 		if p := recover(); p != nil {
 			slog.Error("serving a client", "panic", p, "stack", string(debug.Stack()))
 		}
 	}()
 	c.br = bufio.NewReaderSize(c, maxHeadBytes)
-	// Danger: one that connects and says nothing, or half a request, holds a descriptor that others need.
+	// A client that connects and sends nothing, or half a request, holds a descriptor that others need.
 	until := time.Now().Add(requestReadTimeout)
 	c.SetReadDeadline(until)
 	for c.serveNext(until) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// serveNext serves one request, which is to come whole by until, or soon after its first byte where that is zero; false
-// if it was the last one of the connection.
+// serveNext serves one request, which must be complete by until or, if that is zero, within requestReadTimeout of its
+// first byte. It returns false if the connection ends with it.
 func (c *client) serveNext(until time.Time) bool {
 	if _, err := c.br.Peek(1); err != nil {
 		return false
@@ -185,8 +185,8 @@
 		c.reject(http.StatusBadRequest, "not a request")
 		return false
 	}
-	// Danger: net/http drops the length silently where there is an encoding too, and an encoding in HTTP/1.0. Who
-	// reads the other one sees another request in the body, or behind it.
+	// net/http silently drops the length if there is an encoding as well, and an encoding in HTTP/1.0. An endpoint that
+	// prefers the other one would find another request in the body: request smuggling.
 	if coded && (length || len(r.TransferEncoding) == 0) {
 		c.reject(http.StatusBadRequest, "where the body ends is not clear")
 		return false
@@ -198,7 +198,7 @@
 	return c.front.handleRequest(c, r, until)
 }
 
-// readHead waits for the head of a request and gives it, still in the buffer.
+// readHead waits for a complete request head and returns it without consuming it.
 func (c *client) readHead() ([]byte, error) {
 	for n := 1; ; {
 		_, err := c.br.Peek(n)
@@ -216,7 +216,7 @@
 	}
 }
 
-// headEnd is where the empty line behind a head ends; 0 if it has not come.
+// headEnd returns the index behind the empty line that ends a head; 0 if it has not arrived.
 func headEnd(b []byte) int {
 	for i, ch := range b {
 		if ch != '\n' {
@@ -229,7 +229,7 @@
 	return 0
 }
 
-// framing tells whether a head gives the body's length, and whether it gives an encoding.
+// framing reports whether a head has a Content-Length and whether it has a Transfer-Encoding.
 func framing(head []byte) (length, coded bool) {
 	for line := range bytes.Lines(head) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
@@ -240,11 +240,12 @@
 	return length, coded
 }
 
-// awaitAnswer waits for the end of a request; false if the connection ends with it.
+// awaitAnswer waits until a request is answered and watches for the client's end meanwhile. It returns false if the
+// connection ends with the request.
 func (c *client) awaitAnswer(core *Core, q *Request, x *exchange) bool {
 	_, err := c.br.Peek(1)
-	if err == nil && !q.isDone() { // the next request, or one that comes too early
-		// Danger: with nobody reading on, a client that leaves now is not seen to, and its request is sent all the same.
+	if err == nil && !q.isDone() { // a pipelined request
+		// Reading on shows whether the client leaves, after which its request must not be forwarded.
 		c.readAhead.Store(true)
 		for err == nil && !x.finished.Load() {
 			_, err = c.br.Peek(c.br.Buffered() + 1)
@@ -253,7 +254,7 @@
 	}
 	switch {
 	case err == nil:
-	case errors.Is(err, bufio.ErrBufferFull): // what is not read hides whether the client leaves
+	case errors.Is(err, bufio.ErrBufferFull): // the full buffer hides whether the client leaves
 		guard := time.NewTimer(time.Until(q.deadline) + abandonMargin)
 		defer guard.Stop()
 		select {
@@ -272,7 +273,7 @@
 		if <-q.done; !x.closes {
 			c.SetReadDeadline(time.Now().Add(clientIdle))
 		}
-	default: // the client left, or has ended its sending and may yet read
+	default: // the client left, or has closed its sending side and may still read
 		core.Abandon(q)
 		<-q.done
 		return false
@@ -284,6 +285,7 @@
 	return true
 }
 
+// closeGracefully closes the sending side and reads for a while, so that the answer is not lost to a reset.
 func (c *client) closeGracefully() {
 	c.front.conns.markIdle(c)
 	_ = c.CloseWrite()
@@ -291,17 +293,18 @@
 	_, _ = io.CopyN(io.Discard, c.br, maxLingerBytes)
 }
 
+// reject answers with an error and closes the connection.
 func (c *client) reject(status int, text string) {
 	c.answerAndClose(Answer{Status: status, Body: []byte(text + "\n")})
 }
 
-// answerAndClose answers and ends the connection.
+// answerAndClose writes an answer and closes the connection.
 func (c *client) answerAndClose(a Answer) {
 	_ = c.writeAnswer(a, true)
 	c.closeGracefully()
 }
 
-// writeAnswer writes a whole answer.
+// writeAnswer writes a complete answer; last adds Connection: close.
 func (c *client) writeAnswer(a Answer, last bool) error {
 	p := responseBuffers.Get().(*[]byte)
 	defer responseBuffers.Put(p)
@@ -315,7 +318,7 @@
 	if a.noBody && length == 0 {
 		length = a.Length
 	}
-	if a.Status != http.StatusNoContent && a.Status != http.StatusNotModified && length >= 0 { // which have none, RFC 9110, 8.6
+	if a.Status != http.StatusNoContent && a.Status != http.StatusNotModified && length >= 0 { // these have none (RFC 9110, 8.6)
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
 	}
 	b = append(b, "\r\n"...)
@@ -333,12 +336,12 @@
 	return err
 }
 
-// exchange is one request of the connection, as its core sees it.
+// exchange is one request of a connection. It implements Client.
 type exchange struct {
 	client     *client
 	wantsClose bool
 	noBody     bool
-	closes     bool // the connection ends with the answer; set before the request is done
+	closes     bool // the connection ends with the answer; set before Done is closed
 	finished   atomic.Bool
 	stream     *stream
 }
@@ -348,7 +351,7 @@
 	errBroken = errors.New("the answer broke off")
 )
 
-// finish writes an answer and lets the client's connection go on, or end.
+// finish writes an answer and lets the connection go on or end.
 func (x *exchange) finish(write func(last bool) error) {
 	c := x.client
 	x.closes = c.front.closesAfterAnswer(x.wantsClose)
@@ -357,7 +360,7 @@
 	}
 	c.answerWritten()
 	if x.finished.Store(true); x.closes || c.readAhead.Load() {
-		c.SetReadDeadline(longAgo) // wakes the reader, to close the connection or to serve what it has
+		c.SetReadDeadline(longAgo) // wakes the reader, which closes the connection or serves the buffered request
 	}
 }
 
@@ -380,13 +383,14 @@
 	})
 }
 
+// stream writes the body of a streamed answer.
 type stream struct {
 	client  *client
 	body    io.Writer
 	trailer io.Closer
 }
 
-// beginStream writes the head of a long answer.
+// beginStream writes the head of a streamed answer.
 func (c *client) beginStream(status int, h http.Header, length int64, last bool) *stream {
 	p := responseBuffers.Get().(*[]byte)
 	defer responseBuffers.Put(p)
@@ -400,17 +404,17 @@
 		s.body, s.trailer = w, w
 	}
 	c.SetWriteDeadline(time.Now().Add(clientStall))
-	_, _ = c.Write(append(b, "\r\n"...)) // an error shows with the first part
+	_, _ = c.Write(append(b, "\r\n"...)) // an error recurs with the first write of the body
 	return s
 }
 
-// Write passes on a part. A client that stops reading is not waited for.
+// Write writes a part of the body, with a timeout against clients that do not read.
 func (s *stream) Write(p []byte) (int, error) {
 	s.client.SetWriteDeadline(time.Now().Add(clientStall))
 	return s.body.Write(p)
 }
 
-// Close ends an answer that is whole.
+// Close ends a complete body.
 func (s *stream) Close() error {
 	if s.trailer == nil {
 		return nil
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -16,14 +16,15 @@
 const (
 	acceptRetry = 5 * time.Millisecond
 	minIdle     = 50 * time.Millisecond
-	minSilence  = 10 * time.Millisecond // a client that has said nothing for so long makes room for a dial
+	minSilence  = 10 * time.Millisecond // a silent client that is older may be closed for a dial
 )
 
+// clientSet is the set of a front's client connections within the descriptor budget.
 type clientSet struct {
 	budget     *backend.Budget
-	maxClients int // above this many, clients leave too little for backends
+	maxClients int // beyond it clients leave too few descriptors for endpoints
 	boot       time.Time
-	shedSilent bool // clients that owe a head are shed where they are many
+	shedSilent bool // clients whose request heads do not arrive are shed when they are many
 
 	mu      sync.Mutex
 	clients map[*client]struct{}
@@ -47,14 +48,13 @@
 	return time.Since(c.boot) - time.Duration(q)
 }
 
-// add takes in a client that has just connected. Where clients are many, who has been idle for longest makes room for it; where
-// they hold half of what is to be left to backends, that may be one that has connected just before and said nothing yet. Where
-// nobody is to be had for that, it is shut itself unless its request is here, and add tells that. Where clients that owe a head
-// are shed (ShedHeads), that does it.
+// add adds a client that has just connected, and returns false if it was closed instead. Beyond maxClients the client that
+// has been idle longest is closed for it; once clients hold half of the descriptors reserved for endpoints, that may be one
+// that connected just before and has sent nothing yet. If no other client can be closed the new one is, unless its request
+// has arrived. With shedSilent, shedPendingHeads makes room instead.
 //
-// Danger: idle clients that come faster than they are shut hold what discovery, backends and the health check need. And where it
-// is the new one that is shut, instead of the oldest, a good client whose request is a moment behind its connection is too, on
-// each connection that it tries.
+// Otherwise a connection flood would take the descriptors of discovery, endpoints and health checks. The oldest client is
+// closed and not the new one, since a well-behaved client's request arrives a moment after its connection.
 func (c *clientSet) add(k *client) bool {
 	c.markIdle(k)
 	c.headPending(k)
@@ -64,7 +64,7 @@
 	c.mu.Unlock()
 	room := c.shedSilent || n <= c.maxClients || c.closeOldestIdle(minIdle) || n <= (c.maxClients+c.budget.Limit())/2 || c.closeOldestIdle(0)
 	c.budget.Force()
-	if k.closed.Load() { // nobody else was to be had
+	if k.closed.Load() { // it was the oldest itself
 		return false
 	}
 	if !room {
@@ -88,8 +88,8 @@
 
 func (c *clientSet) crowded() bool { return c.budget.Used() >= c.budget.Limit() }
 
-// full tells whether there are too many clients to take a request of one more. Those that owe a head, or have said nothing
-// yet, hold a descriptor, but ask nothing of backends.
+// full reports whether there are too many clients to accept a request of one more. Clients whose request has not arrived
+// hold a descriptor but need none at an endpoint.
 func (c *clientSet) full() bool {
 	c.mu.Lock()
 	n := len(c.clients)
@@ -115,24 +115,24 @@
 }
 
 const (
-	minHeadAge          = 250 * time.Millisecond // a head that is on its way for no longer is not shed: bursts come as fast
-	pendingHeadsDivisor = 4                      // of the clients' descriptors, one in so many may owe a head
-	prefixDivisor       = 8                      // and of one address prefix, one in so many
-	maxShedAtOnce       = 16                     // at once
-	maxBusySkipped      = 4                      // idle connections passed over for one descriptor
+	minHeadAge          = 250 * time.Millisecond // younger heads are not shed: they may belong to a burst
+	pendingHeadsDivisor = 4                      // of maxClients one in so many may have a pending head
+	prefixDivisor       = 8                      // and one in so many of one address prefix
+	maxShedAtOnce       = 16                     // in one call
+	maxBusySkipped      = 4                      // connections with unread bytes skipped for one descriptor
 )
 
-// headPending notes that a client's head is on its way from now on; paid that it has come, and tells whether it came before the
-// client was shed.
+// headPending notes that a client's next request head is awaited from now on.
 func (c *clientSet) headPending(k *client) {
 	if c.shedSilent {
 		k.headPendingSince.Store(int64(time.Since(c.boot)) + 1)
 	}
 }
 
+// headArrived notes that the head has arrived. It returns false if the client was shed before.
 func (c *clientSet) headArrived(k *client) bool { return k.headPendingSince.Swap(0) >= 0 }
 
-// halfOpen counts the clients that owe a head, and gives those that do for long by their address prefix.
+// halfOpen counts the clients with a pending head and returns those older than minHeadAge by address prefix.
 func (c *clientSet) halfOpen() (n int, old map[netip.Prefix][]*client) {
 	now := int64(time.Since(c.boot)) + 1
 	old = map[netip.Prefix][]*client{}
@@ -148,8 +148,8 @@
 	return n, old
 }
 
-// shedPendingHeads closes the oldest of the clients that owe a head, where they are too many: of the address prefix that has the
-// most of them. Danger: each holds a descriptor for as long as a request may take to come, and good clients have none.
+// shedPendingHeads closes the oldest clients with pending heads if these are too many, those of the address prefix with the
+// most of them first. Each would hold a descriptor for requestReadTimeout (slowloris).
 func (c *clientSet) shedPendingHeads() {
 	c.mu.Lock()
 	many := len(c.clients) > c.maxClients/prefixDivisor
@@ -175,7 +175,7 @@
 				at, since = i, v
 			}
 		}
-		if l[at].headPendingSince.CompareAndSwap(since, -1) { // else its head has come meanwhile
+		if l[at].headPendingSince.CompareAndSwap(since, -1) { // unless its head has arrived meanwhile
 			_ = l[at].Close()
 		}
 		old[from] = slices.Delete(l, at, at+1)
@@ -183,27 +183,27 @@
 	}
 }
 
-// PrefixOf is the part of an address that stands for one client: so many bits of IPv4 and of IPv6.
+// PrefixOf returns the address prefix that stands for one client: v4 bits of an IPv4 and v6 bits of an IPv6 address.
 func PrefixOf(a netip.Addr, v4, v6 int) netip.Prefix {
 	bits := v4
 	if a.Is6() {
 		bits = v6
 	}
-	p, _ := a.Prefix(bits) // no address, no prefix
+	p, _ := a.Prefix(bits) // the zero Prefix for the zero Addr
 	return p
 }
 
-// closeOldestIdle closes the client that has been idle for longest, if one has been for long enough; one that has never said anything
-// has after so long already, as clients send as soon as they have connected.
+// closeOldestIdle closes the client that has been idle longest, if one has been idle for minIdle. For a client that has never
+// sent anything silent is enough, since clients send as soon as they have connected. It reports whether it closed one.
 func (c *clientSet) closeOldestIdle(silent time.Duration) bool {
 	old := func(k *client) bool {
 		d := c.idleTime(k)
-		if c.shedSilent { // who owes a head is shed by other rules
+		if c.shedSilent { // pending heads are shed by other rules
 			return d >= minIdle && (k.served.Load() || d >= requestReadTimeout)
 		}
 		return d >= minIdle || d >= silent && !k.served.Load()
 	}
-	var passed []*client // whose next request has come: they are as good as busy
+	var passed []*client // whose next request has arrived
 	for len(passed) < maxBusySkipped {
 		var oldest *client
 		var most time.Duration
@@ -225,7 +225,7 @@
 	return false
 }
 
-// closeIdle closes the connections that have been idle for so long, and new ones on which nothing came for five times that.
+// closeIdle closes the connections that have been idle for so long, and unused ones after five times that.
 func (c *clientSet) closeIdle(idle time.Duration) {
 	for _, k := range c.list() {
 		old := func() bool {
@@ -238,7 +238,7 @@
 	}
 }
 
-// interruptReads wakes all who read.
+// interruptReads wakes all readers by a deadline in the past.
 func (c *clientSet) interruptReads() {
 	for _, k := range c.list() {
 		k.SetReadDeadline(longAgo)
@@ -255,7 +255,7 @@
 	return l
 }
 
-// awaitEmpty waits until no connection is left.
+// awaitEmpty blocks until no connection is left.
 func (c *clientSet) awaitEmpty() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,11 +264,11 @@
 	}
 }
 
-// Serve accepts clients on l and serves them until l is closed, or Stop has had its backlog emptied. Nothing else ends it:
-// where accepting fails, for want of a descriptor mostly, room is made, as what waits in the backlog counts as taken.
+// Serve accepts connections on l and serves them until l is closed or Stop has emptied its backlog. If accepting fails,
+// mostly for lack of descriptors, it closes an idle connection and goes on, since requests in the backlog count as accepted.
 func (f *Front) Serve(l net.Listener) { f.ServeAs("", l) }
 
-// ServeAs is Serve under a name, which the Router is told.
+// ServeAs is Serve with a listener name that the Router gets as Peer.Listener.
 func (f *Front) ServeAs(name string, l net.Listener) {
 	f.accepting.Add(1)
 	defer f.accepting.Add(-1)
@@ -277,8 +277,8 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // Stop has come
-			// Danger: a time that was over before Accept began says nothing of the backlog.
+		case errors.Is(err, os.ErrDeadlineExceeded): // Stop was called
+			// A deadline that was over before Accept began says nothing about the backlog.
 			if empty || !f.stopping.Load() {
 				l.Close()
 				return
@@ -293,7 +293,7 @@
 		}
 		empty = false
 		k := &client{TCPConn: nc.(*net.TCPConn), front: f, peer: Peer{Listener: name}}
-		if k.raw, err = k.SyscallConn(); err != nil { // it is closed already
+		if k.raw, err = k.SyscallConn(); err != nil { // the connection is closed already
 			nc.Close()
 			continue
 		}
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -1,5 +1,5 @@
-// Package proxy carries out what the decision module decides: its fronts take clients' requests, a core runs the
-// attempts that the module asks for, and gives each request its one final answer. It decides nothing itself.
+// Package proxy is the HTTP/1.1 proxy around the balancer. A Front reads clients' requests, a Core runs the attempts
+// that its balancer.Balancer asks for and gives each request exactly one final answer. Package proxy decides nothing itself.
 package proxy
 
 import (
@@ -21,85 +21,87 @@
 	logInterval        = 200 * time.Millisecond // between two lines of the module
 )
 
-// Options are what a core is told beside the module's settings.
+// Options configure a Core.
 type Options struct {
 	Settings        balancer.Settings
-	Seed            uint64
-	MaxOpen         int  // requests in hand; 0: no limit
-	LoadReports     bool // answers or probes carry them
+	Seed            uint64 // of the balancer's random numbers
+	MaxOpen         int    // requests without a final answer; 0 means no limit
+	LoadReports     bool   // responses or health checks carry load reports
 	HealthCheckPath string
-	Rests           bool  // a server's own Retry-After counts
-	BodyBytes       int64 // for all requests' bodies together
+	// HonorRetryAfter has a server that answers 503 left alone for as long as its Retry-After asks.
+	HonorRetryAfter bool
+	BodyBytes       int64 // memory for the bodies of all requests
 	Budget          *backend.Budget
-	// Open bounds the requests in hand beside MaxOpen, over all cores that share it; nil: no limit.
+	// Open bounds the requests without a final answer over all cores that share it, beside MaxOpen; nil means no limit.
 	Open Quota
-	// Memory is what the requests' bodies are booked on; nil: the front's own.
+	// Memory accounts for the requests' bodies; nil means the front's own.
 	Memory Quota
-	// OnCompleted is told of each request that has ended, once, with the core's lock held: it must not wait or call back; nil:
-	// nobody is.
+	// OnCompleted, if not nil, is called once for each request that has ended, with the core's lock held: it must neither
+	// block nor call the Core.
 	OnCompleted func(Completed)
-	// Source is asked for the list where the module decides when to ask; nil where nothing is asked for.
+	// Source fetches and watches the endpoint list when the balancer asks for it; nil if the list is pushed.
 	Source Source
 }
 
-// Completed is how a request ended.
+// Completed describes a request that has ended.
 type Completed struct {
 	Attributes balancer.Request
 	Method     string
-	Latency    time.Duration // until its answer was given, or its long answer was whole
+	Latency    time.Duration // until its answer was given, or its streamed answer was complete
 	Outcome    RequestOutcome
 }
 
-// RequestOutcome is what became of a request.
+// RequestOutcome is how a request ended.
 type RequestOutcome uint8
 
-// What may become of one.
+// The outcomes of a request.
 const (
 	OutcomeServed RequestOutcome = iota
 	OutcomeRejected
 	OutcomeFailed
-	OutcomeClientLeft // its client, or its time ran out
+	OutcomeClientLeft // the client left, or its time ran out
 )
 
-// Quota is a part of what several cores share. Its methods may be called by several goroutines at once.
+// Quota is a bounded amount that several cores share. Its methods may be called by several goroutines at once.
 type Quota interface {
-	Acquire(n int64) bool // books n, or tells that they are not to be had
-	Release(n int64)      // ends that
+	Acquire(n int64) bool // reserves n, or returns false if less is left
+	Release(n int64)      // returns n that was acquired
 }
 
-// Source is where the list of backends is asked for.
+// Source fetches the endpoint list. Its methods do not block.
 type Source interface {
-	Watch(on bool)
-	Fetch()
+	Watch(on bool) // begins or ends a watch
+	Fetch()        // fetches one full snapshot
 }
 
-// Client is where a request's one final answer goes: Answer is called once, or Begin and, once the answer has ended,
-// End. It is not called once the request's Done channel is closed.
+// Client receives a request's one final answer: either Answer is called once, or Begin and then Finish. Nothing is
+// called after the request's Done channel is closed.
 type Client interface {
 	Answer(a Answer)
-	// Begin gives the head of an answer whose body is long and where the body goes. A write fails where the client
-	// has left or stands still.
+	// Begin writes the head of a streamed answer and returns the writer of its body. Writes fail if the client has left
+	// or does not read.
 	Begin(status int, h http.Header, length int64) io.Writer
-	// Finish ends it. Where it is not whole the client must be able to tell.
-	Finish(whole bool)
+	// Finish ends a streamed answer. If it is not complete the client must be able to tell.
+	Finish(complete bool)
 }
 
 // Answer is a request's one final answer.
 type Answer struct {
 	Status     int
-	RetryAfter time.Duration // 0: not said
+	RetryAfter time.Duration // 0 means none
 	Header     http.Header
 	Body       []byte
-	Length     int64 // of the body that an answer to HEAD stands for; -1: not said
-	noBody     bool  // the client asked for the head only
+	Length     int64 // Content-Length of an answer to HEAD; -1 if not known
+	noBody     bool  // the request was a HEAD
 }
 
-// Request is a client's request as a front hands it over. A front makes one for each and leaves it alone until Done.
+// Request is a client's request on its way from a front to a core. Once a core has accepted it the front must not touch
+// it until Done is closed.
 type Request struct {
-	Attributes    balancer.Request // its ID is the core's alone
+	Attributes    balancer.Request // the ID is unique within the core
 	Send          backend.Request
 	Client        Client
-	ReservedBytes int64 // bytes of the Allowance that end with it
+	ReservedBytes int64 // of the memory quota, released by the core when the request is finished
 
 	id              string
 	acceptedAt      time.Duration
@@ -108,15 +110,15 @@
 	attemptsRunning int
 	answered        bool
 	answer          Answer
-	endpointError   *Answer          // a backend's own word of its failure
-	stream          *backend.Attempt // whose long answer is being passed on
+	endpointError   *Answer          // the endpoint's own error response
+	stream          *backend.Attempt // whose response is being streamed to the client
 	memory          Quota
 	done            chan struct{} // closed when the answer is written
 }
 
 type request = Request
 
-// Done is closed when the answer is written. It is nil before the request is taken.
+// Done returns a channel that is closed when the answer is written; nil before a core has accepted the request.
 func (q *Request) Done() <-chan struct{} { return q.done }
 
 func (q *Request) isDone() bool {
@@ -128,11 +130,11 @@
 	}
 }
 
-// Core runs the requests of one cluster: it carries out what one Balancer decides, knows no client's protocol, and
-// gives each request one final answer.
+// Core runs the requests of one cluster. It carries out the decisions of one Balancer, knows no client protocol and gives
+// each request exactly one final answer. Its methods may be called by several goroutines at once.
 type Core struct {
 	opt            Options
-	classDeadlines map[string]time.Duration // their deadlines
+	classDeadlines map[string]time.Duration
 	pool           *backend.Pool
 	boot           time.Time
 	bootUnix       time.Duration // boot as Unix time
@@ -144,17 +146,17 @@
 
 	mu         sync.Mutex
 	balancer   *balancer.Balancer
-	requests   map[string]*request // in hand: unanswered, or with attempts out
+	requests   map[string]*request // unanswered, or with attempts running
 	unanswered int                 // unanswered
 	upstreams  map[string]*backend.Upstream
 	lastLogged time.Time
-	toAnswer   []*request // to be told their answer once the lock is free
+	toAnswer   []*request // to be answered once the lock is released
 	stats      Stats
 	retired    bool
-	idle       chan struct{} // closed when it is retired and nothing is in hand
+	idle       chan struct{} // closed when the core is retired and has no requests left
 }
 
-// NewCore makes a core whose attempts go through pool.
+// NewCore returns a core whose attempts go through pool. Close ends it.
 func NewCore(opt Options, pool *backend.Pool) (*Core, error) {
 	n := &Core{opt: opt, pool: pool, boot: time.Now(), classDeadlines: map[string]time.Duration{}, idle: make(chan struct{}),
 		requests: map[string]*request{}, upstreams: map[string]*backend.Upstream{}}
@@ -168,17 +170,17 @@
 	return n, err
 }
 
-// Deadline is how long a request of a class may take over all its tries; 0 if there is no such class.
+// Deadline returns how long a request of a class may take over all attempts; 0 if there is no such class.
 func (n *Core) Deadline(class string) time.Duration { return n.classDeadlines[class] }
 
-// Ready tells whether a list has come.
+// Ready reports whether the core has received an endpoint list.
 func (n *Core) Ready() bool { return n.ready.Load() }
 
-// Clock is the core's reading of the time, as Unix time: what Server.Since is told on.
+// Clock returns the time since the Unix epoch by the monotonic clock; balancer.Server.Since uses the same.
 func (n *Core) Clock() time.Duration { return n.now() }
 
-// Accept has the core see to a request. Where it does not, the status says why and nothing else happens: 409 where the
-// ID is in hand, 503 where there are too many, 0 with false where the core is retired and another may take it.
+// Accept hands a request to the core. If ok is false nothing was done and status says why: 409 if a request with the same
+// ID is under way, 503 if there are too many requests, 0 if the core is retired and another core may take the request.
 func (n *Core) Accept(q *Request) (status int, ok bool) {
 	n.withBalancer(func(now time.Duration) {
 		switch {
@@ -201,7 +203,7 @@
 	return status, ok
 }
 
-// Abandon ends a request whose client has left, or whose time is over.
+// Abandon ends a request whose client has left or whose time is over.
 func (n *Core) Abandon(q *Request) {
 	n.withBalancer(func(now time.Duration) {
 		if n.settleAnswer(q, Answer{Status: http.StatusBadGateway}) {
@@ -213,21 +215,21 @@
 	})
 }
 
-// End gives a request that has no answer yet the one that the decision module words as things stand.
+// End gives a request that has no answer yet the final answer that the balancer chooses at this moment.
 func (n *Core) End(q *Request) {
 	n.withBalancer(func(now time.Duration) { n.balancer.Expire(now, q.id) })
-	n.Abandon(q) // where the module does not know of it
+	n.Abandon(q) // in case the balancer does not know of it
 }
 
-// ExpireAll gives every request in hand that has no answer yet its one answer now, as say words it: sent tells whether an attempt may
-// have run. What is being passed on to a client goes on. It gives how many were answered.
-func (n *Core) ExpireAll(say func(w balancer.Request, sent bool) Answer) (count int) {
+// ExpireAll gives every request without an answer the one that answer returns for it; sent is whether an attempt was made.
+// Responses that are being streamed go on. It returns the number of requests that were answered.
+func (n *Core) ExpireAll(answer func(attributes balancer.Request, sent bool) Answer) (count int) {
 	n.withBalancer(func(now time.Duration) {
 		for _, q := range n.requests {
 			if q.answered {
 				continue
 			}
-			a := say(q.Attributes, len(q.attempts) > 0)
+			a := answer(q.Attributes, len(q.attempts) > 0)
 			n.settleAnswer(q, a)
 			count++
 			if a.Status == http.StatusServiceUnavailable {
@@ -244,7 +246,7 @@
 	return count
 }
 
-// Retire has the core take nothing more. What it gives is closed once nothing is in hand.
+// Retire has the core accept no more requests. The returned channel is closed once it has none left.
 func (n *Core) Retire() <-chan struct{} {
 	n.withBalancer(func(time.Duration) {
 		if !n.retired {
@@ -265,17 +267,17 @@
 	}
 }
 
-// Stats counts what a core did since its start.
+// Stats are a core's counters since its start.
 type Stats struct {
-	Accepted     uint64 // requests
-	Served       uint64 // answered with an endpoint's answer
-	Rejected     uint64 // answered 503: asking again is harmless
-	Failed       uint64 // answered, but not with a good answer
-	ClientLeft   uint64 // whose client left, or whose time ran out with no word of the decision module
-	Sends        uint64
-	Retries      uint64                       // of them, those after a request's first
-	Attempts     [balancer.NotSent + 1]uint64 // by result
-	TotalLatency time.Duration                // from the request to its answer, all served ones together
+	Accepted     uint64                       // requests
+	Served       uint64                       // answered with an endpoint's successful response
+	Rejected     uint64                       // answered 503 with the promise that a retry has no second effect
+	Failed       uint64                       // answered with an error
+	ClientLeft   uint64                       // whose client left, or whose time ran out before the balancer decided
+	Sends        uint64                       // attempts
+	Retries      uint64                       // attempts after a request's first
+	Attempts     [balancer.NotSent + 1]uint64 // by balancer.Result
+	TotalLatency time.Duration                // of all served requests
 }
 
 // Add adds o to s.
@@ -287,34 +289,35 @@
 	}
 }
 
-// Stats gives the counters.
+// Stats returns the counters.
 func (n *Core) Stats() Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stats
 }
 
-// Inspect runs fn while the decision module stands still: what it asks of may be looked at. fn must not call the Core.
+// Inspect calls fn with the core's lock held, so that fn may read the state of the balancer's LocalityPicker and
+// Admission. fn must neither block nor call the Core.
 func (n *Core) Inspect(fn func(now time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	fn(n.now())
 }
 
-// EachServer tells of each server of the last list how many attempts are out at it, and whether it is ejected.
+// EachServer calls fn for each server of the endpoint list with the attempts in flight and whether it is ejected.
 func (n *Core) EachServer(fn func(id string, inFlight int, ejected bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.balancer.EachServer(n.now(), fn)
 }
 
-// InFlight is how many requests have no answer yet.
+// InFlight returns the number of requests without a complete answer.
 func (n *Core) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	in := n.unanswered
 	for _, q := range n.requests {
-		if q.stream != nil { // answered, and still being passed on
+		if q.stream != nil { // answered, and still being streamed
 			in++
 		}
 	}
@@ -329,7 +332,7 @@
 	}
 }
 
-// writeAnswer gives a request its whole answer.
+// writeAnswer gives a request its answer.
 func (n *Core) writeAnswer(r *request) {
 	r.Client.Answer(r.answer)
 	close(r.done)
@@ -344,7 +347,7 @@
 	return settled
 }
 
-// UpdateEndpoints takes news of the list.
+// UpdateEndpoints applies an update of the endpoint list.
 func (n *Core) UpdateEndpoints(u discovery.Update) {
 	settled := n.runLocked(func(now time.Duration) {
 		if u.Kind != balancer.UpdateFailed {
@@ -352,7 +355,7 @@
 		}
 		n.balancer.UpdateEndpoints(now, u.EndpointUpdate)
 	})
-	// Danger: a client that reads nothing would hold up who brings the news.
+	// On goroutines of their own: a client that does not read must not delay the caller.
 	for _, r := range settled {
 		n.attempts.Go(func() { n.writeAnswer(r) })
 	}
@@ -361,7 +364,7 @@
 	}
 }
 
-// updateUpstreams brings the pools up to date.
+// updateUpstreams makes the upstreams match an update of the endpoint list.
 func (n *Core) updateUpstreams(u discovery.Update) {
 	if u.Kind != balancer.UpdateDelta {
 		for uid := range n.upstreams {
@@ -395,7 +398,7 @@
 	}
 }
 
-// runAttempt runs one attempt and reports how it ended.
+// runAttempt runs one attempt and reports its outcome to the balancer.
 func (n *Core) runAttempt(r *request, i int, a *backend.Attempt) {
 	defer n.attempts.Done()
 	sent := time.Now()
@@ -410,14 +413,14 @@
 			return r.Client.Begin(status, h, length)
 		})
 	}
-	if reply.Unwanted { // before the module is told how the attempt ended, or it would make another one
+	if reply.Unwanted { // before the outcome is reported, or the balancer would retry
 		n.Abandon(r)
 	}
 	o := balancer.Outcome{ID: r.id, Attempt: i, Result: reply.Result, Latency: time.Since(sent)}
 	if n.opt.LoadReports {
 		o.LoadReport = backend.ParseLoad(reply.LoadReport)
 	}
-	if n.opt.Rests {
+	if n.opt.HonorRetryAfter {
 		o.RetryAfter = reply.RetryAfter
 	}
 	if streams {
@@ -474,8 +477,8 @@
 	}
 }
 
-// abortUnsent has what is not yet written of a request that is over written nowhere. Danger: the module may not call off an
-// attempt everywhere, and one whose connection comes up late would send the request long after its answer.
+// abortUnsent aborts the attempts that have not yet written the request. Settings may forbid to cancel attempts, and one
+// whose connection comes up late would send the request long after its final answer.
 func (q *Request) abortUnsent() {
 	for _, a := range q.attempts {
 		if a != nil && a != q.stream {
@@ -484,7 +487,7 @@
 	}
 }
 
-// countAnswered counts a request as answered.
+// countAnswered releases an answered request's place among the open ones.
 func (n *Core) countAnswered() {
 	n.unanswered--
 	if n.opt.Open != nil {
@@ -503,7 +506,7 @@
 	return true
 }
 
-// forgetIfFinished forgets a request that is answered and has nothing out.
+// forgetIfFinished forgets a request that is answered and has no attempt running.
 func (n *Core) forgetIfFinished(r *request) {
 	if r.answered && r.attemptsRunning == 0 && n.requests[r.id] == r {
 		delete(n.requests, r.id)
@@ -514,7 +517,7 @@
 	}
 }
 
-// upstream is where a server is, or nowhere if it has left the list.
+// upstream returns a server's upstream; one without an address if the server has left the endpoint list.
 func (n *Core) upstream(server string) *backend.Upstream {
 	if up := n.upstreams[server]; up != nil {
 		return up
@@ -522,7 +525,7 @@
 	return n.pool.Nowhere()
 }
 
-// host is the Core as the module sees it: its methods are called with the lock held.
+// host is the Core as a balancer.Host. Its methods are called with the lock held.
 type host Core
 
 func (h *host) Send(id, server string, expire time.Duration) {
@@ -561,7 +564,7 @@
 func (h *host) answer(id string, a Answer) {
 	n := (*Core)(h)
 	r := n.requests[id]
-	if r != nil && r.endpointError != nil { // the backend's own word says more
+	if r != nil && r.endpointError != nil { // the endpoint's own error says more
 		a = *r.endpointError
 	}
 	if n.settleAnswer(r, a) {
@@ -578,7 +581,7 @@
 
 func (h *host) Cancel(id string, i int) {
 	if r := h.requests[id]; r != nil && i >= 0 && i < len(r.attempts) && r.attempts[i] != nil &&
-		r.attempts[i] != r.stream { // what the client is getting is not called off
+		r.attempts[i] != r.stream { // a response that is being streamed goes on
 		r.attempts[i].Cancel()
 	}
 }
@@ -634,7 +637,7 @@
 	}
 }
 
-// Close ends what the core still runs: attempts are called off, and what they were for is answered by the module.
+// Close cancels all attempts, has the balancer answer their requests and waits for both.
 func (n *Core) Close() {
 	n.cancel()
 	n.mu.Lock()
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -10,57 +10,59 @@
 	"robindrum/internal/backend"
 )
 
-// maxRoutings is how often a request may be routed: its core can be retired while its body comes.
+// maxRoutings bounds how often one request is routed: its core may be retired while its body is read.
 const maxRoutings = 4
 
-// Router says where requests go. Route may be called by several goroutines at once, and again for a request whose
-// core was retired meanwhile; it neither reads the body nor keeps or changes r.
+// Router chooses the core of a request. Route may be called by several goroutines at once, and again for a request whose
+// core was retired meanwhile. It must neither read the body nor retain or modify r.
 type Router interface {
 	Route(r *http.Request, from Peer) Destination
 }
 
-// Peer is who asks, and where.
+// Peer identifies a client connection.
 type Peer struct {
-	Listener string // the name that ServeAs was given
+	Listener string // as given to ServeAs
 	Addr     netip.Addr
 }
 
-// Destination is the core that takes a request and the words it gets, or, where Core is nil, the answer at once.
+// Destination is where a request goes: to Core with Attributes or, if Core is nil, nowhere, and the other fields are the
+// answer.
 type Destination struct {
 	Core       *Core
-	Attributes balancer.Request // Left is positive
+	Attributes balancer.Request // TimeLeft is positive
 	Status     int
 	Text       string
 	Header     http.Header
-	RetryAfter time.Duration // until the client may come back; 0: not said
-	Close      bool          // the connection ends with that answer
+	RetryAfter time.Duration // 0 means none
+	Close      bool          // the connection is closed after the answer
 }
 
-// Front serves clients over HTTP/1.1: whole requests in, one final answer each. Which core takes a request is its
-// Router's to say.
+// Front serves clients over HTTP/1.1. It reads complete requests and writes one final answer for each; its Router chooses
+// the core. Its methods may be called by several goroutines at once.
 type Front struct {
 	router       Router
-	maxBodyBytes int64 // of a body
-	wholeSeconds bool  // Retry-After
+	maxBodyBytes int64
+	wholeSeconds bool // of Retry-After
 	conns        *clientSet
 	bodies       bodyBudget
 
-	stopping, closing atomic.Bool
-	accepting         atomic.Int32  // how many accept
-	expired           chan struct{} // closed when what is in hand is to have its answer at once
+	stopping  atomic.Bool
+	closing   atomic.Bool   // connections are closed after their next answer
+	accepting atomic.Int32  // running calls of ServeAs
+	expired   chan struct{} // closed when open requests are to be answered at once
 }
 
-// FrontOptions bound a front.
+// FrontOptions configure a Front.
 type FrontOptions struct {
-	Budget            *backend.Budget // of descriptors; clients' connections count against it
-	BodyBytes         int64           // for bodies whose core has no Memory of its own
-	MaxBodyBytes      int64           // bytes; 0: LongestBody
+	Budget            *backend.Budget // of descriptors; client connections count against it
+	BodyBytes         int64           // memory for bodies of cores without a memory quota
+	MaxBodyBytes      int64           // of one body; 0 means DefaultMaxBodyBytes
 	Router            Router
-	ShedSilentClients bool // clients whose heads are long in coming give way where descriptors are short
-	WholeSeconds      bool // Retry-After is told in whole seconds, as RFC 9110 has it, rounded up
+	ShedSilentClients bool // clients whose request heads do not arrive are closed when descriptors are short
+	WholeSeconds      bool // Retry-After is written in whole seconds, rounded up, as RFC 9110 requires
 }
 
-// NewFront makes a front.
+// NewFront returns a front that serves nothing yet.
 func NewFront(opt FrontOptions) *Front {
 	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, wholeSeconds: opt.WholeSeconds, conns: newClientSet(opt.Budget, opt.ShedSilentClients),
 		expired: make(chan struct{})}
@@ -84,13 +86,13 @@
 	}
 }
 
-// SetClosing has each connection end behind its next answer, or go on again.
+// SetClosing sets whether each connection is closed after its next answer.
 func (f *Front) SetClosing(on bool) { f.closing.Store(on) }
 
-// Stopping tells whether Stop was called.
+// Stopping reports whether Stop was called.
 func (f *Front) Stopping() bool { return f.stopping.Load() }
 
-// ConnectionCount is how many clients are connected.
+// ConnectionCount returns the number of client connections.
 func (f *Front) ConnectionCount() int { return len(f.conns.list()) }
 
 // CloseIdle closes all connections.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,14 +11,14 @@
 	"robindrum/internal/discovery"
 )
 
-// Node is the platform's balancer node: one front before one core, fed by the platform's discovery.
+// Node is the platform's proxy node: one front and one core, with endpoints from the platform's discovery.
 type Node struct {
 	*Core
 	*Front
 	discovery *discovery.Client
 }
 
-// New makes a node. Start has it watch the list of backends.
+// New returns a node. Start begins to follow the endpoint list.
 func New(opt Options, pool *backend.Pool) (*Node, error) {
 	n := &Node{}
 	n.Front = NewFront(FrontOptions{Budget: opt.Budget, BodyBytes: opt.BodyBytes, Router: n})
@@ -28,19 +28,19 @@
 	return n, err
 }
 
-// Start delivers the list that the node remembers and begins to follow news of it.
+// Start delivers the cached endpoint list and begins to follow discovery.
 func (n *Node) Start(news *discovery.Client, known []byte) error {
 	n.discovery = news
 	return news.Start(known)
 }
 
-// Watch begins to follow the list, or ends that.
+// Watch begins or ends a watch of the endpoint list.
 func (n *Node) Watch(on bool) { n.discovery.Watch(on) }
 
-// Fetch asks for the whole list once.
+// Fetch fetches one full snapshot of the endpoint list.
 func (n *Node) Fetch() { n.discovery.Fetch() }
 
-// Route is the platform's protocol: one core, the class in a header or the path.
+// Route implements Router for the platform's protocol: one core, with the class in a header or in the path.
 func (n *Node) Route(r *http.Request, _ Peer) Destination {
 	id := r.Header.Get("X-Trace-Id")
 	switch {
@@ -74,7 +74,7 @@
 	return q
 }
 
-// Close ends what the node still runs.
+// Close ends the node: its discovery, attempts and client connections.
 func (n *Node) Close() {
 	n.cancel()
 	if n.discovery != nil {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -12,16 +12,16 @@
 
 const abandonMargin = 15 * time.Millisecond
 
-// responseBuffers hold the heads of answers, and whole short ones.
+// responseBuffers are for the heads of responses, and for complete short ones.
 var responseBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// handleRequest takes a client's request, whose body is to be whole by until, and sees to its answer; false if the
-// connection ends with it.
+// handleRequest reads a request's body, which must be complete by until, and has the request answered. It returns false
+// if the connection ends with it.
 func (f *Front) handleRequest(c *client, r *http.Request, until time.Time) bool {
 	c.served.Store(true)
 	d := f.router.Route(r, c.peer)
 	switch {
-	case d.Core == nil && (d.Close || r.ContentLength != 0): // a body that nobody reads stands before the next request
+	case d.Core == nil && (d.Close || r.ContentLength != 0): // an unread body would precede the next request
 		c.answerAndClose(d.answer())
 		return false
 	case d.Core == nil:
@@ -54,7 +54,7 @@
 		switch {
 		case errors.Is(err, errTooLong):
 			status = http.StatusRequestEntityTooLarge
-		case errors.Is(err, errNoMemory), f.hasExpired(): // it has not been sent on
+		case errors.Is(err, errNoMemory), f.hasExpired(): // it was not forwarded
 			status = http.StatusServiceUnavailable
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			status = http.StatusRequestTimeout
@@ -62,8 +62,8 @@
 		c.reject(status, err.Error())
 		return false
 	}
-	// Danger: clients send one request at a time, so what stands behind one belongs to its body, whose length was
-	// given wrong, or is meant to be taken for somebody else's request.
+	// Clients send one request at a time: further bytes belong to a body with a wrong length, or are an attempt at request
+	// smuggling.
 	if c.br.Buffered() > 0 {
 		memory.Release(q.ReservedBytes)
 		c.reject(http.StatusBadRequest, "more came than the request")
@@ -71,16 +71,16 @@
 	}
 	x := &exchange{client: c, wantsClose: r.Close, noBody: r.Method == http.MethodHead}
 	q.Client = x
-	// Danger: the end of a client is read by a goroutine of its own, which on a busy node may wait its turn behind thousands.
+	// The goroutine that reads the client's end may be scheduled late on a busy machine, so attempts look for themselves.
 	q.Send.StillWanted = func() bool {
 		_, left := c.peek()
 		return !left
 	}
-	// d's words were taken before the header loses what concerns this connection only, its time with it.
+	// Route has read the header before the hop-by-hop fields, the deadline among them, are removed.
 	q.Send.Method, q.Send.URI, q.Send.Host = r.Method, r.URL.RequestURI(), r.Host
 	header := endToEnd(r.Header)
 	q.Send.Header = header
-	// Danger: a client may have left while its request waited to be read. Nobody wants the answer, and the work is real.
+	// The client may have left while its request waited to be read; forwarding it would waste an endpoint's work.
 	if _, left := c.peek(); left {
 		memory.Release(q.ReservedBytes)
 		c.reject(http.StatusServiceUnavailable, "the client has left")
@@ -91,7 +91,7 @@
 		q.Attributes = d.Attributes
 		q.Attributes.Size = q.Send.Body.Len()
 		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + abandonMargin))
-		if f.hasExpired() { // not sooner: who ends what is in hand wakes its reader by that time
+		if f.hasExpired() { // after the deadline is set: Stop wakes readers by that deadline
 			memory.Release(q.ReservedBytes)
 			c.reject(http.StatusServiceUnavailable, errEnding.Error())
 			return false
@@ -100,7 +100,7 @@
 		switch {
 		case ok:
 			return c.awaitAnswer(d.Core, q, x)
-		case status == 0: // its core was retired while the body came
+		case status == 0: // the core was retired while the body was read
 			if d = f.router.Route(r, c.peer); d.Core != nil {
 				continue
 			}
@@ -123,7 +123,7 @@
 	return a
 }
 
-// malformed tells what is wrong with a request that net/http's parser lets through, if anything.
+// malformed says what is wrong with a request that net/http's parser accepts; empty if nothing is.
 func malformed(r *http.Request) string {
 	if r.Host == "" && r.ProtoAtLeast(1, 1) || !isPlainText(r.Host) || strings.ContainsRune(r.Host, ' ') {
 		return "Host is missing or malformed"
@@ -161,12 +161,12 @@
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Content-Length", "Upgrade", "Expect", "X-Expires-In-Ms"}
 
-// endToEnd takes from h what concerns one connection only.
+// endToEnd removes the hop-by-hop fields from h and returns it.
 func endToEnd(h http.Header) http.Header {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			switch name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name {
-			case "X-Trace-Id", "Idempotency-Key": // go on whatever the client says
+			case "X-Trace-Id", "Idempotency-Key": // forwarded whatever the client's Connection header says
 			default:
 				delete(h, name)
 			}
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	acceptAfterStop   = 550 * time.Millisecond // connections still come for up to 0.4 s after the signal
+	acceptAfterStop   = 550 * time.Millisecond // new connections arrive for up to 0.4 s after SIGTERM
 	idleCloseInterval = 10 * time.Millisecond
 	expireMargin      = 100 * time.Millisecond
 
-	backlogWait    = 10 * time.Millisecond // with none in the backlog for so long, twice, it is empty
+	backlogWait    = 10 * time.Millisecond // a backlog that yields no connection for so long, twice, is empty
 	maxBacklogTime = time.Second
 )
 
 type deadliner interface{ SetDeadline(t time.Time) error }
 
-// Stop ends the front without losing a request: it goes on accepting while the front still sends, has every
-// client close behind its answer, closes what is idle and waits for the rest. Shortly before ctx's deadline what is still in
-// hand gets its answer as it stands, and nothing new is taken; what is being passed on goes on until ctx ends.
+// Stop shuts the front down gracefully. It goes on accepting connections for a while, since clients and load balancers
+// learn of the shutdown late, closes each connection after its answer, closes idle ones and waits for the others. Shortly
+// before ctx's deadline open requests get their final answer and no new ones are accepted; streamed responses go on until
+// ctx ends.
 func (f *Front) Stop(ctx context.Context, listeners ...net.Listener) {
 	f.stopping.Store(true)
 	pause(ctx, acceptAfterStop)
@@ -47,8 +48,8 @@
 	}
 }
 
-// drainBacklogs accepts what the listeners' backlogs hold, and closes them. Danger: a connection that the kernel has taken may
-// carry a request, and closing the listener resets it.
+// drainBacklogs has the connections in the listeners' backlogs accepted before it closes the listeners, since closing a
+// listener resets connections that the kernel has established and that may carry a request.
 func (f *Front) drainBacklogs(ctx context.Context, listeners []net.Listener) {
 	for _, l := range listeners {
 		if d, ok := l.(deadliner); ok {
