--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	// CompleteAnswerBytes is the longest answer that is read whole before it is passed on; a longer one streams.
+	// CompleteAnswerBytes is the longest response body that is read completely before it is forwarded; longer ones are
+	// streamed.
 	CompleteAnswerBytes     = 64 << 10
 	maxHeadBytes            = 64 << 10
-	defaultMaxResponseBytes = 32 << 20 // no answer is longer: one that says so is spoilt
+	defaultMaxResponseBytes = 32 << 20 // a response that announces more is invalid
 	maxInlineBodyBytes      = 16 << 10
 	defaultStallTimeout     = 1500 * time.Millisecond
 	defaultPauseTimeout     = 250 * time.Millisecond
 	pauseGrace              = 5 * time.Millisecond
-	errorBodyTimeout        = 20 * time.Millisecond // what an error's body may take for its connection to be kept
+	errorBodyTimeout        = 20 * time.Millisecond // to read an error's body, so that its connection can be reused
 )
 
-// Body is a request's body in pieces; it can be read any number of times.
+// Body is a request's body in pieces. It can be read any number of times.
 type Body [][]byte
 
-// Len is its length.
+// Len returns the length in bytes.
 func (b Body) Len() (n int64) {
 	for _, p := range b {
 		n += int64(len(p))
@@ -37,38 +38,38 @@
 	return n
 }
 
-// Request is what goes to a backend. All attempts of a client's request share it and leave it as it is. Its
-// words are written as they stand: whoever took them from a client has checked them.
+// Request is what is sent to an endpoint. All attempts of a client's request share it and must not modify it. Its strings
+// are written as they are: the caller has validated what came from a client.
 type Request struct {
 	Method string
 	URI    string // path and query
 	Host   string
 	Header http.Header
 	Body   Body
-	// StillWanted is asked right before an attempt connects, and before it writes the request: does anybody still wait for the
-	// answer? It may be called by several goroutines at once, and must not wait. nil: somebody does.
+	// StillWanted, if not nil, is called right before an attempt connects and before it writes the request; if it returns
+	// false the attempt ends as unwanted. It may be called by several goroutines at once and must not block.
 	StillWanted func() bool
 }
 
-// Reply is how an attempt ended.
+// Reply is the result of an attempt.
 type Reply struct {
 	Result      balancer.Result
-	Status      int // 0: there is no whole answer to pass on
+	Status      int // 0 if there is no complete response to forward
 	Header      http.Header
 	Body        []byte
-	Length      int64 // of the body that an answer to HEAD stands for; -1: not said
+	Length      int64 // Content-Length of a response to HEAD; -1 if not given
 	Streamed    bool
-	Unwanted    bool          // nothing was written, as nobody waits for the answer any more
-	RetryAfter  time.Duration // what a 503's Retry-After asks for; 0: nothing
-	FirstByteAt time.Time     // when a streamed answer's first bytes came
+	Unwanted    bool          // nothing was written, since the client has left
+	RetryAfter  time.Duration // of a 503; 0 if not given
+	FirstByteAt time.Time     // of a streamed response
 	LoadReport  string
 }
 
-// Begin is asked once an answer is known to be long: it commits the request to this attempt and gives the
-// client's writer, or nil if the request is over.
+// Begin commits a request to the attempt whose response is to be streamed. It returns the client's writer, or nil if the
+// request has its final answer already.
 type Begin func(status int, header http.Header, length int64) io.Writer
 
-// Attempt is one send of a request to one backend.
+// Attempt sends a request once to one endpoint. Cancel and Abort may be called at any time; Do is called once.
 type Attempt struct {
 	upstream *Upstream
 	req      *Request
@@ -76,20 +77,20 @@
 
 	mu         sync.Mutex
 	conn       *conn
-	cancelDial context.CancelFunc // ends the dial
+	cancelDial context.CancelFunc // of the dial
 	cancelled  bool
-	aborted    bool // what has not been written of the request is not to be
-	written    bool // its last byte has been
+	aborted    bool // the rest of the request must not be written
+	written    bool // the request's last byte
 }
 
-// NewAttempt prepares an attempt that is given up at deadline.
+// NewAttempt returns an attempt that times out at deadline.
 func NewAttempt(up *Upstream, req *Request, deadline time.Time) *Attempt {
 	return &Attempt{upstream: up, req: req, deadline: deadline}
 }
 
 var longAgo = time.Unix(1, 0)
 
-// Cancel stops waiting for the attempt. It neither blocks nor waits.
+// Cancel ends the attempt. It does not block.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -102,9 +103,8 @@
 	}
 }
 
-// Abort has an attempt whose request is over write no more of it, whether or not it may be cancelled: a backend begins
-// no request before its last byte has come. An attempt that has written that byte goes on; another one ends as not sent.
-// It neither blocks nor waits.
+// Abort ends an attempt that has not yet written the request's last byte; its result is NotSent, since an endpoint does not
+// start a request before that byte. An attempt that has written it goes on. Abort does not block.
 func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,10 +120,10 @@
 	}
 }
 
-// isOverLocked tells, under the lock, whether the attempt is to go no further.
+// isOverLocked reports whether the attempt must not go on. The lock is held.
 func (a *Attempt) isOverLocked() bool { return a.cancelled || a.aborted && !a.written }
 
-// bind makes c the connection that Cancel and Withdraw interrupt; false if one of them has come already.
+// bind makes c the connection that Cancel and Abort interrupt. It returns false if one of them was called before.
 func (a *Attempt) bind(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,7 +131,7 @@
 	return !a.isOverLocked()
 }
 
-// unbind ends that hold on the connection; false if it was used.
+// unbind undoes bind. It returns false if Cancel or Abort has interrupted the connection.
 func (a *Attempt) unbind() bool { return a.bind(nil) }
 
 func (a *Attempt) isCancelled() bool {
@@ -157,7 +157,7 @@
 	return t.Before(a.deadline) && a.extendDeadline(c, t)
 }
 
-// Do runs the attempt.
+// Do runs the attempt to its end and returns its result.
 func (a *Attempt) Do(begin Begin) Reply {
 	c, err := a.connect()
 	if err != nil {
@@ -170,7 +170,7 @@
 		case a.isOver():
 			return Reply{Result: balancer.NotSent}
 		case errors.As(err, &timeout) && timeout.Timeout() && !time.Now().Before(a.deadline):
-			// It was the client's time that ran out: that says nothing against the backend.
+			// The client's time ran out, which is not the endpoint's failure.
 			return Reply{Result: balancer.TimedOut}
 		case isLocalError(err):
 			return Reply{Result: balancer.NotSent}
@@ -178,7 +178,7 @@
 		return Reply{Result: balancer.NotConnected}
 	}
 	reply, clean := a.roundTrip(c, begin)
-	// A cancel that comes now would leave its mark on a connection that is somebody else's by then.
+	// After unbind a late Cancel cannot interrupt the next request of the connection.
 	if a.unbind() && clean {
 		c.returnToPool()
 	} else {
@@ -211,7 +211,7 @@
 		if c, err = a.upstream.dial(ctx, a.deadline); err != nil {
 			return nil, err
 		}
-		// Danger: a connection may be long in coming up, and whoever reads from the client may be as late to see its end.
+		// The client may have left while the connection came up.
 		if !a.stillWanted() {
 			c.returnToPool()
 			return nil, errNotWanted
@@ -221,7 +221,7 @@
 		c.drop()
 		return nil, context.Canceled
 	}
-	// Danger: a connection may be long in coming up, and the list may say meanwhile that nothing more goes there.
+	// The endpoint may have been drained or removed while the connection came up.
 	if a.upstream.closedToNew.Load() {
 		a.unbind()
 		c.drop()
@@ -282,7 +282,7 @@
 	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 }
 
-// roundTrip writes the request and reads the answer. clean: the connection can carry another request.
+// roundTrip writes the request and reads the response. If clean is true the connection can be reused.
 func (a *Attempt) roundTrip(c *conn, begin Begin) (reply Reply, clean bool) {
 	var wrote error
 	join := func() error { return wrote }
@@ -291,8 +291,8 @@
 			a.extendWithin(c, errorBodyTimeout)
 		}
 	} else {
-		// Danger: a backend may answer, with an error say, and read no further. A node that first writes it
-		// all would wait for a reader that is not there.
+		// An endpoint may answer, with an error for example, without reading the whole body, so a long body is written
+		// beside the reading.
 		done := make(chan error, 1)
 		go func() {
 			err := a.writeRequest(c)
@@ -344,20 +344,20 @@
 		reply.Status, reply.Header, reply.Body = resp.StatusCode, resp.Header, text
 		return reply, c.br.Buffered() == 0
 	}
-	// Where an answer ends without saying cannot be told from where it broke. Danger: one that says 3 GB keeps
-	// coming, and once its client has the head nobody else can serve the request.
+	// The end of a response without framing cannot be told from a broken connection. A response that announces too much
+	// is refused before its head is forwarded, while a retry is still possible.
 	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.upstream.pool.maxResponseBytes() && a.req.Method != http.MethodHead {
 		return Reply{Result: balancer.ConnectionLost, LoadReport: reply.LoadReport}, false
 	}
 	if !a.readBody(c, resp, begin, &reply) {
 		return reply, false
 	}
-	// Danger: set any sooner, the head of an answer whose body broke off would pass for an answer.
+	// Only now: a head whose body broke off is not a response.
 	reply.Status, reply.Header, reply.Length = resp.StatusCode, resp.Header, resp.ContentLength
 	return reply, join() == nil && !resp.Close && c.br.Buffered() == 0
 }
 
-// parseRetryAfter reads a Retry-After, in seconds or as a date (RFC 9110, 10.2.3); 0 where there is none that can be read.
+// parseRetryAfter parses a Retry-After in seconds or as a date (RFC 9110, 10.2.3). It returns 0 for anything else.
 func parseRetryAfter(text string, now time.Time) time.Duration {
 	if n, err := strconv.ParseUint(text, 10, 31); err == nil {
 		return time.Duration(n) * time.Second
@@ -368,12 +368,12 @@
 	return 0
 }
 
-// delimited tells whether the answer says where it ends.
+// delimited reports whether the response is framed by a length or by chunks.
 func delimited(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) == 1 && r.TransferEncoding[0] == "chunked"
 }
 
-// readHead reads the head of the final answer.
+// readHead reads the head of the final response and skips informational ones.
 func (a *Attempt) readHead(c *conn) (*http.Response, error) {
 	c.headBytesLeft = maxHeadBytes
 	defer func() { c.headBytesLeft = -1 }()
@@ -395,8 +395,8 @@
 	return nil, errors.New("no final answer")
 }
 
-// awaitVersion waits until an answer shows that it is one. Danger: net/http's parser waits for the end of a line, which
-// noise may not have, while another backend could still serve the request.
+// awaitVersion waits for the HTTP version that begins a response. net/http's parser waits for the end of the line, which
+// garbage may not have, while another endpoint could still serve the request.
 func (c *conn) awaitVersion() error {
 	const version = "HTTP/1."
 	for n := range len(version) {
@@ -411,7 +411,7 @@
 	return nil
 }
 
-// classifyFailure words an exchange that ended with no answer. wrote is how the writing ended.
+// classifyFailure returns the result of a round trip without a response, by the errors of reading and writing.
 func (a *Attempt) classifyFailure(read, wrote error) balancer.Result {
 	switch {
 	case a.isCancelled():
@@ -422,7 +422,7 @@
 		return balancer.TimedOut
 	case wrote != nil:
 		return balancer.NotConnected
-	case errors.Is(read, os.ErrDeadlineExceeded): // it stopped half way
+	case errors.Is(read, os.ErrDeadlineExceeded): // the response stalled
 		return balancer.TimedOut
 	}
 	return balancer.ConnectionLost
@@ -433,7 +433,7 @@
 	if n := resp.ContentLength; n >= 0 && n <= size {
 		size = n
 	} else if n > size {
-		size = 4 << 10 // its first bytes are as good as it gets: it is streamed anyway
+		size = 4 << 10 // it is streamed from its first bytes on
 	}
 	buf := make([]byte, 0, min(size+1, 1<<10))
 	atOnce := a.upstream.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.upstream.pool.opt.StreamResponse(resp.Header)
@@ -467,7 +467,7 @@
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
 
-// stream passes on the rest. No deadline counts any more, only that neither side stands still.
+// stream forwards the rest of the body. The deadline no longer applies, only the stall timeouts of both sides.
 func (a *Attempt) stream(c *conn, resp *http.Response, first []byte, w io.Writer, reply *Reply) bool {
 	p := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(p)
@@ -495,7 +495,7 @@
 	}
 }
 
-// HealthCheck asks a backend for path beside the requests, and tells how that ended.
+// HealthCheck requests path from an endpoint and returns the result.
 func HealthCheck(ctx context.Context, up *Upstream, path string, timeout time.Duration) Reply {
 	req := &Request{Method: http.MethodGet, URI: path, Header: http.Header{}}
 	a := NewAttempt(up, req, time.Now().Add(timeout))
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -6,16 +6,17 @@
 	"sync/atomic"
 )
 
-// Descriptors are what a pool's connections are booked on.
+// Descriptors is the descriptor budget of a Pool. Its methods may be called by several goroutines at once.
 type Descriptors interface {
-	Acquire() bool // reserves one, or tells that none is left
+	Acquire() bool // reserves one, or returns false if none is left
 	Release()
 	OnShort(fn func() bool) (leave func())
 	Used() int
 	Limit() int
 }
 
-// Budget counts the descriptors that clients and backend connections hold together.
+// Budget counts the descriptors of client and endpoint connections together. Its methods may be called by several
+// goroutines at once.
 type Budget struct {
 	limit    int64
 	used     atomic.Int64
@@ -23,11 +24,11 @@
 	evictors []*func() bool
 }
 
-// NewBudget makes a budget of limit descriptors.
+// NewBudget returns a budget of limit descriptors.
 func NewBudget(limit int) *Budget { return &Budget{limit: int64(max(limit, 2))} }
 
-// OnShort adds a way to free a descriptor: fn closes one idle connection and tells whether there was one. What it
-// gives ends that.
+// OnShort registers fn, which closes one idle connection and reports whether there was one. The returned function
+// unregisters it.
 func (b *Budget) OnShort(fn func() bool) (leave func()) {
 	p := &fn
 	b.mu.Lock()
@@ -40,7 +41,7 @@
 	}
 }
 
-// Acquire reserves a descriptor for a dial. Where none is left an idle connection makes room, if there is one.
+// Acquire reserves a descriptor for a dial. If none is left it has an idle connection closed, if there is one.
 func (b *Budget) Acquire() bool {
 	for {
 		u := b.used.Load()
@@ -54,7 +55,8 @@
 	}
 }
 
-// Force books a descriptor that is held already: an accepted connection. It makes room behind itself.
+// Force counts a descriptor that is in use already, that of an accepted connection, and has an idle connection closed if
+// there are too many now.
 func (b *Budget) Force() {
 	if b.used.Add(1) > b.limit {
 		b.EvictOne()
@@ -64,13 +66,13 @@
 // Release returns a descriptor.
 func (b *Budget) Release() { b.used.Add(-1) }
 
-// Limit is how many descriptors there are.
+// Limit returns the number of descriptors.
 func (b *Budget) Limit() int { return int(b.limit) }
 
-// Used is how many are held.
+// Used returns how many are in use or reserved.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
-// EvictOne closes one idle connection, and tells whether there was one.
+// EvictOne closes one idle connection and reports whether there was one.
 func (b *Budget) EvictOne() bool {
 	b.mu.Lock()
 	evict := b.evictors
@@ -83,8 +85,8 @@
 	return false
 }
 
-// Share is one cluster's part of a Budget: some descriptors are its own whatever the others do, the rest it takes from
-// what nobody owns.
+// Share is one cluster's part of a Budget: a reserved number of descriptors, and beyond it those that no share has
+// reserved. Its methods may be called by several goroutines at once.
 type Share struct {
 	budget *Budget
 
@@ -94,14 +96,14 @@
 	evictors        []*func() bool
 }
 
-// Share books own descriptors for one user alone, until End. It holds at most most of them; 0: as many as there are.
+// Share reserves own descriptors for one user until Close. The user may acquire up to most; 0 means no bound of its own.
 func (b *Budget) Share(own, most int) *Share {
 	s := &Share{budget: b}
 	s.Resize(own, most)
 	return s
 }
 
-// Resize changes what is its own and the most that it may hold. What it holds stays.
+// Resize changes the reservation and the limit. Descriptors in use stay so.
 func (s *Share) Resize(own, most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,10 +112,10 @@
 	s.reserved, s.limit = int64(own), int64(most)
 }
 
-// Close gives back what is its own. What it still holds goes back with each Give.
+// Close ends the reservation. Descriptors in use are returned by Release.
 func (s *Share) Close() { s.Resize(0, 0) }
 
-// Limit is how many may be held.
+// Limit returns how many descriptors may be in use.
 func (s *Share) Limit() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,14 +125,14 @@
 	return s.budget.Limit()
 }
 
-// Used is how many are held.
+// Used returns how many descriptors are in use.
 func (s *Share) Used() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int(s.used)
 }
 
-// Acquire reserves a descriptor. Where none is left an idle connection makes room, if there is one.
+// Acquire reserves a descriptor. If none is left it has an idle connection closed, if there is one.
 func (s *Share) Acquire() bool {
 	s.mu.Lock()
 	for s.limit > 0 && s.used >= s.limit {
@@ -143,12 +145,12 @@
 	s.used++
 	own := s.used <= s.reserved
 	s.mu.Unlock()
-	if own || s.budget.Acquire() { // not under the lock: room is made by giving back, maybe here
+	if own || s.budget.Acquire() { // not under the lock: evicting calls Release, possibly of this share
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// One that was given back meanwhile counted as one of the Budget's, since this one stood before it.
+	// A descriptor released meanwhile was counted as the Budget's, because this one preceded it.
 	if s.used--; s.used < s.reserved {
 		s.budget.used.Add(1)
 	}
@@ -182,7 +184,7 @@
 	return false
 }
 
-// OnShort adds a way to free a descriptor. Others may use it only while more is held than is this user's own.
+// OnShort registers fn as Budget.OnShort does. Other users have it called only while this share exceeds its reservation.
 func (s *Share) OnShort(fn func() bool) (leave func()) {
 	p := &fn
 	s.mu.Lock()
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,6 +1,5 @@
-// Package backend is the node's side toward the backends: a pool of connections for each of them, and one
-// attempt of a request over HTTP/1.1. Nothing here is sent twice: an attempt writes its request once, on one
-// connection, and reports one result.
+// Package backend sends requests to endpoints over HTTP/1.1. It has a connection pool for each endpoint and attempts, each
+// of which writes its request once on one connection and returns one result; nothing here retries.
 package backend
 
 import (
@@ -19,21 +18,23 @@
 	"time"
 )
 
-// Options bound the pool.
+// Options configure a Pool.
 type Options struct {
-	ConnectTimeout time.Duration // a connection that is not up by then never was
+	ConnectTimeout time.Duration // for a new connection
 	IdleTimeout    time.Duration
-	// ReuseDelay is how long a connection is left alone behind an answer before it carries another request. What a backend sends
-	// unasked some milliseconds late would pass for the answer to that one: HTTP/1.1 cannot tell. 0: not at all.
+	// ReuseDelay is how long a connection rests after a response before it is reused. Bytes that an endpoint sends late and
+	// unasked would otherwise be taken for the next response. 0 means none.
 	ReuseDelay time.Duration
-	// IsAnswer tells which statuses are answers to pass on; others are failures of the backend, whose short answers
-	// come with the Reply as well. nil: 200 alone, and nothing of a failure's answer is kept.
+	// IsAnswer reports whether a response with this status is forwarded; others are endpoint failures, whose short bodies
+	// come with the Reply. If nil, 200 alone is, and nothing of a failure's response is retained.
 	IsAnswer func(status int) bool
-	// PauseTimeout is how long an answer may stand still once it has begun, Stall the same of one that is passed on already;
-	// 0: 250 ms and 1.5 s, the platform's. Longest is the length that none may say to have; 0: 32 MiB, the platform's.
-	PauseTimeout, StallTimeout time.Duration
-	MaxResponseBytes           int64
-	// StreamResponse tells from an answer's head that it is to be passed on as it comes, however short; nil: none is.
+	// PauseTimeout bounds the pauses within a response; 0 means 250 ms.
+	PauseTimeout time.Duration
+	// StallTimeout bounds the pauses within a response that is being streamed; 0 means 1.5 s.
+	StallTimeout time.Duration
+	// MaxResponseBytes bounds the announced length of a response; 0 means 32 MiB.
+	MaxResponseBytes int64
+	// StreamResponse reports by a response's head whether it is streamed however short it is; nil means none is.
 	StreamResponse func(head http.Header) bool
 }
 
@@ -50,11 +51,11 @@
 	return p.opt.IsAnswer(status)
 }
 
-// Pool keeps the idle connections of all backends.
+// Pool holds the idle connections to all endpoints. Its methods may be called by several goroutines at once.
 type Pool struct {
 	opt          Options
 	budget       Descriptors
-	stopEvicting func() // ends the pool's part in making room
+	stopEvicting func() // unregisters evict from the budget
 	dialer       net.Dialer
 
 	mu        sync.Mutex
@@ -63,32 +64,32 @@
 	closed    bool
 }
 
-// Upstream is one backend at one address.
+// Upstream is one endpoint at one address.
 type Upstream struct {
 	pool    *Pool
 	addr    string
 	since   time.Duration
-	idle    []*conn // by since: the one used last is at the end
+	idle    []*conn // ordered by lastUsed
 	retired bool
-	// closedToNew: it has left the list or is draining, and nothing new goes there.
+	// closedToNew is set once the endpoint is removed or draining: no new attempt begins.
 	closedToNew atomic.Bool
 }
 
-// conn is a connection to a backend; it carries one request at a time.
+// conn is a connection to an endpoint. It carries one request at a time.
 type conn struct {
 	*net.TCPConn
 	br            *bufio.Reader
 	headBytesLeft int64
-	lastUsed      time.Time // when it was used last
+	lastUsed      time.Time
 	upstream      *Upstream
 
 	attempt       *Attempt
-	responseBegun bool // some of that answer has come
+	responseBegun bool // some bytes of the response have arrived
 }
 
 var errHeadTooLong = errors.New("the head of the answer is too long")
 
-// Read bounds the head: net/http's parser has no limit of its own for an endless one.
+// Read bounds the response's head, for which net/http's parser has no limit.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.headBytesLeft < 0 {
 		return c.readBounded(p)
@@ -101,21 +102,21 @@
 	return n, err
 }
 
-// readBounded bounds the pauses of an answer that has begun. Danger: a backend whose answer stops half way would hold
-// the request until the client's time is up, when another could still have served it.
+// readBounded bounds the pauses of a response that has begun. Otherwise an endpoint that stops half way would hold the
+// request until the client's deadline, when another one could still have served it.
 func (c *conn) readBounded(p []byte) (int, error) {
 	a := c.attempt
 	bounded := a != nil && c.responseBegun && a.extendWithin(c, a.upstream.pool.pauseTimeout())
 	n, err := c.TCPConn.Read(p)
 	if bounded && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && a.extendWithin(c, pauseGrace) {
-		// Where this node got no CPU for so long, the rest may have come meanwhile.
+		// If this process was not scheduled for so long, the rest may have arrived meanwhile.
 		n, err = c.TCPConn.Read(p)
 	}
 	c.responseBegun = c.responseBegun || n > 0
 	return n, err
 }
 
-// NewPool makes an empty pool whose connections count against budget.
+// NewPool returns an empty pool whose connections count against budget.
 func NewPool(opt Options, budget Descriptors) *Pool {
 	if opt.ConnectTimeout <= 0 {
 		opt.ConnectTimeout = 250 * time.Millisecond
@@ -129,10 +130,10 @@
 	return p
 }
 
-// Nowhere is a backend that the node has no address for: nothing is sent to it.
+// Nowhere returns an endpoint without an address: attempts at it end as not sent.
 func (p *Pool) Nowhere() *Upstream { return &Upstream{pool: p, retired: true} }
 
-// Upstream adds a backend that started at since.
+// Upstream adds an endpoint that started at since.
 func (p *Pool) Upstream(addr string, since time.Duration) *Upstream {
 	u := &Upstream{pool: p, addr: addr, since: since}
 	p.mu.Lock()
@@ -141,13 +142,13 @@
 	return u
 }
 
-// Addr is where the backend listens.
+// Addr returns the endpoint's address.
 func (u *Upstream) Addr() string { return u.addr }
 
-// Since is when the backend started.
+// Since returns when the endpoint started.
 func (u *Upstream) Since() time.Duration { return u.since }
 
-// Retire forgets a backend that is gone or has moved. Attempts that are out end as they would have.
+// Retire removes an endpoint that has left the list or has moved. Attempts in flight go on.
 func (u *Upstream) Retire() {
 	u.closedToNew.Store(true)
 	u.pool.mu.Lock()
@@ -157,7 +158,7 @@
 	u.CloseIdle()
 }
 
-// SetDraining says whether anything new may go to the backend. Attempts that have not begun by then end as not sent.
+// SetDraining sets whether the endpoint is draining: attempts that have not begun by then end as not sent.
 func (u *Upstream) SetDraining(on bool) {
 	u.closedToNew.Store(on)
 	if on {
@@ -165,7 +166,7 @@
 	}
 }
 
-// CloseIdle closes the backend's idle connections.
+// CloseIdle closes the endpoint's idle connections.
 func (u *Upstream) CloseIdle() {
 	u.pool.mu.Lock()
 	idle := u.idle
@@ -174,7 +175,7 @@
 	u.pool.dropAll(idle)
 }
 
-// Close closes all idle connections, and those that come back later.
+// Close closes all idle connections, and others when they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -223,7 +224,7 @@
 	}
 }
 
-// isUsable tells whether the peer has neither closed the connection nor sent anything unasked.
+// isUsable reports whether the peer has neither closed the connection nor sent anything unasked.
 func (c *conn) isUsable() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -242,14 +243,13 @@
 	return ok && err == nil
 }
 
-// returnToPool puts the connection in the pool, or closes it where there is none to go back to. Danger: one that did
-// neither would hold its descriptor, and a place at the backend, for good.
+// returnToPool puts a connection back into the pool, or closes it if the endpoint or the pool is closed.
 func (c *conn) returnToPool() {
 	c.lastUsed = time.Now()
 	c.insertIdle()
 }
 
-// insertIdle is keep for a connection that was not used: to the backend it has been idle for as long as before.
+// insertIdle is returnToPool for a connection that was not used and so keeps its idle time.
 func (c *conn) insertIdle() {
 	u, p := c.upstream, c.upstream.pool
 	p.mu.Lock()
@@ -319,8 +319,8 @@
 	errNotWanted    = errors.New("nobody waits for the answer any more")
 )
 
-// isLocalError tells whether a dial failed for want of something of this node's. Danger: taken for a backend that does
-// not let itself be connected to, a shortage here has healthy backends put out of the draws.
+// isLocalError reports whether a dial failed for lack of a local resource, which must not count as an endpoint's failure:
+// a shortage here would eject healthy endpoints.
 func isLocalError(err error) bool {
 	for _, e := range []error{errNoDescriptor, errNoAddress, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 		syscall.ENOBUFS, syscall.ENOMEM} {
@@ -347,7 +347,7 @@
 	defer cancel()
 	nc, err := p.dialer.DialContext(ctx, "tcp", u.addr)
 	if err != nil {
-		p.budget.Release() // or a backend that is down eats the descriptors, one for each try
+		p.budget.Release() // a failed dial holds no descriptor
 		return nil, err
 	}
 	c := &conn{TCPConn: nc.(*net.TCPConn), upstream: u, headBytesLeft: -1}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps up with the list of backends: it reads whole lists and watches, and delivers each
-// as one update. When to ask is not decided here, but where lists are pushed it always watches.
+// Package discovery follows the platform's endpoint list: it fetches snapshots, reads watches and delivers updates. A list
+// that is pushed is always watched; otherwise the balancer decides when to poll.
 package discovery
 
 import (
@@ -24,23 +24,23 @@
 	maxLineBytes = 8 << 20
 	dialTimeout  = time.Second
 
-	// Between two lines of a watch there is an empty one every 2 s, and what a silent one misses counts as told 6 s after
-	// its last, as does what a call misses that is not answered. Half as much again as a line's time, and there is room to
-	// ask anew, and for that call to wait for 2 s.
+	// A watch sends at least an empty line every 2 s. What a silent one misses counts as notified 6 s after its last line,
+	// which leaves time to call again.
 	defaultSilenceTimeout = 3500 * time.Millisecond
-	// An agent on the node's own machine answers at once, and what it has counts as told whether or not it was asked:
-	// nothing between two calls may take as long as sends to a draining server may go on, a second.
+	// The agent that pushes lists is on the same machine and answers at once. What it has counts as notified, so a failed
+	// call must be repeated well within the drain grace of a second.
 	agentTimeout         = 400 * time.Millisecond
 	defaultMinRetryPause = 100 * time.Millisecond
 	maxRetryPause        = 300 * time.Millisecond
 )
 
-// Update is one piece of news.
+// Update is an update of the endpoint list. Endpoints are the addresses of its servers by ID.
 type Update struct {
 	balancer.EndpointUpdate
 	Endpoints map[string]string
 }
 
+// listMessage is a line of the platform's protocol; its themed names are mapped by Parse.
 type listMessage struct {
 	Rev     *uint64          `json:"rev"`
 	All     bool             `json:"all"`
@@ -60,7 +60,8 @@
 
 var statesByWireName = map[string]balancer.State{"SERVING": balancer.Running, "DRAINING": balancer.Draining, "DELETED": balancer.Removed}
 
-// Parse reads one line. Anything odd makes all of it useless: half a change is not the list.
+// Parse decodes one line and returns its revision and update. It returns an error, and no part of the update, if anything
+// in the line is invalid.
 func Parse(line []byte) (rev uint64, u Update, err error) {
 	var l listMessage
 	if err := json.Unmarshal(line, &l); err != nil {
@@ -97,7 +98,7 @@
 	return *l.Rev, u, nil
 }
 
-// Client talks to discovery. Its methods do not block.
+// Client follows discovery. Its methods do not block, except for Stop, and may be called by several goroutines at once.
 type Client struct {
 	pushed  bool
 	deliver func(Update)
@@ -106,33 +107,33 @@
 	cancel  context.CancelFunc
 	calls   sync.WaitGroup
 
-	fetchTimeout     time.Duration // for all of a list
-	firstLineTimeout time.Duration // until a pushed list's watch is answered, or a watch that was asked for has told its first line
-	silenceTimeout   time.Duration // longer than this between two lines, and a watch is dead
-	minRetryPause    time.Duration // before a pushed list is watched again; longer each time
+	fetchTimeout     time.Duration // of a snapshot
+	firstLineTimeout time.Duration // until a watch sends its first line or, of a pushed list, its response's head
+	silenceTimeout   time.Duration // between two lines of a watch
+	minRetryPause    time.Duration // before a pushed list is watched again; doubled each time
 
-	deliverMu   sync.Mutex // updates leave one after the other, also those of calls side by side
+	deliverMu   sync.Mutex // updates are delivered one after the other, also those of concurrent calls
 	revision    uint64
 	hasRevision bool
 
-	mu             sync.Mutex // taken behind order
+	mu             sync.Mutex // acquired after deliverMu
 	url            string
-	addressCtx     context.Context // ends with the address
+	addressCtx     context.Context // ends when Move changes the address
 	cancelAddress  context.CancelFunc
-	currentWatch   *watchCall    // the watch that was asked for last, nil once it has ended
-	overdueWatch   *watchCall    // the one before it, if that is overdue and may yet be answered
-	addressChanged chan struct{} // a pushed list is to be watched elsewhere
+	currentWatch   *watchCall    // the latest watch; nil once it has ended
+	overdueWatch   *watchCall    // the one before it, if that is overdue and may still be answered
+	addressChanged chan struct{} // a pushed list is to be watched at another address
 }
 
-// watchCall is one call for a watch. Its fields are the Client's, under mu.
+// watchCall is one call of a watch. Its fields are guarded by Client.mu.
 type watchCall struct {
 	cancel    context.CancelFunc
-	overdue   bool          // it was told as refused
-	firstLine chan struct{} // closed with its first line
-	lastLine  time.Time     // its last line; zero: none
+	overdue   bool          // it was delivered as a failure
+	firstLine chan struct{} // closed with the first line
+	lastLine  time.Time     // when the last line came; zero if none has
 }
 
-// New makes a client; known is the list that the node had, delivered as remembered when Start is called.
+// New returns a client of the discovery at addr; deliver is called with one update after the other. Start begins.
 func New(addr string, pushed bool, deliver func(Update)) *Client {
 	c := &Client{url: instancesURL(addr), addressChanged: make(chan struct{}, 1), pushed: pushed, deliver: deliver,
 		fetchTimeout: 5 * time.Second, firstLineTimeout: defaultSilenceTimeout, silenceTimeout: defaultSilenceTimeout, minRetryPause: defaultMinRetryPause}
@@ -141,7 +142,7 @@
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.addressCtx, c.cancelAddress = context.WithCancel(c.ctx)
-	// No connection is used twice: a call on one that has just died would be sent again unasked.
+	// No connection is reused: net/http would repeat a call on a connection that has just died.
 	c.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext:            (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		MaxResponseHeaderBytes: 64 << 10}}
@@ -150,11 +151,8 @@
 
 func instancesURL(addr string) string { return "http://" + addr + "/registry/instances" }
 
-// Move asks at another address from now on. The list that was told stays; the whole of it is asked for anew, as
-// nothing says that the versions go on there.
-//
-// Danger: address and version change in one step, and calls at the old one end with it. Else a watch would ask the new
-// one for what changed since a version of the old one's, or a late list of the old one's would pass for the new one's.
+// Move changes the address. The present list stays, and a full snapshot is fetched from the new address, whose revisions
+// have nothing to do with the former one's: address and revision change in one step, and calls at the former address end.
 func (c *Client) Move(addr string) {
 	c.deliverMu.Lock()
 	c.mu.Lock()
@@ -174,7 +172,8 @@
 	c.Watch(true)
 }
 
-// Start delivers the list that the node remembers, nil if none, and where lists are pushed begins to watch.
+// Start delivers the cached list, which may be nil, and begins to watch if lists are pushed. It returns an error if known
+// is not a valid list; it has started all the same.
 func (c *Client) Start(known []byte) error {
 	var u Update
 	var err error
@@ -193,7 +192,7 @@
 	return err
 }
 
-// Stop ends all calls; nothing is delivered after it has returned.
+// Stop ends all calls and waits for them. Nothing is delivered after it has returned.
 func (c *Client) Stop() {
 	c.cancel()
 	c.calls.Wait()
@@ -219,15 +218,15 @@
 	}
 }
 
-// Watch begins a watch, in place of one that is on, or ends it. One that is overdue goes on beside the new one until
-// either has told something: a service with a queue may yet answer it, and one that hung may not.
+// Watch begins a watch in place of the present one, or ends it. An overdue one goes on beside the new one until either
+// sends a line, since an overloaded service may still answer it.
 func (c *Client) Watch(on bool) {
 	if c.pushed {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if on && c.currentWatch != nil && c.currentWatch.overdue && !c.currentWatch.lastLine.IsZero() { // answered after all
+	if on && c.currentWatch != nil && c.currentWatch.overdue && !c.currentWatch.lastLine.IsZero() { // it was answered after all
 		return
 	}
 	old := c.currentWatch
@@ -255,7 +254,7 @@
 	})
 }
 
-// reportOverdue tells that a watch has said nothing for too long, and leaves it on.
+// reportOverdue delivers a failure if a watch sends no line in time, and leaves the watch on.
 func (c *Client) reportOverdue(ctx context.Context, a *watchCall) {
 	t := time.NewTimer(c.firstLineTimeout)
 	defer t.Stop()
@@ -275,7 +274,7 @@
 	}
 }
 
-// lineReceived notes a line of a watch. The first one ends the other watch, if there are two.
+// lineReceived notes a line of a watch. A watch's first line ends the other watch if there are two.
 func (c *Client) lineReceived(a *watchCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,7 +294,7 @@
 	a.lastLine = time.Now()
 }
 
-// watchEnded tells that a watch has ended, unless that was told already or it was ended from here.
+// watchEnded delivers a failure for a watch that has ended, unless one was delivered or the watch was cancelled here.
 func (c *Client) watchEnded(ctx context.Context, a *watchCall) {
 	c.mu.Lock()
 	if c.currentWatch == a {
@@ -314,7 +313,7 @@
 	}
 }
 
-// Fetch asks for the whole list once.
+// Fetch fetches one snapshot. A failure is delivered as such.
 func (c *Client) Fetch() {
 	if c.ctx.Err() != nil {
 		return
@@ -331,7 +330,7 @@
 	})
 }
 
-// deliverFailure tells that a call failed or a watch ended that was silent for so long, unless it was ended from here.
+// deliverFailure delivers that a call failed, or that a watch ended after a silence, unless ctx was cancelled here.
 func (c *Client) deliverFailure(ctx context.Context, silent time.Duration) {
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
@@ -340,7 +339,7 @@
 	}
 }
 
-// startCall begins a call, of a watch or of a whole list, and gives the version that was known as it began.
+// startCall begins a watch or a fetch and returns the revision that was known as it began.
 func (c *Client) startCall(ctx context.Context, watch bool) (resp *http.Response, known knownRevision, err error) {
 	c.deliverMu.Lock()
 	c.mu.Lock()
@@ -358,7 +357,7 @@
 	return resp, known, err
 }
 
-// knownRevision is that of the list that was delivered last, if any.
+// knownRevision is the revision of the latest delivered list, if there is one.
 type knownRevision struct {
 	revision uint64
 	known    bool
@@ -397,7 +396,8 @@
 	return err
 }
 
-// deliverLine delivers a line of a call that began, or had its last line, as known was known, and gives what is known then.
+// deliverLine delivers a line of a call and returns the revision known afterwards; known is the one that was known when the
+// call began or its previous line was delivered.
 func (c *Client) deliverLine(ctx context.Context, line []byte, known knownRevision) (knownRevision, error) {
 	rev, u, err := Parse(line)
 	if err != nil {
@@ -408,8 +408,8 @@
 	if err := ctx.Err(); err != nil {
 		return known, err
 	}
-	// Danger: old news would undo newer, a drain say. A whole list that is older than what was known as it was asked for
-	// is none: the versions have begun anew. One that another call has overtaken since is.
+	// An older update must not undo a newer one. A snapshot with a lower revision than was known when it was requested means
+	// that revisions have started anew; one that another call has overtaken since is stale.
 	if c.hasRevision && rev < c.revision && (u.Kind == balancer.UpdateDelta || known != (knownRevision{c.revision, true})) {
 		return known, fmt.Errorf("version %d after %d", rev, c.revision)
 	}
@@ -418,14 +418,13 @@
 	return knownRevision{rev, true}, nil
 }
 
-// readWatch reads a watch to its end and tells whether a list came. a is nil where lists are pushed.
+// readWatch reads a watch to its end and reports whether a list came. a is nil if lists are pushed.
 func (c *Client) readWatch(parent context.Context, a *watchCall) (got bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	// Danger: a machine that is cut off says nothing. Without the empty lines the watch is dead, and bytes that make no
-	// line are no sign of life either.
+	// A partitioned service closes nothing: a watch without complete lines is dead.
 	first := c.firstLineTimeout
-	if a != nil { // overdue by then, and given as long again beside the next call
+	if a != nil { // it is overdue by then, and goes on for as long beside the next call
 		first *= 2
 	}
 	alive := time.AfterFunc(first, cancel)
@@ -442,7 +441,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	if a == nil && !lasts(c.silenceTimeout) { // where it is asked for, the head alone is no life: half an answer is none
+	if a == nil && !lasts(c.silenceTimeout) { // of a polled list the head alone is no sign of life
 		return false
 	}
 	r := bufio.NewReaderSize(resp.Body, 4<<10)
@@ -454,10 +453,10 @@
 		if open.scan(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxLineBytes {
 			continue
 		}
-		if err != nil || len(line) > maxLineBytes { // a line that broke off is none
+		if err != nil || len(line) > maxLineBytes { // an incomplete line is dropped
 			return got
 		}
-		if open.unfinished() { // a list may come indented, over several lines
+		if open.unfinished() { // a list may be indented over several lines
 			continue
 		}
 		if !lasts(c.silenceTimeout) {
@@ -479,7 +478,7 @@
 	}
 }
 
-// objectScanner follows whether a JSON object that begins a line has ended with it.
+// objectScanner detects whether a JSON object is complete at the end of a line.
 type objectScanner struct {
 	depth           int
 	quoted, escaped bool
@@ -502,5 +501,5 @@
 	}
 }
 
-// unfinished tells whether more is to come behind the end of the line; none does in the middle of a string.
+// unfinished reports whether the object goes on behind the line. A line that ends within a string does not.
 func (o *objectScanner) unfinished() bool { return o.depth > 0 && !o.quoted }
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,4 +1,4 @@
-// Package resource shares bounded amounts (bytes, requests in hand) among users, each of which has a part of its own.
+// Package resource shares bounded amounts, such as bytes or open requests, among users with reservations.
 package resource
 
 import (
@@ -6,35 +6,35 @@
 	"sync"
 )
 
-// Pool is a bounded amount. Its Shares may be used by several goroutines at once.
+// Pool is a bounded amount. It and its Shares may be used by several goroutines at once.
 type Pool struct {
 	mu    sync.Mutex
 	limit int64
-	used  int64 // booked: what shares own, and what they hold beyond that
+	used  int64 // reservations, and what shares use beyond them
 }
 
-// NewPool makes a pool of an amount.
+// NewPool returns a pool of an amount.
 func NewPool(most int64) *Pool { return &Pool{limit: most} }
 
-// Used is what is held or owned, Most what there is.
+// Used returns how much is reserved or in use.
 func (p *Pool) Used() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.used
 }
 
-// Limit is the whole amount.
+// Limit returns the full amount.
 func (p *Pool) Limit() int64 { return p.limit }
 
-// Share is one user's part: own is kept for it whatever the others do, the rest it takes from what nobody owns.
+// Share is one user's part of a Pool: a reservation, and beyond it what nobody has reserved.
 type Share struct {
 	pool            *Pool
 	reserved, limit int64
 	used            int64
 }
 
-// Share books own for one user until End. It holds at most most; 0: as much as there is. Where own is not to be had
-// beside what is booked already, that is an error.
+// Share reserves own for one user until Close. The user may acquire up to most; 0 means no bound of its own. It returns an
+// error if own is not available.
 func (p *Pool) Share(own, most int64) (*Share, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,8 +45,8 @@
 	return &Share{pool: p, reserved: own, limit: most}, nil
 }
 
-// Resize changes what is its own and the most that it may hold. What it holds stays. Where own is not to be had that
-// is an error, and nothing changes.
+// Resize changes the reservation and the limit. What is in use stays so. If own is not available it returns an error and
+// changes nothing.
 func (s *Share) Resize(own, most int64) error {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -59,10 +59,10 @@
 	return nil
 }
 
-// Close gives back what is its own. What it still holds goes back with each Give.
-func (s *Share) Close() { _ = s.Resize(0, s.limit) } // less can always be had
+// Close ends the reservation. What is in use is returned by Release.
+func (s *Share) Close() { _ = s.Resize(0, s.limit) } // a smaller reservation is always available
 
-// Acquire books n, or tells that they are not to be had.
+// Acquire takes n, or returns false if less is available.
 func (s *Share) Acquire(n int64) bool {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -78,7 +78,7 @@
 	return true
 }
 
-// Release ends the booking of n.
+// Release returns n that was acquired.
 func (s *Share) Release(n int64) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -86,7 +86,7 @@
 	s.used -= n
 }
 
-// Used is what is held.
+// Used returns how much is in use.
 func (s *Share) Used() int64 {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
