--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -18,7 +18,8 @@
 	// CompleteAnswerBytes is the longest response body that is read completely before it is forwarded; longer ones are
 	// streamed.
 	CompleteAnswerBytes     = 64 << 10
-	maxHeadBytes            = 64 << 10
+	maxHeadBytes            = 64 << 10 // of a response
+	maxErrorBodyBytes       = 64 << 10 // of an error response, beyond which its connection is closed
 	defaultMaxResponseBytes = 32 << 20 // a response that announces more is invalid
 	maxInlineBodyBytes      = 16 << 10
 	defaultStallTimeout     = 1500 * time.Millisecond
@@ -282,36 +283,38 @@
 	return append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 }
 
-// roundTrip writes the request and reads the response. If clean is true the connection can be reused.
-func (a *Attempt) roundTrip(c *conn, begin Begin) (reply Reply, clean bool) {
-	var wrote error
-	join := func() error { return wrote }
-	if a.req.Body.Len() <= maxInlineBodyBytes {
-		if wrote = a.writeRequest(c); wrote != nil {
+// startWriting writes the request, a long body beside the reading of the response. The returned function waits for the end
+// of the writing, interrupting it if it still goes on, and returns its error.
+func (a *Attempt) startWriting(c *conn) (join func() error) {
+	write := func() error {
+		err := a.writeRequest(c)
+		if err != nil {
 			a.extendWithin(c, errorBodyTimeout)
 		}
-	} else {
-		// An endpoint may answer, with an error for example, without reading the whole body, so a long body is written
-		// beside the reading.
-		done := make(chan error, 1)
-		go func() {
-			err := a.writeRequest(c)
-			if err != nil {
-				a.extendWithin(c, errorBodyTimeout)
-			}
-			done <- err
-		}()
-		join = sync.OnceValue(func() error {
-			select {
-			case err := <-done:
-				return err
-			default:
-			}
-			c.SetWriteDeadline(longAgo)
-			return <-done
-		})
-		defer func() { _ = join() }()
+		return err
 	}
+	if a.req.Body.Len() <= maxInlineBodyBytes {
+		err := write()
+		return func() error { return err }
+	}
+	// An endpoint may answer, with an error for example, without reading the whole body.
+	done := make(chan error, 1)
+	go func() { done <- write() }()
+	return sync.OnceValue(func() error {
+		select {
+		case err := <-done:
+			return err
+		default:
+		}
+		c.SetWriteDeadline(longAgo)
+		return <-done
+	})
+}
+
+// roundTrip writes the request and reads the response. If clean is true the connection can be reused.
+func (a *Attempt) roundTrip(c *conn, begin Begin) (reply Reply, clean bool) {
+	join := a.startWriting(c)
+	defer func() { _ = join() }()
 	c.attempt, c.responseBegun = a, false
 	defer func() { c.attempt = nil }()
 	resp, err := a.readHead(c)
@@ -320,29 +323,8 @@
 	}
 	reply.LoadReport = resp.Header.Get("Endpoint-Load-Metrics")
 	if !a.upstream.pool.isAnswer(resp.StatusCode) {
-		reply.Result = balancer.ServerError
-		if s := resp.StatusCode; (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) &&
-			resp.Header.Get("X-Never-Ran") == "1" {
-			reply.Result = balancer.Rejected
-		}
-		if resp.StatusCode == http.StatusServiceUnavailable {
-			reply.RetryAfter = parseRetryAfter(resp.Header.Get("Retry-After"), time.Now())
-		}
-		if join() != nil || resp.Close || !delimited(resp) {
-			return reply, false
-		}
-		c.attempt = nil
-		a.extendDeadline(c, time.Now().Add(errorBodyTimeout))
-		if a.upstream.pool.opt.IsAnswer == nil {
-			n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxHeadBytes))
-			return reply, err == nil && n < maxHeadBytes && c.br.Buffered() == 0
-		}
-		text, err := io.ReadAll(io.LimitReader(resp.Body, maxHeadBytes))
-		if err != nil || len(text) == maxHeadBytes {
-			return reply, false
-		}
-		reply.Status, reply.Header, reply.Body = resp.StatusCode, resp.Header, text
-		return reply, c.br.Buffered() == 0
+		clean = a.readError(c, resp, join, &reply)
+		return reply, clean
 	}
 	// The end of a response without framing cannot be told from a broken connection. A response that announces too much
 	// is refused before its head is forwarded, while a retry is still possible.
@@ -357,6 +339,34 @@
 	return reply, join() == nil && !resp.Close && c.br.Buffered() == 0
 }
 
+// readError fills in the reply to an error response. It returns true if the connection can be reused.
+func (a *Attempt) readError(c *conn, resp *http.Response, join func() error, reply *Reply) (clean bool) {
+	reply.Result = balancer.ServerError
+	mayPromise := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	if mayPromise && resp.Header.Get("X-Never-Ran") == "1" {
+		reply.Result = balancer.Rejected
+	}
+	if resp.StatusCode == http.StatusServiceUnavailable {
+		reply.RetryAfter = parseRetryAfter(resp.Header.Get("Retry-After"), time.Now())
+	}
+	if join() != nil || resp.Close || !delimited(resp) {
+		return false
+	}
+	c.attempt = nil
+	a.extendDeadline(c, time.Now().Add(errorBodyTimeout))
+	body := io.LimitReader(resp.Body, maxErrorBodyBytes)
+	if a.upstream.pool.opt.IsAnswer == nil {
+		n, err := io.Copy(io.Discard, body)
+		return err == nil && n < maxErrorBodyBytes && c.br.Buffered() == 0
+	}
+	text, err := io.ReadAll(body)
+	if err != nil || len(text) == maxErrorBodyBytes {
+		return false
+	}
+	reply.Status, reply.Header, reply.Body = resp.StatusCode, resp.Header, text
+	return c.br.Buffered() == 0
+}
+
 // parseRetryAfter parses a Retry-After in seconds or as a date (RFC 9110, 10.2.3). It returns 0 for anything else.
 func parseRetryAfter(text string, now time.Time) time.Duration {
 	if n, err := strconv.ParseUint(text, 10, 31); err == nil {
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"io"
-	"log/slog"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -16,11 +15,6 @@
 	"robindrum/internal/discovery"
 )
 
-const (
-	healthCheckTimeout = 500 * time.Millisecond
-	logInterval        = 200 * time.Millisecond // between two lines of the module
-)
-
 // Options configure a Core.
 type Options struct {
 	Settings        balancer.Settings
@@ -43,25 +37,6 @@
 	Source Source
 }
 
-// Completed describes a request that has ended.
-type Completed struct {
-	Attributes balancer.Request
-	Method     string
-	Latency    time.Duration // until its answer was given, or its streamed answer was complete
-	Outcome    RequestOutcome
-}
-
-// RequestOutcome is how a request ended.
-type RequestOutcome uint8
-
-// The outcomes of a request.
-const (
-	OutcomeServed RequestOutcome = iota
-	OutcomeRejected
-	OutcomeFailed
-	OutcomeClientLeft // the client left, or its time ran out
-)
-
 // Quota is a bounded amount that several cores share. Its methods may be called by several goroutines at once.
 type Quota interface {
 	Acquire(n int64) bool // reserves n, or returns false if less is left
@@ -74,62 +49,6 @@
 	Fetch()        // fetches one full snapshot
 }
 
-// Client receives a request's one final answer: either Answer is called once, or Begin and then Finish. Nothing is
-// called after the request's Done channel is closed.
-type Client interface {
-	Answer(a Answer)
-	// Begin writes the head of a streamed answer and returns the writer of its body. Writes fail if the client has left
-	// or does not read.
-	Begin(status int, h http.Header, length int64) io.Writer
-	// Finish ends a streamed answer. If it is not complete the client must be able to tell.
-	Finish(complete bool)
-}
-
-// Answer is a request's one final answer.
-type Answer struct {
-	Status     int
-	RetryAfter time.Duration // 0 means none
-	Header     http.Header
-	Body       []byte
-	Length     int64 // Content-Length of an answer to HEAD; -1 if not known
-	noBody     bool  // the request was a HEAD
-}
-
-// Request is a client's request on its way from a front to a core. Once a core has accepted it the front must not touch
-// it until Done is closed.
-type Request struct {
-	Attributes    balancer.Request // the ID is unique within the core
-	Send          backend.Request
-	Client        Client
-	ReservedBytes int64 // of the memory quota, released by the core when the request is finished
-
-	id              string
-	acceptedAt      time.Duration
-	deadline        time.Time
-	attempts        []*backend.Attempt
-	attemptsRunning int
-	answered        bool
-	answer          Answer
-	endpointError   *Answer          // the endpoint's own error response
-	stream          *backend.Attempt // whose response is being streamed to the client
-	memory          Quota
-	done            chan struct{} // closed when the answer is written
-}
-
-type request = Request
-
-// Done returns a channel that is closed when the answer is written; nil before a core has accepted the request.
-func (q *Request) Done() <-chan struct{} { return q.done }
-
-func (q *Request) isDone() bool {
-	select {
-	case <-q.done:
-		return true
-	default:
-		return false
-	}
-}
-
 // Core runs the requests of one cluster. It carries out the decisions of one Balancer, knows no client protocol and gives
 // each request exactly one final answer. Its methods may be called by several goroutines at once.
 type Core struct {
@@ -267,35 +186,6 @@
 	}
 }
 
-// Stats are a core's counters since its start.
-type Stats struct {
-	Accepted     uint64                       // requests
-	Served       uint64                       // answered with an endpoint's successful response
-	Rejected     uint64                       // answered 503 with the promise that a retry has no second effect
-	Failed       uint64                       // answered with an error
-	ClientLeft   uint64                       // whose client left, or whose time ran out before the balancer decided
-	Sends        uint64                       // attempts
-	Retries      uint64                       // attempts after a request's first
-	Attempts     [balancer.NotSent + 1]uint64 // by balancer.Result
-	TotalLatency time.Duration                // of all served requests
-}
-
-// Add adds o to s.
-func (s *Stats) Add(o Stats) {
-	s.Accepted, s.Served, s.Rejected, s.Failed = s.Accepted+o.Accepted, s.Served+o.Served, s.Rejected+o.Rejected, s.Failed+o.Failed
-	s.ClientLeft, s.Sends, s.Retries, s.TotalLatency = s.ClientLeft+o.ClientLeft, s.Sends+o.Sends, s.Retries+o.Retries, s.TotalLatency+o.TotalLatency
-	for i := range s.Attempts {
-		s.Attempts[i] += o.Attempts[i]
-	}
-}
-
-// Stats returns the counters.
-func (n *Core) Stats() Stats {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.stats
-}
-
 // Inspect calls fn with the core's lock held, so that fn may read the state of the balancer's LocalityPicker and
 // Admission. fn must neither block nor call the Core.
 func (n *Core) Inspect(fn func(now time.Duration)) {
@@ -525,118 +415,6 @@
 	return n.pool.Nowhere()
 }
 
-// host is the Core as a balancer.Host. Its methods are called with the lock held.
-type host Core
-
-func (h *host) Send(id, server string, expire time.Duration) {
-	n := (*Core)(h)
-	r := n.requests[id]
-	if r == nil {
-		return
-	}
-	i := len(r.attempts)
-	n.stats.Sends++
-	if i > 0 {
-		n.stats.Retries++
-	}
-	r.attemptsRunning++
-	deadline := r.deadline
-	if expire > 0 {
-		if t := n.boot.Add(expire - n.bootUnix); t.Before(deadline) {
-			deadline = t
-		}
-	}
-	var a *backend.Attempt
-	if !r.answered && i < max(n.opt.Settings.MaxAttempts, 1) {
-		a = backend.NewAttempt(n.upstream(server), &r.Send, deadline)
-	}
-	r.attempts = append(r.attempts, a)
-	n.attempts.Add(1)
-	go n.runAttempt(r, i, a)
-}
-
-func (h *host) Reject(id string, retryAfter time.Duration) {
-	h.answer(id, Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter})
-}
-
-func (h *host) Fail(id string) { h.answer(id, Answer{Status: http.StatusBadGateway}) }
-
-func (h *host) answer(id string, a Answer) {
-	n := (*Core)(h)
-	r := n.requests[id]
-	if r != nil && r.endpointError != nil { // the endpoint's own error says more
-		a = *r.endpointError
-	}
-	if n.settleAnswer(r, a) {
-		if a.Status == http.StatusServiceUnavailable && r.endpointError == nil {
-			n.stats.Rejected++
-			n.notifyCompleted(n.now(), r, OutcomeRejected)
-		} else {
-			n.stats.Failed++
-			n.notifyCompleted(n.now(), r, OutcomeFailed)
-		}
-		n.forgetIfFinished(r)
-	}
-}
-
-func (h *host) Cancel(id string, i int) {
-	if r := h.requests[id]; r != nil && i >= 0 && i < len(r.attempts) && r.attempts[i] != nil &&
-		r.attempts[i] != r.stream { // a response that is being streamed goes on
-		r.attempts[i].Cancel()
-	}
-}
-
-func (h *host) HealthCheck(server string) {
-	n := (*Core)(h)
-	up := n.upstream(server)
-	n.attempts.Go(func() {
-		sent := time.Now()
-		reply := backend.HealthCheck(n.ctx, up, n.opt.HealthCheckPath, healthCheckTimeout)
-		p := balancer.HealthCheckResult{Server: server, Result: reply.Result, Latency: time.Since(sent)}
-		if n.opt.LoadReports {
-			p.LoadReport = backend.ParseLoad(reply.LoadReport)
-			if p.LoadReport == nil {
-				p.LoadReport = backend.ParseLoad(string(reply.Body))
-			}
-		}
-		n.withBalancer(func(now time.Duration) { n.balancer.HealthChecked(now, p) })
-	})
-}
-
-func (h *host) CloseIdle(server string) {
-	if up := h.upstreams[server]; up != nil {
-		up.CloseIdle()
-	}
-}
-
-func (h *host) SetTimer(token uint64, after time.Duration) {
-	n := (*Core)(h)
-	time.AfterFunc(max(after, 0), func() {
-		if n.ctx.Err() == nil {
-			n.withBalancer(func(now time.Duration) { n.balancer.Timer(now, token) })
-		}
-	})
-}
-
-func (h *host) Watch(on bool) {
-	if h.opt.Source != nil {
-		h.opt.Source.Watch(on)
-	}
-}
-
-func (h *host) Fetch() {
-	if h.opt.Source != nil {
-		h.opt.Source.Fetch()
-	}
-}
-
-func (h *host) Log(text string) {
-	if t := time.Now(); t.Sub(h.lastLogged) >= logInterval {
-		h.lastLogged = t
-		slog.Info(text)
-	}
-}
-
 // Close cancels all attempts, has the balancer answer their requests and waits for both.
 func (n *Core) Close() {
 	n.cancel()
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -19,100 +19,123 @@
 // if the connection ends with it.
 func (f *Front) handleRequest(c *client, r *http.Request, until time.Time) bool {
 	c.served.Store(true)
-	d := f.router.Route(r, c.peer)
-	switch {
-	case d.Core == nil && (d.Close || r.ContentLength != 0): // an unread body would precede the next request
-		c.answerAndClose(d.answer())
-		return false
-	case d.Core == nil:
-		last := f.closesAfterAnswer(r.Close)
-		a := d.answer()
-		a.noBody = r.Method == http.MethodHead
-		if c.writeAnswer(a, last) != nil {
-			return false
-		}
-		if c.br.Buffered() == 0 {
-			c.front.conns.markIdle(c)
-		}
-		if last {
-			c.closeGracefully()
-		}
-		return !last
-	case f.conns.full():
+	destination := f.router.Route(r, c.peer)
+	if destination.Core == nil {
+		return f.answerWithoutCore(c, r, &destination)
+	}
+	if f.conns.full() {
 		c.reject(http.StatusServiceUnavailable, "too many connections")
 		return false
 	}
-	memory := d.Core.opt.Memory
+	memory := destination.Core.opt.Memory
 	if memory == nil {
 		memory = &f.bodies
 	}
 	q := &Request{}
-	var err error
-	if q.Send.Body, q.ReservedBytes, err = f.readBody(c, r, memory, until); err != nil {
+	if status, text := f.prepare(c, r, q, memory, until); status != 0 {
 		memory.Release(q.ReservedBytes)
-		status := http.StatusBadRequest
-		switch {
-		case errors.Is(err, errTooLong):
-			status = http.StatusRequestEntityTooLarge
-		case errors.Is(err, errNoMemory), f.hasExpired(): // it was not forwarded
-			status = http.StatusServiceUnavailable
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			status = http.StatusRequestTimeout
-		}
-		c.reject(status, err.Error())
+		c.reject(status, text)
+		return false
+	}
+	x := &exchange{client: c, wantsClose: r.Close, noBody: r.Method == http.MethodHead}
+	q.Client = x
+	c.requestAccepted()
+	core, status, text := f.handToCore(c, r, q, destination)
+	if core == nil {
+		memory.Release(q.ReservedBytes)
+		c.reject(status, text)
+		return false
+	}
+	return c.awaitAnswer(core, q, x)
+}
+
+// answerWithoutCore answers a request that goes to no core. It returns false if the connection ends with it.
+func (f *Front) answerWithoutCore(c *client, r *http.Request, d *Destination) bool {
+	if d.Close || r.ContentLength != 0 { // an unread body would precede the next request
+		c.answerAndClose(d.answer())
+		return false
+	}
+	last := f.closesAfterAnswer(r.Close)
+	a := d.answer()
+	a.noBody = r.Method == http.MethodHead
+	if c.writeAnswer(a, last) != nil {
 		return false
 	}
+	if c.br.Buffered() == 0 {
+		c.front.conns.markIdle(c)
+	}
+	if last {
+		c.closeGracefully()
+	}
+	return !last
+}
+
+// prepare reads the request's body and fills in what is sent to an endpoint. If the request cannot be forwarded it returns
+// the status and text of its answer; otherwise the status is 0.
+func (f *Front) prepare(c *client, r *http.Request, q *Request, memory Quota, until time.Time) (status int, text string) {
+	var err error
+	q.Send.Body, q.ReservedBytes, err = f.readBody(c, r, memory, until)
+	if err != nil {
+		return f.bodyErrorStatus(err), err.Error()
+	}
 	// Clients send one request at a time: further bytes belong to a body with a wrong length, or are an attempt at request
 	// smuggling.
 	if c.br.Buffered() > 0 {
-		memory.Release(q.ReservedBytes)
-		c.reject(http.StatusBadRequest, "more came than the request")
-		return false
+		return http.StatusBadRequest, "more came than the request"
 	}
-	x := &exchange{client: c, wantsClose: r.Close, noBody: r.Method == http.MethodHead}
-	q.Client = x
 	// The goroutine that reads the client's end may be scheduled late on a busy machine, so attempts look for themselves.
 	q.Send.StillWanted = func() bool {
 		_, left := c.peek()
 		return !left
 	}
 	// Route has read the header before the hop-by-hop fields, the deadline among them, are removed.
-	q.Send.Method, q.Send.URI, q.Send.Host = r.Method, r.URL.RequestURI(), r.Host
-	header := endToEnd(r.Header)
-	q.Send.Header = header
+	q.Send.Method = r.Method
+	q.Send.URI = r.URL.RequestURI()
+	q.Send.Host = r.Host
+	q.Send.Header = endToEnd(r.Header)
 	// The client may have left while its request waited to be read; forwarding it would waste an endpoint's work.
 	if _, left := c.peek(); left {
-		memory.Release(q.ReservedBytes)
-		c.reject(http.StatusServiceUnavailable, "the client has left")
-		return false
+		return http.StatusServiceUnavailable, "the client has left"
 	}
-	c.requestAccepted()
+	return 0, ""
+}
+
+// bodyErrorStatus returns the status of the answer to a request whose body could not be read.
+func (f *Front) bodyErrorStatus(err error) int {
+	switch {
+	case errors.Is(err, errTooLong):
+		return http.StatusRequestEntityTooLarge
+	case errors.Is(err, errNoMemory), f.hasExpired(): // it was not forwarded
+		return http.StatusServiceUnavailable
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return http.StatusRequestTimeout
+	}
+	return http.StatusBadRequest
+}
+
+// handToCore has a core accept a request, and routes it again if its core was retired while the body was read. If no core
+// accepts it the returned core is nil and the answer's status and text are given.
+func (f *Front) handToCore(c *client, r *http.Request, q *Request, d Destination) (core *Core, status int, text string) {
 	for range maxRoutings {
 		q.Attributes = d.Attributes
 		q.Attributes.Size = q.Send.Body.Len()
 		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + abandonMargin))
 		if f.hasExpired() { // after the deadline is set: Stop wakes readers by that deadline
-			memory.Release(q.ReservedBytes)
-			c.reject(http.StatusServiceUnavailable, errEnding.Error())
-			return false
+			return nil, http.StatusServiceUnavailable, errEnding.Error()
 		}
 		status, ok := d.Core.Accept(q)
-		switch {
-		case ok:
-			return c.awaitAnswer(d.Core, q, x)
-		case status == 0: // the core was retired while the body was read
+		if ok {
+			return d.Core, 0, ""
+		}
+		if status == 0 { // the core was retired while the body was read
 			if d = f.router.Route(r, c.peer); d.Core != nil {
 				continue
 			}
 			status = d.Status
 		}
-		memory.Release(q.ReservedBytes)
-		c.reject(status, http.StatusText(status))
-		return false
+		return nil, status, http.StatusText(status)
 	}
-	memory.Release(q.ReservedBytes)
-	c.reject(http.StatusServiceUnavailable, "the routes keep changing")
-	return false
+	return nil, http.StatusServiceUnavailable, "the routes keep changing"
 }
 
 func (d *Destination) answer() Answer {
