--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -1,4 +1,5 @@
-// Robindrum-node is one load-balancer node. It is told everything by the file that PROXY_CONFIG names.
+// Robindrum-node is the platform's proxy node. The JSON file that the environment variable PROXY_CONFIG names configures it. On
+// SIGHUP it reads the file again and follows another discovery address; on SIGTERM it answers its open requests and ends.
 package main
 
 import (
@@ -24,7 +25,7 @@
 	"robindrum/internal/simprotocol"
 )
 
-// config is the file's contents.
+// config is the configuration file, with the platform's field names.
 type config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -40,12 +41,15 @@
 }
 
 const (
-	spareSockets = 32 // descriptors for the runtime, discovery and the standard streams
-	killAfter    = 700 * time.Millisecond
-	killMargin   = 200 * time.Millisecond
-	answerRest   = 10 * time.Millisecond // the platform's backends may send a second answer some milliseconds behind the first
+	defaultSockets = 1024      // descriptors
+	defaultMemory  = 192 << 20 // bytes
+	spareSockets   = 32        // descriptors for the runtime, discovery and the standard streams
+	killDelay      = 700 * time.Millisecond
+	killMargin     = 200 * time.Millisecond
+	reuseDelay     = 10 * time.Millisecond // the platform's endpoints may send a second response some milliseconds after the first
 )
 
+// load reads and checks the file that PROXY_CONFIG names.
 func load() (c config, err error) {
 	path := os.Getenv("PROXY_CONFIG")
 	if path == "" {
@@ -66,7 +70,7 @@
 	return c, c.check()
 }
 
-// check names the field that cannot be used, if any.
+// check returns an error that names the first field that cannot be used.
 func (c *config) check() error {
 	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if addr == "" {
@@ -89,9 +93,9 @@
 	return nil
 }
 
-// reload reads the file anew and moves news to the address of discovery that it names. Nothing else of it is taken
-// over before the next start. A file that cannot be used, or that is another node's, changes nothing.
-func reload(running *config, news *discovery.Client) error {
+// reload reads the file again and moves the discovery client to the address that it names. Other changes wait for the next
+// start. A file that cannot be used, or that is of another node, changes nothing.
+func reload(running *config, client *discovery.Client) error {
 	c, err := load()
 	if err != nil {
 		return err
@@ -102,7 +106,7 @@
 	if err := running.checkReload(&c); err != nil {
 		return err
 	}
-	news.Move(c.Discovery)
+	client.Move(c.Discovery)
 	slog.Info("the configuration was read anew", "discovery", c.Discovery)
 	return nil
 }
@@ -125,8 +129,8 @@
 	return errors.New("the configuration's settings.profiles: none of this node's classes is in it")
 }
 
-// bound fits the runtime into the limits.
-func bound(c *config) {
+// limitRuntime fits the Go runtime into the configured limits.
+func limitRuntime(c *config) {
 	if c.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(math.Ceil(c.Limits.Cores)), 1))
 	}
@@ -137,68 +141,99 @@
 	}
 }
 
-func run() error {
-	// First of all, as either would end the process where nobody listens for it.
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	c, err := load()
-	if err != nil {
-		return err
-	}
-	bound(&c)
-	settings, err := c.Settings.Settings()
-	if err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
+// nodeSeed returns the configured seed, or one drawn from the time if there is none.
+func nodeSeed(c *config) uint64 {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		seed = uint64(time.Now().UnixNano())
+		return uint64(time.Now().UnixNano())
 	}
+	return seed
+}
+
+// newNode returns a node for the configuration.
+func newNode(c *config, settings balancer.Settings) (*proxy.Node, error) {
 	sockets := c.Limits.Sockets
 	if sockets <= 0 {
-		sockets = 1024
+		sockets = defaultSockets
 	}
 	memory := c.Limits.MemoryMB << 20
 	if memory <= 0 {
-		memory = 192 << 20
+		memory = defaultMemory
 	}
 	budget := backend.NewBudget(sockets - spareSockets)
-	pool := backend.NewPool(backend.Options{ConnectTimeout: settings.ConnectTimeout, IdleTimeout: settings.ConnIdle, ReuseDelay: answerRest}, budget)
-	opt := proxy.Options{Settings: settings, Seed: seed, MaxOpen: c.Settings.Caps.MaxOpen, BodyBytes: memory * 3 / 10,
-		Budget: budget, HealthCheckPath: "/health/live", LoadReports: settings.Report != balancer.ReportNone}
+	pool := backend.NewPool(backend.Options{
+		ConnectTimeout: settings.ConnectTimeout,
+		IdleTimeout:    settings.ConnIdle,
+		ReuseDelay:     reuseDelay,
+	}, budget)
+	options := proxy.Options{
+		Settings:        settings,
+		Seed:            nodeSeed(c),
+		MaxOpen:         c.Settings.Caps.MaxOpen,
+		BodyBytes:       memory * 3 / 10,
+		Budget:          budget,
+		HealthCheckPath: "/health/live",
+		LoadReports:     settings.Report != balancer.ReportNone,
+	}
 	if settings.Report == balancer.ReportHealthChecks {
-		opt.HealthCheckPath = "/stats"
+		options.HealthCheckPath = "/stats"
 	}
-	n, err := proxy.New(opt, pool)
+	n, err := proxy.New(options, pool)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	return n, nil
+}
+
+// shutdownTimeout returns how long open requests are waited for after SIGTERM. The platform sends SIGKILL no sooner than the longest
+// deadline and killDelay later.
+func shutdownTimeout(settings *balancer.Settings) time.Duration {
+	longest := time.Duration(0)
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return longest + killDelay - killMargin
+}
+
+func run() error {
+	// Before anything else, since either signal would end a process that does not catch it.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	c, err := load()
+	if err != nil {
+		return err
+	}
+	limitRuntime(&c)
+	settings, err := c.Settings.Settings()
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	l, err := net.Listen("tcp", c.Listen)
+	n, err := newNode(&c, settings)
+	if err != nil {
+		return err
+	}
+	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	news := discovery.New(c.Discovery, !settings.Polled, n.UpdateEndpoints)
-	if err := n.Start(news, c.Known); err != nil {
-		slog.Warn("the known list is of no use", "err", err)
+	client := discovery.New(c.Discovery, !settings.Polled, n.UpdateEndpoints)
+	if err := n.Start(client, c.Known); err != nil {
+		slog.Warn("the known list is of no use", "error", err)
 	}
-	go n.Serve(l)
-	go func() { // until the process ends: what it holds is still sent by the list
-		for range hup {
-			if err := reload(&c, news); err != nil {
-				slog.Error("the new configuration is of no use, the old one goes on", "err", err)
+	go n.Serve(listener)
+	go func() { // until the process ends, since attempts of open requests still need the endpoint list
+		for range hangups {
+			if err := reload(&c, client); err != nil {
+				slog.Error("the new configuration is of no use, the old one goes on", "error", err)
 			}
 		}
 	}()
 	<-ctx.Done()
-	longest := time.Duration(0)
-	for _, class := range settings.Classes {
-		longest = max(longest, class.Deadline)
-	}
-	until, cancel := context.WithTimeout(context.Background(), longest+killAfter-killMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout(&settings))
 	defer cancel()
-	n.Stop(until, l)
+	n.Stop(ctx, listener)
 	return nil
 }
 
