--- /dev/null
+++ b/internal/lease/selection.go
@@ -0,0 +1,82 @@
+package lease
+
+import (
+	"cmp"
+	"time"
+)
+
+// noWaiter is the index that nextWaiter returns where nobody is to be granted the lease yet.
+const noWaiter = -1
+
+// nextWaiter returns the index of the waiter that is granted the lease now, or noWaiter. The successor goes first and has the
+// lease's length to ask for it; without one, preferredWaiter decides once MinHold has passed.
+func (t *Table) nextWaiter(lease *Lease) int {
+	if lease.Holder.Name != "" || len(lease.Waiters) == 0 {
+		return noWaiter
+	}
+	if lease.Successor != "" {
+		if successor := lease.waiterIndex(lease.Successor); successor >= 0 {
+			return successor
+		}
+		if t.Now < lease.ExpiresAt {
+			return noWaiter
+		}
+	}
+	if t.Now-lease.GrantedAt < lease.Rules.MinHold {
+		return noWaiter
+	}
+	return t.preferredWaiter(lease)
+}
+
+// preferredWaiter returns the index of the waiter that would be granted the lease if it were free. The lease must have a waiter.
+func (t *Table) preferredWaiter(lease *Lease) int {
+	preferred := 0
+	for i := range lease.Waiters {
+		if t.goesBefore(lease.Rules, &lease.Waiters[i], &lease.Waiters[preferred]) {
+			preferred = i
+		}
+	}
+	return preferred
+}
+
+// goesBefore reports whether waiter a is preferred to waiter b: waiters past MaxWait come first, the longest waiter first; then
+// those of the preferred site, then the least loaded, then the longest waiter.
+func (t *Table) goesBefore(rules Rules, a, b *Waiter) bool {
+	byArrival := cmp.Compare(a.WaitingSince, b.WaitingSince)
+	aOverdue, bOverdue := t.overdue(rules, a), t.overdue(rules, b)
+	if aOverdue != bOverdue {
+		return aOverdue
+	}
+	if aOverdue {
+		return byArrival < 0
+	}
+	aPreferred, bPreferred := rules.prefersSite(a.Member.Site), rules.prefersSite(b.Member.Site)
+	if aPreferred != bPreferred {
+		return aPreferred
+	}
+	return cmp.Or(cmp.Compare(a.Member.Load, b.Member.Load), byArrival) < 0
+}
+
+func (t *Table) overdue(rules Rules, waiter *Waiter) bool {
+	return t.Now-waiter.WaitingSince > rules.MaxWait
+}
+
+func (r Rules) prefersSite(site string) bool {
+	return r.Site == "" || r.Site == site
+}
+
+// NextGrant returns the time until the lease may be free at the earliest, counted from the latest reading of the clock, and whether
+// the member would be granted it then. A waiter that is next asks again at that time and others rarely, which hands the lease over
+// quickly with few requests.
+func (t *Table) NextGrant(name string, member Member) (availableIn time.Duration, next bool) {
+	lease := t.Leases[name]
+	if lease == nil || len(lease.Waiters) == 0 {
+		return 0, false
+	}
+	availableAt := lease.GrantedAt + lease.Rules.MinHold
+	if lease.Holder.Name != "" || lease.Successor != "" {
+		availableAt = max(availableAt, lease.ExpiresAt)
+	}
+	preferred := lease.Waiters[t.preferredWaiter(lease)].Member
+	return max(availableAt-t.Now, 0), preferred.sameProcess(member)
+}
