--- a/internal/unknownfields/unknownfields.go
+++ b/internal/unknownfields/unknownfields.go
@@ -1,5 +1,18 @@
-// Package unknownfields reads JSON objects without losing the fields that this program does not know: processes of two versions pass on what
-// the other one wrote, in messages and in what is stored.
+// Package unknownfields reads JSON objects without losing the fields that this program does not know: processes of different versions
+// pass on what the other one wrote, in messages and in stored state.
+//
+// A type that keeps its unknown fields has a field of type Fields, tagged `json:"-"`, and these two methods, whose type plain has no
+// methods of its own and thus prevents their recursion:
+//
+//	func (v T) MarshalJSON() ([]byte, error) {
+//		type plain T
+//		return unknownfields.Marshal(plain(v), v.Unknown)
+//	}
+//
+//	func (v *T) UnmarshalJSON(text []byte) error {
+//		type plain T
+//		return unknownfields.Unmarshal(text, (*plain)(v), &v.Unknown)
+//	}
 package unknownfields
 
 import (
@@ -12,11 +25,12 @@
 	"strings"
 )
 
-// Fields are those of an object that the program has no place for, by name.
+// Fields are the fields of a JSON object that a Go struct has no field for, by name.
 type Fields map[string]json.RawMessage
 
-// Unmarshal reads an object into v, a pointer to a struct without methods of its own for that, and gives all other fields.
-func Unmarshal(text []byte, v any, more *Fields) error {
+// Unmarshal decodes a JSON object into v, a pointer to a struct without an UnmarshalJSON method, and sets unknown to the other
+// fields of the object; to nil where there are none.
+func Unmarshal(text []byte, v any, unknown *Fields) error {
 	if err := json.Unmarshal(text, v); err != nil {
 		return err
 	}
@@ -24,64 +38,69 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		return err
 	}
-	known := names(reflect.TypeOf(v).Elem(), nil)
+	known := fieldNames(reflect.TypeOf(v).Elem())
 	maps.DeleteFunc(all, func(name string, _ json.RawMessage) bool {
-		return slices.ContainsFunc(known, func(k string) bool { return strings.EqualFold(k, name) }) // as encoding/json matches
+		return slices.ContainsFunc(known, func(field string) bool {
+			return strings.EqualFold(field, name) // as encoding/json matches names
+		})
 	})
-	if *more = nil; len(all) > 0 {
-		*more = all
+	*unknown = nil
+	if len(all) > 0 {
+		*unknown = all
 	}
 	return nil
 }
 
-// names are the fields that encoding/json knows of a struct.
-func names(t reflect.Type, l []string) []string {
-	for i := range t.NumField() {
-		f := t.Field(i)
-		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
+// fieldNames returns the names that encoding/json uses for the fields of a struct, including those of embedded structs.
+func fieldNames(structType reflect.Type) []string {
+	var names []string
+	for i := range structType.NumField() {
+		field := structType.Field(i)
+		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		switch {
-		case f.Anonymous && name == "" && f.Type.Kind() == reflect.Struct:
-			l = names(f.Type, l)
-		case name == "-" || !f.IsExported():
+		case field.Anonymous && name == "" && field.Type.Kind() == reflect.Struct:
+			names = append(names, fieldNames(field.Type)...)
+		case name == "-" || !field.IsExported():
 		case name != "":
-			l = append(l, name)
+			names = append(names, name)
 		default:
-			l = append(l, f.Name)
+			names = append(names, field.Name)
 		}
 	}
-	return l
+	return names
 }
 
-// Marshal writes v, whose JSON is an object, with more fields behind its own, in the order of their names.
-func Marshal(v any, more Fields) ([]byte, error) {
+// Marshal encodes v, whose JSON must be an object, and appends the unknown fields to it in the order of their names.
+func Marshal(v any, unknown Fields) ([]byte, error) {
 	text, err := json.Marshal(v)
-	if err != nil || len(more) == 0 {
+	if err != nil || len(unknown) == 0 {
 		return text, err
 	}
-	var b bytes.Buffer
-	b.Write(text[:len(text)-1])
-	for _, name := range slices.Sorted(maps.Keys(more)) {
-		if b.Len() > 1 {
-			b.WriteByte(',')
-		}
+	var object bytes.Buffer
+	object.Write(bytes.TrimSuffix(text, []byte("}")))
+	for _, name := range slices.Sorted(maps.Keys(unknown)) {
 		key, err := json.Marshal(name)
 		if err != nil {
 			return nil, err
 		}
-		b.Write(key)
-		b.WriteByte(':')
-		b.Write(more[name])
+		if object.Len() > len("{") {
+			object.WriteByte(',')
+		}
+		object.Write(key)
+		object.WriteByte(':')
+		object.Write(unknown[name])
 	}
-	b.WriteByte('}')
-	return b.Bytes(), nil
+	object.WriteByte('}')
+	return object.Bytes(), nil
 }
 
-// State is a state machine's stored form. Validate returns an error where no sequence of commands can have led to it.
+// State is the stored form of a state machine.
 type State interface {
+	// Validate returns an error where no sequence of commands can have led to the state.
 	Validate() error
 }
 
-// Restore decodes a stored state into an empty one and validates it. Errors begin with the name of the state.
+// Restore decodes a stored state into empty and validates it. Errors begin with the name of the state.
 func Restore[S State](name string, text []byte, empty S) (S, error) {
 	var none S
 	if err := json.Unmarshal(text, empty); err != nil {
--- a/internal/unknownfields/unknownfields_test.go
+++ b/internal/unknownfields/unknownfields_test.go
@@ -13,40 +13,49 @@
 	"robindrum/internal/unknownfields"
 )
 
-// What a newer program says in messages and in what it stores goes through this one whole.
-func TestUnknownFieldsAreHandedOn(t *testing.T) {
-	for what, v := range map[string]any{"order": &drain.Request{ID: "a"}, "orders": drain.NewLedger(), "releases": release.NewLedger(), "leases": lease.NewTable(),
-		"command": &quorum.Command{Op: quorum.OpDrain, Drain: &drain.Request{ID: "a"}}, "release": &release.Release{Plan: release.Plan{ID: "r"}}} {
-		text, err := json.Marshal(v)
+// TestUnknownFieldsSurviveARoundTrip decodes and encodes each kind of message and state with fields of a newer version.
+func TestUnknownFieldsSurviveARoundTrip(t *testing.T) {
+	for name, value := range map[string]any{
+		"drain request":  &drain.Request{ID: "a"},
+		"drain ledger":   drain.NewLedger(),
+		"release ledger": release.NewLedger(),
+		"lease table":    lease.NewTable(),
+		"command":        &quorum.Command{Op: quorum.OpDrain, Drain: &drain.Request{ID: "a"}},
+		"release":        &release.Release{Plan: release.Plan{ID: "r"}},
+	} {
+		text, err := json.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
 		newer := strings.TrimSuffix(string(text), "}") + `,"aged":{"x":[1,2]},"zeal":"y"}`
-		if err := json.Unmarshal([]byte(newer), v); err != nil {
-			t.Fatalf("%s: %v", what, err)
+		if err := json.Unmarshal([]byte(newer), value); err != nil {
+			t.Fatalf("%s: %v", name, err)
 		}
-		if text, err = json.Marshal(v); err != nil || string(text) != newer {
-			t.Errorf("%s: %s\ncame back as %s, %v", what, newer, text, err)
+		if text, err = json.Marshal(value); err != nil || string(text) != newer {
+			t.Errorf("%s: %s\ncame back as %s, %v", name, newer, text, err)
 		}
 	}
-	// An order's own are kept from the asking to the view that gateways are told.
-	b := drain.NewLedger()
-	var o drain.Request
-	if err := json.Unmarshal([]byte(`{"id":"a","target":{"gateway":"g"},"grace":1000000000,"paint":"blue"}`), &o); err != nil {
+}
+
+// TestUnknownFieldsOfADrainRequestReachTheView submits a request of a newer version and looks for its fields in the gateways' view.
+func TestUnknownFieldsOfADrainRequestReachTheView(t *testing.T) {
+	var request drain.Request
+	if err := json.Unmarshal([]byte(`{"id":"a","target":{"gateway":"g"},"grace":1000000000,"paint":"blue"}`), &request); err != nil {
 		t.Fatal(err)
 	}
-	_ = b.SetBudgets(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Max: 1}})
-	_ = b.Observe(0, 0, []drain.Gateway{{Name: "g", Serving: true}, {Name: "h", Serving: true}}, nil)
-	if _, err := b.Submit(0, o); err != nil {
+	ledger := drain.NewLedger()
+	_ = ledger.SetBudgets(0, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Max: 1}})
+	_ = ledger.Observe(0, 0, []drain.Gateway{{Name: "g", Serving: true}, {Name: "h", Serving: true}}, nil)
+	if _, err := ledger.Submit(0, request); err != nil {
 		t.Fatal(err)
 	}
-	if text, _ := json.Marshal(b.View(1)); !strings.Contains(string(text), `"paint":"blue"`) {
+	if text, _ := json.Marshal(ledger.View(1)); !strings.Contains(string(text), `"paint":"blue"`) {
 		t.Errorf("%s", text)
 	}
 }
 
-// Whatever object comes is read as encoding/json reads it, and written so that it reads the same.
-func FuzzKeep(f *testing.F) {
+// FuzzUnknownFieldsRoundTrip decodes arbitrary text, encodes the result and expects to read the same again.
+func FuzzUnknownFieldsRoundTrip(f *testing.F) {
 	f.Add(`{"id":"a","ID":"b","x":1,"target":null}`)
 	f.Add(`{"id":1}`)
 	f.Add(`{"More":{"a":1},"":2}`)
@@ -55,20 +64,18 @@
 			ID     string         `json:"id"`
 			Target map[string]any `json:"target,omitempty"`
 		}
-		var v, w plain
-		var more, again unknownfields.Fields
-		if unknownfields.Unmarshal([]byte(text), &v, &more) != nil {
+		var first, second plain
+		var firstUnknown, secondUnknown unknownfields.Fields
+		if unknownfields.Unmarshal([]byte(text), &first, &firstUnknown) != nil {
 			return
 		}
-		if len(more) == 0 {
-			more = nil
-		}
-		out, err := unknownfields.Marshal(v, more)
+		encoded, err := unknownfields.Marshal(first, firstUnknown)
 		if err != nil {
 			t.Fatalf("%q: %v", text, err)
 		}
-		if err := unknownfields.Unmarshal(out, &w, &again); err != nil || len(more) != len(again) || v.ID != w.ID || len(v.Target) != len(w.Target) {
-			t.Fatalf("%q became %s: %v, %v", text, out, err, reflect.DeepEqual(more, again))
+		err = unknownfields.Unmarshal(encoded, &second, &secondUnknown)
+		if err != nil || len(firstUnknown) != len(secondUnknown) || first.ID != second.ID || len(first.Target) != len(second.Target) {
+			t.Fatalf("%q became %s: %v, %v", text, encoded, err, reflect.DeepEqual(firstUnknown, secondUnknown))
 		}
 	})
 }
