--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -8,186 +8,223 @@
 	"sync"
 	"time"
 
+	"github.com/hashicorp/raft"
+
 	"robindrum/internal/peer"
 )
 
-// ErrNoQuorum is that no leader answered in time. Whether the command was agreed on is not known.
+// ErrNoQuorum means that no leader answered in time. Whether the command was committed is not known.
 var ErrNoQuorum = errors.New("no quorum")
 
+const (
+	// maxCommandTime bounds Client.Do. Operators' calls time out after 10 s, and must learn before that there is no quorum.
+	maxCommandTime = 8 * time.Second
+	// attemptsPerVoter is how often each voter could be asked in Client.Do's time if none answered.
+	attemptsPerVoter = 3
+)
+
 // Client asks the voters. Its methods may be called by several goroutines at once.
 type Client struct {
-	node    *peer.Node
-	voters  []Voter
-	attempt time.Duration // of one voter
-	now     func() time.Duration
-
-	mu     sync.Mutex
-	leader string
-	last   time.Duration // when a leader answered last; 0: never
-	err    error
+	node           *peer.Node
+	voters         []Voter
+	attemptTimeout time.Duration // of one voter
+	now            func() time.Duration
+
+	mu         sync.Mutex
+	leader     string        // address of the leader that answered last; empty after a failure
+	answeredAt time.Duration // when a leader answered last; 0: never
+	lastErr    error         // nil after an answer
 }
 
-// NewClient makes one. An attempt at one voter has so long.
-func NewClient(n *peer.Node, voters []Voter, attempt time.Duration, now func() time.Duration) *Client {
-	return &Client{node: n, voters: voters, attempt: attempt, now: now}
+// NewClient returns a client of the voters. attemptTimeout bounds one attempt at one voter; now is the caller's monotonic clock.
+func NewClient(node *peer.Node, voters []Voter, attemptTimeout time.Duration, now func() time.Duration) *Client {
+	return &Client{node: node, voters: voters, attemptTimeout: attemptTimeout, now: now}
 }
 
-// maxAsked bounds how long a command is asked for, however many voters there are. Operators' calls have 10 s: who made one is to
-// be told that there is no quorum, and not that the time is up.
-const maxAsked = 8 * time.Second
-
-// limit is how long a command is asked for: as three rounds over silent voters take, mostAsked at the most.
-func (c *Client) limit() time.Duration {
-	return min(time.Duration(3*len(c.voters))*c.attempt, maxAsked)
+// commandTimeout returns the time limit of Do.
+func (c *Client) commandTimeout() time.Duration {
+	attempts := attemptsPerVoter * len(c.voters)
+	return min(time.Duration(attempts)*c.attemptTimeout, maxCommandTime)
 }
 
-// Do has a command agreed on, within ctx and the client's limit. sent is when the attempt that
-// was answered was sent, by the caller's clock: a grant counts from there.
+// Do has a command committed, within ctx and the client's time limit. sentAt is when the attempt that was answered was sent, by the
+// client's clock: a lease that is granted counts from then. The error wraps ErrNoQuorum.
 //
-// Danger: rounds that are counted are over in no time where voters answer at once that none of them leads, and an election takes
-// longer than its heartbeat. So time counts, and the pauses grow: a fleet that waits for an election is not to hold it up.
-func (c *Client) Do(ctx context.Context, cmd Command) (r Result, sent time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.limit())
+// The limit is a time and not a number of attempts, since voters without a leader answer at once and an election takes longer. The
+// backoff between attempts grows, so that clients do not slow the election down.
+func (c *Client) Do(ctx context.Context, command Command) (result Result, sentAt time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, c.commandTimeout())
 	defer cancel()
-	c.mu.Lock()
-	to := c.leader
-	c.mu.Unlock()
-	next := rand.IntN(len(c.voters))
-	var last error
+	voter := c.lastLeader()
+	nextVoter := rand.IntN(len(c.voters))
+	backoff := c.attemptTimeout / 20
 	redirected := false
-	for wait := c.attempt / 20; ; wait = min(2*wait, c.attempt/2) {
-		if to == "" {
-			to = c.voters[next%len(c.voters)].Address
-			next++
+	var lastErr error
+	for {
+		if voter == "" {
+			voter = c.voters[nextVoter%len(c.voters)].Address
+			nextVoter++
 		}
-		sent = c.now()
-		r, leader, done, err := DoOnce(ctx, c.node, to, c.attempt, cmd)
-		if done {
-			c.heard(to, nil)
-			return r, sent, nil
+		sentAt = c.now()
+		reply, err := DoOnce(ctx, c.node, voter, c.attemptTimeout, command)
+		if err == nil {
+			c.recordAnswer(voter)
+			return reply.Result, sentAt, nil
 		}
-		if last == nil || ctx.Err() == nil { // one that ended with the time says less than the ones before
-			last = err
+		if lastErr == nil || ctx.Err() == nil { // an attempt that the time limit cut short says less than earlier ones
+			lastErr = err
 		}
-		if leader == to {
-			leader = ""
+		if reply.Leader == voter {
+			reply.Leader = ""
 		}
-		to = leader
-		// One redirect is followed at once. Voters that name each other know as little as those that name nobody.
-		if redirected = leader != "" && !redirected; redirected {
-			wait /= 2
+		voter = reply.Leader
+		// One redirect is followed at once. Voters that name each other as the leader know as little as those that name nobody.
+		redirected = voter != "" && !redirected
+		if redirected {
 			continue
 		}
-		pause(ctx, wait+rand.N(wait+1))
+		pause(ctx, backoff+rand.N(backoff+1))
 		if ctx.Err() != nil {
 			break
 		}
+		backoff = min(2*backoff, c.attemptTimeout/2)
 	}
-	err = fmt.Errorf("%w: %w", ErrNoQuorum, last)
-	c.heard("", err)
+	err = fmt.Errorf("%w: %w", ErrNoQuorum, lastErr)
+	c.recordFailure(err)
 	return Result{}, 0, err
 }
 
-// DoOnce asks one voter once. done: the command was agreed on. Where it was not, an error does not tell whether it still will be,
-// and leader, if not empty, is whom to ask instead.
-func DoOnce(ctx context.Context, n *peer.Node, to string, within time.Duration, cmd Command) (r Result, leader string, done bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// DoOnce asks one voter once, within ctx and timeout. A nil error means that the command was committed. ErrNotLeader means that it was
+// not; after any other error it may still be. Either way the reply may name the leader to ask instead.
+func DoOnce(ctx context.Context, node *peer.Node, voter string, timeout time.Duration, command Command) (Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var rep reply
-	if err := n.Call(ctx, to, "/fleet/v1/quorum", cmd, &rep); err != nil {
-		return r, "", false, err
+	var reply Reply
+	if err := node.Call(ctx, voter, commandPath, command, &reply); err != nil {
+		return Reply{}, err
 	}
-	if rep.Done {
-		return rep.Result, "", true, nil
+	if !reply.Committed {
+		return reply, fmt.Errorf("%s: %w", voter, errorOfReason(reply.Reason))
 	}
-	return r, rep.Leader, false, fmt.Errorf("%s: %s", to, rep.Why)
+	return reply, nil
 }
 
-func (c *Client) heard(leader string, err error) {
+// errorOfReason returns the error that a reply's reason stands for. Reasons are the text of errors, as voters of earlier versions send
+// them: package raft's own for a voter that has just lost its leadership also means that the command was not committed.
+func errorOfReason(reason string) error {
+	switch reason {
+	case ErrNotLeader.Error():
+		return ErrNotLeader
+	case raft.ErrNotLeader.Error():
+		return fmt.Errorf("%w (%s)", ErrNotLeader, reason)
+	}
+	return errors.New(reason)
+}
+
+func (c *Client) lastLeader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leader, c.err = leader, err
-	if err == nil {
-		c.last = c.now()
-	}
+	return c.leader
 }
 
-// Contact is how a client stands with the voters.
+func (c *Client) recordAnswer(leader string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leader = leader
+	c.answeredAt = c.now()
+	c.lastErr = nil
+}
+
+func (c *Client) recordFailure(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leader = ""
+	c.lastErr = err
+}
+
+// Contact is the state of a client's contact with the voters.
 type Contact struct {
 	Leader string        `json:"leader,omitempty"`
 	Age    time.Duration `json:"age"` // of the leader's last answer; negative: there was none
 	Error  string        `json:"error,omitempty"`
 }
 
-// Contact tells how it stands.
+// Contact returns the state of the contact with the voters.
 func (c *Client) Contact() Contact {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := Contact{Leader: c.leader, Age: -1}
-	if c.last > 0 {
-		k.Age = c.now() - c.last
+	contact := Contact{Leader: c.leader, Age: -1}
+	if c.answeredAt > 0 {
+		contact.Age = c.now() - c.answeredAt
 	}
-	if c.err != nil {
-		k.Error = c.err.Error()
+	if c.lastErr != nil {
+		contact.Error = c.lastErr.Error()
 	}
-	return k
+	return contact
 }
 
-// Leases asks for all leases: from the leader, or from any voter where there is none.
+// Leases returns all leases: from the leader, or the latest that any voter knows where there is no leader. The error wraps ErrNoQuorum.
 func (c *Client) Leases(ctx context.Context) (LeaseList, error) {
-	return all(ctx, c, "/fleet/v1/leases", func(l, than *LeaseList) (bool, bool) { return l.Fresh, than == nil || l.Term > than.Term })
+	return fetchList(ctx, c, leasesPath,
+		func(list *LeaseList) bool { return list.Fresh },
+		func(list, other *LeaseList) bool { return list.Term > other.Term })
 }
 
-// Drains asks for all orders, in the same way.
+// Drains returns all drain requests, like Leases.
 func (c *Client) Drains(ctx context.Context) (DrainList, error) {
-	return all(ctx, c, "/fleet/v1/book", func(l, than *DrainList) (bool, bool) { return l.Fresh, than == nil || l.View.NewerThan(&than.View) })
+	return fetchList(ctx, c, drainsPath,
+		func(list *DrainList) bool { return list.Fresh },
+		func(list, other *DrainList) bool { return list.View.NewerThan(&other.View) })
 }
 
-// Releases asks for the releases, in the same way.
+// Releases returns the releases, like Leases.
 func (c *Client) Releases(ctx context.Context) (ReleaseList, error) {
-	return all(ctx, c, "/fleet/v1/releases", func(l, than *ReleaseList) (bool, bool) { return l.Fresh, than == nil || l.Revision > than.Revision })
+	return fetchList(ctx, c, releasesPath,
+		func(list *ReleaseList) bool { return list.Fresh },
+		func(list, other *ReleaseList) bool { return list.Revision > other.Revision })
 }
 
-// Config asks the voters for a configuration by its digest.
+// Config returns a stored configuration by its digest, from the first voter that has it.
 func (c *Client) Config(ctx context.Context, digest string) (string, error) {
-	var err error
-	for _, v := range c.voters {
-		var t string
-		one, cancel := context.WithTimeout(ctx, c.attempt)
-		e := c.node.Call(one, v.Address, "/fleet/v1/text", digest, &t)
-		cancel()
-		if e == nil {
-			return t, nil
+	var errs error
+	for _, voter := range c.voters {
+		var text string
+		err := c.call(ctx, voter, configPath, digest, &text)
+		if err == nil {
+			return text, nil
 		}
-		err = errors.Join(err, e)
+		errs = errors.Join(errs, err)
 	}
-	return "", err
-}
-
-// all asks every voter until one has the leader's word; else it gives the latest.
-func all[T any](ctx context.Context, c *Client, path string, judge func(l, than *T) (fresh, better bool)) (T, error) {
-	var best *T
-	var err error
-	for _, v := range c.voters {
-		var l T
-		one, cancel := context.WithTimeout(ctx, c.attempt)
-		e := c.node.Call(one, v.Address, path, struct{}{}, &l)
-		cancel()
-		if e != nil {
-			err = errors.Join(err, e)
+	return "", errs
+}
+
+// call asks one voter, within ctx and the time of one attempt.
+func (c *Client) call(ctx context.Context, voter Voter, path string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout)
+	defer cancel()
+	return c.node.Call(ctx, voter.Address, path, in, out)
+}
+
+// fetchList asks each voter until one answers with a fresh list. Without one it returns the newest.
+func fetchList[T any](ctx context.Context, c *Client, path string, fresh func(list *T) bool, newer func(list, other *T) bool) (T, error) {
+	var newest *T
+	var errs error
+	for _, voter := range c.voters {
+		var list T
+		if err := c.call(ctx, voter, path, struct{}{}, &list); err != nil {
+			errs = errors.Join(errs, err)
 			continue
 		}
-		fresh, better := judge(&l, best)
-		if fresh {
-			return l, nil
+		if fresh(&list) {
+			return list, nil
 		}
-		if better {
-			best = &l
+		if newest == nil || newer(&list, newest) {
+			newest = &list
 		}
 	}
-	if best != nil {
-		return *best, nil
+	if newest == nil {
+		var none T
+		return none, fmt.Errorf("%w: %w", ErrNoQuorum, errs)
 	}
-	var none T
-	return none, fmt.Errorf("%w: %w", ErrNoQuorum, err)
+	return *newest, nil
 }
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net/http"
 	"sync/atomic"
 	"testing"
@@ -15,103 +14,122 @@
 	"robindrum/internal/testbed"
 )
 
-// standIns are three voters that answer as they are told: at is which of them, n how many asks there were.
-func standIns(t *testing.T, attempt time.Duration, answer func(at, n int, voters []Voter) (reply, error)) (c *Client, asked *atomic.Int64) {
+// scriptedAnswer returns the answer of the voter with this index to the attempt with this number, from 1.
+type scriptedAnswer func(voter, attempt int, voters []Voter) (Reply, error)
+
+// startScriptedVoters starts three voters that answer as scripted, and returns a client and the number of its attempts.
+func startScriptedVoters(t *testing.T, attemptTimeout time.Duration, answer scriptedAnswer) (client *Client, attempts *atomic.Int64) {
 	t.Helper()
-	asked = new(atomic.Int64)
+	attempts = new(atomic.Int64)
 	var nodes [3]*peer.Node
 	var voters []Voter
 	for i := range nodes {
-		n, err := peer.Listen(peer.Options{Fleet: "test", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { n.Close() })
-		nodes[i] = n
-		voters = append(voters, Voter{fmt.Sprint("v", i), n.Addr()})
+		nodes[i] = listen(t)
+		voters = append(voters, Voter{Name: fmt.Sprint("v", i), Address: nodes[i].Addr()})
 	}
-	for i, n := range nodes {
-		n.Handle("/fleet/v1/quorum", 1<<10, func(_ context.Context, body []byte) (any, error) {
-			var c Command
-			if err := json.Unmarshal(body, &c); err != nil {
-				return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
+	for i, node := range nodes {
+		node.Handle(commandPath, 1<<10, func(_ context.Context, body []byte) (any, error) {
+			var command Command
+			if err := json.Unmarshal(body, &command); err != nil {
+				return nil, badRequest(err)
 			}
-			r, err := answer(i, int(asked.Add(1)), voters)
+			reply, err := answer(i, int(attempts.Add(1)), voters)
 			if err != nil {
 				return nil, &peer.StatusError{Status: http.StatusServiceUnavailable, Err: err}
 			}
-			return r, nil
+			return reply, nil
 		})
-		n.Serve()
+		node.Serve()
 	}
 	start := time.Now()
-	return NewClient(nodes[0], voters, attempt, func() time.Duration { return time.Since(start) }), asked
+	return NewClient(nodes[0], voters, attemptTimeout, func() time.Duration { return time.Since(start) }), attempts
 }
 
-// While voters elect a leader each says at once that it is none. Danger: rounds that are counted end before an election can.
-func TestElectionLongerThanThreeRoundsOfAsks(t *testing.T) {
+func notLeader(int, int, []Voter) (Reply, error) { return Reply{Reason: ErrNotLeader.Error()}, nil }
+
+// TestDoOutlastsAnElection has the voters answer at once for a while that none of them leads: a limit on attempts would end too soon.
+func TestDoOutlastsAnElection(t *testing.T) {
 	testbed.Leaks(t)
-	c, asked := standIns(t, 200*time.Millisecond, func(_, n int, _ []Voter) (reply, error) {
-		if n < 13 {
-			return reply{Why: NotLeader}, nil
+	client, attempts := startScriptedVoters(t, 200*time.Millisecond, func(voter, attempt int, voters []Voter) (Reply, error) {
+		if attempt < 13 {
+			return notLeader(voter, attempt, voters)
 		}
-		return reply{Done: true, Result: Result{Code: "held"}}, nil
+		return Reply{Committed: true, Result: Result{Code: "held"}}, nil
 	})
-	if r, _, err := c.Do(t.Context(), Command{Op: OpDrain}); err != nil || r.Code != "held" {
-		t.Errorf("%+v, %v, behind %d asks", r, err, asked.Load())
+	if result, _, err := client.Do(t.Context(), Command{Op: OpDrain}); err != nil || result.Code != "held" {
+		t.Errorf("%+v, %v, after %d attempts", result, err, attempts.Load())
 	}
 }
 
-// Where there is no leader for good a client gives up in the time that three rounds over silent voters take, and asks ever more
-// rarely: an election is not held up by those who wait for it. Voters that name each other are no exception.
-func TestNoLeaderForGood(t *testing.T) {
-	const attempt = 100 * time.Millisecond
-	for name, answer := range map[string]func(at, n int, voters []Voter) (reply, error){
-		"none is": func(int, int, []Voter) (reply, error) { return reply{Why: NotLeader}, nil },
-		"another one": func(at, _ int, l []Voter) (reply, error) {
-			return reply{Why: NotLeader, Leader: l[(at+1)%3].Address}, nil
+// TestDoBacksOffWithoutALeader tests that without a leader a client gives up in the time that three attempts at each silent voter take,
+// and asks less and less often.
+func TestDoBacksOffWithoutALeader(t *testing.T) {
+	const attemptTimeout = 100 * time.Millisecond
+	for name, answer := range map[string]scriptedAnswer{
+		"no voter leads": notLeader,
+		"voters name each other": func(voter, _ int, voters []Voter) (Reply, error) {
+			return Reply{Reason: ErrNotLeader.Error(), Leader: voters[(voter+1)%3].Address}, nil
 		},
-		"they are full": func(int, int, []Voter) (reply, error) { return reply{}, errors.New("busy") },
+		"voters are overloaded": func(int, int, []Voter) (Reply, error) { return Reply{}, errors.New("busy") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
-			c, asked := standIns(t, attempt, answer)
-			began := time.Now()
-			_, _, err := c.Do(t.Context(), Command{Op: OpDrain})
-			if took := time.Since(began); !errors.Is(err, ErrNoQuorum) || took < 8*attempt {
-				t.Errorf("%v after %v", err, took)
+			client, attempts := startScriptedVoters(t, attemptTimeout, answer)
+			start := time.Now()
+			_, _, err := client.Do(t.Context(), Command{Op: OpDrain})
+			if elapsed := time.Since(start); !errors.Is(err, ErrNoQuorum) || elapsed < 8*attemptTimeout {
+				t.Errorf("%v after %v", err, elapsed)
 			}
-			// Pauses double from a twentieth of an attempt's time to half of it: seven of them and two asks each, at the most, are
-			// gone by the first 1.3 attempts' time, and 16 pauses fill the rest.
-			if n := asked.Load(); n > 46 || n < 9 {
-				t.Errorf("%d asks", n)
+			// Pauses double from a twentieth of the attempt's time to half of it: at most seven of them, with two attempts each, fit into
+			// the first 1.3 attempts' time, and 16 pauses fill the rest.
+			if n := attempts.Load(); n > 46 || n < 9 {
+				t.Errorf("%d attempts", n)
 			}
 		})
 	}
 }
 
-// A caller that has less time than that is kept to it.
-func TestNoLeaderInACallersTime(t *testing.T) {
+func TestDoEndsWithItsContext(t *testing.T) {
 	testbed.Leaks(t)
-	c, _ := standIns(t, time.Second, func(int, int, []Voter) (reply, error) { return reply{Why: NotLeader}, nil })
+	client, _ := startScriptedVoters(t, time.Second, notLeader)
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	began := time.Now()
-	if _, _, err := c.Do(ctx, Command{Op: OpDrain}); !errors.Is(err, ErrNoQuorum) || time.Since(began) > 2*time.Second {
-		t.Errorf("%v after %v", err, time.Since(began))
+	start := time.Now()
+	if _, _, err := client.Do(ctx, Command{Op: OpDrain}); !errors.Is(err, ErrNoQuorum) || time.Since(start) > 2*time.Second {
+		t.Errorf("%v after %v", err, time.Since(start))
+	}
+}
+
+// TestCommandTimeoutIsShorterThanAnOperatorsCall tests that also with five voters an operator's call of 10 s learns the reason.
+func TestCommandTimeoutIsShorterThanAnOperatorsCall(t *testing.T) {
+	for _, test := range []struct {
+		voters         int
+		attemptTimeout time.Duration
+		want           time.Duration
+	}{
+		{3, 150 * time.Millisecond, 1350 * time.Millisecond},
+		{3, time.Second, 8 * time.Second},
+		{5, time.Second, 8 * time.Second},
+	} {
+		client := NewClient(nil, make([]Voter, test.voters), test.attemptTimeout, nil)
+		if got := client.commandTimeout(); got != test.want {
+			t.Errorf("%d voters, %v an attempt: %v, want %v", test.voters, test.attemptTimeout, got, test.want)
+		}
 	}
 }
 
-// Danger: five voters that are silent, or none of which leads, would be asked for longer than an operator's call has (10 s), which
-// then ends without a word of why.
-func TestAskedForLessThanAnOperatorWaits(t *testing.T) {
-	for _, c := range []struct {
-		voters  int
-		attempt time.Duration
-		want    time.Duration
-	}{{3, 150 * time.Millisecond, 1350 * time.Millisecond}, {3, time.Second, 8 * time.Second}, {5, time.Second, 8 * time.Second}} {
-		if got := NewClient(nil, make([]Voter, c.voters), c.attempt, nil).limit(); got != c.want {
-			t.Errorf("%d voters, %v an attempt: %v, want %v", c.voters, c.attempt, got, c.want)
+// TestReasonsOfRedirectsBecomeErrors tests the texts that voters, also of earlier versions, send.
+func TestReasonsOfRedirectsBecomeErrors(t *testing.T) {
+	for reason, want := range map[string]bool{
+		"not the leader":                         true,
+		"node is not the leader":                 true,
+		"leadership lost while committing log":   false,
+		"timed out enqueuing operation":          false,
+		"this voter was once not the leader, so": false,
+	} {
+		err := errorOfReason(reason)
+		if got := errors.Is(err, ErrNotLeader); got != want || err == nil {
+			t.Errorf("%q: %v", reason, err)
 		}
 	}
 }
--- a/internal/quorum/former_test.go
+++ b/internal/quorum/former_test.go
@@ -1,7 +1,6 @@
 package quorum
 
 import (
-	"log/slog"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,8 +11,6 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
 	"robindrum/internal/drain"
-	"robindrum/internal/lease"
-	"robindrum/internal/peer"
 	"robindrum/internal/testbed"
 )
 
@@ -39,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }()
 	snapshots, err := raft.NewFileSnapshotStore(dir, 2, t.Output())
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +54,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := newState()
-		if err := s.Restore(reader); err != nil {
+		state := newFSM()
+		if err := state.Restore(reader); err != nil {
 			t.Fatal(err)
 		}
 		for index := meta.Index + 1; index <= last; index++ {
@@ -69,11 +66,11 @@
 			if entry.Type != raft.LogCommand {
 				continue
 			}
-			if r, ok := s.Apply(&entry).(Result); !ok || r.Code != "" {
-				t.Fatalf("entry %d, %s: %+v", index, entry.Data, r)
+			if result, ok := state.Apply(&entry).(Result); !ok || result.Code != "" {
+				t.Fatalf("entry %d, %s: %+v", index, entry.Data, result)
 			}
 		}
-		got, err := s.save()
+		got, err := state.encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,45 +88,43 @@
 // release go on from where they stood.
 func TestFormerFolderVotes(t *testing.T) {
 	testbed.Leaks(t)
-	node, err := peer.Listen(peer.Options{Fleet: "test", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer node.Close()
+	node := listen(t)
 	voters := []Voter{{"v0", "127.0.0.1:7946"}}
-	s, err := Open(node, Options{Dir: formerFolder(t), Name: "v0", Voters: voters, Heartbeat: 100 * time.Millisecond, Log: slog.New(slog.DiscardHandler)})
+	s, err := Open(node, Options{Dir: formerFolder(t), Name: "v0", Voters: voters, Heartbeat: 100 * time.Millisecond, Log: quietLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	node.Serve()
 	s.Start()
-	testbed.Eventually(t, "a leader", s.leading.Load)
-	s.state.mu.Lock()
-	before := s.state.table.LastToken
-	s.state.mu.Unlock()
-	r, err := s.propose(Command{Op: OpAcquire, Lease: "new", Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: "g9", Incarnation: 1}})
-	if err != nil || r.Err() != nil || r.Grant.Token <= before || before < 1_700_000_000_000 {
-		t.Errorf("token %d behind %d: %v, %v", r.Grant.Token, before, err, r.Err())
+	testbed.Eventually(t, "a leader", s.Leading)
+	s.fsm.mu.Lock()
+	before := s.fsm.leases.LastToken
+	s.fsm.mu.Unlock()
+	result, err := s.propose(acquireCommand("new", "g9"))
+	if err != nil || result.Err() != nil || result.Grant.Token <= before || before < 1_700_000_000_000 {
+		t.Errorf("token %d after %d: %v, %v", result.Grant.Token, before, err, result.Err())
 	}
-	if r, err = s.propose(Command{Op: OpCancelDrain, Drain: &drain.Request{ID: "under-way"}}); err != nil || r.Err() != nil || r.Drain.State != drain.Cancelled {
-		t.Errorf("cancelled: %+v, %v", r, err)
+	result, err = s.propose(Command{Op: OpCancelDrain, Drain: &drain.Request{ID: "under-way"}})
+	if err != nil || result.Err() != nil || result.Drain.State != drain.Cancelled {
+		t.Errorf("cancelled: %+v, %v", result, err)
 	}
-	s.state.mu.Lock()
-	defer s.state.mu.Unlock()
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
 	states := map[drain.State]int{}
-	for _, o := range s.state.book.List() {
-		states[o.State]++
+	for _, request := range s.fsm.drains.List() {
+		states[request.State]++
 	}
 	for _, state := range []drain.State{drain.Pending, drain.Granted, drain.Drained, drain.Overdue, drain.Ended, drain.Rejected} {
 		if states[state] != 1 {
 			t.Errorf("%d drains are %s, want 1", states[state], state)
 		}
 	}
-	if l := s.state.table.Leases["subscription"]; l == nil || l.Holder.Name != "g1" || len(l.Waiters) != 1 || l.Waiters[0].Member.Name != "g2" {
-		t.Errorf("subscription: %+v", l)
+	held := s.fsm.leases.Leases["subscription"]
+	if held == nil || held.Holder.Name != "g1" || len(held.Waiters) != 1 || held.Waiters[0].Member.Name != "g2" {
+		t.Errorf("subscription: %+v", held)
 	}
-	if s.state.rel.Current == nil || s.state.rel.Current.String() != "release r1 to d1: running, wave 1 of 3 (g2)" {
-		t.Errorf("release: %v", s.state.rel.Current)
+	if s.fsm.releases.Current == nil || s.fsm.releases.Current.String() != "release r1 to d1: running, wave 1 of 3 (g2)" {
+		t.Errorf("release: %v", s.fsm.releases.Current)
 	}
 }
--- /dev/null
+++ b/internal/quorum/handlers.go
@@ -0,0 +1,120 @@
+package quorum
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"robindrum/internal/peer"
+	"robindrum/internal/release"
+)
+
+// Paths of a voter's calls.
+const (
+	commandPath  = "/fleet/v1/quorum"
+	leasesPath   = "/fleet/v1/leases"
+	drainsPath   = "/fleet/v1/book"
+	releasesPath = "/fleet/v1/releases"
+	configPath   = "/fleet/v1/text"
+	voterPath    = "/fleet/v1/voter"
+)
+
+const (
+	maxCommandBytes = 4 * release.MaxConfigBytes // a configuration, as a JSON string
+	maxQueryBytes   = 1 << 10
+	minForgetPause  = time.Minute // between two OpForget of the leader's own
+)
+
+func (s *Server) registerHandlers() {
+	s.node.Handle(commandPath, maxCommandBytes, s.handleCommand)
+	s.node.Handle(leasesPath, maxQueryBytes, s.handleLeases)
+	s.node.Handle(drainsPath, maxQueryBytes, s.handleDrains)
+	s.node.Handle(releasesPath, maxQueryBytes, s.handleReleases)
+	s.node.Handle(configPath, maxQueryBytes, s.handleConfig)
+	s.node.Handle(voterPath, maxQueryBytes, s.handleStatus)
+}
+
+func badRequest(err error) error {
+	return &peer.StatusError{Status: http.StatusBadRequest, Err: err}
+}
+
+// handleCommand has a client's command committed, or names the leader to ask instead.
+func (s *Server) handleCommand(_ context.Context, body []byte) (any, error) {
+	var command Command
+	if err := json.Unmarshal(body, &command); err != nil {
+		return nil, badRequest(err)
+	}
+	if !command.Op.allowedForClients() {
+		return nil, badRequest(fmt.Errorf("no such command: %q", command.Op))
+	}
+	if !s.Leading() {
+		return s.redirect(ErrNotLeader), nil
+	}
+	if command.Op.needsCurrentVoters() {
+		if outdated := s.outdatedVoter(); outdated != "" {
+			text := fmt.Sprintf("voter %s is of an earlier version, which does not know all drains and releases: upgrade it first", outdated)
+			return Reply{Committed: true, Result: Result{Code: CodeRejected, Text: text}}, nil
+		}
+	}
+	result, err := s.proposeForClient(command)
+	if err != nil {
+		return s.redirect(err), nil
+	}
+	return Reply{Committed: true, Result: result}, nil
+}
+
+// proposeForClient proposes a command. Where the lease table is full it drops unused names and tries once more.
+func (s *Server) proposeForClient(command Command) (Result, error) {
+	result, err := s.propose(command)
+	if err != nil || command.Op != OpAcquire || result.Code != CodeFull || !s.claimForget() {
+		return result, err
+	}
+	if _, err := s.propose(Command{Op: OpForget}); err != nil {
+		return result, err
+	}
+	return s.propose(command)
+}
+
+// claimForget reports whether the leader may propose OpForget now, at most once in minForgetPause: names in use may fill the table.
+func (s *Server) claimForget() bool {
+	now := time.Now().UnixNano()
+	last := s.lastForgetNano.Load()
+	return now-last >= int64(minForgetPause) && s.lastForgetNano.CompareAndSwap(last, now)
+}
+
+// redirect returns the reply to a command that this voter did not get committed, with the leader's address where another one leads.
+func (s *Server) redirect(reason error) Reply {
+	reply := Reply{Reason: reason.Error()}
+	address, leader := s.raft.LeaderWithID()
+	if leader != raft.ServerID(s.id) && s.Stopped() == "" {
+		reply.Leader = reachedAt(address)
+	}
+	return reply
+}
+
+func (s *Server) handleLeases(context.Context, []byte) (any, error) { return s.leaseList(), nil }
+
+func (s *Server) handleDrains(context.Context, []byte) (any, error) { return s.drainList(), nil }
+
+func (s *Server) handleReleases(context.Context, []byte) (any, error) { return s.releaseList() }
+
+func (s *Server) handleStatus(context.Context, []byte) (any, error) { return s.Status(), nil }
+
+// handleConfig returns a stored configuration by its digest.
+func (s *Server) handleConfig(_ context.Context, body []byte) (any, error) {
+	var digest string
+	if err := json.Unmarshal(body, &digest); err != nil {
+		return nil, badRequest(err)
+	}
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	text, ok := s.fsm.releases.Configs[digest]
+	if !ok {
+		return nil, &peer.StatusError{Status: http.StatusNotFound, Err: release.ErrUnknownConfig}
+	}
+	return text, nil
+}
--- a/internal/testbed/cluster/history.go
+++ b/internal/testbed/cluster/history.go
@@ -70,23 +70,23 @@
 	to := h.voters[h.rng.IntN(len(h.voters))].Address
 	for range 3 {
 		a := asked{op: op, member: h.name, token: token, length: h.rules.Length, call: fleet.Clock()}
-		r, leader, applied, err := quorum.DoOnce(ctx, h.node, to, 300*time.Millisecond, quorum.Command{Op: op, Lease: historyLease, Rules: h.rules,
+		reply, err := quorum.DoOnce(ctx, h.node, to, 300*time.Millisecond, quorum.Command{Op: op, Lease: historyLease, Rules: h.rules,
 			Member: lease.Member{Name: h.name, Incarnation: h.birth}, Token: token})
 		a.ret = fleet.Clock()
 		switch {
-		case err == nil && applied:
-			switch e := r.Err(); {
+		case err == nil:
+			switch e := reply.Err(); {
 			case e == nil && op == quorum.OpRelease:
 				a.result = "done"
 			case e == nil:
-				a.result, a.token = "granted", r.Grant.Token
+				a.result, a.token = "granted", reply.Grant.Token
 			case errors.Is(e, lease.ErrWaiting):
 				a.result = "waiting"
 			default:
 				a.result = "lost"
 			}
-		case leader != "" && strings.HasSuffix(err.Error(), quorum.NotLeader):
-			to = leader
+		case reply.Leader != "" && errors.Is(err, quorum.ErrNotLeader):
+			to = reply.Leader
 			continue
 		default:
 			a.result = "unknown"
