--- a/internal/peer/partition_test.go
+++ b/internal/peer/partition_test.go
@@ -10,56 +10,62 @@
 	"robindrum/internal/testbed"
 )
 
-// A node that is cut off from an address neither calls it nor has a packet come there, and others are reached; then it is whole again.
-func TestCut(t *testing.T) {
+func listen(t *testing.T) *Node {
+	t.Helper()
+	node, err := Listen(Options{Fleet: "f", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(node.Close)
+	return node
+}
+
+// TestPartitionStopsCallsAndPackets separates a node from one of two others: neither calls nor packets arrive there, the third node is
+// reached, and once the partition ends the second one is reached again.
+func TestPartitionStopsCallsAndPackets(t *testing.T) {
 	testbed.Leaks(t)
 	var nodes [3]*Node
 	for i := range nodes {
-		n, err := Listen(Options{Fleet: "f", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.Handle("/x", 100, func(context.Context, []byte) (any, error) { return i, nil })
-		n.Serve()
-		t.Cleanup(n.Close)
-		nodes[i] = n
+		nodes[i] = listen(t)
+		nodes[i].Handle("/x", 100, func(context.Context, []byte) (any, error) { return i, nil })
+		nodes[i].Serve()
 	}
-	got := make(chan string, 8)
+	received := make(chan string, 8)
 	go func() {
-		b := make([]byte, 100)
+		buffer := make([]byte, 100)
 		for {
-			k, _, err := nodes[1].ReadPacket(b)
+			length, _, err := nodes[1].ReadPacket(buffer)
 			if err != nil {
-				close(got)
+				close(received)
 				return
 			}
-			got <- string(b[:k])
+			received <- string(buffer[:length])
 		}
 	}()
 	call := func(to *Node) error { return nodes[0].Call(t.Context(), to.Addr(), "/x", 1, nil) }
-	nodes[0].SetPartition(func(addr string) bool { return addr == nodes[1].Addr() })
-	if err := call(nodes[1]); !errors.Is(err, errCut) {
-		t.Errorf("a call over the cut: %v", err)
+	nodes[0].SetPartition(func(address string) bool { return address == nodes[1].Addr() })
+	if err := call(nodes[1]); !errors.Is(err, errPartitioned) {
+		t.Errorf("a call across the partition: %v", err)
 	}
 	if err := call(nodes[2]); err != nil {
-		t.Errorf("a call beside the cut: %v", err)
+		t.Errorf("a call on the same side: %v", err)
 	}
 	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("lost")); err != nil {
-		t.Errorf("a packet that is lost is no error: %v", err)
+		t.Errorf("a packet across the partition is lost without an error, not: %v", err)
 	}
 	nodes[0].SetPartition(nil)
 	if err := call(nodes[1]); err != nil {
-		t.Errorf("a call behind the cut: %v", err)
+		t.Errorf("a call after the partition: %v", err)
 	}
-	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("comes")); err != nil {
+	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("arrives")); err != nil {
 		t.Error(err)
 	}
 	select {
-	case s := <-got:
-		if s != "comes" {
-			t.Errorf("%q came", s)
+	case packet := <-received:
+		if packet != "arrives" {
+			t.Errorf("%q arrived", packet)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("no packet came")
+		t.Error("no packet arrived")
 	}
 }
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -5,66 +5,93 @@
 	"sync/atomic"
 )
 
-// Traffic is what a Node has sent and got since it began, as bytes of payload: without the headers of IP, TCP and UDP.
+// Traffic is what a Node has sent and received since it began, as bytes of payload: without the headers of IP, TCP and UDP.
 type Traffic struct {
 	Packets     int64 `json:"packets"`      // UDP packets sent
-	PacketBytes int64 `json:"packet_bytes"` // what they carried
-	Calls       int64 `json:"calls"`        // made here
-	Streams     int64 `json:"streams"`      // opened here, or tried
-	Out         int64 `json:"out"`          // bytes over TCP of calls and streams, made here or taken, with their HTTP heads
-	In          int64 `json:"in"`
+	PacketBytes int64 `json:"packet_bytes"` // their payload
+	Calls       int64 `json:"calls"`        // made by this node
+	Streams     int64 `json:"streams"`      // opened by this node, or attempted
+	Out         int64 `json:"out"`          // bytes sent over TCP in either direction's calls and streams, with HTTP headers
+	In          int64 `json:"in"`           // bytes received, likewise
 }
 
-// Minus is what came since before.
-func (t Traffic) Minus(before Traffic) Traffic {
-	return Traffic{t.Packets - before.Packets, t.PacketBytes - before.PacketBytes, t.Calls - before.Calls, t.Streams - before.Streams, t.Out - before.Out, t.In - before.In}
+// Minus returns the traffic since an earlier reading.
+func (t Traffic) Minus(earlier Traffic) Traffic {
+	return Traffic{
+		Packets:     t.Packets - earlier.Packets,
+		PacketBytes: t.PacketBytes - earlier.PacketBytes,
+		Calls:       t.Calls - earlier.Calls,
+		Streams:     t.Streams - earlier.Streams,
+		Out:         t.Out - earlier.Out,
+		In:          t.In - earlier.In,
+	}
 }
 
-// Plus is the sum of two nodes' traffic.
-func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{t.Packets + o.Packets, t.PacketBytes + o.PacketBytes, t.Calls + o.Calls, t.Streams + o.Streams, t.Out + o.Out, t.In + o.In}
+// Plus returns the sum of two nodes' traffic.
+func (t Traffic) Plus(other Traffic) Traffic {
+	return Traffic{
+		Packets:     t.Packets + other.Packets,
+		PacketBytes: t.PacketBytes + other.PacketBytes,
+		Calls:       t.Calls + other.Calls,
+		Streams:     t.Streams + other.Streams,
+		Out:         t.Out + other.Out,
+		In:          t.In + other.In,
+	}
 }
 
-// Sent is all bytes that were sent.
+// Sent returns all bytes that were sent.
 func (t Traffic) Sent() int64 { return t.PacketBytes + t.Out }
 
-// Traffic tells what has been sent and got.
+// Traffic returns what has been sent and received.
 func (n *Node) Traffic() Traffic {
-	c := &n.traffic
-	return Traffic{c.packets.Load(), c.packetBytes.Load(), c.calls.Load(), c.streams.Load(), c.out.Load(), c.in.Load()}
+	return Traffic{
+		Packets:     n.traffic.packets.Load(),
+		PacketBytes: n.traffic.packetBytes.Load(),
+		Calls:       n.traffic.calls.Load(),
+		Streams:     n.traffic.streams.Load(),
+		Out:         n.traffic.bytesOut.Load(),
+		In:          n.traffic.bytesIn.Load(),
+	}
 }
 
+// counters are the figures of Traffic.
 type counters struct {
-	packets, packetBytes, calls, streams, out, in atomic.Int64
+	packets     atomic.Int64
+	packetBytes atomic.Int64
+	calls       atomic.Int64
+	streams     atomic.Int64
+	bytesOut    atomic.Int64
+	bytesIn     atomic.Int64
 }
 
-// counted is a connection whose bytes are counted.
-type counted struct {
+// countedConn counts the bytes of a connection.
+type countedConn struct {
 	net.Conn
-	c *counters
+	counters *counters
 }
 
-func (c *counted) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.c.in.Add(int64(n))
+func (c *countedConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
+	c.counters.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.c.out.Add(int64(n))
+func (c *countedConn) Write(data []byte) (int, error) {
+	n, err := c.Conn.Write(data)
+	c.counters.bytesOut.Add(int64(n))
 	return n, err
 }
 
+// countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
-	c *counters
+	counters *counters
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &counted{c, l.c}, nil
+	return &countedConn{Conn: conn, counters: l.counters}, nil
 }
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"testing"
@@ -12,56 +11,51 @@
 	"robindrum/internal/testbed"
 )
 
-// What one node sends the other one gets, by calls, streams and packets, and each is counted once.
-func TestTraffic(t *testing.T) {
+// TestTrafficOfBothSidesAgrees tests that what one node sends by calls, streams and packets the other one receives, and that each is
+// counted once.
+func TestTrafficOfBothSidesAgrees(t *testing.T) {
 	testbed.Leaks(t)
-	var nodes []*Node
-	for range 2 {
-		n, err := Listen(Options{Fleet: "f", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(n.Close)
-		nodes = append(nodes, n)
-	}
-	a, b := nodes[0], nodes[1]
-	b.Handle("/echo", 1<<10, func(_ context.Context, body []byte) (any, error) { return string(body), nil })
-	b.HandleStream("echo", func(http.Header) (http.Header, error) { return http.Header{}, nil }, func(c net.Conn) {
-		defer c.Close()
-		_, _ = io.Copy(c, io.LimitReader(c, 1000))
+	sender, receiver := listen(t), listen(t)
+	receiver.Handle("/echo", 1<<10, func(_ context.Context, body []byte) (any, error) { return string(body), nil })
+	receiver.HandleStream("echo", func(http.Header) (http.Header, error) { return http.Header{}, nil }, func(conn net.Conn) {
+		defer conn.Close()
+		_, _ = io.Copy(conn, io.LimitReader(conn, 1000))
 	})
-	a.Serve()
-	b.Serve()
-	if err := a.Call(t.Context(), b.Addr(), "/echo", "x", nil); err != nil {
+	sender.Serve()
+	receiver.Serve()
+	if err := sender.Call(t.Context(), receiver.Addr(), "/echo", "x", nil); err != nil {
 		t.Fatal(err)
 	}
-	called := a.Traffic()
+	called := sender.Traffic()
 	if called.Calls != 1 || called.Streams != 0 || called.Out < 100 || called.In < 50 {
 		t.Errorf("a call: %+v", called)
 	}
-	c, _, err := a.Stream(t.Context(), b.Addr(), "echo", http.Header{})
+	conn, _, err := sender.Stream(t.Context(), receiver.Addr(), "echo", http.Header{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Write(bytes.Repeat([]byte("x"), 1000)); err != nil {
+	if _, err := conn.Write(bytes.Repeat([]byte("x"), 1000)); err != nil {
 		t.Fatal(err)
 	}
-	if text, err := io.ReadAll(c); err != nil || len(text) != 1000 {
+	if text, err := io.ReadAll(conn); err != nil || len(text) != 1000 {
 		t.Fatal(len(text), err)
 	}
-	c.Close()
-	if d := a.Traffic().Minus(called); d.Streams != 1 || d.Calls != 0 || d.Out < 1000 || d.Out > 1500 || d.In < 1000 || d.In > 1500 {
-		t.Errorf("a stream of 1000 bytes each way: %+v", d)
+	conn.Close()
+	if streamed := sender.Traffic().Minus(called); streamed.Streams != 1 || streamed.Calls != 0 || streamed.Out < 1000 || streamed.Out > 1500 || streamed.In < 1000 || streamed.In > 1500 {
+		t.Errorf("a stream of 1000 bytes each way: %+v", streamed)
 	}
-	if err := a.SendPacket(b.Addr(), make([]byte, 300)); err != nil {
+	if err := sender.SendPacket(receiver.Addr(), make([]byte, 300)); err != nil {
 		t.Fatal(err)
 	}
-	x := a.Traffic()
-	if x.Packets != 1 || x.PacketBytes != 300 || x.Sent() != x.Out+300 {
-		t.Errorf("a packet of 300 bytes: %+v", x)
+	total := sender.Traffic()
+	if total.Packets != 1 || total.PacketBytes != 300 || total.Sent() != total.Out+300 {
+		t.Errorf("a packet of 300 bytes: %+v", total)
 	}
-	testbed.Eventually(t, "the other side's bytes", func() bool { y := b.Traffic(); return y.In == x.Out && y.Out == x.In })
-	if sum := x.Plus(b.Traffic()); sum.Out != sum.In || sum.Calls != 1 || sum.Packets != 1 {
+	testbed.Eventually(t, "the other side's bytes", func() bool {
+		received := receiver.Traffic()
+		return received.In == total.Out && received.Out == total.In
+	})
+	if sum := total.Plus(receiver.Traffic()); sum.Out != sum.In || sum.Calls != 1 || sum.Packets != 1 {
 		t.Errorf("both together: %+v", sum)
 	}
 }
