--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -36,15 +36,15 @@
 // Errors of a Table's commands.
 var (
 	// ErrWaiting means that another member holds the lease. The caller waits in order of arrival for as long as it keeps asking.
-	ErrWaiting = errors.New("another one holds it")
+	ErrWaiting = errors.New("another member holds the lease")
 	// ErrNotHeld means that the caller does not hold the lease, or not with this token.
 	ErrNotHeld = errors.New("the lease is not held with this token")
 	// ErrStaleIncarnation means that a later incarnation of the caller is known.
-	ErrStaleIncarnation = errors.New("a later process of this name is known")
+	ErrStaleIncarnation = errors.New("a later incarnation of this member is known")
 	// ErrStaleTerm means that the command is from a leader of an earlier term.
-	ErrStaleTerm = errors.New("of an earlier term")
+	ErrStaleTerm = errors.New("the command is of an earlier term")
 	// ErrFull means that a limit of the table is reached.
-	ErrFull = errors.New("the table is full")
+	ErrFull = errors.New("the lease table is full")
 )
 
 // Member identifies a process that asks for leases.
@@ -73,9 +73,9 @@
 	case r.Length < MinLength || r.Length > MaxLength:
 		return fmt.Errorf("length: want %v to %v, not %v", MinLength, MaxLength, r.Length)
 	case r.MaxWait < 0 || r.MaxWait > MaxLength:
-		return fmt.Errorf("patience: want 0 to %v, not %v", MaxLength, r.MaxWait)
+		return fmt.Errorf("max wait: want 0 to %v, not %v", MaxLength, r.MaxWait)
 	case r.MinHold < 0 || r.MinHold > MaxLength:
-		return fmt.Errorf("floor: want 0 to %v, not %v", MaxLength, r.MinHold)
+		return fmt.Errorf("min hold: want 0 to %v, not %v", MaxLength, r.MinHold)
 	case len(r.Site) > maxNameBytes:
 		return fmt.Errorf("site: %d bytes, max %d", len(r.Site), maxNameBytes)
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -236,17 +236,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table, now, term := NewTable(), time.Duration(0), uint64(1)
 		_ = table.BeginTerm(term, 0)
-		rules := Rules{Length: rapid.SampledFrom([]time.Duration{MinLength, time.Second}).Draw(t, "length"),
-			Site: rapid.SampledFrom([]string{"", "a"}).Draw(t, "site"), MaxWait: 2 * time.Second,
-			MinHold: rapid.SampledFrom([]time.Duration{0, 3 * time.Second}).Draw(t, "floor")}
+		rules := Rules{
+			Length:  rapid.SampledFrom([]time.Duration{MinLength, time.Second}).Draw(t, "length"),
+			Site:    rapid.SampledFrom([]string{"", "a"}).Draw(t, "preferred site"),
+			MaxWait: 2 * time.Second,
+			MinHold: rapid.SampledFrom([]time.Duration{0, 3 * time.Second}).Draw(t, "min hold"),
+		}
 		last, holder, expiresAt := uint64(0), Member{}, time.Duration(0) // what is expected
 		for range 200 {
-			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "passes")) * ms
-			member := Member{Name: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "who"), Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "birth")),
-				Site: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "at"), Load: rapid.IntRange(0, 2).Draw(t, "load")}
+			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause in ms")) * ms
+			member := Member{
+				Name:        rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "name"),
+				Incarnation: uint64(rapid.IntRange(1, 2).Draw(t, "incarnation")),
+				Site:        rapid.SampledFrom([]string{"a", "b"}).Draw(t, "site"),
+				Load:        rapid.IntRange(0, 2).Draw(t, "load"),
+			}
 			var grant Grant
 			var err error
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "command") {
 			case 0, 1:
 				grant, err = table.Acquire(term, now, "l", rules, member)
 			case 2:
@@ -264,7 +271,7 @@
 			case 4:
 				term++
 				expired := now >= expiresAt // by the clock of the earlier leader
-				now = time.Duration(rapid.IntRange(0, 1000).Draw(t, "clock")) * time.Second
+				now = time.Duration(rapid.IntRange(0, 1000).Draw(t, "clock in s")) * time.Second
 				if err := table.BeginTerm(term, now); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -148,7 +148,7 @@
 	case err != nil:
 		return err
 	case len(successor) > maxNameBytes:
-		return fmt.Errorf("heir: %d bytes, max %d", len(successor), maxNameBytes)
+		return fmt.Errorf("successor: %d bytes, max %d", len(successor), maxNameBytes)
 	}
 	lease.Holder, lease.Revoked, lease.Successor = Member{}, false, successor
 	lease.ExpiresAt = t.Now
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
 // Package peer is a process's one address among the processes of its fleet: HTTP/1.1 calls, streams that begin as HTTP upgrades, and
-// UDP packets to the same port. Processes of other fleets are told apart by a header and rejected.
+// UDP packets to the same port. A header names the fleet; processes of other fleets are rejected.
 //
 // Nothing is encrypted or authenticated: whoever reaches the address is trusted. Listen on loopback or a private network.
 package peer
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -111,7 +111,7 @@
 		for _, voter := range voters {
 			voter.fsm.mu.Lock()
 			for i := range 4096 {
-				voter.fsm.leases.Incarnations[fmt.Sprint("gone", i)] = 1
+				voter.fsm.leases.Incarnations[fmt.Sprint("unused", i)] = 1
 			}
 			voter.fsm.mu.Unlock()
 		}
