--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"encoding/json"
 	"fmt"
 	"os"
 	"os/exec"
@@ -164,6 +165,47 @@
 	}
 }
 
+// voterIdentity is what a voter's folder says of its voter, and of the starts of others that it has met.
+type voterIdentity struct {
+	ID   string `json:"id"`
+	Boot uint64 `json:"boot"`
+	Seen map[string]struct {
+		Boot uint64 `json:"boot"`
+	} `json:"seen"`
+}
+
+func readIdentity(t testing.TB, n *Node) (identity voterIdentity) {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(n.Votes(), "voter.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, &identity); err != nil {
+		t.Fatal(err)
+	}
+	return identity
+}
+
+// recordedStart reports whether the voters that may lead once n is killed have met n since its latest start: the leader, or all others if
+// n leads. Only then can they tell an earlier copy of n's folder: a voter says that it follows before the leader has reached it.
+func recordedStart(t testing.TB, c *Cluster, n *Node) bool {
+	t.Helper()
+	leader := c.Leader()
+	if leader == nil {
+		return false
+	}
+	own := readIdentity(t, n)
+	for _, other := range c.Nodes {
+		if other == n || leader != n && leader != other {
+			continue
+		}
+		if readIdentity(t, other).Seen[own.ID].Boot != own.Boot {
+			return false
+		}
+	}
+	return true
+}
+
 // A voter comes back with an old copy of its folder, with another fleet's, with a log that was cut, and with none: the first
 // three do not vote, say why, and serve; the last one is taken in.
 func TestFoldersOfVoters(t *testing.T) {
@@ -182,6 +224,7 @@
 		}
 		comes(t, "it votes again", func() bool { s := one.vote(); return s.State == "follower" || s.State == "leader" })
 	}
+	comes(t, "the leader to have recorded its latest start", func() bool { return recordedStart(t, c, one) })
 	refused := func(why string) {
 		t.Helper()
 		comes(t, "a refusal: "+why, func() bool {
