--- /dev/null
+++ b/internal/leaderelection/expiry_faultinjection.go
@@ -0,0 +1,5 @@
+//go:build faultinjection
+
+package leaderelection
+
+const ignoreExpiry = true
--- a/internal/leaderelection/leaderelection.go
+++ b/internal/leaderelection/leaderelection.go
@@ -43,7 +43,7 @@
 	defer h.mu.Unlock()
 	at = h.r.opt.Now()
 	token, ok = h.h.Token(at)
-	return token, at, ok || unguarded && token > 0
+	return token, at, ok || ignoreExpiry && token > 0
 }
 
 func (h *Leadership) granted(sent time.Duration, g lease.Grant) {
@@ -225,7 +225,7 @@
 // hold runs a duty until its lease is over, and renews it meanwhile.
 func (r *Elector) hold(ctx context.Context, d *Task, h *Leadership, token uint64) {
 	margin := d.Rules.Length / 10
-	if h.until()-margin <= r.opt.Now() && !unguarded {
+	if h.until()-margin <= r.opt.Now() && !ignoreExpiry {
 		return // the answer took as long as the lease lasts
 	}
 	run, stop := context.WithCancel(ctx)
@@ -245,7 +245,7 @@
 	over := false
 	for !over {
 		left := h.until() - margin - r.opt.Now()
-		if left <= 0 && !unguarded {
+		if left <= 0 && !ignoreExpiry {
 			break
 		}
 		t := time.NewTimer(max(left, time.Millisecond))
--- a/internal/leaderelection/planted.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build planted
-
-package leaderelection
-
-const unguarded = true
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -134,7 +134,7 @@
 	if f := play(LateAct, binary(t), true); f.Disorder == 0 || f.Beyond != 0 {
 		t.Errorf("a receiver that takes every token: %+v", f)
 	}
-	if f := play(FreezeLong, binary(t, "planted"), false); f.Beyond == 0 || f.Disorder != 0 {
+	if f := play(FreezeLong, binary(t, "faultinjection"), false); f.Beyond == 0 || f.Disorder != 0 {
 		t.Errorf("a holder that goes on when its lease is over: %+v", f)
 	}
 	ms := time.Millisecond
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	planted, err := cluster.Build(ctx, dir, "planted")
+	withFault, err := cluster.Build(ctx, dir, "faultinjection")
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		fault  cluster.Fault
 		binary string
 		open   bool
-	}{{"the receiver takes every token", cluster.LateAct, plain, true}, {"a holder goes on when its lease is over", cluster.FreezeLong, planted, false}} {
+	}{{"the receiver takes every token", cluster.LateAct, plain, true}, {"a holder goes on when its lease is over", cluster.FreezeLong, withFault, false}} {
 		found := cluster.Finding{}
 		for seed := range uint64(5) {
 			v := cluster.Play(ctx, cluster.Schedule{Seed: seed, Nodes: 3, Faults: []cluster.Fault{w.fault, w.fault}}, cluster.PlayOptions{Binary: w.binary, Dir: dir, Lease: lease, Unfenced: w.open})
