--- a/internal/leaderelection/leaderelection.go
+++ b/internal/leaderelection/leaderelection.go
@@ -1,6 +1,6 @@
-// Package leaderelection runs what only one process of a fleet does at a time. A duty runs while its lease is held: it begins with a
-// fencing token, and its context ends before the lease does. Safety does not rest on that: whoever receives an act of a
-// duty refuses a token older than the highest it has seen (lease.Fence).
+// Package leaderelection runs leader-only tasks: work that at most one process of a fleet does at a time. A task runs while its
+// process holds the task's lease. It begins with a fencing token, and its context ends before the lease expires. Safety does not
+// depend on that: the receiver of an action rejects a token that is older than the highest it has seen (lease.Fence).
 package leaderelection
 
 import (
@@ -15,296 +15,136 @@
 	"robindrum/internal/quorum"
 )
 
-// Quorum is what a Runner asks; *quorum.Client is one. sent is when what was answered was sent, by the Runner's clock.
+// maxReleaseTime bounds the wait for the quorum's answer when a lease is given back.
+const maxReleaseTime = 2 * time.Second
+
+// Quorum applies lease commands; *quorum.Client implements it. The result's sent is the reading of the Elector's clock at which the
+// answered command was sent.
 type Quorum interface {
 	Do(ctx context.Context, c quorum.Command) (r quorum.Result, sent time.Duration, err error)
 }
 
-// Task is one.
+// Task is a leader-only task.
 type Task struct {
-	Name  string // of its lease
+	// Name is the name of the task's lease.
+	Name string
+	// Rules are the rules of the task's lease.
 	Rules lease.Rules
-	// Run does it until ctx ends, and then returns at once. Each act asks hold for the token just before it is sent.
-	Run func(ctx context.Context, hold *Leadership)
-}
-
-// Leadership is the lease that a running duty has. Its methods may be called by several goroutines at once.
-type Leadership struct {
-	r *Elector
-
-	mu sync.Mutex
-	h  lease.HeldLease
-}
-
-// Token is what an act that begins now carries, with the reading of the clock that it was judged by; false where the lease
-// is over, also for a process that was stopped in between and goes on.
-func (h *Leadership) Token() (token uint64, at time.Duration, ok bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	at = h.r.opt.Now()
-	token, ok = h.h.Token(at)
-	return token, at, ok || ignoreExpiry && token > 0
-}
-
-func (h *Leadership) granted(sent time.Duration, g lease.Grant) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.h.Granted(sent, g)
-}
-
-func (h *Leadership) until() time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.h.ExpiresAt()
+	// Run does the work until ctx ends, and then returns at once. It calls leadership.Token just before it sends each action.
+	Run func(ctx context.Context, leadership *Leadership)
 }
 
-func (h *Leadership) lost() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.h.Lost()
-}
-
-// Options are what a Runner is told.
+// Options configure an Elector.
 type Options struct {
-	Member lease.Member // its Load is filled in
-	Now    func() time.Duration
-	Log    *slog.Logger
+	// Member is this process as the quorum knows it. The Elector sets its Load.
+	Member lease.Member
+	// Now reads a monotonic clock.
+	Now func() time.Duration
+	// Log receives each change of a task's state.
+	Log *slog.Logger
 }
 
-// Elector runs duties. Its methods may be called by several goroutines at once.
+// Elector acquires leases and runs their tasks. Its methods may be called concurrently.
 type Elector struct {
-	opt Options
-	q   Quorum
-
-	mu     sync.Mutex
-	duties map[string]*Status
-	held   int
-	wake   chan struct{} // closed and made anew by Wake
-}
+	opt    Options
+	quorum Quorum
 
-// State is where a duty stands in this process.
-type State string
-
-const (
-	Candidate State = "asking"  // no word of the quorum yet
-	Waiting   State = "waiting" // another process has it
-	Leading   State = "holding"
-	Overdue   State = "overdue" // its lease is over and it has not returned: its acts are refused by whoever receives them
-	NoQuorum  State = "no quorum"
-)
-
-// Status is how a duty stands in this process.
-type Status struct {
-	Name         string        `json:"name"`
-	State        State         `json:"state"`
-	Token        uint64        `json:"token,omitempty"`
-	Since        time.Duration `json:"since"`
-	TimesLed     int           `json:"held"`    // how often this process had it
-	TimesOverdue int           `json:"overdue"` // how often it did not end in time
-	Error        string        `json:"error,omitempty"`
+	mu       sync.Mutex
+	statuses map[string]*Status // by the task's name
+	leading  int                // tasks in state Leading
+	wake     chan struct{}      // closed and replaced by Wake
 }
 
-// NewElector makes one.
+// NewElector returns an Elector that sends its commands to a quorum.
 func NewElector(q Quorum, opt Options) *Elector {
-	return &Elector{opt: opt, q: q, duties: map[string]*Status{}, wake: make(chan struct{})}
-}
-
-// Status tells of all duties, in no order.
-func (r *Elector) Status() []Status {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	l := make([]Status, 0, len(r.duties))
-	for _, s := range r.duties {
-		l = append(l, *s)
-	}
-	return l
-}
-
-func (r *Elector) set(d *Task, s State, token uint64, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	x := r.duties[d.Name]
-	if x == nil {
-		x = &Status{Name: d.Name}
-		r.duties[d.Name] = x
-	}
-	if x.State != s || x.Token != token {
-		x.Since = r.opt.Now()
-		switch s {
-		case Leading:
-			x.TimesLed++
-		case Overdue:
-			x.TimesOverdue++
-		}
-		r.opt.Log.Info("duty", "name", d.Name, "state", string(s), "token", token)
-	}
-	if x.State == Leading && s != Leading {
-		r.held--
-	}
-	if x.State != Leading && s == Leading {
-		r.held++
-	}
-	x.State, x.Token, x.Error = s, token, ""
-	if err != nil {
-		x.Error = err.Error()
-	}
+	return &Elector{opt: opt, quorum: q, statuses: map[string]*Status{}, wake: make(chan struct{})}
 }
 
-func (r *Elector) command(op quorum.Op, d *Task, token uint64) quorum.Command {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	m := r.opt.Member
-	m.Load = r.held
-	return quorum.Command{Op: op, Lease: d.Name, Rules: d.Rules, Member: m, Token: token}
-}
-
-// Run asks for a duty, and runs it whenever it is granted, until ctx ends; then it gives the lease back.
-func (r *Elector) Run(ctx context.Context, d Task) {
-	r.set(&d, Candidate, 0, nil)
+// Run asks for a task's lease, runs the task whenever the lease is granted, and blocks until ctx ends. Then it waits for the task
+// and gives the lease back. Several tasks are run by concurrent calls.
+func (e *Elector) Run(ctx context.Context, task Task) {
+	e.setState(&task, Candidate, 0, nil)
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, d.Rules.Length)
-		res, sent, err := r.q.Do(one, r.command(quorum.OpAcquire, &d, 0))
-		cancel()
+		result, sent, err := e.acquire(ctx, &task)
 		if err == nil {
-			err = res.Err()
-		}
-		length := d.Rules.Length
-		again := length/8 + rand.N(length/8)
-		switch {
-		case err == nil:
-			h := &Leadership{r: r}
-			h.granted(sent, res.Grant)
-			if r.hold(ctx, &d, h, res.Grant.Token); ctx.Err() == nil {
-				r.set(&d, Candidate, 0, nil)
+			leadership := &Leadership{elector: e}
+			leadership.granted(sent, result.Grant)
+			e.lead(ctx, &task, leadership, result.Grant.Token)
+			if ctx.Err() == nil {
+				e.setState(&task, Candidate, 0, nil)
 			}
 			continue
+		}
+		switch {
 		case errors.Is(err, lease.ErrWaiting):
-			r.set(&d, Waiting, 0, nil)
-			// Who is first asks just when it may be free. The others ask often enough to keep their places, at random, so that
-			// they do not ask in step, and in case the first one is gone.
-			if again = length/2 + rand.N(length*2/5); res.NextInLine {
-				again = min(max(res.AvailableIn+length/50, length/20), length*9/10)
-			}
+			e.setState(&task, Waiting, 0, nil)
 		case errors.Is(err, quorum.ErrNoQuorum):
-			r.set(&d, NoQuorum, 0, err)
+			e.setState(&task, NoQuorum, 0, err)
 		default:
-			r.set(&d, Waiting, 0, err)
+			e.setState(&task, Waiting, 0, err)
 		}
 		var wake <-chan struct{}
-		if res.NextInLine {
-			wake = r.woken()
+		if result.NextInLine {
+			wake = e.wakeChannel()
 		}
-		wait(ctx, again, wake)
+		sleep(ctx, retryDelay(task.Rules.Length, result, err), wake)
 	}
 }
 
-// Wake has those duties asked for at once that this process is first in line for: a holder may have given one back.
-func (r *Elector) Wake() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	close(r.wake)
-	r.wake = make(chan struct{})
+// Wake makes the tasks for which this process is next in line ask again at once, as a leader may have given its lease back.
+func (e *Elector) Wake() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	close(e.wake)
+	e.wake = make(chan struct{})
 }
 
-func (r *Elector) woken() <-chan struct{} {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.wake
+func (e *Elector) wakeChannel() <-chan struct{} {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.wake
 }
 
-func wait(ctx context.Context, d time.Duration, wake <-chan struct{}) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
-	case <-wake:
+// acquire asks the quorum once for a task's lease. The result is meaningful also beside lease.ErrWaiting.
+func (e *Elector) acquire(ctx context.Context, task *Task) (result quorum.Result, sent time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, task.Rules.Length)
+	defer cancel()
+	result, sent, err = e.quorum.Do(ctx, e.command(quorum.OpAcquire, task, 0))
+	if err == nil {
+		err = result.Err()
 	}
+	return result, sent, err
 }
 
-// hold runs a duty until its lease is over, and renews it meanwhile.
-func (r *Elector) hold(ctx context.Context, d *Task, h *Leadership, token uint64) {
-	margin := d.Rules.Length / 10
-	if h.until()-margin <= r.opt.Now() && !ignoreExpiry {
-		return // the answer took as long as the lease lasts
-	}
-	run, stop := context.WithCancel(ctx)
-	defer stop()
-	r.set(d, Leading, token, nil)
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		d.Run(run, h)
-	}()
-	lost := make(chan struct{})
-	renewing := make(chan struct{})
-	go func() {
-		defer close(renewing)
-		r.renew(run, d, h, token, lost)
-	}()
-	over := false
-	for !over {
-		left := h.until() - margin - r.opt.Now()
-		if left <= 0 && !ignoreExpiry {
-			break
-		}
-		t := time.NewTimer(max(left, time.Millisecond))
-		select {
-		case <-t.C:
-		case <-lost:
-			over = true
-		case <-ended:
-			over = true
-		case <-ctx.Done():
-			over = true
-		}
-		t.Stop()
-	}
-	stop()
-	select {
-	case <-ended:
+func (e *Elector) command(op quorum.Op, task *Task, token uint64) quorum.Command {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	member := e.opt.Member
+	member.Load = e.leading
+	return quorum.Command{Op: op, Lease: task.Name, Rules: task.Rules, Member: member, Token: token}
+}
+
+// retryDelay returns how long to wait after a lease was not granted. Delays are random so that candidates do not ask in step.
+func retryDelay(length time.Duration, result quorum.Result, err error) time.Duration {
+	switch {
+	case !errors.Is(err, lease.ErrWaiting):
+		return length/8 + rand.N(length/8)
+	case result.NextInLine:
+		// Just after the lease may become available.
+		return min(max(result.AvailableIn+length/50, length/20), length*9/10)
 	default:
-		t := time.NewTimer(max(h.until()-r.opt.Now(), 0))
-		select {
-		case <-ended:
-		case <-t.C:
-			r.set(d, Overdue, token, nil)
-			r.opt.Log.Error("a duty has not ended though its lease is over; whoever receives its acts refuses them", "name", d.Name, "token", token)
-			<-ended
-		}
-		t.Stop()
-	}
-	<-renewing
-	_, _, left := h.Token()
-	h.lost()
-	if !left {
-		return
+		// Often enough to keep the place in the queue, and to notice when the candidate that is next in line has disappeared.
+		return length/2 + rand.N(length*2/5)
 	}
-	// What it held is free at once for the next one. Not by ctx, which may have ended.
-	one, cancel := context.WithTimeout(context.WithoutCancel(ctx), min(d.Rules.Length/2, 2*time.Second))
-	defer cancel()
-	_, _, _ = r.q.Do(one, r.command(quorum.OpRelease, d, token)) // or it ends by itself
-	r.set(d, Waiting, 0, nil)
 }
 
-// renew renews a lease until ctx ends or it is lost.
-func (r *Elector) renew(ctx context.Context, d *Task, h *Leadership, token uint64, lost chan<- struct{}) {
-	for {
-		wait(ctx, d.Rules.Length/4, nil)
-		if ctx.Err() != nil {
-			return
-		}
-		one, cancel := context.WithTimeout(ctx, d.Rules.Length)
-		res, sent, err := r.q.Do(one, r.command(quorum.OpRenew, d, token))
-		cancel()
-		if err != nil {
-			continue // its time goes on
-		}
-		if err := res.Err(); err != nil {
-			h.lost()
-			close(lost)
-			return
-		}
-		h.granted(sent, res.Grant)
+// sleep waits until ctx ends, a delay has passed or wake is closed. A nil wake is never closed.
+func sleep(ctx context.Context, delay time.Duration, wake <-chan struct{}) {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	case <-wake:
 	}
 }
--- a/internal/leaderelection/leaderelection_test.go
+++ b/internal/leaderelection/leaderelection_test.go
@@ -12,49 +12,50 @@
 	"robindrum/internal/quorum"
 )
 
-// scripted is a quorum with one lease: it says what the table says, takes a time for it, and can be away.
-type scripted struct {
+// fakeQuorum is a quorum with one lease and a latency; it can be unavailable.
+type fakeQuorum struct {
 	now func() time.Duration
 
-	mu    sync.Mutex
-	t     *lease.Table
-	takes time.Duration
-	away  bool
+	mu          sync.Mutex
+	table       *lease.Table
+	latency     time.Duration
+	unavailable bool
 }
 
-// with looks at the table, or changes something.
-func (s *scripted) with(fn func()) {
+// with runs fn under the lock.
+func (s *fakeQuorum) with(fn func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn()
 }
 
-func (s *scripted) until() (at time.Duration) {
-	s.with(func() { at = s.t.Leases["d"].ExpiresAt })
+// expiresAt is when the table lets the lease expire.
+func (s *fakeQuorum) expiresAt() (at time.Duration) {
+	s.with(func() { at = s.table.Leases["d"].ExpiresAt })
 	return at
 }
 
-func (s *scripted) Do(ctx context.Context, c quorum.Command) (r quorum.Result, sent time.Duration, err error) {
+func (s *fakeQuorum) Do(ctx context.Context, c quorum.Command) (r quorum.Result, sent time.Duration, err error) {
 	sent = s.now()
-	var takes time.Duration
-	away := false
-	s.with(func() { takes, away = s.takes, s.away })
-	if away {
+	var latency time.Duration
+	unavailable := false
+	s.with(func() { latency, unavailable = s.latency, s.unavailable })
+	if unavailable {
 		<-ctx.Done()
 		return r, 0, quorum.ErrNoQuorum
 	}
-	time.Sleep(takes / 2)
+	time.Sleep(latency / 2)
 	s.mu.Lock()
 	switch c.Op {
 	case quorum.OpAcquire:
-		r.Grant, err = s.t.Acquire(1, s.now(), c.Lease, c.Rules, c.Member)
+		r.Grant, err = s.table.Acquire(1, s.now(), c.Lease, c.Rules, c.Member)
 	case quorum.OpRenew:
-		r.Grant, err = s.t.Renew(1, s.now(), c.Lease, c.Member, c.Token)
+		r.Grant, err = s.table.Renew(1, s.now(), c.Lease, c.Member, c.Token)
 	case quorum.OpRelease:
-		err = s.t.Release(1, s.now(), c.Lease, c.Member, c.Token, "")
+		err = s.table.Release(1, s.now(), c.Lease, c.Member, c.Token, "")
 	}
 	s.mu.Unlock()
-	time.Sleep(takes - takes/2)
+	time.Sleep(latency - latency/2)
 	if err != nil {
 		r.Code, r.Text, err = "lost", err.Error(), nil
 	}
@@ -63,121 +64,146 @@
 
 const length = 10 * time.Second
 
-// run plays fn beside a runner in a bubble of time that stands still while all wait.
-func run(t *testing.T, fn func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, stop func())) {
+// run calls fn beside an elector that runs one task, on synctest's clock.
+func run(t *testing.T, fn func(q *fakeQuorum, elector *Elector, started chan *Leadership, stopped chan time.Duration, shutdown func())) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		now := func() time.Duration { return time.Since(start) }
-		q := &scripted{t: lease.NewTable(), now: now}
-		if err := q.t.BeginTerm(1, 0); err != nil {
+		q := &fakeQuorum{table: lease.NewTable(), now: now}
+		if err := q.table.BeginTerm(1, 0); err != nil {
 			t.Fatal(err)
 		}
-		r := NewElector(q, Options{Member: lease.Member{Name: "a", Incarnation: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
-		began, ended := make(chan *Leadership, 16), make(chan time.Duration, 16)
+		elector := NewElector(q, Options{Member: lease.Member{Name: "a", Incarnation: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
+		started, stopped := make(chan *Leadership, 16), make(chan time.Duration, 16)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Run(ctx, Task{Name: "d", Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, h *Leadership) {
-				began <- h
+			elector.Run(ctx, Task{Name: "d", Rules: lease.Rules{Length: length}, Run: func(ctx context.Context, leadership *Leadership) {
+				started <- leadership
 				<-ctx.Done()
-				ended <- now()
+				stopped <- now()
 			}})
 		}()
-		fn(q, r, began, ended, cancel)
+		fn(q, elector, started, stopped, cancel)
 		cancel()
 		<-done
 	})
 }
 
-func (r *Elector) state() State { return r.Status()[0].State }
+func (e *Elector) state() State { return e.Status()[0].State }
 
-// A duty is renewed for as long as the quorum answers, and ends before the lease does when it goes away.
-func TestEndsBeforeItsLease(t *testing.T) {
-	run(t, func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, _ func()) {
-		h := <-began
+// A lease is renewed while the quorum answers; when the quorum becomes unavailable, the task stops before the lease expires.
+func TestTaskStopsBeforeLeaseExpires(t *testing.T) {
+	run(t, func(q *fakeQuorum, elector *Elector, started chan *Leadership, stopped chan time.Duration, _ func()) {
+		leadership := <-started
 		time.Sleep(10 * length)
-		if _, _, ok := h.Token(); !ok || r.state() != Leading || len(ended) > 0 {
-			t.Fatalf("%s after ten lengths, held %v", r.state(), ok)
+		if _, _, ok := leadership.Token(); !ok || elector.state() != Leading || len(stopped) > 0 {
+			t.Fatalf("%s after ten lengths, held %v", elector.state(), ok)
 		}
-		q.with(func() { q.away = true })
-		last := q.until()
-		if at := <-ended; at >= last || at < last-length/4 {
-			t.Errorf("ended at %v, the quorum gives it away at %v", at, last)
+		q.with(func() { q.unavailable = true })
+		expiresAt := q.expiresAt()
+		if at := <-stopped; at >= expiresAt || at < expiresAt-length/4 {
+			t.Errorf("task stopped at %v, lease expires at %v", at, expiresAt)
 		}
 		time.Sleep(length)
-		if _, _, ok := h.Token(); ok || r.state() == Leading {
-			t.Errorf("held %v, %s", ok, r.state())
+		if _, _, ok := leadership.Token(); ok || elector.state() == Leading {
+			t.Errorf("held %v, %s", ok, elector.state())
 		}
-		q.with(func() { q.away = false })
-		if next := <-began; next == h {
-			t.Error("the same hold once more")
+		q.with(func() { q.unavailable = false })
+		if next := <-started; next == leadership {
+			t.Error("the same leadership once more")
 		}
 	})
 }
 
-// A renewal that is refused ends the duty at once; and so does the process's end, which gives the lease back.
-func TestLostAndStopped(t *testing.T) {
-	run(t, func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, stop func()) {
-		<-began
+// A rejected renewal stops the task at once. So does a shutdown, which also gives the lease back.
+func TestRevocationAndShutdownStopTask(t *testing.T) {
+	run(t, func(q *fakeQuorum, elector *Elector, started chan *Leadership, stopped chan time.Duration, shutdown func()) {
+		<-started
 		at := q.now()
-		q.with(func() { _ = q.t.Revoke(1, at, "d") })
-		if e := <-ended; e-at > length/2 {
-			t.Errorf("%v after it was revoked", e-at)
+		q.with(func() { _ = q.table.Revoke(1, at, "d") })
+		if stoppedAt := <-stopped; stoppedAt-at > length/2 {
+			t.Errorf("task stopped %v after the lease was revoked", stoppedAt-at)
 		}
-		<-began
-		stop()
-		<-ended
+		<-started
+		shutdown()
+		<-stopped
 		synctest.Wait()
 		q.with(func() {
-			if h := q.t.Leases["d"].Holder.Name; h != "" {
-				t.Errorf("%s still has it", h)
+			if holder := q.table.Leases["d"].Holder.Name; holder != "" {
+				t.Errorf("%s still holds the lease", holder)
 			}
 		})
 	})
 }
 
-// An answer that takes nearly as long as the lease gives no time to act in: nothing begins, or what began has ended by then.
-func TestSlowQuorum(t *testing.T) {
-	run(t, func(q *scripted, r *Elector, began chan *Leadership, ended chan time.Duration, _ func()) {
-		<-began
-		q.with(func() { q.takes = 9 * length / 10 })
-		until := q.until()
-		if at := <-ended; at >= until {
-			t.Errorf("ended at %v, lease until %v", at, until)
+// When an answer takes nearly as long as the lease, no task starts, or it has stopped when the lease expires.
+func TestSlowQuorumDoesNotExtendLease(t *testing.T) {
+	run(t, func(q *fakeQuorum, elector *Elector, started chan *Leadership, stopped chan time.Duration, _ func()) {
+		<-started
+		q.with(func() { q.latency = 9 * length / 10 })
+		expiresAt := q.expiresAt()
+		if at := <-stopped; at >= expiresAt {
+			t.Errorf("task stopped at %v, lease expires at %v", at, expiresAt)
 		}
 		time.Sleep(10 * length)
-		for len(began) > 0 {
-			h := <-began
-			if _, at, ok := h.Token(); ok && at >= h.until() {
-				t.Error("acts beyond its lease")
+		for len(started) > 0 {
+			leadership := <-started
+			if _, at, ok := leadership.Token(); ok && at >= leadership.expiresAt() {
+				t.Error("token valid after the lease expired")
 			}
 		}
 	})
 }
 
-// A duty that does not return is reported, and its token is no good any more.
-func TestOverdue(t *testing.T) {
+// A task that does not return is reported as overdue, and its token is invalid.
+func TestTaskThatDoesNotReturnIsOverdue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		now := func() time.Duration { return time.Since(start) }
-		q := &scripted{t: lease.NewTable(), now: now}
-		_ = q.t.BeginTerm(1, 0)
-		r := NewElector(q, Options{Member: lease.Member{Name: "a", Incarnation: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
+		q := &fakeQuorum{table: lease.NewTable(), now: now}
+		_ = q.table.BeginTerm(1, 0)
+		elector := NewElector(q, Options{Member: lease.Member{Name: "a", Incarnation: 1}, Now: now, Log: slog.New(slog.DiscardHandler)})
 		ctx, cancel := context.WithCancel(t.Context())
-		stuck, hold, done := make(chan struct{}), make(chan *Leadership, 16), make(chan struct{})
+		stuck, started, done := make(chan struct{}), make(chan *Leadership, 16), make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Run(ctx, Task{Name: "d", Rules: lease.Rules{Length: length}, Run: func(_ context.Context, h *Leadership) { hold <- h; <-stuck }})
+			elector.Run(ctx, Task{Name: "d", Rules: lease.Rules{Length: length}, Run: func(_ context.Context, leadership *Leadership) { started <- leadership; <-stuck }})
 		}()
-		h := <-hold
-		q.with(func() { q.away = true })
+		leadership := <-started
+		q.with(func() { q.unavailable = true })
 		time.Sleep(2 * length)
-		if _, _, ok := h.Token(); ok || r.state() != Overdue || r.Status()[0].TimesOverdue != 1 {
-			t.Errorf("held %v, %+v", ok, r.Status())
+		if _, _, ok := leadership.Token(); ok || elector.state() != Overdue || elector.Status()[0].TimesOverdue != 1 {
+			t.Errorf("held %v, %+v", ok, elector.Status())
 		}
 		cancel()
 		close(stuck)
 		<-done
 	})
 }
+
+func TestRetryDelay(t *testing.T) {
+	nextInLine := func(availableIn time.Duration) quorum.Result {
+		return quorum.Result{NextInLine: true, AvailableIn: availableIn}
+	}
+	tests := []struct {
+		name     string
+		result   quorum.Result
+		err      error
+		min, max time.Duration
+	}{
+		{"no quorum", quorum.Result{}, quorum.ErrNoQuorum, length / 8, length / 4},
+		{"waiting behind others", quorum.Result{}, lease.ErrWaiting, length / 2, length * 9 / 10},
+		{"next in line", nextInLine(length / 2), lease.ErrWaiting, length/2 + length/50, length/2 + length/50},
+		{"next in line, available now", nextInLine(0), lease.ErrWaiting, length / 20, length / 20},
+		{"next in line, available late", nextInLine(2 * length), lease.ErrWaiting, length * 9 / 10, length * 9 / 10},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if delay := retryDelay(length, test.result, test.err); delay < test.min || delay > test.max {
+				t.Errorf("%v, want %v to %v", delay, test.min, test.max)
+			}
+		})
+	}
+}
