--- a/internal/fleet/clock_linux.go
+++ b/internal/fleet/clock_linux.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock is a clock that never goes back and goes on while the machine is suspended, which Go's own does not: a holder that
-// was suspended with its machine finds its lease over. Its readings compare between processes of one machine.
+// Clock reads a monotonic clock that advances while the machine is suspended, which Go's own does not: a leader that was suspended with
+// its machine finds its lease expired. Readings of processes on one machine are comparable.
 func Clock() time.Duration {
-	var t unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil { // kernels before 2.6.39
-		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
+	var now unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil { // kernels before 2.6.39
+		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &now)
 	}
-	return time.Duration(t.Nano())
+	return time.Duration(now.Nano())
 }
--- a/internal/fleet/clock_other.go
+++ b/internal/fleet/clock_other.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-var began = time.Now()
+var clockOrigin = time.Now()
 
-// Clock is a clock that never goes back. Danger: on some systems it stands still while the machine is suspended.
-func Clock() time.Duration { return time.Since(began) }
+// Clock reads a monotonic clock. On some systems it stands still while the machine is suspended, so that a leader that was suspended
+// may act under an expired lease; then the fencing tokens alone protect.
+func Clock() time.Duration { return time.Since(clockOrigin) }
--- /dev/null
+++ b/internal/fleet/configure.go
@@ -0,0 +1,165 @@
+package fleet
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// silenceHeartbeats is for how many heartbeats a process on trial, or with a configuration on trial, goes without hearing from
+	// the leader before it rolls back by itself.
+	silenceHeartbeats = 20
+	maxRetryPause     = time.Hour
+	maxRejectReason   = 200 // bytes
+
+	reasonSilence        = "with it nobody is heard of any more"
+	reasonVersionSilence = "with it nobody is heard of"
+)
+
+// configurer applies the desired configuration, and ends the trials of configurations and of the program's version. It is used by
+// one goroutine.
+type configurer struct {
+	assignee   *assignee
+	now        func() time.Duration
+	maxSilence time.Duration
+	startedAt  time.Duration
+
+	versionOnTrial bool
+
+	// A configuration is on trial until the leader is heard from with it in use.
+	trialSince     time.Duration // 0: none is on trial
+	previousConfig string        // in use before the one on trial
+
+	// A configuration that was rolled back for silence is tried again later, as the silence may have had another cause.
+	retryAt    time.Duration // 0: none is to be tried again
+	retryPause time.Duration
+}
+
+// runConfigure applies desired configurations until ctx ends.
+func (a *assignee) runConfigure(ctx context.Context) {
+	heartbeat := a.fleet.conf.Quorum.Heartbeat.D()
+	ticker := time.NewTicker(heartbeat)
+	defer ticker.Stop()
+	c := &configurer{
+		assignee:       a,
+		now:            a.fleet.now,
+		maxSilence:     silenceHeartbeats * heartbeat,
+		startedAt:      a.fleet.now(),
+		versionOnTrial: a.supervised != nil && a.supervised.OnTrial(),
+	}
+	for {
+		c.step(ctx)
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		case <-a.configChanged:
+		}
+	}
+}
+
+// configState is a copy of an assignee's state.
+type configState struct {
+	desired       string
+	inUse         string
+	rejected      string
+	leaderHeardAt time.Duration
+}
+
+func (c *configurer) step(ctx context.Context) {
+	state := c.updateTrials()
+	switch {
+	case c.trialSince > 0 && state.leaderHeardAt > c.trialSince:
+		c.trialSince = 0
+	case c.trialSince > 0 && c.now()-c.trialSince > c.maxSilence:
+		c.assignee.use(ctx, c.previousConfig, reasonSilence)
+		c.retryPause = min(max(2*c.retryPause, c.maxSilence), maxRetryPause)
+		c.trialSince = 0
+		c.retryAt = c.now() + c.retryPause
+	case state.desired != state.inUse && state.rejected == "":
+		if c.assignee.use(ctx, state.desired, "") {
+			c.previousConfig = state.inUse
+			c.trialSince = c.now()
+		}
+	}
+}
+
+// updateTrials allows a retry that is due, ends the version's trial where it is decided, and returns the state after that.
+func (c *configurer) updateTrials() configState {
+	a := c.assignee
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.desiredConfig == a.config {
+		c.retryAt = 0
+	}
+	if c.retryDue(a.releaseInProgress, a.leaderHeardAt) {
+		c.retryAt = 0
+		a.configRejected = ""
+	}
+	c.endVersionTrial(a.leaderHeardAt)
+	return configState{desired: a.desiredConfig, inUse: a.config, rejected: a.configRejected, leaderHeardAt: a.leaderHeardAt}
+}
+
+// retryDue reports whether a configuration that was rolled back for silence may be tried again: no release is in progress, its pause
+// is over, and the leader was heard from since the rollback.
+func (c *configurer) retryDue(releaseInProgress bool, leaderHeardAt time.Duration) bool {
+	return c.retryAt > 0 && !releaseInProgress && c.now() >= c.retryAt && leaderHeardAt > c.retryAt-c.retryPause
+}
+
+// endVersionTrial confirms the version on trial once the leader was heard from, and rolls it back after too long a silence.
+func (c *configurer) endVersionTrial(leaderHeardAt time.Duration) {
+	if !c.versionOnTrial {
+		return
+	}
+	a := c.assignee
+	switch {
+	case leaderHeardAt > 0:
+		if err := a.supervised.ConfirmTrial(); err != nil {
+			a.fleet.log.Warn("version's trial not confirmed", "error", err)
+		}
+		c.versionOnTrial = false
+	case c.now()-c.startedAt > c.maxSilence:
+		if err := a.supervised.Rollback(reasonVersionSilence); err != nil {
+			a.fleet.log.Error("version rollback failed", "error", err)
+		}
+		c.versionOnTrial = false
+	}
+}
+
+// use makes the gateway use a configuration and reports whether it does. rollbackReason is why the desired configuration is given up
+// for this one; empty: this one is the desired one.
+func (a *assignee) use(ctx context.Context, digest, rollbackReason string) bool {
+	text, ok := a.fetchConfig(ctx, digest)
+	if !ok {
+		return false // it is tried again at the next step
+	}
+	err := a.agent.Configure(digest, text)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if err != nil {
+		reason := err.Error()
+		a.configRejected = reason[:min(len(reason), maxRejectReason)]
+		a.fleet.log.Error("released configuration rejected", "digest", digest, "error", err)
+		return false
+	}
+	a.fleet.log.Info("released configuration in use", "from", a.config, "to", digest, "reason", rollbackReason)
+	a.config = digest
+	a.configRejected = rollbackReason
+	return true
+}
+
+// fetchConfig gets the text of a released configuration from the voters. The empty digest stands for the empty text.
+func (a *assignee) fetchConfig(ctx context.Context, digest string) (text string, ok bool) {
+	if digest == "" {
+		return "", true
+	}
+	text, err := a.fleet.client.Config(ctx, digest)
+	if err != nil {
+		return "", false
+	}
+	if ConfigDigest([]byte(text)) != digest {
+		a.fleet.log.Error("configuration does not match its digest", "digest", digest)
+		return "", false
+	}
+	return text, true
+}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,62 +16,62 @@
 	"robindrum/internal/testbed"
 )
 
-// One process that is a fleet by itself: it votes, holds its duty, answers operators, and leaves nothing behind. Started again it
-// goes on with a higher token; a lease that is revoked is given anew under another one.
-func TestFleetOfOne(t *testing.T) {
+// A fleet of one process votes, leads its task, answers operators, and leaves no goroutine behind. After a restart its token is
+// higher; a revoked lease is granted again under a higher token.
+func TestSingleProcessFleet(t *testing.T) {
 	testbed.Leaks(t)
 	var token atomic.Value
-	to := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { token.Store(r.Header.Get(TokenHeader)) }))
-	defer to.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	receiver := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { token.Store(r.Header.Get(TokenHeader)) }))
+	defer receiver.Close()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
-	c := &config.Fleet{Name: "f", Member: "a", Address: addr, Advertise: addr, Seeds: []string{addr}, Probe: config.Duration(50 * time.Millisecond), Forget: config.Duration(time.Minute),
+	addr := listener.Addr().String()
+	listener.Close()
+	conf := &config.Fleet{Name: "f", Member: "a", Address: addr, Advertise: addr, Seeds: []string{addr}, Probe: config.Duration(50 * time.Millisecond), Forget: config.Duration(time.Minute),
 		Lease:  config.Duration(400 * time.Millisecond),
 		Quorum: config.Quorum{Voters: []config.Voter{{Name: "a", Address: addr}}, Folder: t.TempDir(), Heartbeat: config.Duration(50 * time.Millisecond), MaxBytes: 8 << 20},
-		Posts:  []config.Post{{Name: "p", URL: to.URL, Every: config.Duration(10 * time.Millisecond), Timeout: config.Duration(time.Second)}}}
-	last := ""
+		Posts:  []config.Post{{Name: "p", URL: receiver.URL, Every: config.Duration(10 * time.Millisecond), Timeout: config.Duration(time.Second)}}}
+	lastToken := ""
 	for range 2 {
-		f, err := New(c, "z", "v", membership.Joining, slog.New(slog.DiscardHandler))
+		f, err := New(conf, "z", "v", membership.Joining, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.Start()
-		testbed.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > last })
-		last = token.Load().(string)
+		testbed.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > lastToken })
+		lastToken = token.Load().(string)
 		f.Announce(membership.Serving, "w")
 		admin := httptest.NewServer(f.Handler())
 		resp, err := http.Get(admin.URL + "/fleet")
 		if err != nil {
 			t.Fatal(err)
 		}
-		var s Status
-		if err := json.NewDecoder(resp.Body).Decode(&s); err != nil || len(s.Members) != 1 || s.Members[0].State != membership.Serving || s.Vote.State != "leader" || s.Tasks[0].Token == 0 || s.Stale != "" {
-			t.Errorf("%+v, %v", s, err)
+		var status Status
+		if err := json.NewDecoder(resp.Body).Decode(&status); err != nil || len(status.Members) != 1 || status.Members[0].State != membership.Serving || status.Vote.State != "leader" || status.Tasks[0].Token == 0 || status.Stale != "" {
+			t.Errorf("%+v, %v", status, err)
 		}
 		resp.Body.Close()
 		if resp, err = http.Post(admin.URL+"/fleet/revoke?lease=post/p", "", nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("revoke: %v, %v", resp, err)
 		}
 		resp.Body.Close()
-		testbed.Eventually(t, "another token", func() bool { return token.Load().(string) > last })
+		testbed.Eventually(t, "another token", func() bool { return token.Load().(string) > lastToken })
 		if resp, err = http.Post(admin.URL+"/fleet/revoke?lease=none", "", nil); err != nil || resp.StatusCode == http.StatusOK {
-			t.Errorf("revoking what nobody holds: %v, %v", resp, err)
+			t.Errorf("revoking an unknown lease: %v, %v", resp, err)
 		}
 		resp.Body.Close()
 		admin.Close()
 		http.DefaultClient.CloseIdleConnections()
 		f.Drain()
 		f.Stop(100 * time.Millisecond)
-		last = token.Load().(string)
+		lastToken = token.Load().(string)
 	}
 }
 
-// Another fleet's calls are refused with a word, and what does not come within its bounds.
-func TestOtherFleetsAreRefused(t *testing.T) {
+// A node rejects the streams and calls of another fleet, and serves those of its own.
+func TestOtherFleetsAreRejected(t *testing.T) {
 	testbed.Leaks(t)
 	listen := func(name string) *peer.Node {
 		n, err := peer.Listen(peer.Options{Fleet: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
@@ -85,18 +85,18 @@
 	a, b, c := listen("one"), listen("two"), listen("one")
 	a.HandleStream("x", func(http.Header) (http.Header, error) { return http.Header{"Hello": {"you"}}, nil }, func(c net.Conn) { _, _ = c.Write([]byte("!")); c.Close() })
 	if _, _, err := b.Stream(t.Context(), a.Addr(), "x", http.Header{}); err == nil {
-		t.Error("another fleet's stream is taken")
+		t.Error("another fleet's stream is accepted")
 	}
 	if err := b.Call(t.Context(), a.Addr(), "/fleet/v1/x", 1, nil); err == nil {
-		t.Error("another fleet's call is taken")
+		t.Error("another fleet's call is accepted")
 	}
-	s, h, err := c.Stream(t.Context(), a.Addr(), "x", http.Header{})
+	stream, header, err := c.Stream(t.Context(), a.Addr(), "x", http.Header{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 1)
-	if _, err := s.Read(buf); err != nil || buf[0] != '!' || h.Get("Hello") != "you" {
-		t.Errorf("%q, %v, %v", buf, h, err)
+	if _, err := stream.Read(buf); err != nil || buf[0] != '!' || header.Get("Hello") != "you" {
+		t.Errorf("%q, %v, %v", buf, header, err)
 	}
-	s.Close()
+	stream.Close()
 }
--- /dev/null
+++ b/internal/fleet/post.go
@@ -0,0 +1,75 @@
+package fleet
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"robindrum/internal/config"
+	"robindrum/internal/leaderelection"
+)
+
+// Headers of a post.
+const (
+	TokenHeader    = "Robindrum-Token"
+	MemberHeader   = "Robindrum-Member"
+	JudgedAtHeader = "Robindrum-Began" // the reading of this machine's Clock at which the lease was checked, in nanoseconds
+	NumberHeader   = "Robindrum-Number"
+)
+
+// maxPostResponseBytes is how much of an answer is read so that the connection can be used again.
+const maxPostResponseBytes = 1 << 20
+
+// errLeaseExpired is returned where a leader may not act any more.
+var errLeaseExpired = errors.New("the lease is over")
+
+// postTask returns the leader-only task that sends a post at its interval until its context ends.
+func (f *Fleet) postTask(post config.Post) func(context.Context, *leaderelection.Leadership) {
+	return func(ctx context.Context, leadership *leaderelection.Leadership) {
+		ticker := time.NewTicker(post.Every.D())
+		defer ticker.Stop()
+		for number := 0; ; number++ {
+			if err := f.sendPost(ctx, post, leadership, number); err != nil && ctx.Err() == nil {
+				f.log.Warn("post failed", "post", post.Name, "error", err)
+			}
+			select {
+			case <-ctx.Done():
+				return
+			case <-ticker.C:
+			}
+		}
+	}
+}
+
+// sendPost sends a post once, under the lease's fencing token.
+func (f *Fleet) sendPost(ctx context.Context, post config.Post, leadership *leaderelection.Leadership, number int) error {
+	token, checkedAt, ok := leadership.Token()
+	if !ok {
+		return errLeaseExpired
+	}
+	ctx, cancel := context.WithTimeout(ctx, post.Timeout.D())
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, post.URL, bytes.NewReader(nil))
+	if err != nil {
+		return err
+	}
+	request.Header.Set(TokenHeader, strconv.FormatUint(token, 10))
+	request.Header.Set(MemberHeader, f.conf.Member)
+	request.Header.Set(JudgedAtHeader, strconv.FormatInt(int64(checkedAt), 10))
+	request.Header.Set(NumberHeader, strconv.Itoa(number))
+	response, err := f.postClient.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxPostResponseBytes)) // the status alone counts
+	if response.StatusCode/100 != 2 {
+		return fmt.Errorf("%s answered %s", post.URL, response.Status)
+	}
+	return nil
+}
