--- a/internal/supervisor/decide.go
+++ b/internal/supervisor/decide.go
@@ -5,59 +5,76 @@
 	"time"
 )
 
-// Rules are how ended processes are started again.
+// Defaults of Rules.
+const (
+	defaultMinPause     = 200 * time.Millisecond
+	defaultMaxPause     = 30 * time.Second
+	defaultStableAfter  = time.Minute
+	defaultTrialCrashes = 3
+	defaultGiveUp       = 10
+)
+
+// Rules say how a process that has ended is started again. Zero fields stand for the defaults.
 type Rules struct {
-	// MinPause and Most bound the time before a process that crashed is started again; it doubles with each crash in a row.
-	MinPause, MaxPause time.Duration
-	// StableAfter is how long a process must have run for its crash to begin a new row.
+	// MinPause is the pause before a process that crashed is started again; it doubles with each consecutive crash. Default: 200 ms.
+	MinPause time.Duration
+	// MaxPause bounds the pause. Default: 30 s.
+	MaxPause time.Duration
+	// StableAfter is how long a process must have run for its crash not to count as consecutive. Default: a minute.
 	StableAfter time.Duration
-	// TrialCrashes is how many crashes in a row a version on trial has before the one before is started in its place.
+	// TrialCrashes is the number of consecutive crashes at which a version on trial is rolled back. Default: 3.
 	TrialCrashes int
-	// GiveUp is how many crashes in a row end it all.
+	// GiveUp is the number of consecutive crashes at which nothing is started any more. Default: 10.
 	GiveUp int
 }
 
-// Fill sets what was left out.
+// Fill sets the zero fields to their defaults.
 func (r *Rules) Fill() {
 	if r.MinPause == 0 {
-		r.MinPause = 200 * time.Millisecond
+		r.MinPause = defaultMinPause
 	}
 	if r.MaxPause == 0 {
-		r.MaxPause = 30 * time.Second
+		r.MaxPause = defaultMaxPause
 	}
 	if r.StableAfter == 0 {
-		r.StableAfter = time.Minute
+		r.StableAfter = defaultStableAfter
 	}
 	if r.TrialCrashes == 0 {
-		r.TrialCrashes = 3
+		r.TrialCrashes = defaultTrialCrashes
 	}
 	if r.GiveUp == 0 {
-		r.GiveUp = 10
+		r.GiveUp = defaultGiveUp
 	}
 }
 
-// Action is what is to be done about a process that ended.
+// Action is what to do about a process that has ended. The zero value starts the current version again at once.
 type Action struct {
-	Pause    time.Duration // before the next start
-	Rollback bool          // first, the version before is linked again
-	GiveUp   bool
-	End      bool // it ended as it was told to
-	Reason   string
+	// Pause is the time before the next start.
+	Pause time.Duration
+	// Rollback makes the previous version the current one before the next start.
+	Rollback bool
+	// GiveUp means that nothing is started any more.
+	GiveUp bool
+	// End means that the process has ended as it should.
+	End bool
+	// Reason describes the crash; empty: it was none.
+	Reason string
 }
 
-// Decider decides that. It is pure: it knows no clock and no process.
+// Decider decides what to do about processes that have ended, with a backoff for crash loops. It reads no clock and starts no process.
+// It must not be used concurrently.
 type Decider struct {
 	Rules              Rules
-	consecutiveCrashes int // crashes in a row
+	consecutiveCrashes int
 }
 
-// ProcessEnded decides about a process that ran so long and ended with a code; told: it was told to end. trial: its version was started
-// in place of another one, and has not been seen at work yet.
-func (d *Decider) ProcessEnded(ran time.Duration, code int, told, trial bool) Action {
-	if told || code == 0 {
+// ProcessEnded returns what to do about a process that ran for a time and ended with an exit code. stopped: it was asked to end.
+// onTrial: its version has not been confirmed yet.
+func (d *Decider) ProcessEnded(ran time.Duration, exitCode int, stopped, onTrial bool) Action {
+	if stopped || exitCode == 0 {
 		return Action{End: true}
 	}
-	if code == ExitRestart {
+	if exitCode == ExitRestart {
 		d.consecutiveCrashes = 0
 		return Action{}
 	}
@@ -65,17 +82,20 @@
 		d.consecutiveCrashes = 0
 	}
 	d.consecutiveCrashes++
-	a := Action{Pause: d.Rules.MinPause, Reason: fmt.Sprintf("it ended with %d after %v, %d times in a row", code, ran.Round(time.Millisecond), d.consecutiveCrashes)}
+	action := Action{
+		Pause:  d.Rules.MinPause,
+		Reason: fmt.Sprintf("it ended with %d after %v, %d times in a row", exitCode, ran.Round(time.Millisecond), d.consecutiveCrashes),
+	}
 	switch {
-	case trial && d.consecutiveCrashes >= d.Rules.TrialCrashes:
+	case onTrial && d.consecutiveCrashes >= d.Rules.TrialCrashes:
 		d.consecutiveCrashes = 0
-		a.Rollback = true
+		action.Rollback = true
 	case d.consecutiveCrashes >= d.Rules.GiveUp:
-		a.GiveUp = true
-		return a
+		action.GiveUp = true
+		return action
 	}
 	for range d.consecutiveCrashes - 1 {
-		a.Pause = min(2*a.Pause, d.Rules.MaxPause)
+		action.Pause = min(2*action.Pause, d.Rules.MaxPause)
 	}
-	return a
+	return action
 }
--- a/internal/supervisor/folder.go
+++ b/internal/supervisor/folder.go
@@ -1,13 +1,3 @@
-// Package supervisor runs robindrum as the version that a link names, and starts it again: at once where it asks for that, after a
-// growing pause where it crashed; as the version before where a new one does not come up, and not at all where nothing helps.
-//
-// A folder holds it all:
-//
-//	versions/LABEL   the programs
-//	current          a link to the one that runs
-//	previous         a link to the one before
-//	trial            the label of a version that has not been seen at work yet; not there: none is on trial
-//	refused          a label and why it was given up
 package supervisor
 
 import (
@@ -17,27 +7,31 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"syscall"
 )
 
-// ExitRestart is the exit code by which a process asks to be started again, as whatever current names then.
-const ExitRestart = 10
-
-// Environment by which a process knows that it is supervised.
+// Names in the folder; see the package's documentation.
 const (
-	FolderVariable  = "ROBINDRUM_FOLDER"
-	VersionVariable = "ROBINDRUM_VERSION"
+	versionsDir  = "versions"
+	currentLink  = "current"
+	previousLink = "previous"
+	trialFile    = "trial"
+	rejectedFile = "refused"
+	lockFile     = "lock"
 )
 
 const (
-	versions, current, previous, trial, refused = "versions", "current", "previous", "trial", "refused"
-	maxLabel                                    = 64
-	maxReason                                   = 300
+	maxLabel  = 64  // bytes
+	maxReason = 300 // bytes
 )
 
-// Folder is one. Its methods are for one goroutine of one process at a time; a supervisor and its process take turns.
-type Folder struct{ Path string }
+// Folder holds the versions of the program and which one runs. Its methods must not be called concurrently, not by other processes
+// either: the supervisor calls them while its process does not run, and the process while it does.
+type Folder struct {
+	Path string
+}
 
-// CheckLabel tells whether a version can be called so.
+// CheckLabel returns an error where a string cannot be a version's label: a file name of up to 64 bytes.
 func CheckLabel(label string) error {
 	if label == "" || len(label) > maxLabel || strings.HasPrefix(label, ".") || strings.ContainsAny(label, "/\\ \t\n*?") {
 		return fmt.Errorf("version %q: want a plain name of up to %d bytes", label, maxLabel)
@@ -45,17 +39,19 @@
 	return nil
 }
 
+// at returns the path of something in the folder.
 func (f Folder) at(name ...string) string { return filepath.Join(append([]string{f.Path}, name...)...) }
 
-// Program is the path of a version.
-func (f Folder) Program(label string) string { return f.at(versions, label) }
+// Program returns the path of a version's program.
+func (f Folder) Program(label string) string { return f.at(versionsDir, label) }
 
-// Check says why a version cannot be started here; nil: it can.
+// Check returns why a version cannot be started; nil: it can.
 func (f Folder) Check(label string) error {
 	if err := CheckLabel(label); err != nil {
 		return err
 	}
-	switch info, err := os.Stat(f.Program(label)); {
+	info, err := os.Stat(f.Program(label))
+	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return fmt.Errorf("version %s is not here", label)
 	case err != nil:
@@ -66,43 +62,56 @@
 	return nil
 }
 
-// Current is the version that the link names.
-func (f Folder) Current() (string, error) { return f.read(current) }
+// Current returns the version that is to run. It returns an error where that cannot be started.
+func (f Folder) Current() (string, error) { return f.readLink(currentLink) }
 
-// Previous is the one before.
-func (f Folder) Previous() (string, error) { return f.read(previous) }
+// Previous returns the version that ran before the current one. It returns an error where that cannot be started.
+func (f Folder) Previous() (string, error) { return f.readLink(previousLink) }
 
-func (f Folder) read(link string) (string, error) {
-	to, err := os.Readlink(f.at(link))
+func (f Folder) readLink(name string) (string, error) {
+	target, err := os.Readlink(f.at(name))
 	if err != nil {
 		return "", err
 	}
-	label := filepath.Base(to)
+	label := filepath.Base(target)
 	return label, f.Check(label)
 }
 
-// link has a link name a version, whole or as before.
-func (f Folder) link(name, label string) error {
-	tmp := f.at("." + name)
-	if err := os.Remove(tmp); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
-	}
-	if err := os.Symlink(filepath.Join(versions, label), tmp); err != nil {
-		return err
+// lock returns the open lock file, locked against other supervisors until it is closed.
+func (f Folder) lock() (*os.File, error) {
+	file, err := os.OpenFile(f.at(lockFile), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
 	}
-	if err := os.Rename(tmp, f.at(name)); err != nil {
-		return err
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		_ = file.Close()
+		return nil, fmt.Errorf("%s has a supervisor already: %w", f.Path, err)
 	}
-	return f.sync()
+	return file, nil
+}
+
+// writeLink makes a link name a version, atomically.
+func (f Folder) writeLink(name, label string) error {
+	return f.replace(name, func(temporary string) error {
+		if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+		return os.Symlink(filepath.Join(versionsDir, label), temporary)
+	})
 }
 
-// write has a file hold a text, whole or as before.
-func (f Folder) write(name, text string) error {
-	tmp := f.at("." + name)
-	if err := os.WriteFile(tmp, []byte(text), 0o600); err != nil {
+// writeFile replaces a file's contents, atomically.
+func (f Folder) writeFile(name, text string) error {
+	return f.replace(name, func(temporary string) error { return os.WriteFile(temporary, []byte(text), 0o600) })
+}
+
+// replace creates something under a temporary name and renames it over what has the name now.
+func (f Folder) replace(name string, create func(temporary string) error) error {
+	temporary := f.at("." + name)
+	if err := create(temporary); err != nil {
 		return err
 	}
-	if err := os.Rename(tmp, f.at(name)); err != nil {
+	if err := os.Rename(temporary, f.at(name)); err != nil {
 		return err
 	}
 	return f.sync()
@@ -116,57 +125,61 @@
 }
 
 func (f Folder) sync() error {
-	d, err := os.Open(f.Path)
+	dir, err := os.Open(f.Path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Switch has another version run from the next start on. It is on trial until Proved. What was given up is given another try.
-//
-// Danger: the order. A crash in between leaves a link to a version that is there, and previous to one that ran.
+// Switch makes another version the current one, on trial until ConfirmTrial. A version that was rolled back may be tried again after
+// that.
 func (f Folder) Switch(label string) error {
 	if err := f.Check(label); err != nil {
 		return err
 	}
-	now, err := f.Current()
+	current, err := f.Current()
 	if err != nil {
 		return err
 	}
-	if now == label {
+	if current == label {
 		return nil
 	}
-	return errors.Join(f.remove(refused), f.link(previous, now), f.write(trial, label), f.link(current, label))
+	// After a crash between any two of these the current version can be started, and the previous one has run.
+	return errors.Join(f.remove(rejectedFile), f.writeLink(previousLink, current), f.writeFile(trialFile, label), f.writeLink(currentLink, label))
 }
 
-// OnTrial tells whether the version that the link names is on trial.
+// OnTrial reports whether the current version is on trial.
 func (f Folder) OnTrial() bool {
-	label, err := os.ReadFile(f.at(trial))
-	now, err2 := f.Current()
-	return err == nil && err2 == nil && string(label) == now
+	label, err := os.ReadFile(f.at(trialFile))
+	if err != nil {
+		return false
+	}
+	current, err := f.Current()
+	return err == nil && string(label) == current
 }
 
-// ConfirmTrial ends a version's trial.
-func (f Folder) ConfirmTrial() error { return f.remove(trial) }
+// ConfirmTrial ends the current version's trial.
+func (f Folder) ConfirmTrial() error { return f.remove(trialFile) }
 
-// Rollback has the version before run from the next start on, and notes why the other one does not.
+// Rollback makes the previous version the current one, and records why the other one is rejected.
 func (f Folder) Rollback(why string) error {
-	now, err := f.Current()
+	current, err := f.Current()
 	if err != nil {
 		return err
 	}
-	before, err := f.Previous()
+	previous, err := f.Previous()
 	if err != nil {
 		return fmt.Errorf("there is no version to go back to: %w", err)
 	}
 	why = strings.Join(strings.Fields(why), " ")
-	return errors.Join(f.write(refused, now+" "+why[:min(len(why), maxReason)]), f.link(current, before), f.remove(trial))
+	rejected := current + " " + why[:min(len(why), maxReason)]
+	return errors.Join(f.writeFile(rejectedFile, rejected), f.writeLink(currentLink, previous), f.remove(trialFile))
 }
 
-// Rejected is which version was given up here, and why; empty: none was.
+// Rejected returns the version that was rolled back, and why; empty: none was.
 func (f Folder) Rejected() (label, why string) {
-	text, err := os.ReadFile(f.at(refused))
+	text, err := os.ReadFile(f.at(rejectedFile))
 	if err != nil {
 		return "", ""
 	}
@@ -174,5 +187,5 @@
 	return label, why
 }
 
-// ClearRejected has a version that was given up tried again when it is asked for.
-func (f Folder) ClearRejected() error { return f.remove(refused) }
+// ClearRejected allows a version that was rolled back to be tried again.
+func (f Folder) ClearRejected() error { return f.remove(rejectedFile) }
--- a/internal/supervisor/former_test.go
+++ b/internal/supervisor/former_test.go
@@ -9,9 +9,9 @@
 // TestFormerFolderIsRead reads the folder of an earlier version's supervisor (tools/fixtures/write): version three was given up for
 // two, and four is on trial.
 func TestFormerFolderIsRead(t *testing.T) {
-	f := Folder{filepath.Join(t.TempDir(), "folder")}
+	f := Folder{Path: filepath.Join(t.TempDir(), "folder")}
 	from := filepath.Join("testdata", "former", "folder")
-	if err := os.MkdirAll(filepath.Join(f.Path, versions), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(f.Path, versionsDir), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"trial", "refused", "versions/two", "versions/three", "versions/four"} {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,3 +1,15 @@
+// Package supervisor runs robindrum as the version that a link names, and starts it again: at once where the process asks for it, after
+// a growing pause where it crashed. A new version that keeps crashing is rolled back; after too many crashes nothing is started any
+// more.
+//
+// A folder holds all its state:
+//
+//	versions/LABEL   the programs
+//	current          a link to the version that runs
+//	previous         a link to the version before
+//	trial            the label of a version that has not been confirmed yet; absent: none is on trial
+//	refused          the label of a version that was rolled back, and why
+//	lock             locked by the running supervisor
 package supervisor
 
 import (
@@ -13,87 +25,106 @@
 	"time"
 )
 
-// Options are what a supervisor is told.
+// Options configure a supervisor.
 type Options struct {
 	Folder Folder
-	Args   []string // of the program
-	Rules  Rules
-	// Stop is how long a process has to end once it was told to; then it is killed.
+	// Args are the program's arguments.
+	Args  []string
+	Rules Rules
+	// Stop is how long the process has to end after SIGTERM; then it is killed.
 	Stop   time.Duration
 	Stdout io.Writer
 	Stderr io.Writer
-	Hangup <-chan os.Signal // passed on; nil: none
+	// Hangup has the signals that are passed on to the process; nil: none.
+	Hangup <-chan os.Signal
 	Log    *slog.Logger
 }
 
-// ErrGaveUp is that nothing that can be started stays up.
+// ErrGaveUp is returned when no version keeps running.
 var ErrGaveUp = errors.New("gave up")
 
-// Run starts the version that the folder's link names and keeps it running, until ctx ends, it ends by itself, or nothing helps.
+// Run starts the folder's current version and restarts it as the rules say. It blocks until ctx ends or the process ends by itself, and
+// then returns nil; it returns an error that wraps ErrGaveUp after too many crashes. Only one supervisor runs on a folder.
 func Run(ctx context.Context, opt Options) error {
 	opt.Rules.Fill()
-	lock, err := os.OpenFile(opt.Folder.at("lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := opt.Folder.lock()
 	if err != nil {
 		return err
 	}
-	defer lock.Close()
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		return fmt.Errorf("%s has a supervisor already: %w", opt.Folder.Path, err)
-	}
-	d := Decider{Rules: opt.Rules}
+	defer func() { _ = lock.Close() }()
+	decider := Decider{Rules: opt.Rules}
 	for {
-		label, err := opt.Folder.Current()
+		version, err := opt.Folder.Current()
 		if err != nil {
-			return fmt.Errorf("%s: %w", opt.Folder.at(current), err)
+			return fmt.Errorf("%s: %w", opt.Folder.at(currentLink), err)
 		}
-		began := time.Now()
-		code, err := opt.once(ctx, label)
+		startedAt := time.Now()
+		exitCode, err := opt.runProcess(ctx, version)
 		if err != nil {
-			opt.Log.Error("cannot be started", "version", label, "err", err)
+			opt.Log.Error("start failed", "version", version, "error", err)
 		}
-		a := d.ProcessEnded(time.Since(began), code, ctx.Err() != nil, opt.Folder.OnTrial())
-		switch {
-		case a.End:
+		action := decider.ProcessEnded(time.Since(startedAt), exitCode, ctx.Err() != nil, opt.Folder.OnTrial())
+		if action.End {
 			return nil
-		case a.GiveUp:
-			opt.Log.Error("given up: nothing is started any more", "version", label, "why", a.Reason)
-			return fmt.Errorf("%w on version %s: %s", ErrGaveUp, label, a.Reason)
-		case a.Rollback:
-			if err := opt.Folder.Rollback(a.Reason); err != nil {
-				return fmt.Errorf("%w on version %s, %s: %w", ErrGaveUp, label, a.Reason, err)
-			}
-			opt.Log.Error("back to the version before", "from", label, "why", a.Reason)
-		case a.Reason != "":
-			opt.Log.Warn("it crashed and is started again", "version", label, "in", a.Pause, "why", a.Reason)
-		default:
-			opt.Log.Info("started again as it asked", "from", label)
 		}
-		if a.Pause > 0 { // spread: a fleet that crashed at once does not come back at once
-			t := time.NewTimer(a.Pause/2 + rand.N(a.Pause))
-			select {
-			case <-ctx.Done():
-				t.Stop()
-				return nil
-			case <-t.C:
-			}
+		if err := opt.prepareRestart(action, version); err != nil {
+			return err
+		}
+		if action.Pause > 0 && !sleepAbout(ctx, action.Pause) {
+			return nil
 		}
 	}
 }
 
-// once runs a version until it ends, and gives its exit code; -1 where it did not start or was killed.
-func (opt *Options) once(ctx context.Context, label string) (int, error) {
-	cmd := exec.Command(opt.Folder.Program(label), opt.Args...)
-	cmd.Env = append(os.Environ(), FolderVariable+"="+opt.Folder.Path, VersionVariable+"="+label)
-	cmd.Stdout, cmd.Stderr = opt.Stdout, opt.Stderr
-	// The process ends when this end is closed, also where the supervisor is killed.
-	in, err := cmd.StdinPipe()
+// prepareRestart logs what is done about a version's process that has ended, and rolls the version back where that is the action. An
+// error means that nothing is started any more.
+func (opt *Options) prepareRestart(action Action, version string) error {
+	switch {
+	case action.GiveUp:
+		opt.Log.Error("gave up", "version", version, "reason", action.Reason)
+		return fmt.Errorf("%w on version %s: %s", ErrGaveUp, version, action.Reason)
+	case action.Rollback:
+		if err := opt.Folder.Rollback(action.Reason); err != nil {
+			return fmt.Errorf("%w on version %s, %s: %w", ErrGaveUp, version, action.Reason, err)
+		}
+		opt.Log.Error("rolled back", "from", version, "reason", action.Reason)
+	case action.Reason != "":
+		opt.Log.Warn("restarting after crash", "version", version, "pause", action.Pause, "reason", action.Reason)
+	default:
+		opt.Log.Info("restarting on request", "from", version)
+	}
+	return nil
+}
+
+// sleepAbout waits for half to one and a half of a pause, so that a fleet that crashed at once does not restart at once. It returns
+// false when ctx ends first.
+func sleepAbout(ctx context.Context, pause time.Duration) bool {
+	timer := time.NewTimer(pause/2 + rand.N(pause))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// runProcess runs a version until it ends, and returns its exit code; -1: it was not started or was killed. When ctx ends the process
+// gets SIGTERM, and after opt.Stop it is killed.
+func (opt *Options) runProcess(ctx context.Context, version string) (exitCode int, err error) {
+	cmd := exec.Command(opt.Folder.Program(version), opt.Args...)
+	cmd.Env = append(os.Environ(), FolderVariable+"="+opt.Folder.Path, VersionVariable+"="+version)
+	cmd.Stdout = opt.Stdout
+	cmd.Stderr = opt.Stderr
+	// The process ends when its standard input does, also where the supervisor is killed.
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return -1, err
 	}
 	if err := cmd.Start(); err != nil {
 		return -1, err
 	}
-	opt.Log.Info("started", "version", label, "pid", cmd.Process.Pid)
+	opt.Log.Info("started", "version", version, "pid", cmd.Process.Pid)
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	stop := ctx.Done()
@@ -101,7 +132,7 @@
 	for {
 		select {
 		case err := <-ended:
-			in.Close()
+			stdin.Close()
 			if err != nil && cmd.ProcessState == nil {
 				return -1, err
 			}
@@ -109,83 +140,13 @@
 		case <-stop:
 			stop = nil
 			_ = cmd.Process.Signal(syscall.SIGTERM) // it may have ended
-			t := time.NewTimer(opt.Stop)
-			defer t.Stop()
-			kill = t.C
+			timer := time.NewTimer(opt.Stop)
+			defer timer.Stop()
+			kill = timer.C
 		case <-kill:
 			_ = cmd.Process.Kill()
-		case s := <-opt.Hangup:
-			_ = cmd.Process.Signal(s)
+		case signal := <-opt.Hangup:
+			_ = cmd.Process.Signal(signal)
 		}
 	}
 }
-
-// Child is the place of a process that is supervised, as the process knows it. Its methods may be called by one goroutine at a time.
-type Child struct {
-	Folder  Folder
-	Version string
-	again   chan struct{}
-	asked   bool
-}
-
-// FromEnv gives this process's; nil: nobody supervises it.
-func FromEnv() *Child {
-	dir, version := os.Getenv(FolderVariable), os.Getenv(VersionVariable)
-	if dir == "" || version == "" {
-		return nil
-	}
-	return &Child{Folder: Folder{dir}, Version: version, again: make(chan struct{})}
-}
-
-// Restarting is closed when this process is to end with the exit code of that name.
-func (c *Child) Restarting() <-chan struct{} {
-	if c == nil {
-		return nil
-	}
-	return c.again
-}
-
-// SwitchTo has this process end and another version start in its place. Asked once more, nothing happens.
-func (c *Child) SwitchTo(label string) error {
-	if c.asked {
-		return nil
-	}
-	if err := c.Folder.Switch(label); err != nil {
-		return err
-	}
-	c.end()
-	return nil
-}
-
-// Rollback has this process end and the version before start in its place.
-func (c *Child) Rollback(why string) error {
-	if c.asked {
-		return nil
-	}
-	if err := c.Folder.Rollback(why); err != nil {
-		return err
-	}
-	c.end()
-	return nil
-}
-
-func (c *Child) end() {
-	c.asked = true
-	close(c.again)
-}
-
-// ConfirmTrial, Forgive and Trial are the folder's.
-func (c *Child) ConfirmTrial() error  { return c.Folder.ConfirmTrial() }
-func (c *Child) ClearRejected() error { return c.Folder.ClearRejected() }
-func (c *Child) OnTrial() bool        { return c.Folder.OnTrial() }
-
-// RejectReason says why this process would not start as a version; empty: it would.
-func (c *Child) RejectReason(label string) string {
-	if given, why := c.Folder.Rejected(); given == label {
-		return "given up here: " + why
-	}
-	if err := c.Folder.Check(label); err != nil {
-		return err.Error()
-	}
-	return ""
-}
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// Every row of up to seven ends of a process: crashes, asks to be started again, long runs, on trial or not. The pause never shrinks
-// within a row nor passes its bound, a version on trial is replaced by its last crash in a row and no later, and it gives up at the
-// stated number and never before.
-func TestEveryRowOfEnds(t *testing.T) {
+// All sequences of up to seven ends of a process: crashes, requested restarts, long runs, on trial or not. The pause neither shrinks
+// during consecutive crashes nor exceeds its bound, a version on trial is rolled back at its last allowed crash, and the supervisor
+// gives up at the stated number of crashes and not before.
+func TestProcessEndedForAllSequences(t *testing.T) {
 	rules := Rules{MinPause: time.Second, MaxPause: 3 * time.Second, StableAfter: time.Minute, TrialCrashes: 2, GiveUp: 4}
 	type end struct {
 		ran   time.Duration
@@ -21,35 +21,35 @@
 	}
 	ends := []end{{time.Second, 1, false}, {time.Second, -1, true}, {2 * time.Minute, 1, false}, {time.Second, ExitRestart, false}}
 	walked := 0
-	var walk func(d Decider, row int, last time.Duration, depth int)
-	walk = func(d Decider, row int, last time.Duration, depth int) {
+	var walk func(d Decider, crashes int, lastPause time.Duration, depth int)
+	walk = func(d Decider, crashes int, lastPause time.Duration, depth int) {
 		for _, e := range ends {
-			d, row, last := d, row, last
+			d, crashes, lastPause := d, crashes, lastPause
 			a := d.ProcessEnded(e.ran, e.code, false, e.trial)
 			walked++
 			if e.code == ExitRestart {
 				if a != (Action{}) {
-					t.Fatalf("asked to start again: %+v", a)
+					t.Fatalf("requested restart: %+v", a)
 				}
-				row, last = 0, 0
+				crashes, lastPause = 0, 0
 			} else {
 				if e.ran >= rules.StableAfter {
-					row, last = 0, 0
+					crashes, lastPause = 0, 0
 				}
-				row++
-				back := e.trial && row >= rules.TrialCrashes
-				if a.Rollback != back || a.GiveUp != (!back && row >= rules.GiveUp) || a.Reason == "" || !a.GiveUp && !back && (a.Pause < last || a.Pause < rules.MinPause) || a.Pause > rules.MaxPause {
-					t.Fatalf("%d crashes in a row, trial %v, waited %v: %+v", row, e.trial, last, a)
+				crashes++
+				rollback := e.trial && crashes >= rules.TrialCrashes
+				if a.Rollback != rollback || a.GiveUp != (!rollback && crashes >= rules.GiveUp) || a.Reason == "" || !a.GiveUp && !rollback && (a.Pause < lastPause || a.Pause < rules.MinPause) || a.Pause > rules.MaxPause {
+					t.Fatalf("%d crashes in a row, trial %v, waited %v: %+v", crashes, e.trial, lastPause, a)
 				}
-				if last = a.Pause; back {
-					row, last = 0, 0
+				if lastPause = a.Pause; rollback {
+					crashes, lastPause = 0, 0
 				}
 				if a.GiveUp {
 					continue
 				}
 			}
 			if depth > 1 {
-				walk(d, row, last, depth-1)
+				walk(d, crashes, lastPause, depth-1)
 			}
 		}
 	}
@@ -59,30 +59,30 @@
 	}
 	d := Decider{Rules: rules}
 	if !d.ProcessEnded(time.Second, 1, true, true).End || !d.ProcessEnded(time.Second, 0, false, false).End {
-		t.Error("what was told to end is started again")
+		t.Error("a process that was stopped is started again")
 	}
 }
 
-// Whatever is switched, proved, given up and forgiven, with an end of the process between any two writes: current names a version that
-// is here, and the way back leads to one that ran.
-func TestFolderIsWhole(t *testing.T) {
+// After any sequence of switches, confirmations and rollbacks, with the process ending between any two writes, current names a version
+// that exists, and previous one that ran.
+func TestFolderIsConsistentAfterInterruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "robindrum-folder-")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer os.RemoveAll(dir)
-		f := Folder{dir}
-		if err := os.Mkdir(filepath.Join(dir, versions), 0o700); err != nil {
+		defer func() { _ = os.RemoveAll(dir) }()
+		f := Folder{Path: dir}
+		if err := os.Mkdir(filepath.Join(dir, versionsDir), 0o700); err != nil {
 			t.Fatal(err)
 		}
 		labels := []string{"a", "b", "c"}
-		for _, l := range labels {
-			if err := os.WriteFile(f.Program(l), nil, 0o700); err != nil {
+		for _, label := range labels {
+			if err := os.WriteFile(f.Program(label), nil, 0o700); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := f.link(current, "a"); err != nil {
+		if err := f.writeLink(currentLink, "a"); err != nil {
 			t.Fatal(err)
 		}
 		ran := map[string]bool{"a": true}
@@ -96,7 +96,7 @@
 				}
 			case 1: // ended in the middle of a switch
 				if f.Check(label) == nil && label != now {
-					steps := []func() error{func() error { return f.remove(refused) }, func() error { return f.link(previous, now) }, func() error { return f.write(trial, label) }}
+					steps := []func() error{func() error { return f.remove(rejectedFile) }, func() error { return f.writeLink(previousLink, now) }, func() error { return f.writeFile(trialFile, label) }}
 					for _, s := range steps[:rapid.IntRange(0, 3).Draw(t, "of the switch")] {
 						if err := s(); err != nil {
 							t.Fatal(err)
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -44,7 +44,7 @@
 
 func (s *starts) line(node int, text string) {
 	_, version, ok := strings.Cut(text, "msg=started version=")
-	asked := strings.Contains(text, `msg="started again as it asked"`)
+	asked := strings.Contains(text, `msg="restarting on request"`)
 	if !ok && !asked {
 		return
 	}
