--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,10 +1,10 @@
-// Package subscription decides how the gateways of one site live on one subscription to the control plane: whose word a gateway
-// takes, and when it goes to the control plane itself. It has no clock, no I/O and no goroutine; time and chance are
+// Package subscription decides how the gateways of one site share one subscription to the control plane: whose updates a gateway
+// accepts, and when it opens a stream to the control plane itself. It has no clock, no I/O and no goroutine; time and chance are
 // arguments.
 //
-// The holder of the site's lease follows the control plane and hands what it accepted to the others, each time under the
-// lease's token and a number that rises. A gateway takes nothing that is older, by token and then by number, than what it
-// has taken; so no older version replaces a newer one, whoever sends it and however late it comes.
+// The holder of the site's lease has a stream to the control plane and sends what it accepted to the other gateways, under the lease's
+// fencing token and a sequence number. A gateway accepts nothing that is older, by token and then by sequence number, than what it has
+// accepted; so no older version replaces a newer one, whoever sends it and however late it arrives.
 package subscription
 
 import (
@@ -13,186 +13,220 @@
 	"robindrum/internal/lease"
 )
 
-// Options are the times.
+// Options configure a Subscription.
 type Options struct {
-	// DirectAfter is how long a gateway lives on what it took last without word of a holder. Then it goes to the control plane
-	// itself, within Spread, at a moment drawn by chance so that not all do at once.
-	DirectAfter, Spread time.Duration
-	// Chance is from 0 to 1, drawn once for each process.
+	// DirectAfter is how long a gateway goes without hearing from a leader before it opens a direct stream.
+	DirectAfter time.Duration
+	// Spread is up to how much longer it waits, so that not all gateways open their streams at once.
+	Spread time.Duration
+	// Chance is this gateway's part of Spread, from 0 to 1, drawn once for each process.
 	Chance float64
 }
 
-// Mode is where a gateway's word comes from.
+// Mode is where a gateway's updates come from.
 type Mode string
 
+// Modes of a gateway.
 const (
-	Waiting   Mode = "waiting"   // just started: for a holder's word
-	Following Mode = "following" // on the holder's word, with no stream of its own
-	Direct    Mode = "own"       // on a stream of its own
-	Leading   Mode = "holding"   // on a stream of its own, for the others as well
+	Waiting   Mode = "waiting"   // just started, no leader has been heard from
+	Following Mode = "following" // from the leader, without a direct stream
+	Direct    Mode = "own"       // from a direct stream
+	Leading   Mode = "holding"   // from a direct stream, and it sends updates to the others
 )
 
-// Update is what a holder sends. Without news it is a sign of life.
+// Update is what a leader sends. It serves as a heartbeat also when nothing has changed.
 type Update struct {
 	Token uint64 `json:"token"`
-	Seq   uint64 `json:"seq"`  // of the last change under the token; 0: nothing is known to be current yet
-	Base  uint64 `json:"base"` // what comes with it is what changed since
-	Full  bool   `json:"whole"`
-	// Digest stands for all that the holder has in use.
+	// Seq is the number of the last change under the token; 0: the leader does not know yet whether what it has is current.
+	Seq uint64 `json:"seq"`
+	// Base: the update has what changed since this Seq.
+	Base uint64 `json:"base"`
+	// Full: the update is a full snapshot, not a delta.
+	Full bool `json:"whole"`
+	// Digest is of everything that the leader has in use.
 	Digest uint64 `json:"digest"`
-	// Connected: the holder has a stream. Where it has none, its word is the last that the control plane gave.
+	// Connected: the leader's stream is open. If not, the update has the control plane's last state.
 	Connected bool `json:"connected"`
-	// Age is of the control plane's last word, in nanoseconds.
+	// Age is the time since the control plane's last message, in nanoseconds.
 	Age time.Duration `json:"age"`
 }
 
-// Verdict is what becomes of a push.
+// Verdict is what a gateway does with an update.
 type Verdict string
 
+// Verdicts on an update.
 const (
-	Accept       Verdict = "take"    // use what comes with it
+	Accept       Verdict = "take"    // apply it
 	Unchanged    Verdict = "same"    // nothing new in it
-	NeedSnapshot Verdict = "need"    // send the whole
-	Compare      Verdict = "compare" // a whole that is followed if it has all that is in use here (see Agreed)
+	NeedSnapshot Verdict = "need"    // ask for a full snapshot
+	Compare      Verdict = "compare" // call Adopt if this full snapshot has everything that is in use here
 	Reject       Verdict = "refuse"  // its token is older than the highest seen
-	Diverged     Verdict = "alone"   // this gateway is on its own stream, which says something else
+	Diverged     Verdict = "alone"   // this gateway has a direct stream, which says something else
 )
 
-// Subscription is one gateway's. It is for one goroutine at a time.
+// noneMissing is the value of Subscription.missingSince while nothing is missing.
+const noneMissing = -1
+
+// version orders updates: by token, then by sequence number.
+type version struct {
+	token uint64
+	seq   uint64
+}
+
+func (v version) olderThan(other version) bool {
+	return v.token < other.token || v.token == other.token && v.seq < other.seq
+}
+
+func (u Update) version() version { return version{token: u.Token, seq: u.Seq} }
+
+// Subscription is one gateway's part in its site's subscription. It must not be used concurrently.
 type Subscription struct {
-	opt      Options
-	mode     Mode
-	since    time.Duration
-	fence    lease.Fence
-	token    uint64 // of what was taken last
-	seq      uint64
-	heard    time.Duration // a holder's word, the last time
-	age      time.Duration // of the control plane's word then
-	missing  time.Duration // since when something is asked for that the holder does not give; -1: nothing is
-	tried    [2]uint64     // token and number that were compared
-	compared bool
-}
-
-// New makes one that waits.
+	opt       Options
+	mode      Mode
+	modeSince time.Duration
+	fence     lease.Fence
+	accepted  version
+	// heardAt is when a leader was heard from last, updateAge the Age of its update.
+	heardAt   time.Duration
+	updateAge time.Duration
+	// missingSince is since when a resource is wanted that the leader does not send; noneMissing: none is.
+	missingSince time.Duration
+	// compared is the version that got the verdict Compare last; nil: none did since the direct stream was opened.
+	compared *version
+}
+
+// New returns a Subscription in the mode Waiting.
 func New(now time.Duration, opt Options) *Subscription {
-	return &Subscription{opt: opt, mode: Waiting, since: now, heard: now, missing: -1}
+	return &Subscription{opt: opt, mode: Waiting, modeSince: now, heardAt: now, missingSince: noneMissing}
 }
 
-// Mode is where its word comes from, and since when.
-func (s *Subscription) Mode() (Mode, time.Duration) { return s.mode, s.since }
+// Mode returns the mode and when it began.
+func (s *Subscription) Mode() (Mode, time.Duration) { return s.mode, s.modeSince }
 
-// WantsStream tells whether it wants a stream of its own.
+// WantsStream reports whether the gateway needs a direct stream to the control plane.
 func (s *Subscription) WantsStream() bool { return s.mode == Direct || s.mode == Leading }
 
-// LastUpdate is what it took last, how long ago a holder spoke, and the age of the control plane's word then.
+// LastUpdate returns the token and sequence number of the update that was accepted last, how long ago a leader was heard from, and how
+// old the control plane's last message was then.
 func (s *Subscription) LastUpdate(now time.Duration) (token, seq uint64, heard, age time.Duration) {
-	return s.token, s.seq, now - s.heard, s.age
+	return s.accepted.token, s.accepted.seq, now - s.heardAt, s.updateAge
 }
 
-// HighestToken is the highest token that it has seen.
+// HighestToken returns the highest fencing token seen.
 func (s *Subscription) HighestToken() uint64 { return s.fence.Highest }
 
-func (s *Subscription) turn(now time.Duration, m Mode) {
-	if s.mode != m {
-		s.mode, s.since = m, now
+func (s *Subscription) setMode(now time.Duration, mode Mode) {
+	if s.mode != mode {
+		s.mode = mode
+		s.modeSince = now
 	}
 }
 
-// Receive takes what a holder sent. digest is of what is in use here.
-func (s *Subscription) Receive(now time.Duration, p Update, digest uint64) Verdict {
-	if !s.fence.Admit(p.Token) {
+// Receive returns what to do with an update. digest is of everything that is in use here.
+func (s *Subscription) Receive(now time.Duration, update Update, digest uint64) Verdict {
+	if !s.fence.Admit(update.Token) {
 		return Reject
 	}
-	if p.Seq == 0 { // it has the lease, and no word yet that is worth more than what is in use here
+	if update.Seq == 0 {
 		if s.mode != Leading {
-			s.heard = now
+			s.heardAt = now
 		}
 		return Unchanged
 	}
-	if s.mode == Leading { // another holds it now: what runs here ends by itself, and then it is a gateway like any other
-		return Diverged
+	if s.mode == Leading {
+		return Diverged // another gateway leads now; the task here is about to end
 	}
-	older := p.Token < s.token || p.Token == s.token && p.Seq < s.seq
-	if older { // it came late
-		return Unchanged
+	if update.version().olderThan(s.accepted) {
+		return Unchanged // it was delayed
 	}
-	s.heard, s.age = now, p.Age
+	s.heardAt = now
+	s.updateAge = update.Age
 	if s.mode == Direct {
-		switch {
-		case p.Digest == digest:
-			s.follow(now, p)
-			return Unchanged
-		case p.Full:
-			s.tried, s.compared = [2]uint64{p.Token, p.Seq}, true
-			return Compare
-		case !s.compared || s.tried != [2]uint64{p.Token, p.Seq}:
-			return NeedSnapshot
-		}
-		return Diverged
+		return s.receiveWhileDirect(now, update, digest)
 	}
+	sameVersion := update.version() == s.accepted
+	sameToken := update.Token == s.accepted.token
+	following := s.mode == Following
 	switch {
-	case p.Token == s.token && p.Seq == s.seq && s.mode == Following && !p.Full:
+	case sameVersion && following && !update.Full:
 		return Unchanged
-	case p.Full, p.Token == s.token && p.Base <= s.seq && s.mode == Following:
-		s.follow(now, p)
+	case update.Full, sameToken && update.Base <= s.accepted.seq && following:
+		s.follow(now, update)
 		return Accept
 	}
 	return NeedSnapshot
 }
 
-func (s *Subscription) follow(now time.Duration, p Update) {
-	s.token, s.seq = p.Token, p.Seq
-	s.turn(now, Following)
+// receiveWhileDirect follows the leader again once it has the same in use as this gateway. Each version is compared once.
+func (s *Subscription) receiveWhileDirect(now time.Duration, update Update, digest uint64) Verdict {
+	received := update.version()
+	switch {
+	case update.Digest == digest:
+		s.follow(now, update)
+		return Unchanged
+	case update.Full:
+		s.compared = &received
+		return Compare
+	case s.compared == nil || *s.compared != received:
+		return NeedSnapshot
+	}
+	return Diverged
+}
+
+func (s *Subscription) follow(now time.Duration, update Update) {
+	s.accepted = update.version()
+	s.setMode(now, Following)
 }
 
-// Adopt has a gateway on its own stream follow a whole that was to be compared and has all that is in use here.
-func (s *Subscription) Adopt(now time.Duration, p Update) bool {
-	if s.mode != Direct || p.Token < s.token || p.Token == s.token && p.Seq < s.seq || p.Token < s.fence.Highest {
+// Adopt makes a gateway with a direct stream follow the leader of a full snapshot that got the verdict Compare and has everything that
+// is in use here. It returns false where something newer was received in the meantime, or the gateway has no direct stream.
+func (s *Subscription) Adopt(now time.Duration, update Update) bool {
+	if s.mode != Direct || update.version().olderThan(s.accepted) || update.Token < s.fence.Highest {
 		return false
 	}
-	s.follow(now, p)
+	s.follow(now, update)
 	return true
 }
 
-// Lead begins and Drop ends a time as the holder. A holder whose duty ends stays on its stream until another's word is the
-// same as its own.
+// Lead makes this gateway the leader, under a fencing token.
 func (s *Subscription) Lead(now time.Duration, token uint64) {
 	s.fence.Admit(token)
-	s.turn(now, Leading)
+	s.setMode(now, Leading)
 }
 
-// Release ends it.
+// Release ends the leadership. The gateway stays on its direct stream until another leader has the same in use.
 func (s *Subscription) Release(now time.Duration) {
 	if s.mode == Leading {
-		s.heard = now
-		s.turn(now, Direct)
+		s.heardAt = now
+		s.setMode(now, Direct)
 	}
 }
 
-// SetMissing takes whether something is asked for that nothing has been said of.
-func (s *Subscription) SetMissing(now time.Duration, is bool) {
+// SetMissing records whether a resource is wanted that no update has mentioned.
+func (s *Subscription) SetMissing(now time.Duration, missing bool) {
 	switch {
-	case !is:
-		s.missing = -1
-	case s.missing < 0:
-		s.missing = now
+	case !missing:
+		s.missingSince = noneMissing
+	case s.missingSince < 0:
+		s.missingSince = now
 	}
 }
 
-// Tick takes what time has done, and gives when to call it again at the latest; 0: never.
+// Tick switches to a direct stream when the leader has been silent, or a resource has been missing, for too long. It returns when to
+// call it again at the latest; 0: not until the mode has changed.
 func (s *Subscription) Tick(now time.Duration) (next time.Duration) {
 	if s.WantsStream() {
 		return 0
 	}
-	spread := time.Duration(float64(s.opt.Spread) * s.opt.Chance)
-	at := s.heard + s.opt.DirectAfter + spread
-	if s.missing >= 0 && s.mode == Following {
-		at = min(at, s.missing+s.opt.DirectAfter+spread)
+	maxSilence := s.opt.DirectAfter + time.Duration(float64(s.opt.Spread)*s.opt.Chance)
+	directAt := s.heardAt + maxSilence
+	if s.missingSince >= 0 && s.mode == Following {
+		directAt = min(directAt, s.missingSince+maxSilence)
 	}
-	if now >= at {
-		s.turn(now, Direct)
-		s.compared = false
+	if now >= directAt {
+		s.setMode(now, Direct)
+		s.compared = nil
 		return 0
 	}
-	return at
+	return directAt
 }
