--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,17 +1,14 @@
+// Package membership knows the processes of the fleet: their names, places, versions and states, found by SWIM
+// (hashicorp/memberlist). It offers a list and a stream of events. Requests never wait for it.
 package membership
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"log"
 	"log/slog"
 	"net"
-	"net/http"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -20,339 +17,250 @@
 	"robindrum/internal/peer"
 )
 
-// streamKind is how memberlist's TCP connections call themselves.
-const streamKind = "members"
+const (
+	defaultProbe  = time.Second
+	defaultForget = time.Hour
+	// maxBufferedEvents is how many events a watcher may be behind before it misses some.
+	maxBufferedEvents = 4096
+)
+
+// Times of memberlist, in probe intervals.
+const (
+	seedCheckProbes       = 2
+	pushPullProbes        = 30
+	tcpTimeoutProbes      = 10
+	gossipToTheDeadProbes = 30
+	deadNodeReclaimProbes = 10 // a process that starts again may have another address
+	probeTimeoutsPerProbe = 2
+	gossipRoundsPerProbe  = 5
+)
 
-// Options are what a List is told.
+// Options configure a List.
 type Options struct {
+	// Fleet is the fleet's name; packets of other fleets are ignored.
 	Fleet string
-	Self  Member // Address: how others reach it
+	// Self is this process. Its Address is the one by which the others reach it.
+	Self Member
+	// Seeds are the addresses of some members.
 	Seeds []string
-	// Probe is between two probes of this process, each of one member; others follow from it. 0: a second.
+	// Probe is the interval at which this process probes one other member; other intervals are multiples of it. 0: a second.
 	Probe time.Duration
-	// Forget is how long a dead member is remembered. 0: an hour.
+	// Forget is how long a dead member is listed. 0: an hour.
 	Forget time.Duration
-	Now    func() time.Duration
-	Log    *slog.Logger
+	// Now reads a monotonic clock.
+	Now func() time.Duration
+	Log *slog.Logger
 }
 
-// View is all that the rest of the program sees.
+// View is the part of a List that other packages read. Its methods may be called concurrently and do not block on the network.
 type View interface {
+	// Members returns all known members by name, with this process and the dead ones.
 	Members() []Member
+	// Self returns this process as it announces itself.
 	Self() Member
+	// Lookup returns the member of a name; false: there is none.
 	Lookup(name string) (Member, bool)
+	// Len returns the number of Members.
 	Len() int
 }
 
-// List follows the fleet. Its methods may be called by several goroutines at once.
+// List follows the fleet's membership. Its methods may be called concurrently.
 type List struct {
-	opt  Options
-	ml   *memberlist.Memberlist
-	t    *transport
-	end  context.CancelFunc
-	work sync.WaitGroup
+	opt    Options
+	swim   *memberlist.Memberlist
+	stop   context.CancelFunc
+	worker sync.WaitGroup
 
 	mu        sync.Mutex
 	roster    *roster
 	self      Member
-	watch     []chan Event
+	watchers  []chan Event
 	conflicts int
-	missed    int // events that a watcher was too slow for
 }
 
-// Start joins the fleet: it has the node take its packets and streams, and asks the seeds until one answers.
-func Start(n *peer.Node, opt Options) (*List, error) {
+// Start joins the fleet over a node: it takes the node's packets and one kind of its streams, and asks the seeds until all are members. It
+// does not wait for them. The owner calls Stop, and closes the node after that.
+func Start(node *peer.Node, opt Options) (*List, error) {
 	if opt.Probe == 0 {
-		opt.Probe = time.Second
+		opt.Probe = defaultProbe
 	}
 	if opt.Forget == 0 {
-		opt.Forget = time.Hour
+		opt.Forget = defaultForget
 	}
-	if _, err := opt.Self.meta(); err != nil {
+	if _, err := opt.Self.encodeMeta(); err != nil {
 		return nil, err
 	}
 	l := &List{opt: opt, roster: newRoster(opt.Forget), self: opt.Self}
-	l.t = newTransport(n)
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label, c.Transport = opt.Self.Name, opt.Fleet, l.t
-	host, _, err := net.SplitHostPort(opt.Self.Address)
+	conf, err := l.memberlistConfig(newTransport(node))
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, err
 	}
-	c.AdvertiseAddr, c.AdvertisePort = host, peer.Port(opt.Self.Address)
-	c.ProbeInterval, c.ProbeTimeout, c.GossipInterval = opt.Probe, opt.Probe/2, opt.Probe/5
-	c.PushPullInterval, c.TCPTimeout, c.GossipToTheDeadTime = 30*opt.Probe, 10*opt.Probe, 30*opt.Probe
-	c.DeadNodeReclaimTime = 10 * opt.Probe // a process that starts again may have another address
-	c.Delegate, c.Events, c.Conflict, c.Ping, c.Alive = (*delegate)(l), (*delegate)(l), (*delegate)(l), (*delegate)(l), (*delegate)(l)
-	c.Logger = log.New(&logReader{l: l}, "", 0)
-	if l.ml, err = memberlist.Create(c); err != nil {
+	l.swim, err = memberlist.Create(conf)
+	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	l.end = cancel
-	l.work.Go(func() { l.join(ctx) })
+	l.stop = cancel
+	l.worker.Go(func() { l.joinSeeds(ctx) })
 	return l, nil
 }
 
-// join asks the seeds whenever this process is alone or a seed is not among the members: after a split both sides go on by
-// themselves, and memberlist asks nobody whom it has given up for long.
-func (l *List) join(ctx context.Context) {
-	tick := time.NewTicker(2 * l.opt.Probe)
-	defer tick.Stop()
+func (l *List) memberlistConfig(t *transport) (*memberlist.Config, error) {
+	host, _, err := net.SplitHostPort(l.opt.Self.Address)
+	if err != nil {
+		return nil, fmt.Errorf("fleet: %w", err)
+	}
+	probe := l.opt.Probe
+	d := &delegate{list: l}
+	conf := memberlist.DefaultLANConfig()
+	conf.Name = l.opt.Self.Name
+	conf.Label = l.opt.Fleet
+	conf.Transport = t
+	conf.AdvertiseAddr = host
+	conf.AdvertisePort = peer.Port(l.opt.Self.Address)
+	conf.ProbeInterval = probe
+	conf.ProbeTimeout = probe / probeTimeoutsPerProbe
+	conf.GossipInterval = probe / gossipRoundsPerProbe
+	conf.PushPullInterval = pushPullProbes * probe
+	conf.TCPTimeout = tcpTimeoutProbes * probe
+	conf.GossipToTheDeadTime = gossipToTheDeadProbes * probe
+	conf.DeadNodeReclaimTime = deadNodeReclaimProbes * probe
+	conf.Delegate = d
+	conf.Events = d
+	conf.Conflict = d
+	conf.Ping = d
+	conf.Alive = d
+	conf.Logger = log.New(&logReader{list: l}, "", 0)
+	return conf, nil
+}
+
+// joinSeeds asks the seeds that are not alive members, until ctx ends: after a network partition each side goes on alone, and memberlist
+// does not ask members that have been dead for long.
+func (l *List) joinSeeds(ctx context.Context) {
+	ticker := time.NewTicker(seedCheckProbes * l.opt.Probe)
+	defer ticker.Stop()
 	for {
-		l.ask(ctx)
+		l.exchangeWithSeeds(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-			l.told(func(now time.Duration) []Event { return l.roster.tick(now) })
+		case <-ticker.C:
+			l.observe(func(now time.Duration) []Event { return l.roster.tick(now) })
 		}
 	}
 }
 
-// ask makes a full exchange with each seed that was not among the members before, also where the first one that answers names the others.
-func (l *List) ask(ctx context.Context) {
-	for _, s := range l.absent() {
+// exchangeWithSeeds exchanges with each seed that was no member at first, even where the first one's answer names the others.
+func (l *List) exchangeWithSeeds(ctx context.Context) {
+	for _, seed := range l.absentSeeds() {
 		if ctx.Err() != nil {
 			return
 		}
-		if err := l.Exchange(s); err != nil {
-			l.opt.Log.Debug("a seed does not answer", "seed", s, "err", err)
+		if err := l.Exchange(seed); err != nil {
+			l.opt.Log.Debug("seed exchange failed", "seed", seed, "error", err)
 		}
 	}
 }
 
-// absent are the seeds that are not known, or are given up.
-func (l *List) absent() []string {
+// absentSeeds returns the other seeds that are unknown or dead.
+func (l *List) absentSeeds() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(l.opt.Seeds), func(s string) bool { return s == l.opt.Self.Address || l.roster.lives(s) })
+	return slices.DeleteFunc(slices.Clone(l.opt.Seeds), func(seed string) bool {
+		return seed == l.opt.Self.Address || l.roster.aliveAt(seed)
+	})
 }
 
-// Exchange tells the member at an address all that is known here, and takes all that it knows.
+// Exchange exchanges the complete membership with the member at an address. It blocks until that is done or has failed.
 func (l *List) Exchange(address string) error {
-	_, err := l.ml.Join([]string{address})
+	_, err := l.swim.Join([]string{address})
 	return err
 }
 
-// told runs one event of the roster and hands on what comes of it.
-func (l *List) told(event func(now time.Duration) []Event) {
+// observe applies an observation to the roster and sends the events to the watchers.
+func (l *List) observe(observation func(now time.Duration) []Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range event(l.opt.Now()) {
-		l.opt.Log.Info("member", "name", e.Member.Name, "from", string(e.From), "to", string(e.Member.State), "birth", e.Member.Incarnation, "restarted", e.Restarted)
-		for _, ch := range l.watch {
+	for _, event := range observation(l.opt.Now()) {
+		member := event.Member
+		l.opt.Log.Info("member state changed", "name", member.Name, "from", string(event.From), "to", string(member.State), "incarnation", member.Incarnation, "restarted", event.Restarted)
+		for _, watcher := range l.watchers {
 			select {
-			case ch <- e:
-			default:
-				l.missed++
+			case watcher <- event:
+			default: // it misses the event
 			}
 		}
 	}
 }
 
-// Watch gives a stream of events from now on. Whoever is too slow for it misses some, and has Members.
+// Watch returns a stream of events from now on. A watcher that is too slow misses events; Members is always complete. The channel is
+// never closed.
 func (l *List) Watch() <-chan Event {
-	ch := make(chan Event, maxEvents)
+	events := make(chan Event, maxBufferedEvents)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.watch = append(l.watch, ch)
-	return ch
+	l.watchers = append(l.watchers, events)
+	return events
 }
 
-// Members lists all that are known, with this process and those that are dead, by name.
+// Members returns all known members by name, with this process and the dead ones.
 func (l *List) Members() []Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.roster.list()
 }
 
-// Lookup gives one that is known, in whatever state; false: none has that name.
+// Lookup returns the member of a name, in whatever state; false: there is none.
 func (l *List) Lookup(name string) (Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.roster.all[name]
-	if e == nil {
+	entry := l.roster.members[name]
+	if entry == nil {
 		return Member{}, false
 	}
-	return e.Member, true
+	return entry.Member, true
 }
 
-// Len is how many are known, with this process and those that are dead.
+// Len returns the number of known members, with this process and the dead ones.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.roster.all)
+	return len(l.roster.members)
 }
 
-// Self is this process.
+// Self returns this process as it announces itself.
 func (l *List) Self() Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.self
 }
 
-// Conflicts counts claims of a name by another address than its holder's.
+// Conflicts counts the claims of a member's name by another address.
 func (l *List) Conflicts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conflicts
 }
 
-// Announce changes what this process says of itself.
-func (l *List) Announce(s State, config string) {
+// Announce changes this process's state and the version of its configuration, and blocks until some members have it, for at most the
+// probe interval; the others learn it by gossip and the next complete exchange.
+func (l *List) Announce(state State, config string) {
 	l.mu.Lock()
-	same := l.self.State == s && l.self.Config == config
-	l.self.State, l.self.Config = s, config
+	unchanged := l.self.State == state && l.self.Config == config
+	l.self.State = state
+	l.self.Config = config
 	l.mu.Unlock()
-	if !same {
-		_ = l.ml.UpdateNode(l.opt.Probe) // what it did not tell in time goes with the next full exchange
-	}
-}
-
-// Stop says that this process leaves, within so long, and ends.
-func (l *List) Stop(within time.Duration) {
-	l.end()
-	l.work.Wait()
-	_ = l.ml.Leave(within) // those who do not hear of it find out
-	_ = l.ml.Shutdown()
-}
-
-// delegate is what memberlist calls.
-type delegate List
-
-func (d *delegate) list() *List { return (*List)(d) }
-
-func (d *delegate) NodeMeta(int) []byte {
-	l := d.list()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	b, _ := l.self.meta() // checked at the start, and a longer configuration's version cannot be
-	return b
-}
-func (d *delegate) NotifyMsg([]byte)                {}
-func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
-func (d *delegate) LocalState(bool) []byte          { return nil }
-func (d *delegate) MergeRemoteState([]byte, bool)   {}
-
-func (d *delegate) NotifyAlive(n *memberlist.Node) error {
-	_, err := readMeta(n.Name, n.Address(), n.Meta)
-	return err
-}
-
-func (d *delegate) NotifyJoin(n *memberlist.Node)   { d.heard(n) }
-func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.heard(n) }
-func (d *delegate) heard(n *memberlist.Node) {
-	if m, err := readMeta(n.Name, n.Address(), n.Meta); err == nil {
-		d.list().told(func(now time.Duration) []Event { return d.roster.alive(now, m) })
-	}
-}
-
-func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	m, err := readMeta(n.Name, n.Address(), n.Meta)
-	if err != nil {
+	if unchanged {
 		return
 	}
-	d.list().told(func(now time.Duration) []Event {
-		// Who says that it is leaving, or that it was asked to end, has left; others are dead.
-		return d.roster.ended(now, m.Name, m.Incarnation, m.State == Leaving)
-	})
+	_ = l.swim.UpdateNode(l.opt.Probe) // a timeout; see above
 }
 
-func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
-	l := d.list()
-	l.mu.Lock()
-	l.conflicts++
-	l.mu.Unlock()
-	l.opt.Log.Warn("two members claim one name; the one before keeps it until it is dead", "name", existing.Name, "has", existing.Address(), "claims", other.Address())
-}
-
-func (d *delegate) AckPayload() []byte { return nil }
-func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.list().told(func(now time.Duration) []Event { return d.roster.cleared(now, n.Name) })
-}
-
-// logReader takes memberlist's log. That this process suspects a member is told nowhere else.
-type logReader struct{ l *List }
-
-func (r *logReader) Write(b []byte) (int, error) {
-	line := string(bytes.TrimSpace(b))
-	if _, rest, ok := strings.Cut(line, "memberlist: Suspect "); ok {
-		name, _, _ := strings.Cut(rest, " has failed")
-		// Not here: memberlist may hold its own lock.
-		r.l.told(func(now time.Duration) []Event { return r.l.roster.suspect(now, name) })
-	}
-	r.l.opt.Log.Debug("members", "line", line)
-	return len(b), nil
-}
-
-// transport has memberlist's packets and streams go over the node.
-type transport struct {
-	n       *peer.Node
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	done    chan struct{}
-	once    sync.Once
-	work    sync.WaitGroup
+// Stop announces within a time that this process leaves, and ends the membership. It blocks until that is done. Members that do not hear
+// of it find this process dead.
+func (l *List) Stop(timeout time.Duration) {
+	l.stop()
+	l.worker.Wait()
+	_ = l.swim.Leave(timeout)
+	_ = l.swim.Shutdown()
 }
-
-func newTransport(n *peer.Node) *transport {
-	t := &transport{n: n, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), done: make(chan struct{})}
-	n.HandleStream(streamKind, func(http.Header) (http.Header, error) { return http.Header{}, nil }, func(c net.Conn) {
-		select {
-		case t.streams <- c:
-		case <-t.done:
-			c.Close()
-		}
-	})
-	t.work.Go(func() {
-		b := make([]byte, 64<<10)
-		for {
-			k, from, err := n.ReadPacket(b)
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if err != nil || k == 0 {
-				continue
-			}
-			select {
-			case t.packets <- &memberlist.Packet{Buf: slices.Clone(b[:k]), From: from, Timestamp: time.Now()}:
-			case <-t.done:
-				return
-			}
-		}
-	})
-	return t
-}
-
-func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
-	a := net.ParseIP(ip)
-	if a == nil {
-		return nil, 0, fmt.Errorf("%q is not an IP address", ip)
-	}
-	if v4 := a.To4(); v4 != nil {
-		a = v4
-	}
-	return a, port, nil
-}
-
-func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
-	return time.Now(), t.n.SendPacket(addr, b)
-}
-func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
-
-func (t *transport) DialTimeout(addr string, within time.Duration) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
-	defer cancel()
-	c, _, err := t.n.Stream(ctx, addr, streamKind, http.Header{})
-	return c, err
-}
-
-// Shutdown ends what memberlist waits for. The node is its owner's to close.
-func (t *transport) Shutdown() error {
-	t.once.Do(func() { close(t.done) })
-	return nil
-}
-
-var _ io.Writer = (*logReader)(nil)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,62 +10,62 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is told of members, in any order: births never go back, an earlier process's news never ends a later one, a dead
-// one is gone after its time, and each event begins where the one before it ended.
-func TestRoster(t *testing.T) {
+// After observations in any order: incarnations never go back, an earlier incarnation's end never ends a later one, a dead member is
+// gone after its time, and each event begins in the state in which the one before it ended.
+func TestRosterAfterAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const forget = 10 * time.Second
-		r, now := newRoster(forget), time.Duration(0)
-		states, births := map[string]State{}, map[string]uint64{}
-		take := func(events []Event) {
+		const forgetAfter = 10 * time.Second
+		r, now := newRoster(forgetAfter), time.Duration(0)
+		states, incarnations := map[string]State{}, map[string]uint64{}
+		check := func(events []Event) {
 			for _, e := range events {
 				m := e.Member
 				if e.From != states[m.Name] {
 					t.Fatalf("%v, but it was %q", e, states[m.Name])
 				}
-				if m.Incarnation < births[m.Name] || e.Restarted != (e.From != "" && m.Incarnation > births[m.Name]) {
-					t.Fatalf("%v, its birth was %d", e, births[m.Name])
+				if m.Incarnation < incarnations[m.Name] || e.Restarted != (e.From != "" && m.Incarnation > incarnations[m.Name]) {
+					t.Fatalf("%v, its incarnation was %d", e, incarnations[m.Name])
 				}
-				states[m.Name], births[m.Name] = m.State, m.Incarnation
+				states[m.Name], incarnations[m.Name] = m.State, m.Incarnation
 				if m.State == Gone {
 					delete(states, m.Name)
-					delete(births, m.Name)
+					delete(incarnations, m.Name)
 				}
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
-			birth := rapid.Uint64Range(1, 4).Draw(t, "birth")
-			before, born := states[name], births[name]
+			incarnation := rapid.Uint64Range(1, 4).Draw(t, "incarnation")
+			before, previous := states[name], incarnations[name]
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				take(r.alive(now, Member{Name: name, Incarnation: birth, State: rapid.SampledFrom([]State{Joining, Serving, Draining, Leaving}).Draw(t, "state")}))
-				if birth < born && states[name] != before {
-					t.Fatalf("an earlier birth made it %s", states[name])
+				check(r.alive(now, Member{Name: name, Incarnation: incarnation, State: rapid.SampledFrom([]State{Joining, Serving, Draining, Leaving}).Draw(t, "state")}))
+				if incarnation < previous && states[name] != before {
+					t.Fatalf("an earlier incarnation made it %s", states[name])
 				}
 			case 1:
-				take(r.suspect(now, name))
+				check(r.suspect(now, name))
 			case 2:
-				take(r.cleared(now, name))
+				check(r.answered(now, name))
 				if before != Suspect && states[name] != before {
 					t.Fatalf("%s -> %s by an answer", before, states[name])
 				}
 			case 3:
-				take(r.ended(now, name, birth, rapid.Bool().Draw(t, "left")))
-				if birth < born && states[name] != before {
-					t.Fatalf("an earlier birth's end made it %s", states[name])
+				check(r.ended(now, name, incarnation, rapid.Bool().Draw(t, "left")))
+				if incarnation < previous && states[name] != before {
+					t.Fatalf("an earlier incarnation's end made it %s", states[name])
 				}
 			default:
-				take(r.tick(now))
+				check(r.tick(now))
 			}
 			for _, m := range r.list() {
-				if m.State != states[m.Name] || m.Incarnation != births[m.Name] {
+				if m.State != states[m.Name] || m.Incarnation != incarnations[m.Name] {
 					t.Fatalf("listed as %+v, events say %s", m, states[m.Name])
 				}
 			}
 		}
-		now += forget
+		now += forgetAfter
 		if r.tick(now); len(r.list()) > 0 {
 			for _, m := range r.list() {
 				if m.State == Dead {
@@ -76,38 +76,37 @@
 	})
 }
 
-// What another process says of itself is taken as it was meant or refused.
-func FuzzMeta(f *testing.F) {
-	b, err := Member{Name: "a", Site: "s", Zone: "z", Program: "v1", Config: "c", Incarnation: 7, State: Serving}.meta()
+// What another process announces is decoded as it was encoded, or rejected.
+func FuzzDecodeMeta(f *testing.F) {
+	b, err := Member{Name: "a", Site: "s", Zone: "z", Program: "v1", Config: "c", Incarnation: 7, State: Serving}.encodeMeta()
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add("a", b)
 	f.Add("", []byte("{}"))
 	f.Fuzz(func(t *testing.T, name string, text []byte) {
-		m, err := readMeta(name, "127.0.0.1:1", text)
+		m, err := decodeMeta(name, "127.0.0.1:1", text)
 		if err != nil {
 			return
 		}
-		again, err := m.meta()
+		again, err := m.encodeMeta()
 		if err != nil {
 			return // longer than it was, by escapes
 		}
-		if o, err := readMeta(name, "127.0.0.1:1", again); err != nil || o != m {
+		if o, err := decodeMeta(name, "127.0.0.1:1", again); err != nil || o != m {
 			t.Errorf("%+v came back as %+v, %v", m, o, err)
 		}
 	})
 }
 
-// What is done on each tick with everybody well costs a look at each, and nothing to collect: in a fleet of thousands that is all
-// that its members do for each other most of the time.
-func TestTickOfManyCollectsNothing(t *testing.T) {
+// A tick without changes allocates nothing, also with thousands of members.
+func TestTickWithoutChangesDoesNotAllocate(t *testing.T) {
 	r := newRoster(time.Hour)
 	for i := range 1000 {
 		r.alive(0, Member{Name: fmt.Sprint("m", i), Address: fmt.Sprint("127.0.0.1:", 10000+i), Incarnation: 1, State: Serving})
 	}
 	if n := testing.AllocsPerRun(10, func() {
-		if out := r.tick(time.Second); len(out) > 0 || !r.lives("127.0.0.1:10999") || r.lives("127.0.0.1:9") {
+		if out := r.tick(time.Second); len(out) > 0 || !r.aliveAt("127.0.0.1:10999") || r.aliveAt("127.0.0.1:9") {
 			t.Error("a tick changed something, or an address is not known", out)
 		}
 	}); n > 0 {
@@ -116,7 +115,7 @@
 	for i := range 1000 {
 		r.ended(time.Second, fmt.Sprint("m", i), 1, false)
 	}
-	if r.lives("127.0.0.1:10999") {
+	if r.aliveAt("127.0.0.1:10999") {
 		t.Error("a dead one lives")
 	}
 	out := r.tick(2 * time.Hour)
