--- a/internal/leaderelection/leadership.go
+++ b/internal/leaderelection/leadership.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// awaitReturn waits for a task that was told to stop, and reports it as overdue when its lease expires first.
+// awaitReturn waits for a task that was asked to stop, and reports it as overdue when its lease expires first.
 func (e *Elector) awaitReturn(task *Task, leadership *Leadership, token uint64, returned <-chan struct{}) {
 	select {
 	case <-returned:
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -66,11 +66,10 @@
 			}
 		}
 		now += forgetAfter
-		if r.tick(now); len(r.list()) > 0 {
-			for _, m := range r.list() {
-				if m.State == Dead {
-					t.Fatalf("%s is dead for %v and still listed", m.Name, now-m.Since)
-				}
+		r.tick(now)
+		for _, m := range r.list() {
+			if m.State == Dead {
+				t.Fatalf("%s is dead for %v and still listed", m.Name, now-m.Since)
 			}
 		}
 	})
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -78,9 +78,7 @@
 					t.Fatalf("next tick at %v, now is %v", next, now)
 				}
 			default:
-				update := Update{Token: rapid.Uint64Range(1, 6).Draw(t, "token"), Seq: rapid.Uint64Range(0, 5).Draw(t, "seq"), Full: rapid.Bool().Draw(t, "whole"),
-					Digest: rapid.Uint64Range(0, 1).Draw(t, "digest"), Connected: true}
-				update.Base = rapid.Uint64Range(0, update.Seq).Draw(t, "base")
+				update := drawUpdate(t)
 				mode, _ := s.Mode()
 				verdict := s.Receive(now, update, 1)
 				if (verdict == Reject) != (update.Token < highest) {
@@ -113,3 +111,16 @@
 		}
 	})
 }
+
+func drawUpdate(t *rapid.T) Update {
+	t.Helper()
+	update := Update{
+		Token:     rapid.Uint64Range(1, 6).Draw(t, "token"),
+		Seq:       rapid.Uint64Range(0, 5).Draw(t, "seq"),
+		Full:      rapid.Bool().Draw(t, "whole"),
+		Digest:    rapid.Uint64Range(0, 1).Draw(t, "digest"),
+		Connected: true,
+	}
+	update.Base = rapid.Uint64Range(0, update.Seq).Draw(t, "base")
+	return update
+}
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -72,16 +72,8 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = os.RemoveAll(dir) }()
-		f := Folder{Path: dir}
-		if err := os.Mkdir(filepath.Join(dir, versionsDir), 0o700); err != nil {
-			t.Fatal(err)
-		}
 		labels := []string{"a", "b", "c"}
-		for _, label := range labels {
-			if err := os.WriteFile(f.Program(label), nil, 0o700); err != nil {
-				t.Fatal(err)
-			}
-		}
+		f := folderWithVersions(t, dir, labels)
 		if err := f.writeLink(currentLink, "a"); err != nil {
 			t.Fatal(err)
 		}
@@ -131,3 +123,18 @@
 		}
 	})
 }
+
+// folderWithVersions makes a folder with a program for each label.
+func folderWithVersions(t *rapid.T, dir string, labels []string) Folder {
+	t.Helper()
+	f := Folder{Path: dir}
+	if err := os.Mkdir(filepath.Join(dir, versionsDir), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	for _, label := range labels {
+		if err := os.WriteFile(f.Program(label), nil, 0o700); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return f
+}
