--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,29 +10,38 @@
 	"pgregory.net/rapid"
 )
 
+// eventChecker follows members by their events and checks each event against those before it.
+type eventChecker struct {
+	states       map[string]State
+	incarnations map[string]uint64
+}
+
+func (c eventChecker) check(t *rapid.T, events []Event) {
+	t.Helper()
+	for _, e := range events {
+		m := e.Member
+		if e.From != c.states[m.Name] {
+			t.Fatalf("%v, but it was %q", e, c.states[m.Name])
+		}
+		if m.Incarnation < c.incarnations[m.Name] || e.Restarted != (e.From != "" && m.Incarnation > c.incarnations[m.Name]) {
+			t.Fatalf("%v, its incarnation was %d", e, c.incarnations[m.Name])
+		}
+		c.states[m.Name], c.incarnations[m.Name] = m.State, m.Incarnation
+		if m.State == Gone {
+			delete(c.states, m.Name)
+			delete(c.incarnations, m.Name)
+		}
+	}
+}
+
 // After observations in any order: incarnations never go back, an earlier incarnation's end never ends a later one, a dead member is
 // gone after its time, and each event begins in the state in which the one before it ended.
 func TestRosterAfterAnyObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const forgetAfter = 10 * time.Second
 		r, now := newRoster(forgetAfter), time.Duration(0)
-		states, incarnations := map[string]State{}, map[string]uint64{}
-		check := func(events []Event) {
-			for _, e := range events {
-				m := e.Member
-				if e.From != states[m.Name] {
-					t.Fatalf("%v, but it was %q", e, states[m.Name])
-				}
-				if m.Incarnation < incarnations[m.Name] || e.Restarted != (e.From != "" && m.Incarnation > incarnations[m.Name]) {
-					t.Fatalf("%v, its incarnation was %d", e, incarnations[m.Name])
-				}
-				states[m.Name], incarnations[m.Name] = m.State, m.Incarnation
-				if m.State == Gone {
-					delete(states, m.Name)
-					delete(incarnations, m.Name)
-				}
-			}
-		}
+		events := eventChecker{states: map[string]State{}, incarnations: map[string]uint64{}}
+		states, incarnations := events.states, events.incarnations
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name")
@@ -40,24 +49,24 @@
 			before, previous := states[name], incarnations[name]
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				check(r.alive(now, Member{Name: name, Incarnation: incarnation, State: rapid.SampledFrom([]State{Joining, Serving, Draining, Leaving}).Draw(t, "state")}))
+				events.check(t, r.alive(now, Member{Name: name, Incarnation: incarnation, State: rapid.SampledFrom([]State{Joining, Serving, Draining, Leaving}).Draw(t, "state")}))
 				if incarnation < previous && states[name] != before {
 					t.Fatalf("an earlier incarnation made it %s", states[name])
 				}
 			case 1:
-				check(r.suspect(now, name))
+				events.check(t, r.suspect(now, name))
 			case 2:
-				check(r.answered(now, name))
+				events.check(t, r.answered(now, name))
 				if before != Suspect && states[name] != before {
 					t.Fatalf("%s -> %s by an answer", before, states[name])
 				}
 			case 3:
-				check(r.ended(now, name, incarnation, rapid.Bool().Draw(t, "left")))
+				events.check(t, r.ended(now, name, incarnation, rapid.Bool().Draw(t, "left")))
 				if incarnation < previous && states[name] != before {
 					t.Fatalf("an earlier incarnation's end made it %s", states[name])
 				}
 			default:
-				check(r.tick(now))
+				events.check(t, r.tick(now))
 			}
 			for _, m := range r.list() {
 				if m.State != states[m.Name] || m.Incarnation != incarnations[m.Name] {
