--- a/internal/fleet/post.go
+++ b/internal/fleet/post.go
@@ -26,7 +26,7 @@
 const maxPostResponseBytes = 1 << 20
 
 // errLeaseExpired is returned where a leader may not act any more.
-var errLeaseExpired = errors.New("the lease is over")
+var errLeaseExpired = errors.New("lease expired")
 
 // postTask returns the leader-only task that sends a post at its interval until its context ends.
 func (f *Fleet) postTask(post config.Post) func(context.Context, *leaderelection.Leadership) {
