--- a/cmd/robindrum-node/crowd_test.go
+++ b/cmd/robindrum-node/crowd_test.go
@@ -54,7 +54,7 @@
 
 // Idle clients fill every descriptor that the process is allowed while discovery is down. The health check is answered and
 // good clients are served, by dials to backends, all the while; discovery returns, and its list is had within 6 s.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 128
 	answer := func(name string) func(testbed.Seen, int) string {
 		return func(testbed.Seen, int) string { // each attempt needs a connection of its own
--- a/cmd/robindrum-node/ready_test.go
+++ b/cmd/robindrum-node/ready_test.go
@@ -19,7 +19,7 @@
 
 // Processes start at once, each with a remembered list of 20,000 entries and a small part of a machine, while discovery refuses
 // connections, takes calls and says nothing, or turns them away: nine in ten are ready within 10 s, as the platform wants it.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+func TestReadyWithoutDiscovery(t *testing.T) {
 	many := min(*readyOfEach, 100)
 	over := make(chan struct{})
 	hangs := testbed.NewPeer(t, func(net.Conn, int) { <-over })
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -127,7 +127,7 @@
 }
 
 // The client's time may run out while a connection is being made: the backend is not to blame for that.
-func TestTimeRunsOutInDial(t *testing.T) {
+func TestDeadlineWithinDial(t *testing.T) {
 	testbed.Leaks(t)
 	a := NewAttempt(newPool(t, Options{}, 9).Upstream(testbed.Full(t), 0), get("/get"), time.Now().Add(20*time.Millisecond))
 	if r := a.Do(refuseStream); r.Result != balancer.TimedOut {
@@ -136,7 +136,7 @@
 }
 
 // A backend begins with the last byte: one that hangs up before has not run it.
-func TestBrokenBeforeTheLastByte(t *testing.T) {
+func TestConnectionBreaksBeforeTheLastByte(t *testing.T) {
 	testbed.Leaks(t)
 	for name, hangUp := range map[string]func(net.Conn){"reset": testbed.Reset, "closed": func(c net.Conn) { c.Close() }} {
 		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); hangUp(c) })
@@ -147,7 +147,7 @@
 }
 
 // A backend may answer before a body ends and read no further.
-func TestAnswerBeforeTheBodyEnds(t *testing.T) {
+func TestResponseBeforeTheBodyIsSent(t *testing.T) {
 	testbed.Leaks(t)
 	for status, want := range map[string]balancer.Result{
 		"503 Full\r\nX-Never-Ran: 1": balancer.Rejected, "500 Oops": balancer.ServerError} {
@@ -193,7 +193,7 @@
 
 // Nothing is sent again unasked, also where net/http's client would: a safe or keyed request on a connection
 // that was used before and breaks without an answer.
-func TestNothingIsResent(t *testing.T) {
+func TestAttemptWritesItsRequestOnce(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
 		if n == 0 {
@@ -255,7 +255,7 @@
 }
 
 // A connection that is refused, or never comes up, holds no descriptor afterwards.
-func TestFailedDialGivesBack(t *testing.T) {
+func TestFailedDialReleasesItsDescriptor(t *testing.T) {
 	testbed.Leaks(t)
 	for name, addr := range map[string]string{"refused": testbed.Refusing(t), "never up": testbed.Full(t)} {
 		p := newPool(t, Options{ConnectTimeout: 20 * time.Millisecond}, 9)
@@ -269,7 +269,7 @@
 }
 
 // Connections that come back side by side all go to the pool, also while a sweep is scheduled.
-func TestAllConnectionsAreKept(t *testing.T) {
+func TestAllConnectionsReturnToThePool(t *testing.T) {
 	testbed.Leaks(t)
 	const n = 3
 	came, goOn := make(chan struct{}, n), make(chan struct{})
@@ -302,7 +302,7 @@
 
 func (brokenWriter) Write([]byte) (int, error) { return 0, errors.New("gone") }
 
-func TestLongAnswer(t *testing.T) {
+func TestLongResponseIsStreamed(t *testing.T) {
 	testbed.Leaks(t)
 	long := strings.Repeat("0123456789abcdef", 1<<14) // 256 KiB
 	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
@@ -343,7 +343,7 @@
 }
 
 // A long answer has no deadline once it has begun, but a backend that falls silent in it is not waited for.
-func TestLongAnswerStalls(t *testing.T) {
+func TestStreamedResponseStalls(t *testing.T) {
 	testbed.Leaks(t)
 	over := make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
@@ -359,7 +359,7 @@
 }
 
 // Incident rda4557: an answer that stops half way is not waited for until the client's time is up.
-func TestAnswerStopsHalfWay(t *testing.T) {
+func TestResponseStopsHalfWay(t *testing.T) {
 	testbed.Leaks(t)
 	for _, begun := range []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"} {
@@ -377,7 +377,7 @@
 }
 
 // An answer that shows early that it is spoilt is given up at once, though its connection stays open.
-func TestSpoiltAnswersEndAtOnce(t *testing.T) {
+func TestInvalidResponsesFailAtOnce(t *testing.T) {
 	testbed.Leaks(t)
 	for name, begun := range map[string]string{"noise": "\x16\x03\x01", "noise that begins well": "HTTP/2",
 		"3 GB": "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nthey keep coming"} {
@@ -394,7 +394,7 @@
 }
 
 // A pause such as backends make is none of that, nor is one before the answer.
-func TestAnswerPauses(t *testing.T) {
+func TestPausesWithinLimitsAreNoFailure(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		readRequest(c)
@@ -410,7 +410,7 @@
 }
 
 // A cancel ends an answer that has begun, too.
-func TestCancelInTheAnswer(t *testing.T) {
+func TestCancelWithinTheResponse(t *testing.T) {
 	testbed.Leaks(t)
 	came, over := make(chan struct{}), make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
@@ -437,7 +437,7 @@
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
 		if s.RequestURI != "/health/live" || s.Header.Get("X-Trace-Id") != "" {
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -13,7 +13,7 @@
 )
 
 // One that takes all it can get leaves the other what is its own, and everything comes back.
-func TestSharesKeepTheirOwn(t *testing.T) {
+func TestSharesKeepTheirReservations(t *testing.T) {
 	b := NewBudget(20)
 	sick, well := b.Share(4, 0), b.Share(6, 0)
 	if b.Used() != 10 {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestShareHasAMost(t *testing.T) {
+func TestShareHasALimit(t *testing.T) {
 	b := NewBudget(20)
 	s := b.Share(2, 5)
 	idle := 2
@@ -82,7 +82,7 @@
 }
 
 // A shortage elsewhere does not cost a user the idle connections that are its own.
-func TestOwnIdleConnectionsStay(t *testing.T) {
+func TestReservedIdleConnectionsAreNotEvicted(t *testing.T) {
 	b := NewBudget(8)
 	s, other := b.Share(3, 0), b.Share(0, 0)
 	closed := 0
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -14,7 +14,7 @@
 )
 
 // A backend sends an answer a second time, or noise, as the next request is on its way: it is no answer to that one.
-func TestSecondAnswerBehindTheNextRequest(t *testing.T) {
+func TestSecondResponseIsNotTakenForTheNext(t *testing.T) {
 	testbed.Leaks(t)
 	for name, extra := range map[string]string{"a second answer": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1", "noise": "\x00\x01\x02"} {
 		b := testbed.NewPeer(t, func(c net.Conn, _ int) {
@@ -40,7 +40,7 @@
 }
 
 // The connection that rested for long enough is the one to use, and the one used last of those.
-func TestRestedConnectionsAreUsed(t *testing.T) {
+func TestRestedConnectionsAreReused(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
@@ -70,7 +70,7 @@
 
 // A connection that an attempt took and did not use, as its client had left, is as old to the backend as before, and in its place
 // among the others. Danger: one that counted as used just now would be used again beyond the backend's idle time.
-func TestUnusedConnectionsStayOld(t *testing.T) {
+func TestUnusedConnectionsKeepTheirIdleTime(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
@@ -158,7 +158,7 @@
 }
 
 // A backend closes an idle connection, and that has come by the time that the next request is sent: another one is opened.
-func TestClosedBeforeItIsReused(t *testing.T) {
+func TestConnectionClosedBeforeReuse(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -17,7 +17,7 @@
 }
 
 // A whole list that was asked for before a change and is read behind it does not undo the change.
-func TestListOvertakenByAChange(t *testing.T) {
+func TestSnapshotOvertakenByADelta(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	w.Watch(true)
@@ -34,7 +34,7 @@
 }
 
 // Two whole lists are asked for, and the one that was made first is read last.
-func TestListOvertakenByAList(t *testing.T) {
+func TestSnapshotOvertakenByASnapshot(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, "", nil)
 	w.Fetch()
@@ -47,7 +47,7 @@
 }
 
 // A service that has lost its versions begins anew: what it tells then is the list.
-func TestVersionsBeginAnew(t *testing.T) {
+func TestRevisionsStartAnew(t *testing.T) {
 	testbed.Leaks(t)
 	for _, pushed := range []bool{false, true} {
 		w := start(t, pushed, line(70, true, entry("s1", "SERVING")), nil)
@@ -63,7 +63,7 @@
 
 // A list that was asked for at the address before the move comes behind it: it tells nothing, not even that a call failed,
 // and leaves no version for the next watch.
-func TestListOfTheOldAddress(t *testing.T) {
+func TestListOfTheFormerAddressIsDropped(t *testing.T) {
 	testbed.Leaks(t)
 	old := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	next := start(t, false, "", nil) // lends its listener
@@ -88,7 +88,7 @@
 }
 
 // Bytes that make no line are no sign of life, nor are empty lines in the middle of a list.
-func TestTrickle(t *testing.T) {
+func TestBytesWithoutLinesAreNoSignOfLife(t *testing.T) {
 	testbed.Leaks(t)
 	for name, text := range map[string]string{"half a line": "x", "lines in half a list": "\n"} {
 		w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 100*time.Millisecond, 100*time.Millisecond })
@@ -111,7 +111,7 @@
 }
 
 // A watch that is answered and says nothing from its first line on, or stops within a line, is given up.
-func TestQuietFromTheFirstLine(t *testing.T) {
+func TestWatchWithoutLinesIsGivenUp(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	for _, text := range []string{"", `{"rev":1,"all":true,"tar`, "{\n"} {
@@ -152,7 +152,7 @@
 
 // However often a pushed list's calls hang, are refused or end, it is asked for again, and between two calls there is less
 // time than sends to a draining server may go on.
-func TestPushedIsAskedForAgain(t *testing.T) {
+func TestPushedListIsWatchedAgain(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, true, line(7, true), func(c *Client) { c.firstLineTimeout, c.minRetryPause = 20*time.Millisecond, time.Millisecond })
 	for i := range 12 {
@@ -176,7 +176,7 @@
 
 // A call that hangs, or is answered by half, is told as refused in time, once, and goes on beside the next one. Which of the two
 // tells something first is followed, and the other one ended.
-func TestOverdueCallBesideTheNext(t *testing.T) {
+func TestOverdueWatchBesideTheNext(t *testing.T) {
 	for name, half := range map[string]string{"hangs": "", "head alone": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"half a line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"rev\":1,\r\n"} {
 		for _, lateAnswers := range []bool{false, true} {
@@ -221,7 +221,7 @@
 }
 
 // However many calls in a row hang, each is told as refused in its time, and no more than two are on at once.
-func TestCallsThatHangInARow(t *testing.T) {
+func TestConsecutiveHangingCalls(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstLineTimeout = 20 * time.Millisecond })
 	var calls []call
@@ -240,7 +240,7 @@
 
 // What a change counts as told by, whatever came before it, on paper: a call that hung, or a watch that fell silent, in the
 // moment in which discovery can be reached. The next call begins within the module's span of the one before, or of the last line.
-func TestToldWithinItsTime(t *testing.T) {
+func TestNotifiedInTimeByCallSchedule(t *testing.T) {
 	const told, span = 6 * time.Second, balancer.MaxPollInterval
 	for name, at := range map[string]time.Duration{"an overdue call": defaultSilenceTimeout, "a silent watch": defaultSilenceTimeout, "a dial": dialTimeout} {
 		if at > span {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -216,7 +216,7 @@
 	w.expect(t, balancer.UpdateFailed) // then nothing more
 }
 
-func TestPushed(t *testing.T) {
+func TestPushedList(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, true, line(7, true), func(c *Client) { c.minRetryPause = time.Millisecond })
 	w.Watch(true) // has no meaning here
@@ -266,7 +266,7 @@
 	}
 }
 
-func TestUselessKnownList(t *testing.T) {
+func TestInvalidCachedList(t *testing.T) {
 	testbed.Leaks(t)
 	updates := make(chan Update, 1)
 	c := New("127.0.0.1:1", false, func(u Update) { updates <- u })
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -159,7 +159,7 @@
 
 // Whatever came before, several of it in a row and a move of discovery in between: a change is had within 6 s of the moment from
 // which on discovery can be reached. A call that is answered waits for up to 1 s.
-func TestToldWhateverFailed(t *testing.T) {
+func TestNotifiedInTimeAfterAnyFailure(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(400) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -15,7 +15,7 @@
 )
 
 // A client has sent the first bytes of another request, and then leaves: that is seen, and what it waited for is not sent.
-func TestLeavesBehindEarlyBytes(t *testing.T) {
+func TestClientLeavesAfterEarlyBytesOfANextRequest(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
 		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 }
 
 // The next request comes whole before the answer to the one in hand: it is served behind it, at once.
-func TestNextRequestAheadOfTheAnswer(t *testing.T) {
+func TestPipelinedRequestIsServedAfterTheAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
@@ -89,7 +89,7 @@
 }
 
 // A client left while its request waited in the kernel: it is not sent on, though its end is not read yet.
-func TestLeavesBeforeItIsRead(t *testing.T) {
+func TestClientLeavesBeforeItsRequestIsRead(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
@@ -121,7 +121,7 @@
 }
 
 // What is in hand near the node's end has its one answer: a refusal only where no attempt can have run.
-func TestInHandAtTheEnd(t *testing.T) {
+func TestOpenRequestsAreAnsweredAtShutdown(t *testing.T) {
 	testbed.Leaks(t)
 	came := make(chan string, 9)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
@@ -186,7 +186,7 @@
 }
 
 // A long answer is being passed on as the node nears its end: it goes on, and is whole.
-func TestLongAnswerOverTheEnd(t *testing.T) {
+func TestStreamedAnswerOutlastsShutdown(t *testing.T) {
 	testbed.Leaks(t)
 	goOn := make(chan struct{})
 	half := strings.Repeat("0123456789abcdef", 8<<10)
@@ -218,7 +218,7 @@
 }
 
 // A request comes between the look at an idle connection and its end: it is served, and the connection kept.
-func TestRequestAsItsConnectionIsShut(t *testing.T) {
+func TestRequestOnAConnectionThatIsBeingClosed(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
@@ -245,7 +245,7 @@
 
 // Descriptors are short, and the client that has been idle for longest has just sent a request that nobody has read yet:
 // another one makes room.
-func TestRoomIsNotMadeOfARequest(t *testing.T) {
+func TestConnectionWithARequestIsNotEvicted(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	w := start(t, nil, b.Addr)
--- a/internal/proxy/crowd_test.go
+++ b/internal/proxy/crowd_test.go
@@ -14,7 +14,7 @@
 // Clients that say nothing connect faster than any of them gets old: on a clock that all but stands still. One whose request is a
 // moment behind its connection is not shut for that, as the oldest of the silent ones make room, and neither is one whose request
 // waits; the descriptors are never more than there are.
-func TestRoomIsMadeByTheOldestOfTheSilent(t *testing.T) {
+func TestOldestSilentClientIsEvicted(t *testing.T) {
 	testbed.Leaks(t)
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 16
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -36,7 +36,7 @@
 }
 
 // A client leaves, and nobody has read its end yet: wherever its request stands, no attempt begins any more, first or further.
-func TestGoneIsGone(t *testing.T) {
+func TestNoAttemptAfterTheClientLeft(t *testing.T) {
 	turnedAway := "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 	// Each gives a world in which the client's request stands somewhere, and what has it go on from there.
 	places := map[string]func(t *testing.T, came chan string) (w *world, c *peer, goOn func()){
@@ -119,7 +119,7 @@
 }
 
 // Half a body is here, and its client leaves: nothing of it is sent on.
-func TestGoneInTheBody(t *testing.T) {
+func TestClientLeavesWithinItsBody(t *testing.T) {
 	for how, leave := range leaves {
 		t.Run(how, func(t *testing.T) {
 			testbed.Leaks(t)
@@ -155,7 +155,7 @@
 
 // 500 clients leave at once, and nobody has read their ends as their requests go on from where they stand: none of theirs is sent
 // on, and one that is still there is served.
-func TestManyGoneAtOnce(t *testing.T) {
+func TestManyClientsLeaveAtOnce(t *testing.T) {
 	const many = 500
 	// Each gives where the requests stand, as gone sends them: before they are sent, and what has them go on.
 	type place struct {
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -33,7 +33,7 @@
 
 // A request is over while the connection for its attempt still comes up, and the settings allow no cancel: what has not
 // been written is written nowhere.
-func TestOverWhileDialing(t *testing.T) {
+func TestRequestEndsWhileDialing(t *testing.T) {
 	for _, name := range []string{"client gone", "expired", "answered by a copy"} {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
@@ -75,7 +75,7 @@
 }
 
 // A copy is granted in the moment of the answer, behind it: nothing goes out.
-func TestCopyInTheMomentOfTheAnswer(t *testing.T) {
+func TestHedgeAtTheMomentOfTheAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, n int) {
@@ -150,7 +150,7 @@
 
 // A backend comes back under its id, at another address or newly started, while an attempt to the old one is out: that one
 // ends as it would have, new ones go to the new one, and each is counted once.
-func TestBackUnderItsID(t *testing.T) {
+func TestEndpointReturnsUnderItsID(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
 	backendOf := func(name string, held bool) *testbed.Backend {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -243,7 +243,7 @@
 }
 
 // What a client says of its time counts below the class's deadline; what is no positive number is turned away.
-func TestExpires(t *testing.T) {
+func TestClientsTimeout(t *testing.T) {
 	n := &Node{Core: &Core{classDeadlines: map[string]time.Duration{"get": time.Second}}}
 	for text, want := range map[string]time.Duration{"x": 0, "0": 0, "-5": 0, "1.5": 0, "99999999999999999999": 0,
 		"2000": time.Second, "480": 480 * time.Millisecond} {
@@ -259,7 +259,7 @@
 }
 
 // A client that says nothing, or stops in the middle of a request, is not kept for long.
-func TestSilentClientsEnd(t *testing.T) {
+func TestSilentClientsAreClosed(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, nil)
 	began := time.Now()
@@ -285,7 +285,7 @@
 
 // Day term 405155058601: a node that forgot the client's own time answered when the client had long left. What
 // the client says reaches the module, and the backend hears what is left of it.
-func TestClientsTimeCounts(t *testing.T) {
+func TestClientsDeadlineIsForwarded(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
 	silent := testbed.NewPeer(t, func(c net.Conn, _ int) { _, _ = io.Copy(io.Discard, c) })
@@ -306,7 +306,7 @@
 }
 
 // An id that is still in hand is not sent again, also after its answer while an attempt is out.
-func TestIDInHand(t *testing.T) {
+func TestIDInUseIsRejected(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 1), make(chan struct{})
 	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
@@ -360,7 +360,7 @@
 }
 
 // A backend's own refusal is not the client's: it promises what only the module can tell.
-func TestBackendsRefusalIsNotPassedOn(t *testing.T) {
+func TestEndpointsRejectionIsNotForwarded(t *testing.T) {
 	testbed.Leaks(t)
 	for _, reply := range []string{"429 Slow", "503 Full"} {
 		b := testbed.NewBackend(t, func(testbed.Seen, int) string {
@@ -422,7 +422,7 @@
 	}
 }
 
-func TestLongAnswer(t *testing.T) {
+func TestLongAnswerIsStreamed(t *testing.T) {
 	testbed.Leaks(t)
 	long := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB
 	for name, reply := range map[string]string{
@@ -456,7 +456,7 @@
 }
 
 // Bodies together stay within the budget; one that finds no room is refused, as nothing of it was sent on.
-func TestBodyBudget(t *testing.T) {
+func TestBodiesStayWithinTheirBudget(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string { return ok })
 	w := start(t, func(o *Options) { o.BodyBytes = 64 << 10 }, b.Addr)
@@ -523,7 +523,7 @@
 }
 
 // The guard fails what the module leaves unanswered, and says nothing of whether it ran.
-func TestGuard(t *testing.T) {
+func TestGuardFailsUnansweredRequests(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, nil)
 	for _, early := range []string{"", "G"} { // with and without a next request that comes too early
@@ -582,7 +582,7 @@
 }
 
 // Incident r69d8ed: answers that take long to send are no reason to refuse what idle backends could do.
-func TestLongAnswersDoNotCrowdOut(t *testing.T) {
+func TestStreamedAnswersDoNotCauseRejections(t *testing.T) {
 	testbed.Leaks(t)
 	over := make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
@@ -627,7 +627,7 @@
 
 // Incident r69d8ed again: the copy that lost ends while the other's long answer is passed on. That is no reason
 // to cut it off.
-func TestLosingCopyLeavesTheLongAnswer(t *testing.T) {
+func TestLosingHedgeLeavesTheStreamedAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	long := strings.Repeat("x", 100<<10)
 	var copies atomic.Int64
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -354,7 +354,7 @@
 func (n *Node) budget() int { return n.conns.budget.Used() }
 
 // Whatever the settings say, the node keeps the four rules by them, and no request takes over what is another's.
-func TestAnySettings(t *testing.T) {
+func TestRulesHoldUnderAnySettings(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			testbed.Leaks(t)
@@ -371,7 +371,7 @@
 }
 
 // A node that goes by other settings than the auditor's is caught: another class's effect, group or window, more attempts.
-func TestAuditorFindsOtherSettings(t *testing.T) {
+func TestAuditorDetectsOtherSettings(t *testing.T) {
 	for name, plant := range map[string]func(*balancer.Settings){
 		"effect:": func(s *balancer.Settings) {
 			for i := range s.Classes {
@@ -406,7 +406,7 @@
 }
 
 // Each rule of the auditor finds its own breach, and nothing in a clean history.
-func TestAuditor(t *testing.T) {
+func TestAuditorDetectsEachViolation(t *testing.T) {
 	now := time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
 	a, b := balancer.Server{ID: "a", Zone: "z0"}, balancer.Server{ID: "b", Zone: "z0", Cell: 1}
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -44,7 +44,7 @@
 }
 
 // In any window a key gets no more than its burst and what its rate gives in it, and who comes when told is let through.
-func TestAnyTimes(t *testing.T) {
+func TestRateHoldsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.1, 1000).Draw(t, "rate"), rapid.IntRange(1, 50).Draw(t, "burst")
 		x, err := New(rate, burst, 10)
@@ -76,7 +76,7 @@
 
 // Ever new keys, 100,000 a second, beside a million that are known, some at their limit: none of these gains or loses, and
 // the memory stays.
-func TestEverNewKeys(t *testing.T) {
+func TestNewKeysDoNotAffectKnownKeys(t *testing.T) {
 	const keys = 1_000_000
 	x := table(t, 0.1, 2, keys)
 	seed := maphash.MakeSeed()
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestLimitsThatCannotBe(t *testing.T) {
+func TestInvalidLimitsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		rate        float64
 		burst, keys int
@@ -132,7 +132,7 @@
 
 // Gateways share nothing: each has its part of a rate. Together they allow the whole where the load is even, and the less the
 // more uneven it is: at worst, where one gets it all, the part of one.
-func TestPartsOfARate(t *testing.T) {
+func TestRateSplitOverGateways(t *testing.T) {
 	const gateways, rate, seconds = 4, 100.0, 20
 	for _, c := range []struct {
 		name        string
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestShareThatCannotBeKept(t *testing.T) {
+func TestUnavailableReservationIsRejected(t *testing.T) {
 	p := NewPool(10)
 	if _, err := p.Share(6, 0); err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 
 // Whatever is taken, given and ended: a share always gets what it owns, never more than its most, and the pool's
 // bookings are what is held or owned.
-func TestShares(t *testing.T) {
+func TestSharesUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPool(100)
 		type user struct {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestRoutesThatCannotBeUsed(t *testing.T) {
+func TestInvalidRoutesAreRejected(t *testing.T) {
 	many := func(n int, f func(i int, r *Route)) []Route {
 		l := make([]Route, n)
 		for i := range l {
@@ -256,7 +256,7 @@
 }
 
 // Whatever the routes, the table finds what going through all of them by the written order finds.
-func TestFindsWhatThePrecedenceSays(t *testing.T) {
+func TestFindFollowsPrecedence(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{p}", "{q}"})
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "n")
