--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,119 +1,129 @@
-// What the module is told where something else says which requests may start. It decides nothing here: it asks.
-
 package balancer
 
 import "time"
 
-// Verdict is what becomes of a request that has come.
+// Verdict is what an Admission decides about a request.
 type Verdict uint8
 
+// The verdicts about a request.
 const (
-	Admit   Verdict = iota // now
-	Enqueue                // until Next gives it
-	Reject                 // at once
+	Admit   Verdict = iota // it starts now
+	Enqueue                // it waits until Admission.Next returns it
+	Reject                 // it is rejected at once
 )
 
-// Arrival is a request that has come.
+// Arrival is a request that has arrived.
 type Arrival struct {
-	Seq           uint64 // by which Next and Leave name it
-	Class, Tenant string
-	TimeLeft      time.Duration
-	HighPriority  bool  // of Envoy's two routing priorities
-	Size          int64 // bytes that are kept while it waits
+	Seq          uint64 // by which Next and Withdraw name it
+	Class        string
+	Tenant       string
+	TimeLeft     time.Duration // until the client gives up
+	HighPriority bool          // of Envoy's two routing priorities
+	Size         int64         // bytes that are retained while it is queued
 }
 
-// Sample is how an attempt went, told once for each: as its answer began, or as it ended without one.
+// Sample is how an attempt went. There is one for each attempt: when its answer began, or when it ended without one.
 type Sample struct {
 	Class        string
 	HighPriority bool
-	Retry        bool // it was not its request's first
+	Retry        bool // it was not its request's first attempt
 	SentAt       time.Duration
 	Latency      time.Duration
 	Result       Result
 }
 
-// Admission says which requests may start, and bounds further attempts. It is called as a Host is: from one goroutine at a
-// time, and it must not call back. A Balancer that has none goes by its own estimate of an overload.
+// Admission decides which requests may start and limits retries. It is called from one goroutine at a time and must not call
+// back. A Balancer without one goes by its own overload estimate.
 type Admission interface {
-	// SetEndpoints tells how many servers are to be used.
+	// SetEndpoints takes the number of running servers.
 	SetEndpoints(now time.Duration, running int)
-	// Arrive decides about a request. after is, with Wait, how long it waits at the most, with Refuse, when its client may
-	// come back.
+	// Arrive decides about a request. With Enqueue, after is how long it waits at most; with Reject, it is the Retry-After.
 	Arrive(now time.Duration, a Arrival) (v Verdict, after time.Duration)
-	// Next gives a request that waited and is to start or to be refused; false where there is none now.
+	// Next returns a queued request that is to be admitted or rejected now; ok is false if there is none.
 	Next(now time.Duration) (seq uint64, v Verdict, after time.Duration, ok bool)
-	// Withdraw tells that a request that waits is given up.
+	// Withdraw takes a request out of the queue whose client has given up.
 	Withdraw(seq uint64)
-	// Done tells that a request that started has its answer, or that its long answer has begun.
+	// Done notes that an admitted request has its answer, or that its streamed answer has begun.
 	Done(now time.Duration, high bool)
-	// AttemptEnded tells how an attempt went.
+	// AttemptEnded notes how an attempt went.
 	AttemptEnded(now time.Duration, s Sample)
-	// MayRetry tells whether one more attempt may be made for a request that has had one; Retried that it was.
+	// MayRetry reports whether one more attempt may be made for a request that has had one.
 	MayRetry(now time.Duration, high bool) bool
+	// RetryStarted notes that it was made.
 	RetryStarted(now time.Duration, high bool)
 }
 
-// arrive asks whether a request may start.
+// arrive asks the Admission whether a request may start.
 func (b *Balancer) arrive(now time.Duration, r *request) {
-	v, after := b.set.Admission.Arrive(now, Arrival{Seq: r.seq, Class: r.Class, Tenant: r.Tenant, TimeLeft: r.TimeLeft, HighPriority: r.HighPriority, Size: r.Size})
-	if v == Enqueue {
-		r.waits = true
+	verdict, after := b.settings.Admission.Arrive(now, Arrival{
+		Seq:          r.seq,
+		Class:        r.Class,
+		Tenant:       r.Tenant,
+		TimeLeft:     r.TimeLeft,
+		HighPriority: r.HighPriority,
+		Size:         r.Size,
+	})
+	if verdict == Enqueue {
+		r.queued = true
 		b.host.SetTimer(r.seq, after)
 	} else {
-		b.admit(now, r, v, after)
+		b.admitOrReject(now, r, verdict, after)
 	}
-	b.pull(now)
+	b.admitQueued(now)
 }
 
-// pull starts or refuses what waited. Danger: a start that ends at once frees room for the next, without end.
-func (b *Balancer) pull(now time.Duration) {
-	if b.set.Admission == nil || b.pulling {
+// admitQueued admits or rejects the queued requests that the Admission returns. A request that ends at once makes room for the
+// next, which this loop takes; it does not call itself.
+func (b *Balancer) admitQueued(now time.Duration) {
+	if b.settings.Admission == nil || b.admittingQueued {
 		return
 	}
-	b.pulling = true
+	b.admittingQueued = true
 	for {
-		seq, v, after, ok := b.set.Admission.Next(now)
+		seq, verdict, after, ok := b.settings.Admission.Next(now)
 		if !ok {
 			break
 		}
-		if r := b.bySeq[seq]; r != nil {
-			r.waits = false
-			b.admit(now, r, v, after)
+		if r := b.requests.unanswered[seq]; r != nil {
+			r.queued = false
+			b.admitOrReject(now, r, verdict, after)
 		}
 	}
-	b.pulling = false
+	b.admittingQueued = false
 }
 
-func (b *Balancer) admit(now time.Duration, r *request, v Verdict, after time.Duration) {
-	if r.started = v == Admit; r.started {
-		b.tend(now, r)
+func (b *Balancer) admitOrReject(now time.Duration, r *request, verdict Verdict, after time.Duration) {
+	r.admitted = verdict == Admit
+	if r.admitted {
+		b.dispatch(now, r)
 		return
 	}
-	r.wait = after
-	b.finish(now, r)
-}
-
-// vacate tells that a request starts nothing more or has begun to stream: its room is another's.
-func (b *Balancer) vacate(now time.Duration, r *request) {
-	if r.waits {
-		b.set.Admission.Withdraw(r.seq)
-	} else if r.started {
-		b.set.Admission.Done(now, r.HighPriority)
-	}
-	r.waits, r.started = false, false
+	r.retryAfter = after
+	b.refuse(now, r)
 }
 
-// sample tells how an attempt went.
-func (b *Balancer) sample(now time.Duration, r *request, n int, res Result, took time.Duration) {
-	if b.set.Admission != nil {
-		b.set.Admission.AttemptEnded(now, Sample{Class: r.Class, HighPriority: r.HighPriority, Retry: n > 0, SentAt: r.tries[n].sent, Latency: took, Result: res})
+// leaveAdmission notes that a request needs no more capacity: it starts nothing more, or its answer is being streamed.
+func (b *Balancer) leaveAdmission(now time.Duration, r *request) {
+	if r.queued {
+		b.settings.Admission.Withdraw(r.seq)
+	} else if r.admitted {
+		b.settings.Admission.Done(now, r.HighPriority)
 	}
+	r.queued = false
+	r.admitted = false
 }
 
-// spent tells whether no further attempt may be made beside first ones.
-func (b *Balancer) spent(now time.Duration, r *request) bool {
-	if b.set.Admission != nil {
-		return !b.set.Admission.MayRetry(now, r.HighPriority)
+// reportAttempt tells the Admission how an attempt went.
+func (b *Balancer) reportAttempt(now time.Duration, r *request, attempt int, result Result, latency time.Duration) {
+	if b.settings.Admission == nil {
+		return
 	}
-	return b.budget < 1
+	b.settings.Admission.AttemptEnded(now, Sample{
+		Class:        r.Class,
+		HighPriority: r.HighPriority,
+		Retry:        attempt > 0,
+		SentAt:       r.attempts[attempt].sentAt,
+		Latency:      latency,
+		Result:       result,
+	})
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -75,7 +75,7 @@
 		b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(4)})
 		h.take()
 		final, out := map[string]int{}, map[string]int{}
-		waiting := func(id string) bool { r := b.requests[id]; return r != nil && r.waits }
+		waiting := func(id string) bool { r := b.requests.byID[id]; return r != nil && r.queued }
 		now, n, sends, ends := time.Duration(0), 0, 0, 0
 		look := func() {
 			for _, a := range h.take() {
@@ -102,7 +102,7 @@
 				n++
 				b.Request(now, Request{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "once"}).Draw(rt, "class"), TimeLeft: time.Second})
 			case 2:
-				if b.requests[id] != nil && final[id] == 0 {
+				if b.requests.byID[id] != nil && final[id] == 0 {
 					final[id]++
 					b.ClientGone(now, id)
 				}
@@ -117,9 +117,9 @@
 			case 4:
 				b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(rapid.IntRange(0, 4).Draw(rt, "servers"))})
 			default:
-				if r := b.requests[id]; r != nil {
-					for i := range r.tries {
-						if r.tries[i].out {
+				if r := b.requests.byID[id]; r != nil {
+					for i := range r.attempts {
+						if r.attempts[i].inFlight {
 							res := Result(rapid.IntRange(0, int(NotSent)).Draw(rt, "result"))
 							done := res == Served && final[id] == 0
 							if done {
@@ -127,7 +127,7 @@
 							}
 							out[id]--
 							ends++
-							b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Latency: ms, Final: done || r.done, RetryAfter: time.Duration(rapid.IntRange(0, 3).Draw(rt, "rest")) * time.Second})
+							b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Latency: ms, Final: done || r.finished, RetryAfter: time.Duration(rapid.IntRange(0, 3).Draw(rt, "rest")) * time.Second})
 							break
 						}
 					}
@@ -135,11 +135,11 @@
 			}
 			look()
 			started, waits := 0, 0
-			for _, r := range b.requests {
-				if r.started {
+			for _, r := range b.requests.byID {
+				if r.admitted {
 					started++
 				}
-				if r.waits {
+				if r.queued {
 					waits++
 				}
 			}
@@ -191,12 +191,12 @@
 		end(b, now+ms, id, NotConnected, ms)
 		now += 10 * ms
 	}
-	s := b.servers[old]
-	if s.until <= now {
-		t.Fatalf("ejected until %v at %v", s.until, now)
+	s := b.endpoints.byID[old]
+	if s.outlier.ejectedUntil <= now {
+		t.Fatalf("ejected until %v at %v", s.outlier.ejectedUntil, now)
 	}
 	end(b, now, "old", Served, now)
-	if s.until <= now {
+	if s.outlier.ejectedUntil <= now {
 		t.Error("an answer from before brings it back")
 	}
 	probe := "probe" // some are refused for an overload
@@ -205,8 +205,8 @@
 			t.Fatal("no probe")
 		}
 	}
-	if end(b, now+2*ms, probe, Served, ms); s.until > now {
-		t.Errorf("it served and is ejected until %v", s.until)
+	if end(b, now+2*ms, probe, Served, ms); s.outlier.ejectedUntil > now {
+		t.Errorf("it served and is ejected until %v", s.outlier.ejectedUntil)
 	}
 }
 
@@ -216,7 +216,7 @@
 	set.Localities = &fixed{at: Locality{Zone: "zb"}}
 	b, h := start(t, set, fleet(4))
 	b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(4)})
-	for _, s := range b.byZone["zb"] {
+	for _, s := range b.endpoints.byZone["zb"] {
 		b.eject(0, s)
 	}
 	to := ""
@@ -225,7 +225,7 @@
 			break
 		}
 	}
-	if s := b.servers[to]; s == nil || s.Zone != "zb" {
+	if s := b.endpoints.byID[to]; s == nil || s.Zone != "zb" {
 		t.Fatalf("the probe goes to %q", to)
 	}
 }
--- a/balancer/ask_test.go
+++ b/balancer/ask_test.go
@@ -55,7 +55,7 @@
 
 func (a *asker) Watch(bool) {
 	life := a.life
-	end, ok := a.s.registry.call(a.s.now)
+	end, ok := a.s.call(a.s.now)
 	a.s.at(end, func() {
 		if a.life != life {
 			return
@@ -206,7 +206,7 @@
 		from := s.now
 		var other func()
 		other = func() {
-			s.registry.call(s.now)
+			s.call(s.now)
 			s.at(s.now+time.Duration(rng.ExpFloat64()*float64(s.cost)/0.2), other)
 		}
 		other()
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -21,7 +21,7 @@
 		b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateCached, Servers: fleet(4)})
 		now, longest := time.Duration(0), time.Duration(0)
 		for range 30 {
-			at, ok := h.timers[asksSeq]
+			at, ok := h.timers[pollTimer]
 			if !ok {
 				t.Fatal("no call is planned")
 			}
@@ -30,8 +30,8 @@
 			}
 			longest = max(longest, at-now)
 			now, h.now = at, at
-			delete(h.timers, asksSeq)
-			b.Timer(now, asksSeq)
+			delete(h.timers, pollTimer)
+			b.Timer(now, pollTimer)
 			if a := h.take(); len(a) != 1 || a[0].what != "watch" {
 				t.Fatalf("%v, want one call", a)
 			}
@@ -41,11 +41,11 @@
 		if longest >= set.MaxPollInterval {
 			t.Errorf("seed %d: unasked for %v", seed, longest)
 		}
-		delete(h.timers, asksSeq)
-		b.Timer(now, asksSeq)
+		delete(h.timers, pollTimer)
+		b.Timer(now, pollTimer)
 		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta})
-		if b.asking || b.calling || len(h.timers) != 0 {
-			t.Errorf("seed %d: after an answer a call is due (%v, %v), %d timers", seed, b.asking, b.calling, len(h.timers))
+		if b.polls.timerSet || b.polls.pending || len(h.timers) != 0 {
+			t.Errorf("seed %d: after an answer a call is due (%v, %v), %d timers", seed, b.polls.timerSet, b.polls.pending, len(h.timers))
 		}
 	}
 	if len(starts) < 45 {
@@ -88,8 +88,8 @@
 				end(b, now+5*ms, id, Served, 5*ms)
 			}
 		}
-		if len(b.requests) != 0 && c.served {
-			t.Errorf("%s: %d requests are still held", name, len(b.requests))
+		if len(b.requests.byID) != 0 && c.served {
+			t.Errorf("%s: %d requests are still held", name, len(b.requests.byID))
 		}
 	}
 }
@@ -109,7 +109,8 @@
 		}
 		return fmt.Sprint(h.acts)
 	}
-	if run() != run() {
+	first, second := run(), run()
+	if first != second {
 		t.Error("two runs differ")
 	}
 }
@@ -127,7 +128,7 @@
 				continue
 			}
 			took := home
-			if b.servers[s].Zone != "za" {
+			if b.endpoints.byID[s].Zone != "za" {
 				away, took = away+1, 20*ms
 			}
 			end(b, now+took, id, Served, took)
@@ -162,14 +163,14 @@
 			break
 		}
 	}
-	s := b.servers["s0"]
-	if now += 600 * ms; s.inFlight == 0 || !b.ejected(s, now) || s.recent.n == 0 {
-		t.Fatalf("the old process: %d in flight, out %v, %v answers of late", s.inFlight, b.ejected(s, now), s.recent.n)
+	s := b.endpoints.byID["s0"]
+	if now += 600 * ms; s.inFlight == 0 || !b.ejected(s, now) || s.recentLatency.count == 0 {
+		t.Fatalf("the old process: %d in flight, out %v, %v answers of late", s.inFlight, b.ejected(s, now), s.recentLatency.count)
 	}
 	again := s.Server
 	again.Since = now
 	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{again}})
-	if b.ejected(s, now+ms) || s.recent.n != 0 || s.slow.n != 0 {
-		t.Errorf("the new process: out %v, %v answers of late, %v in all", b.ejected(s, now+ms), s.recent.n, s.slow.n)
+	if b.ejected(s, now+ms) || s.recentLatency.count != 0 || s.latency.count != 0 {
+		t.Errorf("the new process: out %v, %v answers of late, %v in all", b.ejected(s, now+ms), s.recentLatency.count, s.latency.count)
 	}
 }
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -18,8 +18,8 @@
 			end(b, time.Duration(i)*10*ms+10*ms, id, Served, time.Duration(8+4*(i%2))*ms)
 		}
 	}
-	b.Timer(605*ms, looksSeq) // nothing is out: no further look is asked for
-	if h.take(); b.looking {
+	b.Timer(605*ms, hedgeTimer) // nothing is out: no further look is asked for
+	if h.take(); b.hedgeTimerSet {
 		t.Error("looks at nothing")
 	}
 	return b, h
@@ -32,14 +32,14 @@
 		spoil func(*Balancer)
 	}{
 		"unsafe":      {"once", func(*Balancer) {}},
-		"not allowed": {"safe", func(b *Balancer) { b.set.ParallelAttempts = false }},
-		"no budget":   {"safe", func(b *Balancer) { b.budget = 0.5 }},
+		"not allowed": {"safe", func(b *Balancer) { b.settings.ParallelAttempts = false }},
+		"no budget":   {"safe", func(b *Balancer) { b.retryBudget.tokens = 0.5 }},
 	} {
 		b, h := known(t, settings())
 		c.spoil(b)
 		b.Request(700*ms, Request{ID: "r", Class: c.class, TimeLeft: 1000 * ms})
 		h.take()
-		b.Timer(1200*ms, looksSeq)
+		b.Timer(1200*ms, hedgeTimer)
 		if a := h.take(); len(a) != 0 {
 			t.Errorf("%s: %v", name, a)
 		}
@@ -50,16 +50,16 @@
 // is no reason for one, as copies eat the retry budget.
 func TestSecondCopyWaitsForTheSpread(t *testing.T) {
 	b, h := known(t, settings())
-	if c := b.classes["safe"]; c.dev < 1e6 || c.dev > 3e6 {
-		t.Fatalf("mean deviation %v ns, want about 2 ms", c.dev)
+	if c := b.classes["safe"]; c.deviation < 1e6 || c.deviation > 3e6 {
+		t.Fatalf("mean deviation %v ns, want about 2 ms", c.deviation)
 	}
 	b.Request(700*ms, Request{ID: "r", Class: "safe", TimeLeft: 1000 * ms})
 	first := h.take()
-	b.Timer(725*ms, looksSeq) // two and a half times the mean, but within 14 deviations
+	b.Timer(725*ms, hedgeTimer) // two and a half times the mean, but within 14 deviations
 	if a := h.take(); len(a) != 0 {
 		t.Errorf("after 25 ms: %v", a)
 	}
-	b.Timer(750*ms, looksSeq)
+	b.Timer(750*ms, hedgeTimer)
 	if a := h.take(); len(a) != 1 || a[0].what != "send" || a[0].server == first[0].server {
 		t.Errorf("after 50 ms: %v", a)
 	}
@@ -69,7 +69,7 @@
 func TestUsualSilenceEjectsNobody(t *testing.T) {
 	b, h := known(t, settings())
 	b.Request(700*ms, Request{ID: "r", Class: "once", TimeLeft: 1000 * ms})
-	s := b.servers[h.take()[0].server]
+	s := b.endpoints.byID[h.take()[0].server]
 	if b.ejected(s, 725*ms) {
 		t.Error("out after 25 ms, where answers take 10 give or take 2")
 	}
--- a/balancer/list_test.go
+++ b/balancer/list_test.go
@@ -61,7 +61,7 @@
 	if len(a) != 3 || a[0] != (act{what: "refuse", id: "r0"}) || a[2].id != "r2" {
 		t.Errorf("%v, want three refusals in order", a)
 	}
-	if len(b.requests)+len(b.bySeq) != 0 {
+	if len(b.requests.byID)+len(b.requests.unanswered) != 0 {
 		t.Error("refused requests are kept")
 	}
 	b.UpdateEndpoints(3*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: fleet(2)})
@@ -92,9 +92,9 @@
 			}
 			b.UpdateEndpoints(time.Duration(step)*ms, u)
 			running, zoned := 0, 0
-			for zone, l := range b.byZone {
+			for zone, l := range b.endpoints.byZone {
 				zoned += len(l)
-				if len(l) == 0 || !slices.IsSortedFunc(l, byPlace) {
+				if len(l) == 0 || !slices.IsSortedFunc(l, compareRank) {
 					t.Fatalf("seed %d step %d: zone %s is empty or unsorted", seed, step, zone)
 				}
 				for _, s := range l {
@@ -106,10 +106,10 @@
 					}
 				}
 			}
-			if len(b.list) != len(want) || len(b.servers) != len(want) || zoned != len(want) || running != b.running ||
-				!slices.IsSortedFunc(b.list, byPlace) {
+			if len(b.endpoints.ordered) != len(want) || len(b.endpoints.byID) != len(want) || zoned != len(want) || running != b.endpoints.running ||
+				!slices.IsSortedFunc(b.endpoints.ordered, compareRank) {
 				t.Fatalf("seed %d step %d: %d listed, %d by id, %d by zone, %d of %d running, want %d", seed, step,
-					len(b.list), len(b.servers), zoned, b.running, running, len(want))
+					len(b.endpoints.ordered), len(b.endpoints.byID), zoned, b.endpoints.running, running, len(want))
 			}
 		}
 	}
@@ -132,9 +132,9 @@
 			}
 		}
 	}
-	for what, n := range map[string]int{"servers": len(b.servers), "list": len(b.list), "byZone": len(b.byZone),
-		"kinds": len(b.kinds), "zones": len(b.zones), "places": len(b.places), "requests": len(b.requests)} {
-		if n > 4*names {
+	for what, n := range map[string]int{"servers": len(b.endpoints.byID), "list": len(b.endpoints.ordered), "byZone": len(b.endpoints.byZone),
+		"kinds": len(b.latencies.byKind), "zones": len(b.zoneLoss), "places": len(b.endpoints.addedByZone), "requests": len(b.requests.byID)} {
+		if n > 4*maxStaleNames {
 			t.Errorf("%s holds %d entries after an hour", what, n)
 		}
 	}
@@ -161,8 +161,8 @@
 	}
 	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
 	ask(t, b, h, 3*ms, "all", "once")
-	if len(b.some) > 4*weighed {
-		t.Errorf("%d of %d servers were weighed", len(b.some), len(l))
+	if len(b.subset.candidates) > 4*minCandidates {
+		t.Errorf("%d of %d servers were weighed", len(b.subset.candidates), len(l))
 	}
 }
 
@@ -219,13 +219,13 @@
 	s.Polled, s.MaxPollInterval = true, 10*time.Second
 	b, h := start(t, s, nil)
 	for i := range 300 {
-		at, ok := h.timers[asksSeq]
+		at, ok := h.timers[pollTimer]
 		if !ok || at-h.now > MaxPollInterval {
 			t.Fatalf("call %d: due in %v, %v", i, at-h.now, ok)
 		}
 		h.now = at
-		delete(h.timers, asksSeq)
-		b.Timer(h.now, asksSeq)
+		delete(h.timers, pollTimer)
+		b.Timer(h.now, pollTimer)
 		if a := h.take(); len(a) != 1 || a[0].what != "watch" {
 			t.Fatalf("call %d: %v", i, a)
 		}
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -30,17 +30,17 @@
 	if refused > 0 {
 		t.Errorf("%d of 400 were refused by idle servers", refused)
 	}
-	for _, s := range b.list {
+	for _, s := range b.endpoints.ordered {
 		if s.inFlight != 0 || b.ejected(s, now) {
 			t.Errorf("%s: %d in flight, ejected %v", s.ID, s.inFlight, b.ejected(s, now))
 		}
 	}
-	sum := b.asked.sum
+	sum := b.overload.timely.sum
 	for i := 0; i < 400; i += 5 {
 		b.Outcome(now+5*ms, Outcome{ID: fmt.Sprint("r", i), Result: Served, Latency: 5 * ms, Final: true})
 	}
-	if b.out != 0 || len(b.requests) != 0 || b.asked.sum < sum+79 {
-		t.Errorf("%d out, %d requests, %v timely of 80", b.out, len(b.requests), b.asked.sum-sum)
+	if b.load.inFlight != 0 || len(b.requests.byID) != 0 || b.overload.timely.sum < sum+79 {
+		t.Errorf("%d out, %d requests, %v timely of 80", b.load.inFlight, len(b.requests.byID), b.overload.timely.sum-sum)
 	}
 }
 
@@ -52,11 +52,11 @@
 	b.Request(ms, Request{ID: "r", Class: "safe", TimeLeft: 1000 * ms})
 	h.take()
 	b.Started(2*ms, "r", 0)
-	if b.out != 1 || b.list[0].inFlight != 1 {
-		t.Errorf("%d out, %d in flight", b.out, b.list[0].inFlight)
+	if b.load.inFlight != 1 || b.endpoints.ordered[0].inFlight != 1 {
+		t.Errorf("%d out, %d in flight", b.load.inFlight, b.endpoints.ordered[0].inFlight)
 	}
 	b.Outcome(900*ms, Outcome{ID: "r", Result: Served, Latency: ms, Final: true})
-	if b.out != 0 || b.list[0].inFlight != 0 {
-		t.Errorf("after it: %d out, %d in flight", b.out, b.list[0].inFlight)
+	if b.load.inFlight != 0 || b.endpoints.ordered[0].inFlight != 0 {
+		t.Errorf("after it: %d out, %d in flight", b.load.inFlight, b.endpoints.ordered[0].inFlight)
 	}
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -51,14 +51,14 @@
 	for _, res := range []Result{Served, ServerError, Rejected, TimedOut, NotConnected, ConnectionLost, Cancelled, NotSent} {
 		b, h := start(t, settings(), oneZone(1))
 		ask(t, b, h, 0, "r", "once")
-		if b.list[0].inFlight != 1 {
+		if b.endpoints.ordered[0].inFlight != 1 {
 			t.Fatalf("result %d: a send does not raise the counter", res)
 		}
 		end(b, ms, "r", res, ms)
 		end(b, ms, "r", res, ms) // a second report of the same attempt is passed over
 		b.ClientGone(ms, "no such request")
-		if b.list[0].inFlight != 0 {
-			t.Errorf("result %d leaves %d in flight", res, b.list[0].inFlight)
+		if b.endpoints.ordered[0].inFlight != 0 {
+			t.Errorf("result %d leaves %d in flight", res, b.endpoints.ordered[0].inFlight)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	l := oneZone(4)
 	l[0].Weight = 3
 	b, _ := start(t, settings(), l)
-	b.refresh(0)
+	b.refreshSubset(0)
 	n := map[string]int{}
 	for range 6000 {
 		n[b.draw(func(*server) bool { return true }, nil).ID]++
@@ -90,8 +90,8 @@
 	l[0].Since = 10 * time.Second
 	b, _ := start(t, set, l)
 	for at, share := range map[time.Duration]float64{10 * time.Second: 0.25, 15 * time.Second: 0.625, 20 * time.Second: 1} {
-		b.dirty = true
-		b.refresh(at)
+		b.subset.stale = true
+		b.refreshSubset(at)
 		n := 0.0
 		for range 6000 {
 			if b.draw(func(*server) bool { return true }, nil).ID == "s0" {
@@ -108,8 +108,8 @@
 	set := settings()
 	set.Proxies = 1                                          // so that nothing is refused at one server
 	b, h := start(t, set, append(oneZone(3), oneZone(1)...)) // s0 twice
-	if len(b.list) != 3 {
-		t.Fatalf("%d servers, want 3: the same one listed twice counts once", len(b.list))
+	if len(b.endpoints.ordered) != 3 {
+		t.Fatalf("%d servers, want 3: the same one listed twice counts once", len(b.endpoints.ordered))
 	}
 	b.UpdateEndpoints(ms, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: "s0", Zone: "za", State: Draining, Weight: 1}, {ID: "s1", State: Removed}}})
 	for i := range 8 {
@@ -118,7 +118,7 @@
 		}
 	}
 	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: []Server{{ID: "s9", Zone: "za", Weight: 1}}})
-	if got := ask(t, b, h, 2*ms, "x", "once"); got != "s9" || b.servers["s9"].inFlight != 1 {
+	if got := ask(t, b, h, 2*ms, "x", "once"); got != "s9" || b.endpoints.byID["s9"].inFlight != 1 {
 		t.Errorf("sent to %q after a whole list that names s9 only", got)
 	}
 }
@@ -191,21 +191,21 @@
 // What was not sent says nothing of the server, neither that it is out of order nor that it is alive.
 func TestNotSentSaysNothing(t *testing.T) {
 	b, h := start(t, settings(), oneZone(1))
-	s := b.list[0]
+	s := b.endpoints.ordered[0]
 	for i := range 2 {
 		id := fmt.Sprint("r", i)
 		ask(t, b, h, ms, id, "safe")
 		end(b, 9*ms, id, NotSent, 0)
-		if b.ejected(s, 9*ms) || s.strikes != 0 || s.recent.n != 0 {
+		if b.ejected(s, 9*ms) || s.outlier.consecutiveFailures != 0 || s.recentLatency.count != 0 {
 			t.Fatalf("out after %d that were not sent", i+1)
 		}
 	}
-	b.asked = stat{} // the throttle is not what is tested
+	b.overload.timely = decayingMean{} // the throttle is not what is tested
 	if ask(t, b, h, 10*ms, "silent", "safe") == "" || ask(t, b, h, 20*ms, "unsent", "safe") == "" {
 		t.Fatal("refused")
 	}
-	if end(b, 30*ms, "unsent", NotSent, 0); s.quiet != 10*ms {
-		t.Errorf("silent since %v", s.quiet)
+	if end(b, 30*ms, "unsent", NotSent, 0); s.silentSince != 10*ms {
+		t.Errorf("silent since %v", s.silentSince)
 	}
 }
 
@@ -258,9 +258,9 @@
 		end(b, now, fmt.Sprint("r", i), ConnectionLost, ms)
 		h.take()
 	}
-	b.dirty = true
-	if b.refresh(40 * ms); len(b.ready) != 4 {
-		t.Errorf("%d of 4 are ready", len(b.ready))
+	b.subset.stale = true
+	if b.refreshSubset(40 * ms); len(b.subset.servers) != 4 {
+		t.Errorf("%d of 4 are ready", len(b.subset.servers))
 	}
 }
 
@@ -300,7 +300,7 @@
 			id := fmt.Sprint(now)
 			if ask(t, b, h, now, id, "safe") != "" {
 				sent++
-				r := b.requests[id]
+				r := b.requests.byID[id]
 				r.deadline -= took // as if it had come that long ago
 				b.Outcome(now, Outcome{ID: id, Result: Served, Latency: took, Final: true})
 			}
@@ -349,7 +349,7 @@
 	set := settings()
 	set.RetryAfter, set.MaxRetryAfter = true, time.Second
 	b, _ := start(t, set, oneZone(1))
-	if d := b.comeBack(ms, &request{class: b.classes["safe"]}); d != 0 {
+	if d := b.retryAfter(ms, &request{class: b.classes["safe"]}); d != 0 {
 		t.Errorf("%v before anything is known", d)
 	}
 }
@@ -417,21 +417,21 @@
 	b, _ := start(t, settings(), l)
 	now := 10*time.Second + ms
 	for range 20 {
-		for _, s := range b.list[1:] {
-			s.sent.fade(now, b.set.OverloadWindow+1).n++
+		for _, s := range b.endpoints.ordered[1:] {
+			s.sends.decay(now, b.settings.OverloadWindow+1).count++
 		}
 	}
-	cold := b.servers["s0"]
-	b.refresh(now)
+	cold := b.endpoints.byID["s0"]
+	b.refreshSubset(now)
 	n := 0
-	for ; !b.pushed(cold, now) && n < 100; n++ {
-		cold.sent.fade(now, b.set.OverloadWindow+1).n++
+	for ; !b.warmUpLimitReached(cold, now) && n < 100; n++ {
+		cold.sends.decay(now, b.settings.OverloadWindow+1).count++
 	}
 	// Warm servers had 20 each; 0.3 of that times half of 2.5 is 7.5, a little less as it dilutes the usual.
 	if n < 5 || n > 9 {
 		t.Errorf("budget of %d sends", n)
 	}
-	if b.pushed(b.list[1], now) {
+	if b.warmUpLimitReached(b.endpoints.ordered[1], now) {
 		t.Error("a warm server has a budget")
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -108,10 +108,10 @@
 							set.ParallelAttempts = parallel
 							b, _ := start(t, set, fleet(4))
 							c := &class{Class: Class{Effect: effect, Group: group, Window: 400 * ms}}
-							r := &request{class: c, tries: []attempt{{to: first, out: e.out, proved: e.proved}}}
+							r := &request{class: c, attempts: []attempt{{to: first, inFlight: e.out, notExecuted: e.proved}}}
 							now := 100 * ms
 							if e.out {
-								r.out = 1
+								r.inFlight = 1
 							}
 							if late {
 								now = 400 * ms
@@ -121,11 +121,11 @@
 							if !e.proved && effect == NonIdempotent || !e.proved && effect == IdempotentWithKey && (late || !same) {
 								want = false
 							}
-							if got := b.mayResend(r, &server{Server: to}, now); got != want {
+							if got := b.mayAttempt(r, &server{Server: to}, now); got != want {
 								t.Errorf("resend effect %d group %d %s late %v parallel %v to %v: %v", effect, group, e.name, late, parallel, to, got)
 							}
 							want = effect == Idempotent || e.proved || effect == IdempotentWithKey && group == GroupAll
-							if got := b.mayRefuse(r); got != want {
+							if got := b.mayReject(r); got != want {
 								t.Errorf("refuse effect %d group %d %s: %v", effect, group, e.name, got)
 							}
 						}
@@ -301,7 +301,7 @@
 			}
 		}
 	}
-	for _, s := range b.list {
+	for _, s := range b.endpoints.ordered {
 		if s.inFlight != 0 {
 			bad("%s is left with %d in flight", s.ID, s.inFlight)
 		}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -14,24 +14,24 @@
 	} {
 		in := map[string]int{}
 		size := func(servers int) int {
-			return min(max(min(few*servers/(c.first+c.step*c.proxies), subset), few), servers)
+			return min(max(min(minSubset*servers/(c.first+c.step*c.proxies), defaultSubset), minSubset), servers)
 		}
 		for i := range c.proxies {
 			set := settings()
 			set.Index, set.Proxies = c.first+c.step*i, c.first+c.step*c.proxies
 			b, _ := start(t, set, oneZone(c.servers))
-			b.refresh(time.Second)
-			if len(b.ready) != size(c.servers) {
-				t.Fatalf("%v: proxy %d draws from %d servers, want %d", c, i, len(b.ready), size(c.servers))
+			b.refreshSubset(time.Second)
+			if len(b.subset.servers) != size(c.servers) {
+				t.Fatalf("%v: proxy %d draws from %d servers, want %d", c, i, len(b.subset.servers), size(c.servers))
 			}
-			for _, s := range b.ready {
+			for _, s := range b.subset.servers {
 				in[s.ID]++
 			}
-			lost := b.ready[0].ID
+			lost := b.subset.servers[0].ID
 			b.UpdateEndpoints(2*time.Second, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: lost, State: Removed}}})
-			b.refresh(2 * time.Second)
-			if want := size(c.servers - 1); len(b.ready) != want || b.ready[0].ID == lost {
-				t.Fatalf("%v: %d servers after one is lost, want %d", c, len(b.ready), want)
+			b.refreshSubset(2 * time.Second)
+			if want := size(c.servers - 1); len(b.subset.servers) != want || b.subset.servers[0].ID == lost {
+				t.Fatalf("%v: %d servers after one is lost, want %d", c, len(b.subset.servers), want)
 			}
 		}
 		mean := float64(c.proxies*size(c.servers)) / float64(c.servers)
@@ -62,12 +62,12 @@
 		if id == "" {
 			t.Fatalf("request %d went nowhere", i)
 		}
-		if met[id]++; b.servers[id].Zone != set.Zone {
+		if met[id]++; b.endpoints.byID[id].Zone != set.Zone {
 			away++
 		}
 		end(b, now+30*ms, fmt.Sprint(i), Served, time.Duration(40+b.rng.IntN(20))*ms) // all zones are alike
 	}
-	if len(met) > 5*few || away > requests/4 {
+	if len(met) > 5*minSubset || away > requests/4 {
 		t.Errorf("%d requests met %d servers, %d of them in other zones, which are no better", requests, len(met), away)
 	}
 }
@@ -86,8 +86,8 @@
 			used[a.server] = true
 		}
 	}
-	if b.refresh(time.Hour); len(used) <= 2*subset {
-		t.Errorf("%d attempts out went to %d servers only", b.out, len(used))
+	if b.refreshSubset(time.Hour); len(used) <= 2*defaultSubset {
+		t.Errorf("%d attempts out went to %d servers only", b.load.inFlight, len(used))
 	}
 }
 
@@ -176,7 +176,7 @@
 			b.Request(now, Request{ID: fmt.Sprint(i), Class: k.Name, TimeLeft: time.Second})
 			end(b, now, fmt.Sprint(i), Served, 90*ms)
 		}
-		b.out = int(3 * b.usualOut(now)) // each takes three times its time now, 270 ms
+		b.load.inFlight = int(3 * b.baselineInFlight(now)) // each takes three times its time now, 270 ms
 		part := 0.0
 		for range 1000 {
 			if b.overloaded(now, &request{class: b.classes["map"]}) {
--- a/balancer/tiers_test.go
+++ b/balancer/tiers_test.go
@@ -60,7 +60,7 @@
 func TestRulesWhateverTheTiersSay(t *testing.T) {
 	for seed := range uint64(20) {
 		d := &dice{t: t, rng: rand.New(rand.NewPCG(seed, 2)), out: map[Locality]int{}}
-		if broken := referee(t, seed, 1500, func(b *Balancer) { b.set.Localities = d }); broken != "" {
+		if broken := referee(t, seed, 1500, func(b *Balancer) { b.settings.Localities = d }); broken != "" {
 			t.Errorf("seed %d: %s", seed, broken)
 		}
 		for at, n := range d.out {
@@ -107,14 +107,14 @@
 	f.no = false
 	for i := range 100 {
 		now := time.Second + time.Duration(i)*5*ms
-		if got := ask(t, b, h, now, fmt.Sprint("y", i), "safe"); got == "" || b.servers[got].Zone != "zb" {
+		if got := ask(t, b, h, now, fmt.Sprint("y", i), "safe"); got == "" || b.endpoints.byID[got].Zone != "zb" {
 			t.Fatalf("request %d after 300 refusals goes to %q", i, got)
 		}
 		end(b, now+ms, fmt.Sprint("y", i), Served, ms)
 		h.take()
 	}
-	if len(b.requests) != 0 {
-		t.Errorf("%d requests are held", len(b.requests))
+	if len(b.requests.byID) != 0 {
+		t.Errorf("%d requests are held", len(b.requests.byID))
 	}
 }
 
@@ -157,7 +157,7 @@
 		b, h := start(t, set, l)
 		f.asks = nil
 		got := ask(t, b, h, ms, "r", "keyed")
-		if s := b.servers[got]; s == nil || s.Zone != "za" || s.Priority != 0 {
+		if s := b.endpoints.byID[got]; s == nil || s.Zone != "za" || s.Priority != 0 {
 			t.Fatalf("goes to %q", got)
 		}
 		end(b, 2*ms, "r", c.res, ms)
