--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,7 +17,7 @@
 	return Options{Classes: []Class{{"map", 1, 300 * ms}, {"hold", 5, 150 * ms}, {"pay", 20, 300 * ms}}}
 }
 
-func controller(t testing.TB, change func(*Options)) *Controller {
+func newController(t testing.TB, change func(*Options)) *Controller {
 	t.Helper()
 	o := options()
 	if change != nil {
@@ -30,19 +30,19 @@
 	return c
 }
 
-func (c *Controller) ask(now time.Duration, seq uint64, class, tenant string) balancer.Verdict {
+func (c *Controller) arrive(now time.Duration, seq uint64, class, tenant string) balancer.Verdict {
 	v, _ := c.Arrive(now, balancer.Arrival{Seq: seq, Class: class, Tenant: tenant, TimeLeft: 2 * time.Second})
 	return v
 }
 
-func (c *Controller) answered(t *testing.T, now, took time.Duration, class string) {
+func (c *Controller) answer(t *testing.T, now, took time.Duration, class string) {
 	t.Helper()
 	c.Done(now, false)
 	c.AttemptEnded(now, balancer.Sample{Class: class, SentAt: now - took, Latency: took, Result: balancer.Served})
 }
 
-// starts gives what starts until nothing more may.
-func (c *Controller) starts(now time.Duration) (l []uint64) {
+// startQueued returns the queued requests that start, until no more may.
+func (c *Controller) startQueued(now time.Duration) (l []uint64) {
 	for {
 		seq, v, _, ok := c.Next(now)
 		if !ok {
@@ -54,13 +54,13 @@
 	}
 }
 
-// What is worth most starts first, but for the floor of the others.
-func TestWorthAndFloor(t *testing.T) {
-	c := controller(t, func(o *Options) { o.Mode, o.Limit, o.Floor = Fixed, 1, 0.1 })
-	c.ask(0, 1, "map", "")
+// The class with the highest weight starts first, but for the floor of the others.
+func TestHighestWeightStartsFirstAboveFloor(t *testing.T) {
+	c := newController(t, func(o *Options) { o.Mode, o.Limit, o.Floor = Fixed, 1, 0.1 })
+	c.arrive(0, 1, "map", "")
 	for i := range uint64(60) {
 		for j, class := range []string{"map", "hold", "pay"} {
-			if v := c.ask(0, 10+3*i+uint64(j), class, ""); v != balancer.Enqueue {
+			if v := c.arrive(0, 10+3*i+uint64(j), class, ""); v != balancer.Enqueue {
 				t.Fatalf("verdict %d", v)
 			}
 		}
@@ -68,7 +68,7 @@
 	got := [3]int{}
 	for range 60 {
 		c.Done(0, false)
-		for _, seq := range c.starts(0) {
+		for _, seq := range c.startQueued(0) {
 			got[(seq-10)%3]++
 		}
 	}
@@ -77,61 +77,61 @@
 	}
 }
 
-// A tenant that floods waits behind itself, also where as many wait as may.
+// A tenant with a flood of requests waits for its own, also where the queue is full.
 func TestTenantsTakeTurns(t *testing.T) {
-	c := controller(t, func(o *Options) { o.Mode, o.Limit, o.MaxPending = Fixed, 1, 40 })
-	c.ask(0, 1, "map", "x")
+	c := newController(t, func(o *Options) { o.Mode, o.Limit, o.MaxPending = Fixed, 1, 40 })
+	c.arrive(0, 1, "map", "x")
 	for i := range uint64(40) {
-		c.ask(0, 100+i, "map", "flood")
+		c.arrive(0, 100+i, "map", "flood")
 	}
-	if v := c.ask(0, 200, "map", "flood"); v != balancer.Reject {
-		t.Errorf("one more of those that flood: verdict %d", v)
+	if v := c.arrive(0, 200, "map", "flood"); v != balancer.Reject {
+		t.Errorf("one more of the flood: verdict %d", v)
 	}
 	for i := range uint64(5) {
-		if v := c.ask(0, 300+i, "map", "small"); v != balancer.Enqueue {
+		if v := c.arrive(0, 300+i, "map", "small"); v != balancer.Enqueue {
 			t.Fatalf("a small tenant beside a flood: verdict %d", v)
 		}
 	}
 	small := 0
 	for range 10 {
 		c.Done(0, false)
-		for _, seq := range c.starts(0) {
+		for _, seq := range c.startQueued(0) {
 			if seq >= 300 {
 				small++
 			}
 		}
 	}
-	if small != 5 || c.refused[Displaced] != 5 {
-		t.Errorf("%d of 5 starts in 10, %d displaced", small, c.refused[Displaced])
+	if small != 5 || c.rejected[Displaced] != 5 {
+		t.Errorf("%d of 5 starts in 10, %d displaced", small, c.rejected[Displaced])
 	}
-	if v := c.ask(0, 400, "pay", "flood"); v != balancer.Enqueue {
-		t.Errorf("what is worth more: verdict %d", v)
+	if v := c.arrive(0, 400, "pay", "flood"); v != balancer.Enqueue {
+		t.Errorf("a more valuable request: verdict %d", v)
 	}
 }
 
-// What waits and cannot be answered in time any more is refused, and newest starts first once the oldest come late.
-func TestWaitsEnd(t *testing.T) {
-	c := controller(t, func(o *Options) { o.Mode, o.Limit = Fixed, 1 })
-	c.ask(0, 1, "map", "")
-	c.ask(0, 2, "map", "")
-	c.ask(200*ms, 3, "map", "")
-	if l := c.starts(260 * ms); len(l) != 0 {
+// Queued requests that cannot be answered in time any more are rejected, and the newest starts first once the oldest are late.
+func TestLateQueuedRequestsAreRejected(t *testing.T) {
+	c := newController(t, func(o *Options) { o.Mode, o.Limit = Fixed, 1 })
+	c.arrive(0, 1, "map", "")
+	c.arrive(0, 2, "map", "")
+	c.arrive(200*ms, 3, "map", "")
+	if l := c.startQueued(260 * ms); len(l) != 0 {
 		t.Errorf("%v start while one is in flight", l)
 	}
 	if seq, v, after, ok := c.Next(271 * ms); !ok || seq != 2 || v != balancer.Reject || after <= 0 {
-		t.Errorf("%d: verdict %d, come back in %v", seq, v, after)
+		t.Errorf("%d: verdict %d, Retry-After %v", seq, v, after)
 	}
-	if c.refused[WaitedTooLong] != 1 || c.queue.n != 1 {
-		t.Errorf("%d waited too long, %d wait", c.refused[WaitedTooLong], c.queue.n)
+	if c.rejected[WaitedTooLong] != 1 || c.queue.count != 1 {
+		t.Errorf("%d waited too long, %d queued", c.rejected[WaitedTooLong], c.queue.count)
 	}
-	c.ask(272*ms, 4, "map", "")
+	c.arrive(272*ms, 4, "map", "")
 	c.Done(280*ms, false)
-	if l := c.starts(280 * ms); fmt.Sprint(l) != "[4]" {
-		t.Errorf("%v starts: requests wait for longer than is wanted, the newest comes first", l)
+	if l := c.startQueued(280 * ms); fmt.Sprint(l) != "[4]" {
+		t.Errorf("%v starts: requests wait for longer than the objective, the newest comes first", l)
 	}
 }
 
-// feed has limit requests in flight all the time, answered as takes says, for so long; it gives the lowest and the last
+// feed keeps as many requests in flight as the limit allows, for a time, with the latency that takes returns. It returns the lowest
 // limit.
 func (c *Controller) feed(t *testing.T, from, long time.Duration, takes func(n int) time.Duration) (lowest int) {
 	type out struct{ sent, at time.Duration }
@@ -139,18 +139,18 @@
 	lowest = math.MaxInt
 	for now := from; now < from+long; now += ms {
 		for len(open) > 0 && open[0].at <= now {
-			c.answered(t, now, now-open[0].sent, "map")
+			c.answer(t, now, now-open[0].sent, "map")
 			open = open[1:]
 		}
-		for i := uint64(0); len(open) < 40 && c.active < c.bound(); i++ {
-			c.ask(now, uint64(now)+i, "map", "")
+		for i := uint64(0); len(open) < 40 && c.inFlight < c.maxInFlight(); i++ {
+			c.arrive(now, uint64(now)+i, "map", "")
 			at := now + takes(len(open)+1)
 			if n := len(open); n > 0 { // first in, first out
 				at = max(at, open[n-1].at)
 			}
 			open = append(open, out{now, at})
 		}
-		lowest = min(lowest, c.bound())
+		lowest = min(lowest, c.maxInFlight())
 	}
 	for range open {
 		c.Done(from+long, false)
@@ -158,18 +158,18 @@
 	return lowest
 }
 
-// A baseline that is first measured in an overload is found out; one that is long by itself is believed after a fall.
-func TestBaseline(t *testing.T) {
+// A baseline that is first measured in an overload is corrected; a latency that is long by itself becomes the baseline after a fall.
+func TestBaselineInOverloadAndOfSlowAnswers(t *testing.T) {
 	queue := func(n int) time.Duration { return time.Duration(max(n, 4)) * 5 * ms } // four workers of 20 ms
-	c := controller(t, nil)
+	c := newController(t, nil)
 	c.feed(t, ms, 10*time.Second, queue)
-	if b := c.bound(); b < 4 || b > 24 {
-		t.Errorf("limit %d before four workers that began in an overload; baseline %v", b, time.Duration(c.byName[named{"map", false}].base))
+	if b := c.maxInFlight(); b < 4 || b > 24 {
+		t.Errorf("limit %d for four workers that began in an overload; baseline %v", b, time.Duration(c.byName[classKey{"map", false}].baseline))
 	}
-	c = controller(t, nil)
-	slow := func(int) time.Duration { return 700 * ms } // more than twice what is wanted, whatever is in flight
+	c = newController(t, nil)
+	slow := func(int) time.Duration { return 700 * ms } // more than twice the objective, whatever is in flight
 	c.feed(t, ms, 20*time.Second, slow)
-	if b := c.bound(); b < 40 {
+	if b := c.maxInFlight(); b < 40 {
 		t.Errorf("limit %d with answers that take 700 ms by themselves", b)
 	}
 	if low := c.feed(t, 30*time.Second, 20*time.Second, slow); low < 40 {
@@ -177,31 +177,31 @@
 	}
 }
 
-// An origin that becomes ten times as slow and recovers, with nothing standing before anything: no limit stays.
-func TestSlowsTenTimes(t *testing.T) {
-	c := controller(t, nil)
+// An origin becomes ten times as slow and recovers, without queueing: the limit does not fall.
+func TestSlowerOriginKeepsLimit(t *testing.T) {
+	c := newController(t, nil)
 	c.feed(t, ms, 5*time.Second, func(int) time.Duration { return 5 * ms })
 	if low := c.feed(t, 5*time.Second, 10*time.Second, func(int) time.Duration { return 50 * ms }); low < 40 {
-		t.Errorf("the limit falls to %d, though all is within what is wanted", low)
+		t.Errorf("the limit falls to %d, though all answers are within the objective", low)
 	}
 	if low := c.feed(t, 15*time.Second, 5*time.Second, func(int) time.Duration { return 5 * ms }); low < 40 {
 		t.Errorf("the limit falls to %d as it recovers", low)
 	}
 }
 
-// Answers of two kinds in one class, 5 ms and 5 s, with nothing standing before either: no limit is needed, and none falls.
-func TestTwoKindsOfAnswers(t *testing.T) {
-	c := controller(t, nil)
-	before := c.bound()
-	ends := map[time.Duration][]time.Duration{} // by when they end: when they were sent
+// Answers of 5 ms and of 5 s in one class, without queueing: the limit does not fall.
+func TestBimodalLatencyKeepsLimit(t *testing.T) {
+	c := newController(t, nil)
+	before := c.maxInFlight()
+	ends := map[time.Duration][]time.Duration{} // send times by the time of their end
 	for i := range 20000 {
 		now := time.Duration(i) * ms
 		for _, sent := range ends[now] {
-			c.answered(t, now, now-sent, "map")
+			c.answer(t, now, now-sent, "map")
 		}
 		if i%5 == 0 { // 200 a second, one of eight long: 125 in flight
-			if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Admit {
-				t.Fatalf("verdict %d at %v, limit %d, %d in flight", v, now, c.bound(), c.active)
+			if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
+				t.Fatalf("verdict %d at %v, limit %d, %d in flight", v, now, c.maxInFlight(), c.inFlight)
 			}
 			at := now + 5*ms
 			if i%40 == 0 {
@@ -210,85 +210,85 @@
 			ends[at] = append(ends[at], now)
 		}
 	}
-	if c.bound() < before {
-		t.Errorf("the limit fell from %d to %d: %s", before, c.bound(), c.evidence)
+	if c.maxInFlight() < before {
+		t.Errorf("the limit fell from %d to %d: %s", before, c.maxInFlight(), c.limitEvidence)
 	}
 }
 
-// A low limit rises again once answers are in time: also one that is no whole number, so that what is in flight stays well
-// below it, and also where the answers of a tenth of a second are spread over classes so that none has enough of them.
-func TestRisesFromTheBottom(t *testing.T) {
+// A low limit rises again once answers are in time: also a fractional one, so that the requests in flight stay well below it, and
+// also where the answers of a period are spread over classes so that none has enough of them.
+func TestLowLimitRises(t *testing.T) {
 	for _, from := range []float64{2, 2.9, 3.85, 4.9} {
-		c := controller(t, nil)
-		c.limit.now, c.limit.cutAt = from, ms
+		c := newController(t, nil)
+		c.limit.limit, c.limit.decreasedAt = from, ms
 		seq := uint64(0)
-		for now := 2 * ms; now < 10*time.Second && c.bound() < 16; now += 30 * ms {
-			for range c.bound() {
+		for now := 2 * ms; now < 10*time.Second && c.maxInFlight() < 16; now += 30 * ms {
+			for range c.maxInFlight() {
 				seq++
-				c.ask(now, seq, "map", "")
+				c.arrive(now, seq, "map", "")
 			}
-			for i := range c.active {
-				c.answered(t, now+20*ms, 20*ms, []string{"map", "hold", "pay"}[(int(seq)+i)%3])
+			for i := range c.inFlight {
+				c.answer(t, now+20*ms, 20*ms, []string{"map", "hold", "pay"}[(int(seq)+i)%3])
 			}
 		}
-		if b := c.bound(); b < 16 {
+		if b := c.maxInFlight(); b < 16 {
 			t.Errorf("from %v: limit %d after 10 s of answers in time", from, b)
 		}
 	}
 }
 
-// Errors in a millisecond are no capacity, and no shortage.
-func TestFastFailures(t *testing.T) {
-	c := controller(t, nil)
-	before := c.bound()
+// Errors within a millisecond show neither capacity nor overload.
+func TestFastFailuresKeepLimit(t *testing.T) {
+	c := newController(t, nil)
+	before := c.maxInFlight()
 	for i := range 20000 {
 		now := time.Duration(i+1) * ms
-		if v := c.ask(now, uint64(i+1), "map", ""); v != balancer.Admit {
+		if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
 			t.Fatalf("verdict %d", v)
 		}
 		c.Done(now+ms, false)
 		c.AttemptEnded(now+ms, balancer.Sample{Class: "map", SentAt: now, Latency: ms, Result: []balancer.Result{balancer.ServerError, balancer.ConnectionLost, balancer.NotConnected}[i%3]})
 	}
-	if c.bound() != before {
-		t.Errorf("limit %d, %d before", c.bound(), before)
+	if c.maxInFlight() != before {
+		t.Errorf("limit %d, %d before", c.maxInFlight(), before)
 	}
 }
 
-// A clock that stands still for 30 s, as in a suspend, ends what waited and costs the limit nothing.
-func TestSuspend(t *testing.T) {
-	c := controller(t, func(o *Options) { o.PerEndpoint = 4 })
+// A clock that stands still for 30 s, as in a suspended process, ends the waits and leaves the limit as it is.
+func TestClockJumpKeepsLimit(t *testing.T) {
+	c := newController(t, func(o *Options) { o.PerEndpoint = 4 })
 	for i := range uint64(8) {
-		c.ask(ms, i+1, "map", "")
+		c.arrive(ms, i+1, "map", "")
 	}
-	before, now := c.bound(), 30*time.Second
-	refused := 0
+	before, now := c.maxInFlight(), 30*time.Second
+	rejected := 0
 	for range 8 {
 		_, v, after, ok := c.Next(now)
 		if !ok {
 			break
 		}
-		if v == balancer.Reject && after > 0 && after <= c.opt.MaxRetryAfter {
-			refused++
+		if v == balancer.Reject && after > 0 && after <= c.options.MaxRetryAfter {
+			rejected++
 		}
 	}
-	if refused != 4 {
-		t.Errorf("%d of 4 that waited are refused", refused)
+	if rejected != 4 {
+		t.Errorf("%d of 4 that were queued are rejected", rejected)
 	}
 	for range 4 {
-		c.answered(t, now, now, "map")
+		c.answer(t, now, now, "map")
 	}
-	if c.bound() < before || c.active != 0 {
-		t.Errorf("limit %d, %d in flight", c.bound(), c.active)
+	if c.maxInFlight() < before || c.inFlight != 0 {
+		t.Errorf("limit %d, %d in flight", c.maxInFlight(), c.inFlight)
 	}
-	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", TimeLeft: time.Second}) // time that goes back
+	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", TimeLeft: time.Second}) // an earlier time
 	if c.now != now {
 		t.Errorf("the time went back to %v", c.now)
 	}
 }
 
-// Retries: what requests earn, what time earns, what is forgotten, and both of Envoy's bounds.
+// The retry budget: what requests earn, what time earns, what expires, and both of Envoy's limits.
 func TestRetryBudget(t *testing.T) {
-	c := controller(t, func(o *Options) { o.RetryRatio, o.RetryRate, o.RetryTTL = 0.2, 1, 10*time.Second })
+	c := newController(t, func(o *Options) { o.RetryRatio, o.RetryRate, o.RetryTTL = 0.2, 1, 10*time.Second })
 	spend := func(now time.Duration) (n int) {
 		for c.MayRetry(now, false) && n < 1000 {
 			c.RetryStarted(now, false)
@@ -300,19 +300,19 @@
 		t.Errorf("%d retries from the start, the rate gives 10 in 10 s", n)
 	}
 	for i := range uint64(100) {
-		c.ask(time.Second, i+1, "map", "")
+		c.arrive(time.Second, i+1, "map", "")
 	}
 	if n := spend(time.Second); n != 20 {
 		t.Errorf("%d retries earned by 100 requests", n)
 	}
 	if n := spend(15 * time.Second); n != 10 {
-		t.Errorf("%d retries 14 s later: what was spent is forgotten as well", n)
+		t.Errorf("%d retries 14 s later: what was spent has expired as well", n)
 	}
 	for name, o := range map[string]func(*Options){
 		"max_retries":  func(o *Options) { o.MaxRetries = 3 },
 		"retry_budget": func(o *Options) { o.RetryPercent, o.MinRetries = 10, 3 },
 	} {
-		c = controller(t, o)
+		c = newController(t, o)
 		if n := spend(0); n != 3 {
 			t.Errorf("%s: %d in flight", name, n)
 		}
@@ -322,9 +322,9 @@
 		}
 	}
 	for i := range uint64(80) {
-		c.ask(0, i+1, "map", "")
+		c.arrive(0, i+1, "map", "")
 	}
-	if c.opt.RetryPercent > 0 {
+	if c.options.RetryPercent > 0 {
 		if n := spend(0); n != 5 {
 			t.Errorf("retry_budget: %d more with 80 requests in flight", n)
 		}
@@ -332,8 +332,8 @@
 }
 
 // Each of Envoy's priorities has circuit breakers of its own, before one limit and one retry budget.
-func TestPriorities(t *testing.T) {
-	c := controller(t, func(o *Options) {
+func TestPrioritiesHaveOwnBreakers(t *testing.T) {
+	c := newController(t, func(o *Options) {
 		o.Mode, o.Limit, o.RetryRate = Fixed, 3, 100
 		o.Breakers = Breakers{MaxRequests: 2, MaxPending: 1, MaxRetries: 1}
 		o.HighPriority = Breakers{MaxRequests: 2, MaxPending: 2, MaxRetries: 2}
@@ -351,12 +351,12 @@
 			t.Errorf("request %d, high %v: verdict %d, want %d", i, want.high, v, want.v)
 		}
 	}
-	if c.Done(0, true); fmt.Sprint(c.starts(0)) != "[5]" { // 2 has room in the limit, but not in its breaker
+	if c.Done(0, true); fmt.Sprint(c.startQueued(0)) != "[5]" { // 2 has room in the limit, but not in its breaker
 		t.Error("one of HIGH ends: another of HIGH starts")
 	}
-	for _, want := range []string{"[6]", "[2]"} { // of equal worth HIGH starts first
+	for _, want := range []string{"[6]", "[2]"} { // of equal weight HIGH starts first
 		c.Done(0, want == "[2]")
-		if l := c.starts(0); fmt.Sprint(l) != want {
+		if l := c.startQueued(0); fmt.Sprint(l) != want {
 			t.Errorf("one ends: %v starts, want %s", l, want)
 		}
 	}
@@ -374,35 +374,35 @@
 	}
 }
 
-// Requests that wait are bounded in bytes; what is worth more takes the place of what is worth less, if that is enough.
-func TestWaitingBytes(t *testing.T) {
-	c := controller(t, func(o *Options) { o.Mode, o.Limit, o.PendingBytes = Fixed, 1, 100 })
+// Queued requests are limited in bytes; a more valuable request takes the place of less valuable ones, if that is enough.
+func TestPendingBytesLimit(t *testing.T) {
+	c := newController(t, func(o *Options) { o.Mode, o.Limit, o.PendingBytes = Fixed, 1, 100 })
 	seq := uint64(0)
 	ask := func(class string, size int64) balancer.Verdict {
 		seq++
 		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: class, Size: size, TimeLeft: time.Second})
 		return v
 	}
-	ask("map", 1000) // starts: what is in flight is not what waits
+	ask("map", 1000) // starts, and is not counted
 	for i, want := range []struct {
-		class string
-		size  int64
-		v     balancer.Verdict
-		kept  int64
+		class  string
+		size   int64
+		v      balancer.Verdict
+		queued int64
 	}{{"map", 60, balancer.Enqueue, 60}, {"map", 41, balancer.Reject, 60}, {"map", 40, balancer.Enqueue, 100}, {"pay", 101, balancer.Reject, 100}, {"pay", 50, balancer.Enqueue, 90},
 		{"hold", 60, balancer.Reject, 90}, {"hold", 50, balancer.Enqueue, 100}} {
-		if v := ask(want.class, want.size); v != want.v || c.queue.bytes != want.kept {
-			t.Errorf("%d, %s of %d bytes: verdict %d, %d kept; want %d, %d", i, want.class, want.size, v, c.queue.bytes, want.v, want.kept)
+		if v := ask(want.class, want.size); v != want.v || c.queue.bytes != want.queued {
+			t.Errorf("%d, %s of %d bytes: verdict %d, %d queued; want %d, %d", i, want.class, want.size, v, c.queue.bytes, want.v, want.queued)
 		}
 	}
-	if c.refused[Displaced] != 2 || c.refused[QueueFull] != 3 {
-		t.Errorf("%v", c.refused)
+	if c.rejected[Displaced] != 2 || c.rejected[QueueFull] != 3 {
+		t.Errorf("%v", c.rejected)
 	}
 }
 
-// Under any order of arrivals, ends, leaves, times and evidence: each request that waits ends once, counters return to 0,
-// limits stay within their bounds, and the limit falls only with evidence.
-func TestAnyOrder(t *testing.T) {
+// Under any order of arrivals, ends, withdrawals, times and evidence: each queued request ends once, counters return to 0, limits
+// stay within their bounds, and the limit falls only with evidence.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := options()
 		o.Mode = Mode(rapid.IntRange(0, 2).Draw(t, "mode"))
@@ -423,17 +423,17 @@
 					return
 				}
 				if !waits[id] {
-					t.Fatalf("%d does not wait", id)
+					t.Fatalf("%d is not queued", id)
 				}
 				delete(waits, id)
 				if v == balancer.Admit {
 					started = append(started, high[id])
-				} else if after <= 0 || after > c.opt.MaxRetryAfter {
-					t.Fatalf("come back in %v", after)
+				} else if after <= 0 || after > c.options.MaxRetryAfter {
+					t.Fatalf("Retry-After %v", after)
 				}
 			}
 		}
-		before := c.bound()
+		before := c.maxInFlight()
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * ms
 			evidence := false
@@ -471,13 +471,13 @@
 				}
 			}
 			take()
-			b := c.bound()
+			b := c.maxInFlight()
 			if b < before && !evidence {
-				t.Fatalf("the limit falls from %d to %d with no evidence", before, b)
+				t.Fatalf("the limit falls from %d to %d without evidence", before, b)
 			}
 			before = b
-			if b < 1 || c.active != len(started) || c.queue.n != len(waits) {
-				t.Fatalf("limit %d, %d of %d in flight, %d of %d wait", b, c.active, len(started), c.queue.n, len(waits))
+			if b < 1 || c.inFlight != len(started) || c.queue.count != len(waits) {
+				t.Fatalf("limit %d, %d of %d in flight, %d of %d queued", b, c.inFlight, len(started), c.queue.count, len(waits))
 			}
 			bytes, count := int64(0), [2]int{}
 			for id := range waits {
@@ -488,26 +488,26 @@
 				t.Fatalf("%d bytes wait, counted %d, %d may", bytes, c.queue.bytes, o.PendingBytes)
 			}
 			for i, p := range []Breakers{o.Breakers, o.HighPriority} {
-				of := c.priority[i]
-				if of.waiting != count[i] || of.waiting > p.MaxPending || p.MaxRequests > 0 && of.active > p.MaxRequests {
-					t.Fatalf("priority %d: %d of %d wait, %d of %d in flight", i, of.waiting, p.MaxPending, of.active, p.MaxRequests)
+				of := c.priorities[i]
+				if of.queued != count[i] || of.queued > p.MaxPending || p.MaxRequests > 0 && of.inFlight > p.MaxRequests {
+					t.Fatalf("priority %d: %d of %d wait, %d of %d in flight", i, of.queued, p.MaxPending, of.inFlight, p.MaxRequests)
 				}
 			}
 			in := 0
 			for _, k := range c.classes {
 				n := 0
-				for _, l := range k.ring {
-					n += l.n
-					if k.tenants[l.tenant] != l || l.n == 0 {
-						t.Fatalf("tenant %q: %d wait", l.tenant, l.n)
+				for _, l := range k.turns {
+					n += l.count
+					if k.tenants[l.tenant] != l || l.count == 0 {
+						t.Fatalf("tenant %q: %d queued", l.tenant, l.count)
 					}
 				}
-				if in += n; n != k.waiting || len(k.ring) != len(k.tenants) {
-					t.Fatalf("%s: %d and %d wait", k.Name, n, k.waiting)
+				if in += n; n != k.queued || len(k.turns) != len(k.tenants) {
+					t.Fatalf("%s: %d and %d queued", k.Name, n, k.queued)
 				}
 			}
-			if in != c.queue.n || len(c.queue.until) != in || len(c.queue.bySeq) != in {
-				t.Fatalf("%d, %d, %d, %d wait", in, c.queue.n, len(c.queue.until), len(c.queue.bySeq))
+			if in != c.queue.count || len(c.queue.expiry) != in || len(c.queue.bySeq) != in {
+				t.Fatalf("%d, %d, %d, %d queued", in, c.queue.count, len(c.queue.expiry), len(c.queue.bySeq))
 			}
 		}
 		for _, h := range started {
@@ -522,13 +522,13 @@
 			c.Done(now, h)
 			take()
 		}
-		if c.active != 0 || c.priority[0].active != 0 || c.priority[1].active != 0 || c.queue.n != 0 || len(waits) != 0 {
-			t.Fatalf("%d in flight, %d wait in the end", c.active, c.queue.n)
+		if c.inFlight != 0 || c.priorities[0].inFlight != 0 || c.priorities[1].inFlight != 0 || c.queue.count != 0 || len(waits) != 0 {
+			t.Fatalf("%d in flight, %d wait in the end", c.inFlight, c.queue.count)
 		}
 	})
 }
 
-func TestOptionsThatCannotBe(t *testing.T) {
+func TestNewRejectsInvalidOptions(t *testing.T) {
 	for name, change := range map[string]func(*Options){
 		"mode":   func(o *Options) { o.Mode = 9 },
 		"limit":  func(o *Options) { o.Limit = -1 },
@@ -542,19 +542,19 @@
 		o := options()
 		change(&o)
 		if _, err := New(o, 1); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// What admission adds to a request: its arrival, its end and what was seen of its attempt.
+// BenchmarkRequest is what admission adds to a request: its arrival, its end and the observation of its attempt.
 func BenchmarkRequest(b *testing.B) {
-	c := controller(b, nil)
+	c := newController(b, nil)
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * 100 * time.Microsecond
 		if v, _ := c.Arrive(now, balancer.Arrival{Seq: uint64(i), Class: "map", TimeLeft: time.Second}); v != balancer.Admit {
-			b.Fatal("not started")
+			b.Fatal("not admitted")
 		}
 		c.Next(now)
 		c.Done(now, false)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,59 +2,61 @@
 
 import (
 	"container/heap"
+	"slices"
 	"time"
 
 	"robindrum/balancer"
 )
 
-// entry is a request that waits.
+// entry is a queued request.
 type entry struct {
 	seq        uint64
 	class      *class
-	line       *line
-	until      time.Duration
-	prev, next *entry
-	at         int // in the heap
+	tenant     *tenantQueue
+	expiresAt  time.Duration
+	prev, next *entry // of the tenant; next also links spare entries
+	heapIndex  int
 	size       int64
 }
 
-// line is the requests of one tenant that wait, the oldest first.
-type line struct {
+// tenantQueue is the queued requests of one tenant in one class, the oldest first.
+type tenantQueue struct {
 	tenant      string
 	first, last *entry
-	n           int
+	count       int
 }
 
-// waiting is all requests of a cluster that wait.
-type waiting struct {
-	n       int
+// requestQueue is all queued requests of a cluster.
+type requestQueue struct {
+	count   int
 	bytes   int64
 	bySeq   map[uint64]*entry
-	until   expiry
-	dropped []dropped
-	spare   *entry
+	expiry  expiryHeap
+	dropped []droppedRequest
+	spare   *entry // list of entries for reuse
 }
 
-type dropped struct {
-	seq   uint64
-	after time.Duration
+// droppedRequest is a request that left the queue and is yet to be rejected.
+type droppedRequest struct {
+	seq        uint64
+	retryAfter time.Duration
 }
 
-// expiry is a heap by the end of the wait.
-type expiry []*entry
+// expiryHeap is a heap of entries by their expiry. It implements heap.Interface.
+type expiryHeap []*entry
 
-func (h expiry) Len() int           { return len(h) }
-func (h expiry) Less(i, j int) bool { return h[i].until < h[j].until }
-func (h expiry) Swap(i, j int) {
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
+func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *expiry) Push(x any) {
+func (h *expiryHeap) Push(x any) {
 	e := x.(*entry)
-	e.at = len(*h)
+	e.heapIndex = len(*h)
 	*h = append(*h, e)
 }
-func (h *expiry) Pop() any {
+func (h *expiryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -62,100 +64,138 @@
 	return e
 }
 
-func (w *waiting) add(k *class, a balancer.Arrival, until time.Duration) {
-	l := k.tenants[a.Tenant]
-	if l == nil {
-		l = &line{tenant: a.Tenant}
-		k.tenants[a.Tenant] = l
-		k.ring = append(k.ring, l)
+// add queues a request.
+func (q *requestQueue) add(k *class, a balancer.Arrival, expiresAt time.Duration) {
+	t := k.tenants[a.Tenant]
+	if t == nil {
+		t = &tenantQueue{tenant: a.Tenant}
+		k.tenants[a.Tenant] = t
+		k.turns = append(k.turns, t)
+	}
+	e := q.newEntry()
+	*e = entry{seq: a.Seq, class: k, tenant: t, expiresAt: expiresAt, size: a.Size}
+	t.push(e)
+	k.queued++
+	k.queuedBytes += a.Size
+	q.count++
+	q.bytes += a.Size
+	if q.bySeq == nil {
+		q.bySeq = map[uint64]*entry{}
+	}
+	q.bySeq[a.Seq] = e
+	heap.Push(&q.expiry, e)
+}
+
+// remove takes a request out. The caller may still read the entry and then frees it.
+func (q *requestQueue) remove(e *entry) {
+	t, k := e.tenant, e.class
+	t.unlink(e)
+	if t.count == 0 {
+		k.removeTenant(t)
+	}
+	k.queued--
+	if k.queued == 0 {
+		k.credit = 0
 	}
-	e := w.spare
+	k.queuedBytes -= e.size
+	q.count--
+	q.bytes -= e.size
+	delete(q.bySeq, e.seq)
+	heap.Remove(&q.expiry, e.heapIndex)
+}
+
+func (q *requestQueue) newEntry() *entry {
+	e := q.spare
 	if e == nil {
-		e = &entry{}
+		return &entry{}
 	}
-	w.spare = e.next
-	*e = entry{seq: a.Seq, class: k, line: l, until: until, prev: l.last, size: a.Size}
-	if l.last != nil {
-		l.last.next = e
-	} else {
-		l.first = e
+	q.spare = e.next
+	return e
+}
+
+// free gives an entry back for reuse.
+func (q *requestQueue) free(e *entry) {
+	*e = entry{next: q.spare}
+	q.spare = e
+}
+
+// expired returns a request whose wait is over, or nil.
+func (q *requestQueue) expired(now time.Duration) *entry {
+	if len(q.expiry) > 0 && q.expiry[0].expiresAt <= now {
+		return q.expiry[0]
 	}
-	l.last = e
-	l.n++
-	k.waiting++
-	k.bytes += a.Size
-	w.n++
-	w.bytes += a.Size
-	if w.bySeq == nil {
-		w.bySeq = map[uint64]*entry{}
+	return nil
+}
+
+// nextDropped returns a dropped request that is yet to be rejected.
+func (q *requestQueue) nextDropped() (d droppedRequest, ok bool) {
+	n := len(q.dropped)
+	if n == 0 {
+		return droppedRequest{}, false
+	}
+	d = q.dropped[n-1]
+	q.dropped = q.dropped[:n-1]
+	return d, true
+}
+
+func (t *tenantQueue) push(e *entry) {
+	e.prev = t.last
+	if t.last != nil {
+		t.last.next = e
+	} else {
+		t.first = e
 	}
-	w.bySeq[a.Seq] = e
-	heap.Push(&w.until, e)
+	t.last = e
+	t.count++
 }
 
-// remove takes a request out; free ends it.
-func (w *waiting) remove(e *entry) {
-	l, k := e.line, e.class
+func (t *tenantQueue) unlink(e *entry) {
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
-		l.first = e.next
+		t.first = e.next
 	}
 	if e.next != nil {
 		e.next.prev = e.prev
 	} else {
-		l.last = e.prev
-	}
-	if l.n--; l.n == 0 {
-		delete(k.tenants, l.tenant)
-		for i, x := range k.ring {
-			if x == l {
-				k.ring = append(k.ring[:i], k.ring[i+1:]...)
-				break
-			}
-		}
+		t.last = e.prev
 	}
-	if k.waiting--; k.waiting == 0 {
-		k.credit = 0
-	}
-	k.bytes -= e.size
-	w.n--
-	w.bytes -= e.size
-	delete(w.bySeq, e.seq)
-	heap.Remove(&w.until, e.at)
+	t.count--
 }
 
-func (w *waiting) free(e *entry) {
-	*e = entry{next: w.spare}
-	w.spare = e
+func (k *class) removeTenant(t *tenantQueue) {
+	delete(k.tenants, t.tenant)
+	if i := slices.Index(k.turns, t); i >= 0 {
+		k.turns = slices.Delete(k.turns, i, i+1)
+	}
 }
 
-// overdue is a request whose wait is over.
-func (w *waiting) overdue(now time.Duration) *entry {
-	if len(w.until) > 0 && w.until[0].until <= now {
-		return w.until[0]
+// queuedOf is how many requests of a tenant are queued.
+func (k *class) queuedOf(tenant string) int {
+	if t := k.tenants[tenant]; t != nil {
+		return t.count
 	}
-	return nil
+	return 0
 }
 
-// next is the request of a class that starts next: the tenants take turns, each with its oldest, or with its newest where
-// requests wait for so long that the oldest come late.
+// next returns the request of a class that starts next and moves its tenant to the end of the turns. It is the tenant's oldest,
+// or its newest, which is right where requests wait for so long that the oldest are late.
 func (k *class) next(newest bool) *entry {
-	l := k.ring[0]
-	k.ring = append(k.ring[1:], l)
+	t := k.turns[0]
+	k.turns = append(k.turns[1:], t)
 	if newest {
-		return l.last
+		return t.last
 	}
-	return l.first
+	return t.first
 }
 
-// longestQueue is the tenant with the most that wait.
-func (k *class) longestQueue() *line {
-	most := k.ring[0]
-	for _, l := range k.ring[1:] {
-		if l.n > most.n {
-			most = l
+// longestQueue is the tenant with the most queued requests.
+func (k *class) longestQueue() *tenantQueue {
+	longest := k.turns[0]
+	for _, t := range k.turns[1:] {
+		if t.count > longest.count {
+			longest = t
 		}
 	}
-	return most
+	return longest
 }
