--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,183 +7,270 @@
 	"time"
 )
 
-// playRandomEvents plays random events against one Balancer and returns the first violation of its invariants, if any.
-func playRandomEvents(t *testing.T, seed uint64, steps int, change func(*Balancer)) (broken string) {
-	rng := rand.New(rand.NewPCG(seed, 1))
+// randomPlay plays random events against one Balancer and checks its invariants.
+type randomPlay struct {
+	rng      *rand.Rand
+	settings Settings
+	list     []Server
+	balancer *Balancer
+	host     *recorder
+	now      time.Duration
+
+	requests  map[string]*sentRequest
+	ids       []string // of requests, in the order of their arrival
+	drainedAt map[string]time.Duration
+	warming   map[string]bool // servers that have restarted during the play
+
+	sends        int
+	warmingSends int
+	violation    string // the first one
+}
+
+type sentRequest struct {
+	class      Class
+	deadline   time.Duration
+	attempts   []sentAttempt
+	final      bool
+	clientGone bool
+}
+
+type sentAttempt struct {
+	server      Server
+	sent        time.Duration
+	inFlight    bool
+	notExecuted bool
+	expire      time.Duration
+}
+
+// playRandomEvents returns the first violation of the invariants, if any.
+func playRandomEvents(t *testing.T, seed uint64, steps int, change func(*Balancer)) (violation string) {
+	t.Helper()
 	set := settings()
 	set.ParallelAttempts, set.Polled, set.MaxPollInterval = seed%2 == 0, seed%3 == 0, 10*time.Second
-	list := twoZones(12)
-	b, h := start(t, set, list)
+	p := &randomPlay{
+		rng:       rand.New(rand.NewPCG(seed, 1)),
+		settings:  set,
+		list:      twoZones(12),
+		requests:  map[string]*sentRequest{},
+		drainedAt: map[string]time.Duration{},
+		warming:   map[string]bool{},
+	}
+	p.balancer, p.host = start(t, set, p.list)
 	if change != nil {
-		change(b)
-	}
-	type sentAttempt struct {
-		server      string
-		sent        time.Duration
-		out, proved bool
-		expire      time.Duration
-	}
-	type sentRequest struct {
-		class      Class
-		deadline   time.Duration
-		attempts   []sentAttempt
-		final      bool
-		clientGone bool
-	}
-	requests, ids, drainedAt := map[string]*sentRequest{}, []string{}, map[string]time.Duration{}
-	zone, cell := map[string]string{}, map[string]int{}
-	for _, s := range list {
-		zone[s.ID], cell[s.ID] = s.Zone, s.Cell
-	}
-	warming, warmingSends, sends := map[string]bool{}, 0, 0
-	violation := func(f string, a ...any) {
-		if broken == "" {
-			broken = fmt.Sprintf(f, a...)
+		change(p.balancer)
+	}
+	for n := range steps {
+		p.now += time.Duration(p.rng.IntN(10)) * ms
+		p.host.now = p.now
+		p.fireTimers(uint64(n) + 1)
+		p.expireAttempts()
+		p.randomEvent(n)
+		p.checkActions()
+	}
+	if p.violation == "" && p.sends > 0 && float64(p.warmingSends) > 0.6*float64(p.sends) {
+		p.violated("%d of %d sends went to servers that are warming up", p.warmingSends, p.sends)
+	}
+	p.endAll()
+	return p.violation
+}
+
+func (p *randomPlay) violated(format string, args ...any) {
+	if p.violation == "" {
+		p.violation = fmt.Sprintf(format, args...)
+	}
+}
+
+// fireTimers calls the timers that are due in the order of their tokens, as the order of a map would not be reproducible.
+func (p *randomPlay) fireTimers(lastToken uint64) {
+	for token := uint64(0); token <= lastToken; token++ {
+		if at, ok := p.host.timers[token]; ok && at <= p.now {
+			delete(p.host.timers, token)
+			p.balancer.Timer(p.now, token)
+			p.checkActions()
 		}
 	}
-	now := time.Duration(0)
-	drain := func() {
-		for _, a := range h.take() {
-			q := requests[a.id]
-			switch a.what {
-			case "send":
-				if q.final {
-					violation("%s sent after its final answer", a.id)
-				}
-				if at, ok := drainedAt[a.server]; ok && now > at+set.DrainGrace {
-					violation("%s sent to draining %s", a.id, a.server)
-				}
-				sends++
-				if warming[a.server] {
-					warmingSends++
-				}
-				var first *sentAttempt
-				for i := range q.attempts {
-					p := &q.attempts[i]
-					if p.out && !set.ParallelAttempts {
-						violation("%s has two attempts out", a.id)
-					}
-					if !p.proved && first == nil {
-						first = p
-					}
-				}
-				if first != nil && (q.class.Effect == NonIdempotent || q.class.Effect == IdempotentWithKey &&
-					(now-first.sent >= q.class.Window || zone[first.server] != zone[a.server] || cell[first.server] != cell[a.server])) {
-					violation("%s (%s) sent again", a.id, q.class.Name)
-				}
-				q.attempts = append(q.attempts, sentAttempt{server: a.server, sent: now, out: true, expire: a.at})
-			case "reject":
-				for _, p := range q.attempts {
-					if !p.proved && q.class.Effect != Idempotent {
-						violation("%s (%s) rejected though it may have been executed", a.id, q.class.Name)
-					}
-				}
-				q.final = true
-			case "fail":
-				q.final = true
-			case "cancel":
-				if !q.attempts[a.n].out {
-					violation("%s: attempt %d cancelled after its end", a.id, a.n)
-				}
+}
+
+// expireAttempts ends the attempts that time out.
+func (p *randomPlay) expireAttempts() {
+	for _, id := range p.ids {
+		r := p.requests[id]
+		for i := range r.attempts {
+			a := &r.attempts[i]
+			if a.inFlight && (p.now >= r.deadline || a.expire > 0 && p.now >= a.expire) {
+				a.inFlight = false
+				p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: i, Result: TimedOut, Latency: p.now - a.sent, Final: r.final || r.clientGone})
+				p.checkActions()
 			}
 		}
+		if !r.final && !r.clientGone && p.now > r.deadline+300*ms {
+			p.violated("%s got no final answer", id)
+		}
+	}
+}
+
+func (p *randomPlay) randomEvent(n int) {
+	switch k := p.rng.IntN(20); {
+	case k < 8:
+		p.arrive(fmt.Sprint("r", n))
+	case k < 16 && len(p.ids) > 0:
+		p.endAttempt(p.recentID())
+	case k == 16 && len(p.ids) > 0:
+		id := p.recentID()
+		if r := p.requests[id]; !r.final && !r.clientGone {
+			r.clientGone, r.final = true, true
+		}
+		p.balancer.ClientGone(p.now, id)
+	case k == 17:
+		p.updateServer(p.list[p.rng.IntN(len(p.list))])
+	case k == 18 && p.rng.IntN(5) == 0:
+		p.balancer.UpdateEndpoints(p.now, EndpointUpdate{Kind: UpdateFailed})
 	}
+}
+
+// recentID is one of the last 40 requests.
+func (p *randomPlay) recentID() string {
+	return p.ids[len(p.ids)-1-p.rng.IntN(min(len(p.ids), 40))]
+}
+
+func (p *randomPlay) arrive(id string) {
+	c := p.settings.Classes[p.rng.IntN(3)]
+	left := c.Deadline * time.Duration(3+p.rng.IntN(8)) / 10
+	p.requests[id] = &sentRequest{class: c, deadline: p.now + left}
+	p.ids = append(p.ids, id)
+	p.balancer.Request(p.now, Request{ID: id, Class: c.Name, TimeLeft: left})
+}
+
+// endAttempt ends the first attempt in flight of a request.
+func (p *randomPlay) endAttempt(id string) {
 	results := []Result{Served, Served, Served, Served, ServerError, Rejected, NotConnected, ConnectionLost, Cancelled}
-	for n := range steps {
-		now += time.Duration(rng.IntN(10)) * ms
-		h.now = now
-		for token := uint64(0); token <= uint64(n)+1; token++ { // in order: no map order in a test either
-			if at, ok := h.timers[token]; ok && at <= now {
-				delete(h.timers, token)
-				b.Timer(now, token)
-				drain()
-			}
+	r := p.requests[id]
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.inFlight {
+			continue
 		}
-		for _, id := range ids { // attempts that time out
-			q := requests[id]
-			for i := range q.attempts {
-				p := &q.attempts[i]
-				if p.out && (now >= q.deadline || p.expire > 0 && now >= p.expire) {
-					p.out = false
-					b.Outcome(now, Outcome{ID: id, Attempt: i, Result: TimedOut, Latency: now - p.sent, Final: q.final || q.clientGone})
-					drain()
-				}
-			}
-			if !q.final && !q.clientGone && now > q.deadline+300*ms {
-				violation("%s got no final answer", id)
-			}
+		result := results[p.rng.IntN(len(results))]
+		a.inFlight = false
+		a.notExecuted = result == Rejected || result == NotConnected
+		r.final = r.final || result == Served
+		p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: i, Result: result, Latency: p.now - a.sent, Final: r.final || r.clientGone})
+		return
+	}
+}
+
+// updateServer drains or restarts a server.
+func (p *randomPlay) updateServer(s Server) {
+	s.State = State(p.rng.IntN(2))
+	if _, ok := p.drainedAt[s.ID]; !ok {
+		p.drainedAt[s.ID] = p.now
+	}
+	if s.State == Running {
+		delete(p.drainedAt, s.ID)
+		if p.warming[s.ID] = p.rng.IntN(2) == 0; p.warming[s.ID] {
+			s.Since = p.now
 		}
-		switch k := rng.IntN(20); {
-		case k < 8:
-			id := fmt.Sprint("r", n)
-			c := set.Classes[rng.IntN(3)]
-			left := c.Deadline * time.Duration(3+rng.IntN(8)) / 10
-			requests[id] = &sentRequest{class: c, deadline: now + left}
-			ids = append(ids, id)
-			b.Request(now, Request{ID: id, Class: c.Name, TimeLeft: left})
-		case k < 16 && len(ids) > 0:
-			id := ids[len(ids)-1-rng.IntN(min(len(ids), 40))]
-			q := requests[id]
-			for i := range q.attempts {
-				if p := &q.attempts[i]; p.out {
-					res := results[rng.IntN(len(results))]
-					p.out, p.proved = false, res == Rejected || res == NotConnected
-					q.final = q.final || res == Served
-					b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Latency: now - p.sent, Final: q.final || q.clientGone})
-					break
+	}
+	p.balancer.UpdateEndpoints(p.now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{s}})
+}
+
+// checkActions checks what the Balancer has done since the last call.
+func (p *randomPlay) checkActions() {
+	for _, a := range p.host.take() {
+		r := p.requests[a.id]
+		switch a.what {
+		case "send":
+			p.checkSend(r, a)
+		case "reject":
+			for _, attempt := range r.attempts {
+				if !attempt.notExecuted && r.class.Effect != Idempotent {
+					p.violated("%s (%s) rejected though it may have been executed", a.id, r.class.Name)
 				}
 			}
-		case k == 16 && len(ids) > 0:
-			id := ids[len(ids)-1-rng.IntN(min(len(ids), 40))]
-			if q := requests[id]; !q.final && !q.clientGone {
-				q.clientGone, q.final = true, true
+			r.final = true
+		case "fail":
+			r.final = true
+		case "cancel":
+			if !r.attempts[a.n].inFlight {
+				p.violated("%s: attempt %d cancelled after its end", a.id, a.n)
 			}
-			b.ClientGone(now, id)
-		case k == 17:
-			s := list[rng.IntN(len(list))]
-			s.State = State(rng.IntN(2))
-			if _, ok := drainedAt[s.ID]; !ok {
-				drainedAt[s.ID] = now
-			}
-			if s.State == Running {
-				delete(drainedAt, s.ID)
-				if warming[s.ID] = rng.IntN(2) == 0; warming[s.ID] {
-					s.Since = now
-				}
-			}
-			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{s}})
-		case k == 18 && rng.IntN(5) == 0:
-			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed})
 		}
-		drain()
-	}
-	if broken == "" && sends > 0 && float64(warmingSends) > 0.6*float64(sends) {
-		violation("%d of %d sends went to servers that are warming up", warmingSends, sends)
-	}
-	// Let everything end: each counter must come back to zero.
-	now += time.Minute
-	for _, id := range ids {
-		q := requests[id]
-		for i := range q.attempts {
-			if q.attempts[i].out {
-				q.attempts[i].out = false
-				b.Outcome(now, Outcome{ID: id, Attempt: i, Result: TimedOut, Latency: time.Second, Final: q.final})
-				drain()
+	}
+}
+
+func (p *randomPlay) checkSend(r *sentRequest, a action) {
+	if r.final {
+		p.violated("%s sent after its final answer", a.id)
+	}
+	if at, ok := p.drainedAt[a.server]; ok && p.now > at+p.settings.DrainGrace {
+		p.violated("%s sent to draining %s", a.id, a.server)
+	}
+	p.sends++
+	if p.warming[a.server] {
+		p.warmingSends++
+	}
+	to := p.server(a.server)
+	var first *sentAttempt // that may have been executed
+	for i := range r.attempts {
+		attempt := &r.attempts[i]
+		if attempt.inFlight && !p.settings.ParallelAttempts {
+			p.violated("%s has two attempts in flight", a.id)
+		}
+		if !attempt.notExecuted && first == nil {
+			first = attempt
+		}
+	}
+	if first != nil && !p.mayRepeat(r.class, first, to) {
+		p.violated("%s (%s) sent again", a.id, r.class.Name)
+	}
+	r.attempts = append(r.attempts, sentAttempt{server: to, sent: p.now, inFlight: true, expire: a.at})
+}
+
+// mayRepeat is the rule for the classes of these settings: an idempotency key holds within a cell.
+func (p *randomPlay) mayRepeat(c Class, first *sentAttempt, to Server) bool {
+	switch c.Effect {
+	case NonIdempotent:
+		return false
+	case IdempotentWithKey:
+		return p.now-first.sent < c.Window && first.server.Zone == to.Zone && first.server.Cell == to.Cell
+	default:
+		return true
+	}
+}
+
+func (p *randomPlay) server(id string) Server {
+	for _, s := range p.list {
+		if s.ID == id {
+			return s
+		}
+	}
+	return Server{}
+}
+
+// endAll ends all attempts, after which no server may have any in flight.
+func (p *randomPlay) endAll() {
+	p.now += time.Minute
+	for _, id := range p.ids {
+		r := p.requests[id]
+		for i := range r.attempts {
+			if r.attempts[i].inFlight {
+				r.attempts[i].inFlight = false
+				p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: i, Result: TimedOut, Latency: time.Second, Final: r.final})
+				p.checkActions()
 			}
 		}
 	}
-	for _, s := range b.endpoints.ordered {
+	for _, s := range p.balancer.endpoints.ordered {
 		if s.inFlight != 0 {
-			violation("%s is left with %d in flight", s.ID, s.inFlight)
+			p.violated("%s is left with %d in flight", s.ID, s.inFlight)
 		}
 	}
-	return broken
 }
 
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
-		if broken := playRandomEvents(t, seed, 1500, nil); broken != "" {
-			t.Errorf("seed %d: %s", seed, broken)
+		if violation := playRandomEvents(t, seed, 1500, nil); violation != "" {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
