--- a/balancer/fairness_test.go
+++ b/balancer/fairness_test.go
@@ -8,121 +8,158 @@
 	"time"
 )
 
+// fairnessDay is a day whose middle third brings more than the servers can do.
+type fairnessDay struct {
+	name string
+	peak map[string]float64 // load of the middle third, by class, in parts of what the servers can do
+	over string             // the tenant that the peak comes from; empty: all by their quotas
+}
+
+const (
+	fairnessServers = 6
+	fairnessWorkers = 3 // of each server
+	// fairnessCapacity is in seconds of work a second.
+	fairnessCapacity = float64(fairnessServers * fairnessWorkers)
+)
+
+// fairnessCalm is the load of the first and the last third, by class, in parts of what the servers can do.
+var fairnessCalm = map[string]float64{"map": 0.35, "hold": 0.25, "pay": 0.1}
+
 // The minimum shares on a day whose middle third brings more than the servers can do. Of all value at least half of what a policy
 // serves that gives the servers' time to the most valuable work; half of that for each class of which this policy serves 0.3
 // or more; a fifth for each third of the day and each class in it, and a third for each tenant within its quota.
 func TestOverloadMinimumShares(t *testing.T) {
-	const servers, places = 6, 3
-	shares := map[string]float64{"a": 0.5, "b": 0.3, "c": 0.2}
-	for _, c := range []struct {
-		name string
-		peak map[string]float64 // load of the middle third, by class, in parts of what the servers can do
-		over string             // the tenant that the peak comes from; empty: all by their shares
-	}{
+	for _, day := range []fairnessDay{
 		{"a peak of all classes", map[string]float64{"map": 0.9, "hold": 0.5, "pay": 0.2}, ""},
 		{"a peak of the least valuable class", map[string]float64{"map": 2.5, "hold": 0.25, "pay": 0.1}, ""},
 		{"a peak of the most valuable class", map[string]float64{"map": 0.3, "hold": 0.3, "pay": 0.9}, ""},
 		{"a tenant over its quota", map[string]float64{"map": 1.2, "hold": 0.5, "pay": 0.2}, "c"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := &fairnessFleet{rng: rand.New(rand.NewPCG(5, 7)), set: settings(), third: 12 * time.Second, servers: map[string]*fairnessServer{},
-				open: map[string]*fairnessRequest{}, arrived: map[string][3]float64{}, served: map[string][3]float64{},
-				work: map[string]time.Duration{"map": 20 * ms, "hold": 30 * ms, "pay": 40 * ms}}
-			f.set.Classes = []Class{
-				{Name: "map", LatencyObjective: 200 * ms, Deadline: 800 * ms, Effect: Idempotent, PriorityWeight: 1, LatePriorityWeight: 0.5},
-				{Name: "hold", LatencyObjective: 200 * ms, Deadline: time.Second, Effect: IdempotentWithKey, Group: GroupCell, Window: 400 * ms, PriorityWeight: 4, LatePriorityWeight: 0.5},
-				{Name: "pay", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent, PriorityWeight: 8, LatePriorityWeight: 0.5}}
-			calm := map[string]float64{"map": 0.35, "hold": 0.25, "pay": 0.1}
-			capacity := float64(servers * places) // seconds of work a second
-			value := 0.0                          // a second, of a calm third
-			for _, k := range f.set.Classes {
-				value += calm[k.Name] * capacity / f.work[k.Name].Seconds()
-			}
-			for name, share := range shares {
-				f.set.Tenants = append(f.set.Tenants, Tenant{Name: name, Quota: share, Rate: share * value * 1.2})
-			}
-			slices.SortFunc(f.set.Tenants, func(x, y Tenant) int { return int(x.Name[0]) - int(y.Name[0]) })
-			f.set.OverQuotaWeight, f.set.Proxies = 0.2, 4
-			var list []Server
-			for i := range servers {
-				s := Server{ID: fmt.Sprint("s", i), Zone: []string{"za", "zb"}[i%2], Cell: i % 4, Weight: 1}
-				list, f.servers[s.ID] = append(list, s), &fairnessServer{free: places}
-			}
-			for i := range f.set.Proxies {
-				p := &fairnessProxy{recorder: &recorder{}, f: f}
-				set := f.set
-				set.Index = i
-				var err error
-				if p.bal, err = New(set, uint64(i), p); err != nil {
-					t.Fatal(err)
-				}
-				p.bal.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: list})
-				f.proxies = append(f.proxies, p)
-			}
-			for _, k := range f.set.Classes {
-				full := capacity / f.work[k.Name].Seconds() // of this class alone, a second
-				for _, tenant := range f.set.Tenants {
-					f.generate(k, tenant.Name, func(third int) float64 {
-						own := tenant.Quota * calm[k.Name]
-						switch {
-						case third != 1:
-						case c.over == "":
-							own = tenant.Quota * c.peak[k.Name]
-						case c.over == tenant.Name:
-							own += c.peak[k.Name] - calm[k.Name]
-						}
-						return own * full
-					})
-				}
-			}
+		t.Run(day.name, func(t *testing.T) {
+			f := newFairnessFleet()
+			f.start(t)
+			f.generateDay(day)
 			f.run(3*f.third + 3*time.Second)
+			f.checkShares(t, day)
+		})
+	}
+}
 
-			// What could be served: each third's work goes to the most valuable requests for it.
-			servable := map[string][3]float64{}
-			byValue := slices.Clone(f.set.Classes)
-			slices.SortFunc(byValue, func(x, y Class) int {
-				return int(y.PriorityWeight/f.work[y.Name].Seconds() - x.PriorityWeight/f.work[x.Name].Seconds())
-			})
-			for third := range 3 {
-				left := capacity * f.third.Seconds()
-				for _, k := range byValue {
-					offered := f.arrived[k.Name][third]
-					part := min(offered, left*k.PriorityWeight/f.work[k.Name].Seconds())
-					left -= part / k.PriorityWeight * f.work[k.Name].Seconds()
-					for _, name := range []string{"", k.Name} {
-						v := servable[name]
-						v[third] += part
-						servable[name] = v
-					}
-				}
-			}
-			sum := func(v [3]float64) float64 { return v[0] + v[1] + v[2] }
-			requireShare := func(what string, got, most, floor float64) {
-				t.Helper()
-				if t.Logf("%-16s %7.0f of %7.0f, %.2f", what, got, most, got/most); got < floor*most {
-					t.Errorf("%s: %.0f of %.0f is under %.2f", what, got, most, floor)
-				}
-			}
-			requireShare("all", sum(f.served[""]), sum(servable[""]), 0.5)
-			for third := range 3 {
-				requireShare(fmt.Sprint("third ", third+1), f.served[""][third], servable[""][third], 0.2)
-			}
-			for _, k := range f.set.Classes {
-				if sum(servable[k.Name]) >= 0.3*sum(f.arrived[k.Name]) {
-					requireShare(k.Name, sum(f.served[k.Name]), sum(servable[k.Name]), 0.5)
-				}
-				for third := range 3 {
-					if servable[k.Name][third] >= 0.3*f.arrived[k.Name][third] {
-						requireShare(fmt.Sprint(k.Name, ", third ", third+1), f.served[k.Name][third], servable[k.Name][third], 0.2)
-					}
+func newFairnessFleet() *fairnessFleet {
+	f := &fairnessFleet{rng: rand.New(rand.NewPCG(5, 7)), set: settings(), third: 12 * time.Second, servers: map[string]*fairnessServer{},
+		open: map[string]*fairnessRequest{}, arrived: map[string][3]float64{}, served: map[string][3]float64{},
+		work: map[string]time.Duration{"map": 20 * ms, "hold": 30 * ms, "pay": 40 * ms}}
+	f.set.Classes = []Class{
+		{Name: "map", LatencyObjective: 200 * ms, Deadline: 800 * ms, Effect: Idempotent, PriorityWeight: 1, LatePriorityWeight: 0.5},
+		{Name: "hold", LatencyObjective: 200 * ms, Deadline: time.Second, Effect: IdempotentWithKey, Group: GroupCell, Window: 400 * ms, PriorityWeight: 4, LatePriorityWeight: 0.5},
+		{Name: "pay", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Effect: NonIdempotent, PriorityWeight: 8, LatePriorityWeight: 0.5}}
+	value := 0.0 // a second, of a calm third
+	for _, k := range f.set.Classes {
+		value += fairnessCalm[k.Name] * fairnessCapacity / f.work[k.Name].Seconds()
+	}
+	for name, share := range map[string]float64{"a": 0.5, "b": 0.3, "c": 0.2} {
+		f.set.Tenants = append(f.set.Tenants, Tenant{Name: name, Quota: share, Rate: share * value * 1.2})
+	}
+	slices.SortFunc(f.set.Tenants, func(x, y Tenant) int { return int(x.Name[0]) - int(y.Name[0]) })
+	f.set.OverQuotaWeight, f.set.Proxies = 0.2, 4
+	return f
+}
+
+// start makes the servers and the proxies.
+func (f *fairnessFleet) start(t *testing.T) {
+	t.Helper()
+	var list []Server
+	for i := range fairnessServers {
+		s := Server{ID: fmt.Sprint("s", i), Zone: []string{"za", "zb"}[i%2], Cell: i % 4, Weight: 1}
+		list = append(list, s)
+		f.servers[s.ID] = &fairnessServer{free: fairnessWorkers}
+	}
+	for i := range f.set.Proxies {
+		p := &fairnessProxy{recorder: &recorder{}, f: f}
+		set := f.set
+		set.Index = i
+		var err error
+		if p.bal, err = New(set, uint64(i), p); err != nil {
+			t.Fatal(err)
+		}
+		p.bal.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: list})
+		f.proxies = append(f.proxies, p)
+	}
+}
+
+// generateDay has the requests of a day arrive.
+func (f *fairnessFleet) generateDay(day fairnessDay) {
+	for _, k := range f.set.Classes {
+		full := fairnessCapacity / f.work[k.Name].Seconds() // of this class alone, a second
+		for _, tenant := range f.set.Tenants {
+			f.generate(k, tenant.Name, func(third int) float64 {
+				load := tenant.Quota * fairnessCalm[k.Name]
+				switch {
+				case third != 1:
+				case day.over == "":
+					load = tenant.Quota * day.peak[k.Name]
+				case day.over == tenant.Name:
+					load += day.peak[k.Name] - fairnessCalm[k.Name]
 				}
+				return load * full
+			})
+		}
+	}
+}
+
+// servable is the value that could be served: the servers' time of each third goes to the most valuable requests for it.
+func (f *fairnessFleet) servable() map[string][3]float64 {
+	servable := map[string][3]float64{}
+	byValue := slices.Clone(f.set.Classes)
+	slices.SortFunc(byValue, func(x, y Class) int {
+		return int(y.PriorityWeight/f.work[y.Name].Seconds() - x.PriorityWeight/f.work[x.Name].Seconds())
+	})
+	for third := range 3 {
+		left := fairnessCapacity * f.third.Seconds()
+		for _, k := range byValue {
+			offered := f.arrived[k.Name][third]
+			part := min(offered, left*k.PriorityWeight/f.work[k.Name].Seconds())
+			left -= part / k.PriorityWeight * f.work[k.Name].Seconds()
+			for _, name := range []string{"", k.Name} {
+				v := servable[name]
+				v[third] += part
+				servable[name] = v
 			}
-			for _, tenant := range f.set.Tenants {
-				if tenant.Name != c.over {
-					requireShare("tenant "+tenant.Name, sum(f.served[tenant.Name]), tenant.Quota*sum(servable[""]), 1.0/3)
-				}
+		}
+	}
+	return servable
+}
+
+func (f *fairnessFleet) checkShares(t *testing.T, day fairnessDay) {
+	t.Helper()
+	servable := f.servable()
+	sum := func(v [3]float64) float64 { return v[0] + v[1] + v[2] }
+	requireShare(t, "all", sum(f.served[""]), sum(servable[""]), 0.5)
+	for third := range 3 {
+		requireShare(t, fmt.Sprint("third ", third+1), f.served[""][third], servable[""][third], 0.2)
+	}
+	for _, k := range f.set.Classes {
+		if sum(servable[k.Name]) >= 0.3*sum(f.arrived[k.Name]) {
+			requireShare(t, k.Name, sum(f.served[k.Name]), sum(servable[k.Name]), 0.5)
+		}
+		for third := range 3 {
+			if servable[k.Name][third] >= 0.3*f.arrived[k.Name][third] {
+				requireShare(t, fmt.Sprint(k.Name, ", third ", third+1), f.served[k.Name][third], servable[k.Name][third], 0.2)
 			}
-		})
+		}
+	}
+	for _, tenant := range f.set.Tenants {
+		if tenant.Name != day.over {
+			requireShare(t, "tenant "+tenant.Name, sum(f.served[tenant.Name]), tenant.Quota*sum(servable[""]), 1.0/3)
+		}
+	}
+}
+
+func requireShare(t *testing.T, what string, got, servable, minShare float64) {
+	t.Helper()
+	t.Logf("%-16s %7.0f of %7.0f, %.2f", what, got, servable, got/servable)
+	if got < minShare*servable {
+		t.Errorf("%s: %.0f of %.0f is under %.2f", what, got, servable, minShare)
 	}
 }
 
