--- a/internal/locality/invariants_test.go
+++ b/internal/locality/invariants_test.go
@@ -45,100 +45,146 @@
 	}
 }
 
+// randomPlay plays random events against one Picker and checks its invariants.
+type randomPlay struct {
+	t          *rapid.T
+	picker     *Picker
+	now        time.Duration
+	open       []openAttempt
+	lastRises  map[balancer.Locality]rise
+	darkSends  map[balancer.Locality][]time.Duration
+	localities []balancer.Locality
+}
+
+type openAttempt struct {
+	at      balancer.Locality
+	request balancer.LocalityRequest
+}
+
+// rise is when a locality came to a state factor.
+type rise struct {
+	at     time.Duration
+	factor float64
+}
+
 // Under any sequence of observations: shares add up to 1 at most, a locality's share at most doubles with each step, and a dark
 // locality gets probes alone.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := options()
-		picker, err := New(o, rapid.Uint64().Draw(t, "seed"))
+		picker, err := New(options(), rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		type out struct {
-			at  balancer.Locality
-			ask balancer.LocalityRequest
-		}
-		var open []out
-		now := time.Duration(0)
-		localities := []balancer.Locality{own, other, third, {Zone: "b", Priority: 1}}
-		type rise struct {
-			at   time.Duration
-			step float64
-		}
-		last := map[balancer.Locality]rise{}
-		darkSends := map[balancer.Locality][]time.Duration{}
-		step := func() {
-			checkShares(t, picker)
-			for _, l := range picker.localities {
-				f := l.stateFactor(&picker.options)
-				if l.state == Up || l.state == Failing {
-					f = 1
-				}
-				if r, ok := last[l.id]; ok && f > r.step+1e-9 {
-					if f > max(2*r.step, picker.options.FirstShare)+1e-9 {
-						t.Fatalf("%v rises from %v to %v at once", l.id, r.step, f)
-					}
-					if r.step > 0 && now-r.at < picker.options.Step {
-						t.Fatalf("%v rises from %v to %v after %v", l.id, r.step, f, now-r.at)
-					}
-				}
-				if r, ok := last[l.id]; !ok || r.step != f {
-					last[l.id] = rise{now, f}
-				}
-			}
+		p := &randomPlay{
+			t:          t,
+			picker:     picker,
+			lastRises:  map[balancer.Locality]rise{},
+			darkSends:  map[balancer.Locality][]time.Duration{},
+			localities: []balancer.Locality{own, other, third, {Zone: "b", Priority: 1}},
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
-			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * ms
+			p.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				var l []balancer.LocalityHealth
-				for _, x := range localities {
-					known := float64(rapid.IntRange(0, 4).Draw(t, "known"))
-					if known == 0 {
-						continue
-					}
-					running := min(known, float64(rapid.IntRange(0, 4).Draw(t, "running")))
-					l = append(l, ready(x, known, running, min(running, float64(rapid.IntRange(0, 4).Draw(t, "ready")))))
-				}
-				picker.UpdateHealth(now, l)
+				p.updateHealth()
 			case 1, 2, 3, 4:
-				a := balancer.LocalityRequest{Class: rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
-					Purpose: balancer.Purpose(rapid.IntRange(0, 2).Draw(t, "purpose")), TimeLeft: time.Second,
-					Draw: rapid.Float64Range(0, 0.999).Draw(t, "draw"), Previous: rapid.SampledFrom(localities).Draw(t, "from")}
-				if at, ok, wait := picker.Pick(now, a); ok {
-					l := picker.find(at)
-					if l == nil || l.running == 0 {
-						t.Fatalf("%v has no endpoint", at)
-					}
-					if l.state == Dark {
-						if a.Purpose != balancer.FirstAttempt {
-							t.Fatalf("purpose %d goes to %v, which is dark", a.Purpose, at)
-						}
-						darkSends[at] = append(darkSends[at], now)
-						if s := darkSends[at]; len(s) > 1 && s[len(s)-1]-s[len(s)-2] < picker.options.ProbeInterval*3/4 {
-							t.Fatalf("probes of %v at %v and %v", at, s[len(s)-2], s[len(s)-1])
-						}
-					}
-					a.SentAt = now
-					picker.AttemptSent(now, at, a)
-					open = append(open, out{at, a})
-				} else if a.Purpose == balancer.FirstAttempt && (wait <= 0 || wait > picker.options.MaxRetryAfter) {
-					t.Fatalf("Retry-After %v", wait)
-				}
+				p.pick()
 			default:
-				for range min(len(open), rapid.IntRange(1, 8).Draw(t, "ends")) {
-					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
-					x := open[i]
-					open = append(open[:i], open[i+1:]...)
-					picker.AttemptEnded(now, x.at, x.ask, balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result")),
-						time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*ms)
-				}
+				p.endAttempts()
 			}
-			step()
+			checkShares(t, picker)
+			p.checkRises()
 		}
 	})
 }
 
+func (p *randomPlay) updateHealth() {
+	t := p.t
+	var list []balancer.LocalityHealth
+	for _, x := range p.localities {
+		listed := float64(rapid.IntRange(0, 4).Draw(t, "known"))
+		if listed == 0 {
+			continue
+		}
+		running := min(listed, float64(rapid.IntRange(0, 4).Draw(t, "running")))
+		list = append(list, ready(x, listed, running, min(running, float64(rapid.IntRange(0, 4).Draw(t, "ready")))))
+	}
+	p.picker.UpdateHealth(p.now, list)
+}
+
+func (p *randomPlay) pick() {
+	t := p.t
+	request := balancer.LocalityRequest{
+		Class:    rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
+		Purpose:  balancer.Purpose(rapid.IntRange(0, 2).Draw(t, "purpose")),
+		TimeLeft: time.Second,
+		Draw:     rapid.Float64Range(0, 0.999).Draw(t, "draw"),
+		Previous: rapid.SampledFrom(p.localities).Draw(t, "from"),
+	}
+	at, ok, wait := p.picker.Pick(p.now, request)
+	if !ok {
+		if request.Purpose == balancer.FirstAttempt && (wait <= 0 || wait > p.picker.options.MaxRetryAfter) {
+			t.Fatalf("Retry-After %v", wait)
+		}
+		return
+	}
+	l := p.picker.find(at)
+	if l == nil || l.running == 0 {
+		t.Fatalf("%v has no endpoint", at)
+	}
+	if l.state == Dark {
+		p.checkProbe(at, request.Purpose)
+	}
+	request.SentAt = p.now
+	p.picker.AttemptSent(p.now, at, request)
+	p.open = append(p.open, openAttempt{at, request})
+}
+
+func (p *randomPlay) checkProbe(at balancer.Locality, purpose balancer.Purpose) {
+	if purpose != balancer.FirstAttempt {
+		p.t.Fatalf("purpose %d goes to %v, which is dark", purpose, at)
+	}
+	p.darkSends[at] = append(p.darkSends[at], p.now)
+	if s := p.darkSends[at]; len(s) > 1 && s[len(s)-1]-s[len(s)-2] < p.picker.options.ProbeInterval*3/4 {
+		p.t.Fatalf("probes of %v at %v and %v", at, s[len(s)-2], s[len(s)-1])
+	}
+}
+
+func (p *randomPlay) endAttempts() {
+	t := p.t
+	for range min(len(p.open), rapid.IntRange(1, 8).Draw(t, "ends")) {
+		i := rapid.IntRange(0, len(p.open)-1).Draw(t, "which")
+		a := p.open[i]
+		p.open = append(p.open[:i], p.open[i+1:]...)
+		result := balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result"))
+		latency := time.Duration(rapid.IntRange(1, 300).Draw(t, "took")) * ms
+		p.picker.AttemptEnded(p.now, a.at, a.request, result, latency)
+	}
+}
+
+// checkRises checks that no locality gets more than double its former part of the share at once, nor rises again too soon.
+func (p *randomPlay) checkRises() {
+	options := &p.picker.options
+	for _, l := range p.picker.localities {
+		factor := l.stateFactor(options)
+		if l.state == Up || l.state == Failing {
+			factor = 1
+		}
+		last, seen := p.lastRises[l.id]
+		if seen && factor > last.factor+1e-9 {
+			if factor > max(2*last.factor, options.FirstShare)+1e-9 {
+				p.t.Fatalf("%v rises from %v to %v at once", l.id, last.factor, factor)
+			}
+			if last.factor > 0 && p.now-last.at < options.Step {
+				p.t.Fatalf("%v rises from %v to %v after %v", l.id, last.factor, factor, p.now-last.at)
+			}
+		}
+		if !seen || last.factor != factor {
+			p.lastRises[l.id] = rise{p.now, factor}
+		}
+	}
+}
+
 // clone returns a Picker that decides as the given one would.
 func clone(picker *Picker) *Picker {
 	c := *picker
