--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -49,7 +49,7 @@
 			return
 		}
 	}
-	g.t.Fatalf("%d leaves and does not wait", seq)
+	g.t.Fatalf("%d is withdrawn and is not queued", seq)
 }
 
 func (g *randomAdmission) Done(time.Duration, bool) {
@@ -64,92 +64,122 @@
 
 func (g *randomAdmission) RetryStarted(time.Duration, bool) {}
 
+// admissionPlay plays random events against a Balancer with a randomAdmission.
+type admissionPlay struct {
+	t         *rapid.T
+	admission *randomAdmission
+	balancer  *Balancer
+	host      *recorder
+	now       time.Duration
+	arrived   int            // requests
+	final     map[string]int // final answers by request
+	ended     int            // attempts
+}
+
 // Whatever an Admission decides: each request has one final answer, none is sent before it is admitted, and each queued, admitted
 // and ended request is reported once.
 func TestInvariantsWithAnyAdmission(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) {
-		g := &randomAdmission{t: rt}
+	rapid.Check(t, func(t *rapid.T) {
+		p := &admissionPlay{t: t, admission: &randomAdmission{t: t}, host: &recorder{}, final: map[string]int{}}
 		set := settings()
-		set.Admission, set.RetryAfter, set.MaxRetryAfter = g, true, 5*time.Second
-		h := &recorder{}
-		b, err := New(set, 7, h)
-		if err != nil {
-			rt.Fatal(err)
+		set.Admission, set.RetryAfter, set.MaxRetryAfter = p.admission, true, 5*time.Second
+		var err error
+		if p.balancer, err = New(set, 7, p.host); err != nil {
+			t.Fatal(err)
 		}
-		b.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(4)})
-		h.take()
-		final, out := map[string]int{}, map[string]int{}
-		waiting := func(id string) bool { r := b.requests.byID[id]; return r != nil && r.queued }
-		now, n, sends, ends := time.Duration(0), 0, 0, 0
-		checkActions := func() {
-			for _, a := range h.take() {
-				switch a.what {
-				case "send":
-					if final[a.id] > 0 || waiting(a.id) {
-						rt.Fatalf("%s is sent, %d final answers", a.id, final[a.id])
-					}
-					out[a.id]++
-					sends++
-				case "reject", "fail":
-					if final[a.id]++; final[a.id] > 1 {
-						rt.Fatalf("%s has %d final answers", a.id, final[a.id])
-					}
-				}
-			}
+		p.balancer.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(4)})
+		p.host.take()
+		for range rapid.IntRange(1, 150).Draw(t, "events") {
+			p.now += time.Duration(rapid.IntRange(0, 100).Draw(t, "gap")) * ms
+			p.host.now = p.now
+			p.randomEvent()
+			p.checkActions()
+			p.checkCounts()
+		}
+	})
+}
+
+func (p *admissionPlay) randomEvent() {
+	t, b := p.t, p.balancer
+	id := fmt.Sprint(rapid.IntRange(0, p.arrived).Draw(t, "id"))
+	switch rapid.IntRange(0, 6).Draw(t, "event") {
+	case 0, 1:
+		id = fmt.Sprint(p.arrived)
+		p.arrived++
+		b.Request(p.now, Request{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "once"}).Draw(t, "class"), TimeLeft: time.Second})
+	case 2:
+		if b.requests.byID[id] != nil && p.final[id] == 0 {
+			p.final[id]++
+			b.ClientGone(p.now, id)
 		}
-		for range rapid.IntRange(1, 150).Draw(rt, "events") {
-			now += time.Duration(rapid.IntRange(0, 100).Draw(rt, "gap")) * ms
-			h.now = now
-			switch id := fmt.Sprint(rapid.IntRange(0, n).Draw(rt, "id")); rapid.IntRange(0, 6).Draw(rt, "event") {
-			case 0, 1:
-				id = fmt.Sprint(n)
-				n++
-				b.Request(now, Request{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "once"}).Draw(rt, "class"), TimeLeft: time.Second})
-			case 2:
-				if b.requests.byID[id] != nil && final[id] == 0 {
-					final[id]++
-					b.ClientGone(now, id)
-				}
-			case 3:
-				for token, at := range h.timers {
-					if at <= now {
-						delete(h.timers, token)
-						b.Timer(now, token)
-						break
-					}
-				}
-			case 4:
-				b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(rapid.IntRange(0, 4).Draw(rt, "servers"))})
-			default:
-				if r := b.requests.byID[id]; r != nil {
-					for i := range r.attempts {
-						if r.attempts[i].inFlight {
-							res := Result(rapid.IntRange(0, int(NotSent)).Draw(rt, "result"))
-							done := res == Served && final[id] == 0
-							if done {
-								final[id]++
-							}
-							out[id]--
-							ends++
-							b.Outcome(now, Outcome{ID: id, Attempt: i, Result: res, Latency: ms, Final: done || r.finished, RetryAfter: time.Duration(rapid.IntRange(0, 3).Draw(rt, "rest")) * time.Second})
-							break
-						}
-					}
-				}
+	case 3:
+		for token, at := range p.host.timers {
+			if at <= p.now {
+				delete(p.host.timers, token)
+				b.Timer(p.now, token)
+				break
 			}
-			checkActions()
-			started, waits := 0, 0
-			for _, r := range b.requests.byID {
-				if r.admitted {
-					started++
-				}
-				if r.queued {
-					waits++
-				}
+		}
+	case 4:
+		b.UpdateEndpoints(p.now, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(rapid.IntRange(0, 4).Draw(t, "servers"))})
+	default:
+		if r := b.requests.byID[id]; r != nil {
+			p.endAttempt(r)
+		}
+	}
+}
+
+// endAttempt ends the first attempt in flight of a request, with any result.
+func (p *admissionPlay) endAttempt(r *request) {
+	t, id := p.t, r.ID
+	for i := range r.attempts {
+		if !r.attempts[i].inFlight {
+			continue
+		}
+		result := Result(rapid.IntRange(0, int(NotSent)).Draw(t, "result"))
+		done := result == Served && p.final[id] == 0
+		if done {
+			p.final[id]++
+		}
+		p.ended++
+		retryAfter := time.Duration(rapid.IntRange(0, 3).Draw(t, "rest")) * time.Second
+		p.balancer.Outcome(p.now, Outcome{ID: id, Attempt: i, Result: result, Latency: ms, Final: done || r.finished, RetryAfter: retryAfter})
+		return
+	}
+}
+
+// checkActions checks what the Balancer has done since the last call.
+func (p *admissionPlay) checkActions() {
+	for _, a := range p.host.take() {
+		switch a.what {
+		case "send":
+			r := p.balancer.requests.byID[a.id]
+			queued := r != nil && r.queued
+			if p.final[a.id] > 0 || queued {
+				p.t.Fatalf("%s is sent, %d final answers", a.id, p.final[a.id])
 			}
-			if started != g.started || waits != len(g.waits) || g.samples != ends {
-				rt.Fatalf("%d of %d started, %d of %d wait, %d samples of %d ends", g.started, started, len(g.waits), waits, g.samples, ends)
+		case "reject", "fail":
+			p.final[a.id]++
+			if p.final[a.id] > 1 {
+				p.t.Fatalf("%s has %d final answers", a.id, p.final[a.id])
 			}
 		}
-	})
+	}
+}
+
+// checkCounts checks that the Balancer and its Admission agree.
+func (p *admissionPlay) checkCounts() {
+	admitted, queued := 0, 0
+	for _, r := range p.balancer.requests.byID {
+		if r.admitted {
+			admitted++
+		}
+		if r.queued {
+			queued++
+		}
+	}
+	g := p.admission
+	if admitted != g.started || queued != len(g.waits) || g.samples != p.ended {
+		p.t.Fatalf("%d of %d admitted, %d of %d queued, %d samples of %d ends", g.started, admitted, len(g.waits), queued, g.samples, p.ended)
+	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -10,7 +10,7 @@
 
 // update takes the attempts at a server of the subset, over its warmth. Where all servers are warming up, what they got is no
 // baseline: it is low where little was given, and would grow without end where each may have a little more than the others. The
-// last one with a warm server is kept then.
+// last one with a warm server is used then.
 func (w *warmBaseline) update(sends float64, hasWarmServer bool) {
 	w.sends = sends
 	if hasWarmServer {
