--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,9 +1,9 @@
-// Package ratelimit bounds how often each of many keys may ask, in memory that does not grow with their number.
+// Package ratelimit limits the request rate of each of many keys, in memory that does not grow with their number.
 //
-// The limit is GCRA, a token bucket that is kept as one time for each key (ITU-T I.371; the generic cell rate algorithm).
-// Keys stand in a table of sets; one that is back to its full burst leaves nothing behind. Where a set is full of keys that
-// are not, a new key is counted together with all others of its shard that found no room: a flood of new keys limits new
-// keys, and evicts none.
+// The limit is GCRA, a token bucket that is stored as one time for each key (ITU-T I.371; the generic cell rate algorithm).
+// Keys are stored in a table of sets, where a key that is back to its full burst frees its slot. If all slots of a set are in
+// use, a new key is counted together with all others of its shard that found no slot: a flood of new keys limits new keys and
+// evicts none.
 package ratelimit
 
 import (
@@ -18,7 +18,7 @@
 	ways   = 16 // keys of a set
 )
 
-// Table counts for all keys of one limit. Its methods may be called by several goroutines at once; time is an argument.
+// Table is one limit over all its keys. Its methods may be called by several goroutines at once; time is an argument.
 type Table struct {
 	gap       time.Duration // between two requests of a key at its rate
 	tolerance time.Duration // how far ahead of its rate a key may be
@@ -40,15 +40,15 @@
 	full int64
 }
 
-// Decision is what a limit says to a request.
+// Decision is the limit's decision about a request.
 type Decision struct {
 	OK         bool
 	Remaining  int           // requests that are left of the burst
-	Reset      time.Duration // until the burst is whole again
-	RetryAfter time.Duration // until one more is allowed, where it is not OK
+	Reset      time.Duration // until the full burst is available again
+	RetryAfter time.Duration // until one more request is allowed, if OK is false
 }
 
-// New makes a table for a rate in requests a second, a burst in requests, and so many keys that are short of their full
+// New returns a table for a rate in requests a second, a burst in requests, and so many keys that are below their full
 // burst at the same time. It takes 32 bytes for each of them.
 func New(rate float64, burst, keys int) (*Table, error) {
 	switch {
@@ -107,13 +107,13 @@
 	return Decision{OK: true, Remaining: int((t.tolerance - ahead) / t.gap), Reset: ahead + t.gap}
 }
 
-// Burst is the limit's.
+// Burst returns the limit's burst.
 func (t *Table) Burst() int { return t.burst }
 
-// Window is the time in which a whole burst comes back.
+// Window returns the time in which a full burst becomes available.
 func (t *Table) Window() time.Duration { return t.gap * time.Duration(t.burst) }
 
-// SharedCount is how many requests were counted together with others, as there was no room for their keys.
+// SharedCount returns how many requests were counted together with those of other keys, for lack of room.
 func (t *Table) SharedCount() (n uint64) {
 	for i := range t.shards {
 		s := &t.shards[i]
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -97,7 +97,7 @@
 	return into[key], nil
 }
 
-// chain gives the wildcards that match names below suffix, the longest first.
+// chain returns the wildcards that match names below suffix, the longest first.
 func (t *Table) chain(suffix string) []*host {
 	var l []*host
 	for s := suffix; s != ""; {
@@ -290,7 +290,7 @@
 	return nil
 }
 
-// finish sorts what was added and tells which routes can never win.
+// finish sorts the routes of a host and returns an error for each that another one always precedes.
 func (h *host) finish() (errs []error) {
 	tidy := func(l []*compiled) {
 		if len(l) > MaxAlternatives {
@@ -333,7 +333,7 @@
 	return fmt.Sprintf("routes[%d]", c.index)
 }
 
-// covers tells whether c takes whatever d would, where both have the same host and path.
+// covers reports whether c matches every request that d matches, if both have the same host and path.
 func (c *compiled) covers(d *compiled) bool {
 	if len(c.Methods) > 0 && (len(d.Methods) == 0 ||
 		slices.ContainsFunc(d.Methods, func(m string) bool { return !slices.Contains(c.Methods, m) })) {
@@ -350,7 +350,7 @@
 	return all(c.Headers, d.Headers) && all(c.Query, d.Query)
 }
 
-// follows tells whether c holds wherever d does.
+// follows reports whether c holds wherever d does.
 func (c Condition) follows(d Condition) bool {
 	if c == d {
 		return true
--- a/internal/route/find.go
+++ b/internal/route/find.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Find gives the route of a request. random chooses among weighted clusters; any value will do, and an even spread of
-// them is what makes the shares.
+// Find returns the route of a request. random chooses among weighted clusters: any value is valid, and an even spread of
+// values gives each cluster its share.
 func (t *Table) Find(q *Request, random uint64) (Result, bool) {
 	name := q.Host
 	if i := strings.LastIndexByte(name, ':'); i >= 0 && !strings.HasSuffix(name, "]") {
@@ -40,7 +40,7 @@
 	return Result{}, false
 }
 
-// finder holds what a look-up works out only once.
+// finder is the state of one lookup; what it derives from the request it derives once.
 type finder struct {
 	q        *Request
 	random   uint64
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -57,7 +57,7 @@
 	High     bool // the priority HIGH of circuit breakers
 }
 
-// Condition is about one header or query parameter, of which the first value counts.
+// Condition is a condition on the first value of one header or query parameter.
 type Condition struct {
 	Name  string
 	Op    Op
@@ -83,7 +83,7 @@
 	Weight  uint32
 }
 
-// Key says where a request's key stands; at most one field is set.
+// Key says where a request's key is found; at most one field is set.
 type Key struct {
 	Header, Query string
 	Path          string // a parameter of the route's template
@@ -95,7 +95,7 @@
 	Header                       http.Header
 }
 
-// Result is what was found.
+// Result is the outcome of Find.
 type Result struct {
 	Route   *Route
 	Cluster string
@@ -104,7 +104,7 @@
 	Tenant  string // the same
 }
 
-// Error is what is wrong with one route.
+// Error is an error of one route.
 type Error struct {
 	Route  int // its index
 	Field  string
@@ -113,12 +113,12 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("routes[%d].%s: %s", e.Route, e.Field, e.Reason) }
 
-// Options change what a table does.
+// Options configure a Table.
 type Options struct {
 	HostsExclude bool // only the routes of the most specific host that matches are looked at
 }
 
-// Table finds routes. It is safe for several goroutines at once.
+// Table finds routes. It never changes once it is compiled, and may be used by several goroutines at once.
 type Table struct {
 	opt       Options
 	exact     map[string]*host
@@ -151,7 +151,7 @@
 	params []string
 }
 
-// Clusters gives the names of all clusters that a route may take, sorted.
+// Clusters returns the names of all clusters that a route may choose, sorted.
 func (t *Table) Clusters() []string {
 	names := map[string]bool{}
 	for _, r := range t.routes {
@@ -167,5 +167,5 @@
 	return l
 }
 
-// Len is how many routes there are.
+// Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
