--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,6 +1,6 @@
-// Package endpoints turns what a source says of a cluster's endpoints into news for the decision module. Each source
-// (the configuration, a file, xDS) gives whole lists in one form; a View remembers the last one, finds what changed, and
-// says of each endpoint where it comes from and why it gets no requests. It is pure: time is an argument.
+// Package endpoints turns the endpoint lists of a cluster's source into updates for the balancer. Every source (the
+// configuration, a file, xDS) gives complete lists in one form. A View caches the last list, computes the difference, and
+// records for each endpoint why it gets no requests. The package is pure: time is an argument.
 package endpoints
 
 import (
@@ -14,225 +14,277 @@
 	"robindrum/internal/discovery"
 )
 
-// Health is what a source says of an endpoint, in the words of Envoy's HealthStatus.
+// Health is the health that a source gives an endpoint, with the values of Envoy's HealthStatus.
 type Health uint8
 
+// The values of Health. Unknown counts as healthy and Timeout (of a health check) as unhealthy. Degraded endpoints are
+// used only where the priority in use has no healthy one.
 const (
-	Unknown Health = iota // taken as healthy
+	Unknown Health = iota
 	Healthy
-	Degraded // used while no healthy one is there
+	Degraded
 	Draining
 	Unhealthy
-	Timeout // its health check timed out: as unhealthy
+	Timeout
 )
 
+// String returns the name in lower case, as in /status.
 func (h Health) String() string {
 	return [...]string{"unknown", "healthy", "degraded", "draining", "unhealthy", "timeout"}[h]
 }
 
-// Endpoint is one entry of a source's list.
+// Endpoint is one entry of an endpoint list.
 type Endpoint struct {
-	Address  string // host:port; what it is told apart by
+	Address  string // host:port; identifies the endpoint within its cluster
 	Hostname string
 	Zone     string
 	SubZone  string
 	Kind     string
 	Cell     int
-	Weight   float64 // above 0; 1 is usual
-	Priority int     // of several, only those of the lowest that has anyone ready are used
+	Weight   float64 // above 0; 1 is the default
+	Priority int     // 0 is the highest; only the first priority with a usable endpoint gets requests
 	Health   Health
-	// Retained: taken out by an order of the fleet. It gets nothing new, and is taken as started anew when it is back.
-	Retained bool
+	// DrainedByFleet marks an endpoint that a drain request has taken out of service. It gets no new requests, and it
+	// counts as newly added once the request has ended.
+	DrainedByFleet bool
 }
 
-// identity is what makes an endpoint another one though its address stays.
+// identity returns what makes it a different endpoint at an unchanged address.
 func (e *Endpoint) identity() string {
 	return strings.Join([]string{e.Hostname, e.Zone, e.SubZone, e.Kind}, "\x00")
 }
 
-// Update is a source's whole list at one time.
+// isHealthy reports whether the endpoint may get requests beside other healthy ones.
+func (e *Endpoint) isHealthy() bool {
+	return !e.DrainedByFleet && (e.Health == Unknown || e.Health == Healthy)
+}
+
+// isUsable reports whether the endpoint is healthy, or degraded and in service.
+func (e *Endpoint) isUsable() bool {
+	return e.isHealthy() || !e.DrainedByFleet && e.Health == Degraded
+}
+
+// Update is a source's complete endpoint list at one time.
 type Update struct {
 	Source    string // "static", "file", "xds", ...
 	Version   string
 	Endpoints []Endpoint
-	// Stale is why the list is no longer to be used, if it is not: then no endpoint is.
+	// Stale is the reason why the list may no longer be used; empty where it may. No endpoint of a stale list is used.
 	Stale string
 }
 
-// Server is an endpoint as the view has it.
+// Server is an endpoint with what the View knows of it.
 type Server struct {
 	Endpoint
-	Since          time.Duration // when it was first told, as Unix time; 0: with the first list
-	ExcludedReason string        // why it gets nothing new; empty: it does
+	AddedAt        time.Duration // Unix time at which it was added; 0: with the first list
+	ExcludedReason string        // why it gets no new requests; empty where it does
 }
 
-// View is the last word on one cluster. The zero View has none. It is not safe for several goroutines at once.
+// balancerServer returns the endpoint in the balancer's form, with its priority where the balancer is to see it.
+func (s *Server) balancerServer(withPriority bool) balancer.Server {
+	server := balancer.Server{
+		ID:     s.Address,
+		Zone:   s.Zone,
+		Kind:   s.Kind,
+		Cell:   s.Cell,
+		Weight: s.Weight,
+		Since:  s.AddedAt,
+	}
+	if withPriority {
+		server.Priority = s.Priority
+	}
+	if s.ExcludedReason != "" {
+		server.State = balancer.Draining
+	}
+	return server
+}
+
+// View caches the last endpoint list of one cluster. The zero View has none. It is not safe for concurrent use.
 type View struct {
-	// Tiers has the decision module told of priorities: then those behind the lowest are used as well.
-	Tiers   bool
-	told    bool
-	word    Update
-	at      time.Duration // of the last word, also one that changed nothing
+	// SendPriorities passes priorities on to the balancer, which then chooses among them: endpoints behind the priority
+	// in use are not excluded.
+	SendPriorities bool
+
+	known   bool
+	last    Update
+	lastAt  time.Duration // of the last update, also of one that changed nothing
 	servers map[string]*Server
 	sent    map[string]balancer.Server
 	usable  int
 }
 
-// Apply takes a source's word at now (Unix time) and gives what it changes, nil if nothing. The first list's endpoints
-// are taken to have run for long; those that come later, or come back, or are others at the same address, are new and so
-// cold.
-func (v *View) Apply(now time.Duration, w Update) *discovery.Update {
-	first := !v.told
-	v.told, v.at, v.word = true, now, w
-	servers := make(map[string]*Server, len(w.Endpoints))
-	for _, e := range w.Endpoints {
-		s := &Server{Endpoint: e}
-		if old := v.servers[e.Address]; old != nil && old.identity() == e.identity() && (!old.Retained || e.Retained) {
-			s.Since = old.Since
-		} else if !first {
-			s.Since = now
+// Apply takes a source's list at now (Unix time) and returns the difference, or nil if nothing has changed. The endpoints
+// of the first list count as warmed up. Those that are added later, come back or differ at the same address are new.
+func (v *View) Apply(now time.Duration, update Update) *discovery.Update {
+	first := !v.known
+	v.known = true
+	v.last = update
+	v.lastAt = now
+	v.replaceServers(now, update.Endpoints, first)
+	v.updateExclusions()
+	changes := v.replaceSent(first)
+	if first {
+		changes.Kind = balancer.UpdateSnapshot
+		return changes
+	}
+	if len(changes.Servers) == 0 {
+		return nil
+	}
+	return changes
+}
+
+// replaceServers takes over the endpoints of a new list. It never changes a former Server, as a List may share it.
+func (v *View) replaceServers(now time.Duration, list []Endpoint, first bool) {
+	servers := make(map[string]*Server, len(list))
+	for _, endpoint := range list {
+		server := &Server{Endpoint: endpoint}
+		old := v.servers[endpoint.Address]
+		same := old != nil && old.identity() == endpoint.identity()
+		backInService := same && old.DrainedByFleet && !endpoint.DrainedByFleet
+		switch {
+		case same && !backInService:
+			server.AddedAt = old.AddedAt
+		case !first:
+			server.AddedAt = now
 		}
-		servers[e.Address] = s
+		servers[endpoint.Address] = server
 	}
 	v.servers = servers
-	v.choose()
-	sent := make(map[string]balancer.Server, len(servers))
-	u := &discovery.Update{Endpoints: map[string]string{}}
-	u.Kind = balancer.UpdateDelta
-	for _, e := range w.Endpoints {
-		s := servers[e.Address].balancer(v.Tiers)
-		if old, ok := v.sent[s.ID]; first || !ok || old != s {
-			u.Servers = append(u.Servers, s)
-			u.Endpoints[s.ID] = e.Address
+}
+
+// replaceSent computes the servers as the balancer is to have them, and returns the difference to what it has.
+func (v *View) replaceSent(first bool) *discovery.Update {
+	changes := &discovery.Update{Endpoints: map[string]string{}}
+	changes.Kind = balancer.UpdateDelta
+	sent := make(map[string]balancer.Server, len(v.servers))
+	for _, endpoint := range v.last.Endpoints {
+		server := v.servers[endpoint.Address].balancerServer(v.SendPriorities)
+		old, wasSent := v.sent[server.ID]
+		if first || !wasSent || old != server {
+			changes.Servers = append(changes.Servers, server)
+			changes.Endpoints[server.ID] = endpoint.Address
 		}
-		sent[s.ID] = s
+		sent[server.ID] = server
 	}
-	for id, s := range v.sent {
-		if _, ok := sent[id]; !ok {
-			s.State = balancer.Removed
-			u.Servers = append(u.Servers, s)
+	for id, server := range v.sent {
+		if _, stays := sent[id]; !stays {
+			server.State = balancer.Removed
+			changes.Servers = append(changes.Servers, server)
 		}
 	}
 	v.sent = sent
-	if first {
-		u.Kind = balancer.UpdateSnapshot
-	} else if len(u.Servers) == 0 {
-		return nil
-	}
-	return u
+	return changes
 }
 
-// Resend chooses anew, where Tiers has changed: All gives what came of it.
-func (v *View) Resend() {
-	if !v.told {
+// Recompute takes over a changed SendPriorities. Snapshot returns the result.
+func (v *View) Recompute() {
+	if !v.known {
 		return
 	}
-	v.choose()
+	v.updateExclusions()
 	v.sent = make(map[string]balancer.Server, len(v.servers))
 	for _, s := range v.servers {
-		l := s.balancer(v.Tiers)
-		v.sent[l.ID] = l
+		server := s.balancerServer(v.SendPriorities)
+		v.sent[server.ID] = server
 	}
 }
 
-// held is why an endpoint is out by an order.
-const held = "drained by an order of the fleet"
+// drainedReason is the ExcludedReason of an endpoint with DrainedByFleet.
+const drainedReason = "drained by an order of the fleet"
 
-// choose says which endpoints are used.
-func (v *View) choose() {
-	ready := func(s *Server) bool { return !s.Retained && (s.Health == Unknown || s.Health == Healthy) }
-	best, healthy, found := 0, false, false
-	fine := map[int]bool{} // priorities with a healthy one
+// updateExclusions determines which endpoints get requests.
+func (v *View) updateExclusions() {
+	priority := v.priorityInUse()
+	hasHealthy := map[int]bool{} // by priority
 	for _, s := range v.servers {
-		ok := ready(s)
-		fine[s.Priority] = fine[s.Priority] || ok
-		if !ok && (s.Retained || s.Health != Degraded) {
-			continue
-		}
-		// The lowest priority with anyone to use; in it the healthy, and the degraded where there are none.
-		if !found || s.Priority < best || s.Priority == best && ok && !healthy {
-			best, healthy, found = s.Priority, ok, true
-		}
+		hasHealthy[s.Priority] = hasHealthy[s.Priority] || s.isHealthy()
 	}
 	v.usable = 0
 	for _, s := range v.servers {
-		switch {
-		case v.word.Stale != "":
-			s.ExcludedReason = v.word.Stale
-		case s.Retained:
-			s.ExcludedReason = held
-		case !ready(s) && s.Health != Degraded:
-			s.ExcludedReason = s.Health.String()
-		case s.Priority != best && !v.Tiers:
-			s.ExcludedReason = fmt.Sprintf("priority %d is in use", best)
-		case s.Health == Degraded && fine[s.Priority]:
-			s.ExcludedReason = Degraded.String()
-		default:
-			s.ExcludedReason = ""
+		s.ExcludedReason = v.exclusion(s, priority, hasHealthy[s.Priority])
+		if s.ExcludedReason == "" {
 			v.usable++
 		}
 	}
 }
 
-func (s *Server) balancer(tiers bool) balancer.Server {
-	l := balancer.Server{ID: s.Address, Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, Since: s.Since}
-	if tiers {
-		l.Priority = s.Priority
+// priorityInUse returns the lowest number of a priority that has a usable endpoint; 0 if none has.
+func (v *View) priorityInUse() int {
+	lowest, found := 0, false
+	for _, s := range v.servers {
+		if s.isUsable() && (!found || s.Priority < lowest) {
+			lowest, found = s.Priority, true
+		}
 	}
-	if s.ExcludedReason != "" {
-		l.State = balancer.Draining
+	return lowest
+}
+
+// exclusion returns why an endpoint gets no new requests; empty if it does. hasHealthy is of the endpoint's priority.
+func (v *View) exclusion(s *Server, priorityInUse int, hasHealthy bool) string {
+	switch {
+	case v.last.Stale != "":
+		return v.last.Stale
+	case s.DrainedByFleet:
+		return drainedReason
+	case !s.isUsable():
+		return s.Health.String()
+	case s.Priority != priorityInUse && !v.SendPriorities:
+		return fmt.Sprintf("priority %d is in use", priorityInUse)
+	case s.Health == Degraded && hasHealthy:
+		return Degraded.String()
 	}
-	return l
+	return ""
 }
 
-// Snapshot is the last word whole, for a core that begins; nil if there was none.
+// Snapshot returns the last list in full, for a balancer that starts, or nil if there is none.
 func (v *View) Snapshot() *discovery.Update {
-	if !v.told {
+	if !v.known {
 		return nil
 	}
-	u := &discovery.Update{Endpoints: make(map[string]string, len(v.sent))}
-	u.Kind = balancer.UpdateSnapshot
+	snapshot := &discovery.Update{Endpoints: make(map[string]string, len(v.sent))}
+	snapshot.Kind = balancer.UpdateSnapshot
 	for _, s := range v.Servers() {
-		u.Servers = append(u.Servers, v.sent[s.Address])
-		u.Endpoints[s.Address] = s.Address
+		snapshot.Servers = append(snapshot.Servers, v.sent[s.Address])
+		snapshot.Endpoints[s.Address] = s.Address
 	}
-	return u
+	return snapshot
 }
 
-// Known tells whether there was any word.
-func (v *View) Known() bool { return v.told }
+// Known reports whether there was any update.
+func (v *View) Known() bool { return v.known }
 
-// Usable is how many endpoints are used.
+// Usable returns the number of endpoints that get requests.
 func (v *View) Usable() int { return v.usable }
 
-// LastUpdate is the last word and when it came.
-func (v *View) LastUpdate() (Update, time.Duration) { return v.word, v.at }
+// LastUpdate returns the last update and its Unix time.
+func (v *View) LastUpdate() (Update, time.Duration) { return v.last, v.lastAt }
 
-// Servers gives the endpoints, sorted by address.
-func (v *View) Servers() []Server { return v.Listing().Sorted() }
+// Servers returns the endpoints sorted by address.
+func (v *View) Servers() []Server { return v.List().Sorted() }
 
-// Listing is the endpoints as they stood when it was asked for. It never changes, so that it may be read while the View
-// goes on.
-type Listing struct{ servers map[string]*Server }
+// List returns the endpoints as they are now. It costs the same whatever their number.
+func (v *View) List() List { return List{v.servers} }
 
-// Listing gives the endpoints as they stand, whatever their number at no cost: each word makes all of them anew.
-func (v *View) Listing() Listing { return Listing{v.servers} }
+// List is an immutable list of endpoints, which may be read while its View takes updates.
+type List struct {
+	servers map[string]*Server
+}
 
-// Sorted gives them by address.
-func (l Listing) Sorted() []Server {
-	all := make([]Server, 0, len(l.servers))
+// Sorted returns the endpoints sorted by address.
+func (l List) Sorted() []Server {
+	sorted := make([]Server, 0, len(l.servers))
 	for _, s := range l.servers {
-		all = append(all, *s)
+		sorted = append(sorted, *s)
 	}
-	slices.SortFunc(all, func(x, y Server) int { return cmp.Compare(x.Address, y.Address) })
-	return all
+	slices.SortFunc(sorted, func(x, y Server) int { return cmp.Compare(x.Address, y.Address) })
+	return sorted
 }
 
-// Count gives how many there are by what of says of each.
-func (l Listing) Count(of func(s *Server) string) map[string]int {
-	m := map[string]int{}
+// CountBy returns the number of endpoints for each value of key.
+func (l List) CountBy(key func(s *Server) string) map[string]int {
+	counts := map[string]int{}
 	for _, s := range l.servers {
-		m[of(s)]++
+		counts[key(s)]++
 	}
-	return m
+	return counts
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -194,7 +194,7 @@
 	put("refused", yes(s.Config.Refused != ""))
 	put("clients", float64(s.Limits.Clients))
 	for i, cl := range s.Clusters {
-		for state, n := range listings[i].Count(why) {
+		for state, n := range listings[i].CountBy(why) {
 			put("endpoints", float64(n), cl.Name, state)
 		}
 		for _, z := range cl.Zones {
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -327,9 +327,9 @@
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
 	in.core = core
-	if c.view.Tiers != (c.spec.zones != nil) {
-		c.view.Tiers = c.spec.zones != nil
-		c.view.Resend()
+	if c.view.SendPriorities != (c.spec.zones != nil) {
+		c.view.SendPriorities = c.spec.zones != nil
+		c.view.Recompute()
 	}
 	if u := c.view.Snapshot(); u != nil {
 		core.UpdateEndpoints(*u)
@@ -449,7 +449,7 @@
 		w.Endpoints = slices.Clone(w.Endpoints)
 		for i := range w.Endpoints {
 			e := &w.Endpoints[i]
-			e.Retained = slices.ContainsFunc(g.held, func(t drain.Target) bool { return t.MatchesEndpoint(c.name, e.Address, e.Zone) })
+			e.DrainedByFleet = slices.ContainsFunc(g.held, func(t drain.Target) bool { return t.MatchesEndpoint(c.name, e.Address, e.Zone) })
 		}
 	}
 	u := c.view.Apply(g.Now(), w)
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -76,7 +76,7 @@
 			w, _ := c.view.LastUpdate()
 			w.Endpoints = slices.Clone(w.Endpoints)
 			for i := range w.Endpoints {
-				w.Endpoints[i].Retained = false // tell says which are now
+				w.Endpoints[i].DrainedByFleet = false // tell says which are now
 			}
 			g.tell(c, w)
 		}
@@ -114,7 +114,7 @@
 			}
 		}
 		for _, s := range c.view.Servers() {
-			cold := s.Since > 0 && g.Now()-s.Since < c.spec.conf.WarmUp.Time.D()
+			cold := s.AddedAt > 0 && g.Now()-s.AddedAt < c.spec.conf.WarmUp.Time.D()
 			if well := s.ExcludedReason == "" && !cold && !out[s.Address]; !well || full {
 				r.Endpoints = append(r.Endpoints, drain.Endpoint{Cluster: name, Address: s.Address, Zone: s.Zone, Healthy: well})
 			}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -149,8 +149,8 @@
 		}
 		for _, e := range all {
 			es := EndpointStatus{Address: e.Address, Zone: e.Zone, Priority: e.Priority, Weight: e.Weight, Health: e.Health.String(), Out: e.ExcludedReason}
-			if e.Since > 0 {
-				es.Age = max(now-e.Since, 0).Seconds()
+			if e.AddedAt > 0 {
+				es.Age = max(now-e.AddedAt, 0).Seconds()
 			}
 			s.Clusters[i].Endpoints = append(s.Clusters[i].Endpoints, es)
 		}
@@ -159,7 +159,7 @@
 }
 
 // status gives all but the endpoints, and the listing of each cluster's.
-func (g *Gateway) status() (Status, []endpoints.Listing) {
+func (g *Gateway) status() (Status, []endpoints.List) {
 	ready := g.Ready()
 	var fl *fleet.Status
 	if g.fleet != nil {
@@ -215,10 +215,10 @@
 			s.Routes.Missing = append(s.Routes.Missing, n)
 		}
 	}
-	var listings []endpoints.Listing
+	var listings []endpoints.List
 	for _, name := range slices.Sorted(maps.Keys(g.clusters)) {
 		c := g.clusters[name]
-		s.Clusters, listings = append(s.Clusters, g.clusterStatus(c, now)), append(listings, c.view.Listing())
+		s.Clusters, listings = append(s.Clusters, g.clusterStatus(c, now)), append(listings, c.view.List())
 	}
 	s.RateLimits = g.rateLimitStatus()
 	s.Limits = LimitsStatus{Descriptors: g.budget.Used(), DescriptorsMost: g.budget.Limit(), Memory: g.memory.Used(),
