--- a/cmd/robindrum/fleet_output.go
+++ b/cmd/robindrum/fleet_output.go
@@ -130,9 +130,9 @@
 	if subscription == nil {
 		return nil
 	}
-	fmt.Fprintf(out, "subscription: %s for %s", subscription.Mode, seconds(subscription.Since))
-	if subscription.Holder != "" {
-		fmt.Fprintf(out, ", last word of %s (token %d, number %d) %s ago", subscription.Holder, subscription.Token, subscription.Number, seconds(subscription.Heard))
+	fmt.Fprintf(out, "subscription: %s for %s", subscription.Mode, seconds(subscription.ModeSeconds))
+	if subscription.Leader != "" {
+		fmt.Fprintf(out, ", last word of %s (token %d, number %d) %s ago", subscription.Leader, subscription.Token, subscription.Sequence, seconds(subscription.LastPushAge))
 	}
 	fmt.Fprintln(out)
 	if subscription.Stale != "" {
--- a/cmd/robindrum/serve.go
+++ b/cmd/robindrum/serve.go
@@ -101,7 +101,7 @@
 		case <-hup:
 			n, err := config.Load(path)
 			if err != nil {
-				g.Refuse(err)
+				g.RecordRejection(err)
 				continue
 			}
 			if g.Reload(n) == nil { // which tells why not
@@ -218,8 +218,8 @@
 func show(out io.Writer, s *gateway.Status) error {
 	yes := map[bool]string{true: "yes", false: "NO"}
 	fmt.Fprintf(out, "ready %s, up %s, configuration %s taken over %s ago\n", yes[s.Ready], seconds(s.Uptime), s.Config.Path, seconds(s.Config.Age))
-	if s.Config.Refused != "" {
-		fmt.Fprintf(out, "REFUSED %s ago, the one before goes on:\n  %s\n", seconds(s.Config.RefusedAge), strings.ReplaceAll(s.Config.Refused, "\n", "\n  "))
+	if s.Config.Rejection != "" {
+		fmt.Fprintf(out, "REFUSED %s ago, the one before goes on:\n  %s\n", seconds(s.Config.RejectionAge), strings.ReplaceAll(s.Config.Rejection, "\n", "\n  "))
 	}
 	for _, src := range s.Sources {
 		state := "connected to " + src.Connected
@@ -227,8 +227,8 @@
 			state = "NOT CONNECTED"
 		}
 		heard := "no word yet"
-		if src.Heard != nil {
-			heard = "last word " + seconds(*src.Heard) + " ago"
+		if src.LastResponseAge != nil {
+			heard = "last word " + seconds(*src.LastResponseAge) + " ago"
 		}
 		fmt.Fprintf(out, "source %s: %s, %s\n", src.Name, state, heard)
 		if src.Error != "" {
@@ -240,8 +240,8 @@
 			}
 		}
 	}
-	if s.Drained != "" {
-		fmt.Fprintf(out, "OUT OF SERVICE by order %s\n", s.Drained)
+	if s.DrainID != "" {
+		fmt.Fprintf(out, "OUT OF SERVICE by order %s\n", s.DrainID)
 	}
 	if err := showSubscription(out, s); err != nil {
 		return err
@@ -249,21 +249,21 @@
 	if s.Routes.Pending {
 		fmt.Fprintln(out, "new routes wait for their clusters' endpoints")
 	}
-	if s.Routes.Refused != "" {
-		fmt.Fprintf(out, "routes of the control plane: %s\n", s.Routes.Refused)
+	if s.Routes.Rejection != "" {
+		fmt.Fprintf(out, "routes of the control plane: %s\n", s.Routes.Rejection)
 	}
-	for _, n := range s.Routes.Missing {
+	for _, n := range s.Routes.MissingClusters {
 		fmt.Fprintf(out, "routes lead to cluster %s, which nobody knows\n", n)
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "CLUSTER\tSOURCE\tVERSION\tLAST WORD\tUSABLE\tIN HAND\tSERVED\tREFUSED\tFAILED\tRETRIES")
 	for _, c := range s.Clusters {
 		age := "none"
-		if c.Age != nil {
-			age = seconds(*c.Age)
+		if c.UpdateAge != nil {
+			age = seconds(*c.UpdateAge)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Source, c.Version, age, c.Usable, len(c.Endpoints), c.InHand,
-			c.Requests.Served, c.Requests.Refused, c.Requests.Failed, c.Requests.Retries)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Source, c.Version, age, c.Usable, len(c.Endpoints), c.InFlight,
+			c.Requests.Served, c.Requests.Rejected, c.Requests.Failed, c.Requests.Retries)
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -278,12 +278,12 @@
 		if c.Stale != "" {
 			fmt.Fprintf(out, "%s: its list is not used: %s\n", c.Name, c.Stale)
 		}
-		if c.Refused != "" {
-			fmt.Fprintf(out, "%s: the newest update is refused: %s\n", c.Name, c.Refused)
+		if c.RejectedUpdate != "" {
+			fmt.Fprintf(out, "%s: the newest update is refused: %s\n", c.Name, c.RejectedUpdate)
 		}
 		for _, e := range c.Endpoints {
-			if e.Out != "" && c.Stale == "" {
-				fmt.Fprintf(out, "%s: %s is out: %s\n", c.Name, e.Address, e.Out)
+			if e.ExcludedReason != "" && c.Stale == "" {
+				fmt.Fprintf(out, "%s: %s is out: %s\n", c.Name, e.Address, e.ExcludedReason)
 			}
 		}
 	}
@@ -300,16 +300,16 @@
 		if a.Limit > 0 {
 			limit = strconv.Itoa(a.Limit)
 		}
-		for _, n := range a.Refused {
+		for _, n := range a.Rejected {
 			refused += n
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\t%s\n", c.Name, a.Mode, limit, a.Active, a.Waiting, refused, a.Retries, a.Short, a.Evidence)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\t%s\n", c.Name, a.Mode, limit, a.InFlight, a.Waiting, refused, a.RetriesLeft, a.Overloaded, a.Evidence)
 	}
 	if len(s.RateLimits) > 0 {
 		fmt.Fprintln(t, "RATE LIMIT\tALLOWED\tREFUSED\tCOUNTED TOGETHER")
 	}
 	for _, l := range s.RateLimits {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", l.Name, l.Allowed, l.Refused, l.Rest)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", l.Name, l.Allowed, l.Rejected, l.CountedTogether)
 	}
 	return t.Flush()
 }
@@ -325,15 +325,15 @@
 				head = true
 			}
 			room := "none set"
-			if z.Room > 0 {
-				room = fmt.Sprintf("%.0f", z.Room)
+			if z.MaxInFlight > 0 {
+				room = fmt.Sprintf("%.0f", z.MaxInFlight)
 			}
 			name := z.Zone
 			if z.Priority > 0 {
 				name += fmt.Sprintf(" (priority %d)", z.Priority)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%.2f\t%.2f\t%d\t%s\t%d\t%d\t%s\n", c.Name, name, z.Tier, z.State, seconds(z.Seconds), z.Health, z.Share,
-				z.InFlight, room, z.Crossed, z.Refused, z.Evidence)
+			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%.2f\t%.2f\t%d\t%s\t%d\t%d\t%s\n", c.Name, name, z.Tier, z.State, seconds(z.StateSeconds), z.Health, z.Share,
+				z.InFlight, room, z.Crossed, z.RejectedNoCapacity, z.Evidence)
 		}
 	}
 	return t.Flush()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -377,7 +377,7 @@
 	out := map[string]string{}
 	for _, c := range s.Clusters {
 		for _, e := range c.Endpoints {
-			out[e.Address] = cmp.Or(e.Out, "in use")
+			out[e.Address] = cmp.Or(e.ExcludedReason, "in use")
 		}
 	}
 	var b strings.Builder
--- a/internal/demo/overload.go
+++ b/internal/demo/overload.go
@@ -101,7 +101,7 @@
 	var b strings.Builder
 	for _, c := range s.Clusters {
 		a := c.Admission
-		fmt.Fprintf(&b, " | limit %d, %d in flight, %d waiting", a.Limit, a.Active, a.Waiting)
+		fmt.Fprintf(&b, " | limit %d, %d in flight, %d waiting", a.Limit, a.InFlight, a.Waiting)
 	}
 	return b.String()
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -18,34 +18,34 @@
 	"robindrum/internal/subscription"
 )
 
-// admin is the operators' listener.
-type admin struct {
-	l      net.Listener
-	asked  string
-	server *http.Server
-	done   chan struct{}
+// adminServer is the operators' listener.
+type adminServer struct {
+	listener          net.Listener
+	configuredAddress string
+	server            *http.Server
+	done              chan struct{}
 }
 
-func (g *Gateway) listenAdmin(f *config.File) (*admin, error) {
+func (g *Gateway) listenAdmin(f *config.File) (*adminServer, error) {
 	if f.Admin.Address == "none" {
 		return nil, nil
 	}
-	if g.admin != nil && g.admin.asked == f.Admin.Address {
+	if g.admin != nil && g.admin.configuredAddress == f.Admin.Address {
 		return g.admin, nil
 	}
 	l, err := net.Listen("tcp", f.Admin.Address)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
-	return &admin{l: l, asked: f.Admin.Address, done: make(chan struct{})}, nil
+	return &adminServer{listener: l, configuredAddress: f.Admin.Address, done: make(chan struct{})}, nil
 }
 
-func (g *Gateway) replaceAdmin(a *admin) {
+func (g *Gateway) replaceAdmin(a *adminServer) {
 	if a == g.admin {
 		return
 	}
 	if old := g.admin; old != nil {
-		g.work.Go(old.close)
+		g.background.Go(old.close)
 	}
 	if g.admin = a; a == nil {
 		return
@@ -53,11 +53,11 @@
 	a.server = &http.Server{Handler: g.Admin(), ReadHeaderTimeout: 5 * time.Second, WriteTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
 	go func() {
 		defer close(a.done)
-		_ = a.server.Serve(a.l) // ends with close
+		_ = a.server.Serve(a.listener) // ends with close
 	}()
 }
 
-func (a *admin) close() {
+func (a *adminServer) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if a.server.Shutdown(ctx) != nil {
@@ -95,7 +95,7 @@
 		e.SetIndent("", "  ")
 		_ = e.Encode(g.Status(n)) // to one who has left
 	})
-	mux.HandleFunc("POST /capture", g.capture)
+	mux.HandleFunc("POST /capture", g.serveCapture)
 	if g.fleet != nil {
 		mux.Handle("/fleet", g.fleet.Handler())
 		mux.Handle("/fleet/", g.fleet.Handler())
@@ -191,10 +191,10 @@
 	}
 	s, listings := c.g.status()
 	put("ready", yes(s.Ready))
-	put("refused", yes(s.Config.Refused != ""))
-	put("clients", float64(s.Limits.Clients))
+	put("refused", yes(s.Config.Rejection != ""))
+	put("clients", float64(s.Limits.ClientConnections))
 	for i, cl := range s.Clusters {
-		for state, n := range listings[i].CountBy(why) {
+		for state, n := range listings[i].CountBy(endpointState) {
 			put("endpoints", float64(n), cl.Name, state)
 		}
 		for _, z := range cl.Zones {
@@ -204,13 +204,13 @@
 			}
 			put("zshare", z.Share, at...)
 			put("zhealth", z.Health, at...)
-			room := z.Room
+			room := z.MaxInFlight
 			if room == 0 {
 				room = -1
 			}
 			put("zroom", room, at...)
 			put("zinflight", float64(z.InFlight), at...)
-			for event, n := range map[string]uint64{"sent": z.Sent, "crossed": z.Crossed, "refused": z.Refused, "retry": z.Retries,
+			for event, n := range map[string]uint64{"sent": z.Sent, "crossed": z.Crossed, "refused": z.RejectedNoCapacity, "retry": z.Retries,
 				"retry_denied": z.RetriesDenied, "probe": z.Probes, "transition": z.Transitions} {
 				put("zevents", float64(n), append(at, event)...)
 			}
@@ -221,12 +221,12 @@
 			bound = -1
 		}
 		put("alimit", bound, cl.Name)
-		put("aactive", float64(a.Active), cl.Name)
-		put("awaited", float64(a.Waited), cl.Name)
-		put("ashort", yes(a.Short), cl.Name)
-		put("aretries", float64(a.Retries), cl.Name)
-		put("adenied", float64(a.Denied), cl.Name)
-		for why, n := range a.Refused {
+		put("aactive", float64(a.InFlight), cl.Name)
+		put("awaited", float64(a.StartedAfterWait), cl.Name)
+		put("ashort", yes(a.Overloaded), cl.Name)
+		put("aretries", float64(a.RetriesLeft), cl.Name)
+		put("adenied", float64(a.RetriesDenied), cl.Name)
+		for why, n := range a.Rejected {
 			put("arefused", float64(n), cl.Name, why)
 		}
 		for _, k := range a.Classes {
@@ -234,19 +234,19 @@
 			put("abase", k.Baseline/1000, cl.Name, k.Name)
 		}
 		r := cl.Requests
-		for outcome, n := range map[string]uint64{"served": r.Served, "refused": r.Refused, "failed": r.Failed, "client_left": r.Left} {
+		for outcome, n := range map[string]uint64{"served": r.Served, "refused": r.Rejected, "failed": r.Failed, "client_left": r.ClientLeft} {
 			put("requests", float64(n), cl.Name, outcome)
 		}
 		for result, n := range r.Attempts {
 			put("attempts", float64(n), cl.Name, result)
 		}
 		put("retries", float64(r.Retries), cl.Name)
-		put("inhand", float64(cl.InHand+cl.Old), cl.Name)
+		put("inhand", float64(cl.InFlight+cl.InFlightRetired), cl.Name)
 		put("seconds", r.MeanMS*float64(r.Served)/1000, cl.Name)
 		put("dropped", float64(cl.Dropped), cl.Name)
-		put("conns", float64(cl.Holds.Descriptors), cl.Name)
-		if cl.Age != nil {
-			put("age", *cl.Age, cl.Name)
+		put("conns", float64(cl.Usage.Descriptors), cl.Name)
+		if cl.UpdateAge != nil {
+			put("age", *cl.UpdateAge, cl.Name)
 		}
 	}
 	if s.Fleet != nil {
@@ -256,12 +256,12 @@
 		for _, mode := range []subscription.Mode{subscription.Waiting, subscription.Following, subscription.Direct, subscription.Leading} {
 			put("fmode", yes(sub.Mode == mode), string(mode))
 		}
-		put("fheard", sub.Heard)
+		put("fheard", sub.LastPushAge)
 	}
 	for _, src := range s.Sources {
 		put("connected", yes(src.Connected != ""), src.Name)
-		if src.Heard != nil {
-			put("word", *src.Heard, src.Name)
+		if src.LastResponseAge != nil {
+			put("word", *src.LastResponseAge, src.Name)
 		}
 		for _, t := range src.Types {
 			put("responses", float64(t.Accepted), src.Name, t.Type, "accepted")
@@ -270,12 +270,12 @@
 	}
 	for _, r := range s.RateLimits {
 		put("ratelimit", float64(r.Allowed), r.Name, "allowed")
-		put("ratelimit", float64(r.Refused), r.Name, "refused")
-		put("ratelimit", float64(r.Rest), r.Name, "counted_together")
+		put("ratelimit", float64(r.Rejected), r.Name, "refused")
+		put("ratelimit", float64(r.CountedTogether), r.Name, "counted_together")
 	}
 	l := s.Limits
-	for name, v := range map[string][2]float64{"descriptors": {float64(l.Descriptors), float64(l.DescriptorsMost)},
-		"memory_bytes": {float64(l.Memory), float64(l.MemoryMost)}, "requests": {float64(l.Requests), float64(l.RequestsMost)}} {
+	for name, v := range map[string][2]float64{"descriptors": {float64(l.Descriptors), float64(l.MaxDescriptors)},
+		"memory_bytes": {float64(l.Memory), float64(l.MaxMemory)}, "requests": {float64(l.Requests), float64(l.MaxRequests)}} {
 		put("held", v[0], name)
 		put("most", v[1], name)
 	}
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -47,8 +47,8 @@
 // A value of 0 in the file is 0, and not what it would be if it were left out.
 func TestZeroIsNotLeftOut(t *testing.T) {
 	conf := parse(t, "zone: a\nzones: {panic_threshold: 0, floor: 0, retry_budget: 0}\n"+strings.Replace(four(t, "overload: {floor: 0, retries: {ratio: 0, rate: 0}}, ", server(t)), "listeners", "gateway: {of: 3}\nlisteners", 1))
-	s := &spec{conf: conf.Clusters[0], classes: conf.Classes, zone: conf.Zone, gateway: conf.Gateway, zones: conf.Zones}
-	z, a := s.zoneOptions(), s.admitOptions()
+	s := &clusterSpec{config: conf.Clusters[0], classes: conf.Classes, zone: conf.Zone, gateway: conf.Gateway, zones: conf.Zones}
+	z, a := s.zoneOptions(), s.admissionOptions()
 	z.Fill()
 	a.Fill()
 	if z.Panic != 0 || z.Floor != 0 || z.RetryShare != 0 || z.Gateways != 3 || !z.OwnFree {
@@ -146,7 +146,7 @@
 	for i := range 8 {
 		if i < 2 {
 			ask(t.Context())
-			testbed.Eventually(t, "two to start", func() bool { return admission().Active == i+1 })
+			testbed.Eventually(t, "two to start", func() bool { return admission().InFlight == i+1 })
 		} else if i < 5 {
 			ask(t.Context())
 		} else {
@@ -164,7 +164,7 @@
 	}
 	ask(t.Context())
 	ask(t.Context())
-	testbed.Eventually(t, "one to start and one to wait", func() bool { a := admission(); return a.Active == 1 && a.Waiting == 1 && a.Limit == 1 })
+	testbed.Eventually(t, "one to start and one to wait", func() bool { a := admission(); return a.InFlight == 1 && a.Waiting == 1 && a.Limit == 1 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -178,8 +178,8 @@
 	if served.Load() != 7 || refused.Load() != 1 {
 		t.Errorf("%d served, %d refused, want 7 and 1", served.Load(), refused.Load())
 	}
-	if a := admission(); a.Active != 0 || a.Waiting != 0 {
-		t.Errorf("%d in flight, %d wait in the end", a.Active, a.Waiting)
+	if a := admission(); a.InFlight != 0 || a.Waiting != 0 {
+		t.Errorf("%d in flight, %d wait in the end", a.InFlight, a.Waiting)
 	}
 }
 
@@ -208,7 +208,7 @@
 		})
 	}
 	testbed.Eventually(t, "three to be refused", func() bool { return no.Load() == 3 })
-	if a := g.Status(0).Clusters[0].Admission; a.Active != 2 || a.Waiting != 1 || a.Limit != 2 {
+	if a := g.Status(0).Clusters[0].Admission; a.InFlight != 2 || a.Waiting != 1 || a.Limit != 2 {
 		t.Errorf("%+v", a)
 	}
 	close(goOn)
@@ -251,7 +251,7 @@
 				}
 				testbed.Eventually(t, path+" to be refused as its priority's breakers say", func() bool { return no.Load() == want })
 			}
-			if a := g.Status(0).Clusters[0].Admission; a.Active != 3 || a.Waiting != 2 {
+			if a := g.Status(0).Clusters[0].Admission; a.InFlight != 3 || a.Waiting != 2 {
 				t.Errorf("%+v", a)
 			}
 			close(goOn)
@@ -448,7 +448,7 @@
 		t.Errorf("%d served by a limit that a reload changed", ok)
 	}
 	for _, s := range g.Status(0).RateLimits {
-		if s.Name == "tenant" && (s.Refused != 4 || s.Rest != 0) {
+		if s.Name == "tenant" && (s.Rejected != 4 || s.CountedTogether != 0) {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -476,7 +476,7 @@
 	for range 225 {
 		hold()
 	}
-	testbed.Eventually(t, "the heads to be held", func() bool { return g.Status(0).Limits.Clients >= 200 })
+	testbed.Eventually(t, "the heads to be held", func() bool { return g.Status(0).Limits.ClientConnections >= 200 })
 	end := make(chan struct{})
 	var flood sync.WaitGroup
 	flood.Go(func() {
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -216,7 +216,7 @@
 	if err := g.Reload(load(conf("one", "120ms"))); err != nil {
 		t.Fatal(err)
 	}
-	if k := g.clusters["one"].kept; k.Requests != 4 || k.Memory != 500<<10 || g.short {
+	if k := g.clusters["one"].reserved; k.Requests != 4 || k.Memory != 500<<10 || g.quotasMissing {
 		t.Errorf("%+v is kept for the new core", k)
 	}
 	if r := u.get(t, "/x"); r.status != 503 { // the part is the old core's and the new one's together
@@ -236,7 +236,7 @@
 	testbed.Eventually(t, "the part of the one that left", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return len(g.clusters) == 2 && g.clusters["three"].kept.Requests == 4 && !g.short
+		return len(g.clusters) == 2 && g.clusters["three"].reserved.Requests == 4 && !g.quotasMissing
 	})
 	if r := u.get(t, "/x"); r.status != 200 {
 		t.Errorf("%d", r.status)
@@ -254,7 +254,7 @@
 func counted(g *Gateway, name string) uint64 {
 	for _, c := range g.Status(0).Clusters {
 		if c.Name == name {
-			return c.Requests.Taken
+			return c.Requests.Accepted
 		}
 	}
 	return 0
@@ -262,14 +262,14 @@
 
 // What is kept of clusters that are gone has a bound.
 func TestCountersOfFormerNamesAreBounded(t *testing.T) {
-	g := &Gateway{past: map[string]*past{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}}
-	stays := &cluster{name: "stays", past: g.pastOf("stays")}
-	stays.past.Accepted = 7
+	g := &Gateway{totals: map[string]*clusterTotals{}, clusters: map[string]*cluster{}, retired: map[*coreInstance]struct{}{}}
+	stays := &cluster{name: "stays", totals: g.totalsOf("stays")}
+	stays.totals.Accepted = 7
 	g.clusters["stays"] = stays
-	for i := range 5 * maxPast {
-		g.pastOf(fmt.Sprint("c", i))
+	for i := range 5 * maxClusterTotals {
+		g.totalsOf(fmt.Sprint("c", i))
 	}
-	if len(g.past) > maxPast+1 || g.pastOf("stays").Accepted != 7 {
-		t.Errorf("%d names, %d", len(g.past), g.pastOf("stays").Accepted)
+	if len(g.totals) > maxClusterTotals+1 || g.totalsOf("stays").Accepted != 7 {
+		t.Errorf("%d names, %d", len(g.totals), g.totalsOf("stays").Accepted)
 	}
 }
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -11,13 +11,13 @@
 	"robindrum/internal/proxy"
 )
 
-// ended hands a request that has its answer to the recording under way, if there is one. It is called with a core's lock
+// recordCompleted hands a request that has its answer to the recording under way, if there is one. It is called with a core's lock
 // held, and never waits.
-func (g *Gateway) ended(e proxy.Completed) {
+func (g *Gateway) recordCompleted(e proxy.Completed) {
 	if g.fleet != nil {
-		class := strings.TrimSuffix(e.Attributes.Class, unkeyed)
-		wanted, known := g.routes.Load().wanted[class]
-		g.shows.add(class, e.Outcome, e.Latency, known && e.Latency <= wanted)
+		class := strings.TrimSuffix(e.Attributes.Class, withoutKey)
+		wanted, known := g.routing.Load().latencyObjectives[class]
+		g.outcomes.add(class, e.Outcome, e.Latency, known && e.Latency <= wanted)
 	}
 	r := g.recorder.Load()
 	if r == nil {
@@ -36,11 +36,11 @@
 	if key == "" {
 		key = e.Attributes.Tenant
 	}
-	r.Add(strings.TrimSuffix(e.Attributes.Class, unkeyed), key, e.Method, e.Attributes.Size, e.Latency, out)
+	r.Add(strings.TrimSuffix(e.Attributes.Class, withoutKey), key, e.Method, e.Attributes.Size, e.Latency, out)
 }
 
-// capture streams a recording of the load: POST /capture?seconds=60&sample=1&records=1000000. There is one at a time.
-func (g *Gateway) capture(w http.ResponseWriter, r *http.Request) {
+// serveCapture streams a recording of the load: POST /capture?seconds=60&sample=1&records=1000000. There is one at a time.
+func (g *Gateway) serveCapture(w http.ResponseWriter, r *http.Request) {
 	o := capture.Options{For: time.Minute, Sample: 1}
 	q := r.URL.Query()
 	var errs []error
@@ -58,7 +58,7 @@
 	number("sample", func(v float64) { o.Sample = v })
 	number("records", func(v float64) { o.Records = int(min(max(v, -1), 1e9)) })
 	g.mu.Lock()
-	o.Gateway = g.file.Zone
+	o.Gateway = g.config.Zone
 	g.mu.Unlock()
 	rec, err := capture.NewRecorder(o)
 	if errs = append(errs, err); errors.Join(errs...) != nil {
@@ -72,23 +72,23 @@
 	defer g.recorder.Store(nil)
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	c := http.NewResponseController(w)
-	if err := rec.Write(r.Context(), flushed{w, c}); err != nil {
+	if err := rec.Write(r.Context(), flushingWriter{w, c}); err != nil {
 		g.log.Warn("a capture broke off", "error", err)
 	}
 }
 
-// flushed passes on at once what a Recorder gives it, which comes in large parts. One that reads nothing is given up after
+// flushingWriter passes on at once what a Recorder gives it, which comes in large parts. One that reads nothing is given up after
 // a while, as the Recorder holds a bounded part for it.
-type flushed struct {
+type flushingWriter struct {
 	http.ResponseWriter
-	c *http.ResponseController
+	controller *http.ResponseController
 }
 
-func (f flushed) Write(p []byte) (int, error) {
-	_ = f.c.SetWriteDeadline(time.Now().Add(10 * time.Second)) // where there is no deadline the client's leaving ends it
+func (f flushingWriter) Write(p []byte) (int, error) {
+	_ = f.controller.SetWriteDeadline(time.Now().Add(10 * time.Second)) // where there is no deadline the client's leaving ends it
 	n, err := f.ResponseWriter.Write(p)
 	if err == nil {
-		err = f.c.Flush()
+		err = f.controller.Flush()
 	}
 	return n, err
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -15,8 +15,8 @@
 	"robindrum/internal/release"
 )
 
-// leaveFleet bounds how long a process that ends says so to its fleet.
-const leaveFleet = 500 * time.Millisecond
+// fleetLeaveTimeout bounds how long a process that ends says so to its fleet.
+const fleetLeaveTimeout = 500 * time.Millisecond
 
 // joinFleet opens the fleet's address where the configuration has one, and says what comes there and which duties there are.
 // Nothing is spoken before Start.
@@ -24,7 +24,7 @@
 	if f.Fleet == nil {
 		return nil
 	}
-	fl, err := fleet.New(f.Fleet, f.Zone, g.version(f), membership.Joining, g.log)
+	fl, err := fleet.New(f.Fleet, f.Zone, g.configVersion(f), membership.Joining, g.log)
 	if err != nil {
 		return err
 	}
@@ -33,16 +33,16 @@
 	if f.Fleet.Subscription == nil {
 		return nil
 	}
-	fl.Node().Handle(sharePath, maxShare, func(_ context.Context, body []byte) (any, error) {
-		s := g.shared.Load()
+	fl.Node().Handle(pushPath, maxPushBytes, func(_ context.Context, body []byte) (any, error) {
+		s := g.sharedSource.Load()
 		if s == nil {
-			return pushed{Verdict: "same"}, nil
+			return pushResponse{Verdict: "same"}, nil
 		}
 		return s.receive(body)
 	})
 	fl.AddTask(leaderelection.Task{Name: "xds/" + f.Fleet.Site, Rules: fl.Rules(f.Fleet.Site), Run: func(ctx context.Context, h *leaderelection.Leadership) {
-		if s := g.shared.Load(); s != nil {
-			s.hold(ctx, h, func() bool { return ctx.Err() == nil && g.shared.Load() == s })
+		if s := g.sharedSource.Load(); s != nil {
+			s.lead(ctx, h, func() bool { return ctx.Err() == nil && g.sharedSource.Load() == s })
 		} else {
 			<-ctx.Done()
 		}
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// version stands for what gateways of one fleet have in common in their files.
-func (g *Gateway) version(f *config.File) string {
+// configVersion stands for what gateways of one fleet have in common in their files.
+func (g *Gateway) configVersion(f *config.File) string {
 	c := *f
 	c.Fleet, c.Gateway, c.Zone = nil, config.Gateway{}, ""
 	text, err := c.Print()
@@ -61,38 +61,38 @@
 	return fleet.ConfigVersion(text)
 }
 
-// tellFleet has the others know whether this gateway is ready.
-func (g *Gateway) tellFleet() {
+// announceState has the others know whether this gateway is ready.
+func (g *Gateway) announceState() {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
-		case <-g.life.Done():
+		case <-g.ctx.Done():
 			return
 		case <-tick.C:
 		}
 		g.mu.Lock()
-		f, stopping := g.file, g.stopping
+		f, stopping := g.config, g.stopping
 		g.mu.Unlock()
 		if stopping {
 			return
 		}
 		s := membership.Joining
 		g.mu.Lock()
-		drained := g.drain != nil
-		g.refuses.Store(drained && g.Now()-g.drainAt >= g.drain.Notice)
-		late := drained && !g.drain.WaitForAll && !g.expired && g.Now()-g.drainAt >= g.drain.Grace
+		drained := g.drainRequest != nil
+		g.rejectsNew.Store(drained && g.Now()-g.drainedAt >= g.drainRequest.Notice)
+		late := drained && !g.drainRequest.WaitForAll && !g.graceExpired && g.Now()-g.drainedAt >= g.drainRequest.Grace
 		id := ""
 		var cores []*proxy.Core
 		if late {
-			g.expired, id = true, g.drain.ID
+			g.graceExpired, id = true, g.drainRequest.ID
 			cores = g.cores()
 		}
 		g.mu.Unlock()
 		if late {
 			n := 0
 			for _, c := range cores {
-				n += c.ExpireAll(last(f))
+				n += c.ExpireAll(finalAnswers(f))
 			}
 			g.log.Info("the grace of an order is over: what was in hand is answered", "id", id, "requests", n)
 		}
@@ -102,26 +102,26 @@
 		case g.Ready():
 			s = membership.Serving
 		}
-		if f != g.told {
-			g.told, g.toldVersion = f, g.version(f)
+		if f != g.announced {
+			g.announced, g.announcedVersion = f, g.configVersion(f)
 		}
-		g.fleet.Announce(s, g.toldVersion)
+		g.fleet.Announce(s, g.announcedVersion)
 	}
 }
 
 // cores are all that may have something in hand.
 func (g *Gateway) cores() (l []*proxy.Core) {
 	for _, c := range g.clusters {
-		l = append(l, c.in.core)
+		l = append(l, c.current.core)
 	}
-	for in := range g.old {
+	for in := range g.retired {
 		l = append(l, in.core)
 	}
 	return l
 }
 
-// last words the answer of a request that outlives the grace of an order, by its class.
-func last(f *config.File) func(balancer.Request, bool) proxy.Answer {
+// finalAnswers words the answer of a request that outlives the grace of an order, by its class.
+func finalAnswers(f *config.File) func(balancer.Request, bool) proxy.Answer {
 	effects := map[string]string{}
 	for _, c := range f.Classes {
 		effects[c.Name] = effectName(c.Effect)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,80 +36,80 @@
 
 // Gateway is one running gateway.
 type Gateway struct {
-	log      *slog.Logger
-	boot     time.Time
-	base     time.Duration // boot as Unix time
-	budget   *backend.Budget
-	memory   *resource.Pool
-	open     *resource.Pool
-	front    *proxy.Front
-	ids      atomic.Uint64
-	routes   atomic.Pointer[routing]
-	recorder atomic.Pointer[capture.Recorder] // nil: no recording is under way
-	fleet    *fleet.Fleet                     // nil: this process knows of no other one
-	shared   atomic.Pointer[shared]           // what the subscription's duty and its pushes go to; nil: none
-	life     context.Context
-	end      context.CancelFunc
-	work     sync.WaitGroup
-
-	told        *config.File // by tellFleet, which alone has both
-	toldVersion string
-
-	mu        sync.Mutex    // all below; news of sources and new configurations are taken one after the other
-	file      *config.File  // in use
-	local     *config.File  // this process's own
-	release   string        // the sections that a release brings; empty: none
-	reloaded  time.Duration // when the configuration in use was taken over
-	refused   string        // why the last one was not, empty if it was
-	refusedAt time.Duration
-	listeners map[string]*listener // by name
-	admin     *admin
-	feeds     map[string]*feed
-	clusters  map[string]*cluster
-	old       map[*instance]struct{} // retired, with requests in hand
-	short     bool                   // some cluster has less than its part
-	past      map[string]*past       // by cluster name, also of those that are gone
-	limits    []*rateLimit
-	pending   *pending
-	stopping  bool
-	held      []drain.Target // endpoints, and zones of clusters, that orders have taken out
-	drain     *drain.Request // that has taken this gateway out; nil: none
-	drainAt   time.Duration  // when it was heard of
-	expired   bool           // what it had in hand at the end of the grace was answered
-	ordered   bool           // it is known what is ordered, or it was waited for long enough
-
-	shows shows // of requests that have ended
-
-	refuses atomic.Bool   // nothing new is taken, by an order
-	nowhere atomic.Uint64 // requests that no core took: no route, a rate limit, out of service
+	log              *slog.Logger
+	startedAt        time.Time
+	startUnix        time.Duration // boot as Unix time
+	descriptorBudget *backend.Budget
+	memoryPool       *resource.Pool
+	requestPool      *resource.Pool
+	front            *proxy.Front
+	lastRequestID    atomic.Uint64
+	routing          atomic.Pointer[routing]
+	recorder         atomic.Pointer[capture.Recorder] // nil: no recording is under way
+	fleet            *fleet.Fleet                     // nil: this process knows of no other one
+	sharedSource     atomic.Pointer[sharedSource]     // what the subscription's duty and its pushes go to; nil: none
+	ctx              context.Context
+	cancel           context.CancelFunc
+	background       sync.WaitGroup
+
+	announced        *config.File // by tellFleet, which alone has both
+	announcedVersion string
+
+	mu              sync.Mutex    // all below; news of sources and new configurations are taken one after the other
+	config          *config.File  // in use
+	localConfig     *config.File  // this process's own
+	releaseSections string        // the sections that a release brings; empty: none
+	reloadedAt      time.Duration // when the configuration in use was taken over
+	rejection       string        // why the last one was not, empty if it was
+	rejectedAt      time.Duration
+	listeners       map[string]*listener // by name
+	admin           *adminServer
+	watches         map[string]*watch
+	clusters        map[string]*cluster
+	retired         map[*coreInstance]struct{} // retired, with requests in hand
+	quotasMissing   bool                       // some cluster has less than its part
+	totals          map[string]*clusterTotals  // by cluster name, also of those that are gone
+	rateLimits      []*rateLimit
+	pendingRouting  *pendingRouting
+	stopping        bool
+	drainedTargets  []drain.Target // endpoints, and zones of clusters, that orders have taken out
+	drainRequest    *drain.Request // that has taken this gateway out; nil: none
+	drainedAt       time.Duration  // when it was heard of
+	graceExpired    bool           // what it had in hand at the end of the grace was answered
+	drainsKnown     bool           // it is known what is ordered, or it was waited for long enough
+
+	outcomes outcomeCounters // of requests that have ended
+
+	rejectsNew atomic.Bool   // nothing new is taken, by an order
+	unrouted   atomic.Uint64 // requests that no core took: no route, a rate limit, out of service
 }
 
 type listener struct {
 	net.Listener
-	asked string
-	done  chan struct{}
+	configuredAddress string
+	done              chan struct{}
 }
 
 // routing is what requests see: it never changes.
 type routing struct {
-	file     *route.Table
-	xds      *route.Table // behind the file's; nil: none
-	clusters map[string]*cluster
-	keyed    map[string]bool // classes whose requests need a key to be sent twice
-	limits   []*rateLimit
-	wanted   map[string]time.Duration // by class: an answer within it is in time
+	configured        *route.Table
+	dynamic           *route.Table // behind the file's; nil: none
+	clusters          map[string]*cluster
+	keyRequired       map[string]bool // classes whose requests need a key to be sent twice
+	rateLimits        []*rateLimit
+	latencyObjectives map[string]time.Duration // by class: an answer within it is in time
 }
 
-// pending is a routing that waits until the clusters that it names anew have endpoints.
-type pending struct {
+// pendingRouting is a routing that waits until the clusters that it names anew have endpoints.
+type pendingRouting struct {
 	routing *routing
 	since   time.Duration
 	timer   *time.Timer
 }
 
-// unkeyed is behind the name of a keyed class for requests that have no key: what cannot be told apart is never sent
+// withoutKey is behind the name of a keyed class for requests that have no key: what cannot be told apart is never sent
 // twice.
-const unkeyed = "!unkeyed"
+const withoutKey = "!unkeyed"
 
 // New checks that a configuration can be run and opens its listeners; nothing is served before Run. The logger's level
 // and format are the caller's.
@@ -117,21 +117,21 @@
 
 // NewSupervised is New of a process that is supervised, which releases have started as other versions; nil: it is not.
 func NewSupervised(f *config.File, log *slog.Logger, child *supervisor.Child) (*Gateway, error) {
-	g := &Gateway{log: log, boot: time.Now(), budget: backend.NewBudget(descriptors(f.Limits.Descriptors, log)),
-		memory: resource.NewPool(int64(f.Limits.Memory)), open: resource.NewPool(int64(f.Limits.Requests)),
-		listeners: map[string]*listener{}, feeds: map[string]*feed{}, clusters: map[string]*cluster{}, old: map[*instance]struct{}{}, past: map[string]*past{}}
-	g.base = time.Duration(g.boot.UnixNano())
-	g.life, g.end = context.WithCancel(context.Background())
-	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.budget, BodyBytes: int64(f.Limits.Memory), MaxBodyBytes: int64(f.Limits.Body), Router: g, WholeSeconds: true, ShedSilentClients: true})
-	g.routes.Store(&routing{file: &route.Table{}, clusters: map[string]*cluster{}})
-	g.local = f
+	g := &Gateway{log: log, startedAt: time.Now(), descriptorBudget: backend.NewBudget(maxDescriptors(f.Limits.Descriptors, log)),
+		memoryPool: resource.NewPool(int64(f.Limits.Memory)), requestPool: resource.NewPool(int64(f.Limits.Requests)),
+		listeners: map[string]*listener{}, watches: map[string]*watch{}, clusters: map[string]*cluster{}, retired: map[*coreInstance]struct{}{}, totals: map[string]*clusterTotals{}}
+	g.startUnix = time.Duration(g.startedAt.UnixNano())
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	g.front = proxy.NewFront(proxy.FrontOptions{Budget: g.descriptorBudget, BodyBytes: int64(f.Limits.Memory), MaxBodyBytes: int64(f.Limits.Body), Router: g, WholeSeconds: true, ShedSilentClients: true})
+	g.routing.Store(&routing{configured: &route.Table{}, clusters: map[string]*cluster{}})
+	g.localConfig = f
 	err := g.joinFleet(f)
 	if child != nil && g.fleet != nil {
 		g.fleet.SetSupervised(child.Version, child)
 	}
 	if err == nil {
 		g.mu.Lock()
-		err = g.take(f, true)
+		err = g.apply(f, true)
 		g.mu.Unlock()
 	}
 	if err != nil {
@@ -140,14 +140,14 @@
 	}
 	if g.fleet != nil {
 		g.fleet.Start()
-		g.work.Go(g.tellFleet)
-		g.work.Go(g.awaitOrders)
+		g.background.Go(g.announceState)
+		g.background.Go(g.awaitDrains)
 	}
 	return g, nil
 }
 
 // Now is the time, as Unix time that never goes back.
-func (g *Gateway) Now() time.Duration { return g.base + time.Since(g.boot) }
+func (g *Gateway) Now() time.Duration { return g.startUnix + time.Since(g.startedAt) }
 
 // Addr is where a listener listens; nil if there is none of that name.
 func (g *Gateway) Addr(name string) net.Addr {
@@ -166,7 +166,7 @@
 	if g.admin == nil {
 		return nil
 	}
-	return g.admin.l.Addr()
+	return g.admin.listener.Addr()
 }
 
 // Reload takes over a new configuration: new clusters, routes, classes and listeners; requests in hand end where they
@@ -177,20 +177,20 @@
 	if g.stopping {
 		return errors.New("the gateway is stopping")
 	}
-	n, err := g.with(f, g.release)
+	n, err := g.withRelease(f, g.releaseSections)
 	if err == nil {
-		err = g.take(n, false)
+		err = g.apply(n, false)
 	}
 	if err != nil {
-		g.refuse(err)
+		g.recordRejection(err)
 		return err
 	}
-	g.local = f
+	g.localConfig = f
 	return nil
 }
 
-// with gives a file with a release's sections in place of its own; none: as it is.
-func (g *Gateway) with(f *config.File, release string) (*config.File, error) {
+// withRelease gives a file with a release's sections in place of its own; none: as it is.
+func (g *Gateway) withRelease(f *config.File, release string) (*config.File, error) {
 	if release == "" {
 		return f, nil
 	}
@@ -204,35 +204,35 @@
 	if g.stopping {
 		return errors.New("the gateway is stopping")
 	}
-	n, err := g.with(g.local, text)
+	n, err := g.withRelease(g.localConfig, text)
 	if err == nil {
-		err = g.take(n, false)
+		err = g.apply(n, false)
 	}
 	if err == nil {
-		g.release = text
+		g.releaseSections = text
 	}
 	return err
 }
 
-// Refuse notes that a new configuration could not even be read.
-func (g *Gateway) Refuse(err error) {
+// RecordRejection notes that a new configuration could not even be read.
+func (g *Gateway) RecordRejection(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.refuse(err)
+	g.recordRejection(err)
 }
 
-func (g *Gateway) refuse(err error) {
-	g.refused, g.refusedAt = err.Error(), g.Now()
+func (g *Gateway) recordRejection(err error) {
+	g.rejection, g.rejectedAt = err.Error(), g.Now()
 	g.log.Error("the new configuration is refused, the old one goes on", "err", err)
 }
 
-// take takes over a configuration.
-func (g *Gateway) take(f *config.File, first bool) error {
+// apply takes over a configuration.
+func (g *Gateway) apply(f *config.File, first bool) error {
 	table, err := route.Compile(f.Table(), route.Options{})
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Path(), err)
 	}
-	opened, err := g.listen(f)
+	opened, err := g.openListeners(f)
 	if err != nil {
 		return err
 	}
@@ -248,35 +248,35 @@
 			l.Close()
 		}
 		if adm != nil && adm != g.admin {
-			adm.l.Close()
+			adm.listener.Close()
 		}
 	}
-	feeds, after, err := g.sources(f, first)
+	feeds, after, err := g.openWatches(f, first)
 	if err != nil {
 		undo()
 		return err
 	}
-	if old := g.file; old != nil && (old.Limits.Descriptors != f.Limits.Descriptors || old.Limits.Memory != f.Limits.Memory ||
+	if old := g.config; old != nil && (old.Limits.Descriptors != f.Limits.Descriptors || old.Limits.Memory != f.Limits.Memory ||
 		old.Limits.Requests != f.Limits.Requests || old.Limits.Body != f.Limits.Body) {
 		g.log.Warn("the limits of the whole process change with the next start")
 	}
-	if old := g.file; old != nil && !reflect.DeepEqual(old.Fleet, f.Fleet) {
+	if old := g.config; old != nil && !reflect.DeepEqual(old.Fleet, f.Fleet) {
 		g.log.Warn("fleet changes with the next start")
 	}
-	g.file, g.reloaded, g.refused = f, g.Now(), ""
-	g.limits = rateLimits(f, g.limits)
-	g.swap(feeds, after)
+	g.config, g.reloadedAt, g.rejection = f, g.Now(), ""
+	g.rateLimits = rateLimits(f, g.rateLimits)
+	g.replaceWatches(feeds, after)
 	g.replaceListeners(f, opened)
 	g.replaceAdmin(adm)
-	g.sync(table)
+	g.reconcile(table)
 	return nil
 }
 
-// listen opens the listeners that are new. One of the same name and address stays.
-func (g *Gateway) listen(f *config.File) (map[string]*listener, error) {
+// openListeners opens the listeners that are new. One of the same name and address stays.
+func (g *Gateway) openListeners(f *config.File) (map[string]*listener, error) {
 	opened := map[string]*listener{}
 	for _, c := range f.Listeners {
-		if l := g.listeners[c.Name]; l != nil && l.asked == c.Address {
+		if l := g.listeners[c.Name]; l != nil && l.configuredAddress == c.Address {
 			continue
 		}
 		l, err := net.Listen("tcp", c.Address)
@@ -286,7 +286,7 @@
 			}
 			return nil, fmt.Errorf("listener %q: %w", c.Name, err)
 		}
-		opened[c.Name] = &listener{Listener: l, asked: c.Address, done: make(chan struct{})}
+		opened[c.Name] = &listener{Listener: l, configuredAddress: c.Address, done: make(chan struct{})}
 	}
 	return opened, nil
 }
@@ -304,7 +304,7 @@
 	}
 	for name, l := range opened {
 		g.listeners[name] = l
-		g.work.Go(func() {
+		g.background.Go(func() {
 			defer close(l.done)
 			g.front.ServeAs(name, l)
 		})
@@ -315,24 +315,24 @@
 func (g *Gateway) Route(r *http.Request, from proxy.Peer) proxy.Destination {
 	d := g.destination(r, from)
 	if d.Core == nil {
-		g.nowhere.Add(1)
+		g.unrouted.Add(1)
 	}
 	return d
 }
 
 func (g *Gateway) destination(r *http.Request, from proxy.Peer) proxy.Destination {
-	if g.refuses.Load() {
+	if g.rejectsNew.Load() {
 		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "this gateway is taken out of service", RetryAfter: time.Second, Close: true}
 	}
-	t := g.routes.Load()
+	t := g.routing.Load()
 	path := r.URL.EscapedPath()
-	if climbs(path) {
+	if hasDotSegment(path) {
 		return proxy.Destination{Status: http.StatusBadRequest, Text: "a path with . or .. segments", Close: true}
 	}
 	q := route.Request{Host: r.Host, Method: r.Method, Path: path, RawQuery: r.URL.RawQuery, Header: r.Header}
-	found, ok := t.file.Find(&q, rand.Uint64())
-	if !ok && t.xds != nil {
-		found, ok = t.xds.Find(&q, rand.Uint64())
+	found, ok := t.configured.Find(&q, rand.Uint64())
+	if !ok && t.dynamic != nil {
+		found, ok = t.dynamic.Find(&q, rand.Uint64())
 	}
 	if !ok {
 		return proxy.Destination{Status: http.StatusNotFound, Text: "no route"}
@@ -341,11 +341,11 @@
 	if c == nil {
 		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "cluster " + found.Cluster + " is not known"}
 	}
-	if drop := c.drop.Load(); drop > 0 && rand.Uint64N(1<<32) < drop {
-		c.past.dropped.Add(1)
+	if drop := c.dropThreshold.Load(); drop > 0 && rand.Uint64N(1<<32) < drop {
+		c.totals.dropped.Add(1)
 		return proxy.Destination{Status: http.StatusServiceUnavailable, Text: "refused by the control plane's drop_overloads"}
 	}
-	w := balancer.Request{ID: strconv.FormatUint(g.ids.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, HighPriority: found.Route.High}
+	w := balancer.Request{ID: strconv.FormatUint(g.lastRequestID.Add(1), 36), Class: found.Class, Key: found.Key, Tenant: found.Tenant, HighPriority: found.Route.High}
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		if w.Class == "" {
@@ -357,11 +357,11 @@
 			w.Class = config.DefaultUnsafe
 		}
 	}
-	if d := t.limited(g.Now(), r, from, found.Route.Name, w.Class); d != nil {
+	if d := t.checkRateLimits(g.Now(), r, from, found.Route.Name, w.Class); d != nil {
 		return *d
 	}
-	if t.keyed[w.Class] && w.Key == "" {
-		w.Class += unkeyed
+	if t.keyRequired[w.Class] && w.Key == "" {
+		w.Class += withoutKey
 	}
 	core := c.core.Load()
 	if w.TimeLeft = core.Deadline(w.Class); w.TimeLeft <= 0 { // a class that went with the last configuration
@@ -373,9 +373,9 @@
 	return proxy.Destination{Core: core, Attributes: w}
 }
 
-// climbs tells whether a path has a segment that leads elsewhere than it says. Danger: who stands behind the gateway
+// hasDotSegment tells whether a path has a segment that leads elsewhere than it says. Danger: who stands behind the gateway
 // may take /a/../b as /b, and it would have been routed as something below /a.
-func climbs(path string) bool {
+func hasDotSegment(path string) bool {
 	if !strings.Contains(path, ".") && !strings.Contains(path, "%2") {
 		return false
 	}
@@ -390,77 +390,77 @@
 	return false
 }
 
-// sync brings clusters and routes up to date with the configuration and what the sources say. table is the
+// reconcile brings clusters and routes up to date with the configuration and what the sources say. table is the
 // configuration's; nil: the one in use.
-func (g *Gateway) sync(table *route.Table) {
-	g.syncClusters()
-	r := &routing{file: table, clusters: maps.Clone(g.clusters), keyed: map[string]bool{}, wanted: map[string]time.Duration{}}
+func (g *Gateway) reconcile(table *route.Table) {
+	g.reconcileClusters()
+	r := &routing{configured: table, clusters: maps.Clone(g.clusters), keyRequired: map[string]bool{}, latencyObjectives: map[string]time.Duration{}}
 	if table == nil {
-		r.file = g.routes.Load().file
-		if g.pending != nil {
-			r.file = g.pending.routing.file
+		r.configured = g.routing.Load().configured
+		if g.pendingRouting != nil {
+			r.configured = g.pendingRouting.routing.configured
 		}
 	}
-	for _, c := range g.file.Classes {
-		r.wanted[c.Name] = c.Wanted.D()
+	for _, c := range g.config.Classes {
+		r.latencyObjectives[c.Name] = c.Wanted.D()
 		if balancer.Effect(c.Effect) == balancer.IdempotentWithKey {
-			r.keyed[c.Name] = true
+			r.keyRequired[c.Name] = true
 		}
 	}
-	r.limits = g.limits
-	if f := g.feeds[xdsFeed]; f != nil {
-		switch routes, why := f.routes(g.file.XDS); {
+	r.rateLimits = g.rateLimits
+	if f := g.watches[xdsWatch]; f != nil {
+		switch routes, why := f.routes(g.config.XDS); {
 		case routes != nil:
-			r.xds = routes.Table
+			r.dynamic = routes.Table
 		case why == "": // no word of the ones that are named now: those before go on
-			r.xds = g.routes.Load().xds
+			r.dynamic = g.routing.Load().dynamic
 		}
 	}
-	g.propose(r)
+	g.proposeRouting(r)
 }
 
-// propose makes a routing the one in use: at once, or once the clusters that it names anew have endpoints.
-func (g *Gateway) propose(r *routing) {
+// proposeRouting makes a routing the one in use: at once, or once the clusters that it names anew have endpoints.
+func (g *Gateway) proposeRouting(r *routing) {
 	now := g.Now()
 	since := now
-	if g.pending != nil {
-		since = g.pending.since
-		g.pending.timer.Stop()
-		g.pending = nil
-	}
-	wait := g.patience() - (now - since)
-	if wait <= 0 || g.stopping || !g.waits(r) {
-		g.use(r)
+	if g.pendingRouting != nil {
+		since = g.pendingRouting.since
+		g.pendingRouting.timer.Stop()
+		g.pendingRouting = nil
+	}
+	wait := g.maxRoutingWait() - (now - since)
+	if wait <= 0 || g.stopping || !g.mustWaitForEndpoints(r) {
+		g.useRouting(r)
 		return
 	}
 	// What is new of the clusters counts at once; where requests go changes later.
-	cur := *g.routes.Load()
-	cur.clusters, cur.keyed, cur.limits, cur.wanted = r.clusters, r.keyed, r.limits, r.wanted
-	g.routes.Store(&cur)
-	p := &pending{routing: r, since: since}
+	cur := *g.routing.Load()
+	cur.clusters, cur.keyRequired, cur.rateLimits, cur.latencyObjectives = r.clusters, r.keyRequired, r.rateLimits, r.latencyObjectives
+	g.routing.Store(&cur)
+	p := &pendingRouting{routing: r, since: since}
 	p.timer = time.AfterFunc(wait, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.pending == p {
-			g.pending = nil
-			g.use(p.routing)
+		if g.pendingRouting == p {
+			g.pendingRouting = nil
+			g.useRouting(p.routing)
 		}
 	})
-	g.pending = p
+	g.pendingRouting = p
 }
 
-func (g *Gateway) patience() time.Duration {
-	if g.file.XDS == nil {
+func (g *Gateway) maxRoutingWait() time.Duration {
+	if g.config.XDS == nil {
 		return 0
 	}
-	return g.file.XDS.InitialFetchTimeout.D()
+	return g.config.XDS.InitialFetchTimeout.D()
 }
 
-func (g *Gateway) use(r *routing) {
-	named := names(r)
+func (g *Gateway) useRouting(r *routing) {
+	named := clusterNames(r)
 	var leave []*cluster
 	for _, c := range g.clusters {
-		if c.leaving() && !named[c.name] {
+		if c.isLeaving() && !named[c.name] {
 			leave = append(leave, c)
 		}
 	}
@@ -470,16 +470,16 @@
 			delete(r.clusters, c.name)
 		}
 	}
-	g.routes.Store(r)
+	g.routing.Store(r)
 	for _, c := range leave {
-		g.drop(c, leaveTime)
+		g.removeCluster(c, removalDelay)
 	}
 }
 
-// waits tells whether a routing names a cluster that the one in use does not and that has no endpoints yet, while what is
+// mustWaitForEndpoints tells whether a routing names a cluster that the one in use does not and that has no endpoints yet, while what is
 // in use still works.
-func (g *Gateway) waits(r *routing) bool {
-	before := names(g.routes.Load())
+func (g *Gateway) mustWaitForEndpoints(r *routing) bool {
+	before := clusterNames(g.routing.Load())
 	works := false
 	for n := range before {
 		if c := g.clusters[n]; c != nil && c.view.Usable() > 0 {
@@ -489,7 +489,7 @@
 	if !works {
 		return false
 	}
-	for n := range names(r) {
+	for n := range clusterNames(r) {
 		if c := g.clusters[n]; !before[n] && (c == nil || c.view.Usable() == 0) {
 			return true
 		}
@@ -497,9 +497,9 @@
 	return false
 }
 
-func names(r *routing) map[string]bool {
+func clusterNames(r *routing) map[string]bool {
 	m := map[string]bool{}
-	for _, t := range []*route.Table{r.file, r.xds} {
+	for _, t := range []*route.Table{r.configured, r.dynamic} {
 		if t != nil {
 			for _, n := range t.Clusters() {
 				m[n] = true
@@ -514,16 +514,16 @@
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.stopping || g.drain != nil || g.fleet != nil && !g.ordered {
+	if g.stopping || g.drainRequest != nil || g.fleet != nil && !g.drainsKnown {
 		return false
 	}
-	r := g.routes.Load()
-	for n := range names(r) {
+	r := g.routing.Load()
+	for n := range clusterNames(r) {
 		if c := g.clusters[n]; c == nil || !c.view.Known() {
 			return false
 		}
 	}
-	return r.file.Len() > 0 || r.xds != nil
+	return r.configured.Len() > 0 || r.dynamic != nil
 }
 
 // Stop ends the gateway without losing a request: it goes on accepting for a moment, answers what it holds, and ends
@@ -531,11 +531,11 @@
 func (g *Gateway) Stop(ctx context.Context) {
 	g.mu.Lock()
 	g.stopping = true
-	if g.pending != nil {
-		g.pending.timer.Stop()
-		p := g.pending.routing
-		g.pending = nil
-		g.use(p)
+	if g.pendingRouting != nil {
+		g.pendingRouting.timer.Stop()
+		p := g.pendingRouting.routing
+		g.pendingRouting = nil
+		g.useRouting(p)
 	}
 	var l []net.Listener
 	for _, x := range g.listeners {
@@ -543,7 +543,7 @@
 	}
 	g.mu.Unlock()
 	if g.fleet != nil {
-		g.work.Go(g.fleet.Drain)
+		g.background.Go(g.fleet.Drain)
 	}
 	g.front.Stop(ctx, l...)
 }
@@ -552,17 +552,17 @@
 func (g *Gateway) Close() {
 	g.mu.Lock()
 	g.stopping = true
-	if g.pending != nil {
-		g.pending.timer.Stop()
-		g.pending = nil
+	if g.pendingRouting != nil {
+		g.pendingRouting.timer.Stop()
+		g.pendingRouting = nil
 	}
 	for _, l := range g.listeners {
 		l.Close()
 	}
-	feeds := slices.Collect(maps.Values(g.feeds))
+	feeds := slices.Collect(maps.Values(g.watches))
 	adm := g.admin
 	g.mu.Unlock()
-	g.end()
+	g.cancel()
 	for _, f := range feeds {
 		f.stop()
 	}
@@ -570,24 +570,24 @@
 		adm.close()
 	}
 	g.mu.Lock()
-	var all []*instance
+	var all []*coreInstance
 	for _, c := range g.clusters {
-		c.stopTimer()
-		all = append(all, c.in)
+		c.stopStaleTimer()
+		all = append(all, c.current)
 	}
-	all = append(all, slices.Collect(maps.Keys(g.old))...)
+	all = append(all, slices.Collect(maps.Keys(g.retired))...)
 	g.mu.Unlock()
 	for _, in := range all {
 		in.core.Retire()
 		in.core.Close()
 	}
 	g.front.CloseIdle()
-	g.work.Wait()
+	g.background.Wait()
 	if g.fleet != nil {
-		g.fleet.Stop(leaveFleet)
+		g.fleet.Stop(fleetLeaveTimeout)
 	}
 }
 
-func nodeOf(f *config.File) *corev3.Node {
+func xdsNode(f *config.File) *corev3.Node {
 	return xds.Node(f.XDS.Node.ID, f.XDS.Node.Cluster, f.Zone)
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -317,7 +317,7 @@
 		}
 	}
 	s := g.Status(0).Clusters[0]
-	if s.Requests.Taken != 9 || s.Requests.Failed != 1 || s.Requests.Served != 8 || s.InHand != 0 {
+	if s.Requests.Accepted != 9 || s.Requests.Failed != 1 || s.Requests.Served != 8 || s.InFlight != 0 {
 		t.Errorf("%+v", s.Requests)
 	}
 }
@@ -446,8 +446,8 @@
 	testbed.Eventually(t, "the loss to show", func() bool { src := g.Status(0).Sources[0]; return src.Connected == "" && src.Error != "" })
 	n := l.ok.Load()
 	testbed.Eventually(t, "service without it", func() bool { return l.ok.Load() > n+200 })
-	first := *g.Status(0).Clusters[0].Age
-	testbed.Eventually(t, "the list to age", func() bool { return *g.Status(0).Clusters[0].Age > first+0.01 })
+	first := *g.Status(0).Clusters[0].UpdateAge
+	testbed.Eventually(t, "the list to age", func() bool { return *g.Status(0).Clusters[0].UpdateAge > first+0.01 })
 	if !g.Ready() || g.usable("c") != 2 {
 		t.Error("the list is gone with the control plane")
 	}
@@ -515,7 +515,7 @@
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
-	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.old) == 0 })
+	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.retired) == 0 })
 }
 
 // A cluster that is withdrawn while a route leads to it is refused soon, and served again when it is back.
@@ -541,7 +541,7 @@
 	if r := u.get(t, "/d"); r.status != 200 {
 		t.Errorf("the other one: %d", r.status)
 	}
-	if m := g.Status(0).Routes.Missing; len(m) != 1 || m[0] != "c" {
+	if m := g.Status(0).Routes.MissingClusters; len(m) != 1 || m[0] != "c" {
 		t.Errorf("missing: %v", m)
 	}
 	push(t, s, "3", false, cds("c"), eds("c", a))
@@ -569,7 +569,7 @@
 			testbed.Eventually(t, "the other routes", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
 			push(t, s, "3", false, controlplane.Resource{Name: "l"})
 			testbed.Eventually(t, "no routes", func() bool { return u.get(t, "/x").status == 404 })
-			if why := g.Status(0).Routes.Refused; why != "the control plane withdrew it" {
+			if why := g.Status(0).Routes.Rejection; why != "the control plane withdrew it" {
 				t.Errorf("%q", why)
 			}
 		})
@@ -596,8 +596,8 @@
 			testbed.Eventually(t, "the former ones to be gone", func() bool {
 				g.mu.Lock()
 				defer g.mu.Unlock()
-				f := g.feeds[xdsFeed]
-				return len(g.clusters) == 2 && len(g.old) == 0 && len(f.told[xds.ClusterType]) == 2 && len(f.told[xds.EndpointType]) == 2
+				f := g.watches[xdsWatch]
+				return len(g.clusters) == 2 && len(g.retired) == 0 && len(f.resources[xds.ClusterType]) == 2 && len(f.resources[xds.EndpointType]) == 2
 			})
 			if n := g.Status(0).Limits.Requests; n != 2*(4096/4/2) {
 				t.Errorf("%d requests are kept for two clusters", n)
@@ -686,7 +686,7 @@
 	if err := g.Reload(parse(t, bad+conf(20))); err == nil {
 		t.Error("an address that is taken is taken over")
 	}
-	if st := g.Status(0); st.Config.Refused == "" || len(st.Clusters) != 2 || st.Clusters[0].Name != "c20" {
+	if st := g.Status(0); st.Config.Rejection == "" || len(st.Clusters) != 2 || st.Clusters[0].Name != "c20" {
 		t.Errorf("%+v", st.Config)
 	}
 	n := l.ok.Load()
@@ -696,11 +696,11 @@
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
-	if err := g.Reload(parse(t, head+conf(20))); err != nil || g.Status(0).Config.Refused != "" {
+	if err := g.Reload(parse(t, head+conf(20))); err != nil || g.Status(0).Config.Rejection != "" {
 		t.Errorf("%v", err)
 	}
-	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.old) == 0 })
-	if st := g.Status(0); st.Limits.Requests != st.Clusters[0].Holds.Requests+int64(2*(4096/2/2)) {
+	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.retired) == 0 })
+	if st := g.Status(0); st.Limits.Requests != st.Clusters[0].Usage.Requests+int64(2*(4096/2/2)) {
 		t.Errorf("%d requests are booked", st.Limits.Requests)
 	}
 }
@@ -762,7 +762,7 @@
 		})
 	}
 	testbed.Eventually(t, "the sick one to hold all it can", func() bool { return refused.Load() >= 35 })
-	if n := g.Status(0).Clusters[0].InHand; n > 25 {
+	if n := g.Status(0).Clusters[0].InFlight; n > 25 {
 		t.Errorf("%d requests in hand of 30, 5 of which are another's", n)
 	}
 	u := visit(t, g)
@@ -869,11 +869,11 @@
 		t.Fatal(err)
 	}
 	c := st.Clusters[0]
-	if c.Version != "1" || c.Source != "xds" || c.Age == nil || c.Usable != 1 || len(c.Endpoints) != 2 || c.Requests.Served != 1 || st.Sources[0].Connected != s.Addr {
+	if c.Version != "1" || c.Source != "xds" || c.UpdateAge == nil || c.Usable != 1 || len(c.Endpoints) != 2 || c.Requests.Served != 1 || st.Sources[0].Connected != s.Addr {
 		t.Errorf("%+v", st)
 	}
 	for _, e := range c.Endpoints {
-		if (e.Out == "draining") != (e.Address == "127.0.0.1:9") {
+		if (e.ExcludedReason == "draining") != (e.Address == "127.0.0.1:9") {
 			t.Errorf("%+v", e)
 		}
 	}
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/locality_test.go
@@ -235,7 +235,7 @@
 	push(t, s, "3", false, list(`{"policy":{"overprovisioning_factor":300}}`))
 	testbed.Eventually(t, "the whole", share(1))
 	push(t, s, "4", false, list(`{"policy":{"overprovisioning_factor":0}}`)) // refused
-	testbed.Eventually(t, "the refusal", func() bool { return g.Status(1).Clusters[0].Refused != "" })
+	testbed.Eventually(t, "the refusal", func() bool { return g.Status(1).Clusters[0].RejectedUpdate != "" })
 	push(t, s, "5", false, list(`{}`))
 	testbed.Eventually(t, "the configuration's again", share(0.7))
 }
--- a/internal/gateway/shows.go
+++ b/internal/gateway/outcomes.go
@@ -9,21 +9,21 @@
 	"robindrum/internal/release"
 )
 
-// maxShown bounds the classes that are counted by name. Danger: configurations bring ever new ones.
-const maxShown = 64
+// maxClassNames bounds the classes that are counted by name. Danger: configurations bring ever new ones.
+const maxClassNames = 64
 
-// shows counts what requests came to, by class and by time: by this a release is judged. Its methods may be called by several
+// outcomeCounters counts what requests came to, by class and by time: by this a release is judged. Its methods may be called by several
 // goroutines at once.
-type shows struct {
+type outcomeCounters struct {
 	buckets [release.LatencyBuckets]atomic.Uint64
 	mu      sync.RWMutex
-	classes map[string]*classShows
+	classes map[string]*classCounters
 }
 
-type classShows struct{ taken, inTime atomic.Uint64 }
+type classCounters struct{ accepted, inTime atomic.Uint64 }
 
 // add counts one request. Those whose client left are not counted: it is not known what they would have come to.
-func (s *shows) add(class string, out proxy.RequestOutcome, took time.Duration, inTime bool) {
+func (s *outcomeCounters) add(class string, out proxy.RequestOutcome, took time.Duration, inTime bool) {
 	if out == proxy.OutcomeServed {
 		s.buckets[release.LatencyBucket(took)].Add(1)
 	}
@@ -38,28 +38,28 @@
 			return
 		}
 	}
-	c.taken.Add(1)
+	c.accepted.Add(1)
 	if out == proxy.OutcomeServed && inTime {
 		c.inTime.Add(1)
 	}
 }
 
-func (s *shows) class(name string) *classShows {
+func (s *outcomeCounters) class(name string) *classCounters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.classes == nil {
-		s.classes = map[string]*classShows{}
+		s.classes = map[string]*classCounters{}
 	}
 	c := s.classes[name]
-	if c == nil && len(s.classes) < maxShown {
-		c = &classShows{}
+	if c == nil && len(s.classes) < maxClassNames {
+		c = &classCounters{}
 		s.classes[name] = c
 	}
 	return c
 }
 
-// times are the answers by bucket, without the empty ones at the end.
-func (s *shows) times() (l []uint64) {
+// latencyCounts are the answers by bucket, without the empty ones at the end.
+func (s *outcomeCounters) latencyCounts() (l []uint64) {
 	for i := range s.buckets {
 		if n := s.buckets[i].Load(); n > 0 {
 			l = append(l, make([]uint64, i+1-len(l))...)
@@ -69,12 +69,12 @@
 	return l
 }
 
-func (s *shows) all() map[string]release.ClassFigures {
+func (s *outcomeCounters) byClass() map[string]release.ClassFigures {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	m := make(map[string]release.ClassFigures, len(s.classes))
 	for name, c := range s.classes {
-		m[name] = release.ClassFigures{Accepted: c.taken.Load(), InTime: c.inTime.Load()}
+		m[name] = release.ClassFigures{Accepted: c.accepted.Load(), InTime: c.inTime.Load()}
 	}
 	return m
 }
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -20,19 +20,19 @@
 
 // rateLimit is one limit of the configuration. It outlives reloads that leave it as it is.
 type rateLimit struct {
-	conf    config.RateLimit
-	of      int // gateways that share it
-	seed    maphash.Seed
-	table   *ratelimit.Table
-	policy  string // RateLimit-Policy
-	allowed atomic.Uint64
-	refused atomic.Uint64
+	config   config.RateLimit
+	gateways int // gateways that share it
+	seed     maphash.Seed
+	table    *ratelimit.Table
+	policy   string // RateLimit-Policy
+	allowed  atomic.Uint64
+	refused  atomic.Uint64
 }
 
 // rateLimits makes a configuration's limits. What of the former ones is alike goes on, with all that it has counted.
 func rateLimits(f *config.File, old []*rateLimit) (l []*rateLimit) {
 	for _, c := range f.RateLimits {
-		same := func(o *rateLimit) bool { return o.of == f.Gateway.Of && reflect.DeepEqual(o.conf, c) }
+		same := func(o *rateLimit) bool { return o.gateways == f.Gateway.Of && reflect.DeepEqual(o.config, c) }
 		if i := slices.IndexFunc(old, same); i >= 0 {
 			l = append(l, old[i])
 			continue
@@ -42,19 +42,19 @@
 		if err != nil { // the configuration was checked: this cannot be
 			panic(fmt.Sprintf("rate limit %s: %v", c.Name, err))
 		}
-		l = append(l, &rateLimit{conf: c, of: f.Gateway.Of, seed: maphash.MakeSeed(), table: t,
-			policy: fmt.Sprintf("%q;q=%d;w=%d", c.Name, t.Burst(), seconds(t.Window()))})
+		l = append(l, &rateLimit{config: c, gateways: f.Gateway.Of, seed: maphash.MakeSeed(), table: t,
+			policy: fmt.Sprintf("%q;q=%d;w=%d", c.Name, t.Burst(), ceilSeconds(t.Window()))})
 	}
 	return l
 }
 
-// seconds rounds up, as what is told in whole seconds must not be too short.
-func seconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
+// ceilSeconds rounds up, as what is told in whole seconds must not be too short.
+func ceilSeconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
 
-// limited counts a request for all limits that it falls under, and gives the answer where one of them refuses it.
-func (t *routing) limited(now time.Duration, r *http.Request, from proxy.Peer, route, class string) *proxy.Destination {
-	for _, l := range t.limits {
-		if !l.covers(from.Listener, route, class) {
+// checkRateLimits counts a request for all limits that it falls under, and gives the answer where one of them refuses it.
+func (t *routing) checkRateLimits(now time.Duration, r *http.Request, from proxy.Peer, route, class string) *proxy.Destination {
+	for _, l := range t.rateLimits {
+		if !l.applies(from.Listener, route, class) {
 			continue
 		}
 		d := l.table.Allow(now, l.hash(r, from.Addr))
@@ -64,21 +64,21 @@
 		}
 		l.refused.Add(1)
 		// The fields of draft-ietf-httpapi-ratelimit-headers. Danger: all that share a key would come back at the same moment.
-		return &proxy.Destination{Status: http.StatusTooManyRequests, Text: "rate limit " + l.conf.Name,
+		return &proxy.Destination{Status: http.StatusTooManyRequests, Text: "rate limit " + l.config.Name,
 			RetryAfter: time.Duration(float64(d.RetryAfter) * (1 + rand.Float64()/2)),
-			Header:     http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {fmt.Sprintf("%q;r=%d;t=%d", l.conf.Name, d.Remaining, seconds(d.Reset))}}}
+			Header:     http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {fmt.Sprintf("%q;r=%d;t=%d", l.config.Name, d.Remaining, ceilSeconds(d.Reset))}}}
 	}
 	return nil
 }
 
-func (l *rateLimit) covers(listener, route, class string) bool {
+func (l *rateLimit) applies(listener, route, class string) bool {
 	in := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
-	return in(l.conf.Listeners, listener) && in(l.conf.Routes, route) && in(l.conf.Classes, class)
+	return in(l.config.Listeners, listener) && in(l.config.Routes, route) && in(l.config.Classes, class)
 }
 
 // hash is that of the request's key. Requests that have none share one.
 func (l *rateLimit) hash(r *http.Request, from netip.Addr) uint64 {
-	switch k := l.conf.Key; {
+	switch k := l.config.Key; {
 	case k.Header != "":
 		return maphash.String(l.seed, r.Header.Get(k.Header))
 	case k.Cookie != "":
@@ -93,29 +93,29 @@
 
 // RateLimitStatus is about one rate limit.
 type RateLimitStatus struct {
-	Name    string `json:"name"`
-	Allowed uint64 `json:"allowed"`
-	Refused uint64 `json:"refused"`
-	Rest    uint64 `json:"counted_together"` // requests whose keys found no room
+	Name            string `json:"name"`
+	Allowed         uint64 `json:"allowed"`
+	Rejected        uint64 `json:"refused"`
+	CountedTogether uint64 `json:"counted_together"` // requests whose keys found no room
 }
 
 func (g *Gateway) rateLimitStatus() (l []RateLimitStatus) {
-	for _, x := range g.limits {
-		l = append(l, RateLimitStatus{x.conf.Name, x.allowed.Load(), x.refused.Load(), x.table.SharedCount()})
+	for _, x := range g.rateLimits {
+		l = append(l, RateLimitStatus{x.config.Name, x.allowed.Load(), x.refused.Load(), x.table.SharedCount()})
 	}
 	return l
 }
 
-// spareFiles is what the process needs of descriptors beside connections.
-const spareFiles = 64
+// reservedFiles is what the process needs of descriptors beside connections.
+const reservedFiles = 64
 
-// descriptors is how many connections there may be: what was asked for, or what the system allows the process.
-func descriptors(asked int, log *slog.Logger) int {
+// maxDescriptors is how many connections there may be: what was asked for, or what the system allows the process.
+func maxDescriptors(asked int, log *slog.Logger) int {
 	var r syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil || r.Cur > uint64(asked+spareFiles) {
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil || r.Cur > uint64(asked+reservedFiles) {
 		return asked
 	}
-	may := max(int(r.Cur)-spareFiles, int(r.Cur)/2)
+	may := max(int(r.Cur)-reservedFiles, int(r.Cur)/2)
 	log.Warn("the process may open fewer files than limits.descriptors says", "descriptors", asked, "used", may)
 	return may
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -26,28 +26,28 @@
 
 	RateLimits []RateLimitStatus `json:"rate_limits,omitempty"`
 
-	Fleet        *fleet.Status `json:"fleet,omitempty"`
-	Subscription *Subscription `json:"subscription,omitempty"`
-	Drained      string        `json:"drained,omitempty"` // the order that has taken this gateway out
+	Fleet        *fleet.Status       `json:"fleet,omitempty"`
+	Subscription *SubscriptionStatus `json:"subscription,omitempty"`
+	DrainID      string              `json:"drained,omitempty"` // the order that has taken this gateway out
 }
 
 // ConfigStatus is about the file.
 type ConfigStatus struct {
-	Path       string  `json:"path"`
-	Age        float64 `json:"age_seconds"` // since it was taken over
-	Refused    string  `json:"refused,omitempty"`
-	RefusedAge float64 `json:"refused_age_seconds,omitempty"`
+	Path         string  `json:"path"`
+	Age          float64 `json:"age_seconds"` // since it was taken over
+	Rejection    string  `json:"refused,omitempty"`
+	RejectionAge float64 `json:"refused_age_seconds,omitempty"`
 }
 
 // SourceStatus is about a control plane, or a file of resources.
 type SourceStatus struct {
-	Name      string       `json:"name"`
-	Connected string       `json:"connected"` // the control plane's address, or the file; empty: not connected
-	Since     float64      `json:"connected_seconds,omitempty"`
-	Heard     *float64     `json:"last_word_age_seconds"` // null: never
-	Streams   int          `json:"streams"`
-	Error     string       `json:"error,omitempty"`
-	Types     []TypeStatus `json:"types"`
+	Name             string       `json:"name"`
+	Connected        string       `json:"connected"` // the control plane's address, or the file; empty: not connected
+	ConnectedSeconds float64      `json:"connected_seconds,omitempty"`
+	LastResponseAge  *float64     `json:"last_word_age_seconds"` // null: never
+	Streams          int          `json:"streams"`
+	Error            string       `json:"error,omitempty"`
+	Types            []TypeStatus `json:"types"`
 }
 
 // TypeStatus is about all resources of one type.
@@ -62,62 +62,62 @@
 
 // RoutesStatus is about where requests go.
 type RoutesStatus struct {
-	File    int      `json:"from_config"`
-	XDS     int      `json:"from_xds"`
-	Pending bool     `json:"waiting_for_endpoints"` // new routes wait for their clusters' endpoints
-	Refused string   `json:"refused,omitempty"`
-	Missing []string `json:"missing_clusters,omitempty"` // that a route names and nobody knows
+	FromConfig      int      `json:"from_config"`
+	FromXDS         int      `json:"from_xds"`
+	Pending         bool     `json:"waiting_for_endpoints"` // new routes wait for their clusters' endpoints
+	Rejection       string   `json:"refused,omitempty"`
+	MissingClusters []string `json:"missing_clusters,omitempty"` // that a route names and nobody knows
 }
 
 // ClusterStatus is about one cluster.
 type ClusterStatus struct {
-	Name      string           `json:"name"`
-	Source    string           `json:"source"`
-	Service   string           `json:"service,omitempty"`
-	Version   string           `json:"version,omitempty"`
-	Age       *float64         `json:"last_word_age_seconds"` // null: there was none yet
-	Stale     string           `json:"stale,omitempty"`
-	Refused   string           `json:"refused_update,omitempty"`
-	Warnings  []string         `json:"warnings,omitempty"`
-	Leaving   bool             `json:"leaving,omitempty"`
-	Drop      float64          `json:"drop_fraction,omitempty"`
-	Dropped   uint64           `json:"dropped,omitempty"`
-	Usable    int              `json:"usable_endpoints"`
-	Endpoints []EndpointStatus `json:"endpoints"`
-	InHand    int              `json:"requests_in_hand"`
-	Old       int              `json:"requests_in_hand_of_former_settings,omitempty"`
-	Requests  RequestStatus    `json:"requests"`
-	Holds     HoldStatus       `json:"holds"`
-	Zones     []ZoneStatus     `json:"zones,omitempty"`
-	Admission AdmissionStatus  `json:"admission"`
+	Name            string           `json:"name"`
+	Source          string           `json:"source"`
+	Service         string           `json:"service,omitempty"`
+	Version         string           `json:"version,omitempty"`
+	UpdateAge       *float64         `json:"last_word_age_seconds"` // null: there was none yet
+	Stale           string           `json:"stale,omitempty"`
+	RejectedUpdate  string           `json:"refused_update,omitempty"`
+	Warnings        []string         `json:"warnings,omitempty"`
+	Leaving         bool             `json:"leaving,omitempty"`
+	DropFraction    float64          `json:"drop_fraction,omitempty"`
+	Dropped         uint64           `json:"dropped,omitempty"`
+	Usable          int              `json:"usable_endpoints"`
+	Endpoints       []EndpointStatus `json:"endpoints"`
+	InFlight        int              `json:"requests_in_hand"`
+	InFlightRetired int              `json:"requests_in_hand_of_former_settings,omitempty"`
+	Requests        RequestStatus    `json:"requests"`
+	Usage           UsageStatus      `json:"holds"`
+	Zones           []ZoneStatus     `json:"zones,omitempty"`
+	Admission       AdmissionStatus  `json:"admission"`
 }
 
 // EndpointStatus is about one endpoint.
 type EndpointStatus struct {
-	Address  string  `json:"address"`
-	Zone     string  `json:"zone,omitempty"`
-	Priority int     `json:"priority,omitempty"`
-	Weight   float64 `json:"weight"`
-	Health   string  `json:"health"`
-	Age      float64 `json:"age_seconds,omitempty"` // since it was first told; 0: with the first list
-	Out      string  `json:"out,omitempty"`         // why it gets nothing new
+	Address        string  `json:"address"`
+	Zone           string  `json:"zone,omitempty"`
+	Priority       int     `json:"priority,omitempty"`
+	Weight         float64 `json:"weight"`
+	Health         string  `json:"health"`
+	Age            float64 `json:"age_seconds,omitempty"` // since it was first told; 0: with the first list
+	ExcludedReason string  `json:"out,omitempty"`         // why it gets nothing new
 }
 
 // RequestStatus counts requests.
 type RequestStatus struct {
-	Taken    uint64            `json:"taken"`
-	Served   uint64            `json:"served"`
-	Refused  uint64            `json:"refused"`
-	Failed   uint64            `json:"failed"`
-	Left     uint64            `json:"client_left"`
-	Sends    uint64            `json:"sends"`
-	Retries  uint64            `json:"retries"`
-	Attempts map[string]uint64 `json:"attempts"`
-	MeanMS   float64           `json:"mean_served_ms"`
+	Accepted   uint64            `json:"taken"`
+	Served     uint64            `json:"served"`
+	Rejected   uint64            `json:"refused"`
+	Failed     uint64            `json:"failed"`
+	ClientLeft uint64            `json:"client_left"`
+	Sends      uint64            `json:"sends"`
+	Retries    uint64            `json:"retries"`
+	Attempts   map[string]uint64 `json:"attempts"`
+	MeanMS     float64           `json:"mean_served_ms"`
 }
 
-// HoldStatus is what a cluster holds of the shared limits.
-type HoldStatus struct {
+// UsageStatus is what a cluster holds of the shared limits.
+type UsageStatus struct {
 	Descriptors int   `json:"descriptors"`
 	Memory      int64 `json:"memory_bytes"`
 	Requests    int64 `json:"requests"`
@@ -125,16 +125,16 @@
 
 // LimitsStatus is what of the whole process's limits is held or kept for a cluster.
 type LimitsStatus struct {
-	Descriptors     int   `json:"descriptors"`
-	DescriptorsMost int   `json:"descriptors_most"`
-	Memory          int64 `json:"memory_bytes"`
-	MemoryMost      int64 `json:"memory_bytes_most"`
-	Requests        int64 `json:"requests"`
-	RequestsMost    int64 `json:"requests_most"`
-	Clients         int   `json:"client_connections"`
+	Descriptors       int   `json:"descriptors"`
+	MaxDescriptors    int   `json:"descriptors_most"`
+	Memory            int64 `json:"memory_bytes"`
+	MaxMemory         int64 `json:"memory_bytes_most"`
+	Requests          int64 `json:"requests"`
+	MaxRequests       int64 `json:"requests_most"`
+	ClientConnections int   `json:"client_connections"`
 }
 
-var results = [...]string{balancer.Served: "served", balancer.ServerError: "error", balancer.Rejected: "turned_away", balancer.TimedOut: "timed_out",
+var attemptResultNames = [...]string{balancer.Served: "served", balancer.ServerError: "error", balancer.Rejected: "turned_away", balancer.TimedOut: "timed_out",
 	balancer.NotConnected: "not_connected", balancer.ConnectionLost: "connection_lost", balancer.Cancelled: "cancelled", balancer.NotSent: "not_sent"}
 
 // Status tells how the gateway stands. Of each cluster at most endpoints endpoints are named; 0: all.
@@ -148,7 +148,7 @@
 			all = all[:endpoints]
 		}
 		for _, e := range all {
-			es := EndpointStatus{Address: e.Address, Zone: e.Zone, Priority: e.Priority, Weight: e.Weight, Health: e.Health.String(), Out: e.ExcludedReason}
+			es := EndpointStatus{Address: e.Address, Zone: e.Zone, Priority: e.Priority, Weight: e.Weight, Health: e.Health.String(), ExcludedReason: e.ExcludedReason}
 			if e.AddedAt > 0 {
 				es.Age = max(now-e.AddedAt, 0).Seconds()
 			}
@@ -165,8 +165,8 @@
 	if g.fleet != nil {
 		fl = new(g.fleet.Status())
 	}
-	var sub *Subscription
-	if s := g.shared.Load(); s != nil {
+	var sub *SubscriptionStatus
+	if s := g.sharedSource.Load(); s != nil {
 		sub = s.status()
 	}
 	g.mu.Lock()
@@ -179,40 +179,40 @@
 		}
 		return new(age(at))
 	}
-	s := Status{Ready: ready, Fleet: fl, Subscription: sub, Stopping: g.stopping, Uptime: time.Since(g.boot).Seconds(), Listeners: map[string]string{},
-		Config: ConfigStatus{Path: g.file.Path(), Age: age(g.reloaded), Refused: g.refused}}
-	if g.refused != "" {
-		s.Config.RefusedAge = age(g.refusedAt)
+	s := Status{Ready: ready, Fleet: fl, Subscription: sub, Stopping: g.stopping, Uptime: time.Since(g.startedAt).Seconds(), Listeners: map[string]string{},
+		Config: ConfigStatus{Path: g.config.Path(), Age: age(g.reloadedAt), Rejection: g.rejection}}
+	if g.rejection != "" {
+		s.Config.RejectionAge = age(g.rejectedAt)
 	}
-	if g.drain != nil {
-		s.Drained = g.drain.ID
+	if g.drainRequest != nil {
+		s.DrainID = g.drainRequest.ID
 	}
 	for name, l := range g.listeners {
 		s.Listeners[name] = l.Addr().String()
 	}
-	for _, name := range slices.Sorted(maps.Keys(g.feeds)) {
-		f := g.feeds[name]
-		l := f.src.Link()
-		src := SourceStatus{Name: name, Connected: l.Server, Heard: since(l.Heard), Streams: l.Streams, Error: l.Error}
+	for _, name := range slices.Sorted(maps.Keys(g.watches)) {
+		f := g.watches[name]
+		l := f.source.Link()
+		src := SourceStatus{Name: name, Connected: l.Server, LastResponseAge: since(l.Heard), Streams: l.Streams, Error: l.Error}
 		if l.Since > 0 && l.Server != "" {
-			src.Since = age(l.Since)
+			src.ConnectedSeconds = age(l.Since)
 		}
-		for _, t := range f.src.Summaries() {
+		for _, t := range f.source.Summaries() {
 			src.Types = append(src.Types, TypeStatus{t.Type.Short(), t.Version, t.Accepted, t.Rejected, t.Error, t.Resources})
 		}
 		s.Sources = append(s.Sources, src)
 	}
-	r := g.routes.Load()
-	s.Routes = RoutesStatus{File: r.file.Len(), Pending: g.pending != nil}
-	if r.xds != nil {
-		s.Routes.XDS = r.xds.Len()
+	r := g.routing.Load()
+	s.Routes = RoutesStatus{FromConfig: r.configured.Len(), Pending: g.pendingRouting != nil}
+	if r.dynamic != nil {
+		s.Routes.FromXDS = r.dynamic.Len()
 	}
-	if f := g.feeds[xdsFeed]; f != nil {
-		_, s.Routes.Refused = f.routes(g.file.XDS)
+	if f := g.watches[xdsWatch]; f != nil {
+		_, s.Routes.Rejection = f.routes(g.config.XDS)
 	}
-	for _, n := range slices.Sorted(maps.Keys(names(r))) {
+	for _, n := range slices.Sorted(maps.Keys(clusterNames(r))) {
 		if g.clusters[n] == nil {
-			s.Routes.Missing = append(s.Routes.Missing, n)
+			s.Routes.MissingClusters = append(s.Routes.MissingClusters, n)
 		}
 	}
 	var listings []endpoints.List
@@ -221,33 +221,33 @@
 		s.Clusters, listings = append(s.Clusters, g.clusterStatus(c, now)), append(listings, c.view.List())
 	}
 	s.RateLimits = g.rateLimitStatus()
-	s.Limits = LimitsStatus{Descriptors: g.budget.Used(), DescriptorsMost: g.budget.Limit(), Memory: g.memory.Used(),
-		MemoryMost: g.memory.Limit(), Requests: g.open.Used(), RequestsMost: g.open.Limit(), Clients: g.front.ConnectionCount()}
+	s.Limits = LimitsStatus{Descriptors: g.descriptorBudget.Used(), MaxDescriptors: g.descriptorBudget.Limit(), Memory: g.memoryPool.Used(),
+		MaxMemory: g.memoryPool.Limit(), Requests: g.requestPool.Used(), MaxRequests: g.requestPool.Limit(), ClientConnections: g.front.ConnectionCount()}
 	return s, listings
 }
 
 func (g *Gateway) clusterStatus(c *cluster, now time.Duration) ClusterStatus {
 	w, at := c.view.LastUpdate()
 	s := ClusterStatus{Name: c.name, Source: cmp.Or(w.Source, sourceName(c.spec.source)), Service: c.spec.service, Version: w.Version,
-		Stale: w.Stale, Refused: c.refused, Warnings: c.warn, Leaving: c.leaving(), Drop: float64(c.drop.Load()) / (1 << 32),
-		Dropped: c.past.dropped.Load(), Usable: c.view.Usable(), InHand: c.in.core.InFlight(), Endpoints: []EndpointStatus{},
-		Holds: HoldStatus{Descriptors: c.conns.Used(), Memory: c.mem.Used(), Requests: c.requests.Used()}}
+		Stale: w.Stale, RejectedUpdate: c.rejection, Warnings: c.warnings, Leaving: c.isLeaving(), DropFraction: float64(c.dropThreshold.Load()) / (1 << 32),
+		Dropped: c.totals.dropped.Load(), Usable: c.view.Usable(), InFlight: c.current.core.InFlight(), Endpoints: []EndpointStatus{},
+		Usage: UsageStatus{Descriptors: c.connectionQuota.Used(), Memory: c.memoryQuota.Used(), Requests: c.requestQuota.Used()}}
 	if c.view.Known() {
-		s.Age = new(max(now-at, 0).Seconds())
+		s.UpdateAge = new(max(now-at, 0).Seconds())
 	}
-	s.Zones = c.in.zoneStatus()
-	s.Admission = c.in.admissionStatus()
-	for in := range g.old {
-		if in.of == c {
-			s.Old += in.core.InFlight()
+	s.Zones = c.current.zoneStatus()
+	s.Admission = c.current.admissionStatus()
+	for in := range g.retired {
+		if in.cluster == c {
+			s.InFlightRetired += in.core.InFlight()
 		}
 	}
-	t := g.total(c)
-	s.Requests = RequestStatus{Taken: t.Accepted, Served: t.Served, Refused: t.Rejected, Failed: t.Failed, Left: t.ClientLeft, Sends: t.Sends,
+	t := g.statsOf(c)
+	s.Requests = RequestStatus{Accepted: t.Accepted, Served: t.Served, Rejected: t.Rejected, Failed: t.Failed, ClientLeft: t.ClientLeft, Sends: t.Sends,
 		Retries: t.Retries, Attempts: map[string]uint64{}}
 	for i, n := range t.Attempts {
 		if n > 0 {
-			s.Requests.Attempts[results[i]] = n
+			s.Requests.Attempts[attemptResultNames[i]] = n
 		}
 	}
 	if t.Served > 0 {
@@ -256,20 +256,20 @@
 	return s
 }
 
-// total is what all cores of a cluster's name did, those that are gone included.
-func (g *Gateway) total(c *cluster) proxy.Stats {
-	t := c.past.Stats
-	t.Add(c.in.core.Stats())
-	for in := range g.old {
-		if in.of.past == c.past {
+// statsOf is what all cores of a cluster's name did, those that are gone included.
+func (g *Gateway) statsOf(c *cluster) proxy.Stats {
+	t := c.totals.Stats
+	t.Add(c.current.core.Stats())
+	for in := range g.retired {
+		if in.cluster.totals == c.totals {
 			t.Add(in.core.Stats())
 		}
 	}
 	return t
 }
 
-// why says in one of few words, as a metric has few, why an endpoint is out.
-func why(s *endpoints.Server) string {
+// endpointState says in one of few words, as a metric has few, why an endpoint is out.
+func endpointState(s *endpoints.Server) string {
 	switch {
 	case s.ExcludedReason == "":
 		return "usable"
--- a/internal/gateway/feed.go
+++ b/internal/gateway/watch.go
@@ -15,10 +15,10 @@
 	"robindrum/internal/xds"
 )
 
-// xdsFeed is the feed of the configuration's control planes, or of the file in their place.
-const xdsFeed = "xds"
+// xdsWatch is the feed of the configuration's control planes, or of the file in their place.
+const xdsWatch = "xds"
 
-func fileFeed(path string) string { return "file:" + path }
+func fileWatch(path string) string { return "file:" + path }
 
 func sourceName(feed string) string {
 	kind, _, _ := strings.Cut(feed, ":")
@@ -33,42 +33,42 @@
 	Summaries() []xds.Summary
 }
 
-// feed is a source with what it told last. It is the source's Sink.
-type feed struct {
-	g     *Gateway
-	name  string
-	key   string // what it was made from: another one needs another source
-	src   source
-	end   context.CancelFunc
-	done  sync.WaitGroup
-	named string // what it was asked for last
+// watch is a source with what it told last. It is the source's Sink.
+type watch struct {
+	g          *Gateway
+	name       string
+	configKey  string // what it was made from: another one needs another source
+	source     source
+	cancel     context.CancelFunc
+	done       sync.WaitGroup
+	subscribed string // what it was asked for last
 
 	// under the gateway's lock:
-	told map[xds.Type]map[string]xds.Resource
-	gone bool
-	// private: it is being made, and nobody else knows of it.
-	private bool
+	resources map[xds.Type]map[string]xds.Resource
+	stopped   bool
+	// loading: it is being made, and nobody else knows of it.
+	loading bool
 }
 
 // Changed takes what a source learnt.
-func (f *feed) Changed(changes []xds.Change) {
-	if f.private {
-		f.note(changes)
+func (f *watch) Changed(changes []xds.Change) {
+	if f.loading {
+		f.store(changes)
 		return
 	}
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
-	f.changed(changes)
+	f.applyChanges(changes)
 }
 
-// note keeps what was told; whole tells whether it is more than endpoints.
-func (f *feed) note(changes []xds.Change) (whole bool, services map[string]bool) {
+// store keeps what was told; whole tells whether it is more than endpoints.
+func (f *watch) store(changes []xds.Change) (whole bool, services map[string]bool) {
 	services = map[string]bool{}
 	for _, c := range changes {
-		m := f.told[c.Type]
+		m := f.resources[c.Type]
 		if m == nil {
 			m = map[string]xds.Resource{}
-			f.told[c.Type] = m
+			f.resources[c.Type] = m
 		}
 		if c.State == xds.Absent && c.Type == xds.ClusterType {
 			delete(m, c.Name)
@@ -84,45 +84,45 @@
 	return whole, services
 }
 
-func (f *feed) changed(changes []xds.Change) {
-	whole, services := f.note(changes)
-	if f.gone || f.g.stopping || f.g.feeds[f.name] != f {
+func (f *watch) applyChanges(changes []xds.Change) {
+	whole, services := f.store(changes)
+	if f.stopped || f.g.stopping || f.g.watches[f.name] != f {
 		return
 	}
 	if whole {
-		f.g.sync(nil)
+		f.g.reconcile(nil)
 	} else {
 		for _, c := range f.g.clusters {
-			if c.spec.source == f.name && services[c.spec.service] && !c.leaving() {
-				f.g.hear(c)
+			if c.spec.source == f.name && services[c.spec.service] && !c.isLeaving() {
+				f.g.refreshCluster(c)
 			}
 		}
 	}
 	f.prune()
-	if p := f.g.pending; p != nil && !whole { // its clusters may have endpoints now
-		f.g.propose(p.routing)
+	if p := f.g.pendingRouting; p != nil && !whole { // its clusters may have endpoints now
+		f.g.proposeRouting(p.routing)
 	}
 }
 
 // prune forgets endpoints that no cluster has. Danger: a cluster that comes back would begin with the word that its
 // endpoints are not asked for any more, and refuse requests that are to wait for them.
-func (f *feed) prune() {
+func (f *watch) prune() {
 	used := map[string]bool{}
 	for _, c := range f.g.clusters {
-		if c.spec.source == f.name && !c.leaving() {
+		if c.spec.source == f.name && !c.isLeaving() {
 			used[c.spec.service] = true
 		}
 	}
-	maps.DeleteFunc(f.told[xds.EndpointType], func(name string, _ xds.Resource) bool { return !used[name] })
+	maps.DeleteFunc(f.resources[xds.EndpointType], func(name string, _ xds.Resource) bool { return !used[name] })
 }
 
-func (f *feed) get(t xds.Type, name string) (xds.Resource, bool) {
-	r, ok := f.told[t][name]
+func (f *watch) get(t xds.Type, name string) (xds.Resource, bool) {
+	r, ok := f.resources[t][name]
 	return r, ok
 }
 
 // routes gives the routes that a source tells, and what it says of them where there are none.
-func (f *feed) routes(x *config.XDS) (*xds.Routes, string) {
+func (f *watch) routes(x *config.XDS) (*xds.Routes, string) {
 	name := x.RouteName
 	if x.Listener != "" {
 		r, _ := f.get(xds.ListenerType, x.Listener)
@@ -143,30 +143,30 @@
 	return routes, cmp.Or(r.Rejected, r.Why)
 }
 
-func (f *feed) all(t xds.Type) []xds.Resource {
-	l := make([]xds.Resource, 0, len(f.told[t]))
-	for _, name := range slices.Sorted(maps.Keys(f.told[t])) {
-		l = append(l, f.told[t][name])
+func (f *watch) all(t xds.Type) []xds.Resource {
+	l := make([]xds.Resource, 0, len(f.resources[t]))
+	for _, name := range slices.Sorted(maps.Keys(f.resources[t])) {
+		l = append(l, f.resources[t][name])
 	}
 	return l
 }
 
 // start has the source run.
-func (f *feed) start(parent context.Context) {
+func (f *watch) start(parent context.Context) {
 	ctx, cancel := context.WithCancel(parent)
-	f.end = cancel
-	f.done.Go(func() { f.src.Run(ctx) })
+	f.cancel = cancel
+	f.done.Go(func() { f.source.Run(ctx) })
 }
 
 // stop ends it. It is not called with the gateway's lock held, which the source may be waiting for.
-func (f *feed) stop() {
-	if f.end != nil {
-		f.end()
+func (f *watch) stop() {
+	if f.cancel != nil {
+		f.cancel()
 		f.done.Wait()
 	}
 }
 
-func classes(f *config.File) map[string]bool {
+func classNames(f *config.File) map[string]bool {
 	m := map[string]bool{}
 	for _, c := range f.Classes {
 		m[c.Name] = true
@@ -174,12 +174,12 @@
 	return m
 }
 
-// sources makes the feeds that a configuration needs and that are not there yet. At the first start a file that cannot
+// openWatches makes the feeds that a configuration needs and that are not there yet. At the first start a file that cannot
 // be used is an error; later it shows in the status like any other refusal.
-func (g *Gateway) sources(f *config.File, first bool) (feeds map[string]*feed, after []func(), err error) {
+func (g *Gateway) openWatches(f *config.File, first bool) (feeds map[string]*watch, after []func(), err error) {
 	want := map[string][]string{} // services by feed
 	if f.XDS != nil {
-		want[xdsFeed] = nil
+		want[xdsWatch] = nil
 	}
 	for _, c := range f.Clusters {
 		service := c.Name
@@ -188,24 +188,24 @@
 			if c.File.Service != "" {
 				service = c.File.Service
 			}
-			key := fileFeed(f.Resolve(c.File.Path))
+			key := fileWatch(f.Resolve(c.File.Path))
 			want[key] = append(want[key], service)
 		case c.XDS != nil:
 			if c.XDS.Service != "" {
 				service = c.XDS.Service
 			}
-			want[xdsFeed] = append(want[xdsFeed], service)
+			want[xdsWatch] = append(want[xdsWatch], service)
 		}
 	}
-	feeds = map[string]*feed{}
+	feeds = map[string]*watch{}
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		services := want[name]
 		slices.Sort(services)
 		services = slices.Compact(services)
 		key := name
 		path, isFile := strings.CutPrefix(name, "file:")
-		opt := xds.Options{Names: services, Classes: classes(f)}
-		if name == xdsFeed {
+		opt := xds.Options{Names: services, Classes: classNames(f)}
+		if name == xdsWatch {
 			x := f.XDS
 			key = fmt.Sprintf("%+v %s", *x, f.Zone)
 			opt.Clusters, opt.Routes, opt.Listener, opt.Delta = x.Clusters, x.RouteName, x.Listener, x.Variant == config.Delta
@@ -215,36 +215,36 @@
 			}
 		}
 		named := fmt.Sprint(services, opt.Classes)
-		if old := g.feeds[name]; old != nil && old.key == key {
+		if old := g.watches[name]; old != nil && old.configKey == key {
 			feeds[name] = old
-			if old.named != named {
+			if old.subscribed != named {
 				after = append(after, func() {
-					old.named = named
+					old.subscribed = named
 					// Not here: a source tells what changes under the lock that is held now.
-					g.work.Go(func() { old.src.Names(services, opt.Classes) })
+					g.background.Go(func() { old.source.Names(services, opt.Classes) })
 				})
 			}
 			continue
 		}
-		n := &feed{g: g, name: name, key: key, named: named, told: map[xds.Type]map[string]xds.Resource{}}
+		n := &watch{g: g, name: name, configKey: key, subscribed: named, resources: map[xds.Type]map[string]xds.Resource{}}
 		if isFile {
 			src := xds.NewFileSource(path, opt, g.Now, g.log, n)
-			n.private = true // its first word is taken here
+			n.loading = true // its first word is taken here
 			err := src.Load()
-			n.private = false
+			n.loading = false
 			if err != nil && first {
 				return nil, nil, err
 			}
-			n.src = src
+			n.source = src
 		} else {
-			opt.Node = nodeOf(f)
+			opt.Node = xdsNode(f)
 			x := f.XDS
 			o := xds.ClientOptions{Options: opt, Servers: x.Servers, ConnectTimeout: x.ConnectTimeout.D(), BackoffBase: x.BackoffBase.D(),
 				BackoffMost: x.BackoffMost.D(), Keepalive: x.Keepalive.D(), Message: int(x.Message), Now: g.Now, Log: g.log}
 			if g.fleet != nil && g.fleet.Config().Subscription != nil {
-				n.src = newShared(g.fleet, o, g.log, n)
+				n.source = newSharedSource(g.fleet, o, g.log, n)
 			} else {
-				n.src = xds.NewClient(o, n)
+				n.source = xds.NewClient(o, n)
 			}
 		}
 		feeds[name] = n
@@ -252,23 +252,23 @@
 	return feeds, after, nil
 }
 
-// swap puts the feeds in place of the old ones.
-func (g *Gateway) swap(feeds map[string]*feed, after []func()) {
-	for name, old := range g.feeds {
+// replaceWatches puts the feeds in place of the old ones.
+func (g *Gateway) replaceWatches(feeds map[string]*watch, after []func()) {
+	for name, old := range g.watches {
 		if feeds[name] != old {
-			old.gone = true
-			g.work.Go(old.stop)
+			old.stopped = true
+			g.background.Go(old.stop)
 		}
 	}
 	for name, f := range feeds {
-		if g.feeds[name] != f {
-			f.start(g.life)
+		if g.watches[name] != f {
+			f.start(g.ctx)
 		}
 	}
-	g.feeds = feeds
-	if f := feeds[xdsFeed]; f != nil {
-		s, _ := f.src.(*shared)
-		g.shared.Store(s)
+	g.watches = feeds
+	if f := feeds[xdsWatch]; f != nil {
+		s, _ := f.source.(*sharedSource)
+		g.sharedSource.Store(s)
 	}
 	for _, f := range after {
 		f()
@@ -277,8 +277,8 @@
 
 // CheckFiles reads the files of resources that a configuration names.
 func CheckFiles(f *config.File) error {
-	g := &Gateway{log: slog.New(slog.DiscardHandler), feeds: map[string]*feed{}}
-	g.boot = time.Now()
-	_, _, err := g.sources(f, true)
+	g := &Gateway{log: slog.New(slog.DiscardHandler), watches: map[string]*watch{}}
+	g.startedAt = time.Now()
+	_, _, err := g.openWatches(f, true)
 	return err
 }
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -218,13 +218,13 @@
 				epoch := n.Epoch()
 				st, err := n.Status()
 				if err != nil && len(s.opt.Versions) > 0 && n.Up() && n.Epoch() == epoch {
-					st.Drained = err.Error()
+					st.DrainID = err.Error()
 				} else if err != nil {
 					return
 				}
-				if st.Drained != "" {
+				if st.DrainID != "" {
 					mu.Lock()
-					out[n.Name] = st.Drained
+					out[n.Name] = st.DrainID
 					mu.Unlock()
 				}
 			})
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -321,7 +321,7 @@
 		if t.Failed() {
 			for _, n := range s.Nodes {
 				st, err := n.Status()
-				t.Logf("%s: ready %v, drained %q, %v", n.Name, st.Ready, st.Drained, err)
+				t.Logf("%s: ready %v, drained %q, %v", n.Name, st.Ready, st.DrainID, err)
 				t.Log(strings.Join(n.Process().Last(), "\n"))
 				for _, c := range st.Clusters {
 					t.Logf("  %s: %+v %+v", c.Name, c.Endpoints, c.Requests)
