--- a/internal/demo/loss.go
+++ b/internal/demo/loss.go
@@ -67,7 +67,7 @@
 		default: // there is more of it than anyone can read
 		}
 	}
-	if strings.HasPrefix(r.Message, "the cluster is ") {
+	if strings.HasPrefix(r.Message, "cluster ") {
 		text := "    " + r.Message
 		r.Attrs(func(a slog.Attr) bool {
 			if a.Key == "evidence" {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -4,83 +4,102 @@
 	"fmt"
 	"time"
 
-	"robindrum/balancer"
 	"robindrum/internal/admission"
 	"robindrum/internal/config"
 )
 
+// overloadCheckInterval is how often an overloaded cluster is checked for its recovery.
+const overloadCheckInterval = time.Second
+
+// admissionOptions returns the options of the admission controller of a cluster's core.
 func (s *clusterSpec) admissionOptions() admission.Options {
-	v, b := &s.config.Overload, &s.config.Breakers
-	o := admission.Options{Mode: admission.Mode(v.Mode), Gateways: s.gateway.Of, PerEndpoint: v.PerEndpoint, Limit: v.Limit, MaxWait: v.MaxWait.D(), Floor: explicitZero(*v.Floor),
-		Breakers: admissionBreakers(b), PendingBytes: int64(v.MaxWaiting),
-		RetryRatio: explicitZero(*v.Retries.Ratio), RetryRate: explicitZero(*v.Retries.Rate), RetryTTL: v.Retries.TTL.D()}
-	if b.High != nil {
-		o.HighPriority = admissionBreakers(b.High)
+	overload := &s.config.Overload
+	breakers := &s.config.Breakers
+	options := admission.Options{
+		Mode:         admission.Mode(overload.Mode),
+		Gateways:     s.gateway.Of,
+		PerEndpoint:  overload.PerEndpoint,
+		Limit:        overload.Limit,
+		MaxWait:      overload.MaxWait.D(),
+		Floor:        explicitZero(*overload.Floor),
+		Breakers:     admissionBreakers(breakers),
+		PendingBytes: int64(overload.MaxWaiting),
+		RetryRatio:   explicitZero(*overload.Retries.Ratio),
+		RetryRate:    explicitZero(*overload.Retries.Rate),
+		RetryTTL:     overload.Retries.TTL.D(),
+	}
+	if breakers.High != nil {
+		options.HighPriority = admissionBreakers(breakers.High)
 	}
-	return o
+	for _, class := range s.balancerClasses() {
+		options.Classes = append(options.Classes, admission.Class{
+			Name:             class.Name,
+			PriorityWeight:   class.PriorityWeight,
+			LatencyObjective: class.LatencyObjective,
+		})
+	}
+	return options
 }
 
 func admissionBreakers(b *config.Breakers) admission.Breakers {
-	o := admission.Breakers{MaxRequests: b.MaxRequests, MaxPending: b.MaxPending, MaxRetries: b.MaxRetries}
-	if r := b.RetryBudget; r != nil {
-		o.RetryPercent, o.MinRetries = r.Percent, r.MinConcurrency
+	breakers := admission.Breakers{MaxRequests: b.MaxRequests, MaxPending: b.MaxPending, MaxRetries: b.MaxRetries}
+	if b.RetryBudget != nil {
+		breakers.RetryPercent = b.RetryBudget.Percent
+		breakers.MinRetries = b.RetryBudget.MinConcurrency
 	}
-	return o
+	return breakers
 }
 
-// newAdmissionController makes what admits the requests of a cluster's core. What the core before had learnt goes on.
+// newAdmissionController returns the admission controller of a cluster's new core. It inherits what the current core's
+// has learned.
 func (g *Gateway) newAdmissionController(c *cluster) *admission.Controller {
-	o := c.spec.admissionOptions()
-	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, admission.Class{Name: k.Name, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D()})
-		if balancer.Effect(k.Effect) == balancer.IdempotentWithKey {
-			o.Classes = append(o.Classes, admission.Class{Name: k.Name + withoutKey, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D()})
-		}
-	}
-	log, name := g.log, c.name
-	o.Notify = func(t admission.Change) {
-		if !t.Overloaded {
-			log.Info("the cluster is well again", "cluster", name, "limit", t.Limit)
-			return
-		}
-		log.Warn("the cluster is short: requests are refused", "cluster", name, "limit", t.Limit, "evidence", t.Evidence)
-		time.AfterFunc(time.Second, func() { g.watchOverload(c) })
-	}
-	a, err := admission.New(o, uint64(g.Now()))
-	if err != nil { // the configuration was checked: this cannot be
+	options := c.spec.admissionOptions()
+	options.Notify = func(change admission.Change) { g.logOverload(c, change) }
+	controller, err := admission.New(options, uint64(g.Now()))
+	if err != nil { // cannot happen: the configuration was checked
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
 	if c.current != nil {
-		c.current.core.Inspect(func(time.Duration) { a.Inherit(c.current.admission) })
+		c.current.core.Inspect(func(time.Duration) { controller.Inherit(c.current.admission) })
 	}
-	return a
+	return controller
 }
 
-// watchOverload has a cluster that was short say when it is well, also where nothing is asked of it any more.
+// logOverload logs that a cluster is overloaded, or no longer. It is called with the core's lock held.
+func (g *Gateway) logOverload(c *cluster, change admission.Change) {
+	if !change.Overloaded {
+		g.log.Info("cluster no longer overloaded", "cluster", c.name, "limit", change.Limit)
+		return
+	}
+	g.log.Warn("cluster overloaded, rejecting requests", "cluster", c.name, "limit", change.Limit, "evidence", change.Evidence)
+	time.AfterFunc(overloadCheckInterval, func() { g.watchOverload(c) })
+}
+
+// watchOverload checks an overloaded cluster until it has recovered, which its controller notices only when it is asked.
 func (g *Gateway) watchOverload(c *cluster) {
 	if g.ctx.Err() != nil {
 		return
 	}
 	g.mu.Lock()
-	in := c.current
+	instance := c.current
 	g.mu.Unlock()
-	short := false
-	in.core.Inspect(func(now time.Duration) { short = in.admission.Overloaded(now) })
-	if short {
-		time.AfterFunc(time.Second, func() { g.watchOverload(c) })
+	overloaded := false
+	instance.core.Inspect(func(now time.Duration) { overloaded = instance.admission.Overloaded(now) })
+	if overloaded {
+		time.AfterFunc(overloadCheckInterval, func() { g.watchOverload(c) })
 	}
 }
 
-// AdmissionStatus is about what of a cluster's requests starts, waits and is refused.
+// AdmissionStatus describes the admission of a cluster's requests.
 type AdmissionStatus struct {
 	Mode             string            `json:"mode"`
-	Limit            int               `json:"limit,omitempty"` // requests in flight; none: no bound
+	Limit            int               `json:"limit,omitempty"` // of requests in flight; 0: none
 	InFlight         int               `json:"in_flight"`
 	Waiting          int               `json:"waiting"`
 	WaitingBytes     int64             `json:"waiting_bytes"`
-	Throughput       float64           `json:"endpoints_do_per_second,omitempty"` // as far as is known
+	Throughput       float64           `json:"endpoints_do_per_second,omitempty"` // 0: not known
 	Overloaded       bool              `json:"short"`
-	Evidence         string            `json:"evidence,omitempty"` // of the last time that the limit fell
+	Evidence         string            `json:"evidence,omitempty"` // of the last decrease of the limit
 	Started          uint64            `json:"started"`
 	StartedAfterWait uint64            `json:"started_after_a_wait"`
 	Rejected         map[string]uint64 `json:"refused"` // by reason
@@ -89,27 +108,49 @@
 	Classes          []ClassAdmission  `json:"classes"`
 }
 
-// ClassAdmission is about one class.
+// ClassAdmission describes the admission of one class's requests.
 type ClassAdmission struct {
-	Name     string  `json:"name"`                  // with @high: on routes of that priority
-	Baseline float64 `json:"baseline_ms,omitempty"` // of its quicker answers where nothing stands before them
+	Name     string  `json:"name"`                  // with the suffix @high for routes of high priority
+	Baseline float64 `json:"baseline_ms,omitempty"` // of its faster responses without queueing
 	Mean     float64 `json:"mean_ms,omitempty"`
-	Target   float64 `json:"target_ms"` // above which its quicker answers show a queue
+	Target   float64 `json:"target_ms"` // above which its faster responses indicate queueing
 	Waiting  int     `json:"waiting"`
 	Rejected uint64  `json:"refused"`
 }
 
 func (in *coreInstance) admissionStatus() AdmissionStatus {
-	var r admission.Report
-	in.core.Inspect(func(now time.Duration) { r = in.admission.Report(now) })
-	s := AdmissionStatus{Mode: r.Mode.String(), Limit: r.Limit, InFlight: r.Active, Waiting: r.Waiting, WaitingBytes: r.Bytes, Throughput: r.Throughput, Overloaded: r.Overloaded,
-		Evidence: r.Evidence, Started: r.Started, StartedAfterWait: r.Queued, Rejected: r.Rejected, RetriesLeft: r.RetriesLeft, RetriesDenied: r.RetriesDenied}
-	ms := func(d time.Duration) float64 { return d.Seconds() * 1000 }
-	for _, k := range r.Classes {
-		if k.High {
-			k.Name += "@high"
+	var report admission.Report
+	in.core.Inspect(func(now time.Duration) { report = in.admission.Report(now) })
+	status := AdmissionStatus{
+		Mode:             report.Mode.String(),
+		Limit:            report.Limit,
+		InFlight:         report.Active,
+		Waiting:          report.Waiting,
+		WaitingBytes:     report.Bytes,
+		Throughput:       report.Throughput,
+		Overloaded:       report.Overloaded,
+		Evidence:         report.Evidence,
+		Started:          report.Started,
+		StartedAfterWait: report.Queued,
+		Rejected:         report.Rejected,
+		RetriesLeft:      report.RetriesLeft,
+		RetriesDenied:    report.RetriesDenied,
+	}
+	for _, class := range report.Classes {
+		name := class.Name
+		if class.High {
+			name += "@high"
 		}
-		s.Classes = append(s.Classes, ClassAdmission{k.Name, ms(k.Baseline), ms(k.Mean), ms(k.Target), k.Waiting, k.Refused})
+		status.Classes = append(status.Classes, ClassAdmission{
+			Name:     name,
+			Baseline: milliseconds(class.Baseline),
+			Mean:     milliseconds(class.Mean),
+			Target:   milliseconds(class.Target),
+			Waiting:  class.Waiting,
+			Rejected: class.Refused,
+		})
 	}
-	return s
+	return status
 }
+
+func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -2,7 +2,10 @@
 
 import (
 	"errors"
+	"fmt"
+	"math"
 	"net/http"
+	"net/url"
 	"strconv"
 	"strings"
 	"time"
@@ -11,81 +14,102 @@
 	"robindrum/internal/proxy"
 )
 
-// recordCompleted hands a request that has its answer to the recording under way, if there is one. It is called with a core's lock
-// held, and never waits.
-func (g *Gateway) recordCompleted(e proxy.Completed) {
+const (
+	defaultCaptureTime = time.Minute
+	maxCaptureSeconds  = 1e6
+	maxCaptureRecords  = 1e9
+	// captureWriteTimeout ends a capture whose client stops reading, as the Recorder's buffer is bounded.
+	captureWriteTimeout = 10 * time.Second
+)
+
+// captureOutcomes are the outcomes of requests in the form of a capture.
+var captureOutcomes = map[proxy.RequestOutcome]capture.Outcome{
+	proxy.OutcomeServed:     capture.Served,
+	proxy.OutcomeRejected:   capture.Refused,
+	proxy.OutcomeClientLeft: capture.Left,
+}
+
+// recordCompleted counts a completed request and adds it to the capture, if one is running. It is called with a core's
+// lock held and never blocks.
+func (g *Gateway) recordCompleted(completed proxy.Completed) {
+	class := strings.TrimSuffix(completed.Attributes.Class, withoutKey)
 	if g.fleet != nil {
-		class := strings.TrimSuffix(e.Attributes.Class, withoutKey)
-		wanted, known := g.routing.Load().latencyObjectives[class]
-		g.outcomes.add(class, e.Outcome, e.Latency, known && e.Latency <= wanted)
+		objective, known := g.routing.Load().latencyObjectives[class]
+		g.outcomes.add(class, completed.Outcome, completed.Latency, known && completed.Latency <= objective)
 	}
-	r := g.recorder.Load()
-	if r == nil {
+	recorder := g.recorder.Load()
+	if recorder == nil {
 		return
 	}
-	out := capture.Failed
-	switch e.Outcome {
-	case proxy.OutcomeServed:
-		out = capture.Served
-	case proxy.OutcomeRejected:
-		out = capture.Refused
-	case proxy.OutcomeClientLeft:
-		out = capture.Left
+	outcome, known := captureOutcomes[completed.Outcome]
+	if !known {
+		outcome = capture.Failed
 	}
-	key := e.Attributes.Key
+	key := completed.Attributes.Key
 	if key == "" {
-		key = e.Attributes.Tenant
+		key = completed.Attributes.Tenant
 	}
-	r.Add(strings.TrimSuffix(e.Attributes.Class, withoutKey), key, e.Method, e.Attributes.Size, e.Latency, out)
+	recorder.Add(class, key, completed.Method, completed.Attributes.Size, completed.Latency, outcome)
 }
 
-// serveCapture streams a recording of the load: POST /capture?seconds=60&sample=1&records=1000000. There is one at a time.
+// serveCapture streams a capture of the load: POST /capture?seconds=60&sample=1&records=1000000. Only one may run at a
+// time.
 func (g *Gateway) serveCapture(w http.ResponseWriter, r *http.Request) {
-	o := capture.Options{For: time.Minute, Sample: 1}
-	q := r.URL.Query()
-	var errs []error
-	number := func(name string, to func(float64)) {
-		if text := q.Get(name); text != "" {
-			v, err := strconv.ParseFloat(text, 64)
-			if err != nil || v != v {
-				errs = append(errs, errors.New(name+": want a number, not "+strconv.Quote(text)))
-				return
-			}
-			to(v)
-		}
-	}
-	number("seconds", func(v float64) { o.For = time.Duration(min(max(v, 0), 1e6) * float64(time.Second)) })
-	number("sample", func(v float64) { o.Sample = v })
-	number("records", func(v float64) { o.Records = int(min(max(v, -1), 1e9)) })
+	options, optionsErr := captureOptions(r.URL.Query())
 	g.mu.Lock()
-	o.Gateway = g.config.Zone
+	options.Gateway = g.config.Zone
 	g.mu.Unlock()
-	rec, err := capture.NewRecorder(o)
-	if errs = append(errs, err); errors.Join(errs...) != nil {
-		http.Error(w, errors.Join(errs...).Error(), http.StatusBadRequest)
+	recorder, err := capture.NewRecorder(options)
+	err = errors.Join(optionsErr, err)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !g.recorder.CompareAndSwap(nil, rec) {
+	if !g.recorder.CompareAndSwap(nil, recorder) {
 		http.Error(w, "a capture is under way", http.StatusConflict)
 		return
 	}
 	defer g.recorder.Store(nil)
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	c := http.NewResponseController(w)
-	if err := rec.Write(r.Context(), flushingWriter{w, c}); err != nil {
-		g.log.Warn("a capture broke off", "error", err)
+	writer := flushingWriter{ResponseWriter: w, controller: http.NewResponseController(w)}
+	if err := recorder.Write(r.Context(), writer); err != nil {
+		g.log.Warn("capture aborted", "error", err)
+	}
+}
+
+// captureOptions reads the options of a capture. Numbers out of range are clamped.
+func captureOptions(query url.Values) (capture.Options, error) {
+	options := capture.Options{For: defaultCaptureTime, Sample: 1}
+	var errs []error
+	parse := func(name string, apply func(float64)) {
+		text := query.Get(name)
+		if text == "" {
+			return
+		}
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(value) {
+			errs = append(errs, fmt.Errorf("%s: want a number, not %q", name, text))
+			return
+		}
+		apply(value)
 	}
+	parse("seconds", func(value float64) {
+		options.For = time.Duration(min(max(value, 0), maxCaptureSeconds) * float64(time.Second))
+	})
+	parse("sample", func(value float64) { options.Sample = value })
+	parse("records", func(value float64) { options.Records = int(min(max(value, -1), maxCaptureRecords)) })
+	return options, errors.Join(errs...)
 }
 
-// flushingWriter passes on at once what a Recorder gives it, which comes in large parts. One that reads nothing is given up after
-// a while, as the Recorder holds a bounded part for it.
+// flushingWriter flushes each write of a Recorder, which come in large parts.
 type flushingWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
 }
 
+// Write writes and flushes p.
 func (f flushingWriter) Write(p []byte) (int, error) {
-	_ = f.controller.SetWriteDeadline(time.Now().Add(10 * time.Second)) // where there is no deadline the client's leaving ends it
+	_ = f.controller.SetWriteDeadline(time.Now().Add(captureWriteTimeout)) // not every writer supports deadlines
 	n, err := f.ResponseWriter.Write(p)
 	if err == nil {
 		err = f.controller.Flush()
--- /dev/null
+++ b/internal/gateway/listeners.go
@@ -0,0 +1,56 @@
+package gateway
+
+import (
+	"fmt"
+	"net"
+
+	"robindrum/internal/config"
+)
+
+// listener is an open listener with the address that it was configured with.
+type listener struct {
+	net.Listener
+	configuredAddress string
+}
+
+// openListeners opens the listeners of a configuration that are new. One whose name and address are in use already stays.
+func (g *Gateway) openListeners(f *config.File) (map[string]*listener, error) {
+	opened := map[string]*listener{}
+	for _, c := range f.Listeners {
+		current := g.listeners[c.Name]
+		if current != nil && current.configuredAddress == c.Address {
+			continue
+		}
+		l, err := net.Listen("tcp", c.Address)
+		if err != nil {
+			closeListeners(opened)
+			return nil, fmt.Errorf("listener %q: %w", c.Name, err)
+		}
+		opened[c.Name] = &listener{Listener: l, configuredAddress: c.Address}
+	}
+	return opened, nil
+}
+
+func closeListeners(listeners map[string]*listener) {
+	for _, l := range listeners {
+		l.Close()
+	}
+}
+
+// replaceListeners closes the listeners that a configuration no longer has and serves on those that are new.
+func (g *Gateway) replaceListeners(f *config.File, opened map[string]*listener) {
+	configured := map[string]bool{}
+	for _, c := range f.Listeners {
+		configured[c.Name] = true
+	}
+	for name, l := range g.listeners {
+		if !configured[name] || opened[name] != nil {
+			l.Close()
+			delete(g.listeners, name)
+		}
+	}
+	for name, l := range opened {
+		g.listeners[name] = l
+		g.background.Go(func() { g.front.ServeAs(name, l) })
+	}
+}
--- a/internal/gateway/locality.go
+++ b/internal/gateway/locality.go
@@ -5,67 +5,95 @@
 	"fmt"
 	"time"
 
-	"robindrum/balancer"
 	"robindrum/internal/admission"
 	"robindrum/internal/locality"
 )
 
-// explicitZero words a value that the configuration has, for options that take 0 for one that was left out.
-func explicitZero(v float64) float64 {
-	if v == 0 {
+// explicitZero converts a configured value for options that take 0 for "use the default" and -1 for zero.
+func explicitZero(value float64) float64 {
+	if value == 0 {
 		return -1
 	}
-	return v
+	return value
 }
 
-func (s *clusterSpec) zoneOptions() locality.Options {
+// localityOptions returns the options of the locality picker of a cluster's core.
+func (s *clusterSpec) localityOptions() locality.Options {
 	z := s.zones
-	return locality.Options{OwnZone: s.zone, Tiers: z.Tiers, Gateways: s.gateway.Of, Overprovision: z.Overprovision, Panic: explicitZero(*z.Panic),
-		FailHold: z.FailHold.D(), DarkHold: z.DarkHold.D(), UpHold: z.UpHold.D(), Hold: z.Hold.D(), MaxHold: z.MaxHold.D(),
-		ProbeInterval: z.Probe.D(), Step: z.Step.D(), Floor: explicitZero(*z.Floor), FirstShare: z.FirstShare, FirstRoom: z.FirstRoom,
-		Tolerance: z.Tolerance, OwnTolerance: z.OwnTolerance, RetryShare: explicitZero(*z.RetryBudget), MinRetries: z.RetryLeast,
-		OwnFree: admission.Mode(s.config.Overload.Mode) != admission.Off}
+	options := locality.Options{
+		OwnZone:       s.zone,
+		Tiers:         z.Tiers,
+		Gateways:      s.gateway.Of,
+		Overprovision: z.Overprovision,
+		Panic:         explicitZero(*z.Panic),
+		FailHold:      z.FailHold.D(),
+		DarkHold:      z.DarkHold.D(),
+		UpHold:        z.UpHold.D(),
+		Hold:          z.Hold.D(),
+		MaxHold:       z.MaxHold.D(),
+		ProbeInterval: z.Probe.D(),
+		Step:          z.Step.D(),
+		Floor:         explicitZero(*z.Floor),
+		FirstShare:    z.FirstShare,
+		FirstRoom:     z.FirstRoom,
+		Tolerance:     z.Tolerance,
+		OwnTolerance:  z.OwnTolerance,
+		RetryShare:    explicitZero(*z.RetryBudget),
+		MinRetries:    z.RetryLeast,
+		OwnFree:       admission.Mode(s.config.Overload.Mode) != admission.Off,
+	}
+	for _, class := range s.balancerClasses() {
+		options.Classes = append(options.Classes, locality.Class{
+			Name:             class.Name,
+			PriorityWeight:   class.PriorityWeight,
+			LatencyObjective: class.LatencyObjective,
+			Effect:           class.Effect,
+		})
+	}
+	return options
 }
 
-// newLocalityPicker makes the tiers of a cluster's core. Where the core before had some, what they knew goes on.
+// newLocalityPicker returns the locality picker of a cluster's new core. It inherits the state of the current core's.
 func (g *Gateway) newLocalityPicker(c *cluster) *locality.Picker {
-	o := c.spec.zoneOptions()
-	for _, k := range c.spec.classes {
-		o.Classes = append(o.Classes, locality.Class{Name: k.Name, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D(), Effect: balancer.Effect(k.Effect)})
-		if balancer.Effect(k.Effect) == balancer.IdempotentWithKey {
-			o.Classes = append(o.Classes, locality.Class{Name: k.Name + withoutKey, PriorityWeight: k.Worth, LatencyObjective: k.Wanted.D(), Effect: balancer.NonIdempotent})
-		}
+	options := c.spec.localityOptions()
+	options.Notify = func(t locality.Transition) { g.logTransition(c.name, t) }
+	picker, err := locality.New(options, uint64(g.Now()))
+	if err != nil { // cannot happen: the configuration was checked
+		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
-	log, name := g.log, c.name
-	o.Notify = func(t locality.Transition) {
-		args := []any{"cluster", name, "zone", t.Locality.Zone, "priority", t.Locality.Priority, "from", t.From.String(),
-			"to", t.To.String(), "evidence", t.Evidence}
-		if t.Hold > 0 {
-			args = append(args, "hold", t.Hold.Round(time.Millisecond).String())
-		}
-		log.Warn("zone", args...)
+	if c.current != nil && c.current.localities != nil {
+		var former []locality.Report
+		c.current.core.Inspect(func(now time.Duration) { former = c.current.localities.Report(now) })
+		picker.Inherit(g.Now(), former)
 	}
-	b, err := locality.New(o, uint64(g.Now()))
-	if err != nil { // the configuration was checked: this cannot be
-		panic(fmt.Sprintf("cluster %s: %v", name, err))
+	return picker
+}
+
+func (g *Gateway) logTransition(cluster string, t locality.Transition) {
+	attributes := []any{
+		"cluster", cluster,
+		"zone", t.Locality.Zone,
+		"priority", t.Locality.Priority,
+		"from", t.From.String(),
+		"to", t.To.String(),
+		"evidence", t.Evidence,
 	}
-	if c.current != nil && c.current.localities != nil {
-		var old []locality.Report
-		c.current.core.Inspect(func(now time.Duration) { old = c.current.localities.Report(now) })
-		b.Inherit(g.Now(), old)
+	if t.Hold > 0 {
+		attributes = append(attributes, "hold", t.Hold.Round(time.Millisecond).String())
 	}
-	return b
+	g.log.Warn("zone", attributes...)
 }
 
-// updateOverprovision tells the tiers of the factor that counts now.
+// updateOverprovision applies the overprovisioning factor of the control plane or else of the configuration.
 func (in *coreInstance) updateOverprovision() {
-	if in.localities != nil {
-		f := cmp.Or(in.cluster.overprovision, in.cluster.spec.zones.Overprovision)
-		in.core.Inspect(func(time.Duration) { in.localities.SetOverprovision(f) })
+	if in.localities == nil {
+		return
 	}
+	factor := cmp.Or(in.cluster.overprovision, in.cluster.spec.zones.Overprovision)
+	in.core.Inspect(func(time.Duration) { in.localities.SetOverprovision(factor) })
 }
 
-// ZoneStatus is about a locality of a cluster.
+// ZoneStatus describes a locality of a cluster.
 type ZoneStatus struct {
 	Zone               string  `json:"zone"`
 	Priority           int     `json:"priority,omitempty"`
@@ -73,12 +101,12 @@
 	State              string  `json:"state"`
 	StateSeconds       float64 `json:"state_seconds"`
 	Evidence           string  `json:"evidence,omitempty"`
-	Health             float64 `json:"health"` // the part of its endpoints' weight that is ready
+	Health             float64 `json:"health"` // the ready part of its endpoints' weight
 	Panic              bool    `json:"panic,omitempty"`
-	Share              float64 `json:"share"` // of the load, that it gets
-	Step               float64 `json:"step"`  // of its share, that its state leaves it
+	Share              float64 `json:"share"` // its part of the load
+	Step               float64 `json:"step"`  // the part of its share that its state allows
 	InFlight           int     `json:"in_flight"`
-	MaxInFlight        float64 `json:"room,omitempty"` // requests at once that it may get; none: no bound
+	MaxInFlight        float64 `json:"room,omitempty"` // 0: no limit
 	Sent               uint64  `json:"sent"`
 	Crossed            uint64  `json:"crossed"`
 	RejectedNoCapacity uint64  `json:"refused_no_room"`
@@ -89,17 +117,40 @@
 	Transitions        uint64  `json:"transitions"`
 }
 
-func (in *coreInstance) zoneStatus() (l []ZoneStatus) {
+func (in *coreInstance) zoneStatus() []ZoneStatus {
 	if in.localities == nil {
 		return nil
 	}
+	var zones []ZoneStatus
 	in.core.Inspect(func(now time.Duration) {
-		for _, r := range in.localities.Report(now) {
-			l = append(l, ZoneStatus{Zone: r.Locality.Zone, Priority: r.Locality.Priority, Tier: r.Tier, State: r.State.String(),
-				StateSeconds: max(now-r.Since, 0).Seconds(), Evidence: r.Evidence, Health: r.Health, Panic: r.Panic, Share: r.Share, Step: r.Step,
-				InFlight: r.InFlight, MaxInFlight: r.Room, Sent: r.Sent, Crossed: r.Crossed, RejectedNoCapacity: r.Refused, SkippedNoTime: r.NoTime,
-				Retries: r.Retries, RetriesDenied: r.RetriesDenied, Probes: r.Probes, Transitions: r.Transitions})
+		for _, report := range in.localities.Report(now) {
+			zones = append(zones, newZoneStatus(&report, now))
 		}
 	})
-	return l
+	return zones
+}
+
+func newZoneStatus(r *locality.Report, now time.Duration) ZoneStatus {
+	return ZoneStatus{
+		Zone:               r.Locality.Zone,
+		Priority:           r.Locality.Priority,
+		Tier:               r.Tier,
+		State:              r.State.String(),
+		StateSeconds:       secondsBetween(r.Since, now),
+		Evidence:           r.Evidence,
+		Health:             r.Health,
+		Panic:              r.Panic,
+		Share:              r.Share,
+		Step:               r.Step,
+		InFlight:           r.InFlight,
+		MaxInFlight:        r.Room,
+		Sent:               r.Sent,
+		Crossed:            r.Crossed,
+		RejectedNoCapacity: r.Refused,
+		SkippedNoTime:      r.NoTime,
+		Retries:            r.Retries,
+		RetriesDenied:      r.RetriesDenied,
+		Probes:             r.Probes,
+		Transitions:        r.Transitions,
+	}
 }
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -9,72 +9,82 @@
 	"robindrum/internal/release"
 )
 
-// maxClassNames bounds the classes that are counted by name. Danger: configurations bring ever new ones.
+// maxClassNames bounds the classes that are counted, as releases may bring ever new names.
 const maxClassNames = 64
 
-// outcomeCounters counts what requests came to, by class and by time: by this a release is judged. Its methods may be called by several
-// goroutines at once.
+// outcomeCounters counts the outcomes of requests by class and their latencies, by which releases are judged. Its methods
+// may be called concurrently.
 type outcomeCounters struct {
-	buckets [release.LatencyBuckets]atomic.Uint64
+	latencies [release.LatencyBuckets]atomic.Uint64
+
 	mu      sync.RWMutex
 	classes map[string]*classCounters
 }
 
-type classCounters struct{ accepted, inTime atomic.Uint64 }
+type classCounters struct {
+	accepted atomic.Uint64
+	inTime   atomic.Uint64
+}
 
-// add counts one request. Those whose client left are not counted: it is not known what they would have come to.
-func (s *outcomeCounters) add(class string, out proxy.RequestOutcome, took time.Duration, inTime bool) {
-	if out == proxy.OutcomeServed {
-		s.buckets[release.LatencyBucket(took)].Add(1)
-	}
-	if out == proxy.OutcomeClientLeft {
+// add counts one request. A request whose client left is not counted, as its outcome is unknown.
+func (o *outcomeCounters) add(class string, outcome proxy.RequestOutcome, latency time.Duration, inTime bool) {
+	if outcome == proxy.OutcomeClientLeft {
 		return
 	}
-	s.mu.RLock()
-	c := s.classes[class]
-	s.mu.RUnlock()
-	if c == nil {
-		if c = s.class(class); c == nil {
-			return
-		}
+	served := outcome == proxy.OutcomeServed
+	if served {
+		o.latencies[release.LatencyBucket(latency)].Add(1)
 	}
-	c.accepted.Add(1)
-	if out == proxy.OutcomeServed && inTime {
-		c.inTime.Add(1)
+	counters := o.class(class)
+	if counters == nil {
+		return
+	}
+	counters.accepted.Add(1)
+	if served && inTime {
+		counters.inTime.Add(1)
 	}
 }
 
-func (s *outcomeCounters) class(name string) *classCounters {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.classes == nil {
-		s.classes = map[string]*classCounters{}
+// class returns the counters of a class, or nil if there are too many classes.
+func (o *outcomeCounters) class(name string) *classCounters {
+	o.mu.RLock()
+	counters := o.classes[name]
+	o.mu.RUnlock()
+	if counters != nil {
+		return counters
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.classes == nil {
+		o.classes = map[string]*classCounters{}
 	}
-	c := s.classes[name]
-	if c == nil && len(s.classes) < maxClassNames {
-		c = &classCounters{}
-		s.classes[name] = c
+	counters = o.classes[name]
+	if counters == nil && len(o.classes) < maxClassNames {
+		counters = &classCounters{}
+		o.classes[name] = counters
 	}
-	return c
+	return counters
 }
 
-// latencyCounts are the answers by bucket, without the empty ones at the end.
-func (s *outcomeCounters) latencyCounts() (l []uint64) {
-	for i := range s.buckets {
-		if n := s.buckets[i].Load(); n > 0 {
-			l = append(l, make([]uint64, i+1-len(l))...)
-			l[i] = n
+// latencyCounts returns the number of served requests by latency bucket, without the empty buckets at the end.
+func (o *outcomeCounters) latencyCounts() []uint64 {
+	var counts []uint64
+	for i := range o.latencies {
+		if n := o.latencies[i].Load(); n > 0 {
+			counts = append(counts, make([]uint64, i+1-len(counts))...)
+			counts[i] = n
 		}
 	}
-	return l
+	return counts
 }
 
-func (s *outcomeCounters) byClass() map[string]release.ClassFigures {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	m := make(map[string]release.ClassFigures, len(s.classes))
-	for name, c := range s.classes {
-		m[name] = release.ClassFigures{Accepted: c.accepted.Load(), InTime: c.inTime.Load()}
+// byClass returns the counters of each class.
+func (o *outcomeCounters) byClass() map[string]release.ClassFigures {
+	o.mu.RLock()
+	defer o.mu.RUnlock()
+	figures := make(map[string]release.ClassFigures, len(o.classes))
+	for name, counters := range o.classes {
+		figures[name] = release.ClassFigures{Accepted: counters.accepted.Load(), InTime: counters.inTime.Load()}
 	}
-	return m
+	return figures
 }
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -18,104 +18,138 @@
 	"robindrum/internal/ratelimit"
 )
 
-// rateLimit is one limit of the configuration. It outlives reloads that leave it as it is.
+// rateLimit is a rate limit of the configuration. It outlives reloads that do not change it.
 type rateLimit struct {
 	config   config.RateLimit
-	gateways int // gateways that share it
+	gateways int // that share the limit
 	seed     maphash.Seed
 	table    *ratelimit.Table
-	policy   string // RateLimit-Policy
+	policy   string // value of the RateLimit-Policy header
 	allowed  atomic.Uint64
-	refused  atomic.Uint64
+	rejected atomic.Uint64
 }
 
-// rateLimits makes a configuration's limits. What of the former ones is alike goes on, with all that it has counted.
-func rateLimits(f *config.File, old []*rateLimit) (l []*rateLimit) {
-	for _, c := range f.RateLimits {
-		same := func(o *rateLimit) bool { return o.gateways == f.Gateway.Of && reflect.DeepEqual(o.config, c) }
-		if i := slices.IndexFunc(old, same); i >= 0 {
-			l = append(l, old[i])
-			continue
+// newRateLimits returns the rate limits of a configuration. Unchanged ones continue with what they have counted.
+func newRateLimits(f *config.File, former []*rateLimit) []*rateLimit {
+	var limits []*rateLimit
+	for _, settings := range f.RateLimits {
+		unchanged := func(l *rateLimit) bool {
+			return l.gateways == f.Gateway.Of && reflect.DeepEqual(l.config, settings)
 		}
-		// Gateways share nothing: each has its part of the whole.
-		t, err := ratelimit.New(c.Rate/float64(f.Gateway.Of), max(c.Burst/f.Gateway.Of, 1), c.Keys)
-		if err != nil { // the configuration was checked: this cannot be
-			panic(fmt.Sprintf("rate limit %s: %v", c.Name, err))
+		if i := slices.IndexFunc(former, unchanged); i >= 0 {
+			limits = append(limits, former[i])
+			continue
 		}
-		l = append(l, &rateLimit{config: c, gateways: f.Gateway.Of, seed: maphash.MakeSeed(), table: t,
-			policy: fmt.Sprintf("%q;q=%d;w=%d", c.Name, t.Burst(), ceilSeconds(t.Window()))})
+		limits = append(limits, newRateLimit(settings, f.Gateway.Of))
 	}
-	return l
+	return limits
 }
 
-// ceilSeconds rounds up, as what is told in whole seconds must not be too short.
+// newRateLimit returns a gateway's part of a rate limit. Gateways do not share their counts: each allows an equal part.
+func newRateLimit(settings config.RateLimit, gateways int) *rateLimit {
+	rate := settings.Rate / float64(gateways)
+	burst := max(settings.Burst/gateways, 1)
+	table, err := ratelimit.New(rate, burst, settings.Keys)
+	if err != nil { // cannot happen: the configuration was checked
+		panic(fmt.Sprintf("rate limit %s: %v", settings.Name, err))
+	}
+	return &rateLimit{
+		config:   settings,
+		gateways: gateways,
+		seed:     maphash.MakeSeed(),
+		table:    table,
+		policy:   fmt.Sprintf("%q;q=%d;w=%d", settings.Name, table.Burst(), ceilSeconds(table.Window())),
+	}
+}
+
+// ceilSeconds returns the whole seconds that are not shorter than a duration.
 func ceilSeconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
 
-// checkRateLimits counts a request for all limits that it falls under, and gives the answer where one of them refuses it.
-func (t *routing) checkRateLimits(now time.Duration, r *http.Request, from proxy.Peer, route, class string) *proxy.Destination {
-	for _, l := range t.rateLimits {
-		if !l.applies(from.Listener, route, class) {
+// checkRateLimits counts a request against all limits that apply to it. It returns the answer where one rejects the
+// request, and nil otherwise.
+func (r *routing) checkRateLimits(now time.Duration, request *http.Request, from proxy.Peer, route, class string) *proxy.Destination {
+	for _, limit := range r.rateLimits {
+		if !limit.applies(from.Listener, route, class) {
 			continue
 		}
-		d := l.table.Allow(now, l.hash(r, from.Addr))
-		if d.OK {
-			l.allowed.Add(1)
+		decision := limit.table.Allow(now, limit.hash(request, from.Addr))
+		if decision.OK {
+			limit.allowed.Add(1)
 			continue
 		}
-		l.refused.Add(1)
-		// The fields of draft-ietf-httpapi-ratelimit-headers. Danger: all that share a key would come back at the same moment.
-		return &proxy.Destination{Status: http.StatusTooManyRequests, Text: "rate limit " + l.config.Name,
-			RetryAfter: time.Duration(float64(d.RetryAfter) * (1 + rand.Float64()/2)),
-			Header:     http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {fmt.Sprintf("%q;r=%d;t=%d", l.config.Name, d.Remaining, ceilSeconds(d.Reset))}}}
+		limit.rejected.Add(1)
+		return limit.rejection(decision)
 	}
 	return nil
 }
 
+// rejection returns the answer of a rejected request, with the header fields of draft-ietf-httpapi-ratelimit-headers. Its
+// Retry-After is spread, so that the clients that share a key do not come back at the same moment.
+func (l *rateLimit) rejection(decision ratelimit.Decision) *proxy.Destination {
+	remaining := fmt.Sprintf("%q;r=%d;t=%d", l.config.Name, decision.Remaining, ceilSeconds(decision.Reset))
+	return &proxy.Destination{
+		Status:     http.StatusTooManyRequests,
+		Text:       "rate limit " + l.config.Name,
+		RetryAfter: time.Duration(float64(decision.RetryAfter) * (1 + rand.Float64()/2)),
+		Header:     http.Header{"Ratelimit-Policy": {l.policy}, "Ratelimit": {remaining}},
+	}
+}
+
+// applies reports whether the limit counts requests of a listener, route and class.
 func (l *rateLimit) applies(listener, route, class string) bool {
 	in := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
 	return in(l.config.Listeners, listener) && in(l.config.Routes, route) && in(l.config.Classes, class)
 }
 
-// hash is that of the request's key. Requests that have none share one.
+// hash returns the hash of the request's key. Requests without a key share one.
 func (l *rateLimit) hash(r *http.Request, from netip.Addr) uint64 {
-	switch k := l.config.Key; {
-	case k.Header != "":
-		return maphash.String(l.seed, r.Header.Get(k.Header))
-	case k.Cookie != "":
-		if c, err := r.Cookie(k.Cookie); err == nil {
-			return maphash.String(l.seed, c.Value)
+	key := &l.config.Key
+	switch {
+	case key.Header != "":
+		return maphash.String(l.seed, r.Header.Get(key.Header))
+	case key.Cookie != "":
+		if cookie, err := r.Cookie(key.Cookie); err == nil {
+			return maphash.String(l.seed, cookie.Value)
 		}
-	case k.Address != nil:
-		return maphash.Comparable(l.seed, proxy.PrefixOf(from, k.Address.IPv4, k.Address.IPv6))
+	case key.Address != nil:
+		return maphash.Comparable(l.seed, proxy.PrefixOf(from, key.Address.IPv4, key.Address.IPv6))
 	}
 	return maphash.String(l.seed, "")
 }
 
-// RateLimitStatus is about one rate limit.
+// RateLimitStatus describes one rate limit.
 type RateLimitStatus struct {
 	Name            string `json:"name"`
 	Allowed         uint64 `json:"allowed"`
 	Rejected        uint64 `json:"refused"`
-	CountedTogether uint64 `json:"counted_together"` // requests whose keys found no room
+	CountedTogether uint64 `json:"counted_together"` // requests whose keys the table has no space for
 }
 
-func (g *Gateway) rateLimitStatus() (l []RateLimitStatus) {
-	for _, x := range g.rateLimits {
-		l = append(l, RateLimitStatus{x.config.Name, x.allowed.Load(), x.refused.Load(), x.table.SharedCount()})
+func (g *Gateway) rateLimitStatus() []RateLimitStatus {
+	var limits []RateLimitStatus
+	for _, limit := range g.rateLimits {
+		limits = append(limits, RateLimitStatus{
+			Name:            limit.config.Name,
+			Allowed:         limit.allowed.Load(),
+			Rejected:        limit.rejected.Load(),
+			CountedTogether: limit.table.SharedCount(),
+		})
 	}
-	return l
+	return limits
 }
 
-// reservedFiles is what the process needs of descriptors beside connections.
+// reservedFiles is the number of descriptors that the process needs beside connections.
 const reservedFiles = 64
 
-// maxDescriptors is how many connections there may be: what was asked for, or what the system allows the process.
-func maxDescriptors(asked int, log *slog.Logger) int {
-	var r syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r); err != nil || r.Cur > uint64(asked+reservedFiles) {
-		return asked
+// maxDescriptors returns the number of descriptors for connections: the configured one, or less if the system allows the
+// process less.
+func maxDescriptors(configured int, log *slog.Logger) int {
+	var limit syscall.Rlimit
+	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
+	if err != nil || limit.Cur > uint64(configured+reservedFiles) {
+		return configured
 	}
-	may := max(int(r.Cur)-reservedFiles, int(r.Cur)/2)
-	log.Warn("the process may open fewer files than limits.descriptors says", "descriptors", asked, "used", may)
-	return may
+	allowed := max(int(limit.Cur)-reservedFiles, int(limit.Cur)/2)
+	log.Warn("open files limit below limits.descriptors", "descriptors", configured, "used", allowed)
+	return allowed
 }
