--- a/internal/gateway/clusterspec.go
+++ b/internal/gateway/clusterspec.go
@@ -105,8 +105,8 @@
 	for _, c := range clusters {
 		spec := specs[c.Name]
 		spec.quota = quota
-		if c.MaxConns > 0 {
-			spec.quota.Max.Descriptors = c.MaxConns
+		if c.MaxConnections > 0 {
+			spec.quota.Max.Descriptors = c.MaxConnections
 		}
 	}
 }
@@ -123,12 +123,12 @@
 		source:          xdsWatch,
 		service:         c.Service,
 		inline:          c.Static,
-		localityWeights: c.Localities,
+		localityWeights: c.LocalityWeights,
 		version:         r.Version,
 		warnings:        r.Warnings,
 	}
-	if c.High != (xds.Breakers{}) {
-		spec.config.Breakers.High = new(configBreakers(&c.High))
+	if c.HighPriority != (xds.Breakers{}) {
+		spec.config.Breakers.High = new(configBreakers(&c.HighPriority))
 	}
 	spec.config.Fill()
 	return spec
--- a/internal/gateway/push.go
+++ b/internal/gateway/push.go
@@ -46,7 +46,7 @@
 // bundle decodes the resources of a push.
 func (p *pushRequest) bundle() (*xds.Bundle, error) {
 	bundle := newBundle()
-	bundle.Whole = p.Full
+	bundle.Full = p.Full
 	for _, t := range p.Types {
 		for i, encoded := range t.Resources {
 			var r discoveryv3.Resource
@@ -227,7 +227,7 @@
 		return nil, false
 	}
 	s := p.source
-	link := s.Link()
+	link := s.Connection()
 	request := &pushRequest{
 		Leader: s.fleet.Config().Member,
 		Update: subscription.Update{Token: token, Connected: link.Server != ""},
@@ -237,15 +237,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s.Look(func(m *xds.Machine, now time.Duration) {
+	s.Inspect(func(m *xds.Machine, now time.Duration) {
 		s.mu.Lock()
 		seq := s.seq
 		floor := s.floor
 		s.mu.Unlock()
 		request.Seq = seq
 		request.Digest = m.Digest()
-		if link.Heard > 0 {
-			request.Age = now - link.Heard
+		if link.LastResponseAt > 0 {
+			request.Age = now - link.LastResponseAt
 		}
 		if have < floor || have == 0 {
 			request.Full = true
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -226,13 +226,13 @@
 }
 
 func (w *watch) status(now time.Duration) SourceStatus {
-	link := w.source.Link()
-	status := SourceStatus{Name: w.name, Connected: link.Server, Streams: link.Streams, Error: link.Error}
-	if link.Heard != 0 {
-		status.LastResponseAge = new(secondsBetween(link.Heard, now))
+	link := w.source.Connection()
+	status := SourceStatus{Name: w.name, Connected: link.Server, Streams: link.Streams, Error: link.LastError}
+	if link.LastResponseAt != 0 {
+		status.LastResponseAge = new(secondsBetween(link.LastResponseAt, now))
 	}
-	if link.Since > 0 && link.Server != "" {
-		status.ConnectedSeconds = secondsBetween(link.Since, now)
+	if link.ConnectedAt > 0 && link.Server != "" {
+		status.ConnectedSeconds = secondsBetween(link.ConnectedAt, now)
 	}
 	for _, summary := range w.source.Summaries() {
 		status.Types = append(status.Types, TypeStatus{
@@ -240,7 +240,7 @@
 			Version:   summary.Version,
 			Accepted:  summary.Accepted,
 			Rejected:  summary.Rejected,
-			Error:     summary.Error,
+			Error:     summary.LastError,
 			Resources: summary.Resources,
 		})
 	}
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -64,7 +64,7 @@
 		Spread:      settings.Spread.D(),
 		Chance:      rand.Float64(),
 	})
-	options.Keep = true
+	options.RetainBodies = true
 	s.Client = xds.NewClient(options, s)
 	s.Pause(true)
 	return s
@@ -113,7 +113,7 @@
 // tick advances the subscription to the current time.
 func (s *sharedSource) tick() {
 	missing := false
-	s.Look(func(m *xds.Machine, _ time.Duration) { missing = m.Missing() })
+	s.Inspect(func(m *xds.Machine, _ time.Duration) { missing = m.HasMissing() })
 	s.update(func(current *subscription.Subscription) {
 		current.SetMissing(fleet.Clock(), missing)
 		current.Tick(fleet.Clock())
@@ -180,9 +180,9 @@
 
 func (s *sharedSource) inUse(push *pushRequest, bundle *xds.Bundle) inUseResources {
 	var r inUseResources
-	s.Look(func(m *xds.Machine, _ time.Duration) {
+	s.Inspect(func(m *xds.Machine, _ time.Duration) {
 		r.digest = m.Digest()
-		r.streamOpen = m.Open()
+		r.streamOpen = m.StreamOpen()
 		r.covered = push.Full && m.CoveredBy(bundle)
 	})
 	return r
@@ -224,12 +224,12 @@
 	lastConnected := fleet.Clock()
 	for isCurrent() {
 		now := fleet.Clock()
-		link := s.Link()
+		link := s.Connection()
 		connected := link.Server != ""
 		if connected {
 			lastConnected = now
 		} else if now-lastConnected > s.config.OwnAfter.D() && p.peerCount() > 0 {
-			s.log.Warn("control plane not reachable, resigning as leader of the subscription", "error", link.Error)
+			s.log.Warn("control plane not reachable, resigning as leader of the subscription", "error", link.LastError)
 			return
 		}
 		if connected && !p.ready {
@@ -247,10 +247,10 @@
 
 // isUpToDate reports whether the resources in use are the control plane's current ones. A control plane that has nothing
 // newer than the versions that it was sent does not answer, so a heartbeat without a response counts as one.
-func (s *sharedSource) isUpToDate(link xds.Link) bool {
+func (s *sharedSource) isUpToDate(link xds.Connection) bool {
 	upToDate := false
-	s.Look(func(m *xds.Machine, now time.Duration) {
-		upToDate = m.Answered() || m.Open() && now-link.Since > s.config.Heartbeat.D()
+	s.Inspect(func(m *xds.Machine, now time.Duration) {
+		upToDate = m.Answered() || m.StreamOpen() && now-link.ConnectedAt > s.config.Heartbeat.D()
 	})
 	return upToDate
 }
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -49,26 +49,26 @@
 	if !ok {
 		return
 	}
-	c.rejection = r.Rejected
+	c.rejection = r.RejectedReason
 	c.warnings = append(slices.Clone(c.spec.warnings), r.Warnings...)
 	assignment, ok := r.Value.(*xds.Assignment)
 	switch {
 	case ok:
-		g.applyAssignment(c, assignment, r.Version, r.Updated)
+		g.applyAssignment(c, assignment, r.Version, r.UpdatedAt)
 	case r.State == xds.Absent:
 		c.stopStaleTimer()
 		c.dropThreshold.Store(0)
-		g.applyUpdate(c, endpoints.Update{Source: sourceName(c.spec.source), Stale: r.Why})
+		g.applyUpdate(c, endpoints.Update{Source: sourceName(c.spec.source), Stale: r.AbsentReason})
 	}
 }
 
 // applyAssignment applies an assignment of a control plane, and has it expire if it is to.
 func (g *Gateway) applyAssignment(c *cluster, assignment *xds.Assignment, version string, updatedAt time.Duration) {
 	c.stopStaleTimer()
-	c.dropThreshold.Store(uint64(math.Round(assignment.Drop * dropScale)))
+	c.dropThreshold.Store(uint64(math.Round(assignment.DropFraction * dropScale)))
 	c.overprovision = assignment.Overprovision
 	c.current.updateOverprovision()
-	update := assignment.Word(sourceName(c.spec.source), version, c.spec.localityWeights)
+	update := assignment.Update(sourceName(c.spec.source), version, c.spec.localityWeights)
 	if assignment.StaleAfter > 0 {
 		remaining := updatedAt + assignment.StaleAfter - g.Now()
 		if remaining <= 0 {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -31,8 +31,8 @@
 // source is a Client, a FileSource or a sharedSource.
 type source interface {
 	Run(ctx context.Context)
-	Names(names []string, classes map[string]bool)
-	Link() xds.Link
+	Subscribe(names []string, classes map[string]bool)
+	Connection() xds.Connection
 	Summaries() []xds.Summary
 }
 
@@ -143,9 +143,9 @@
 		listener, ok := r.Value.(*xds.Listener)
 		switch {
 		case !ok:
-			return nil, cmp.Or(r.Rejected, r.Why)
+			return nil, cmp.Or(r.RejectedReason, r.AbsentReason)
 		case listener.Inline != nil:
-			return listener.Inline, r.Rejected
+			return listener.Inline, r.RejectedReason
 		}
 		name = listener.RouteName
 	}
@@ -154,7 +154,7 @@
 	}
 	r, _ := w.get(xds.RouteType, name)
 	routes, _ = r.Value.(*xds.Routes)
-	return routes, cmp.Or(r.Rejected, r.Why)
+	return routes, cmp.Or(r.RejectedReason, r.AbsentReason)
 }
 
 // start runs the source until stop, or until parent ends.
--- a/internal/gateway/watchset.go
+++ b/internal/gateway/watchset.go
@@ -38,7 +38,7 @@
 			name:      name,
 			configKey: name,
 			services:  services,
-			options:   xds.Options{Names: services, Classes: classNames(f)},
+			options:   xds.Options{Services: services, Classes: classNames(f)},
 		}
 		spec.subscription = fmt.Sprint(services, spec.options.Classes)
 		spec.path, spec.isFile = strings.CutPrefix(name, fileWatchPrefix)
@@ -82,8 +82,8 @@
 	settings := f.XDS
 	s.configKey = fmt.Sprintf("%+v %s", *settings, f.Zone)
 	s.options.Clusters = settings.Clusters
-	s.options.Routes = settings.RouteName
-	s.options.Listener = settings.Listener
+	s.options.RouteConfigName = settings.RouteName
+	s.options.ListenerName = settings.Listener
 	s.options.Delta = settings.Variant == config.Delta
 	s.options.FetchTimeout = settings.InitialFetchTimeout.D()
 	if settings.Path != "" {
@@ -120,7 +120,7 @@
 // under the gateway's lock, which is held here.
 func (g *Gateway) resubscribe(w *watch, spec *watchSpec) {
 	w.subscription = spec.subscription
-	g.background.Go(func() { w.source.Names(spec.services, spec.options.Classes) })
+	g.background.Go(func() { w.source.Subscribe(spec.services, spec.options.Classes) })
 }
 
 // openWatch returns a new watch. The error is that of reading its file; the watch can be used all the same.
@@ -148,15 +148,15 @@
 func (g *Gateway) newClient(f *config.File, spec *watchSpec, sink xds.Sink) source {
 	settings := f.XDS
 	options := xds.ClientOptions{
-		Options:        spec.options,
-		Servers:        settings.Servers,
-		ConnectTimeout: settings.ConnectTimeout.D(),
-		BackoffBase:    settings.BackoffBase.D(),
-		BackoffMost:    settings.BackoffMost.D(),
-		Keepalive:      settings.Keepalive.D(),
-		Message:        int(settings.Message),
-		Now:            g.Now,
-		Log:            g.log,
+		Options:         spec.options,
+		Servers:         settings.Servers,
+		ConnectTimeout:  settings.ConnectTimeout.D(),
+		BackoffBase:     settings.BackoffBase.D(),
+		MaxBackoff:      settings.BackoffMost.D(),
+		Keepalive:       settings.Keepalive.D(),
+		MaxMessageBytes: int(settings.Message),
+		Now:             g.Now,
+		Log:             g.log,
 	}
 	options.Node = xds.Node(settings.Node.ID, settings.Node.Cluster, f.Zone)
 	if g.fleet != nil && g.fleet.Config().Subscription != nil {
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -20,14 +20,14 @@
 // ClientOptions are what a Client is told beside the Machine's.
 type ClientOptions struct {
 	Options
-	Servers        []string // host:port, asked in this order
-	ConnectTimeout time.Duration
-	BackoffBase    time.Duration // before the second try; doubled for each further one, half of it at random
-	BackoffMost    time.Duration
-	Keepalive      time.Duration // a control plane that answers no ping for so long is gone
-	Message        int           // bytes, the longest that is read
-	Now            func() time.Duration
-	Log            *slog.Logger
+	Servers         []string // host:port, asked in this order
+	ConnectTimeout  time.Duration
+	BackoffBase     time.Duration // before the second try; doubled for each further one, half of it at random
+	MaxBackoff      time.Duration
+	Keepalive       time.Duration // a control plane that answers no ping for so long is gone
+	MaxMessageBytes int           // bytes, the longest that is read
+	Now             func() time.Duration
+	Log             *slog.Logger
 }
 
 // Sink takes what a Client learns. Changed is called by one goroutine, in the order in which things were told.
@@ -37,49 +37,49 @@
 
 // Client follows control planes over one aggregated stream (ADS). While none is reached, what was learnt stays.
 type Client struct {
-	opt  ClientOptions
-	sink Sink
-	want chan wish
+	options       ClientOptions
+	sink          Sink
+	subscriptions chan subscription
 
-	paused atomic.Bool
-	turn   chan struct{} // paused has changed
+	paused       atomic.Bool
+	pauseChanged chan struct{} // paused has changed
 
-	mu      sync.Mutex
-	machine *Machine
-	link    Link
+	mu         sync.Mutex
+	machine    *Machine
+	connection Connection
 }
 
-type wish struct {
-	names   []string
-	classes map[string]bool
+type subscription struct {
+	services []string
+	classes  map[string]bool
 }
 
-// Link is how the client stands with its control planes.
-type Link struct {
-	Server  string        // connected to; empty: none
-	Since   time.Duration // of that
-	Heard   time.Duration // when the last response came; 0: none yet
-	Streams int           // opened so far
-	Error   string        // why the last one ended or did not come up
+// Connection is how the client stands with its control planes.
+type Connection struct {
+	Server         string        // connected to; empty: none
+	ConnectedAt    time.Duration // of that
+	LastResponseAt time.Duration // when the last response came; 0: none yet
+	Streams        int           // opened so far
+	LastError      string        // why the last one ended or did not come up
 }
 
 // NewClient makes one that Run starts.
 func NewClient(opt ClientOptions, sink Sink) *Client {
-	return &Client{opt: opt, sink: sink, want: make(chan wish, 1), turn: make(chan struct{}, 1), machine: NewMachine(opt.Options)}
+	return &Client{options: opt, sink: sink, subscriptions: make(chan subscription, 1), pauseChanged: make(chan struct{}, 1), machine: NewMachine(opt.Options)}
 }
 
-// Names changes which ClusterLoadAssignments are asked for beside those that clusters name, and which classes routes may
+// Subscribe changes which ClusterLoadAssignments are asked for beside those that clusters name, and which classes routes may
 // name. It does not block; the last call counts.
-func (c *Client) Names(names []string, classes map[string]bool) {
-	w := wish{names, classes}
+func (c *Client) Subscribe(names []string, classes map[string]bool) {
+	w := subscription{names, classes}
 	for {
 		select {
-		case c.want <- w:
+		case c.subscriptions <- w:
 			return
 		default:
 		}
 		select {
-		case <-c.want:
+		case <-c.subscriptions:
 		default:
 		}
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	select {
-	case c.turn <- struct{}{}:
+	case c.pauseChanged <- struct{}{}:
 	default:
 	}
 }
@@ -99,12 +99,12 @@
 // Import takes what another process accepted, as from a control plane; not while a stream is open.
 func (c *Client) Import(b *Bundle) (err error) {
 	c.mu.Lock()
-	on := c.machine.on
+	on := c.machine.streamOpen
 	c.mu.Unlock()
 	if on {
 		return errors.New("a stream of its own is open")
 	}
-	c.step(func(m *Machine, now time.Duration) ([]Message, []Change) {
+	c.update(func(m *Machine, now time.Duration) ([]Request, []Change) {
 		var changes []Change
 		changes, err = m.Import(now, b)
 		return nil, changes
@@ -112,18 +112,18 @@
 	return err
 }
 
-// Look runs fn on the machine, which must only read it.
-func (c *Client) Look(fn func(m *Machine, now time.Duration)) {
+// Inspect runs fn on the machine, which must only read it.
+func (c *Client) Inspect(fn func(m *Machine, now time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fn(c.machine, c.opt.Now())
+	fn(c.machine, c.options.Now())
 }
 
-// Link tells how the client stands with its control planes.
-func (c *Client) Link() Link {
+// Connection tells how the client stands with its control planes.
+func (c *Client) Connection() Connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.link
+	return c.connection
 }
 
 // Summaries tells what is known of each type.
@@ -140,10 +140,10 @@
 	return c.machine.Resources(t)
 }
 
-// step runs one event of the machine and hands on what it changes.
-func (c *Client) step(event func(m *Machine, now time.Duration) ([]Message, []Change)) []Message {
+// update runs one event of the machine and hands on what it changes.
+func (c *Client) update(event func(m *Machine, now time.Duration) ([]Request, []Change)) []Request {
 	c.mu.Lock()
-	out, changes := event(c.machine, c.opt.Now())
+	out, changes := event(c.machine, c.options.Now())
 	c.mu.Unlock()
 	if len(changes) > 0 {
 		c.sink.Changed(changes)
@@ -151,39 +151,39 @@
 	return out
 }
 
-func (c *Client) wished(w wish) []Message {
-	return c.step(func(m *Machine, now time.Duration) ([]Message, []Change) {
-		m.Classes(w.classes)
-		return m.Names(now, w.names)
+func (c *Client) subscribe(w subscription) []Request {
+	return c.update(func(m *Machine, now time.Duration) ([]Request, []Change) {
+		m.SetClasses(w.classes)
+		return m.Subscribe(now, w.services)
 	})
 }
 
 // Run follows the control planes until ctx ends. It goes through them in their order; after all have failed, and after a
 // stream that told nothing, it waits, longer each time.
 func (c *Client) Run(ctx context.Context) {
-	wait := c.opt.BackoffBase
+	wait := c.options.BackoffBase
 	for ctx.Err() == nil {
 		for c.paused.Load() && ctx.Err() == nil {
 			c.idle(ctx, time.Minute)
-			wait = c.opt.BackoffBase
+			wait = c.options.BackoffBase
 		}
-		for _, server := range c.opt.Servers {
+		for _, server := range c.options.Servers {
 			heard, err := c.stream(ctx, server)
 			if ctx.Err() != nil {
 				return
 			}
 			if errors.Is(err, errPaused) {
 				c.mu.Lock()
-				c.link.Server, c.link.Error = "", ""
+				c.connection.Server, c.connection.LastError = "", ""
 				c.mu.Unlock()
 				break
 			}
 			c.mu.Lock()
-			c.link.Server, c.link.Error = "", cut(fmt.Sprintf("%s: %v", server, err))
+			c.connection.Server, c.connection.LastError = "", truncate(fmt.Sprintf("%s: %v", server, err))
 			c.mu.Unlock()
-			c.opt.Log.Warn("the control plane is gone; what it told stays", "server", server, "err", err)
+			c.options.Log.Warn("the control plane is gone; what it told stays", "server", server, "err", err)
 			if heard {
-				wait = c.opt.BackoffBase
+				wait = c.options.BackoffBase
 				break // begin with the first again
 			}
 		}
@@ -191,7 +191,7 @@
 			continue
 		}
 		c.idle(ctx, wait/2+rand.N(wait/2+1))
-		wait = min(2*wait, c.opt.BackoffMost)
+		wait = min(2*wait, c.options.MaxBackoff)
 	}
 }
 
@@ -200,7 +200,7 @@
 	end := time.NewTimer(d)
 	defer end.Stop()
 	for {
-		tick := c.timer()
+		tick := c.newTimer()
 		select {
 		case <-ctx.Done():
 			tick.Stop()
@@ -208,32 +208,32 @@
 		case <-end.C:
 			tick.Stop()
 			return
-		case <-c.turn:
+		case <-c.pauseChanged:
 			tick.Stop()
 			return
-		case w := <-c.want:
-			c.wished(w)
+		case w := <-c.subscriptions:
+			c.subscribe(w)
 		case <-tick.C:
-			c.step((*Machine).Tick)
+			c.update((*Machine).Tick)
 		}
 		tick.Stop()
 	}
 }
 
-// timer runs out when the machine has something to do.
-func (c *Client) timer() *time.Timer {
+// newTimer runs out when the machine has something to do.
+func (c *Client) newTimer() *time.Timer {
 	c.mu.Lock()
-	at := c.machine.Next()
+	at := c.machine.NextDeadline()
 	c.mu.Unlock()
 	if at == 0 {
 		return time.NewTimer(time.Hour)
 	}
-	return time.NewTimer(max(at-c.opt.Now(), 0))
+	return time.NewTimer(max(at-c.options.Now(), 0))
 }
 
 // adsStream is a stream of either variant.
 type adsStream interface {
-	send(Message) error
+	send(Request) error
 	recv() (response, error)
 }
 
@@ -247,7 +247,7 @@
 	discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 }
 
-func (s sotwStream) send(m Message) error { return s.Send(m.SotW) }
+func (s sotwStream) send(m Request) error { return s.Send(m.SotW) }
 func (s sotwStream) recv() (response, error) {
 	r, err := s.Recv()
 	return response{sotw: r}, err
@@ -257,7 +257,7 @@
 	discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 }
 
-func (s deltaStream) send(m Message) error { return s.Send(m.Delta) }
+func (s deltaStream) send(m Request) error { return s.Send(m.Delta) }
 func (s deltaStream) recv() (response, error) {
 	r, err := s.Recv()
 	return response{delta: r}, err
@@ -269,17 +269,17 @@
 // stream opens a stream to one control plane and serves it until it ends; heard tells whether it told anything.
 func (c *Client) stream(parent context.Context, server string) (heard bool, err error) {
 	conn, err := grpc.NewClient("passthrough:///"+server, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.opt.Message)), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: c.opt.Keepalive, Timeout: c.opt.Keepalive}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(c.options.MaxMessageBytes)), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: c.options.Keepalive, Timeout: c.options.Keepalive}),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: backoff.Config{BaseDelay: time.Second, Multiplier: 1.6, MaxDelay: time.Second},
-			MinConnectTimeout: c.opt.ConnectTimeout}))
+			MinConnectTimeout: c.options.ConnectTimeout}))
 	if err != nil {
 		return false, err
 	}
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(parent)
-	up := time.AfterFunc(c.opt.ConnectTimeout, cancel)
-	s, err := c.open(ctx, conn)
+	up := time.AfterFunc(c.options.ConnectTimeout, cancel)
+	s, err := c.openStream(ctx, conn)
 	if !up.Stop() && err == nil {
 		err = errors.New("no connection in time")
 	}
@@ -290,12 +290,12 @@
 		return false, err
 	}
 	c.mu.Lock()
-	c.link.Server, c.link.Since = server, c.opt.Now()
-	c.link.Streams++
+	c.connection.Server, c.connection.ConnectedAt = server, c.options.Now()
+	c.connection.Streams++
 	c.mu.Unlock()
-	c.opt.Log.Info("connected to the control plane", "server", server)
-	defer c.step(func(m *Machine, _ time.Duration) ([]Message, []Change) {
-		m.End()
+	c.options.Log.Info("connected to the control plane", "server", server)
+	defer c.update(func(m *Machine, _ time.Duration) ([]Request, []Change) {
+		m.EndStream()
 		return nil, nil
 	})
 	// One response at a time is read ahead of the one that is worked on; what comes faster waits with the sender.
@@ -314,7 +314,7 @@
 			}
 		}
 	})
-	out := c.step((*Machine).Begin)
+	out := c.update((*Machine).StartStream)
 	for {
 		for _, m := range out {
 			if err := s.send(m); err != nil {
@@ -329,54 +329,54 @@
 				return heard, err
 			}
 		}
-		tick := c.timer()
+		tick := c.newTimer()
 		select {
 		case <-ctx.Done():
 			tick.Stop()
 			return heard, ctx.Err()
-		case <-c.turn:
+		case <-c.pauseChanged:
 			if out = nil; c.paused.Load() {
 				tick.Stop()
 				return heard, errPaused
 			}
-		case w := <-c.want:
-			out = c.wished(w)
+		case w := <-c.subscriptions:
+			out = c.subscribe(w)
 		case <-tick.C:
-			out = c.step((*Machine).Tick)
+			out = c.update((*Machine).Tick)
 		case r := <-in:
 			if r.err != nil {
 				tick.Stop()
 				return heard, r.err
 			}
 			heard = true
-			out = c.step(func(m *Machine, now time.Duration) ([]Message, []Change) {
-				c.link.Heard = now
+			out = c.update(func(m *Machine, now time.Duration) ([]Request, []Change) {
+				c.connection.LastResponseAt = now
 				if r.delta != nil {
-					return m.Delta(now, r.delta)
+					return m.HandleDelta(now, r.delta)
 				}
-				return m.SotW(now, r.sotw)
+				return m.HandleSotW(now, r.sotw)
 			})
-			c.refused(out)
+			c.logRejected(out)
 		}
 		tick.Stop()
 	}
 }
 
-// refused logs what was refused.
-func (c *Client) refused(out []Message) {
+// logRejected logs what was refused.
+func (c *Client) logRejected(out []Request) {
 	for _, m := range out {
 		if d := m.SotW.GetErrorDetail(); d != nil {
-			c.opt.Log.Warn("resources were refused", "type", Type(m.SotW.GetTypeUrl()).Short(), "why", d.GetMessage())
+			c.options.Log.Warn("resources were refused", "type", Type(m.SotW.GetTypeUrl()).Short(), "why", d.GetMessage())
 		}
 		if d := m.Delta.GetErrorDetail(); d != nil {
-			c.opt.Log.Warn("resources were refused", "type", Type(m.Delta.GetTypeUrl()).Short(), "why", d.GetMessage())
+			c.options.Log.Warn("resources were refused", "type", Type(m.Delta.GetTypeUrl()).Short(), "why", d.GetMessage())
 		}
 	}
 }
 
-func (c *Client) open(ctx context.Context, conn *grpc.ClientConn) (adsStream, error) {
+func (c *Client) openStream(ctx context.Context, conn *grpc.ClientConn) (adsStream, error) {
 	api := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
-	if c.opt.Delta {
+	if c.options.Delta {
 		s, err := api.DeltaAggregatedResources(ctx, grpc.WaitForReady(false))
 		return deltaStream{s}, err
 	}
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -52,8 +52,8 @@
 func run(t *testing.T, shape func(*ClientOptions), servers ...string) (*Client, *told) {
 	t.Helper()
 	began := time.Now()
-	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.Patience, BackoffBase: 5 * time.Millisecond, BackoffMost: 20 * time.Millisecond,
-		Keepalive: time.Minute, Message: 16 << 20, Now: func() time.Duration { return time.Since(began) + 1 }, Log: slog.New(slog.DiscardHandler),
+	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.Patience, BackoffBase: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond,
+		Keepalive: time.Minute, MaxMessageBytes: 16 << 20, Now: func() time.Duration { return time.Since(began) + 1 }, Log: slog.New(slog.DiscardHandler),
 		Options: Options{Clusters: true, Node: Node("gw", "c", "z")}}
 	if shape != nil {
 		shape(&opt)
@@ -125,11 +125,11 @@
 			return len(a.Endpoints)
 		}
 		testbed.Eventually(t, "the first list", func() bool { return count("a") == 2 && count("b") == 1 })
-		if l := c.Link(); l.Server != s.Addr || l.Heard == 0 || l.Streams != 1 {
+		if l := c.Connection(); l.Server != s.Addr || l.LastResponseAt == 0 || l.Streams != 1 {
 			t.Errorf("%+v", l)
 		}
 		s.GoAway()
-		testbed.Eventually(t, "the loss to show", func() bool { l := c.Link(); return l.Server == "" && l.Error != "" })
+		testbed.Eventually(t, "the loss to show", func() bool { l := c.Connection(); return l.Server == "" && l.LastError != "" })
 		if count("a") != 2 || len(c.Resources(EndpointType)) != 2 {
 			t.Error("what was told is lost with the connection")
 		}
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	second.GoAway()
-	testbed.Eventually(t, "the first one's word", func() bool { return got.get("cluster a").State == Received && c.Link().Server == first.Addr })
+	testbed.Eventually(t, "the first one's word", func() bool { return got.get("cluster a").State == Received && c.Connection().Server == first.Addr })
 	testbed.Eventually(t, "the second one's to be withdrawn", func() bool { return got.get("cluster b").State == Absent })
 }
 
@@ -176,14 +176,14 @@
 		testbed.Leaks(t)
 		s := serve(t)
 		push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
-		c, got := run(t, func(o *ClientOptions) { o.Message, o.Delta = 20<<10, delta }, s.Addr)
+		c, got := run(t, func(o *ClientOptions) { o.MaxMessageBytes, o.Delta = 20<<10, delta }, s.Addr)
 		testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
 		var l []string
 		for i := range 1000 {
 			l = append(l, fmt.Sprint("127.0.0.1:", i+1))
 		}
 		push(t, s, "2", eps("a", l...))
-		testbed.Eventually(t, "the stream to break", func() bool { return c.Link().Streams > 2 })
+		testbed.Eventually(t, "the stream to break", func() bool { return c.Connection().Streams > 2 })
 		if r := got.get("endpoints a"); r.Version != "1" {
 			t.Errorf("%q is in use", r.Version)
 		}
@@ -230,14 +230,14 @@
 	testbed.Leaks(t)
 	s := serve(t)
 	push(t, s, "1", eps("a", "127.0.0.1:1"), eps("b", "127.0.0.1:2"))
-	c, got := run(t, func(o *ClientOptions) { o.Clusters, o.Names = false, []string{"a"} }, s.Addr)
+	c, got := run(t, func(o *ClientOptions) { o.Clusters, o.Services = false, []string{"a"} }, s.Addr)
 	testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
 	s.Stall()
-	c.Names([]string{"a", "b"}, nil)
+	c.Subscribe([]string{"a", "b"}, nil)
 	testbed.Eventually(t, "the wish", func() bool { return len(c.Resources(EndpointType)) == 2 })
 	s.Resume()
 	testbed.Eventually(t, "the second list", func() bool { return got.get("endpoints b").State == Received })
-	c.Names([]string{"b"}, nil)
+	c.Subscribe([]string{"b"}, nil)
 	testbed.Eventually(t, "the first one to go", func() bool { return got.get("endpoints a").State == Absent })
 }
 
@@ -246,13 +246,13 @@
 func TestNobodyThere(t *testing.T) {
 	testbed.Leaks(t)
 	c, got := run(t, func(o *ClientOptions) {
-		o.Names, o.FetchTimeout = []string{"a"}, 20*time.Millisecond
+		o.Services, o.FetchTimeout = []string{"a"}, 20*time.Millisecond
 	}, testbed.Refusing(t), testbed.Refusing(t))
-	c.Names([]string{"a", "b"}, nil)
+	c.Subscribe([]string{"a", "b"}, nil)
 	testbed.Eventually(t, "both to be given up", func() bool {
 		return got.get("endpoints a").State == Absent && got.get("endpoints b").State == Absent
 	})
-	if l := c.Link(); l.Streams != 0 || l.Error == "" {
+	if l := c.Connection(); l.Streams != 0 || l.LastError == "" {
 		t.Errorf("%+v", l)
 	}
 }
@@ -270,11 +270,11 @@
 		if !strings.Contains(r.Error(), "0 is not a port") || !delta && r.SotW.GetVersionInfo() != "1" {
 			t.Errorf("%v", r)
 		}
-		if r := got.get("endpoints a"); r.Version != "1" || r.State != Received || r.Rejected == "" {
+		if r := got.get("endpoints a"); r.Version != "1" || r.State != Received || r.RejectedReason == "" {
 			t.Errorf("%+v", r)
 		}
 		for _, sum := range c.Summaries() {
-			if sum.Type == EndpointType && (sum.Rejected != 1 || sum.Error == "") {
+			if sum.Type == EndpointType && (sum.Rejected != 1 || sum.LastError == "") {
 				t.Errorf("%+v", sum)
 			}
 		}
@@ -287,8 +287,8 @@
 	s := serve(t)
 	push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
 	for i := range 50 {
-		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.Patience, BackoffBase: time.Millisecond, BackoffMost: time.Millisecond,
-			Keepalive: time.Minute, Message: 1 << 20, Now: func() time.Duration { return 1 }, Log: slog.New(slog.DiscardHandler), Options: Options{Clusters: true}}
+		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.Patience, BackoffBase: time.Millisecond, MaxBackoff: time.Millisecond,
+			Keepalive: time.Minute, MaxMessageBytes: 1 << 20, Now: func() time.Duration { return 1 }, Log: slog.New(slog.DiscardHandler), Options: Options{Clusters: true}}
 		c := NewClient(opt, &told{all: map[string]Resource{}, at: map[string][]string{}})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -297,7 +297,7 @@
 			close(done)
 		}()
 		if i%2 == 0 {
-			testbed.Eventually(t, "the connection", func() bool { return c.Link().Streams > 0 })
+			testbed.Eventually(t, "the connection", func() bool { return c.Connection().Streams > 0 })
 		}
 		cancel()
 		testbed.Within(t, "the end", done)
--- a/internal/xds/fields_test.go
+++ b/internal/xds/fields_test.go
@@ -20,20 +20,20 @@
 		"| message | honoured | ignored with a warning |\n| --- | --- | --- |\n")
 	for _, m := range []struct {
 		name string
-		table
+		fieldTable
 	}{
 		{"Cluster", clusterTable}, {"Cluster.EdsClusterConfig", edsConfigTable}, {"CircuitBreakers", breakersTable},
-		{"CircuitBreakers.Thresholds", thresholdsTable}, {"HttpProtocolOptions (common)", httpTable}, {"Cluster.CommonLbConfig", lbConfigTable},
-		{"Cluster.LeastRequestLbConfig", minTable}, {"Cluster.RoundRobinLbConfig", roundTable}, {"Cluster.SlowStartConfig", slowStartTable},
+		{"CircuitBreakers.Thresholds", thresholdsTable}, {"HttpProtocolOptions (common)", httpOptionsTable}, {"Cluster.CommonLbConfig", commonLbTable},
+		{"Cluster.LeastRequestLbConfig", leastRequestTable}, {"Cluster.RoundRobinLbConfig", roundRobinTable}, {"Cluster.SlowStartConfig", slowStartTable},
 		{"ClusterLoadAssignment", assignmentTable}, {"ClusterLoadAssignment.Policy", policyTable}, {"LocalityLbEndpoints", localityTable},
-		{"LbEndpoint", lbTable}, {"Endpoint", endpointTable}, {"SocketAddress", addressTable}, {"RouteConfiguration", routesTable},
-		{"VirtualHost", hostTable}, {"Route", routeTable}, {"RouteMatch", matchTable}, {"RouteAction", actionTable},
-		{"WeightedCluster", weightedTable}, {"WeightedCluster.ClusterWeight", weightTable}, {"HeaderMatcher", headerTable},
-		{"QueryParameterMatcher", queryTable}, {"StringMatcher", stringTable}, {"Listener", listenerTable}, {"FilterChain", chainTable},
+		{"LbEndpoint", lbEndpointTable}, {"Endpoint", endpointTable}, {"SocketAddress", socketAddressTable}, {"RouteConfiguration", routesTable},
+		{"VirtualHost", virtualHostTable}, {"Route", routeTable}, {"RouteMatch", matchTable}, {"RouteAction", actionTable},
+		{"WeightedCluster", weightedClustersTable}, {"WeightedCluster.ClusterWeight", clusterWeightTable}, {"HeaderMatcher", headerTable},
+		{"QueryParameterMatcher", queryTable}, {"StringMatcher", stringTable}, {"Listener", listenerTable}, {"FilterChain", filterChainTable},
 		{"HttpConnectionManager", hcmTable}, {"Rds", rdsTable}, {"HttpFilter", httpFilterTable},
 	} {
 		list := func(l []string) string { return strings.Join(slices.Sorted(slices.Values(l)), ", ") }
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", m.name, list(m.honoured), list(m.ignored))
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", m.name, list(m.supported), list(m.ignored))
 	}
 	b.WriteString("\nMetadata under `filter_metadata.robindrum`: an endpoint's `kind` and `cell`, a route's `class`, `key_header`,\n`key_query` and `tenant_header`.\n" +
 		"Types of cluster: EDS (over the same stream) and STATIC. Policies ROUND_ROBIN, LEAST_REQUEST and RANDOM are taken for the fewer\n" +
--- a/internal/xds/file.go
+++ b/internal/xds/file.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	maxFile = 64 << 20
-	// pollEvery is for file systems that tell nothing; where they do, a change is noticed at once.
-	pollEvery = 2 * time.Second
+	maxFileBytes = 64 << 20
+	// pollInterval is for file systems that tell nothing; where they do, a change is noticed at once.
+	pollInterval = 2 * time.Second
 	// settleTime lets several events of one change pass as one.
 	settleTime = 20 * time.Millisecond
 )
@@ -43,13 +43,13 @@
 	log  *slog.Logger
 	sink Sink
 
-	load sync.Mutex // one load at a time, and its changes told in order
+	loading sync.Mutex // one load at a time, and its changes told in order
 
-	mu      sync.Mutex
-	machine *Machine
-	sum     string
-	read    time.Duration
-	err     string
+	mu        sync.Mutex
+	machine   *Machine
+	digest    string
+	readAt    time.Duration
+	lastError string
 }
 
 // NewFileSource makes one that has read nothing yet. Of opt the node and the times are not used.
@@ -62,26 +62,26 @@
 func (f *FileSource) Load() error { return f.reload(false) }
 
 func (f *FileSource) reload(anew bool) error {
-	f.load.Lock()
-	defer f.load.Unlock()
+	f.loading.Lock()
+	defer f.loading.Unlock()
 	set, sum, err := readResources(f.path)
 	f.mu.Lock()
-	if err == nil && sum == f.sum && !anew {
-		f.read = f.now()
+	if err == nil && sum == f.digest && !anew {
+		f.readAt = f.now()
 		f.mu.Unlock()
 		return nil
 	}
 	var changes []Change
 	if err == nil {
-		f.sum = sum
-		changes, err = f.take(set)
+		f.digest = sum
+		changes, err = f.importResources(set)
 	}
-	f.err = ""
+	f.lastError = ""
 	if err != nil {
 		err = fmt.Errorf("%s: %w", f.path, err)
-		f.err = cut(err.Error())
+		f.lastError = truncate(err.Error())
 	}
-	f.read = f.now()
+	f.readAt = f.now()
 	f.mu.Unlock()
 	if len(changes) > 0 {
 		f.sink.Changed(changes)
@@ -89,30 +89,30 @@
 	return err
 }
 
-// take hands the file's contents to the machine.
-func (f *FileSource) take(set map[Type][]*discoveryv3.Resource) ([]Change, error) {
-	return f.machine.Import(f.now(), &Bundle{Resources: set, Whole: true, Only: true})
+// importResources hands the file's contents to the machine.
+func (f *FileSource) importResources(set map[Type][]*discoveryv3.Resource) ([]Change, error) {
+	return f.machine.Import(f.now(), &Bundle{Resources: set, Full: true, Authoritative: true})
 }
 
-// Names changes which ClusterLoadAssignments are taken, and which classes routes may name.
-func (f *FileSource) Names(names []string, classes map[string]bool) {
-	f.load.Lock()
+// Subscribe changes which ClusterLoadAssignments are taken, and which classes routes may name.
+func (f *FileSource) Subscribe(names []string, classes map[string]bool) {
+	f.loading.Lock()
 	f.mu.Lock()
-	f.machine.Classes(classes)
-	_, changes := f.machine.Names(f.now(), names)
+	f.machine.SetClasses(classes)
+	_, changes := f.machine.Subscribe(f.now(), names)
 	f.mu.Unlock()
 	if len(changes) > 0 {
 		f.sink.Changed(changes)
 	}
-	f.load.Unlock()
+	f.loading.Unlock()
 	_ = f.reload(true) // what is wrong shows in Link
 }
 
-// Link tells when the file was read, and what is wrong with it.
-func (f *FileSource) Link() Link {
+// Connection tells when the file was read, and what is wrong with it.
+func (f *FileSource) Connection() Connection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return Link{Server: f.path, Heard: f.read, Error: f.err}
+	return Connection{Server: f.path, LastResponseAt: f.readAt, LastError: f.lastError}
 }
 
 // Summaries tells what is known of each type.
@@ -126,7 +126,7 @@
 func (f *FileSource) Run(ctx context.Context) {
 	events, faults, closeWatcher := f.watch()
 	defer closeWatcher()
-	poll := time.NewTicker(pollEvery)
+	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
 		select {
@@ -152,8 +152,8 @@
 				}
 			}
 		}
-		before := f.Link().Error
-		if err := f.Load(); err != nil && cut(err.Error()) != before {
+		before := f.Connection().LastError
+		if err := f.Load(); err != nil && truncate(err.Error()) != before {
 			f.log.Warn("the file of resources is refused, what it cannot give stays as it was", "err", err)
 		}
 	}
@@ -178,8 +178,8 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if info.Size() > maxFile {
-		return nil, "", fmt.Errorf("%d bytes, %d at most", info.Size(), maxFile)
+	if info.Size() > maxFileBytes {
+		return nil, "", fmt.Errorf("%d bytes, %d at most", info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -44,7 +44,7 @@
 	testbed.Leaks(t)
 	path := filepath.Join(t.TempDir(), "r.yaml")
 	replace(t, path, fileOf(1, 2))
-	f, got := source(path, Options{Names: []string{"a"}})
+	f, got := source(path, Options{Services: []string{"a"}})
 	if err := f.Load(); err != nil {
 		t.Fatal(err)
 	}
@@ -77,20 +77,20 @@
 			want = 1
 		}
 		testbed.Eventually(t, "the new list", func() bool { return count() == want })
-		if d := time.Since(began); d > pollEvery+time.Second {
+		if d := time.Since(began); d > pollInterval+time.Second {
 			t.Errorf("noticed after %v", d)
 		}
 	}
 	for _, bad := range []string{"resources: [", "resources:\n- '@type': type.googleapis.com/google.protobuf.Duration\n  value: 1s\n", fileOf(0), "resourcez: []\n"} {
-		n, before := count(), f.Link().Error
+		n, before := count(), f.Connection().LastError
 		replace(t, path, bad)
-		testbed.Eventually(t, "the refusal", func() bool { e := f.Link().Error; return e != "" && e != before })
-		if count() != n || !strings.Contains(f.Link().Error, path) {
-			t.Errorf("%d endpoints, %q", count(), f.Link().Error)
+		testbed.Eventually(t, "the refusal", func() bool { e := f.Connection().LastError; return e != "" && e != before })
+		if count() != n || !strings.Contains(f.Connection().LastError, path) {
+			t.Errorf("%d endpoints, %q", count(), f.Connection().LastError)
 		}
 	}
 	replace(t, path, fileOf(1, 2))
-	testbed.Eventually(t, "the file put right", func() bool { return count() == 2 && f.Link().Error == "" })
+	testbed.Eventually(t, "the file put right", func() bool { return count() == 2 && f.Connection().LastError == "" })
 	replace(t, path, "{}\n")
 	testbed.Eventually(t, "the withdrawal", func() bool { return got.get("endpoints a").State == Absent })
 	if s := f.Summaries(); len(s) != 1 || s[0].Type != EndpointType {
@@ -106,7 +106,7 @@
 		{"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"b"},
 		{"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"nobody's"},
 		{"@type":"type.googleapis.com/envoy.config.cluster.v3.Cluster","name":"a","type":"EDS","eds_cluster_config":{"service_name":"b","eds_config":{"ads":{}}}}]}`)
-	f, got := source(path, Options{Clusters: true, Routes: "r"})
+	f, got := source(path, Options{Clusters: true, RouteConfigName: "r"})
 	if err := f.Load(); err != nil {
 		t.Fatal(err)
 	}
@@ -118,11 +118,11 @@
 	if got.get("endpoints nobody's").State == Received {
 		t.Error("what nobody names is taken")
 	}
-	f.Names([]string{"nobody's"}, nil)
+	f.Subscribe([]string{"nobody's"}, nil)
 	if got.get("endpoints nobody's").State != Received {
 		t.Error("what is named later is not taken")
 	}
-	f.Names(nil, nil)
+	f.Subscribe(nil, nil)
 	if got.get("endpoints nobody's").State != Absent {
 		t.Error("what is named no more is kept")
 	}
@@ -143,8 +143,8 @@
 		if err != nil {
 			return
 		}
-		m := NewMachine(Options{Clusters: true, Delta: true, Routes: "r", Names: []string{"a"}})
+		m := NewMachine(Options{Clusters: true, Delta: true, RouteConfigName: "r", Services: []string{"a"}})
 		s := FileSource{machine: m, now: func() time.Duration { return 1 }}
-		_, _ = s.take(set)
+		_, _ = s.importResources(set)
 	})
 }
--- a/internal/xds/listener.go
+++ b/internal/xds/listener.go
@@ -24,17 +24,17 @@
 var routerURL = "type.googleapis.com/" + string((*routerv3.Router)(nil).ProtoReflect().Descriptor().FullName())
 
 var (
-	listenerTable = table{honoured: []string{"name", "filter_chains", "api_listener"},
+	listenerTable = fieldTable{supported: []string{"name", "filter_chains", "api_listener"},
 		ignored: []string{"address", "stat_prefix", "metadata", "traffic_direction", "per_connection_buffer_limit_bytes", "access_log",
 			"tcp_backlog_size", "enable_reuse_port", "listener_filters_timeout", "socket_options"}}
-	chainTable = table{honoured: []string{"filters"}, ignored: []string{"name", "metadata"}}
-	hcmTable   = table{honoured: []string{"route_config", "rds", "http_filters", "codec_type"},
+	filterChainTable = fieldTable{supported: []string{"filters"}, ignored: []string{"name", "metadata"}}
+	hcmTable         = fieldTable{supported: []string{"route_config", "rds", "http_filters", "codec_type"},
 		ignored: []string{"stat_prefix", "use_remote_address", "server_name", "access_log", "tracing", "request_timeout", "stream_idle_timeout",
 			"request_headers_timeout", "generate_request_id", "preserve_external_request_id", "normalize_path", "merge_slashes",
 			"common_http_protocol_options", "http_protocol_options", "http2_protocol_options", "xff_num_trusted_hops", "skip_xff_append",
 			"drain_timeout", "delayed_close_timeout", "server_header_transformation", "path_with_escaped_slashes_action"}}
-	rdsTable        = table{honoured: []string{"config_source", "route_config_name"}}
-	httpFilterTable = table{honoured: []string{"name", "typed_config", "is_optional"}}
+	rdsTable        = fieldTable{supported: []string{"config_source", "route_config_name"}}
+	httpFilterTable = fieldTable{supported: []string{"name", "typed_config", "is_optional"}}
 )
 
 // ParseListener checks a Listener.
@@ -53,7 +53,7 @@
 			return nil, nil, fmt.Errorf("filter_chains: want one, not %d", n)
 		}
 		c := m.GetFilterChains()[0]
-		if err := chainTable.audit(c, "filter_chains[0].", &warn); err != nil {
+		if err := filterChainTable.audit(c, "filter_chains[0].", &warn); err != nil {
 			return nil, nil, err
 		}
 		if n := len(c.GetFilters()); n != 1 {
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -47,11 +47,11 @@
 // which version.
 func TestConversation(t *testing.T) {
 	m := NewMachine(Options{Clusters: true, Node: Node("gw", "c", "z")})
-	out, _ := m.Begin(sec)
+	out, _ := m.StartStream(sec)
 	if len(out) != 1 || out[0].SotW.GetTypeUrl() != string(ClusterType) || out[0].SotW.GetNode().GetId() != "gw" || out[0].SotW.GetVersionInfo() != "" {
 		t.Fatalf("%v", out)
 	}
-	out, changes := m.SotW(2*sec, clusters(t, "1", "n1", "a", "b"))
+	out, changes := m.HandleSotW(2*sec, clusters(t, "1", "n1", "a", "b"))
 	if len(out) != 2 || out[0].SotW.GetVersionInfo() != "1" || out[0].SotW.GetResponseNonce() != "n1" || out[0].SotW.GetErrorDetail() != nil {
 		t.Fatalf("no ACK: %v", out)
 	}
@@ -66,27 +66,27 @@
 	c := controlplane.Cluster("b", "")
 	c.EdsClusterConfig = nil
 	bad.Resources = append(bad.Resources, pack(t, c))
-	out, _ = m.SotW(3*sec, bad)
+	out, _ = m.HandleSotW(3*sec, bad)
 	if d := out[0].SotW.GetErrorDetail(); out[0].SotW.GetVersionInfo() != "1" || out[0].SotW.GetResponseNonce() != "n2" || !strings.Contains(d.GetMessage(), `"b": eds_cluster_config: is missing`) {
 		t.Fatalf("no NACK: %v", out[0])
 	}
 	if got := m.state(ClusterType); got != "a=2/received b=1/received c=2/received" {
 		t.Errorf("after a refusal: %s", got)
 	}
-	if r := m.Resources(ClusterType)[1]; !strings.Contains(r.Rejected, "eds_cluster_config") {
+	if r := m.Resources(ClusterType)[1]; !strings.Contains(r.RejectedReason, "eds_cluster_config") {
 		t.Errorf("the refusal does not show: %+v", r)
 	}
 	// One that cannot even be named may be any: nothing is taken as withdrawn.
 	garbage := clusters(t, "3", "n3", "a")
 	garbage.Resources = append(garbage.Resources, &anypb.Any{TypeUrl: string(ClusterType), Value: []byte{0xff}})
-	if out, _ = m.SotW(4*sec, garbage); out[0].SotW.GetErrorDetail() == nil {
+	if out, _ = m.HandleSotW(4*sec, garbage); out[0].SotW.GetErrorDetail() == nil {
 		t.Error("garbage is accepted")
 	}
 	if got := m.state(ClusterType); got != "a=3/received b=1/received c=2/received" {
 		t.Errorf("after garbage: %s", got)
 	}
 	// An older version is the control plane's word as well; what it leaves out is withdrawn, its endpoints with it.
-	out, changes = m.SotW(5*sec, clusters(t, "1", "n4", "b"))
+	out, changes = m.HandleSotW(5*sec, clusters(t, "1", "n4", "b"))
 	if got := m.state(ClusterType); got != "b=1/received" || out[0].SotW.GetVersionInfo() != "1" {
 		t.Errorf("after an older version: %s", got)
 	}
@@ -97,40 +97,40 @@
 		t.Errorf("%v\n%v", changes, out)
 	}
 	// A type that nobody asked for, and one that is told as another.
-	if out, _ = m.SotW(6*sec, &discoveryv3.DiscoveryResponse{TypeUrl: "x", Nonce: "n"}); out[0].SotW.GetErrorDetail() == nil {
+	if out, _ = m.HandleSotW(6*sec, &discoveryv3.DiscoveryResponse{TypeUrl: "x", Nonce: "n"}); out[0].SotW.GetErrorDetail() == nil {
 		t.Error("a type that was not asked for is accepted")
 	}
 	other := clusters(t, "4", "n5", "b")
 	other.Resources[0].TypeUrl = string(EndpointType)
-	if out, _ = m.SotW(7*sec, other); out[0].SotW.GetErrorDetail() == nil {
+	if out, _ = m.HandleSotW(7*sec, other); out[0].SotW.GetErrorDetail() == nil {
 		t.Error("one type is taken as another")
 	}
 	// The same again under a new nonce: accepted anew, nothing changes but the version.
-	out, _ = m.SotW(8*sec, clusters(t, "1", "n6", "b", "b"))
+	out, _ = m.HandleSotW(8*sec, clusters(t, "1", "n6", "b", "b"))
 	if !strings.Contains(out[0].SotW.GetErrorDetail().GetMessage(), "stands twice") {
 		t.Error("one name twice is accepted")
 	}
 	// A new stream says what is in use, and names no nonce.
-	m.End()
-	out, _ = m.Begin(9 * sec)
+	m.EndStream()
+	out, _ = m.StartStream(9 * sec)
 	if len(out) != 2 || out[0].SotW.GetVersionInfo() != "1" || out[0].SotW.GetResponseNonce() != "" || out[0].SotW.GetNode() == nil || out[1].SotW.GetNode() != nil {
 		t.Errorf("%v", out)
 	}
-	if s := m.Summaries(); s[0].Rejected != 4 || s[0].Accepted != 2 || s[0].Error == "" || s[0].Version != "1" {
+	if s := m.Summaries(); s[0].Rejected != 4 || s[0].Accepted != 2 || s[0].LastError == "" || s[0].Version != "1" {
 		t.Errorf("%+v", s)
 	}
 }
 
 func TestIncremental(t *testing.T) {
-	m := NewMachine(Options{Clusters: true, Delta: true, Names: []string{"fixed"}, Node: Node("gw", "c", "z")})
-	out, _ := m.Begin(sec)
+	m := NewMachine(Options{Clusters: true, Delta: true, Services: []string{"fixed"}, Node: Node("gw", "c", "z")})
+	out, _ := m.StartStream(sec)
 	if len(out) != 2 || out[0].Delta.GetResourceNamesSubscribe() != nil || !slices.Equal(out[1].Delta.GetResourceNamesSubscribe(), []string{"fixed"}) {
 		t.Fatalf("%v", out)
 	}
 	res := func(name, version string, m proto.Message) *discoveryv3.Resource {
 		return &discoveryv3.Resource{Name: name, Version: version, Resource: pack(t, m)}
 	}
-	out, _ = m.Delta(2*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n1", Resources: []*discoveryv3.Resource{
+	out, _ = m.HandleDelta(2*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n1", Resources: []*discoveryv3.Resource{
 		res("a", "1", controlplane.Cluster("a", "sa")), res("b", "1", controlplane.Cluster("b", "")), res("x", "1", controlplane.Cluster("y", ""))}})
 	if d := out[0].Delta.GetErrorDetail().GetMessage(); !strings.Contains(d, `"x": its name is "y"`) || out[0].Delta.GetResponseNonce() != "n1" {
 		t.Errorf("%v", out[0])
@@ -138,35 +138,35 @@
 	if len(out) != 2 || !slices.Equal(out[1].Delta.GetResourceNamesSubscribe(), []string{"b", "sa"}) {
 		t.Errorf("%v", out)
 	}
-	m.Delta(3*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n2", Resources: []*discoveryv3.Resource{
+	m.HandleDelta(3*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n2", Resources: []*discoveryv3.Resource{
 		res("sa", "5", controlplane.Assignment("sa")), res("stranger", "1", controlplane.Assignment("stranger"))}})
 	if got := m.state(EndpointType); got != "b=/requested fixed=/requested sa=5/received" {
 		t.Error(got)
 	}
-	out, changes := m.Delta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n3", RemovedResources: []string{"a", "never"}})
+	out, changes := m.HandleDelta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n3", RemovedResources: []string{"a", "never"}})
 	if len(out) != 2 || !slices.Equal(out[1].Delta.GetResourceNamesUnsubscribe(), []string{"sa"}) || len(changes) != 2 {
 		t.Errorf("%v %v", out, changes)
 	}
-	m.Delta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n4", Resources: []*discoveryv3.Resource{res("b", "9", controlplane.Assignment("b"))}})
-	m.End()
-	out, _ = m.Begin(5 * sec)
+	m.HandleDelta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n4", Resources: []*discoveryv3.Resource{res("b", "9", controlplane.Assignment("b"))}})
+	m.EndStream()
+	out, _ = m.StartStream(5 * sec)
 	if v := out[1].Delta.GetInitialResourceVersions(); len(v) != 1 || v["b"] != "9" {
 		t.Errorf("%v", v)
 	}
 	// Withdrawn endpoints: known not to exist, still asked for.
-	_, changes = m.Delta(6*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n5", RemovedResources: []string{"b"}})
+	_, changes = m.HandleDelta(6*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n5", RemovedResources: []string{"b"}})
 	if len(changes) != 1 || changes[0].State != Absent || m.state(EndpointType) != "b=/absent fixed=/requested" {
 		t.Errorf("%v %s", changes, m.state(EndpointType))
 	}
-	if out, _ := m.Delta(7*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); out[0].Delta.GetErrorDetail() == nil {
+	if out, _ := m.HandleDelta(7*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); out[0].Delta.GetErrorDetail() == nil {
 		t.Error("a type that was not asked for is accepted")
 	}
 }
 
 // What nothing is said of for too long does not exist; what has a time to live ends with it, unless a heartbeat comes.
 func TestTimes(t *testing.T) {
-	m := NewMachine(Options{Names: []string{"a", "b"}, FetchTimeout: 15 * sec})
-	m.Begin(sec)
+	m := NewMachine(Options{Services: []string{"a", "b"}, FetchTimeout: 15 * sec})
+	m.StartStream(sec)
 	wrap := func(name string, body proto.Message, ttl time.Duration) *anypb.Any {
 		r := &discoveryv3.Resource{Name: name, Ttl: durationpb.New(ttl)}
 		if body != nil {
@@ -174,12 +174,12 @@
 		}
 		return pack(t, r)
 	}
-	say := func(now time.Duration, l ...*anypb.Any) []Message {
-		out, _ := m.SotW(now, &discoveryv3.DiscoveryResponse{TypeUrl: string(EndpointType), VersionInfo: "1", Nonce: "n", Resources: l})
+	say := func(now time.Duration, l ...*anypb.Any) []Request {
+		out, _ := m.HandleSotW(now, &discoveryv3.DiscoveryResponse{TypeUrl: string(EndpointType), VersionInfo: "1", Nonce: "n", Resources: l})
 		return out
 	}
 	say(2*sec, wrap("a", controlplane.Assignment("a"), 10*sec))
-	if at := m.Next(); at != 12*sec {
+	if at := m.NextDeadline(); at != 12*sec {
 		t.Errorf("next at %v", at)
 	}
 	if out := say(11*sec, wrap("a", nil, 10*sec)); out[0].SotW.GetErrorDetail() != nil {
@@ -188,14 +188,14 @@
 	if _, c := m.Tick(13 * sec); len(c) != 0 {
 		t.Errorf("%v in spite of the heartbeat", c)
 	}
-	if _, c := m.Tick(16 * sec); len(c) != 1 || c[0].Name != "b" || !strings.Contains(c[0].Why, "within 15s") {
+	if _, c := m.Tick(16 * sec); len(c) != 1 || c[0].Name != "b" || !strings.Contains(c[0].AbsentReason, "within 15s") {
 		t.Errorf("%v", c)
 	}
 	if _, c := m.Tick(21 * sec); len(c) != 1 || c[0].Name != "a" || c[0].State != Absent {
 		t.Errorf("%v", c)
 	}
-	if m.Next() != 0 {
-		t.Errorf("still something at %v", m.Next())
+	if m.NextDeadline() != 0 {
+		t.Errorf("still something at %v", m.NextDeadline())
 	}
 	if out := say(22*sec, wrap("a", nil, 10*sec)); out[0].SotW.GetErrorDetail() == nil {
 		t.Error("a heartbeat of what is not there is accepted")
@@ -210,7 +210,7 @@
 func TestOneOfManyIsMalformed(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		m := NewMachine(Options{Clusters: true, Delta: delta})
-		m.Begin(sec)
+		m.StartStream(sec)
 		s := clusters(t, "1", "n")
 		d := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n"}
 		for i := range 500 {
@@ -221,12 +221,12 @@
 			s.Resources = append(s.Resources, pack(t, c))
 			d.Resources = append(d.Resources, &discoveryv3.Resource{Name: c.Name, Version: "1", Resource: pack(t, c)})
 		}
-		var out []Message
+		var out []Request
 		var changes []Change
 		if delta {
-			out, changes = m.Delta(sec, d)
+			out, changes = m.HandleDelta(sec, d)
 		} else {
-			out, changes = m.SotW(sec, s)
+			out, changes = m.HandleSotW(sec, s)
 		}
 		detail := out[0].SotW.GetErrorDetail().GetMessage() + out[0].Delta.GetErrorDetail().GetMessage()
 		if !strings.Contains(detail, `"c250"`) || strings.Count(detail, "\n") != 0 {
@@ -252,7 +252,7 @@
 	valid    map[Type]map[string]bool
 	all      map[Type]map[string]string // versions by name
 	toClient []any
-	toServer []Message
+	toServer []Request
 	asked    map[Type]map[string]bool
 	known    map[Type]bool
 	has      map[Type]map[string]string
@@ -327,7 +327,7 @@
 	s.toClient = append(s.toClient, r)
 }
 
-func (s *model) request(t *rapid.T, m Message) {
+func (s *model) request(t *rapid.T, m Request) {
 	if d := m.Delta; d != nil {
 		typ := Type(d.GetTypeUrl())
 		first := !s.known[typ]
@@ -377,7 +377,7 @@
 				m := NewMachine(Options{Clusters: true, Delta: delta})
 				now := sec
 				inUse := map[Type]map[string]Resource{ClusterType: {}, EndpointType: {}} // by the changes told
-				note := func(out []Message, changes []Change) {
+				note := func(out []Request, changes []Change) {
 					s.toServer = append(s.toServer, out...)
 					for _, c := range changes {
 						if c.State == Received {
@@ -387,15 +387,15 @@
 						}
 					}
 				}
-				note(m.Begin(now))
+				note(m.StartStream(now))
 				var last any
 				deliver := func() {
 					r := s.toClient[0]
 					s.toClient, last = s.toClient[1:], r
 					if d, ok := r.(*discoveryv3.DeltaDiscoveryResponse); ok {
-						note(m.Delta(now, d))
+						note(m.HandleDelta(now, d))
 					} else {
-						note(m.SotW(now, r.(*discoveryv3.DiscoveryResponse)))
+						note(m.HandleSotW(now, r.(*discoveryv3.DiscoveryResponse)))
 					}
 				}
 				name := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -417,9 +417,9 @@
 						delete(s.all[ty], n)
 						s.tell(t, ty)
 					case 4:
-						m.End()
+						m.EndStream()
 						s.hangUp()
-						note(m.Begin(now))
+						note(m.StartStream(now))
 						last = nil
 					case 5: // the last response again, under a new nonce
 						if r, ok := last.(*discoveryv3.DiscoveryResponse); ok {
@@ -524,19 +524,19 @@
 	}
 	f.Add(two)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s, d := NewMachine(Options{Clusters: true, Routes: "r"}), NewMachine(Options{Clusters: true, Routes: "r", Delta: true})
-		s.Begin(sec)
-		d.Begin(sec)
+		s, d := NewMachine(Options{Clusters: true, RouteConfigName: "r"}), NewMachine(Options{Clusters: true, RouteConfigName: "r", Delta: true})
+		s.StartStream(sec)
+		d.StartStream(sec)
 		var sr discoveryv3.DiscoveryResponse
 		if proto.Unmarshal(b, &sr) == nil {
-			if out, _ := s.SotW(sec, &sr); len(out) == 0 || out[0].SotW.GetResponseNonce() != sr.GetNonce() {
+			if out, _ := s.HandleSotW(sec, &sr); len(out) == 0 || out[0].SotW.GetResponseNonce() != sr.GetNonce() {
 				t.Errorf("%v", out)
 			}
 			s.Tick(sec * 100)
 		}
 		var dr discoveryv3.DeltaDiscoveryResponse
 		if proto.Unmarshal(b, &dr) == nil {
-			if out, _ := d.Delta(sec, &dr); len(out) == 0 || out[0].Delta.GetResponseNonce() != dr.GetNonce() {
+			if out, _ := d.HandleDelta(sec, &dr); len(out) == 0 || out[0].Delta.GetResponseNonce() != dr.GetNonce() {
 				t.Errorf("%v", out)
 			}
 			d.Tick(sec * 100)
@@ -548,19 +548,19 @@
 func TestNamesThatAreEverNew(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		m := NewMachine(Options{Clusters: true, Delta: delta})
-		m.Begin(sec)
+		m.StartStream(sec)
 		var before []string
 		for i := range 3600 {
 			now := time.Duration(i+1) * sec
 			names := []string{fmt.Sprint("a", i), fmt.Sprint("b", i)}
 			if !delta {
-				m.SotW(now, clusters(t, fmt.Sprint(i), "n", names...))
+				m.HandleSotW(now, clusters(t, fmt.Sprint(i), "n", names...))
 			} else {
 				d := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), RemovedResources: before}
 				for _, n := range names {
 					d.Resources = append(d.Resources, &discoveryv3.Resource{Name: n, Version: "1", Resource: pack(t, controlplane.Cluster(n, ""))})
 				}
-				m.Delta(now, d)
+				m.HandleDelta(now, d)
 			}
 			before = names
 		}
@@ -574,15 +574,15 @@
 
 // Names that go round in a circle are names and nothing more.
 func TestCycleOfNames(t *testing.T) {
-	m := NewMachine(Options{Clusters: true, Routes: "a"})
-	m.Begin(sec)
+	m := NewMachine(Options{Clusters: true, RouteConfigName: "a"})
+	m.StartStream(sec)
 	r := &discoveryv3.DiscoveryResponse{TypeUrl: string(ClusterType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
 		pack(t, controlplane.Cluster("a", "b")), pack(t, controlplane.Cluster("b", "a")), pack(t, controlplane.Cluster("c", "c"))}}
-	out, _ := m.SotW(sec, r)
+	out, _ := m.HandleSotW(sec, r)
 	if len(out) != 2 || !slices.Equal(out[1].SotW.GetResourceNames(), []string{"a", "b", "c"}) {
 		t.Errorf("%v", out)
 	}
-	out, changes := m.SotW(2*sec, &discoveryv3.DiscoveryResponse{TypeUrl: string(RouteType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
+	out, changes := m.HandleSotW(2*sec, &discoveryv3.DiscoveryResponse{TypeUrl: string(RouteType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
 		pack(t, controlplane.Routes("a", [2]string{"/", "a"}))}})
 	if out[0].SotW.GetErrorDetail() != nil || len(changes) != 1 {
 		t.Errorf("%v", out)
--- a/internal/xds/resource.go
+++ b/internal/xds/resource.go
@@ -68,32 +68,32 @@
 
 // Cluster is a cluster as a control plane describes it.
 type Cluster struct {
-	Name           string
-	Service        string      // EDS: the name of its ClusterLoadAssignment
-	Static         *Assignment // STATIC
-	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // 0: not said
-	Breakers                     // of the priority DEFAULT
-	High           Breakers
-	WarmUp         time.Duration
-	Localities     bool // the weights of localities count
+	Name            string
+	Service         string      // EDS: the name of its ClusterLoadAssignment
+	Static          *Assignment // STATIC
+	ConnectTimeout  time.Duration
+	IdleTimeout     time.Duration // 0: not said
+	Breakers                      // of the priority DEFAULT
+	HighPriority    Breakers
+	WarmUp          time.Duration
+	LocalityWeights bool // the weights of localities count
 }
 
 // Breakers are the circuit breakers of a routing priority; 0: not said.
 type Breakers struct {
-	MaxConns    int
-	MaxRequests int
-	MaxPending  int
-	MaxRetries  int
-	RetryBudget *RetryBudget // nil: not said
+	MaxConnections int
+	MaxRequests    int
+	MaxPending     int
+	MaxRetries     int
+	RetryBudget    *RetryBudget // nil: not said
 }
 
-func (b *Breakers) read(t *clusterv3.CircuitBreakers_Thresholds) error {
+func (b *Breakers) parse(t *clusterv3.CircuitBreakers_Thresholds) error {
 	for _, to := range []struct {
 		name string
 		v    *wrapperspb.UInt32Value
 		n    *int
-	}{{"max_connections", t.GetMaxConnections(), &b.MaxConns}, {"max_requests", t.GetMaxRequests(), &b.MaxRequests},
+	}{{"max_connections", t.GetMaxConnections(), &b.MaxConnections}, {"max_requests", t.GetMaxRequests(), &b.MaxRequests},
 		{"max_pending_requests", t.GetMaxPendingRequests(), &b.MaxPending}, {"max_retries", t.GetMaxRetries(), &b.MaxRetries}} {
 		if to.v != nil {
 			*to.n = int(min(to.v.GetValue(), maxThreshold))
@@ -125,10 +125,10 @@
 
 // Assignment is a cluster's endpoints.
 type Assignment struct {
-	Name       string
-	Endpoints  []Endpoint
-	Drop       float64       // the part of requests that is to be refused, 0 to 1
-	StaleAfter time.Duration // 0: never
+	Name         string
+	Endpoints    []Endpoint
+	DropFraction float64       // the part of requests that is to be refused, 0 to 1
+	StaleAfter   time.Duration // 0: never
 	// Overprovision is the factor by which a priority's health counts, where zones are tiers; 0: not said.
 	Overprovision float64
 }
@@ -140,43 +140,43 @@
 	LocalityWeight uint32 // 0: not said
 }
 
-// table says of a message's fields which are taken and which make no difference that matters; others are refused.
-type table struct{ honoured, ignored []string }
+// fieldTable says of a message's fields which are taken and which make no difference that matters; others are refused.
+type fieldTable struct{ supported, ignored []string }
 
 var (
-	clusterTable = table{
-		honoured: []string{"name", "type", "eds_cluster_config", "connect_timeout", "load_assignment", "lb_policy", "circuit_breakers",
+	clusterTable = fieldTable{
+		supported: []string{"name", "type", "eds_cluster_config", "connect_timeout", "load_assignment", "lb_policy", "circuit_breakers",
 			"common_http_protocol_options", "common_lb_config", "least_request_lb_config", "round_robin_lb_config"},
 		ignored: []string{"alt_stat_name", "metadata", "health_checks", "outlier_detection", "per_connection_buffer_limit_bytes",
 			"track_cluster_stats", "track_timeout_budgets", "wait_for_warm_on_init", "dns_lookup_family", "load_balancing_policy",
 			"preconnect_policy", "close_connections_on_host_health_failure", "ignore_health_on_host_removal", "upstream_connection_options",
 			"http_protocol_options"},
 	}
-	edsConfigTable  = table{honoured: []string{"eds_config", "service_name"}}
-	breakersTable   = table{honoured: []string{"thresholds"}, ignored: []string{"per_host_thresholds"}}
-	thresholdsTable = table{honoured: []string{"priority", "max_connections", "max_pending_requests", "max_requests", "max_retries", "retry_budget"},
+	edsConfigTable  = fieldTable{supported: []string{"eds_config", "service_name"}}
+	breakersTable   = fieldTable{supported: []string{"thresholds"}, ignored: []string{"per_host_thresholds"}}
+	thresholdsTable = fieldTable{supported: []string{"priority", "max_connections", "max_pending_requests", "max_requests", "max_retries", "retry_budget"},
 		ignored: []string{"track_remaining", "max_connection_pools"}}
-	httpTable     = table{honoured: []string{"idle_timeout"}, ignored: []string{"max_connection_duration", "max_headers_count", "max_requests_per_connection"}}
-	lbConfigTable = table{honoured: []string{"locality_weighted_lb_config"},
+	httpOptionsTable = fieldTable{supported: []string{"idle_timeout"}, ignored: []string{"max_connection_duration", "max_headers_count", "max_requests_per_connection"}}
+	commonLbTable    = fieldTable{supported: []string{"locality_weighted_lb_config"},
 		ignored: []string{"healthy_panic_threshold", "zone_aware_lb_config", "update_merge_window", "ignore_new_hosts_until_first_hc", "close_connections_on_host_set_change"}}
-	minTable        = table{honoured: []string{"slow_start_config"}, ignored: []string{"choice_count", "active_request_bias", "locality_lb_config", "enable_full_scan", "selection_method"}}
-	roundTable      = table{honoured: []string{"slow_start_config"}, ignored: []string{"locality_lb_config"}}
-	slowStartTable  = table{honoured: []string{"slow_start_window"}, ignored: []string{"aggression", "min_weight_percent"}}
-	assignmentTable = table{honoured: []string{"cluster_name", "endpoints", "policy"}}
-	policyTable     = table{honoured: []string{"drop_overloads", "endpoint_stale_after", "overprovisioning_factor"}, ignored: []string{"weighted_priority_health"}}
-	localityTable   = table{honoured: []string{"locality", "lb_endpoints", "load_balancing_weight", "priority"}, ignored: []string{"metadata", "proximity"}}
-	lbTable         = table{honoured: []string{"endpoint", "health_status", "metadata", "load_balancing_weight"}}
-	endpointTable   = table{honoured: []string{"address", "hostname"}, ignored: []string{"health_check_config", "additional_addresses"}}
-	addressTable    = table{honoured: []string{"address", "port_value", "protocol"}, ignored: []string{"ipv4_compat"}}
+	leastRequestTable  = fieldTable{supported: []string{"slow_start_config"}, ignored: []string{"choice_count", "active_request_bias", "locality_lb_config", "enable_full_scan", "selection_method"}}
+	roundRobinTable    = fieldTable{supported: []string{"slow_start_config"}, ignored: []string{"locality_lb_config"}}
+	slowStartTable     = fieldTable{supported: []string{"slow_start_window"}, ignored: []string{"aggression", "min_weight_percent"}}
+	assignmentTable    = fieldTable{supported: []string{"cluster_name", "endpoints", "policy"}}
+	policyTable        = fieldTable{supported: []string{"drop_overloads", "endpoint_stale_after", "overprovisioning_factor"}, ignored: []string{"weighted_priority_health"}}
+	localityTable      = fieldTable{supported: []string{"locality", "lb_endpoints", "load_balancing_weight", "priority"}, ignored: []string{"metadata", "proximity"}}
+	lbEndpointTable    = fieldTable{supported: []string{"endpoint", "health_status", "metadata", "load_balancing_weight"}}
+	endpointTable      = fieldTable{supported: []string{"address", "hostname"}, ignored: []string{"health_check_config", "additional_addresses"}}
+	socketAddressTable = fieldTable{supported: []string{"address", "port_value", "protocol"}, ignored: []string{"ipv4_compat"}}
 )
 
 // audit goes over the fields that are set.
-func (t table) audit(m proto.Message, path string, warn *[]string) error {
+func (t fieldTable) audit(m proto.Message, path string, warn *[]string) error {
 	var errs []error
 	m.ProtoReflect().Range(func(f protoreflect.FieldDescriptor, _ protoreflect.Value) bool {
 		name := string(f.Name())
 		switch {
-		case slices.Contains(t.honoured, name):
+		case slices.Contains(t.supported, name):
 		case slices.Contains(t.ignored, name):
 			if warn != nil && len(*warn) < 32 {
 				*warn = append(*warn, path+name+" is ignored")
@@ -202,7 +202,7 @@
 	}
 	err := clusterTable.audit(m, "", &warn)
 	bad := func(reason string, args ...any) { err = errors.Join(err, fmt.Errorf(reason, args...)) }
-	sub := func(t table, m proto.Message, path string) { err = errors.Join(err, t.audit(m, path, &warn)) }
+	sub := func(t fieldTable, m proto.Message, path string) { err = errors.Join(err, t.audit(m, path, &warn)) }
 	if d := m.GetConnectTimeout(); d != nil {
 		if c.ConnectTimeout = d.AsDuration(); d.CheckValid() != nil || c.ConnectTimeout <= 0 {
 			bad("connect_timeout: want more than 0")
@@ -259,28 +259,28 @@
 			switch t.GetPriority() {
 			case corev3.RoutingPriority_DEFAULT:
 			case corev3.RoutingPriority_HIGH:
-				if to = &c.High; t.GetMaxConnections() != nil {
+				if to = &c.HighPriority; t.GetMaxConnections() != nil {
 					warn = append(warn, at+"max_connections: connections are shared by both priorities, it is not read for HIGH")
 				}
 			default:
 				bad("%spriority: %d is not known", at, t.GetPriority())
 				continue
 			}
-			if berr := to.read(t); berr != nil {
+			if berr := to.parse(t); berr != nil {
 				bad("%s%w", at, berr)
 			}
 		}
 	}
 	//lint:ignore SA1019 control planes still send it here
 	if h := m.GetCommonHttpProtocolOptions(); h != nil {
-		sub(httpTable, h, "common_http_protocol_options.")
+		sub(httpOptionsTable, h, "common_http_protocol_options.")
 		if d := h.GetIdleTimeout(); d != nil {
 			c.IdleTimeout = max(d.AsDuration(), 0)
 		}
 	}
 	if l := m.GetCommonLbConfig(); l != nil {
-		sub(lbConfigTable, l, "common_lb_config.")
-		c.Localities = l.GetLocalityWeightedLbConfig() != nil
+		sub(commonLbTable, l, "common_lb_config.")
+		c.LocalityWeights = l.GetLocalityWeightedLbConfig() != nil
 	}
 	slow := func(s *clusterv3.Cluster_SlowStartConfig, path string) {
 		if s != nil {
@@ -289,11 +289,11 @@
 		}
 	}
 	if l := m.GetLeastRequestLbConfig(); l != nil {
-		sub(minTable, l, "least_request_lb_config.")
+		sub(leastRequestTable, l, "least_request_lb_config.")
 		slow(l.GetSlowStartConfig(), "least_request_lb_config.slow_start_config.")
 	}
 	if l := m.GetRoundRobinLbConfig(); l != nil {
-		sub(roundTable, l, "round_robin_lb_config.")
+		sub(roundRobinTable, l, "round_robin_lb_config.")
 		slow(l.GetSlowStartConfig(), "round_robin_lb_config.slow_start_config.")
 	}
 	if err != nil {
@@ -319,7 +319,7 @@
 	if err := assignmentTable.audit(m, "", &warn); err != nil {
 		return nil, nil, err
 	}
-	if err := a.policy(m.GetPolicy(), &warn); err != nil {
+	if err := a.parsePolicy(m.GetPolicy(), &warn); err != nil {
 		return nil, nil, err
 	}
 	seen, localities := map[string]string{}, map[string]bool{}
@@ -376,7 +376,7 @@
 	return a, warn, nil
 }
 
-func (a *Assignment) policy(p *endpointv3.ClusterLoadAssignment_Policy, warn *[]string) error {
+func (a *Assignment) parsePolicy(p *endpointv3.ClusterLoadAssignment_Policy, warn *[]string) error {
 	if p == nil {
 		return nil
 	}
@@ -392,7 +392,7 @@
 		}
 		keep *= 1 - min(float64(d.GetDropPercentage().GetNumerator())/of, 1)
 	}
-	a.Drop = 1 - keep
+	a.DropFraction = 1 - keep
 	if v := p.GetOverprovisioningFactor(); v != nil {
 		if v.GetValue() == 0 {
 			return errors.New("policy.overprovisioning_factor: is 0")
@@ -407,13 +407,13 @@
 	return nil
 }
 
-var healths = map[corev3.HealthStatus]endpoints.Health{corev3.HealthStatus_UNKNOWN: endpoints.Unknown,
+var healthByStatus = map[corev3.HealthStatus]endpoints.Health{corev3.HealthStatus_UNKNOWN: endpoints.Unknown,
 	corev3.HealthStatus_HEALTHY: endpoints.Healthy, corev3.HealthStatus_UNHEALTHY: endpoints.Unhealthy,
 	corev3.HealthStatus_DRAINING: endpoints.Draining, corev3.HealthStatus_TIMEOUT: endpoints.Timeout,
 	corev3.HealthStatus_DEGRADED: endpoints.Degraded}
 
 func parseEndpoint(m *endpointv3.LbEndpoint, path string, warn *[]string) (e Endpoint, err error) {
-	if err := lbTable.audit(m, path, warn); err != nil {
+	if err := lbEndpointTable.audit(m, path, warn); err != nil {
 		return e, err
 	}
 	if m.GetEndpoint() == nil {
@@ -427,7 +427,7 @@
 		return e, fmt.Errorf("%sendpoint.address.socket_address: is missing, and others are not supported", path)
 	}
 	at := path + "endpoint.address.socket_address."
-	if err := addressTable.audit(s, at, warn); err != nil {
+	if err := socketAddressTable.audit(s, at, warn); err != nil {
 		return e, err
 	}
 	if net.ParseIP(s.GetAddress()) == nil {
@@ -439,7 +439,7 @@
 	if s.GetProtocol() != corev3.SocketAddress_TCP {
 		return e, fmt.Errorf("%sprotocol: only TCP is supported", at)
 	}
-	health, ok := healths[m.GetHealthStatus()]
+	health, ok := healthByStatus[m.GetHealthStatus()]
 	if !ok {
 		return e, fmt.Errorf("%shealth_status: %d is not known", path, m.GetHealthStatus())
 	}
@@ -461,9 +461,9 @@
 	return e, nil
 }
 
-// Word gives an assignment as its cluster's last word. Where the weights of localities count, a locality's weight is
+// Update gives an assignment as its cluster's last word. Where the weights of localities count, a locality's weight is
 // shared among its endpoints by their own.
-func (a *Assignment) Word(source, version string, localities bool) endpoints.Update {
+func (a *Assignment) Update(source, version string, localities bool) endpoints.Update {
 	w := endpoints.Update{Source: source, Version: version, Endpoints: make([]endpoints.Endpoint, len(a.Endpoints))}
 	type place struct {
 		priority int
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -63,9 +63,9 @@
 		"common_http_protocol_options":{"idle_timeout":"9s"},"common_lb_config":{"locality_weighted_lb_config":{}},
 		"circuit_breakers":{"thresholds":[{"priority":"HIGH","max_requests":1,"max_retries":0},{"max_connections":5,"max_requests":6,"max_pending_requests":4294967295,"max_retries":8,
 		"retry_budget":{"budget_percent":{"value":12.5}}}]}}`))
-	want := Cluster{Name: "a", Service: "b", ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 9 * time.Second, WarmUp: 7 * time.Second, Localities: true,
-		Breakers: Breakers{MaxConns: 5, MaxRequests: 6, MaxPending: maxThreshold, MaxRetries: 8, RetryBudget: &RetryBudget{Percent: 12.5, MinRetries: 3}},
-		High:     Breakers{MaxRequests: 1, RetryBudget: &RetryBudget{Percent: minPercent}}}
+	want := Cluster{Name: "a", Service: "b", ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 9 * time.Second, WarmUp: 7 * time.Second, LocalityWeights: true,
+		Breakers:     Breakers{MaxConnections: 5, MaxRequests: 6, MaxPending: maxThreshold, MaxRetries: 8, RetryBudget: &RetryBudget{Percent: 12.5, MinRetries: 3}},
+		HighPriority: Breakers{MaxRequests: 1, RetryBudget: &RetryBudget{Percent: minPercent}}}
 	if err != nil || !reflect.DeepEqual(*c, want) {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -123,15 +123,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.Drop < 0.599 || a.Drop > 0.601 || a.StaleAfter != 3*time.Second {
+	if a.DropFraction < 0.599 || a.DropFraction > 0.601 || a.StaleAfter != 3*time.Second {
 		t.Errorf("%+v", a)
 	}
-	w := a.Word("xds", "7", false)
+	w := a.Update("xds", "7", false)
 	want := endpoints.Endpoint{Address: "127.0.0.1:1", Zone: "z", SubZone: "s", Kind: "k", Cell: 2, Weight: 1, Health: endpoints.Draining}
 	if w.Endpoints[0] != want || w.Endpoints[2].Zone != "r2" || w.Endpoints[2].Priority != 1 || w.Version != "7" {
 		t.Errorf("%+v", w)
 	}
-	if w := a.Word("xds", "7", true); w.Endpoints[0].Weight != 10 || w.Endpoints[1].Weight != 20 || w.Endpoints[2].Weight != 5 {
+	if w := a.Update("xds", "7", true); w.Endpoints[0].Weight != 10 || w.Endpoints[1].Weight != 20 || w.Endpoints[2].Weight != 5 {
 		t.Errorf("with the localities' weights: %+v", w.Endpoints)
 	}
 }
@@ -253,7 +253,7 @@
 		if proto.Unmarshal(b, &a) == nil {
 			if got, _, err := ParseAssignment(&a); err == nil {
 				var v endpoints.View
-				v.Apply(1, got.Word("xds", "", true))
+				v.Apply(1, got.Update("xds", "", true))
 				for _, s := range v.Servers() {
 					if !(s.Weight > 0) {
 						t.Errorf("%+v", s)
--- a/internal/xds/routes.go
+++ b/internal/xds/routes.go
@@ -26,22 +26,22 @@
 )
 
 var (
-	routesTable = table{honoured: []string{"name", "virtual_hosts"},
+	routesTable = fieldTable{supported: []string{"name", "virtual_hosts"},
 		ignored: []string{"validate_clusters", "internal_only_headers", "ignore_port_in_host_matching", "metadata",
 			"max_direct_response_body_size_bytes", "response_headers_to_add", "response_headers_to_remove"}}
-	hostTable = table{honoured: []string{"name", "domains", "routes"},
+	virtualHostTable = fieldTable{supported: []string{"name", "domains", "routes"},
 		ignored: []string{"metadata", "retry_policy", "include_request_attempt_count", "response_headers_to_add", "response_headers_to_remove"}}
-	routeTable = table{honoured: []string{"name", "match", "route", "metadata"},
+	routeTable = fieldTable{supported: []string{"name", "match", "route", "metadata"},
 		ignored: []string{"decorator", "tracing", "stat_prefix", "response_headers_to_add", "response_headers_to_remove"}}
-	matchTable  = table{honoured: []string{"prefix", "path", "path_separated_prefix", "headers", "query_parameters", "case_sensitive"}}
-	actionTable = table{honoured: []string{"cluster", "weighted_clusters", "priority"},
+	matchTable  = fieldTable{supported: []string{"prefix", "path", "path_separated_prefix", "headers", "query_parameters", "case_sensitive"}}
+	actionTable = fieldTable{supported: []string{"cluster", "weighted_clusters", "priority"},
 		ignored: []string{"timeout", "idle_timeout", "retry_policy", "cluster_not_found_response_code", "max_stream_duration", "hash_policy"}}
-	weightedTable = table{honoured: []string{"clusters"}, ignored: []string{"total_weight", "runtime_key_prefix"}}
-	weightTable   = table{honoured: []string{"name", "weight"}}
-	headerTable   = table{honoured: []string{"name", "exact_match", "present_match", "prefix_match", "suffix_match", "contains_match",
+	weightedClustersTable = fieldTable{supported: []string{"clusters"}, ignored: []string{"total_weight", "runtime_key_prefix"}}
+	clusterWeightTable    = fieldTable{supported: []string{"name", "weight"}}
+	headerTable           = fieldTable{supported: []string{"name", "exact_match", "present_match", "prefix_match", "suffix_match", "contains_match",
 		"string_match", "invert_match"}}
-	queryTable  = table{honoured: []string{"name", "string_match", "present_match"}}
-	stringTable = table{honoured: []string{"exact", "prefix", "suffix", "contains"}}
+	queryTable  = fieldTable{supported: []string{"name", "string_match", "present_match"}}
+	stringTable = fieldTable{supported: []string{"exact", "prefix", "suffix", "contains"}}
 )
 
 // ParseRoutes checks a RouteConfiguration. classes are those that a route's metadata may name; nil: any. Envoy takes the
@@ -62,7 +62,7 @@
 	c := &Routes{Name: m.GetName()}
 	for i, h := range m.GetVirtualHosts() {
 		at := fmt.Sprintf("virtual_hosts[%d].", i)
-		if err := hostTable.audit(h, at, &warn); err != nil {
+		if err := virtualHostTable.audit(h, at, &warn); err != nil {
 			return nil, nil, err
 		}
 		if len(h.GetDomains()) == 0 {
@@ -79,7 +79,7 @@
 			}
 			out.Hosts = h.GetDomains()
 			for k := first; k < len(c.Routes); k++ {
-				if specific(&out, &c.Routes[k]) {
+				if takesPrecedence(&out, &c.Routes[k]) {
 					return nil, nil, fmt.Errorf("%sroutes[%d]: stands behind routes[%d], which takes some of what it would, but is more specific: put it first",
 						at, j, k-first)
 				}
@@ -96,8 +96,8 @@
 	return c, warn, nil
 }
 
-// specific tells whether package route would give r some request that matches first as well.
-func specific(r, first *route.Route) bool {
+// takesPrecedence tells whether package route would give r some request that matches first as well.
+func takesPrecedence(r, first *route.Route) bool {
 	covers := func(p *route.Route, path string) bool {
 		if !p.Textual {
 			pre := strings.TrimSuffix(p.Prefix, "/")
@@ -132,13 +132,13 @@
 		}
 		return false
 	}
-	if disjoint(r.Headers, first.Headers) || disjoint(r.Query, first.Query) || apart(r.Methods, first.Methods) {
+	if disjoint(r.Headers, first.Headers) || disjoint(r.Query, first.Query) || disjointMethods(r.Methods, first.Methods) {
 		return false
 	}
-	return !same || conditions(r) > conditions(first)
+	return !same || conditionCount(r) > conditionCount(first)
 }
 
-func conditions(r *route.Route) int {
+func conditionCount(r *route.Route) int {
 	n := len(r.Headers) + len(r.Query)
 	if len(r.Methods) > 0 {
 		n++
@@ -146,7 +146,7 @@
 	return n
 }
 
-func apart(x, y []string) bool {
+func disjointMethods(x, y []string) bool {
 	if len(x) == 0 || len(y) == 0 {
 		return false
 	}
@@ -179,11 +179,11 @@
 	case a.GetCluster() != "":
 		r.Clusters = []route.Weighted{{Cluster: a.GetCluster(), Weight: 1}}
 	case a.GetWeightedClusters() != nil:
-		if err := weightedTable.audit(a.GetWeightedClusters(), path+"weighted_clusters.", warn); err != nil {
+		if err := weightedClustersTable.audit(a.GetWeightedClusters(), path+"weighted_clusters.", warn); err != nil {
 			return r, err
 		}
 		for i, w := range a.GetWeightedClusters().GetClusters() {
-			if err := weightTable.audit(w, fmt.Sprintf("%sweighted_clusters.clusters[%d].", path, i), warn); err != nil {
+			if err := clusterWeightTable.audit(w, fmt.Sprintf("%sweighted_clusters.clusters[%d].", path, i), warn); err != nil {
 				return r, err
 			}
 			r.Clusters = append(r.Clusters, route.Weighted{Cluster: w.GetName(), Weight: w.GetWeight().GetValue()})
