--- a/internal/xds/file.go
+++ b/internal/xds/file.go
@@ -27,105 +27,110 @@
 
 const (
 	maxFileBytes = 64 << 20
-	// pollInterval is for file systems that tell nothing; where they do, a change is noticed at once.
+	// pollInterval is how often the file is read where the system does not report its changes.
 	pollInterval = 2 * time.Second
-	// settleTime lets several events of one change pass as one.
+	// settleTime is how long after an event the file is read, as one change may cause several events.
 	settleTime = 20 * time.Millisecond
+	// digestBytes and versionBytes are how much is used of a digest of a file and of a resource.
+	digestBytes  = 8
+	versionBytes = 6
 )
 
-// FileSource gives the resources of a file, in the form of a DiscoveryResponse in JSON or YAML (Envoy's
-// path_config_source). A new file is to be moved over the old one, so that it is never read half written. One that
-// cannot be read changes nothing; of one that can, what is refused keeps its former version as from a control plane, and
-// what it lacks is withdrawn.
+// FileSource reads resources from a file that contains a DiscoveryResponse in JSON or YAML (Envoy's path_config_source). A
+// new file is to be moved over the former one, so that it is never read half written. A file that cannot be read changes
+// nothing. Of one that can, invalid resources keep their former version, as from a control plane, and omitted ones are
+// withdrawn. Its methods may be called concurrently.
 type FileSource struct {
 	path string
 	now  func() time.Duration
 	log  *slog.Logger
 	sink Sink
 
-	loading sync.Mutex // one load at a time, and its changes told in order
+	loading sync.Mutex // held while the file is loaded and its changes are passed on, to keep their order
 
 	mu        sync.Mutex
 	machine   *Machine
-	digest    string
+	digest    string // of the file in use
 	readAt    time.Duration
 	lastError string
 }
 
-// NewFileSource makes one that has read nothing yet. Of opt the node and the times are not used.
-func NewFileSource(path string, opt Options, now func() time.Duration, log *slog.Logger, sink Sink) *FileSource {
-	opt.Delta, opt.FetchTimeout = true, 0
-	return &FileSource{path: path, now: now, log: log, sink: sink, machine: NewMachine(opt)}
+// NewFileSource returns a FileSource that has not read the file yet. It does not use the node and the timeout of options.
+func NewFileSource(path string, options Options, now func() time.Duration, log *slog.Logger, sink Sink) *FileSource {
+	options.Delta = true
+	options.FetchTimeout = 0
+	return &FileSource{path: path, now: now, log: log, sink: sink, machine: NewMachine(options)}
 }
 
-// Load reads the file. The error is why it, or some resource in it, is not used.
+// Load reads the file. The error says why it, or some resource in it, is not used.
 func (f *FileSource) Load() error { return f.reload(false) }
 
-func (f *FileSource) reload(anew bool) error {
+// reload reads the file, and applies its resources if it has changed or always is set.
+func (f *FileSource) reload(always bool) error {
 	f.loading.Lock()
 	defer f.loading.Unlock()
-	set, sum, err := readResources(f.path)
+	resources, digest, err := readResources(f.path)
+	changes, err := f.apply(resources, digest, err, always)
+	if len(changes) > 0 {
+		f.sink.Changed(changes)
+	}
+	return err
+}
+
+// apply applies what was read from the file, or the error of reading it.
+func (f *FileSource) apply(resources map[Type][]*discoveryv3.Resource, digest string, err error, always bool) ([]Change, error) {
 	f.mu.Lock()
-	if err == nil && sum == f.digest && !anew {
-		f.readAt = f.now()
-		f.mu.Unlock()
-		return nil
+	defer f.mu.Unlock()
+	defer func() { f.readAt = f.now() }()
+	if err == nil && digest == f.digest && !always {
+		return nil, nil
 	}
 	var changes []Change
 	if err == nil {
-		f.digest = sum
-		changes, err = f.importResources(set)
+		f.digest = digest
+		bundle := &Bundle{Resources: resources, Full: true, Authoritative: true}
+		changes, err = f.machine.Import(f.now(), bundle)
 	}
 	f.lastError = ""
 	if err != nil {
 		err = fmt.Errorf("%s: %w", f.path, err)
 		f.lastError = truncate(err.Error())
 	}
-	f.readAt = f.now()
-	f.mu.Unlock()
-	if len(changes) > 0 {
-		f.sink.Changed(changes)
-	}
-	return err
-}
-
-// importResources hands the file's contents to the machine.
-func (f *FileSource) importResources(set map[Type][]*discoveryv3.Resource) ([]Change, error) {
-	return f.machine.Import(f.now(), &Bundle{Resources: set, Full: true, Authoritative: true})
+	return changes, err
 }
 
-// Subscribe changes which ClusterLoadAssignments are taken, and which classes routes may name.
-func (f *FileSource) Subscribe(names []string, classes map[string]bool) {
+// Subscribe replaces Options.Services and Options.Classes, and reads the file again.
+func (f *FileSource) Subscribe(services []string, classes map[string]bool) {
 	f.loading.Lock()
 	f.mu.Lock()
 	f.machine.SetClasses(classes)
-	_, changes := f.machine.Subscribe(f.now(), names)
+	_, changes := f.machine.Subscribe(f.now(), services)
 	f.mu.Unlock()
 	if len(changes) > 0 {
 		f.sink.Changed(changes)
 	}
 	f.loading.Unlock()
-	_ = f.reload(true) // what is wrong shows in Link
+	_ = f.reload(true) // Connection returns the error
 }
 
-// Connection tells when the file was read, and what is wrong with it.
+// Connection returns when the file was read and what is wrong with it.
 func (f *FileSource) Connection() Connection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Connection{Server: f.path, LastResponseAt: f.readAt, LastError: f.lastError}
 }
 
-// Summaries tells what is known of each type.
+// Summaries returns a Summary of each type.
 func (f *FileSource) Summaries() []Summary {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.machine.Summaries()
 }
 
-// Run reads the file again whenever it changes, until ctx ends.
+// Run reads the file whenever it changes, until ctx ends.
 func (f *FileSource) Run(ctx context.Context) {
-	events, faults, closeWatcher := f.watch()
-	defer closeWatcher()
+	watcher := f.watch()
+	defer watcher.close()
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
@@ -133,46 +138,68 @@
 		case <-ctx.Done():
 			return
 		case <-poll.C:
-		case <-faults: // events may be lost: look
-		case e := <-events:
-			if filepath.Base(e.Name) != filepath.Base(f.path) {
+		case err := <-watcher.errors:
+			_ = err // whatever it is, events may be lost
+		case event := <-watcher.events:
+			if filepath.Base(event.Name) != filepath.Base(f.path) {
 				continue
 			}
-			settle := time.NewTimer(settleTime)
-		settled:
-			for {
-				select {
-				case <-events:
-				case <-faults:
-				case <-settle.C:
-					break settled
-				case <-ctx.Done():
-					settle.Stop()
-					return
-				}
+			if !watcher.settle(ctx) {
+				return
 			}
 		}
-		before := f.Connection().LastError
-		if err := f.Load(); err != nil && truncate(err.Error()) != before {
-			f.log.Warn("the file of resources is refused, what it cannot give stays as it was", "err", err)
-		}
+		f.loadAndLog()
+	}
+}
+
+// loadAndLog reads the file, and logs an error that is not the former one.
+func (f *FileSource) loadAndLog() {
+	former := f.Connection().LastError
+	err := f.Load()
+	if err != nil && truncate(err.Error()) != former {
+		f.log.Warn("file rejected, its former resources stay in use", "error", err)
 	}
 }
 
-// watch follows the file's folder, as a file that is moved over another is a new one.
-func (f *FileSource) watch() (<-chan fsnotify.Event, <-chan error, func()) {
-	w, err := fsnotify.NewWatcher()
+// fileWatcher reports changes in a directory. Its channels are nil where the system does not report changes.
+type fileWatcher struct {
+	events <-chan fsnotify.Event
+	errors <-chan error
+	close  func()
+}
+
+// watch watches the directory of the file, as a file that is moved over another one is a new one.
+func (f *FileSource) watch() fileWatcher {
+	watcher, err := fsnotify.NewWatcher()
 	if err == nil {
-		if err = w.Add(filepath.Dir(f.path)); err == nil {
-			return w.Events, w.Errors, func() { _ = w.Close() }
+		err = watcher.Add(filepath.Dir(f.path))
+		if err == nil {
+			return fileWatcher{events: watcher.Events, errors: watcher.Errors, close: func() { _ = watcher.Close() }}
+		}
+		_ = watcher.Close()
+	}
+	f.log.Warn("cannot watch the file, polling it", "file", f.path, "error", err)
+	return fileWatcher{close: func() {}}
+}
+
+// settle waits for settleTime and discards the events meanwhile. It returns false if ctx ends.
+func (w *fileWatcher) settle(ctx context.Context) bool {
+	timer := time.NewTimer(settleTime)
+	defer timer.Stop()
+	for {
+		select {
+		case <-w.events:
+		case err := <-w.errors:
+			_ = err // the file is read in any case
+		case <-timer.C:
+			return true
+		case <-ctx.Done():
+			return false
 		}
-		_ = w.Close()
 	}
-	f.log.Warn("changes of the file are looked for by and by, as the system tells none", "file", f.path, "err", err)
-	return nil, nil, func() {}
 }
 
-// readResources reads a file's resources by type. Their version is their contents' digest.
+// readResources reads the resources of a file by type, and returns the digest of the file.
 func readResources(path string) (map[Type][]*discoveryv3.Resource, string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -185,41 +212,43 @@
 	if err != nil {
 		return nil, "", err
 	}
-	set, err := ParseFile(text)
+	resources, err := ParseFile(text)
 	digest := sha256.Sum256(text)
-	return set, hex.EncodeToString(digest[:8]), err
+	return resources, hex.EncodeToString(digest[:digestBytes]), err
 }
 
-// ParseFile reads a DiscoveryResponse in JSON or YAML, of which the resources count.
+// ParseFile returns the resources of a DiscoveryResponse in JSON or YAML by type. The version of each is a digest.
 func ParseFile(text []byte) (map[Type][]*discoveryv3.Resource, error) {
-	var doc any
-	if err := yaml.Unmarshal(text, &doc); err != nil { // JSON is YAML
+	var document any
+	if err := yaml.Unmarshal(text, &document); err != nil { // JSON is YAML
 		return nil, fmt.Errorf("not YAML: %w", err)
 	}
-	plain, err := json.Marshal(doc)
+	asJSON, err := json.Marshal(document)
 	if err != nil {
 		return nil, fmt.Errorf("not a DiscoveryResponse: %w", err)
 	}
-	var r discoveryv3.DiscoveryResponse
-	if err := protojson.Unmarshal(plain, &r); err != nil {
+	var response discoveryv3.DiscoveryResponse
+	if err := protojson.Unmarshal(asJSON, &response); err != nil {
 		return nil, fmt.Errorf("not a DiscoveryResponse: %w", err)
 	}
-	set := map[Type][]*discoveryv3.Resource{}
-	for i, any := range r.GetResources() {
-		name, err := resourceName(any)
+	resources := map[Type][]*discoveryv3.Resource{}
+	for i, body := range response.GetResources() {
+		name, err := resourceName(body)
 		if err != nil {
 			return nil, fmt.Errorf("resources[%d]: %w", i, err)
 		}
-		digest := sha256.Sum256(any.GetValue())
-		t := Type(any.GetTypeUrl())
-		set[t] = append(set[t], &discoveryv3.Resource{Name: name, Version: hex.EncodeToString(digest[:6]), Resource: any})
+		digest := sha256.Sum256(body.GetValue())
+		t := Type(body.GetTypeUrl())
+		version := hex.EncodeToString(digest[:versionBytes])
+		resources[t] = append(resources[t], &discoveryv3.Resource{Name: name, Version: version, Resource: body})
 	}
-	return set, nil
+	return resources, nil
 }
 
-func resourceName(any *anypb.Any) (string, error) {
+// resourceName returns the name of a resource.
+func resourceName(body *anypb.Any) (string, error) {
 	unmarshal := func(m proto.Message, name func() string) (string, error) {
-		if err := proto.Unmarshal(any.GetValue(), m); err != nil {
+		if err := proto.Unmarshal(body.GetValue(), m); err != nil {
 			return "", err
 		}
 		if name() == "" {
@@ -227,7 +256,7 @@
 		}
 		return name(), nil
 	}
-	switch Type(any.GetTypeUrl()) {
+	switch Type(body.GetTypeUrl()) {
 	case ClusterType:
 		var m clusterv3.Cluster
 		return unmarshal(&m, m.GetName)
@@ -241,5 +270,5 @@
 		var m routev3.RouteConfiguration
 		return unmarshal(&m, m.GetName)
 	}
-	return "", fmt.Errorf("a %q is not taken", any.GetTypeUrl())
+	return "", fmt.Errorf("a %q is not taken", body.GetTypeUrl())
 }
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -145,6 +145,6 @@
 		}
 		m := NewMachine(Options{Clusters: true, Delta: true, RouteConfigName: "r", Services: []string{"a"}})
 		s := FileSource{machine: m, now: func() time.Duration { return 1 }}
-		_, _ = s.importResources(set)
+		_, _ = s.apply(set, "", nil, true)
 	})
 }
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -65,7 +65,7 @@
 		"retry_budget":{"budget_percent":{"value":12.5}}}]}}`))
 	want := Cluster{Name: "a", Service: "b", ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 9 * time.Second, WarmUp: 7 * time.Second, LocalityWeights: true,
 		Breakers:     Breakers{MaxConnections: 5, MaxRequests: 6, MaxPending: maxThreshold, MaxRetries: 8, RetryBudget: &RetryBudget{Percent: 12.5, MinRetries: 3}},
-		HighPriority: Breakers{MaxRequests: 1, RetryBudget: &RetryBudget{Percent: minPercent}}}
+		HighPriority: Breakers{MaxRequests: 1, RetryBudget: &RetryBudget{Percent: noRetriesPercent}}}
 	if err != nil || !reflect.DeepEqual(*c, want) {
 		t.Errorf("%+v, %v", c, err)
 	}
--- a/internal/xds/routes.go
+++ b/internal/xds/routes.go
@@ -1,312 +1,198 @@
 package xds
 
 import (
-	"errors"
 	"fmt"
-	"strings"
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	routev3 "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
-	matcherv3 "github.com/envoyproxy/go-control-plane/envoy/type/matcher/v3"
 
 	"robindrum/internal/route"
 )
 
-// Routes is a RouteConfiguration in the words of package route.
+const (
+	// maxRoutes bounds the routes of a RouteConfiguration.
+	maxRoutes = 100_000
+	// maxHostRoutes bounds the routes of a virtual host, whose order is checked pair by pair.
+	maxHostRoutes = 2_000
+)
+
+// Routes is a RouteConfiguration in the form of package route.
 type Routes struct {
 	Name   string
 	Routes []route.Route
 	Table  *route.Table
 }
 
-// mostRoutes of a RouteConfiguration, and of one virtual host, whose order is checked pair by pair.
-const (
-	maxRoutes     = 100_000
-	maxHostRoutes = 2_000
-)
-
 var (
-	routesTable = fieldTable{supported: []string{"name", "virtual_hosts"},
-		ignored: []string{"validate_clusters", "internal_only_headers", "ignore_port_in_host_matching", "metadata",
-			"max_direct_response_body_size_bytes", "response_headers_to_add", "response_headers_to_remove"}}
-	virtualHostTable = fieldTable{supported: []string{"name", "domains", "routes"},
-		ignored: []string{"metadata", "retry_policy", "include_request_attempt_count", "response_headers_to_add", "response_headers_to_remove"}}
-	routeTable = fieldTable{supported: []string{"name", "match", "route", "metadata"},
-		ignored: []string{"decorator", "tracing", "stat_prefix", "response_headers_to_add", "response_headers_to_remove"}}
-	matchTable  = fieldTable{supported: []string{"prefix", "path", "path_separated_prefix", "headers", "query_parameters", "case_sensitive"}}
-	actionTable = fieldTable{supported: []string{"cluster", "weighted_clusters", "priority"},
-		ignored: []string{"timeout", "idle_timeout", "retry_policy", "cluster_not_found_response_code", "max_stream_duration", "hash_policy"}}
-	weightedClustersTable = fieldTable{supported: []string{"clusters"}, ignored: []string{"total_weight", "runtime_key_prefix"}}
-	clusterWeightTable    = fieldTable{supported: []string{"name", "weight"}}
-	headerTable           = fieldTable{supported: []string{"name", "exact_match", "present_match", "prefix_match", "suffix_match", "contains_match",
-		"string_match", "invert_match"}}
-	queryTable  = fieldTable{supported: []string{"name", "string_match", "present_match"}}
-	stringTable = fieldTable{supported: []string{"exact", "prefix", "suffix", "contains"}}
+	routesTable = fieldTable{
+		supported: []string{"name", "virtual_hosts"},
+		ignored: []string{
+			"validate_clusters", "internal_only_headers", "ignore_port_in_host_matching", "metadata",
+			"max_direct_response_body_size_bytes", "response_headers_to_add", "response_headers_to_remove",
+		},
+	}
+	virtualHostTable = fieldTable{
+		supported: []string{"name", "domains", "routes"},
+		ignored: []string{
+			"metadata", "retry_policy", "include_request_attempt_count", "response_headers_to_add",
+			"response_headers_to_remove",
+		},
+	}
+	routeTable = fieldTable{
+		supported: []string{"name", "match", "route", "metadata"},
+		ignored: []string{
+			"decorator", "tracing", "stat_prefix", "response_headers_to_add", "response_headers_to_remove",
+		},
+	}
+	actionTable = fieldTable{
+		supported: []string{"cluster", "weighted_clusters", "priority"},
+		ignored: []string{
+			"timeout", "idle_timeout", "retry_policy", "cluster_not_found_response_code", "max_stream_duration",
+			"hash_policy",
+		},
+	}
+	weightedClustersTable = fieldTable{
+		supported: []string{"clusters"},
+		ignored:   []string{"total_weight", "runtime_key_prefix"},
+	}
+	clusterWeightTable = fieldTable{
+		supported: []string{"name", "weight"},
+	}
 )
 
-// ParseRoutes checks a RouteConfiguration. classes are those that a route's metadata may name; nil: any. Envoy takes the
-// first route of a virtual host that matches, package route the most specific one; an order in which the two differ is
-// refused.
-func ParseRoutes(m *routev3.RouteConfiguration, classes map[string]bool) (*Routes, []string, error) {
-	return parseRoutes(m, classes, false)
+// routesParser converts one RouteConfiguration. It returns the first error.
+type routesParser struct {
+	routes   []route.Route
+	classes  map[string]bool // nil: any
+	warnings []string
+}
+
+// ParseRoutes checks and converts a RouteConfiguration. It also returns warnings about what is ignored. The classes are
+// those that the metadata of routes may name; nil: any. Envoy uses the first route of a virtual host that matches, and
+// package route the most specific one; an order for which the two differ is an error.
+func ParseRoutes(message *routev3.RouteConfiguration, classes map[string]bool) (*Routes, []string, error) {
+	return parseRoutes(message, classes, false)
 }
 
-func parseRoutes(m *routev3.RouteConfiguration, classes map[string]bool, inListener bool) (*Routes, []string, error) {
-	var warn []string
-	if m.GetName() == "" && !inListener {
-		return nil, nil, errors.New("name: is missing")
+// parseRoutes is ParseRoutes. A RouteConfiguration that is part of a listener needs no name.
+func parseRoutes(message *routev3.RouteConfiguration, classes map[string]bool, inListener bool) (*Routes, []string, error) {
+	if message.GetName() == "" && !inListener {
+		return nil, nil, errNoName
 	}
-	if err := routesTable.audit(m, "", &warn); err != nil {
+	p := &routesParser{classes: classes}
+	if err := routesTable.audit(message, "", &p.warnings); err != nil {
 		return nil, nil, err
 	}
-	c := &Routes{Name: m.GetName()}
-	for i, h := range m.GetVirtualHosts() {
-		at := fmt.Sprintf("virtual_hosts[%d].", i)
-		if err := virtualHostTable.audit(h, at, &warn); err != nil {
+	for i, host := range message.GetVirtualHosts() {
+		if err := p.parseHost(host, fmt.Sprintf("virtual_hosts[%d].", i)); err != nil {
 			return nil, nil, err
 		}
-		if len(h.GetDomains()) == 0 {
-			return nil, nil, fmt.Errorf("%sdomains: none is given", at)
-		}
-		if len(h.GetRoutes()) > maxHostRoutes {
-			return nil, nil, fmt.Errorf("%sroutes: %d, %d at most", at, len(h.GetRoutes()), maxHostRoutes)
-		}
-		first := len(c.Routes)
-		for j, r := range h.GetRoutes() {
-			out, err := parseRoute(r, fmt.Sprintf("%sroutes[%d].", at, j), classes, &warn)
-			if err != nil {
-				return nil, nil, err
-			}
-			out.Hosts = h.GetDomains()
-			for k := first; k < len(c.Routes); k++ {
-				if takesPrecedence(&out, &c.Routes[k]) {
-					return nil, nil, fmt.Errorf("%sroutes[%d]: stands behind routes[%d], which takes some of what it would, but is more specific: put it first",
-						at, j, k-first)
-				}
-			}
-			if c.Routes = append(c.Routes, out); len(c.Routes) > maxRoutes {
-				return nil, nil, fmt.Errorf("virtual_hosts: more than %d routes", maxRoutes)
-			}
-		}
 	}
-	var err error
-	if c.Table, err = route.Compile(c.Routes, route.Options{HostsExclude: true}); err != nil {
+	table, err := route.Compile(p.routes, route.Options{HostsExclude: true})
+	if err != nil {
 		return nil, nil, err
 	}
-	return c, warn, nil
+	return &Routes{Name: message.GetName(), Routes: p.routes, Table: table}, p.warnings, nil
 }
 
-// takesPrecedence tells whether package route would give r some request that matches first as well.
-func takesPrecedence(r, first *route.Route) bool {
-	covers := func(p *route.Route, path string) bool {
-		if !p.Textual {
-			pre := strings.TrimSuffix(p.Prefix, "/")
-			return path == pre || strings.HasPrefix(path, pre+"/")
-		}
-		return strings.HasPrefix(path, p.Prefix)
+func (p *routesParser) parseHost(host *routev3.VirtualHost, path string) error {
+	if err := virtualHostTable.audit(host, path, &p.warnings); err != nil {
+		return err
 	}
-	same := false
-	switch {
-	case first.Path != "" && r.Path != "":
-		if same = first.Path == r.Path; !same {
-			return false
-		}
-	case first.Path != "": // exact before prefix: as here
-		return false
-	case r.Path != "":
-		if !covers(first, r.Path) {
-			return false
-		}
-	default:
-		if same = first.Prefix == r.Prefix && first.Textual == r.Textual; !same && (!covers(first, r.Prefix) || len(first.Prefix) > len(r.Prefix)) {
-			return false
-		}
+	if len(host.GetDomains()) == 0 {
+		return fmt.Errorf("%sdomains: none is given", path)
 	}
-	disjoint := func(x, y []route.Condition) bool {
-		for _, a := range x {
-			for _, b := range y {
-				if a.Name == b.Name && a.Op == route.Exact && b.Op == route.Exact && (a.Not == b.Not && !a.Not && a.Value != b.Value || a.Not != b.Not && a.Value == b.Value) {
-					return true
-				}
+	if len(host.GetRoutes()) > maxHostRoutes {
+		return fmt.Errorf("%sroutes: %d, %d at most", path, len(host.GetRoutes()), maxHostRoutes)
+	}
+	firstOfHost := len(p.routes)
+	for i, message := range host.GetRoutes() {
+		parsed, err := p.parseRoute(message, fmt.Sprintf("%sroutes[%d].", path, i))
+		if err != nil {
+			return err
+		}
+		parsed.Hosts = host.GetDomains()
+		for j, former := range p.routes[firstOfHost:] {
+			if takesPrecedence(&parsed, &former) {
+				return fmt.Errorf("%sroutes[%d]: stands behind routes[%d], which takes some of what it would, but is more specific: put it first",
+					path, i, j)
 			}
 		}
-		return false
-	}
-	if disjoint(r.Headers, first.Headers) || disjoint(r.Query, first.Query) || disjointMethods(r.Methods, first.Methods) {
-		return false
+		p.routes = append(p.routes, parsed)
+		if len(p.routes) > maxRoutes {
+			return fmt.Errorf("virtual_hosts: more than %d routes", maxRoutes)
+		}
 	}
-	return !same || conditionCount(r) > conditionCount(first)
+	return nil
 }
 
-func conditionCount(r *route.Route) int {
-	n := len(r.Headers) + len(r.Query)
-	if len(r.Methods) > 0 {
-		n++
+func (p *routesParser) parseRoute(message *routev3.Route, path string) (parsed route.Route, err error) {
+	if err := routeTable.audit(message, path, &p.warnings); err != nil {
+		return parsed, err
 	}
-	return n
-}
-
-func disjointMethods(x, y []string) bool {
-	if len(x) == 0 || len(y) == 0 {
-		return false
+	if message.GetMatch() == nil || message.GetRoute() == nil {
+		return parsed, fmt.Errorf("%smatch: a match and a route action are needed", path)
 	}
-	for _, a := range x {
-		for _, b := range y {
-			if a == b {
-				return false
-			}
-		}
+	parsed.Name = message.GetName()
+	if err := p.parseMatch(message.GetMatch(), path+"match.", &parsed); err != nil {
+		return parsed, err
 	}
-	return true
+	if err := p.parseAction(message.GetRoute(), path+"route.", &parsed); err != nil {
+		return parsed, err
+	}
+	return parsed, p.parseMetadata(message.GetMetadata(), path, &parsed)
 }
 
-func parseRoute(m *routev3.Route, at string, classes map[string]bool, warn *[]string) (r route.Route, err error) {
-	if err := routeTable.audit(m, at, warn); err != nil {
-		return r, err
-	}
-	if m.GetMatch() == nil || m.GetRoute() == nil {
-		return r, fmt.Errorf("%smatch: a match and a route action are needed", at)
-	}
-	r.Name = m.GetName()
-	if err := parseMatch(m.GetMatch(), at+"match.", &r, warn); err != nil {
-		return r, err
-	}
-	a, path := m.GetRoute(), at+"route."
-	if err := actionTable.audit(a, path, warn); err != nil {
-		return r, err
+func (p *routesParser) parseAction(action *routev3.RouteAction, path string, parsed *route.Route) error {
+	if err := actionTable.audit(action, path, &p.warnings); err != nil {
+		return err
 	}
 	switch {
-	case a.GetCluster() != "":
-		r.Clusters = []route.Weighted{{Cluster: a.GetCluster(), Weight: 1}}
-	case a.GetWeightedClusters() != nil:
-		if err := weightedClustersTable.audit(a.GetWeightedClusters(), path+"weighted_clusters.", warn); err != nil {
-			return r, err
-		}
-		for i, w := range a.GetWeightedClusters().GetClusters() {
-			if err := clusterWeightTable.audit(w, fmt.Sprintf("%sweighted_clusters.clusters[%d].", path, i), warn); err != nil {
-				return r, err
-			}
-			r.Clusters = append(r.Clusters, route.Weighted{Cluster: w.GetName(), Weight: w.GetWeight().GetValue()})
+	case action.GetCluster() != "":
+		parsed.Clusters = []route.Weighted{{Cluster: action.GetCluster(), Weight: 1}}
+	case action.GetWeightedClusters() != nil:
+		if err := p.parseWeightedClusters(action.GetWeightedClusters(), path+"weighted_clusters.", parsed); err != nil {
+			return err
 		}
 	default:
-		return r, fmt.Errorf("%scluster: is missing", path)
+		return fmt.Errorf("%scluster: is missing", path)
 	}
-	switch a.GetPriority() {
+	switch action.GetPriority() {
 	case corev3.RoutingPriority_DEFAULT:
 	case corev3.RoutingPriority_HIGH:
-		r.High = true
+		parsed.High = true
 	default:
-		return r, fmt.Errorf("%spriority: %d is not known", path, a.GetPriority())
-	}
-	if f := m.GetMetadata().GetFilterMetadata()[metadataName].GetFields(); f != nil {
-		r.Class = f["class"].GetStringValue()
-		r.Key.Header, r.Key.Query = f["key_header"].GetStringValue(), f["key_query"].GetStringValue()
-		r.Tenant.Header = f["tenant_header"].GetStringValue()
-		if r.Class != "" && classes != nil && !classes[r.Class] {
-			return r, fmt.Errorf("%smetadata.%s.class: there is no class %q", at, metadataName, r.Class)
-		}
+		return fmt.Errorf("%spriority: %d is not known", path, action.GetPriority())
 	}
-	return r, nil
+	return nil
 }
 
-func parseMatch(m *routev3.RouteMatch, at string, r *route.Route, warn *[]string) error {
-	if err := matchTable.audit(m, at, warn); err != nil {
+func (p *routesParser) parseWeightedClusters(message *routev3.WeightedCluster, path string, parsed *route.Route) error {
+	if err := weightedClustersTable.audit(message, path, &p.warnings); err != nil {
 		return err
 	}
-	if m.GetCaseSensitive() != nil && !m.GetCaseSensitive().GetValue() {
-		return fmt.Errorf("%scase_sensitive: false is not supported", at)
-	}
-	switch p := m.GetPathSpecifier().(type) {
-	case *routev3.RouteMatch_Path:
-		r.Path = p.Path
-	case *routev3.RouteMatch_Prefix:
-		if r.Prefix, r.Textual = p.Prefix, true; r.Prefix == "/" { // which any path begins with
-			r.Textual = false
-		}
-	case *routev3.RouteMatch_PathSeparatedPrefix:
-		r.Prefix = p.PathSeparatedPrefix
-	}
-	if r.Path == "" && r.Prefix == "" {
-		return fmt.Errorf("%spath_specifier: one of prefix, path and path_separated_prefix is needed", at)
-	}
-	for i, h := range m.GetHeaders() {
-		path := fmt.Sprintf("%sheaders[%d].", at, i)
-		if err := headerTable.audit(h, path, warn); err != nil {
-			return err
-		}
-		c := route.Condition{Name: h.GetName(), Not: h.GetInvertMatch()}
-		switch s := h.GetHeaderMatchSpecifier().(type) {
-		case *routev3.HeaderMatcher_ExactMatch:
-			//lint:ignore SA1019 control planes still send it
-			c.Op, c.Value = route.Exact, s.ExactMatch
-		case *routev3.HeaderMatcher_PrefixMatch:
-			//lint:ignore SA1019 control planes still send it
-			c.Op, c.Value = route.Prefix, s.PrefixMatch
-		case *routev3.HeaderMatcher_SuffixMatch:
-			//lint:ignore SA1019 control planes still send it
-			c.Op, c.Value = route.Suffix, s.SuffixMatch
-		case *routev3.HeaderMatcher_ContainsMatch:
-			//lint:ignore SA1019 control planes still send it
-			c.Op, c.Value = route.Contains, s.ContainsMatch
-		case *routev3.HeaderMatcher_PresentMatch:
-			c.Not = c.Not == s.PresentMatch
-		case *routev3.HeaderMatcher_StringMatch:
-			if err := parseString(s.StringMatch, path+"string_match.", &c, warn); err != nil {
-				return err
-			}
-		}
-		if strings.HasPrefix(c.Name, ":") {
-			if c.Name != ":method" || c.Op != route.Exact || c.Not {
-				return fmt.Errorf("%sname: of %s only an exact :method is supported", path, c.Name)
-			}
-			r.Methods = append(r.Methods, c.Value)
-			continue
-		}
-		r.Headers = append(r.Headers, c)
-	}
-	if len(r.Methods) > 1 {
-		return fmt.Errorf("%sheaders: :method stands twice", at)
-	}
-	for i, q := range m.GetQueryParameters() {
-		path := fmt.Sprintf("%squery_parameters[%d].", at, i)
-		if err := queryTable.audit(q, path, warn); err != nil {
+	for i, cluster := range message.GetClusters() {
+		if err := clusterWeightTable.audit(cluster, fmt.Sprintf("%sclusters[%d].", path, i), &p.warnings); err != nil {
 			return err
 		}
-		c := route.Condition{Name: q.GetName()}
-		switch s := q.GetQueryParameterMatchSpecifier().(type) {
-		case *routev3.QueryParameterMatcher_PresentMatch:
-			c.Not = !s.PresentMatch
-		case *routev3.QueryParameterMatcher_StringMatch:
-			if err := parseString(s.StringMatch, path+"string_match.", &c, warn); err != nil {
-				return err
-			}
-		}
-		r.Query = append(r.Query, c)
+		weighted := route.Weighted{Cluster: cluster.GetName(), Weight: cluster.GetWeight().GetValue()}
+		parsed.Clusters = append(parsed.Clusters, weighted)
 	}
 	return nil
 }
 
-func parseString(m *matcherv3.StringMatcher, at string, c *route.Condition, warn *[]string) error {
-	if err := stringTable.audit(m, at, warn); err != nil {
-		return err
-	}
-	switch p := m.GetMatchPattern().(type) {
-	case *matcherv3.StringMatcher_Exact:
-		c.Op, c.Value = route.Exact, p.Exact
-	case *matcherv3.StringMatcher_Prefix:
-		c.Op, c.Value = route.Prefix, p.Prefix
-	case *matcherv3.StringMatcher_Suffix:
-		c.Op, c.Value = route.Suffix, p.Suffix
-	case *matcherv3.StringMatcher_Contains:
-		c.Op, c.Value = route.Contains, p.Contains
-	default:
-		return fmt.Errorf("%smatch_pattern: is missing", at)
+// parseMetadata reads the fields that only this gateway knows.
+func (p *routesParser) parseMetadata(metadata *corev3.Metadata, path string, parsed *route.Route) error {
+	fields := metadata.GetFilterMetadata()[metadataName].GetFields()
+	if fields == nil {
+		return nil
+	}
+	parsed.Class = fields["class"].GetStringValue()
+	parsed.Key.Header = fields["key_header"].GetStringValue()
+	parsed.Key.Query = fields["key_query"].GetStringValue()
+	parsed.Tenant.Header = fields["tenant_header"].GetStringValue()
+	if parsed.Class != "" && p.classes != nil && !p.classes[parsed.Class] {
+		return fmt.Errorf("%smetadata.%s.class: there is no class %q", path, metadataName, parsed.Class)
 	}
 	return nil
 }
-
-// Node is how the gateway calls itself toward control planes.
-func Node(id, cluster, zone string) *corev3.Node {
-	return &corev3.Node{Id: id, Cluster: cluster, Locality: &corev3.Locality{Zone: zone}, UserAgentName: "robindrum",
-		ClientFeatures: []string{"xds.config.resource-in-sotw"}}
-}
