--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,8 +44,8 @@
 
 // Gateway is this one among those before the same servers.
 type Gateway struct {
-	Number int `yaml:"number"` // from 0
-	Of     int `yaml:"of"`
+	Index int `yaml:"number"` // from 0
+	Count int `yaml:"of"`
 }
 
 // Listener is where clients connect, over HTTP/1.1.
@@ -57,8 +57,8 @@
 // Admin is where the operators ask.
 type Admin struct {
 	Address string `yaml:"address"` // "none": nowhere
-	// Remote allows an address that is not on loopback. What answers there is not protected in any way.
-	Remote bool `yaml:"remote"`
+	// AllowRemote allows an address that is not on loopback. What answers there is not protected in any way.
+	AllowRemote bool `yaml:"remote"`
 }
 
 // Log says how lines are written.
@@ -74,11 +74,11 @@
 	Requests    int      `yaml:"requests"`    // without their answer
 	Body        Size     `yaml:"body"`        // of one request
 	Drain       Duration `yaml:"drain"`       // what a stop waits for answers at the most
-	PerCluster  Part     `yaml:"per_cluster"`
+	PerCluster  Quota    `yaml:"per_cluster"`
 }
 
-// Part is one cluster's of the limits.
-type Part struct {
+// Quota is one cluster's of the limits.
+type Quota struct {
 	Guaranteed Amount `yaml:"guaranteed"` // its own, whatever the other clusters do
 	Max        Amount `yaml:"most"`       // 0: as the whole
 }
@@ -93,43 +93,43 @@
 // Zones has zones and priorities taken as tiers of preference, with a limit on what goes to another zone and a gradual way
 // back. Where it is missing another zone is only weighed by its price.
 type Zones struct {
-	Tiers         [][]string `yaml:"tiers,omitempty"` // zones in order of preference; "*": all others; none: the own one, then all others
-	Overprovision float64    `yaml:"overprovisioning_factor"`
-	Panic         *float64   `yaml:"panic_threshold"` // as a fraction of a tier's endpoints
-	FailHold      Duration   `yaml:"fail_hold"`       // bad evidence for so long: failing
-	DarkHold      Duration   `yaml:"dark_hold"`       // worse evidence for so long: dark
-	UpHold        Duration   `yaml:"up_hold"`         // good evidence for so long: up again
-	Hold          Duration   `yaml:"hold"`            // dark at the least, twice as long each time
-	MaxHold       Duration   `yaml:"most_hold"`
-	Probe         Duration   `yaml:"probe"`         // between probes of a dark zone
-	Step          Duration   `yaml:"step"`          // of the way back, at the least
-	FirstShare    float64    `yaml:"first_share"`   // of its load, that a returning zone begins with; doubled each step
-	FirstRoom     float64    `yaml:"first_room"`    // requests at once that may go where nothing is known, over all gateways
-	Tolerance     float64    `yaml:"tolerance"`     // latency over its best at which another zone is busy
-	OwnTolerance  float64    `yaml:"own_tolerance"` // the same of the own zone
-	Floor         *float64   `yaml:"floor"`         // of a zone's room, for each class whatever its worth
-	RetryBudget   *float64   `yaml:"retry_budget"`  // retries out at a zone, as a part of all that is out there
-	RetryLeast    int        `yaml:"retry_least"`   // and so many in any case
+	Tiers           [][]string `yaml:"tiers,omitempty"` // zones in order of preference; "*": all others; none: the own one, then all others
+	Overprovision   float64    `yaml:"overprovisioning_factor"`
+	PanicThreshold  *float64   `yaml:"panic_threshold"` // as a fraction of a tier's endpoints
+	FailHold        Duration   `yaml:"fail_hold"`       // bad evidence for so long: failing
+	DarkHold        Duration   `yaml:"dark_hold"`       // worse evidence for so long: dark
+	UpHold          Duration   `yaml:"up_hold"`         // good evidence for so long: up again
+	MinHold         Duration   `yaml:"hold"`            // dark at the least, twice as long each time
+	MaxHold         Duration   `yaml:"most_hold"`
+	ProbeInterval   Duration   `yaml:"probe"`         // between probes of a dark zone
+	Step            Duration   `yaml:"step"`          // of the way back, at the least
+	InitialShare    float64    `yaml:"first_share"`   // of its load, that a returning zone begins with; doubled each step
+	InitialCapacity float64    `yaml:"first_room"`    // requests at once that may go where nothing is known, over all gateways
+	Tolerance       float64    `yaml:"tolerance"`     // latency over its best at which another zone is busy
+	OwnTolerance    float64    `yaml:"own_tolerance"` // the same of the own zone
+	Floor           *float64   `yaml:"floor"`         // of a zone's room, for each class whatever its worth
+	RetryBudget     *float64   `yaml:"retry_budget"`  // retries out at a zone, as a part of all that is out there
+	MinRetries      int        `yaml:"retry_least"`   // and so many in any case
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name     string   `yaml:"name"`
-	Wanted   Duration `yaml:"wanted"`   // an answer within it is in time
-	Deadline Duration `yaml:"deadline"` // over all tries
-	Worth    float64  `yaml:"worth"`
-	Effect   Effect   `yaml:"effect"`
-	Group    Group    `yaml:"group"`  // keyed only
-	Window   Duration `yaml:"window"` // keyed only: repeats are dropped for so long
+	Name             string   `yaml:"name"`
+	LatencyObjective Duration `yaml:"wanted"`   // an answer within it is in time
+	Deadline         Duration `yaml:"deadline"` // over all tries
+	PriorityWeight   float64  `yaml:"worth"`
+	Effect           Effect   `yaml:"effect"`
+	Group            Group    `yaml:"group"`  // keyed only
+	Window           Duration `yaml:"window"` // keyed only: repeats are dropped for so long
 }
 
 // Cluster is a set of endpoints that serve the same. Exactly one of Endpoints, File and XDS says which they are.
 type Cluster struct {
-	Name      string     `yaml:"name"`
-	Endpoints []Endpoint `yaml:"endpoints,omitempty"`
-	File      *Resources `yaml:"file,omitempty"`
-	XDS       *Service   `yaml:"xds,omitempty"`
-	Part      *Part      `yaml:"limits,omitempty"`
+	Name      string      `yaml:"name"`
+	Endpoints []Endpoint  `yaml:"endpoints,omitempty"`
+	File      *FileSource `yaml:"file,omitempty"`
+	XDS       *XDSSource  `yaml:"xds,omitempty"`
+	Quota     *Quota      `yaml:"limits,omitempty"`
 
 	ConnectTimeout Duration `yaml:"connect_timeout"`
 	IdleTimeout    Duration `yaml:"idle_timeout"` // of a connection to an endpoint
@@ -145,17 +145,17 @@
 
 // Overload is how a cluster's requests are admitted; see package admission.
 type Overload struct {
-	Mode        Mode        `yaml:"mode"`         // adaptive, fixed or off
-	PerEndpoint int         `yaml:"per_endpoint"` // requests in flight for each endpoint that an adaptive limit begins with
-	Limit       int         `yaml:"limit"`        // requests in flight, of a fixed one
-	MaxWait     Duration    `yaml:"max_wait"`     // of a request before it starts; 0: what its class's wanted time leaves
-	MaxWaiting  Size        `yaml:"max_waiting"`  // of the bodies of requests that wait; 0: the cluster's part of limits.memory alone
-	Floor       *float64    `yaml:"floor"`        // of starts, for each class with waiting requests whatever its worth
-	Retries     RetryEarned `yaml:"retries"`
+	Mode        Mode           `yaml:"mode"`         // adaptive, fixed or off
+	PerEndpoint int            `yaml:"per_endpoint"` // requests in flight for each endpoint that an adaptive limit begins with
+	Limit       int            `yaml:"limit"`        // requests in flight, of a fixed one
+	MaxWait     Duration       `yaml:"max_wait"`     // of a request before it starts; 0: what its class's wanted time leaves
+	MaxWaiting  Size           `yaml:"max_waiting"`  // of the bodies of requests that wait; 0: the cluster's part of limits.memory alone
+	Floor       *float64       `yaml:"floor"`        // of starts, for each class with waiting requests whatever its worth
+	Retries     RetryAllowance `yaml:"retries"`
 }
 
-// RetryEarned is what retries a cluster's requests earn, hedges included.
-type RetryEarned struct {
+// RetryAllowance is what retries a cluster's requests earn, hedges included.
+type RetryAllowance struct {
 	Ratio *float64 `yaml:"ratio"` // by each request
 	Rate  *float64 `yaml:"rate"`  // a second, in any case
 	TTL   Duration `yaml:"ttl"`   // how long they are kept
@@ -181,10 +181,10 @@
 
 // WarmUp is how a server that has just started takes load.
 type WarmUp struct {
-	Time  Duration `yaml:"time"`
-	Share float64  `yaml:"share"` // of its capacity, at first
-	// Max is the multiple of its warm share above which it falls over.
-	Max float64 `yaml:"most"`
+	Time         Duration `yaml:"time"`
+	InitialShare float64  `yaml:"share"` // of its capacity, at first
+	// OverloadMultiple is the multiple of its warm share above which it falls over.
+	OverloadMultiple float64 `yaml:"most"`
 }
 
 // Endpoint is one server of a static cluster.
@@ -197,34 +197,34 @@
 	Priority int     `yaml:"priority,omitempty"`
 }
 
-// Resources is a file of xDS resources, in JSON or YAML.
-type Resources struct {
+// FileSource is a file of xDS resources, in JSON or YAML.
+type FileSource struct {
 	Path    string `yaml:"path"`
 	Service string `yaml:"service,omitempty"` // the ClusterLoadAssignment's cluster_name; the cluster's where empty
 }
 
-// Service asks the control plane.
-type Service struct {
+// XDSSource asks the control plane.
+type XDSSource struct {
 	Service string `yaml:"service,omitempty"` // the ClusterLoadAssignment's cluster_name; the cluster's where empty
 }
 
 // XDS is how control planes are spoken to, or which file stands in for them.
 type XDS struct {
-	Servers   []string `yaml:"servers,omitempty"` // asked in this order
-	Path      string   `yaml:"path,omitempty"`    // a file of resources in place of servers
-	Variant   Variant  `yaml:"variant"`
-	Node      Node     `yaml:"node"`
-	Clusters  bool     `yaml:"clusters"`                      // take all clusters that it names (CDS)
-	RouteName string   `yaml:"route_configuration,omitempty"` // take the routes of this RouteConfiguration behind the file's own
+	Servers         []string `yaml:"servers,omitempty"` // asked in this order
+	Path            string   `yaml:"path,omitempty"`    // a file of resources in place of servers
+	Variant         Variant  `yaml:"variant"`
+	Node            Node     `yaml:"node"`
+	Clusters        bool     `yaml:"clusters"`                      // take all clusters that it names (CDS)
+	RouteConfigName string   `yaml:"route_configuration,omitempty"` // take the routes of this RouteConfiguration behind the file's own
 
-	Listener string `yaml:"listener,omitempty"` // take the routes that this Listener names
+	ListenerName string `yaml:"listener,omitempty"` // take the routes that this Listener names
 
 	InitialFetchTimeout Duration `yaml:"initial_fetch_timeout"`
 	ConnectTimeout      Duration `yaml:"connect_timeout"`
 	BackoffBase         Duration `yaml:"backoff_base"`
-	BackoffMost         Duration `yaml:"backoff_most"`
+	MaxBackoff          Duration `yaml:"backoff_most"`
 	Keepalive           Duration `yaml:"keepalive"` // a control plane that is silent twice so long is gone
-	Message             Size     `yaml:"message"`   // the longest that is read
+	MaxMessageBytes     Size     `yaml:"message"`   // the longest that is read
 }
 
 // Node is how the gateway calls itself toward control planes.
@@ -259,13 +259,13 @@
 
 // RateKey says what tells the clients of a limit apart; nothing set: all are one.
 type RateKey struct {
-	Header  string   `yaml:"header,omitempty"`
-	Cookie  string   `yaml:"cookie,omitempty"`
-	Address *Address `yaml:"address,omitempty"` // of the client's connection
+	Header  string         `yaml:"header,omitempty"`
+	Cookie  string         `yaml:"cookie,omitempty"`
+	Address *AddressPrefix `yaml:"address,omitempty"` // of the client's connection
 }
 
-// Address is the part of an address that stands for one client, in bits.
-type Address struct {
+// AddressPrefix is the part of an address that stands for one client, in bits.
+type AddressPrefix struct {
 	IPv4 int `yaml:"ipv4"`
 	IPv6 int `yaml:"ipv6"`
 }
@@ -306,8 +306,8 @@
 
 // The classes that a route takes where it names none.
 const (
-	DefaultSafe   = "default-safe"
-	DefaultUnsafe = "default-unsafe"
+	DefaultSafeClass   = "default-safe"
+	DefaultUnsafeClass = "default-unsafe"
 )
 
 // Load reads and checks a file.
@@ -332,19 +332,19 @@
 	d := &decoder{file: path}
 	f := &File{path: path, dir: filepath.Dir(path), text: text}
 	d.decode(text, f)
-	if err := d.sorted(); err != nil {
+	if err := d.err(); err != nil {
 		return nil, err
 	}
 	f.fill()
 	f.check(d)
-	if err := d.sorted(); err != nil {
+	if err := d.err(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// released are the sections that a release may bring. The others are this process's own.
-var released = []string{"classes", "clusters", "routes", "rate_limits", "zones", "xds"}
+// releaseSections are the sections that a release may bring. The others are this process's own.
+var releaseSections = []string{"classes", "clusters", "routes", "rate_limits", "zones", "xds"}
 
 // With gives the file with a release's sections in place of its own.
 func (f *File) With(release string) (*File, error) {
@@ -362,8 +362,8 @@
 	l := theirs.Content[0].Content
 	for i := 0; i+1 < len(l); i += 2 {
 		key := l[i].Value
-		if !slices.Contains(released, key) {
-			return nil, fmt.Errorf("the release: %s is each process's own; a release brings %s", key, strings.Join(released, ", "))
+		if !slices.Contains(releaseSections, key) {
+			return nil, fmt.Errorf("the release: %s is each process's own; a release brings %s", key, strings.Join(releaseSections, ", "))
 		}
 		at := -1
 		for j := 0; j+1 < len(own.Content); j += 2 {
@@ -392,9 +392,9 @@
 func (f *File) Path() string { return f.path }
 
 // Resolve gives a name in the file as seen from its folder.
-func (f *File) Resolve(name string) string { return under(f.dir, name) }
+func (f *File) Resolve(name string) string { return resolveIn(f.dir, name) }
 
-func under(dir, name string) string {
+func resolveIn(dir, name string) string {
 	if filepath.IsAbs(name) || name == "" {
 		return name
 	}
@@ -412,41 +412,41 @@
 	return []byte(b.String()), nil
 }
 
-// Of is the part of a cluster's limits, by name; clusters that the file does not name have the usual one.
-func (f *File) Of(c *Cluster) Part {
-	if c.Part != nil {
-		return *c.Part
+// QuotaOf is the part of a cluster's limits, by name; clusters that the file does not name have the usual one.
+func (f *File) QuotaOf(c *Cluster) Quota {
+	if c.Quota != nil {
+		return *c.Quota
 	}
 	return f.Limits.PerCluster
 }
 
 func (f *File) check(d *decoder) {
 	if len(f.Listeners) == 0 {
-		d.at("listeners", "none is given")
+		d.errorAt("listeners", "none is given")
 	}
 	names := map[string]string{}
 	once := func(kind, field, name string) {
 		if name == "" {
-			d.at(field, "is missing")
+			d.errorAt(field, "is missing")
 			return
 		}
 		if first, ok := names[kind+name]; ok {
-			d.at(field, "%q is taken by %s", name, first)
+			d.errorAt(field, "%q is taken by %s", name, first)
 			return
 		}
 		names[kind+name] = field
 	}
 	for i, l := range f.Listeners {
 		once("listener ", fmt.Sprintf("listeners[%d].name", i), l.Name)
-		address(d, fmt.Sprintf("listeners[%d].address", i), l.Address, true)
+		checkAddress(d, fmt.Sprintf("listeners[%d].address", i), l.Address, true)
 		if l.Address != "" {
 			once("address ", fmt.Sprintf("listeners[%d].address", i), l.Address)
 		}
 	}
 	f.checkAdmin(d)
 	f.checkLog(d)
-	if f.Gateway.Of < 1 || f.Gateway.Number < 0 || f.Gateway.Number >= f.Gateway.Of {
-		d.at("gateway", "number %d of %d: it counts from 0 and is below of", f.Gateway.Number, f.Gateway.Of)
+	if f.Gateway.Count < 1 || f.Gateway.Index < 0 || f.Gateway.Index >= f.Gateway.Count {
+		d.errorAt("gateway", "number %d of %d: it counts from 0 and is below of", f.Gateway.Index, f.Gateway.Count)
 	}
 	classes := map[string]bool{}
 	for i, c := range f.Classes {
@@ -454,19 +454,19 @@
 		once("class ", field+".name", c.Name)
 		classes[c.Name] = true
 		if strings.Contains(c.Name, "!") {
-			d.at(field+".name", "%q: ! is not for names", c.Name)
+			d.errorAt(field+".name", "%q: ! is not for names", c.Name)
 		}
-		if c.Wanted > c.Deadline {
-			d.at(field+".wanted", "%v is longer than the deadline, %v", c.Wanted.D(), c.Deadline.D())
+		if c.LatencyObjective > c.Deadline {
+			d.errorAt(field+".wanted", "%v is longer than the deadline, %v", c.LatencyObjective.D(), c.Deadline.D())
 		}
-		if c.Worth <= 0 || c.Worth > 1e6 {
-			d.at(field+".worth", "want more than 0 and at most 1000000, not %v", c.Worth)
+		if c.PriorityWeight <= 0 || c.PriorityWeight > 1e6 {
+			d.errorAt(field+".worth", "want more than 0 and at most 1000000, not %v", c.PriorityWeight)
 		}
 		if c.Effect != 1 && (c.Window != 0 || c.Group != 0) {
-			d.at(field+".effect", "group and window are for keyed classes")
+			d.errorAt(field+".effect", "group and window are for keyed classes")
 		}
 		if c.Effect == 1 && c.Window == 0 {
-			d.at(field+".window", "a keyed class needs it: how long its servers drop repeats")
+			d.errorAt(field+".window", "a keyed class needs it: how long its servers drop repeats")
 		}
 	}
 	clusters := map[string]bool{}
@@ -484,7 +484,7 @@
 	if f.Fleet != nil {
 		f.Fleet.check(d)
 		if f.Fleet.Subscription != nil && (f.XDS == nil || len(f.XDS.Servers) == 0) {
-			d.at("fleet.subscription", "there are no xds.servers to subscribe to")
+			d.errorAt("fleet.subscription", "there are no xds.servers to subscribe to")
 		}
 	}
 	f.checkLimits(d)
@@ -496,12 +496,12 @@
 	switch f.Log.Format {
 	case "text", "json":
 	default:
-		d.at("log.format", "want text or json, not %q", f.Log.Format)
+		d.errorAt("log.format", "want text or json, not %q", f.Log.Format)
 	}
 	switch f.Log.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		d.at("log.level", "want debug, info, warn or error, not %q", f.Log.Level)
+		d.errorAt("log.level", "want debug, info, warn or error, not %q", f.Log.Level)
 	}
 }
 
@@ -509,28 +509,28 @@
 	if f.Admin.Address == "none" {
 		return
 	}
-	if !address(d, "admin.address", f.Admin.Address, true) {
+	if !checkAddress(d, "admin.address", f.Admin.Address, true) {
 		return
 	}
 	host, _, _ := net.SplitHostPort(f.Admin.Address)
-	if ip := net.ParseIP(host); !f.Admin.Remote && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		d.at("admin.address", "%s is not on loopback; what answers there is not protected, say admin.remote: true if that is meant", f.Admin.Address)
+	if ip := net.ParseIP(host); !f.Admin.AllowRemote && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
+		d.errorAt("admin.address", "%s is not on loopback; what answers there is not protected, say admin.remote: true if that is meant", f.Admin.Address)
 	}
 }
 
-// address checks host:port.
-func address(d *decoder, field, text string, mayBeZero bool) bool {
+// checkAddress checks host:port.
+func checkAddress(d *decoder, field, text string, mayBeZero bool) bool {
 	if text == "" {
-		d.at(field, "is missing")
+		d.errorAt(field, "is missing")
 		return false
 	}
 	_, port, err := net.SplitHostPort(text)
 	if err != nil {
-		d.at(field, "%q is not host:port", text)
+		d.errorAt(field, "%q is not host:port", text)
 		return false
 	}
 	if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 && !mayBeZero {
-		d.at(field, "%q is not a port", port)
+		d.errorAt(field, "%q is not a port", port)
 		return false
 	}
 	return true
@@ -543,49 +543,49 @@
 		seen := map[string]int{}
 		for i, e := range c.Endpoints {
 			at := fmt.Sprintf("%s.endpoints[%d]", field, i)
-			address(d, at+".address", e.Address, false)
+			checkAddress(d, at+".address", e.Address, false)
 			if first, ok := seen[e.Address]; ok && e.Address != "" {
-				d.at(at+".address", "%s is endpoints[%d] already", e.Address, first)
+				d.errorAt(at+".address", "%s is endpoints[%d] already", e.Address, first)
 			}
 			seen[e.Address] = i
 			if e.Weight <= 0 || e.Weight > 1e9 {
-				d.at(at+".weight", "want more than 0 and at most 1000000000, not %v", e.Weight)
+				d.errorAt(at+".weight", "want more than 0 and at most 1000000000, not %v", e.Weight)
 			}
 			if e.Priority < 0 || e.Priority > 128 {
-				d.at(at+".priority", "want 0 to 128, not %d", e.Priority)
+				d.errorAt(at+".priority", "want 0 to 128, not %d", e.Priority)
 			}
 		}
 	}
 	if c.File != nil {
 		if sources++; c.File.Path == "" {
-			d.at(field+".file.path", "is missing")
+			d.errorAt(field+".file.path", "is missing")
 		}
 	}
 	if c.XDS != nil {
 		if sources++; f.XDS == nil {
-			d.at(field+".xds", "there is no control plane: xds is missing")
+			d.errorAt(field+".xds", "there is no control plane: xds is missing")
 		}
 	}
 	if sources != 1 {
-		d.at(field, "want one of endpoints, file and xds, not %d", sources)
+		d.errorAt(field, "want one of endpoints, file and xds, not %d", sources)
 	}
 	if c.Attempts < 1 || c.Attempts > 10 {
-		d.at(field+".attempts", "want 1 to 10, not %d", c.Attempts)
+		d.errorAt(field+".attempts", "want 1 to 10, not %d", c.Attempts)
 	}
-	if c.WarmUp.Share <= 0 || c.WarmUp.Share > 1 {
-		d.at(field+".warm_up.share", "want more than 0 and at most 1, not %v", c.WarmUp.Share)
+	if c.WarmUp.InitialShare <= 0 || c.WarmUp.InitialShare > 1 {
+		d.errorAt(field+".warm_up.share", "want more than 0 and at most 1, not %v", c.WarmUp.InitialShare)
 	}
-	if c.WarmUp.Max < 1 || c.WarmUp.Max > 100 {
-		d.at(field+".warm_up.most", "want 1 to 100, not %v", c.WarmUp.Max)
+	if c.WarmUp.OverloadMultiple < 1 || c.WarmUp.OverloadMultiple > 100 {
+		d.errorAt(field+".warm_up.most", "want 1 to 100, not %v", c.WarmUp.OverloadMultiple)
 	}
 	if p := *c.CrossZone; p < 0 || p > 1 {
-		d.at(field+".cross_zone_price", "want 0 to 1, not %v", p)
+		d.errorAt(field+".cross_zone_price", "want 0 to 1, not %v", p)
 	}
 	if c.ConnectTimeout == 0 || c.ConnectTimeout > Duration(10*time.Second) {
-		d.at(field+".connect_timeout", "want more than 0 and at most 10s, not %v", c.ConnectTimeout.D())
+		d.errorAt(field+".connect_timeout", "want more than 0 and at most 10s, not %v", c.ConnectTimeout.D())
 	}
 	if c.IdleTimeout == 0 {
-		d.at(field+".idle_timeout", "want more than 0")
+		d.errorAt(field+".idle_timeout", "want more than 0")
 	}
 	checkOverload(d, field, c)
 }
@@ -602,15 +602,15 @@
 		field := fmt.Sprintf("rate_limits[%d]", i)
 		switch {
 		case l.Name == "" || strings.ContainsFunc(l.Name, func(r rune) bool { return r < ' ' || r > '~' || r == '"' || r == '\\' }):
-			d.at(field+".name", "%q: want a name in plain letters", l.Name)
+			d.errorAt(field+".name", "%q: want a name in plain letters", l.Name)
 		case names[l.Name]:
-			d.at(field+".name", "%q is taken", l.Name)
+			d.errorAt(field+".name", "%q is taken", l.Name)
 		}
 		names[l.Name] = true
 		known := func(what string, list []string, in map[string]bool) {
 			for j, n := range list {
 				if !in[n] {
-					d.at(fmt.Sprintf("%s.%s[%d]", field, what, j), "there is no %q", n)
+					d.errorAt(fmt.Sprintf("%s.%s[%d]", field, what, j), "there is no %q", n)
 				}
 			}
 		}
@@ -626,13 +626,13 @@
 			}
 		}
 		if set > 1 {
-			d.at(field+".key", "want one of header, cookie and address, not %d", set)
+			d.errorAt(field+".key", "want one of header, cookie and address, not %d", set)
 		}
 		if a := l.Key.Address; a != nil && (a.IPv4 < 0 || a.IPv4 > 32 || a.IPv6 < 0 || a.IPv6 > 128) {
-			d.at(field+".key.address", "want 0 to 32 bits of IPv4 and 0 to 128 of IPv6, not %d and %d", a.IPv4, a.IPv6)
+			d.errorAt(field+".key.address", "want 0 to 32 bits of IPv4 and 0 to 128 of IPv6, not %d and %d", a.IPv4, a.IPv6)
 		}
-		if _, err := ratelimit.New(l.Rate/float64(max(f.Gateway.Of, 1)), l.Burst, l.Keys); err != nil {
-			d.at(field, "%v", err)
+		if _, err := ratelimit.New(l.Rate/float64(max(f.Gateway.Count, 1)), l.Burst, l.Keys); err != nil {
+			d.errorAt(field, "%v", err)
 		}
 	}
 }
@@ -640,7 +640,7 @@
 func checkOverload(d *decoder, field string, c *Cluster) {
 	between := func(name string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			d.at(field+"."+name, "want %v to %v, not %v", least, most, v)
+			d.errorAt(field+"."+name, "want %v to %v, not %v", least, most, v)
 		}
 	}
 	o, b := &c.Overload, &c.Breakers
@@ -650,7 +650,7 @@
 	between("overload.retries.ratio", *o.Retries.Ratio, 0, 10)
 	between("overload.retries.rate", *o.Retries.Rate, 0, 1e6)
 	if t := o.Retries.TTL; t < Duration(100*time.Millisecond) || t > Duration(time.Hour) {
-		d.at(field+".overload.retries.ttl", "want 100ms to 1h, not %v", t.D())
+		d.errorAt(field+".overload.retries.ttl", "want 100ms to 1h, not %v", t.D())
 	}
 	for at, b := range map[string]*Breakers{"circuit_breakers.": b, "circuit_breakers.high.": b.High} {
 		if b == nil {
@@ -666,10 +666,10 @@
 		}
 	}
 	if h := b.High; h != nil && h.MaxConnections > 0 {
-		d.at(field+".circuit_breakers.high.max_connections", "connections are shared by both priorities, set it for the cluster")
+		d.errorAt(field+".circuit_breakers.high.max_connections", "connections are shared by both priorities, set it for the cluster")
 	}
 	if h := b.High; h != nil && h.High != nil {
-		d.at(field+".circuit_breakers.high.high", "there are two priorities")
+		d.errorAt(field+".circuit_breakers.high.high", "there are two priorities")
 	}
 }
 
@@ -679,31 +679,31 @@
 		return
 	}
 	if len(x.Servers) == 0 && x.Path == "" {
-		d.at("xds.servers", "none is given, and no path")
+		d.errorAt("xds.servers", "none is given, and no path")
 	}
 	if len(x.Servers) > 0 && x.Path != "" {
-		d.at("xds.path", "only one of servers and path can be set")
+		d.errorAt("xds.path", "only one of servers and path can be set")
 	}
 	for i, s := range x.Servers {
-		address(d, fmt.Sprintf("xds.servers[%d]", i), s, false)
+		checkAddress(d, fmt.Sprintf("xds.servers[%d]", i), s, false)
 	}
-	if x.RouteName != "" && x.Listener != "" {
-		d.at("xds.listener", "only one of route_configuration and listener can be set")
+	if x.RouteConfigName != "" && x.ListenerName != "" {
+		d.errorAt("xds.listener", "only one of route_configuration and listener can be set")
 	}
 	if x.Node.ID == "" && x.Path == "" {
-		d.at("xds.node.id", "is missing: control planes tell gateways apart by it")
+		d.errorAt("xds.node.id", "is missing: control planes tell gateways apart by it")
 	}
 	for name, v := range map[string]Duration{"connect_timeout": x.ConnectTimeout, "backoff_base": x.BackoffBase,
-		"backoff_most": x.BackoffMost, "keepalive": x.Keepalive} {
+		"backoff_most": x.MaxBackoff, "keepalive": x.Keepalive} {
 		if v == 0 {
-			d.at("xds."+name, "want more than 0")
+			d.errorAt("xds."+name, "want more than 0")
 		}
 	}
-	if x.BackoffMost < x.BackoffBase {
-		d.at("xds.backoff_most", "%v is shorter than backoff_base, %v", x.BackoffMost.D(), x.BackoffBase.D())
+	if x.MaxBackoff < x.BackoffBase {
+		d.errorAt("xds.backoff_most", "%v is shorter than backoff_base, %v", x.MaxBackoff.D(), x.BackoffBase.D())
 	}
-	if x.Message < 1<<10 {
-		d.at("xds.message", "want 1KiB at least")
+	if x.MaxMessageBytes < 1<<10 {
+		d.errorAt("xds.message", "want 1KiB at least")
 	}
 }
 
@@ -713,95 +713,95 @@
 		return
 	}
 	if f.Zone == "" {
-		d.at("zones", "zone is missing: where the gateway stands")
+		d.errorAt("zones", "zone is missing: where the gateway stands")
 	}
 	seen := map[string]string{}
 	for i, t := range z.Tiers {
 		for j, name := range t {
 			field := fmt.Sprintf("zones.tiers[%d][%d]", i, j)
 			if first, ok := seen[name]; ok {
-				d.at(field, "%q is %s already", name, first)
+				d.errorAt(field, "%q is %s already", name, first)
 			}
 			seen[name] = field
 		}
 	}
 	between := func(field string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			d.at("zones."+field, "want %v to %v, not %v", least, most, v)
+			d.errorAt("zones."+field, "want %v to %v, not %v", least, most, v)
 		}
 	}
 	between("overprovisioning_factor", z.Overprovision, 1, 10)
-	between("panic_threshold", *z.Panic, 0, 1)
-	between("first_share", z.FirstShare, 0.001, 1)
-	between("first_room", z.FirstRoom, 1, 1e6)
+	between("panic_threshold", *z.PanicThreshold, 0, 1)
+	between("first_share", z.InitialShare, 0.001, 1)
+	between("first_room", z.InitialCapacity, 1, 1e6)
 	between("tolerance", z.Tolerance, 1.05, 100)
 	between("own_tolerance", z.OwnTolerance, 1.05, 100)
 	between("floor", *z.Floor, 0, 0.5)
 	between("retry_budget", *z.RetryBudget, 0, 1)
-	between("retry_least", float64(z.RetryLeast), 0, 1e6)
-	for name, v := range map[string]Duration{"probe": z.Probe, "step": z.Step, "hold": z.Hold} {
+	between("retry_least", float64(z.MinRetries), 0, 1e6)
+	for name, v := range map[string]Duration{"probe": z.ProbeInterval, "step": z.Step, "hold": z.MinHold} {
 		if v < Duration(10*time.Millisecond) || v > Duration(time.Hour) {
-			d.at("zones."+name, "want 10ms to 1h, not %v", v.D())
+			d.errorAt("zones."+name, "want 10ms to 1h, not %v", v.D())
 		}
 	}
-	if z.MaxHold < z.Hold {
-		d.at("zones.most_hold", "%v is shorter than hold, %v", z.MaxHold.D(), z.Hold.D())
+	if z.MaxHold < z.MinHold {
+		d.errorAt("zones.most_hold", "%v is shorter than hold, %v", z.MaxHold.D(), z.MinHold.D())
 	}
 }
 
 func (f *File) checkLimits(d *decoder) {
 	l := &f.Limits
 	if l.Descriptors < 16 {
-		d.at("limits.descriptors", "want 16 at least, not %d", l.Descriptors)
+		d.errorAt("limits.descriptors", "want 16 at least, not %d", l.Descriptors)
 	}
 	if l.Requests < 1 {
-		d.at("limits.requests", "want 1 at least, not %d", l.Requests)
+		d.errorAt("limits.requests", "want 1 at least, not %d", l.Requests)
 	}
 	if l.Body < 1 || l.Body > l.Memory {
-		d.at("limits.body", "want 1B at least and no more than limits.memory")
+		d.errorAt("limits.body", "want 1B at least and no more than limits.memory")
 	}
 	if l.Drain == 0 {
-		d.at("limits.drain", "want more than 0")
+		d.errorAt("limits.drain", "want more than 0")
 	}
 	var sum Amount
 	for i := range f.Clusters {
-		g := f.Of(&f.Clusters[i]).Guaranteed
+		g := f.QuotaOf(&f.Clusters[i]).Guaranteed
 		if g.Descriptors < 0 || g.Requests < 0 {
-			d.at(fmt.Sprintf("clusters[%d].limits.guaranteed", i), "is negative")
+			d.errorAt(fmt.Sprintf("clusters[%d].limits.guaranteed", i), "is negative")
 		}
 		sum.Descriptors, sum.Memory, sum.Requests = sum.Descriptors+g.Descriptors, sum.Memory+g.Memory, sum.Requests+g.Requests
 	}
 	// Clients' connections need descriptors as well, and clusters may come that the file does not name.
 	if sum.Descriptors > l.Descriptors/2 {
-		d.at("limits.per_cluster.guaranteed", "%d descriptors are guaranteed to clusters, half of limits.descriptors (%d) at most",
+		d.errorAt("limits.per_cluster.guaranteed", "%d descriptors are guaranteed to clusters, half of limits.descriptors (%d) at most",
 			sum.Descriptors, l.Descriptors)
 	}
 	if sum.Memory > l.Memory {
-		d.at("limits.per_cluster.guaranteed", "%d bytes are guaranteed of %d", int64(sum.Memory), int64(l.Memory))
+		d.errorAt("limits.per_cluster.guaranteed", "%d bytes are guaranteed of %d", int64(sum.Memory), int64(l.Memory))
 	}
 	if sum.Requests > max(l.Requests, 0) {
-		d.at("limits.per_cluster.guaranteed", "%d requests are guaranteed of %d", sum.Requests, l.Requests)
+		d.errorAt("limits.per_cluster.guaranteed", "%d requests are guaranteed of %d", sum.Requests, l.Requests)
 	}
 }
 
 func (f *File) checkRoutes(d *decoder, classes, clusters map[string]bool) {
-	if len(f.Routes) == 0 && (f.XDS == nil || f.XDS.RouteName == "" && f.XDS.Listener == "") {
-		d.at("routes", "none is given")
+	if len(f.Routes) == 0 && (f.XDS == nil || f.XDS.RouteConfigName == "" && f.XDS.ListenerName == "") {
+		d.errorAt("routes", "none is given")
 	}
 	for i, r := range f.Routes {
 		field := fmt.Sprintf("routes[%d]", i)
 		if r.Cluster != "" && len(r.Clusters) > 0 {
-			d.at(field+".clusters", "only one of cluster and clusters can be set")
+			d.errorAt(field+".clusters", "only one of cluster and clusters can be set")
 		}
 		if r.Class != "" && !classes[r.Class] {
-			d.at(field+".class", "there is no class %q", r.Class)
+			d.errorAt(field+".class", "there is no class %q", r.Class)
 		}
 		if p := r.Priority; p != "" && p != "default" && p != "high" {
-			d.at(field+".priority", "want default or high, not %q", p)
+			d.errorAt(field+".priority", "want default or high, not %q", p)
 		}
 		named := func(field, name string) {
 			if name != "" && !clusters[name] && (f.XDS == nil || !f.XDS.Clusters) {
-				d.at(field, "there is no cluster %q", name)
+				d.errorAt(field, "there is no cluster %q", name)
 			}
 		}
 		named(field+".cluster", r.Cluster)
@@ -810,8 +810,8 @@
 		}
 		for kind, l := range map[string][]Condition{"headers": r.Match.Headers, "query": r.Match.Query} {
 			for j, c := range l {
-				if c.ops() > 1 {
-					d.at(fmt.Sprintf("%s.match.%s[%d]", field, kind, j), "only one of exact, prefix, suffix and contains can be set")
+				if c.operatorCount() > 1 {
+					d.errorAt(fmt.Sprintf("%s.match.%s[%d]", field, kind, j), "only one of exact, prefix, suffix and contains can be set")
 				}
 			}
 		}
@@ -819,13 +819,13 @@
 	if _, err := route.Compile(f.Table(), route.Options{}); err != nil {
 		joined, ok := err.(interface{ Unwrap() []error })
 		if !ok {
-			d.at("routes", "%v", err)
+			d.errorAt("routes", "%v", err)
 			return
 		}
 		for _, err := range joined.Unwrap() {
 			e, ok := err.(*route.Error)
 			if !ok {
-				d.at("routes", "%v", err)
+				d.errorAt("routes", "%v", err)
 				continue
 			}
 			field := fmt.Sprintf("routes[%d].", e.Route)
@@ -834,12 +834,12 @@
 			default:
 				field += "match."
 			}
-			d.at(field+e.Field, "%s", e.Reason)
+			d.errorAt(field+e.Field, "%s", e.Reason)
 		}
 	}
 }
 
-func (c Condition) ops() (n int) {
+func (c Condition) operatorCount() (n int) {
 	for _, p := range []*string{c.Exact, c.Prefix, c.Suffix, c.Contains} {
 		if p != nil {
 			n++
@@ -848,7 +848,7 @@
 	return n
 }
 
-func conditions(l []Condition) []route.Condition {
+func routeConditions(l []Condition) []route.Condition {
 	var out []route.Condition
 	for _, c := range l {
 		r := route.Condition{Name: c.Name, Not: c.Not}
@@ -870,8 +870,8 @@
 	l := make([]route.Route, len(f.Routes))
 	for i, r := range f.Routes {
 		l[i] = route.Route{Name: r.Name, Hosts: r.Match.Hosts, Path: r.Match.Path, Template: r.Match.Template,
-			Prefix: r.Match.Prefix, Methods: r.Match.Methods, Headers: conditions(r.Match.Headers),
-			Query: conditions(r.Match.Query), Class: r.Class, Key: route.Key(r.Key), Tenant: route.Key(r.Tenant), High: r.Priority == "high"}
+			Prefix: r.Match.Prefix, Methods: r.Match.Methods, Headers: routeConditions(r.Match.Headers),
+			Query: routeConditions(r.Match.Query), Class: r.Class, Key: route.Key(r.Key), Tenant: route.Key(r.Tenant), High: r.Priority == "high"}
 		if r.Cluster != "" {
 			l[i].Clusters = []route.Weighted{{Cluster: r.Cluster, Weight: 1}}
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,10 +56,10 @@
 	c := f.Clusters[0]
 	if f.Zone != "sapporo" || f.Limits.Memory != 32<<20 || c.Endpoints[0].Weight != 2.5 || c.Endpoints[1].Weight != 1 ||
 		*c.Hedge || *c.CrossZone != 0 || !*f.Clusters[1].Hedge || f.Classes[0].Window.D() != 4*time.Second ||
-		f.XDS.Variant != Delta || f.Of(&c).Guaranteed.Descriptors != 20 || f.Of(&f.Clusters[1]).Max.Requests != 500 {
+		f.XDS.Variant != Delta || f.QuotaOf(&c).Guaranteed.Descriptors != 20 || f.QuotaOf(&f.Clusters[1]).Max.Requests != 500 {
 		t.Errorf("%+v", f)
 	}
-	if len(f.Classes) != 3 || f.Classes[1].Name != DefaultSafe || f.Classes[2].Effect != 2 {
+	if len(f.Classes) != 3 || f.Classes[1].Name != DefaultSafeClass || f.Classes[2].Effect != 2 {
 		t.Errorf("%+v", f.Classes)
 	}
 	if r := f.Table(); len(r) != 2 || r[0].Clusters[0].Weight != 9 || r[0].Clusters[1].Weight != 1 || r[0].Headers[0].Value != "2." {
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if z := f.Zones; z.Overprovision != 1.4 || *z.Panic != 0.5 || z.Step.D() != 2*time.Second || *z.RetryBudget != 0.2 {
+	if z := f.Zones; z.Overprovision != 1.4 || *z.PanicThreshold != 0.5 || z.Step.D() != 2*time.Second || *z.RetryBudget != 0.2 {
 		t.Errorf("%+v", *z)
 	}
 	for text, want := range map[string]string{
@@ -264,7 +264,7 @@
 	if b := c.Breakers; b.MaxPending != 1024 || b.MaxRequests != 0 || *b.RetryBudget != (RetryBudget{20, 3}) {
 		t.Errorf("%+v", b)
 	}
-	if l.Burst != 50 || l.Keys != 100_000 || *l.Key.Address != (Address{32, 64}) {
+	if l.Burst != 50 || l.Keys != 100_000 || *l.Key.Address != (AddressPrefix{32, 64}) {
 		t.Errorf("%+v", l)
 	}
 	for bad, want := range map[[2]string]string{
@@ -325,8 +325,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := fmt.Sprint(f.Warnings()); !strings.Contains(w, "not on a private address") || !strings.Contains(w, "one voter") || f.Fleet.Quorum.Folder != "dir/votes" {
-		t.Errorf("%s, %q", w, f.Fleet.Quorum.Folder)
+	if w := fmt.Sprint(f.Warnings()); !strings.Contains(w, "not on a private address") || !strings.Contains(w, "one voter") || f.Fleet.Quorum.Directory != "dir/votes" {
+		t.Errorf("%s, %q", w, f.Fleet.Quorum.Directory)
 	}
 	path := filepath.Join(t.TempDir(), "w.yaml")
 	if err := os.WriteFile(path, []byte(strings.Replace(good, "member: a", "member: b", 1)+"  posts: [{name: p, url: \"http://x/\"}]\n"), 0o600); err != nil {
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -42,15 +42,15 @@
 	return strings.Join(s, "\n")
 }
 
-type place struct{ line, column int }
+type position struct{ line, column int }
 
 // decoder reads nodes into Go values by their `yaml` tags. It goes on after an error, so that all come at once, and
 // remembers where each field stands.
 type decoder struct {
-	file   string
-	errs   Errors
-	places map[string]place
-	depth  int
+	file      string
+	errs      Errors
+	positions map[string]position
+	depth     int
 }
 
 // Bounds of what a file may hold: aliases can make a small one expand without end, so there are none.
@@ -59,7 +59,7 @@
 	maxBytes = 64 << 20
 )
 
-func (d *decoder) bad(n *yaml.Node, field, reason string, args ...any) {
+func (d *decoder) errorAtNode(n *yaml.Node, field, reason string, args ...any) {
 	e := &Error{File: d.file, Field: field, Reason: fmt.Sprintf(reason, args...)}
 	if n != nil {
 		e.Line, e.Column = n.Line, n.Column
@@ -67,11 +67,11 @@
 	d.errs = append(d.errs, e)
 }
 
-// at adds an error about a field by its path; one that is not in the file stands where its parent does.
-func (d *decoder) at(field, reason string, args ...any) {
+// errorAt adds an error about a field by its path; one that is not in the file stands where its parent does.
+func (d *decoder) errorAt(field, reason string, args ...any) {
 	e := &Error{File: d.file, Field: field, Reason: fmt.Sprintf(reason, args...)}
 	for path := field; ; path = path[:max(strings.LastIndexAny(path, ".["), 0)] {
-		if p, ok := d.places[path]; ok || path == "" {
+		if p, ok := d.positions[path]; ok || path == "" {
 			e.Line, e.Column = p.line, p.column
 			break
 		}
@@ -79,7 +79,7 @@
 	d.errs = append(d.errs, e)
 }
 
-func (d *decoder) sorted() error {
+func (d *decoder) err() error {
 	if len(d.errs) == 0 {
 		return nil
 	}
@@ -101,25 +101,25 @@
 
 // decode reads text into v, a pointer to a struct.
 func (d *decoder) decode(text []byte, v any) {
-	d.places = map[string]place{}
+	d.positions = map[string]position{}
 	if len(text) > maxBytes {
-		d.bad(nil, "", "%d bytes, %d at most", len(text), maxBytes)
+		d.errorAtNode(nil, "", "%d bytes, %d at most", len(text), maxBytes)
 		return
 	}
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return
 	}
 	if doc.Kind == 0 || len(doc.Content) == 0 {
-		d.bad(nil, "", "the file is empty")
+		d.errorAtNode(nil, "", "the file is empty")
 		return
 	}
-	d.value(doc.Content[0], "", reflect.ValueOf(v).Elem())
+	d.decodeValue(doc.Content[0], "", reflect.ValueOf(v).Elem())
 }
 
-// syntax words the library's errors, which give a line at the most.
-func (d *decoder) syntax(err error) {
+// addSyntaxError words the library's errors, which give a line at the most.
+func (d *decoder) addSyntaxError(err error) {
 	e := &Error{File: d.file, Column: 1}
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
@@ -132,51 +132,51 @@
 	d.errs = append(d.errs, e)
 }
 
-var textual = reflect.TypeFor[encoding.TextUnmarshaler]()
+var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-func (d *decoder) value(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeValue(n *yaml.Node, path string, v reflect.Value) {
 	if d.depth++; d.depth > maxDepth {
-		d.bad(n, path, "nested too deep")
+		d.errorAtNode(n, path, "nested too deep")
 	}
 	defer func() { d.depth-- }()
 	if d.depth > maxDepth {
 		return
 	}
-	d.places[path] = place{n.Line, n.Column}
+	d.positions[path] = position{n.Line, n.Column}
 	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		d.bad(n, path, "anchors and aliases are not read")
+		d.errorAtNode(n, path, "anchors and aliases are not read")
 		return
 	}
 	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
-		d.bad(n, path, "has no value")
+		d.errorAtNode(n, path, "has no value")
 		return
 	}
-	if v.Kind() != reflect.Pointer && reflect.PointerTo(v.Type()).Implements(textual) {
+	if v.Kind() != reflect.Pointer && reflect.PointerTo(v.Type()).Implements(textUnmarshaler) {
 		if n.Kind != yaml.ScalarNode {
-			d.bad(n, path, "want one value")
+			d.errorAtNode(n, path, "want one value")
 		} else if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(n.Value)); err != nil {
-			d.bad(n, path, "%v", err)
+			d.errorAtNode(n, path, "%v", err)
 		}
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		d.value(n, path, v.Elem())
+		d.decodeValue(n, path, v.Elem())
 	case reflect.Struct:
-		d.mapping(n, path, v)
+		d.decodeMapping(n, path, v)
 	case reflect.Slice:
 		if n.Kind != yaml.SequenceNode {
-			d.bad(n, path, "want a list")
+			d.errorAtNode(n, path, "want a list")
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
 		for i, c := range n.Content {
-			d.value(c, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			d.decodeValue(c, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map: // of names that the user gives
 		if n.Kind != yaml.MappingNode {
-			d.bad(n, path, "want names with values")
+			d.errorAtNode(n, path, "want names with values")
 			return
 		}
 		v.Set(reflect.MakeMap(v.Type()))
@@ -185,21 +185,21 @@
 			name := join(path, k.Value)
 			key := reflect.ValueOf(k.Value)
 			if v.MapIndex(key).IsValid() {
-				d.bad(k, name, "stands twice")
+				d.errorAtNode(k, name, "stands twice")
 				continue
 			}
 			x := reflect.New(v.Type().Elem()).Elem()
-			d.value(n.Content[i+1], name, x)
+			d.decodeValue(n.Content[i+1], name, x)
 			v.SetMapIndex(key, x)
 		}
 	default:
-		d.scalar(n, path, v)
+		d.decodeScalar(n, path, v)
 	}
 }
 
-func (d *decoder) mapping(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeMapping(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
-		d.bad(n, path, "want fields")
+		d.errorAtNode(n, path, "want fields")
 		return
 	}
 	fields := map[string][]int{}
@@ -216,19 +216,19 @@
 		name := join(path, k.Value)
 		switch {
 		case !ok:
-			d.bad(k, name, "there is no such field")
+			d.errorAtNode(k, name, "there is no such field")
 		case seen[k.Value]:
-			d.bad(k, name, "stands twice")
+			d.errorAtNode(k, name, "stands twice")
 		default:
 			seen[k.Value] = true
-			d.value(n.Content[i+1], name, v.FieldByIndex(f))
+			d.decodeValue(n.Content[i+1], name, v.FieldByIndex(f))
 		}
 	}
 }
 
-func (d *decoder) scalar(n *yaml.Node, path string, v reflect.Value) {
+func (d *decoder) decodeScalar(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind != yaml.ScalarNode {
-		d.bad(n, path, "want one value")
+		d.errorAtNode(n, path, "want one value")
 		return
 	}
 	var err error
@@ -263,6 +263,6 @@
 		err = fmt.Errorf("a %v cannot be read", v.Type())
 	}
 	if err != nil {
-		d.bad(n, path, "%v, not %q", err, n.Value)
+		d.errorAtNode(n, path, "%v, not %q", err, n.Value)
 	}
 }
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -7,17 +7,17 @@
 
 // fill sets what was left out. These are all the defaults there are; `robindrum check --print` shows them.
 func (f *File) fill() {
-	set(&f.Gateway.Of, 1)
-	set(&f.Admin.Address, "127.0.0.1:9901")
-	set(&f.Log.Format, "text")
-	set(&f.Log.Level, "info")
+	setDefault(&f.Gateway.Count, 1)
+	setDefault(&f.Admin.Address, "127.0.0.1:9901")
+	setDefault(&f.Log.Format, "text")
+	setDefault(&f.Log.Level, "info")
 
 	l := &f.Limits
-	set(&l.Descriptors, 4096)
-	set(&l.Memory, 64<<20)
-	set(&l.Requests, 4096)
-	set(&l.Body, min(1<<20, l.Memory))
-	set(&l.Drain, Duration(30*time.Second))
+	setDefault(&l.Descriptors, 4096)
+	setDefault(&l.Memory, 64<<20)
+	setDefault(&l.Requests, 4096)
+	setDefault(&l.Body, min(1<<20, l.Memory))
+	setDefault(&l.Drain, Duration(30*time.Second))
 	// A quarter of the descriptors and half of the rest is kept for the clusters, evenly. Clusters that a control plane
 	// names have what is left.
 	n := max(len(f.Clusters), 1)
@@ -28,7 +28,7 @@
 	for i := range f.Classes {
 		f.Classes[i].fill()
 	}
-	for _, c := range []Class{{Name: DefaultSafe}, {Name: DefaultUnsafe, Effect: 2}} {
+	for _, c := range []Class{{Name: DefaultSafeClass}, {Name: DefaultUnsafeClass, Effect: 2}} {
 		if !f.hasClass(c.Name) {
 			c.fill()
 			f.Classes = append(f.Classes, c)
@@ -38,21 +38,21 @@
 		f.Clusters[i].Fill()
 		for j := range f.Clusters[i].Endpoints {
 			e := &f.Clusters[i].Endpoints[j]
-			set(&e.Weight, 1)
+			setDefault(&e.Weight, 1)
 		}
 	}
 	for i := range f.Routes {
 		for j := range f.Routes[i].Clusters {
-			set(&f.Routes[i].Clusters[j].Weight, 1)
+			setDefault(&f.Routes[i].Clusters[j].Weight, 1)
 		}
 	}
 	for i := range f.RateLimits {
 		l := &f.RateLimits[i]
-		set(&l.Burst, max(int(min(l.Rate, 1e9)), 1))
-		set(&l.Keys, 100_000)
+		setDefault(&l.Burst, max(int(min(l.Rate, 1e9)), 1))
+		setDefault(&l.Keys, 100_000)
 		if a := l.Key.Address; a != nil {
-			set(&a.IPv4, 32)
-			set(&a.IPv6, 64)
+			setDefault(&a.IPv4, 32)
+			setDefault(&a.IPv6, 64)
 		}
 	}
 	if z := f.Zones; z != nil {
@@ -63,34 +63,34 @@
 	}
 	if f.Fleet != nil {
 		f.Fleet.fill()
-		f.Fleet.Quorum.Folder = f.Resolve(f.Fleet.Quorum.Folder)
+		f.Fleet.Quorum.Directory = f.Resolve(f.Fleet.Quorum.Directory)
 	}
 	if x := f.XDS; x != nil {
-		set(&x.Node.Cluster, "robindrum")
-		set(&x.InitialFetchTimeout, Duration(15*time.Second))
-		set(&x.ConnectTimeout, Duration(5*time.Second))
-		set(&x.BackoffBase, Duration(500*time.Millisecond))
-		set(&x.BackoffMost, Duration(30*time.Second))
-		set(&x.Keepalive, Duration(30*time.Second))
-		set(&x.Message, 16<<20)
+		setDefault(&x.Node.Cluster, "robindrum")
+		setDefault(&x.InitialFetchTimeout, Duration(15*time.Second))
+		setDefault(&x.ConnectTimeout, Duration(5*time.Second))
+		setDefault(&x.BackoffBase, Duration(500*time.Millisecond))
+		setDefault(&x.MaxBackoff, Duration(30*time.Second))
+		setDefault(&x.Keepalive, Duration(30*time.Second))
+		setDefault(&x.MaxMessageBytes, 16<<20)
 	}
 }
 
 func (z *Zones) fill() {
-	set(&z.Overprovision, 1.4)
-	set(&z.FailHold, Duration(200*time.Millisecond))
-	set(&z.DarkHold, Duration(300*time.Millisecond))
-	set(&z.UpHold, Duration(time.Second))
-	set(&z.Hold, Duration(time.Second))
-	set(&z.MaxHold, Duration(30*time.Second))
-	set(&z.Probe, Duration(500*time.Millisecond))
-	set(&z.Step, Duration(2*time.Second))
-	set(&z.FirstShare, 1.0/16)
-	set(&z.FirstRoom, 16)
-	set(&z.Tolerance, 1.5)
-	set(&z.OwnTolerance, 4)
-	set(&z.RetryLeast, 3)
-	for p, v := range map[**float64]float64{&z.Panic: 0.5, &z.Floor: 0.05, &z.RetryBudget: 0.2} {
+	setDefault(&z.Overprovision, 1.4)
+	setDefault(&z.FailHold, Duration(200*time.Millisecond))
+	setDefault(&z.DarkHold, Duration(300*time.Millisecond))
+	setDefault(&z.UpHold, Duration(time.Second))
+	setDefault(&z.MinHold, Duration(time.Second))
+	setDefault(&z.MaxHold, Duration(30*time.Second))
+	setDefault(&z.ProbeInterval, Duration(500*time.Millisecond))
+	setDefault(&z.Step, Duration(2*time.Second))
+	setDefault(&z.InitialShare, 1.0/16)
+	setDefault(&z.InitialCapacity, 16)
+	setDefault(&z.Tolerance, 1.5)
+	setDefault(&z.OwnTolerance, 4)
+	setDefault(&z.MinRetries, 3)
+	for p, v := range map[**float64]float64{&z.PanicThreshold: 0.5, &z.Floor: 0.05, &z.RetryBudget: 0.2} {
 		if *p == nil {
 			*p = new(v)
 		}
@@ -98,34 +98,34 @@
 }
 
 func (c *Class) fill() {
-	set(&c.Deadline, Duration(15*time.Second))
-	set(&c.Wanted, min(Duration(time.Second), c.Deadline))
-	set(&c.Worth, 1)
+	setDefault(&c.Deadline, Duration(15*time.Second))
+	setDefault(&c.LatencyObjective, min(Duration(time.Second), c.Deadline))
+	setDefault(&c.PriorityWeight, 1)
 }
 
 // Fill sets what was left out of a cluster; also of one that a control plane names.
 func (c *Cluster) Fill() {
-	set(&c.ConnectTimeout, Duration(250*time.Millisecond))
-	set(&c.IdleTimeout, Duration(10*time.Second))
-	set(&c.Attempts, 3)
-	set(&c.WarmUp.Time, Duration(10*time.Second))
-	set(&c.WarmUp.Share, 0.1)
-	set(&c.WarmUp.Max, 2.5)
-	set(&c.DrainGrace, Duration(time.Second))
+	setDefault(&c.ConnectTimeout, Duration(250*time.Millisecond))
+	setDefault(&c.IdleTimeout, Duration(10*time.Second))
+	setDefault(&c.Attempts, 3)
+	setDefault(&c.WarmUp.Time, Duration(10*time.Second))
+	setDefault(&c.WarmUp.InitialShare, 0.1)
+	setDefault(&c.WarmUp.OverloadMultiple, 2.5)
+	setDefault(&c.DrainGrace, Duration(time.Second))
 	o, b := &c.Overload, &c.Breakers
-	set(&o.PerEndpoint, 256)
-	set(&o.Limit, 1024)
-	set(&o.Retries.TTL, Duration(10*time.Second))
+	setDefault(&o.PerEndpoint, 256)
+	setDefault(&o.Limit, 1024)
+	setDefault(&o.Retries.TTL, Duration(10*time.Second))
 	for p, v := range map[**float64]float64{&o.Floor: 0.05, &o.Retries.Ratio: 0.2, &o.Retries.Rate: 10} {
 		if *p == nil {
 			*p = new(v)
 		}
 	}
 	for b := b; b != nil; b = b.High {
-		set(&b.MaxPending, 1024)
+		setDefault(&b.MaxPending, 1024)
 		if r := b.RetryBudget; r != nil { // Envoy's defaults
-			set(&r.Percent, 20)
-			set(&r.MinConcurrency, 3)
+			setDefault(&r.Percent, 20)
+			setDefault(&r.MinConcurrency, 3)
 		}
 	}
 	if c.Hedge == nil {
@@ -145,7 +145,7 @@
 	return false
 }
 
-func set[T cmp.Ordered](v *T, to T) {
+func setDefault[T cmp.Ordered](v *T, to T) {
 	var zero T
 	if *v == zero {
 		*v = to
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -19,13 +19,13 @@
 	Name     string             `yaml:"name"`
 	Capacity map[string]float64 `yaml:"capacity"`       // requests a second that it could serve of each class alone
 	Load     map[string]float64 `yaml:"load,omitempty"` // requests a second that are expected
-	To       []SiteWay          `yaml:"to,omitempty"`   // where its load may go, in this order
+	To       []FailoverTarget   `yaml:"to,omitempty"`   // where its load may go, in this order
 	// MaxCrossed is the part of the capacity that other sites' load may use.
 	MaxCrossed *float64 `yaml:"most_crossed"`
 }
 
-// SiteWay is how much of a lost site's load another one may take.
-type SiteWay struct {
+// FailoverTarget is how much of a lost site's load another one may take.
+type FailoverTarget struct {
 	Site string  `yaml:"site"`
 	Part float64 `yaml:"part"`
 }
@@ -48,7 +48,7 @@
 	}
 	p := &failoverplan.Plan{}
 	for _, c := range f.Classes {
-		p.Classes = append(p.Classes, failoverplan.Class{Name: c.Name, Worth: c.Worth, Floor: f.Sites.Floors[c.Name]})
+		p.Classes = append(p.Classes, failoverplan.Class{Name: c.Name, Worth: c.PriorityWeight, Floor: f.Sites.Floors[c.Name]})
 	}
 	for _, s := range f.Sites.List {
 		x := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxCrossed: *s.MaxCrossed}
@@ -67,7 +67,7 @@
 	}
 	for name := range f.Sites.Floors {
 		if !known[name] {
-			d.at("sites.floors."+name, "there is no class %q", name)
+			d.errorAt("sites.floors."+name, "there is no class %q", name)
 		}
 	}
 	if f.Fleet != nil && f.Fleet.Site != "" {
@@ -76,26 +76,26 @@
 			here = here || s.Name == f.Fleet.Site
 		}
 		if !here {
-			d.at("sites.list", "this gateway's site %q is not in it", f.Fleet.Site)
+			d.errorAt("sites.list", "this gateway's site %q is not in it", f.Fleet.Site)
 		}
 	}
 	err := f.SitePlan().Check()
-	for _, e := range split(err) {
+	for _, e := range joinedErrors(err) {
 		var at *failoverplan.Error
 		if !errors.As(e, &at) {
-			d.at("sites", "%v", e)
+			d.errorAt("sites", "%v", e)
 			continue
 		}
 		field := "sites." + at.Field
 		if rest, ok := strings.CutPrefix(at.Field, "sites"); ok {
 			field = "sites.list" + rest
 		}
-		d.at(field, "%s", at.Reason)
+		d.errorAt(field, "%s", at.Reason)
 	}
 }
 
-// split gives the errors that were joined.
-func split(err error) []error {
+// joinedErrors gives the errors that were joined.
+func joinedErrors(err error) []error {
 	if err == nil {
 		return nil
 	}
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -93,7 +93,7 @@
 var effects = []string{"safe", "keyed", "unsafe"}
 
 // UnmarshalText reads it.
-func (e *Effect) UnmarshalText(b []byte) error { return oneOf(effects, b, (*uint8)(e)) }
+func (e *Effect) UnmarshalText(b []byte) error { return unmarshalName(effects, b, (*uint8)(e)) }
 
 // MarshalText writes it.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(effects[e]), nil }
@@ -104,7 +104,7 @@
 var groups = []string{"all", "zone", "cell"}
 
 // UnmarshalText reads it.
-func (g *Group) UnmarshalText(b []byte) error { return oneOf(groups, b, (*uint8)(g)) }
+func (g *Group) UnmarshalText(b []byte) error { return unmarshalName(groups, b, (*uint8)(g)) }
 
 // MarshalText writes it.
 func (g Group) MarshalText() ([]byte, error) { return []byte(groups[g]), nil }
@@ -120,12 +120,12 @@
 var variants = []string{"sotw", "delta"}
 
 // UnmarshalText reads it.
-func (v *Variant) UnmarshalText(b []byte) error { return oneOf(variants, b, (*uint8)(v)) }
+func (v *Variant) UnmarshalText(b []byte) error { return unmarshalName(variants, b, (*uint8)(v)) }
 
 // MarshalText writes it.
 func (v Variant) MarshalText() ([]byte, error) { return []byte(variants[v]), nil }
 
-func oneOf(names []string, b []byte, to *uint8) error {
+func unmarshalName(names []string, b []byte, to *uint8) error {
 	for i, n := range names {
 		if n == string(b) {
 			*to = uint8(i)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -218,7 +218,7 @@
 
 func parse(path string, text []byte, load bool) (*Experiment, error) {
 	e := &Experiment{}
-	s := config.ReadStrict(path, text, e)
+	s := config.DecodeStrict(path, text, e)
 	if err := s.Err(); err != nil {
 		return nil, err
 	}
@@ -232,7 +232,7 @@
 	e.check(s, load)
 	if captured != nil && s.Err() == nil {
 		if err := e.replay(captured, e.Load.Trace); err != nil {
-			s.Bad("load.trace", "%v", err)
+			s.AddError("load.trace", "%v", err)
 		}
 	}
 	if err := s.Err(); err != nil {
@@ -317,7 +317,7 @@
 		real(&c.Part, 1)
 	}
 	if len(e.Classes) == 0 {
-		e.Classes = []Class{{Name: config.DefaultSafe, Part: 1, Wanted: config.Duration(time.Second), Deadline: config.Duration(15 * time.Second), Worth: 1}}
+		e.Classes = []Class{{Name: config.DefaultSafeClass, Part: 1, Wanted: config.Duration(time.Second), Deadline: config.Duration(15 * time.Second), Worth: 1}}
 	}
 	for i := range e.Classes {
 		c := &e.Classes[i]
@@ -335,30 +335,30 @@
 	}
 }
 
-func (e *Experiment) check(s *config.Strict, load bool) {
+func (e *Experiment) check(s *config.StrictDecoder, load bool) {
 	between := func(field string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			s.Bad(field, "want %v to %v, not %v", least, most, v)
+			s.AddError(field, "want %v to %v, not %v", least, most, v)
 		}
 	}
 	oneOf := func(field, v string, of []string) {
 		if !slices.Contains(of, v) {
-			s.Bad(field, "want one of %v, not %q", of, v)
+			s.AddError(field, "want one of %v, not %q", of, v)
 		}
 	}
 	if e.Name == "" {
-		s.Bad("name", "is missing")
+		s.AddError("name", "is missing")
 	}
 	between("seed", float64(e.Seed), 1, 1e9)
 	if l := e.Length.D(); l < time.Second || l > maxLength {
-		s.Bad("length", "want 1s to %v, not %v", maxLength, l)
+		s.AddError("length", "want 1s to %v, not %v", maxLength, l)
 		return // what follows would loop over it
 	}
 	f, g := &e.Fleet, &e.Gateways
 	seen := map[string]bool{}
 	for i, z := range f.Zones {
 		if z == "" || seen[z] {
-			s.Bad(fmt.Sprintf("fleet.zones[%d]", i), "%q is empty or stands twice", z)
+			s.AddError(fmt.Sprintf("fleet.zones[%d]", i), "%q is empty or stands twice", z)
 		}
 		seen[z] = true
 	}
@@ -380,19 +380,19 @@
 		servers += float64(g.Servers)
 	}
 	if servers > maxServers || servers*float64(g.Number) > maxViews {
-		s.Bad("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, g.Number, maxServers, maxViews)
+		s.AddError("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, g.Number, maxServers, maxViews)
 	}
 	e.checkClasses(s, between)
 	e.checkLoad(s, load, between, oneOf)
 	last := time.Duration(0)
 	for i, p := range e.Phases {
 		if p.D() <= last || p.D() >= e.Length.D() {
-			s.Bad(fmt.Sprintf("phases[%d]", i), "%v: they rise, and end before the length, %v", p.D(), e.Length.D())
+			s.AddError(fmt.Sprintf("phases[%d]", i), "%v: they rise, and end before the length, %v", p.D(), e.Length.D())
 		}
 		last = p.D()
 	}
 	if len(e.Phases) > 100 {
-		s.Bad("phases", "%d, 100 at most", len(e.Phases))
+		s.AddError("phases", "%d, 100 at most", len(e.Phases))
 	}
 	e.checkEvents(s, between, oneOf)
 	e.checkChecks(s, between)
@@ -404,7 +404,7 @@
 	between(field+"variation", t.Variation, 0.01, 10)
 }
 
-func (e *Experiment) checkFleet(s *config.Strict, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+func (e *Experiment) checkFleet(s *config.StrictDecoder, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	f := &e.Fleet
 	f.check("fleet.", between, oneOf)
 	for i, g := range f.Groups {
@@ -417,7 +417,7 @@
 		if n := g.Neighbour; n != nil {
 			between(at+"neighbour.takes", n.Takes, 0, 0.99)
 			if n.Every > 0 && (n.Lasts == 0 || n.Lasts > n.Every) {
-				s.Bad(at+"neighbour.lasts", "want more than 0 and no more than every, %v, not %v", n.Every.D(), n.Lasts.D())
+				s.AddError(at+"neighbour.lasts", "want more than 0 and no more than every, %v, not %v", n.Every.D(), n.Lasts.D())
 			}
 		}
 	}
@@ -430,37 +430,37 @@
 	}
 }
 
-func (e *Experiment) checkClasses(s *config.Strict, between func(string, float64, float64, float64)) {
+func (e *Experiment) checkClasses(s *config.StrictDecoder, between func(string, float64, float64, float64)) {
 	sum, names := 0.0, map[string]bool{}
 	for i, c := range e.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
 		if c.Name == "" || names[c.Name] {
-			s.Bad(field+".name", "%q is empty or stands twice", c.Name)
+			s.AddError(field+".name", "%q is empty or stands twice", c.Name)
 		}
 		names[c.Name] = true
 		sum += c.Part
 		between(field+".part", c.Part, 0, 1)
 		between(field+".worth", c.Worth, 1e-6, 1e6)
 		if c.Wanted > c.Deadline {
-			s.Bad(field+".wanted", "%v is longer than the deadline, %v", c.Wanted.D(), c.Deadline.D())
+			s.AddError(field+".wanted", "%v is longer than the deadline, %v", c.Wanted.D(), c.Deadline.D())
 		}
 		if balancer.Effect(c.Effect) == balancer.IdempotentWithKey && c.Window == 0 {
-			s.Bad(field+".window", "a keyed class needs it")
+			s.AddError(field+".window", "a keyed class needs it")
 		}
 	}
 	if math.Abs(sum-1) > 1e-6 {
-		s.Bad("classes", "their parts add up to %v, want 1", sum)
+		s.AddError("classes", "their parts add up to %v, want 1", sum)
 	}
 }
 
-func (e *Experiment) checkLoad(s *config.Strict, load bool, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+func (e *Experiment) checkLoad(s *config.StrictDecoder, load bool, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	l := &e.Load
 	oneOf("load.again", l.Again, clientRetryModes)
 	between("load.rate", l.Rate, 0, 1e6)
 	for i, t := range l.Times {
 		field := fmt.Sprintf("load.times[%d]", i)
 		if t.From >= t.To {
-			s.Bad(field, "from %v to %v", t.From.D(), t.To.D())
+			s.AddError(field, "from %v to %v", t.From.D(), t.To.D())
 		}
 		between(field+".by", t.By, 0, 1e6)
 		if t.Until != nil {
@@ -470,7 +470,7 @@
 	oneOf("load.arrivals", l.Arrivals, []string{"poisson", "constant"})
 	between("load.clients", float64(l.Clients), 0, 100_000)
 	if o := l.OnOff; o != nil && (o.On < config.Duration(10*time.Millisecond) || o.Off < config.Duration(10*time.Millisecond)) {
-		s.Bad("load.on_off", "want 10ms at least of both, not %v and %v", o.On.D(), o.Off.D())
+		s.AddError("load.on_off", "want 10ms at least of both, not %v and %v", o.On.D(), o.Off.D())
 		return
 	}
 	if k := l.Keys; k != nil {
@@ -478,7 +478,7 @@
 		between("load.keys.exponent", k.Exponent, 1.001, 10)
 	}
 	if len(l.Times) > maxEvents || len(l.Bursts) > maxEvents {
-		s.Bad("load", "%d at most of times and of bursts", maxEvents)
+		s.AddError("load", "%d at most of times and of bursts", maxEvents)
 		return
 	}
 	requests := float64(l.Clients) * e.Length.D().Seconds() / max((l.Think.D()+time.Millisecond).Seconds(), 1e-3)
@@ -486,7 +486,7 @@
 		field := fmt.Sprintf("load.bursts[%d]", i)
 		between(field+".size", float64(b.Size), 1, 1e6)
 		if b.Every != 0 && b.Every < config.Duration(time.Millisecond) {
-			s.Bad(field+".every", "want 1ms at least, not %v", b.Every.D())
+			s.AddError(field+".every", "want 1ms at least, not %v", b.Every.D())
 			continue
 		}
 		n := 1.0
@@ -500,21 +500,21 @@
 		requests += e.rate(at) * step.Seconds()
 	}
 	if p := e.peak(); p*e.Length.D().Seconds() > 20*maxRequests {
-		s.Bad("load.times", "a peak of %.0f requests a second over %v, %d requests at most", p, e.Length.D(), 20*maxRequests)
+		s.AddError("load.times", "a peak of %.0f requests a second over %v, %d requests at most", p, e.Length.D(), 20*maxRequests)
 		return
 	}
 	if requests > maxRequests {
-		s.Bad("load", "%.0f requests, %d at most", requests, maxRequests)
+		s.AddError("load", "%.0f requests, %d at most", requests, maxRequests)
 	}
 	if t := l.Trace; t != nil {
 		between("load.trace.speed", t.Speed, 0.01, 100)
 		between("load.trace.by", t.By, 0.001, 1000)
 		oneOf("load.trace.unknown", t.Unknown, []string{"refuse", "drop"})
 		if l.Rate > 0 || len(l.Bursts) > 0 {
-			s.Bad("load.trace", "takes the place of rate and bursts")
+			s.AddError("load.trace", "takes the place of rate and bursts")
 		}
 	} else if requests < 1 && load {
-		s.Bad("load", "asks for nothing")
+		s.AddError("load", "asks for nothing")
 	}
 }
 
@@ -534,15 +534,15 @@
 	return e.Load.Rate * by
 }
 
-func (e *Experiment) checkEvents(s *config.Strict, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+func (e *Experiment) checkEvents(s *config.StrictDecoder, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	if len(e.Events) > maxEvents {
-		s.Bad("events", "%d, %d at most", len(e.Events), maxEvents)
+		s.AddError("events", "%d, %d at most", len(e.Events), maxEvents)
 		return
 	}
 	for i, v := range e.Events {
 		field := fmt.Sprintf("events[%d]", i)
 		if v.At >= e.Length {
-			s.Bad(field+".at", "%v is not before the end, %v", v.At.D(), e.Length.D())
+			s.AddError(field+".at", "%v is not before the end, %v", v.At.D(), e.Length.D())
 		}
 		if oneOf(field+".do", v.Do, deeds); v.Do != "push" && v.Do != "away" && v.Do != "back" && v.Do != "restart" {
 			oneOf(field+".zone", v.Zone, e.Fleet.Zones)
@@ -551,46 +551,46 @@
 		switch {
 		case v.Do == "kill", v.Do == "flap":
 			if _, ok := hows[v.How]; !ok {
-				s.Bad(field+".how", "want refuses, silent, says_503, resets or loses, not %q", v.How)
+				s.AddError(field+".how", "want refuses, silent, says_503, resets or loses, not %q", v.How)
 			}
 		case v.How != "":
-			s.Bad(field+".how", "is for kill and flap")
+			s.AddError(field+".how", "is for kill and flap")
 		}
 		if v.Do == "slow" {
 			between(field+".by", v.By, 0.001, 1000)
 		} else if v.By != 0 {
-			s.Bad(field+".by", "is for slow")
+			s.AddError(field+".by", "is for slow")
 		}
 		if v.Renamed != 0 && v.Do != "revive" {
-			s.Bad(field+".renamed", "is for revive")
+			s.AddError(field+".renamed", "is for revive")
 		}
 		if v.Late != 0 && v.Do != "revive" && v.Do != "drain" && v.Do != "undrain" {
-			s.Bad(field+".late", "is for revive, drain and undrain")
+			s.AddError(field+".late", "is for revive, drain and undrain")
 		}
 		between(field+".renamed", float64(v.Renamed), 0, maxServers)
 		if v.Do == "flap" {
 			between(field+".count", float64(v.Count), 1, maxEvents)
 			if v.Down >= v.Every {
-				s.Bad(field+".down", "want less than every, %v, not %v", v.Every.D(), v.Down.D())
+				s.AddError(field+".down", "want less than every, %v, not %v", v.Every.D(), v.Down.D())
 			}
 		} else if v.Every != 0 || v.Down != 0 && v.Do != "restart" || v.Count != 0 {
-			s.Bad(field, "every and count are for flap, down is for flap and restart")
+			s.AddError(field, "every and count are for flap, down is for flap and restart")
 		}
 	}
 }
 
-func (e *Experiment) checkChecks(s *config.Strict, between func(string, float64, float64, float64)) {
+func (e *Experiment) checkChecks(s *config.StrictDecoder, between func(string, float64, float64, float64)) {
 	if len(e.Checks) > maxEvents {
-		s.Bad("checks", "%d, %d at most", len(e.Checks), maxEvents)
+		s.AddError("checks", "%d, %d at most", len(e.Checks), maxEvents)
 		return
 	}
 	for i, c := range e.Checks {
 		field := fmt.Sprintf("checks[%d]", i)
 		if c.Phase != nil && (*c.Phase < 0 || *c.Phase > len(e.Phases)) {
-			s.Bad(field+".phase", "there is no phase %d, they count from 0", *c.Phase)
+			s.AddError(field+".phase", "there is no phase %d, they count from 0", *c.Phase)
 		}
 		if c.Class != "" && !slices.ContainsFunc(e.Classes, func(k Class) bool { return k.Name == c.Class }) {
-			s.Bad(field+".class", "there is no class %q", c.Class)
+			s.AddError(field+".class", "there is no class %q", c.Class)
 		}
 		for name, v := range map[string]*float64{"in_time": c.InTime, "refused": c.Refused, "late": c.Late} {
 			if v != nil {
@@ -598,7 +598,7 @@
 			}
 		}
 		if c.InTime == nil && c.Refused == nil && c.Late == nil && c.P99 == 0 && c.WorstCold == 0 && c.Connects == 0 && c.Back == 0 {
-			s.Bad(field, "checks nothing: want in_time, refused, late, p99, worst_cold, connects or back")
+			s.AddError(field, "checks nothing: want in_time, refused, late, p99, worst_cold, connects or back")
 		}
 	}
 }
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -33,10 +33,10 @@
 }
 
 // openTrace reads the capture of an experiment, whose length it is where that is not said; nil: it cannot be used.
-func (e *Experiment) openTrace(s *config.Strict, path string) *capture.Capture {
+func (e *Experiment) openTrace(s *config.StrictDecoder, path string) *capture.Capture {
 	t := e.Load.Trace
 	if t.File == "" {
-		s.Bad("load.trace.file", "is missing")
+		s.AddError("load.trace.file", "is missing")
 		return nil
 	}
 	if !filepath.IsAbs(t.File) {
@@ -44,7 +44,7 @@
 	}
 	c, err := capture.Open(t.File)
 	if err != nil {
-		s.Bad("load.trace.file", "%v", err)
+		s.AddError("load.trace.file", "%v", err)
 		return nil
 	}
 	if e.Length == 0 {
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -228,7 +228,7 @@
 			f.assignee.awaitConfig(ctx)
 			return true
 		}
-		sleep(ctx, f.conf.Quorum.Heartbeat.D()/2)
+		sleep(ctx, f.conf.Quorum.ElectionTimeout.D()/2)
 	}
 	return false
 }
--- a/internal/fleet/configure.go
+++ b/internal/fleet/configure.go
@@ -37,7 +37,7 @@
 
 // runConfigure applies desired configurations until ctx ends.
 func (a *assignee) runConfigure(ctx context.Context) {
-	heartbeat := a.fleet.conf.Quorum.Heartbeat.D()
+	heartbeat := a.fleet.conf.Quorum.ElectionTimeout.D()
 	ticker := time.NewTicker(heartbeat)
 	defer ticker.Stop()
 	c := &configurer{
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -100,8 +100,8 @@
 		Fleet:  conf.Name,
 		Self:   self,
 		Seeds:  conf.Seeds,
-		Probe:  conf.Probe.D(),
-		Forget: conf.Forget.D(),
+		Probe:  conf.ProbeInterval.D(),
+		Forget: conf.ForgetAfter.D(),
 		Now:    f.now,
 		Log:    log,
 	})
@@ -115,8 +115,8 @@
 
 func (f *Fleet) listen(network peer.Network) error {
 	via := map[string]string{}
-	for _, v := range f.conf.Via {
-		via[v.Member] = v.At
+	for _, v := range f.conf.AddressOverrides {
+		via[v.Member] = v.Address
 	}
 	var err error
 	f.node, err = peer.Listen(peer.Options{Fleet: f.conf.Name, Address: f.conf.Address, Via: via, Network: network, Log: f.log})
@@ -126,14 +126,14 @@
 // openQuorum opens this process's voter, where it has one, and the client of the quorum.
 func (f *Fleet) openQuorum() {
 	conf := &f.conf.Quorum
-	heartbeat := conf.Heartbeat.D()
+	heartbeat := conf.ElectionTimeout.D()
 	voters := make([]quorum.Voter, 0, len(conf.Voters))
 	for _, v := range conf.Voters {
 		voters = append(voters, quorum.Voter(v))
 	}
-	if f.conf.Votes() {
+	if f.conf.IsVoter() {
 		server, err := quorum.Open(f.node, quorum.Options{
-			Dir:         conf.Folder,
+			Dir:         conf.Directory,
 			Name:        f.conf.Member,
 			Voters:      voters,
 			Heartbeat:   heartbeat,
@@ -146,12 +146,12 @@
 			f.log.Error("voter failed to start", "error", err)
 		}
 	}
-	f.client = quorum.NewClient(f.node, voters, min(2*heartbeat, f.conf.Lease.D()/4), f.now)
+	f.client = quorum.NewClient(f.node, voters, min(2*heartbeat, f.conf.LeaseLength.D()/4), f.now)
 }
 
 // Rules returns the rules of a leader-only task's lease that prefers holders of a site; empty: of none.
 func (f *Fleet) Rules(site string) lease.Rules {
-	length := f.conf.Lease.D()
+	length := f.conf.LeaseLength.D()
 	return lease.Rules{Length: length, Site: site, MaxWait: min(leaseMaxWaitLengths*length, lease.MaxLength), MinHold: 0}
 }
 
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -29,10 +29,10 @@
 	}
 	addr := listener.Addr().String()
 	listener.Close()
-	conf := &config.Fleet{Name: "f", Member: "a", Address: addr, Advertise: addr, Seeds: []string{addr}, Probe: config.Duration(50 * time.Millisecond), Forget: config.Duration(time.Minute),
-		Lease:  config.Duration(400 * time.Millisecond),
-		Quorum: config.Quorum{Voters: []config.Voter{{Name: "a", Address: addr}}, Folder: t.TempDir(), Heartbeat: config.Duration(50 * time.Millisecond), MaxBytes: 8 << 20},
-		Posts:  []config.Post{{Name: "p", URL: receiver.URL, Every: config.Duration(10 * time.Millisecond), Timeout: config.Duration(time.Second)}}}
+	conf := &config.Fleet{Name: "f", Member: "a", Address: addr, Advertise: addr, Seeds: []string{addr}, ProbeInterval: config.Duration(50 * time.Millisecond), ForgetAfter: config.Duration(time.Minute),
+		LeaseLength: config.Duration(400 * time.Millisecond),
+		Quorum:      config.Quorum{Voters: []config.Voter{{Name: "a", Address: addr}}, Directory: t.TempDir(), ElectionTimeout: config.Duration(50 * time.Millisecond), MaxBytes: 8 << 20},
+		Posts:       []config.PostTask{{Name: "p", URL: receiver.URL, Interval: config.Duration(10 * time.Millisecond), Timeout: config.Duration(time.Second)}}}
 	lastToken := ""
 	for range 2 {
 		f, err := New(conf, "z", "v", membership.Joining, slog.New(slog.DiscardHandler))
--- a/internal/fleet/post.go
+++ b/internal/fleet/post.go
@@ -29,9 +29,9 @@
 var errLeaseExpired = errors.New("lease expired")
 
 // postTask returns the leader-only task that sends a post at its interval until its context ends.
-func (f *Fleet) postTask(post config.Post) func(context.Context, *leaderelection.Leadership) {
+func (f *Fleet) postTask(post config.PostTask) func(context.Context, *leaderelection.Leadership) {
 	return func(ctx context.Context, leadership *leaderelection.Leadership) {
-		ticker := time.NewTicker(post.Every.D())
+		ticker := time.NewTicker(post.Interval.D())
 		defer ticker.Stop()
 		for number := 0; ; number++ {
 			if err := f.sendPost(ctx, post, leadership, number); err != nil && ctx.Err() == nil {
@@ -47,7 +47,7 @@
 }
 
 // sendPost sends a post once, under the lease's fencing token.
-func (f *Fleet) sendPost(ctx context.Context, post config.Post, leadership *leaderelection.Leadership, number int) error {
+func (f *Fleet) sendPost(ctx context.Context, post config.PostTask, leadership *leaderelection.Leadership, number int) error {
 	token, checkedAt, ok := leadership.Token()
 	if !ok {
 		return errLeaseExpired
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -37,7 +37,7 @@
 
 // run reconciles while this voter is the quorum's leader, until ctx ends.
 func (r *reconciler) run(ctx context.Context) {
-	ticker := time.NewTicker(r.fleet.conf.Quorum.Heartbeat.D())
+	ticker := time.NewTicker(r.fleet.conf.Quorum.ElectionTimeout.D())
 	defer ticker.Stop()
 	server := r.fleet.server
 	heartbeats := 0 // since the last reconciliation
@@ -128,7 +128,7 @@
 
 // requestReport sends an assignment to a gateway; nil: it has not answered in time, or not with the assigned view or a later one.
 func (r *reconciler) requestReport(ctx context.Context, address string, assigned assignment) *Report {
-	ctx, cancel := context.WithTimeout(ctx, 2*r.fleet.conf.Quorum.Heartbeat.D())
+	ctx, cancel := context.WithTimeout(ctx, 2*r.fleet.conf.Quorum.ElectionTimeout.D())
 	defer cancel()
 	var report Report
 	if err := r.fleet.node.Call(ctx, address, assignmentPath, assigned, &report); err != nil {
@@ -144,7 +144,7 @@
 // or forgotten.
 func (r *reconciler) addAbsent(observation *quorum.Observation) {
 	now := r.fleet.now()
-	for _, gateway := range r.absent.update(now, r.fleet.conf.Forget.D(), observation.Gateways, r.fleet.server.KnownGateways()) {
+	for _, gateway := range r.absent.update(now, r.fleet.conf.ForgetAfter.D(), observation.Gateways, r.fleet.server.KnownGateways()) {
 		observation.Gateways = append(observation.Gateways, gateway)
 		observation.Releases = append(observation.Releases, releaseGateway(gateway, nil))
 	}
@@ -221,7 +221,7 @@
 }
 
 // drainBudgets converts the configured disruption budgets.
-func drainBudgets(configured []config.OutBudget) []drain.Budget {
+func drainBudgets(configured []config.DisruptionBudget) []drain.Budget {
 	var budgets []drain.Budget
 	for _, b := range configured {
 		scope := drain.Scope{
@@ -232,7 +232,7 @@
 			EachZone: b.Each == "zone",
 			EachSite: b.Each == "site",
 		}
-		budgets = append(budgets, drain.Budget{Name: b.Name, Scope: scope, Max: b.Max, Fraction: b.Part})
+		budgets = append(budgets, drain.Budget{Name: b.Name, Scope: scope, Max: b.Max, Fraction: b.Fraction})
 	}
 	return budgets
 }
--- a/internal/fleet/reconcile_test.go
+++ b/internal/fleet/reconcile_test.go
@@ -88,9 +88,9 @@
 }
 
 func TestDrainBudgets(t *testing.T) {
-	got := drainBudgets([]config.OutBudget{
+	got := drainBudgets([]config.DisruptionBudget{
 		{Name: "gateways", Site: "s", Each: "zone", Max: 1},
-		{Name: "endpoints", Cluster: "*", Each: "site", Part: 0.5},
+		{Name: "endpoints", Cluster: "*", Each: "site", Fraction: 0.5},
 	})
 	want := []drain.Budget{
 		{Name: "gateways", Scope: drain.Scope{Gateways: true, Site: "s", EachZone: true}, Max: 1},
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -56,7 +56,7 @@
 		status.Ledger = &summary
 	}
 	contact := status.Contact
-	outOfContact := contact.Error != "" && (contact.Age < 0 || contact.Age > f.conf.Lease.D())
+	outOfContact := contact.Error != "" && (contact.Age < 0 || contact.Age > f.conf.LeaseLength.D())
 	if len(f.tasks) > 0 && outOfContact {
 		status.Stale = "no word of the quorum: nobody takes a duty over, what is served stays as it is"
 	}
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -17,7 +17,7 @@
 	breakers := &s.config.Breakers
 	options := admission.Options{
 		Mode:         admission.Mode(overload.Mode),
-		Gateways:     s.gateway.Of,
+		Gateways:     s.gateway.Count,
 		PerEndpoint:  overload.PerEndpoint,
 		Limit:        overload.Limit,
 		MaxWait:      overload.MaxWait.D(),
--- a/internal/gateway/clusterspec.go
+++ b/internal/gateway/clusterspec.go
@@ -16,7 +16,7 @@
 // clusterSpec is what the configuration or a control plane wants a cluster to be.
 type clusterSpec struct {
 	config  config.Cluster
-	quota   config.Part
+	quota   config.Quota
 	classes []config.Class
 	zone    string
 	gateway config.Gateway
@@ -38,7 +38,7 @@
 		c.Endpoints = nil
 		c.File = nil
 		c.XDS = nil
-		c.Part = nil
+		c.Quota = nil
 	}
 	return reflect.DeepEqual(a, b) &&
 		reflect.DeepEqual(s.classes, other.classes) &&
@@ -67,7 +67,7 @@
 
 // configuredSpec returns the spec of a cluster of the configuration.
 func (g *Gateway) configuredSpec(c *config.Cluster) *clusterSpec {
-	spec := &clusterSpec{config: *c, quota: g.config.Of(c), source: sourceStatic, staticEndpoints: c.Endpoints}
+	spec := &clusterSpec{config: *c, quota: g.config.QuotaOf(c), source: sourceStatic, staticEndpoints: c.Endpoints}
 	if c.Breakers.MaxConnections > 0 {
 		spec.quota.Max.Descriptors = c.Breakers.MaxConnections
 	}
@@ -135,13 +135,13 @@
 }
 
 // dynamicQuota returns the quota of each of the control plane's clusters.
-func dynamicQuota(limits *config.Limits, clusters int) config.Part {
+func dynamicQuota(limits *config.Limits, clusters int) config.Quota {
 	guaranteed := config.Amount{
 		Descriptors: limits.Descriptors / 8 / clusters,
 		Memory:      limits.Memory / 4 / config.Size(clusters),
 		Requests:    limits.Requests / 4 / clusters,
 	}
-	return config.Part{Guaranteed: guaranteed, Max: limits.PerCluster.Max}
+	return config.Quota{Guaranteed: guaranteed, Max: limits.PerCluster.Max}
 }
 
 func configBreakers(b *xds.Breakers) config.Breakers {
@@ -162,8 +162,8 @@
 	c := &s.config
 	return balancer.Settings{
 		Zone:             s.zone,
-		Index:            s.gateway.Number,
-		Proxies:          s.gateway.Of,
+		Index:            s.gateway.Index,
+		Proxies:          s.gateway.Count,
 		MaxAttempts:      c.Attempts,
 		ParallelAttempts: *c.Hedge,
 		MayCancel:        true,
@@ -174,8 +174,8 @@
 		Multiplex:        1,
 		DrainGrace:       c.DrainGrace.D(),
 		WarmUpTime:       c.WarmUp.Time.D(),
-		WarmUpShare:      c.WarmUp.Share,
-		OverloadMultiple: c.WarmUp.Max,
+		WarmUpShare:      c.WarmUp.InitialShare,
+		OverloadMultiple: c.WarmUp.OverloadMultiple,
 		OverloadWindow:   overloadWindow,
 		Price:            balancer.Prices{CrossZone: *c.CrossZone},
 		Weights:          balancer.WeightNominal,
@@ -191,12 +191,12 @@
 		class := &s.classes[i]
 		converted := balancer.Class{
 			Name:             class.Name,
-			LatencyObjective: class.Wanted.D(),
+			LatencyObjective: class.LatencyObjective.D(),
 			Deadline:         class.Deadline.D(),
 			Effect:           balancer.Effect(class.Effect),
 			Group:            balancer.Group(class.Group),
 			Window:           class.Window.D(),
-			PriorityWeight:   class.Worth,
+			PriorityWeight:   class.PriorityWeight,
 		}
 		classes = append(classes, converted)
 		if needsKey(class) {
--- a/internal/gateway/destination.go
+++ b/internal/gateway/destination.go
@@ -102,12 +102,12 @@
 		Tenant:       found.Tenant,
 		HighPriority: found.Route.High,
 	}
-	defaultClass := config.DefaultSafe
+	defaultClass := config.DefaultSafeClass
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 	default:
 		attributes.Write = true
-		defaultClass = config.DefaultUnsafe
+		defaultClass = config.DefaultUnsafeClass
 	}
 	if attributes.Class == "" {
 		attributes.Class = defaultClass
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -34,13 +34,13 @@
 	var limits []*rateLimit
 	for _, settings := range f.RateLimits {
 		unchanged := func(l *rateLimit) bool {
-			return l.gateways == f.Gateway.Of && reflect.DeepEqual(l.config, settings)
+			return l.gateways == f.Gateway.Count && reflect.DeepEqual(l.config, settings)
 		}
 		if i := slices.IndexFunc(former, unchanged); i >= 0 {
 			limits = append(limits, former[i])
 			continue
 		}
-		limits = append(limits, newRateLimit(settings, f.Gateway.Of))
+		limits = append(limits, newRateLimit(settings, f.Gateway.Count))
 	}
 	return limits
 }
--- a/internal/gateway/routing.go
+++ b/internal/gateway/routing.go
@@ -59,7 +59,7 @@
 	}
 	for i := range g.config.Classes {
 		class := &g.config.Classes[i]
-		r.latencyObjectives[class.Name] = class.Wanted.D()
+		r.latencyObjectives[class.Name] = class.LatencyObjective.D()
 		if needsKey(class) {
 			r.keyRequired[class.Name] = true
 		}
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -60,7 +60,7 @@
 		floor:     1,
 	}
 	s.subscription = subscription.New(fleet.Clock(), subscription.Options{
-		DirectAfter: settings.OwnAfter.D(),
+		DirectAfter: settings.DirectAfter.D(),
 		Spread:      settings.Spread.D(),
 		Chance:      rand.Float64(),
 	})
@@ -228,7 +228,7 @@
 		connected := link.Server != ""
 		if connected {
 			lastConnected = now
-		} else if now-lastConnected > s.config.OwnAfter.D() && p.peerCount() > 0 {
+		} else if now-lastConnected > s.config.DirectAfter.D() && p.peerCount() > 0 {
 			s.log.Warn("control plane not reachable, resigning as leader of the subscription", "error", link.LastError)
 			return
 		}
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -137,9 +137,9 @@
 
 // routes returns the routes of the source and why the newest are not used. Routes are nil where there are none.
 func (w *watch) routes(settings *config.XDS) (routes *xds.Routes, reason string) {
-	name := settings.RouteName
-	if settings.Listener != "" {
-		r, _ := w.get(xds.ListenerType, settings.Listener)
+	name := settings.RouteConfigName
+	if settings.ListenerName != "" {
+		r, _ := w.get(xds.ListenerType, settings.ListenerName)
 		listener, ok := r.Value.(*xds.Listener)
 		switch {
 		case !ok:
--- a/internal/gateway/watchset.go
+++ b/internal/gateway/watchset.go
@@ -82,8 +82,8 @@
 	settings := f.XDS
 	s.configKey = fmt.Sprintf("%+v %s", *settings, f.Zone)
 	s.options.Clusters = settings.Clusters
-	s.options.RouteConfigName = settings.RouteName
-	s.options.ListenerName = settings.Listener
+	s.options.RouteConfigName = settings.RouteConfigName
+	s.options.ListenerName = settings.ListenerName
 	s.options.Delta = settings.Variant == config.Delta
 	s.options.FetchTimeout = settings.InitialFetchTimeout.D()
 	if settings.Path != "" {
@@ -152,9 +152,9 @@
 		Servers:         settings.Servers,
 		ConnectTimeout:  settings.ConnectTimeout.D(),
 		BackoffBase:     settings.BackoffBase.D(),
-		MaxBackoff:      settings.BackoffMost.D(),
+		MaxBackoff:      settings.MaxBackoff.D(),
 		Keepalive:       settings.Keepalive.D(),
-		MaxMessageBytes: int(settings.Message),
+		MaxMessageBytes: int(settings.MaxMessageBytes),
 		Now:             g.Now,
 		Log:             g.log,
 	}
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -141,9 +141,9 @@
 // start has one speak.
 func (f *Fleet) start(m *Member, version string) error {
 	o := &f.opt
-	c := &config.Fleet{Name: o.Name, Member: m.Name, Site: m.Site, Address: m.Address, Advertise: m.Address, Remote: true, Seeds: f.seeds(),
-		Probe: config.Duration(o.Probe), Forget: config.Duration(time.Hour), Lease: config.Duration(o.Lease)}
-	c.Quorum.Heartbeat = config.Duration(o.Beat)
+	c := &config.Fleet{Name: o.Name, Member: m.Name, Site: m.Site, Address: m.Address, Advertise: m.Address, AllowRemote: true, Seeds: f.seeds(),
+		ProbeInterval: config.Duration(o.Probe), ForgetAfter: config.Duration(time.Hour), LeaseLength: config.Duration(o.Lease)}
+	c.Quorum.ElectionTimeout = config.Duration(o.Beat)
 	for _, v := range o.Voters {
 		c.Quorum.Voters = append(c.Quorum.Voters, config.Voter(v))
 	}
