--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -4,6 +4,7 @@
 	"encoding"
 	"errors"
 	"fmt"
+	"math"
 	"reflect"
 	"slices"
 	"strconv"
@@ -12,73 +13,54 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Error is one thing wrong with a file.
-type Error struct {
-	File         string
-	Line, Column int // from 1; 0 where the place is not known
-	Field        string
-	Reason       string
-}
-
-func (e *Error) Error() string {
-	at := e.File
-	if e.Line > 0 {
-		at = fmt.Sprintf("%s:%d:%d", e.File, e.Line, e.Column)
-	}
-	if e.Field == "" {
-		return at + ": " + e.Reason
-	}
-	return at + ": " + e.Field + ": " + e.Reason
-}
-
-// Errors is all that is wrong with a file, in the order of its lines.
-type Errors []*Error
+const (
+	maxDepth     = 32
+	maxFileBytes = 64 << 20
+)
 
-func (l Errors) Error() string {
-	s := make([]string, len(l))
-	for i, e := range l {
-		s[i] = e.Error()
-	}
-	return strings.Join(s, "\n")
+// position is a position in a file, from 1.
+type position struct {
+	line   int
+	column int
 }
 
-type position struct{ line, column int }
-
-// decoder reads nodes into Go values by their `yaml` tags. It goes on after an error, so that all come at once, and
-// remembers where each field stands.
+// decoder decodes YAML into Go values by their `yaml` tags. It goes on after an error, so that all are returned together,
+// and records the position of each field. It rejects aliases, by which a small file could expand without bound.
 type decoder struct {
 	file      string
 	errs      Errors
-	positions map[string]position
+	positions map[string]position // by path
 	depth     int
 }
 
-// Bounds of what a file may hold: aliases can make a small one expand without end, so there are none.
-const (
-	maxDepth = 32
-	maxBytes = 64 << 20
-)
-
-func (d *decoder) errorAtNode(n *yaml.Node, field, reason string, args ...any) {
+// errorAtNode adds an error about a node. A nil node has no position.
+func (d *decoder) errorAtNode(node *yaml.Node, field, reason string, args ...any) {
 	e := &Error{File: d.file, Field: field, Reason: fmt.Sprintf(reason, args...)}
-	if n != nil {
-		e.Line, e.Column = n.Line, n.Column
+	if node != nil {
+		e.Line = node.Line
+		e.Column = node.Column
 	}
 	d.errs = append(d.errs, e)
 }
 
-// errorAt adds an error about a field by its path; one that is not in the file stands where its parent does.
+// errorAt adds an error about a field. If the file does not contain the field, the position is that of its parent.
 func (d *decoder) errorAt(field, reason string, args ...any) {
-	e := &Error{File: d.file, Field: field, Reason: fmt.Sprintf(reason, args...)}
-	for path := field; ; path = path[:max(strings.LastIndexAny(path, ".["), 0)] {
-		if p, ok := d.positions[path]; ok || path == "" {
-			e.Line, e.Column = p.line, p.column
-			break
+	p := d.positionOf(field)
+	e := &Error{File: d.file, Line: p.line, Column: p.column, Field: field, Reason: fmt.Sprintf(reason, args...)}
+	d.errs = append(d.errs, e)
+}
+
+func (d *decoder) positionOf(path string) position {
+	for {
+		p, ok := d.positions[path]
+		if ok || path == "" {
+			return p
 		}
+		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
-	d.errs = append(d.errs, e)
 }
 
+// err returns the errors sorted by position, as Errors; nil if there are none.
 func (d *decoder) err() error {
 	if len(d.errs) == 0 {
 		return nil
@@ -99,33 +81,33 @@
 	return path + "." + name
 }
 
-// decode reads text into v, a pointer to a struct.
-func (d *decoder) decode(text []byte, v any) {
+// decode decodes text into target, a pointer to a struct.
+func (d *decoder) decode(text []byte, target any) {
 	d.positions = map[string]position{}
-	if len(text) > maxBytes {
-		d.errorAtNode(nil, "", "%d bytes, %d at most", len(text), maxBytes)
+	if len(text) > maxFileBytes {
+		d.errorAtNode(nil, "", "%d bytes, %d at most", len(text), maxFileBytes)
 		return
 	}
-	var doc yaml.Node
-	if err := yaml.Unmarshal(text, &doc); err != nil {
+	var document yaml.Node
+	if err := yaml.Unmarshal(text, &document); err != nil {
 		d.addSyntaxError(err)
 		return
 	}
-	if doc.Kind == 0 || len(doc.Content) == 0 {
+	if document.Kind == 0 || len(document.Content) == 0 {
 		d.errorAtNode(nil, "", "the file is empty")
 		return
 	}
-	d.decodeValue(doc.Content[0], "", reflect.ValueOf(v).Elem())
+	d.decodeValue(document.Content[0], "", reflect.ValueOf(target).Elem())
 }
 
-// addSyntaxError words the library's errors, which give a line at the most.
+// addSyntaxError adds an error of the YAML library, whose text begins with the line, if it is known.
 func (d *decoder) addSyntaxError(err error) {
 	e := &Error{File: d.file, Column: 1}
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	if rest, ok := strings.CutPrefix(text, "line "); ok {
-		if number, why, ok := strings.Cut(rest, ": "); ok {
-			e.Line, _ = strconv.Atoi(number)
-			text = why
+		if line, reason, ok := strings.Cut(rest, ": "); ok {
+			e.Line, _ = strconv.Atoi(line)
+			text = reason
 		}
 	}
 	e.Reason = "not YAML: " + text
@@ -134,135 +116,170 @@
 
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-func (d *decoder) decodeValue(n *yaml.Node, path string, v reflect.Value) {
-	if d.depth++; d.depth > maxDepth {
-		d.errorAtNode(n, path, "nested too deep")
-	}
+func (d *decoder) decodeValue(node *yaml.Node, path string, target reflect.Value) {
+	d.depth++
 	defer func() { d.depth-- }()
 	if d.depth > maxDepth {
+		d.errorAtNode(node, path, "nested too deep")
 		return
 	}
-	d.positions[path] = position{n.Line, n.Column}
-	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		d.errorAtNode(n, path, "anchors and aliases are not read")
+	d.positions[path] = position{line: node.Line, column: node.Column}
+	if node.Kind == yaml.AliasNode || node.Anchor != "" {
+		d.errorAtNode(node, path, "anchors and aliases are not read")
 		return
 	}
-	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
-		d.errorAtNode(n, path, "has no value")
+	if node.Kind == yaml.ScalarNode && node.Tag == "!!null" {
+		d.errorAtNode(node, path, "has no value")
 		return
 	}
-	if v.Kind() != reflect.Pointer && reflect.PointerTo(v.Type()).Implements(textUnmarshaler) {
-		if n.Kind != yaml.ScalarNode {
-			d.errorAtNode(n, path, "want one value")
-		} else if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(n.Value)); err != nil {
-			d.errorAtNode(n, path, "%v", err)
-		}
+	if target.Kind() != reflect.Pointer && reflect.PointerTo(target.Type()).Implements(textUnmarshaler) {
+		d.decodeText(node, path, target)
 		return
 	}
-	switch v.Kind() {
+	switch target.Kind() {
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		d.decodeValue(n, path, v.Elem())
+		target.Set(reflect.New(target.Type().Elem()))
+		d.decodeValue(node, path, target.Elem())
 	case reflect.Struct:
-		d.decodeMapping(n, path, v)
+		d.decodeStruct(node, path, target)
 	case reflect.Slice:
-		if n.Kind != yaml.SequenceNode {
-			d.errorAtNode(n, path, "want a list")
-			return
-		}
-		v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
-		for i, c := range n.Content {
-			d.decodeValue(c, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
-		}
-	case reflect.Map: // of names that the user gives
-		if n.Kind != yaml.MappingNode {
-			d.errorAtNode(n, path, "want names with values")
-			return
-		}
-		v.Set(reflect.MakeMap(v.Type()))
-		for i := 0; i+1 < len(n.Content); i += 2 {
-			k := n.Content[i]
-			name := join(path, k.Value)
-			key := reflect.ValueOf(k.Value)
-			if v.MapIndex(key).IsValid() {
-				d.errorAtNode(k, name, "stands twice")
-				continue
-			}
-			x := reflect.New(v.Type().Elem()).Elem()
-			d.decodeValue(n.Content[i+1], name, x)
-			v.SetMapIndex(key, x)
-		}
+		d.decodeSlice(node, path, target)
+	case reflect.Map:
+		d.decodeMap(node, path, target)
 	default:
-		d.decodeScalar(n, path, v)
+		d.decodeScalar(node, path, target)
 	}
 }
 
-func (d *decoder) decodeMapping(n *yaml.Node, path string, v reflect.Value) {
-	if n.Kind != yaml.MappingNode {
-		d.errorAtNode(n, path, "want fields")
+// decodeText decodes into an encoding.TextUnmarshaler.
+func (d *decoder) decodeText(node *yaml.Node, path string, target reflect.Value) {
+	if node.Kind != yaml.ScalarNode {
+		d.errorAtNode(node, path, "want one value")
 		return
 	}
-	fields := map[string][]int{}
-	for _, f := range reflect.VisibleFields(v.Type()) { // with those of embedded structs, as yaml's inline
-		name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
-		if name != "" && name != "-" {
-			fields[name] = f.Index
+	unmarshaler, ok := target.Addr().Interface().(encoding.TextUnmarshaler)
+	if !ok {
+		return // cannot happen: the caller has checked it
+	}
+	if err := unmarshaler.UnmarshalText([]byte(node.Value)); err != nil {
+		d.errorAtNode(node, path, "%v", err)
+	}
+}
+
+func (d *decoder) decodeSlice(node *yaml.Node, path string, target reflect.Value) {
+	if node.Kind != yaml.SequenceNode {
+		d.errorAtNode(node, path, "want a list")
+		return
+	}
+	target.Set(reflect.MakeSlice(target.Type(), len(node.Content), len(node.Content)))
+	for i, element := range node.Content {
+		d.decodeValue(element, fmt.Sprintf("%s[%d]", path, i), target.Index(i))
+	}
+}
+
+// decodeMap decodes into a map with string keys.
+func (d *decoder) decodeMap(node *yaml.Node, path string, target reflect.Value) {
+	if node.Kind != yaml.MappingNode {
+		d.errorAtNode(node, path, "want names with values")
+		return
+	}
+	target.Set(reflect.MakeMap(target.Type()))
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		keyNode := node.Content[i]
+		name := join(path, keyNode.Value)
+		key := reflect.ValueOf(keyNode.Value)
+		if target.MapIndex(key).IsValid() {
+			d.errorAtNode(keyNode, name, "stands twice")
+			continue
 		}
+		value := reflect.New(target.Type().Elem()).Elem()
+		d.decodeValue(node.Content[i+1], name, value)
+		target.SetMapIndex(key, value)
+	}
+}
+
+func (d *decoder) decodeStruct(node *yaml.Node, path string, target reflect.Value) {
+	if node.Kind != yaml.MappingNode {
+		d.errorAtNode(node, path, "want fields")
+		return
 	}
+	fields := fieldIndexes(target.Type())
 	seen := map[string]bool{}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		k := n.Content[i]
-		f, ok := fields[k.Value]
-		name := join(path, k.Value)
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		keyNode := node.Content[i]
+		index, ok := fields[keyNode.Value]
+		name := join(path, keyNode.Value)
 		switch {
 		case !ok:
-			d.errorAtNode(k, name, "there is no such field")
-		case seen[k.Value]:
-			d.errorAtNode(k, name, "stands twice")
+			d.errorAtNode(keyNode, name, "there is no such field")
+		case seen[keyNode.Value]:
+			d.errorAtNode(keyNode, name, "stands twice")
 		default:
-			seen[k.Value] = true
-			d.decodeValue(n.Content[i+1], name, v.FieldByIndex(f))
+			seen[keyNode.Value] = true
+			d.decodeValue(node.Content[i+1], name, target.FieldByIndex(index))
+		}
+	}
+}
+
+// fieldIndexes returns the fields of a struct by their names in YAML, including those of embedded structs.
+func fieldIndexes(t reflect.Type) map[string][]int {
+	fields := map[string][]int{}
+	for _, field := range reflect.VisibleFields(t) {
+		name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
+		if name != "" && name != "-" {
+			fields[name] = field.Index
 		}
 	}
+	return fields
 }
 
-func (d *decoder) decodeScalar(n *yaml.Node, path string, v reflect.Value) {
-	if n.Kind != yaml.ScalarNode {
-		d.errorAtNode(n, path, "want one value")
+var (
+	errNotBool   = errors.New("want true or false")
+	errNotInt    = errors.New("want a whole number")
+	errNotUint32 = errors.New("want a whole number from 0 to 4294967295")
+	errNotNumber = errors.New("want a number")
+)
+
+func (d *decoder) decodeScalar(node *yaml.Node, path string, target reflect.Value) {
+	if node.Kind != yaml.ScalarNode {
+		d.errorAtNode(node, path, "want one value")
 		return
 	}
-	var err error
-	switch v.Kind() {
+	if err := setScalar(target, node); err != nil {
+		d.errorAtNode(node, path, "%v, not %q", err, node.Value)
+	}
+}
+
+func setScalar(target reflect.Value, node *yaml.Node) error {
+	switch target.Kind() {
 	case reflect.String:
-		v.SetString(n.Value)
+		target.SetString(node.Value)
 	case reflect.Bool:
-		var b bool
-		if b, err = strconv.ParseBool(n.Value); err != nil || n.Tag != "!!bool" {
-			err = errors.New("want true or false")
+		value, err := strconv.ParseBool(node.Value)
+		if err != nil || node.Tag != "!!bool" {
+			return errNotBool
 		}
-		v.SetBool(b)
+		target.SetBool(value)
 	case reflect.Int, reflect.Int64:
-		var i int64
-		if i, err = strconv.ParseInt(n.Value, 10, 64); err != nil {
-			err = errors.New("want a whole number")
+		value, err := strconv.ParseInt(node.Value, 10, 64)
+		if err != nil {
+			return errNotInt
 		}
-		v.SetInt(i)
+		target.SetInt(value)
 	case reflect.Uint32:
-		var u uint64
-		if u, err = strconv.ParseUint(n.Value, 10, 32); err != nil {
-			err = errors.New("want a whole number from 0 to 4294967295")
+		value, err := strconv.ParseUint(node.Value, 10, 32)
+		if err != nil {
+			return errNotUint32
 		}
-		v.SetUint(u)
+		target.SetUint(value)
 	case reflect.Float64:
-		var f float64
-		if f, err = strconv.ParseFloat(n.Value, 64); err != nil || f-f != 0 {
-			f, err = 0, errors.New("want a number")
+		value, err := strconv.ParseFloat(node.Value, 64)
+		if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
+			return errNotNumber
 		}
-		v.SetFloat(f)
+		target.SetFloat(value)
 	default:
-		err = fmt.Errorf("a %v cannot be read", v.Type())
-	}
-	if err != nil {
-		d.errorAtNode(n, path, "%v, not %q", err, n.Value)
+		return fmt.Errorf("a %v cannot be read", target.Type())
 	}
+	return nil
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"net"
 	"net/url"
-	"path/filepath"
 	"strings"
 	"time"
 
@@ -12,70 +11,69 @@
 	"robindrum/internal/peer"
 )
 
-// Fleet is this process's place among the others. Where it is missing the process knows of no other one. Changes count from
-// the next start on.
+// Fleet are the settings of this process as a member of a fleet. Without them it knows of no other process. Changes take
+// effect at the next start.
 type Fleet struct {
-	Name   string `yaml:"name"`   // of the fleet; processes of another one are refused
-	Member string `yaml:"member"` // of this process, which no other one has
+	Name   string `yaml:"name"`   // of the fleet; processes of another one are rejected
+	Member string `yaml:"member"` // the name of this process, unique in the fleet
 	Site   string `yaml:"site,omitempty"`
-	// Address is for the others alone: calls, streams and packets, over TCP and UDP. Whoever reaches it is believed.
+	// Address is for other members only: calls, streams and packets, over TCP and UDP. Whoever reaches it is trusted.
 	Address          string            `yaml:"address"`
-	Advertise        string            `yaml:"advertise,omitempty"` // how the others reach it; Address where empty
-	AllowRemote      bool              `yaml:"remote"`              // Address may be one that is not on loopback
+	Advertise        string            `yaml:"advertise,omitempty"` // how other members reach Address; empty: as it is
+	AllowRemote      bool              `yaml:"remote"`              // allows an Address that is not on loopback
 	Seeds            []string          `yaml:"seeds,omitempty"`     // addresses of some members
-	AddressOverrides []AddressOverride `yaml:"via,omitempty"`       // other addresses by which members are reached from here
-	ProbeInterval    Duration          `yaml:"probe"`               // between two probes of the others
-	ForgetAfter      Duration          `yaml:"forget"`              // a dead member is gone after so long
-	LeaseLength      Duration          `yaml:"lease"`               // how long a duty is held at the most without word of the quorum
+	AddressOverrides []AddressOverride `yaml:"via,omitempty"`
+	ProbeInterval    Duration          `yaml:"probe"`  // between probes of other members
+	ForgetAfter      Duration          `yaml:"forget"` // how long a dead member is remembered
+	LeaseLength      Duration          `yaml:"lease"`  // of leader-only tasks
 	Quorum           Quorum            `yaml:"quorum"`
-	// Subscription: one to the control plane for all gateways of the site.
-	Subscription *Subscription `yaml:"subscription,omitempty"`
-	Posts        []PostTask    `yaml:"posts,omitempty"`
-	// Budgets bound what orders may take out at once. The voters' files count, and have to be alike.
+	Subscription     *Subscription     `yaml:"subscription,omitempty"` // one to the control plane for all gateways of the site
+	Posts            []PostTask        `yaml:"posts,omitempty"`
+	// Budgets limit what drain requests may take out of service at once. Those of the voters apply, and must be the same.
 	Budgets []DisruptionBudget `yaml:"budgets,omitempty"`
 }
 
-// DisruptionBudget is how many gateways, or endpoints of a cluster, may be out at once, with those that are out by themselves. Most and
-// Part both count where both are set.
+// DisruptionBudget is how many gateways, or endpoints of a cluster, may be unavailable at once, for any reason. Max and
+// Fraction both apply if both are set.
 type DisruptionBudget struct {
 	Name     string  `yaml:"name"`
-	Cluster  string  `yaml:"cluster,omitempty"` // endpoints of it, "*": of each; empty: gateways
+	Cluster  string  `yaml:"cluster,omitempty"` // of its endpoints; "*": of each cluster; empty: of gateways
 	Site     string  `yaml:"site,omitempty"`    // of one site
 	Zone     string  `yaml:"zone,omitempty"`    // of one zone
-	Each     string  `yaml:"each,omitempty"`    // zone or site: each by itself
+	Each     string  `yaml:"each,omitempty"`    // zone or site: of each one separately
 	Max      int     `yaml:"most,omitempty"`
 	Fraction float64 `yaml:"part,omitempty"`
 }
 
-// AddressOverride is how one member is reached from here, by forwarding or a tunnel.
+// AddressOverride is another address by which a member is reached from here, such as a tunnel.
 type AddressOverride struct {
-	Member  string `yaml:"member"` // the address that it is known by
+	Member  string `yaml:"member"` // the address that it advertises
 	Address string `yaml:"at"`
 }
 
-// Quorum are the voters that agree on who holds what.
+// Quorum are the voters that replicate leases, drains and releases.
 type Quorum struct {
-	Voters          []Voter  `yaml:"voters"`           // one for a try, three or five
-	Directory       string   `yaml:"folder,omitempty"` // of this process's log, where it is one of them
-	ElectionTimeout Duration `yaml:"heartbeat"`        // without word of the leader for so long a voter stands for election
+	Voters          []Voter  `yaml:"voters"`           // three or five; one for trials
+	Directory       string   `yaml:"folder,omitempty"` // of this process's log, if it is a voter
+	ElectionTimeout Duration `yaml:"heartbeat"`        // how long without the leader before a voter stands for election
 	MaxBytes        Size     `yaml:"most_bytes"`       // of the log
 }
 
-// Voter is one of them, by its member's name.
+// Voter is a voter, by its member's name.
 type Voter struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
 }
 
-// Subscription is how the gateways of a site share one.
+// Subscription are the settings of a site's shared subscription.
 type Subscription struct {
-	DirectAfter Duration `yaml:"own_after"` // without word of a holder, each asks the control plane itself
-	Spread      Duration `yaml:"spread"`    // over so long, by chance
-	Heartbeat   Duration `yaml:"heartbeat"` // between two signs of life of the holder
+	DirectAfter Duration `yaml:"own_after"` // how long without a leader before a gateway opens a stream of its own
+	Spread      Duration `yaml:"spread"`    // the time over which gateways do so, at random
+	Heartbeat   Duration `yaml:"heartbeat"` // between heartbeats of the leader
 }
 
-// PostTask is a duty: one process of the fleet posts to a URL, again and again, with its token in the header Robindrum-Token.
-// What is posted to is to refuse a token lower than the highest that it has seen.
+// PostTask is a leader-only task: one process of the fleet repeatedly posts to a URL, with its token in the header
+// Robindrum-Token. The receiver should reject a token lower than the highest that it has seen.
 type PostTask struct {
 	Name     string   `yaml:"name"`
 	URL      string   `yaml:"url"`
@@ -83,19 +81,30 @@
 	Timeout  Duration `yaml:"timeout"`
 }
 
-// Bounds of a fleet's names, as its members tell each other of them.
-const maxFleetName = 64
+const (
+	// maxFleetName bounds names that members exchange.
+	maxFleetName       = 64
+	defaultMaxLogBytes = 256 << 20
+	minMaxLogBytes     = 1 << 20
+	// defaultFraction is the part of gateways, and of endpoints, that may be unavailable at once.
+	defaultFraction = 0.34
+	// electionsPerLease is how many election timeouts a lease must outlast.
+	electionsPerLease = 4
+)
 
-func (f *Fleet) fill() {
+func (f *Fleet) setDefaults() {
 	setDefault(&f.Address, "127.0.0.1:7600")
 	setDefault(&f.Advertise, f.Address)
 	setDefault(&f.ProbeInterval, Duration(time.Second))
 	setDefault(&f.ForgetAfter, Duration(time.Hour))
 	setDefault(&f.LeaseLength, Duration(10*time.Second))
 	setDefault(&f.Quorum.ElectionTimeout, Duration(500*time.Millisecond))
-	setDefault(&f.Quorum.MaxBytes, 256<<20)
+	setDefault(&f.Quorum.MaxBytes, defaultMaxLogBytes)
 	if f.Budgets == nil {
-		f.Budgets = []DisruptionBudget{{Name: "gateways", Each: "site", Fraction: 0.34}, {Name: "endpoints", Cluster: "*", Each: "zone", Fraction: 0.34}}
+		f.Budgets = []DisruptionBudget{
+			{Name: "gateways", Each: "site", Fraction: defaultFraction},
+			{Name: "endpoints", Cluster: "*", Each: "zone", Fraction: defaultFraction},
+		}
 	}
 	if s := f.Subscription; s != nil {
 		setDefault(&s.DirectAfter, Duration(5*time.Second))
@@ -108,10 +117,10 @@
 	}
 }
 
-// IsVoter tells whether this process is one of the voters.
+// IsVoter reports whether this process is one of the voters.
 func (f *Fleet) IsVoter() bool {
-	for _, v := range f.Quorum.Voters {
-		if v.Name == f.Member {
+	for _, voter := range f.Quorum.Voters {
+		if voter.Name == f.Member {
 			return true
 		}
 	}
@@ -119,176 +128,173 @@
 }
 
 func (f *Fleet) check(d *decoder) {
-	text := func(field, s string, needed bool) {
-		switch {
-		case s == "" && needed:
-			d.errorAt(field, "is missing")
-		case len(s) > maxFleetName:
-			d.errorAt(field, "%d bytes, %d at most", len(s), maxFleetName)
-		case strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == '@' || r > '~' }):
-			d.errorAt(field, "%q: letters, digits and signs but @ and spaces", s)
-		}
+	checkFleetName(d, "fleet.name", f.Name)
+	checkFleetName(d, "fleet.member", f.Member)
+	if f.Site != "" {
+		checkFleetName(d, "fleet.site", f.Site)
 	}
-	text("fleet.name", f.Name, true)
-	text("fleet.member", f.Member, true)
-	text("fleet.site", f.Site, false)
-	ip := func(field, s string, zero bool) {
-		if !checkAddress(d, field, s, zero) {
-			return
-		}
-		if host, _, _ := net.SplitHostPort(s); net.ParseIP(host) == nil || net.ParseIP(host).IsUnspecified() && field != "fleet.address" {
-			d.errorAt(field, "%q is not an IP address with a port", s)
-		}
+	f.checkAddresses(d)
+	checkRange(d, "fleet.probe", f.ProbeInterval, 10*time.Millisecond, time.Minute)
+	checkRange(d, "fleet.forget", f.ForgetAfter, f.ProbeInterval.D(), 24*time.Hour)
+	checkRange(d, "fleet.lease", f.LeaseLength, lease.MinLength, lease.MaxLength)
+	f.checkQuorum(d)
+	f.checkSubscription(d)
+	f.checkBudgets(d)
+	f.checkPosts(d)
+}
+
+// checkFleetName checks a name that members exchange.
+func checkFleetName(d *decoder, field, name string) {
+	switch {
+	case name == "":
+		d.errorAt(field, "is missing")
+	case len(name) > maxFleetName:
+		d.errorAt(field, "%d bytes, %d at most", len(name), maxFleetName)
+	case strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' || r == '@' || r > '~' }):
+		d.errorAt(field, "%q: letters, digits and signs but @ and spaces", name)
 	}
-	ip("fleet.address", f.Address, false)
-	ip("fleet.advertise", f.Advertise, false)
-	if host, _, _ := net.SplitHostPort(f.Address); !f.AllowRemote && net.ParseIP(host) != nil && !net.ParseIP(host).IsLoopback() {
+}
+
+func (f *Fleet) checkAddresses(d *decoder) {
+	checkIPAddress(d, "fleet.address", f.Address, true)
+	checkIPAddress(d, "fleet.advertise", f.Advertise, false)
+	host, _, _ := net.SplitHostPort(f.Address)
+	ip := net.ParseIP(host)
+	if ip != nil && !ip.IsLoopback() && !f.AllowRemote {
 		d.errorAt("fleet.address", "%s is not on loopback; whoever reaches it is believed, say fleet.remote: true if that is meant", f.Address)
 	}
-	for i, s := range f.Seeds {
-		ip(fmt.Sprintf("fleet.seeds[%d]", i), s, false)
+	for i, seed := range f.Seeds {
+		checkIPAddress(d, fmt.Sprintf("fleet.seeds[%d]", i), seed, false)
 	}
-	for i, v := range f.AddressOverrides {
-		checkAddress(d, fmt.Sprintf("fleet.via[%d].member", i), v.Member, false)
-		checkAddress(d, fmt.Sprintf("fleet.via[%d].at", i), v.Address, false)
+	for i, override := range f.AddressOverrides {
+		checkAddress(d, fmt.Sprintf("fleet.via[%d].member", i), override.Member, false)
+		checkAddress(d, fmt.Sprintf("fleet.via[%d].at", i), override.Address, false)
 	}
-	checkRange(d, "fleet.probe", f.ProbeInterval, 10*time.Millisecond, time.Minute)
-	checkRange(d, "fleet.forget", f.ForgetAfter, f.ProbeInterval.D(), 24*time.Hour)
-	checkRange(d, "fleet.lease", f.LeaseLength, lease.MinLength, lease.MaxLength)
-	f.checkQuorum(d, text, ip)
-	if s := f.Subscription; s != nil {
-		if f.Site == "" {
-			d.errorAt("fleet.subscription", "needs fleet.site: it is one for each site")
-		}
-		checkRange(d, "fleet.subscription.own_after", s.DirectAfter, 10*time.Millisecond, time.Hour)
-		checkRange(d, "fleet.subscription.spread", s.Spread, time.Millisecond, time.Hour)
-		checkRange(d, "fleet.subscription.heartbeat", s.Heartbeat, 10*time.Millisecond, s.DirectAfter.D()/2)
-	}
-	names := map[string]bool{}
-	for i, b := range f.Budgets {
-		at := fmt.Sprintf("fleet.budgets[%d]", i)
-		text(at+".name", b.Name, true)
-		switch {
-		case names["budget "+b.Name]:
-			d.errorAt(at+".name", "%q stands twice", b.Name)
-		case b.Max < 0 || b.Fraction < 0 || b.Fraction > 1 || b.Max == 0 && b.Fraction == 0:
-			d.errorAt(at, "want most, a part from 0 to 1, or both")
-		case b.Each != "" && b.Each != "zone" && b.Each != "site" || b.Each == "site" && b.Cluster != "":
-			d.errorAt(at+".each", "want zone, or site for gateways, not %q", b.Each)
-		}
-		names["budget "+b.Name] = true
+}
+
+// checkIPAddress checks an IP address with a port.
+func checkIPAddress(d *decoder, field, address string, allowUnspecified bool) {
+	if !checkAddress(d, field, address, false) {
+		return
 	}
-	for i, p := range f.Posts {
-		at := fmt.Sprintf("fleet.posts[%d]", i)
-		text(at+".name", p.Name, true)
-		if names[p.Name] {
-			d.errorAt(at+".name", "%q stands twice", p.Name)
-		}
-		names[p.Name] = true
-		if u, err := url.Parse(p.URL); err != nil || u.Scheme != "http" || u.Host == "" {
-			d.errorAt(at+".url", "%q is not an http URL", p.URL)
-		}
-		checkRange(d, at+".every", p.Interval, 10*time.Millisecond, 24*time.Hour)
-		checkRange(d, at+".timeout", p.Timeout, 10*time.Millisecond, time.Minute)
+	host, _, _ := net.SplitHostPort(address)
+	ip := net.ParseIP(host)
+	if ip == nil || ip.IsUnspecified() && !allowUnspecified {
+		d.errorAt(field, "%q is not an IP address with a port", address)
 	}
 }
 
-func (f *Fleet) checkQuorum(d *decoder, text func(string, string, bool), ip func(string, string, bool)) {
+func (f *Fleet) checkQuorum(d *decoder) {
 	q := &f.Quorum
 	switch len(q.Voters) {
 	case 1, 3, 5:
 	default:
 		d.errorAt("fleet.quorum.voters", "want 3 or 5 (1 for a try), not %d", len(q.Voters))
 	}
-	seen := map[string]bool{}
-	for i, v := range q.Voters {
-		at := fmt.Sprintf("fleet.quorum.voters[%d]", i)
-		text(at+".name", v.Name, true)
-		ip(at+".address", v.Address, false)
-		if seen[v.Name] || seen[v.Address] {
-			d.errorAt(at, "%s %s stands twice", v.Name, v.Address)
-		}
-		seen[v.Name], seen[v.Address] = true, true
-		if v.Name == f.Member && v.Address != f.Advertise {
-			d.errorAt(at+".address", "%s, but this process is reached at %s", v.Address, f.Advertise)
-		}
-	}
+	f.checkVoters(d)
 	if f.IsVoter() && q.Directory == "" {
 		d.errorAt("fleet.quorum.folder", "is missing: %s is a voter, and what it promises must outlast a crash", f.Member)
 	}
 	checkRange(d, "fleet.quorum.heartbeat", q.ElectionTimeout, 20*time.Millisecond, 10*time.Second)
-	if 4*q.ElectionTimeout > f.LeaseLength {
+	if electionsPerLease*q.ElectionTimeout > f.LeaseLength {
 		d.errorAt("fleet.lease", "%v, want four times fleet.quorum.heartbeat (%v) at the least: a lease is to outlast an election", f.LeaseLength.D(), q.ElectionTimeout.D())
 	}
-	if q.MaxBytes < 1<<20 {
+	if q.MaxBytes < minMaxLogBytes {
 		d.errorAt("fleet.quorum.most_bytes", "want 1MiB at the least")
 	}
 }
 
-func checkRange(d *decoder, field string, v Duration, least, most time.Duration) {
-	if v.D() < least || v.D() > most {
-		d.errorAt(field, "want %v to %v, not %v", least, most, v.D())
+func (f *Fleet) checkVoters(d *decoder) {
+	seen := map[string]bool{} // names and addresses
+	for i, voter := range f.Quorum.Voters {
+		field := fmt.Sprintf("fleet.quorum.voters[%d]", i)
+		checkFleetName(d, field+".name", voter.Name)
+		checkIPAddress(d, field+".address", voter.Address, false)
+		if seen[voter.Name] || seen[voter.Address] {
+			d.errorAt(field, "%s %s stands twice", voter.Name, voter.Address)
+		}
+		seen[voter.Name] = true
+		seen[voter.Address] = true
+		if voter.Name == f.Member && voter.Address != f.Advertise {
+			d.errorAt(field+".address", "%s, but this process is reached at %s", voter.Address, f.Advertise)
+		}
 	}
 }
 
-// Warnings are what can be used and should be looked at.
-func (f *File) Warnings() []string {
-	if f.Fleet == nil {
-		return nil
+func (f *Fleet) checkSubscription(d *decoder) {
+	s := f.Subscription
+	if s == nil {
+		return
 	}
-	return f.Fleet.warnings()
+	if f.Site == "" {
+		d.errorAt("fleet.subscription", "needs fleet.site: it is one for each site")
+	}
+	checkRange(d, "fleet.subscription.own_after", s.DirectAfter, 10*time.Millisecond, time.Hour)
+	checkRange(d, "fleet.subscription.spread", s.Spread, time.Millisecond, time.Hour)
+	checkRange(d, "fleet.subscription.heartbeat", s.Heartbeat, 10*time.Millisecond, s.DirectAfter.D()/2)
 }
 
-func (f *Fleet) warnings() (l []string) {
-	if !peer.Private(f.Address) {
-		l = append(l, fmt.Sprintf("fleet.address: %s is not on a private address: whoever reaches it is believed", f.Address))
-	}
-	if len(f.Quorum.Voters) == 1 {
-		l = append(l, "fleet.quorum.voters: with one voter nothing is agreed on while it is away")
+func (f *Fleet) checkBudgets(d *decoder) {
+	seen := map[string]bool{}
+	for i := range f.Budgets {
+		budget := &f.Budgets[i]
+		field := fmt.Sprintf("fleet.budgets[%d]", i)
+		checkFleetName(d, field+".name", budget.Name)
+		switch {
+		case seen[budget.Name]:
+			d.errorAt(field+".name", "%q stands twice", budget.Name)
+		case !budget.hasValidAmount():
+			d.errorAt(field, "want most, a part from 0 to 1, or both")
+		case !budget.hasValidScope():
+			d.errorAt(field+".each", "want zone, or site for gateways, not %q", budget.Each)
+		}
+		seen[budget.Name] = true
 	}
-	return l
 }
 
-// WitnessFile is the file of a process that votes and serves no traffic.
-type WitnessFile struct {
-	Fleet Fleet `yaml:"fleet"`
-	Admin Admin `yaml:"admin"`
-	Log   Log   `yaml:"log"`
-
-	dir string
+func (b *DisruptionBudget) hasValidAmount() bool {
+	if b.Max < 0 || b.Fraction < 0 || b.Fraction > 1 {
+		return false
+	}
+	return b.Max != 0 || b.Fraction != 0
 }
 
-// LoadWitness reads and checks one. The error is of type Errors.
-func LoadWitness(path string) (*WitnessFile, error) {
-	text, err := readFile(path)
-	if err != nil {
-		return nil, err
+func (b *DisruptionBudget) hasValidScope() bool {
+	switch b.Each {
+	case "", "zone":
+		return true
+	case "site":
+		return b.Cluster == ""
 	}
-	w := &WitnessFile{dir: filepath.Dir(path)}
-	d := &decoder{file: path}
-	d.decode(text, w)
-	if err := d.err(); err != nil {
-		return nil, err
-	}
-	f := &File{Admin: w.Admin, Log: w.Log}
-	f.fill()
-	w.Fleet.fill()
-	f.checkAdmin(d)
-	f.checkLog(d)
-	w.Fleet.check(d)
-	if !w.Fleet.IsVoter() {
-		d.errorAt("fleet.member", "%q is not among fleet.quorum.voters: a witness votes and does nothing else", w.Fleet.Member)
+	return false
+}
+
+func (f *Fleet) checkPosts(d *decoder) {
+	seen := map[string]bool{}
+	for i := range f.Posts {
+		post := &f.Posts[i]
+		field := fmt.Sprintf("fleet.posts[%d]", i)
+		checkFleetName(d, field+".name", post.Name)
+		if seen[post.Name] {
+			d.errorAt(field+".name", "%q stands twice", post.Name)
+		}
+		seen[post.Name] = true
+		parsed, err := url.Parse(post.URL)
+		if err != nil || parsed.Scheme != "http" || parsed.Host == "" {
+			d.errorAt(field+".url", "%q is not an http URL", post.URL)
+		}
+		checkRange(d, field+".every", post.Interval, 10*time.Millisecond, 24*time.Hour)
+		checkRange(d, field+".timeout", post.Timeout, 10*time.Millisecond, time.Minute)
 	}
-	if w.Fleet.Subscription != nil || len(w.Fleet.Posts) > 0 {
-		d.errorAt("fleet", "a witness has no duties: leave subscription and posts out")
+}
+
+func (f *Fleet) warnings() []string {
+	var warnings []string
+	if !peer.Private(f.Address) {
+		warnings = append(warnings, fmt.Sprintf("fleet.address: %s is not on a private address: whoever reaches it is believed", f.Address))
 	}
-	w.Admin, w.Log = f.Admin, f.Log
-	w.Fleet.Quorum.Directory = resolveIn(w.dir, w.Fleet.Quorum.Directory)
-	if err := d.err(); err != nil {
-		return nil, err
+	if len(f.Quorum.Voters) == 1 {
+		warnings = append(warnings, "fleet.quorum.voters: with one voter nothing is agreed on while it is away")
 	}
-	return w, nil
+	return warnings
 }
-
-// Warnings are what can be used and should be looked at.
-func (w *WitnessFile) Warnings() []string { return w.Fleet.warnings() }
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -2,105 +2,88 @@
 
 import (
 	"errors"
+	"slices"
 	"strings"
 
 	"robindrum/internal/failoverplan"
 )
 
-// Sites say what becomes of a site's load when the site is lost whole. It is a plan on paper: see robindrum sites plan.
+// Sites is the plan of what becomes of a site's load when the site is lost. It has no effect at run time; see robindrum
+// sites plan.
 type Sites struct {
-	// Floors are the parts of each class's load that are kept before any class gets more than its floor.
+	// Floors are the parts of each class's load that are served before any class gets more than its floor.
 	Floors map[string]float64 `yaml:"floors,omitempty"`
 	List   []SitePlan         `yaml:"list"`
 }
 
-// SitePlan is one site.
+// SitePlan is the plan of one site. Capacity and load are in requests a second, by class.
 type SitePlan struct {
-	Name     string             `yaml:"name"`
-	Capacity map[string]float64 `yaml:"capacity"`       // requests a second that it could serve of each class alone
-	Load     map[string]float64 `yaml:"load,omitempty"` // requests a second that are expected
-	To       []FailoverTarget   `yaml:"to,omitempty"`   // where its load may go, in this order
-	// MaxCrossed is the part of the capacity that other sites' load may use.
-	MaxCrossed *float64 `yaml:"most_crossed"`
+	Name       string             `yaml:"name"`
+	Capacity   map[string]float64 `yaml:"capacity"` // of each class, if it served no other one
+	Load       map[string]float64 `yaml:"load,omitempty"`
+	To         []FailoverTarget   `yaml:"to,omitempty"` // where its load may go, in this order
+	MaxCrossed *float64           `yaml:"most_crossed"` // the part of its capacity that other sites' load may use
 }
 
-// FailoverTarget is how much of a lost site's load another one may take.
+// FailoverTarget is how much of a lost site's load another site may get.
 type FailoverTarget struct {
 	Site string  `yaml:"site"`
 	Part float64 `yaml:"part"`
 }
 
-// defaultCrossed is the part of a site's capacity that other sites' load may use.
-const defaultCrossed = 0.5
+// defaultMaxCrossed is the default of SitePlan.MaxCrossed.
+const defaultMaxCrossed = 0.5
 
-func (s *Sites) fill() {
+func (s *Sites) setDefaults() {
 	for i := range s.List {
-		if s.List[i].MaxCrossed == nil {
-			s.List[i].MaxCrossed = new(defaultCrossed)
-		}
+		setDefaultPointer(&s.List[i].MaxCrossed, defaultMaxCrossed)
 	}
 }
 
-// SitePlan gives the plan; nil: the file has none.
+// SitePlan returns the plan, or nil if the file has none.
 func (f *File) SitePlan() *failoverplan.Plan {
 	if f.Sites == nil {
 		return nil
 	}
-	p := &failoverplan.Plan{}
-	for _, c := range f.Classes {
-		p.Classes = append(p.Classes, failoverplan.Class{Name: c.Name, Worth: c.PriorityWeight, Floor: f.Sites.Floors[c.Name]})
+	plan := &failoverplan.Plan{}
+	for i := range f.Classes {
+		c := &f.Classes[i]
+		plan.Classes = append(plan.Classes, failoverplan.Class{Name: c.Name, Worth: c.PriorityWeight, Floor: f.Sites.Floors[c.Name]})
 	}
 	for _, s := range f.Sites.List {
-		x := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxCrossed: *s.MaxCrossed}
-		for _, w := range s.To {
-			x.To = append(x.To, failoverplan.Way(w))
+		site := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxCrossed: *s.MaxCrossed}
+		for _, target := range s.To {
+			site.To = append(site.To, failoverplan.Way(target))
 		}
-		p.Sites = append(p.Sites, x)
+		plan.Sites = append(plan.Sites, site)
 	}
-	return p
+	return plan
 }
 
 func (f *File) checkSites(d *decoder) {
-	known := map[string]bool{}
-	for _, c := range f.Classes {
-		known[c.Name] = true
-	}
+	classes := f.classNames()
 	for name := range f.Sites.Floors {
-		if !known[name] {
+		if !classes[name] {
 			d.errorAt("sites.floors."+name, "there is no class %q", name)
 		}
 	}
-	if f.Fleet != nil && f.Fleet.Site != "" {
-		here := false
-		for _, s := range f.Sites.List {
-			here = here || s.Name == f.Fleet.Site
-		}
-		if !here {
-			d.errorAt("sites.list", "this gateway's site %q is not in it", f.Fleet.Site)
-		}
+	if f.Fleet != nil && f.Fleet.Site != "" && !f.Sites.contains(f.Fleet.Site) {
+		d.errorAt("sites.list", "this gateway's site %q is not in it", f.Fleet.Site)
 	}
-	err := f.SitePlan().Check()
-	for _, e := range joinedErrors(err) {
-		var at *failoverplan.Error
-		if !errors.As(e, &at) {
-			d.errorAt("sites", "%v", e)
+	for _, err := range joinedErrors(f.SitePlan().Check()) {
+		var planErr *failoverplan.Error
+		if !errors.As(err, &planErr) {
+			d.errorAt("sites", "%v", err)
 			continue
 		}
-		field := "sites." + at.Field
-		if rest, ok := strings.CutPrefix(at.Field, "sites"); ok {
+		field := "sites." + planErr.Field
+		if rest, ok := strings.CutPrefix(planErr.Field, "sites"); ok {
 			field = "sites.list" + rest
 		}
-		d.errorAt(field, "%s", at.Reason)
+		d.errorAt(field, "%s", planErr.Reason)
 	}
 }
 
-// joinedErrors gives the errors that were joined.
-func joinedErrors(err error) []error {
-	if err == nil {
-		return nil
-	}
-	if l, ok := err.(interface{ Unwrap() []error }); ok {
-		return l.Unwrap()
-	}
-	return []error{err}
+func (s *Sites) contains(site string) bool {
+	return slices.ContainsFunc(s.List, func(plan SitePlan) bool { return plan.Name == site })
 }
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -1,20 +1,22 @@
 package config
 
-// StrictDecoder reads another schema's file as strictly as the gateway's: fields that there are not, wrong types and values that
-// stand twice are errors with their place, and all come at once.
-type StrictDecoder struct{ decoder decoder }
+// StrictDecoder decodes a file of another schema as strictly as the gateway's: unknown fields, wrong types and duplicate
+// keys are errors with their position, and all errors are returned together.
+type StrictDecoder struct {
+	decoder decoder
+}
 
-// DecodeStrict reads text into v, a pointer to a struct with yaml tags. What is wrong with it comes with Err.
-func DecodeStrict(path string, text []byte, v any) *StrictDecoder {
-	s := &StrictDecoder{decoder{file: path}}
-	s.decoder.decode(text, v)
+// DecodeStrict decodes text into target, a pointer to a struct with yaml tags. Err returns what is wrong with it.
+func DecodeStrict(path string, text []byte, target any) *StrictDecoder {
+	s := &StrictDecoder{decoder: decoder{file: path}}
+	s.decoder.decode(text, target)
 	return s
 }
 
-// AddError adds an error about a field, by its path as in "events[2].at".
+// AddError adds an error about a field, given by its path as in "events[2].at".
 func (s *StrictDecoder) AddError(field, reason string, args ...any) {
 	s.decoder.errorAt(field, reason, args...)
 }
 
-// Err is all that is wrong, of type Errors; nil: nothing.
+// Err returns all errors, as Errors; nil if there are none.
 func (s *StrictDecoder) Err() error { return s.decoder.err() }
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -11,107 +12,115 @@
 	"robindrum/internal/admission"
 )
 
-// Duration is written with its unit, "150ms" or "1m30s".
+// Duration is a duration that is written with its unit, as in "150ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads it.
-func (d *Duration) UnmarshalText(b []byte) error {
-	v, err := time.ParseDuration(string(b))
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (d *Duration) UnmarshalText(text []byte) error {
+	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("want a duration with its unit, as 150ms, not %q", b)
+		return fmt.Errorf("want a duration with its unit, as 150ms, not %q", text)
 	}
 	if v < 0 {
-		return fmt.Errorf("%q is negative", b)
+		return fmt.Errorf("%q is negative", text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D is the plain duration.
+// D returns the time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Size is bytes, written with their unit, "64MiB" or "512KiB"; "1024B" are single ones.
+// Size is a number of bytes that is written with its unit, as in "64MiB", "512KiB" or "1024B".
 type Size int64
 
-var units = []struct {
-	name string
-	n    int64
-}{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"GB", 1e9}, {"MB", 1e6}, {"kB", 1e3}, {"B", 1}}
+// sizeUnit is a unit of Size.
+type sizeUnit struct {
+	name  string
+	bytes int64
+}
+
+// binaryUnits are the units that sizes are written in.
+var binaryUnits = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}}
+
+// units are the units that sizes are read in. A unit comes before those that are its suffix.
+var units = slices.Concat(binaryUnits, []sizeUnit{{"GB", 1e9}, {"MB", 1e6}, {"kB", 1e3}, {"B", 1}})
 
-// UnmarshalText reads it.
-func (s *Size) UnmarshalText(b []byte) error {
-	for _, u := range units {
-		number, ok := strings.CutSuffix(string(b), u.name)
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (s *Size) UnmarshalText(text []byte) error {
+	for _, unit := range units {
+		number, ok := strings.CutSuffix(string(text), unit.name)
 		if !ok {
 			continue
 		}
 		v, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
-		if err != nil || v < 0 || v > (1<<62)/u.n {
+		if err != nil || v < 0 || v > (1<<62)/unit.bytes {
 			break
 		}
-		*s = Size(v * u.n)
+		*s = Size(v * unit.bytes)
 		return nil
 	}
-	return fmt.Errorf("want a size with its unit, as 64MiB, not %q", b)
+	return fmt.Errorf("want a size with its unit, as 64MiB, not %q", text)
 }
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (s Size) MarshalText() ([]byte, error) {
-	for _, u := range units[:3] {
-		if s > 0 && int64(s)%u.n == 0 {
-			return fmt.Appendf(nil, "%d%s", int64(s)/u.n, u.name), nil
+	for _, unit := range binaryUnits {
+		if s > 0 && int64(s)%unit.bytes == 0 {
+			return fmt.Appendf(nil, "%d%s", int64(s)/unit.bytes, unit.name), nil
 		}
 	}
 	return fmt.Appendf(nil, "%dB", int64(s)), nil
 }
 
-// Mode is how requests are admitted.
+// Mode is a mode of admission.
 type Mode admission.Mode
 
 var modes = []admission.Mode{admission.Adaptive, admission.Fixed, admission.Off}
 
-// UnmarshalText reads it.
-func (m *Mode) UnmarshalText(b []byte) error {
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (m *Mode) UnmarshalText(text []byte) error {
 	for _, v := range modes {
-		if v.String() == string(b) {
+		if v.String() == string(text) {
 			*m = Mode(v)
 			return nil
 		}
 	}
-	return fmt.Errorf("want adaptive, fixed or off, not %q", b)
+	return fmt.Errorf("want adaptive, fixed or off, not %q", text)
 }
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (m Mode) MarshalText() ([]byte, error) { return []byte(admission.Mode(m).String()), nil }
 
-// Effect is what a second run of a request does.
+// Effect is the effect of running a request twice.
 type Effect balancer.Effect
 
 var effects = []string{"safe", "keyed", "unsafe"}
 
-// UnmarshalText reads it.
-func (e *Effect) UnmarshalText(b []byte) error { return unmarshalName(effects, b, (*uint8)(e)) }
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (e *Effect) UnmarshalText(text []byte) error { return unmarshalName(effects, text, (*uint8)(e)) }
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(effects[e]), nil }
 
-// Group says which servers drop the repeats of a keyed request.
+// Group is the group of servers that together drop the repeats of a keyed request.
 type Group balancer.Group
 
 var groups = []string{"all", "zone", "cell"}
 
-// UnmarshalText reads it.
-func (g *Group) UnmarshalText(b []byte) error { return unmarshalName(groups, b, (*uint8)(g)) }
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (g *Group) UnmarshalText(text []byte) error { return unmarshalName(groups, text, (*uint8)(g)) }
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (g Group) MarshalText() ([]byte, error) { return []byte(groups[g]), nil }
 
-// Variant is how resources are asked for.
+// Variant is a variant of the xDS protocol.
 type Variant uint8
 
+// The values of Variant.
 const (
 	StateOfTheWorld Variant = iota
 	Delta
@@ -119,18 +128,19 @@
 
 var variants = []string{"sotw", "delta"}
 
-// UnmarshalText reads it.
-func (v *Variant) UnmarshalText(b []byte) error { return unmarshalName(variants, b, (*uint8)(v)) }
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (v *Variant) UnmarshalText(text []byte) error { return unmarshalName(variants, text, (*uint8)(v)) }
 
-// MarshalText writes it.
+// MarshalText implements encoding.TextMarshaler.
 func (v Variant) MarshalText() ([]byte, error) { return []byte(variants[v]), nil }
 
-func unmarshalName(names []string, b []byte, to *uint8) error {
-	for i, n := range names {
-		if n == string(b) {
-			*to = uint8(i)
+// unmarshalName sets target to the index of a name.
+func unmarshalName(names []string, text []byte, target *uint8) error {
+	for i, name := range names {
+		if name == string(text) {
+			*target = uint8(i)
 			return nil
 		}
 	}
-	return errors.New("want one of " + strings.Join(names, ", ") + fmt.Sprintf(", not %q", b))
+	return errors.New("want one of " + strings.Join(names, ", ") + fmt.Sprintf(", not %q", text))
 }
--- a/internal/gateway/clusterspec.go
+++ b/internal/gateway/clusterspec.go
@@ -130,7 +130,7 @@
 	if c.HighPriority != (xds.Breakers{}) {
 		spec.config.Breakers.High = new(configBreakers(&c.HighPriority))
 	}
-	spec.config.Fill()
+	spec.config.SetDefaults()
 	return spec
 }
 
