--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -48,7 +48,7 @@
   - {name: rest, match: {prefix: /}, cluster: seats}
 `
 
-func TestWholeFile(t *testing.T) {
+func TestCompleteFile(t *testing.T) {
 	f, err := Parse("dir/gateway.yaml", []byte(whole))
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 routes: [{match: {prefix: /}, cluster: c}]
 `
 
-func TestErrors(t *testing.T) {
+func TestErrorsCarryPositions(t *testing.T) {
 	if _, err := Parse("f", []byte(least)); err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	}
 }
 
-// Whatever stands in a file, it is refused with errors or is a configuration that prints as itself.
+// Any file either has errors or is a configuration that Print reproduces.
 func FuzzParse(f *testing.F) {
 	f.Add(whole)
 	f.Add(least)
@@ -221,8 +221,8 @@
 	})
 }
 
-// What is wrong with zones is told with its place.
-func TestZones(t *testing.T) {
+// Errors in zones carry their positions.
+func TestZonesAreChecked(t *testing.T) {
 	f, err := Parse("g.yaml", []byte(whole+"zones: {}\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -250,8 +250,8 @@
 	}
 }
 
-// What is wrong with admission and rate limits is told with its place, and what is left out has a default that needs none.
-func TestAdmission(t *testing.T) {
+// Errors in admission and rate limits carry their positions, and all settings have valid defaults.
+func TestAdmissionIsChecked(t *testing.T) {
 	const text = "listeners: [{name: web, address: ':0'}]\nclusters: [{name: c, endpoints: [{address: 'a:1'}], %s}]\nroutes: [{name: r, match: {prefix: /}, cluster: c}]\n%s"
 	f, err := Parse("g.yaml", fmt.Appendf(nil, text, "circuit_breakers: {retry_budget: {}}", "rate_limits: [{name: a, rate: 50, key: {address: {}}}]"))
 	if err != nil {
@@ -296,8 +296,8 @@
 	}
 }
 
-// The fleet's block: each mistake with its place, all at once; and what can be used but should be looked at.
-func TestFleetBlock(t *testing.T) {
+// Errors in the fleet section carry their positions and are returned together; questionable settings have warnings.
+func TestFleetIsChecked(t *testing.T) {
 	const head = "listeners: [{name: a, address: \"127.0.0.1:1\"}]\nclusters: [{name: c, endpoints: [{address: \"127.0.0.1:9\"}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n"
 	const bad = `fleet:
   name: "two words"
@@ -340,8 +340,8 @@
 	}
 }
 
-// A release's sections stand in place of the file's; what is each process's own is refused, and so is what does not fit.
-func TestSectionsOfARelease(t *testing.T) {
+// A release's sections replace the file's; a section that belongs to each process is rejected, and so are invalid ones.
+func TestReleaseReplacesSections(t *testing.T) {
 	const own = "listeners: [{name: a, address: \"127.0.0.1:1\"}]\nlimits: {drain: 7s}\nclusters: [{name: c, endpoints: [{address: \"127.0.0.1:9\"}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n"
 	f, err := Parse("dir/x.yaml", []byte(own))
 	if err != nil {
@@ -363,8 +363,8 @@
 	}
 }
 
-// The section sites says in place what is wrong: names, parts, classes that there are not, and floors that nobody can keep.
-func TestSites(t *testing.T) {
+// Errors in the sites section carry their positions: names, parts, unknown classes and floors that cannot be met.
+func TestSitesAreChecked(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/sites.yaml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -22,8 +22,8 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// four is a file of four lines before healthy servers.
-func four(t *testing.T, rest string, all ...*origin.Origin) string {
+// configWithOrigins returns a configuration of four lines with the given endpoints in cluster c.
+func configWithOrigins(t *testing.T, rest string, all ...*origin.Origin) string {
 	t.Helper()
 	var l []string
 	for _, o := range all {
@@ -35,7 +35,7 @@
 
 func run(t *testing.T, conf string) *Gateway {
 	t.Helper()
-	g, err := New(parse(t, conf), quiet())
+	g, err := New(parse(t, conf), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,9 +44,9 @@
 	return g
 }
 
-// A value of 0 in the file is 0, and not what it would be if it were left out.
-func TestZeroIsNotLeftOut(t *testing.T) {
-	conf := parse(t, "zone: a\nzones: {panic_threshold: 0, floor: 0, retry_budget: 0}\n"+strings.Replace(four(t, "overload: {floor: 0, retries: {ratio: 0, rate: 0}}, ", server(t)), "listeners", "gateway: {of: 3}\nlisteners", 1))
+// A value of 0 in the file stays 0 and is not replaced by the default.
+func TestExplicitZeroIsNotReplacedByDefault(t *testing.T) {
+	conf := parse(t, "zone: a\nzones: {panic_threshold: 0, floor: 0, retry_budget: 0}\n"+strings.Replace(configWithOrigins(t, "overload: {floor: 0, retries: {ratio: 0, rate: 0}}, ", newOrigin(t)), "listeners", "gateway: {of: 3}\nlisteners", 1))
 	s := &clusterSpec{config: conf.Clusters[0], classes: conf.Classes, zone: conf.Zone, gateway: conf.Gateway, zones: conf.Zones}
 	z, a := s.localityOptions(), s.admissionOptions()
 	z.Fill()
@@ -59,14 +59,14 @@
 	}
 }
 
-// Bursts from the first request on, with a rest between them, and one request right behind.
-func TestBurstsAreServedWhole(t *testing.T) {
+// Bursts are served from the first request on, with a pause between them, and so is a request right after one.
+func TestBurstsAreServedCompletely(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := server(t), server(t)
+	a, b := newOrigin(t), newOrigin(t)
 	a.Delay(5 * time.Millisecond)
 	b.Delay(5 * time.Millisecond)
-	g := run(t, four(t, "", a, b))
-	u := visit(t, g)
+	g := run(t, configWithOrigins(t, "", a, b))
+	u := newUser(t, g)
 	var bad atomic.Int64
 	for _, n := range []int{8, 32, 64, 200} {
 		for range 3 {
@@ -90,36 +90,36 @@
 	}
 }
 
-// One of two servers dies under 64 connections, and the other one can carry them.
-func TestServerDiesUnderLoad(t *testing.T) {
+// One of two endpoints fails under 64 connections, which the other one can serve.
+func TestEndpointFailsUnderLoad(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := server(t), server(t)
+	a, b := newOrigin(t), newOrigin(t)
 	a.Delay(2 * time.Millisecond)
 	b.Delay(2 * time.Millisecond)
-	g := run(t, four(t, "", a, b))
-	l := press(t, g, 64, "/x")
+	g := run(t, configWithOrigins(t, "", a, b))
+	l := startLoad(t, g, 64, "/x")
 	testbed.Eventually(t, "load", func() bool { return a.Requests() > 500 && b.Requests() > 500 })
 	b.Kill()
 	n := l.ok.Load()
 	testbed.Eventually(t, "load at the other one", func() bool { return l.ok.Load() > n+2000 })
 	l.stop()
-	l.lost(t)
+	l.checkNoneLost(t)
 	if n := l.no.Load(); n != 0 {
 		t.Errorf("%d of %d refused", n, l.requests.Load())
 	}
 }
 
-// Requests that wait: a client that leaves, a reload that lowers the limit, and a stop, each with a full queue.
-func TestFullQueue(t *testing.T) {
+// With a full queue, a client leaves, a reload lowers the limit, and the gateway stops.
+func TestClientLeavesReloadAndStopWithFullQueue(t *testing.T) {
 	testbed.Leaks(t)
-	o := server(t)
+	o := newOrigin(t)
 	goOn := make(chan struct{})
 	o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 	const rest = "hedge: false, overload: {mode: fixed, limit: 2}, circuit_breakers: {max_pending_requests: 6}, "
 	classes := "classes: [{name: default-safe, wanted: 20s, deadline: 20s}]\n"
-	g := run(t, classes+four(t, rest, o))
+	g := run(t, classes+configWithOrigins(t, rest, o))
 	admission := func() AdmissionStatus { return g.Status(0).Clusters[0].Admission }
-	u := visit(t, g)
+	u := newUser(t, g)
 	var all sync.WaitGroup
 	var served, refused atomic.Int64
 	ask := func(ctx context.Context) {
@@ -159,7 +159,7 @@
 	leave()
 	testbed.Eventually(t, "three to leave", func() bool { return admission().Waiting == 3 })
 	// Under the new settings one may start; what waits under the former ones ends there.
-	if err := g.Reload(parse(t, classes+strings.Replace(four(t, strings.Replace(rest, "limit: 2", "limit: 1", 1), o), `"127.0.0.1:0"`, `"127.0.0.1:0"`, 1))); err != nil {
+	if err := g.Reload(parse(t, classes+strings.Replace(configWithOrigins(t, strings.Replace(rest, "limit: 2", "limit: 1", 1), o), `"127.0.0.1:0"`, `"127.0.0.1:0"`, 1))); err != nil {
 		t.Fatal(err)
 	}
 	ask(t.Context())
@@ -183,11 +183,11 @@
 	}
 }
 
-// Circuit breakers of a control plane: what is beyond them waits, and beyond that is refused.
-func TestBreakersOfTheControlPlane(t *testing.T) {
+// Requests above the circuit breakers of a control plane wait, and those above max_pending_requests are rejected.
+func TestControlPlaneCircuitBreakers(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	o := server(t)
+	s := newControlPlane(t)
+	o := newOrigin(t)
 	goOn := make(chan struct{})
 	o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 	c := cds("c")
@@ -195,12 +195,12 @@
 		t.Fatal(err)
 	}
 	push(t, s, "1", false, c, eds("c", controlplane.Endpoint{Addr: o.Addr}), rds("r", [2]string{"/", "c"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	var all sync.WaitGroup
 	var no atomic.Int64
 	for range 6 {
-		u := visit(t, g)
+		u := newUser(t, g)
 		all.Go(func() {
 			if r, err := u.do(http.MethodGet, "/x"); err == nil && r.status == 503 {
 				no.Add(1)
@@ -215,34 +215,34 @@
 	all.Wait()
 }
 
-// A control plane's routes of the priority HIGH have circuit breakers of their own, from the file and from xDS alike.
-func TestHighPriority(t *testing.T) {
+// Routes of high priority have circuit breakers of their own, from the file as well as from xDS.
+func TestHighPriorityCircuitBreakers(t *testing.T) {
 	const thresholds = `{"circuit_breakers":{"thresholds":[{"max_requests":1,"max_pending_requests":1},{"priority":"HIGH","max_requests":2,"max_pending_requests":1}]}}`
 	for _, source := range []string{"file", "xds"} {
 		t.Run(source, func(t *testing.T) {
 			testbed.Leaks(t)
-			o := server(t)
+			o := newOrigin(t)
 			goOn := make(chan struct{})
 			o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 			var g *Gateway
 			if source == "file" {
-				conf := four(t, "circuit_breakers: {max_requests: 1, max_pending_requests: 1, high: {max_requests: 2, max_pending_requests: 1}}, ", o)
+				conf := configWithOrigins(t, "circuit_breakers: {max_requests: 1, max_pending_requests: 1, high: {max_requests: 2, max_pending_requests: 1}}, ", o)
 				g = run(t, strings.Replace(conf, "routes: [", "routes: [{name: h, match: {prefix: /high}, cluster: c, priority: high}, ", 1))
 			} else {
-				s := plane(t)
+				s := newControlPlane(t)
 				c, r := cds("c"), rds("r", [2]string{"/high", "c"}, [2]string{"/", "c"})
 				if err := errors.Join(xdsPolicy(c, thresholds), xdsHigh(r)); err != nil {
 					t.Fatal(err)
 				}
 				push(t, s, "1", false, c, eds("c", controlplane.Endpoint{Addr: o.Addr}), r)
-				g = begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+				g = runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 				testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			}
 			var all sync.WaitGroup
 			for path, want := range map[string]int64{"/low": 3, "/high": 2} {
 				var no atomic.Int64
 				for range 5 {
-					u := visit(t, g)
+					u := newUser(t, g)
 					all.Go(func() {
 						if r, err := u.do(http.MethodGet, path); err == nil && r.status == 503 {
 							no.Add(1)
@@ -260,11 +260,11 @@
 	}
 }
 
-// A capture on the admin listener has what was asked while it ran, with keys that nobody can tell; there is one at a time,
-// and one whose reader leaves ends.
+// A capture contains the requests made while it runs, with hashed keys. Only one runs at a time, and it ends when its
+// reader leaves.
 func TestCapture(t *testing.T) {
 	testbed.Leaks(t)
-	o := server(t)
+	o := newOrigin(t)
 	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
 		if r.URL.Path == "/bad" {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -272,7 +272,7 @@
 		}
 		return false
 	})
-	conf := strings.Replace(four(t, "", o), "routes: [{", "routes: [{key: {header: Idempotency-Key}, ", 1)
+	conf := strings.Replace(configWithOrigins(t, "", o), "routes: [{", "routes: [{key: {header: Idempotency-Key}, ", 1)
 	g := run(t, conf+"classes: [{name: default-safe, wanted: 1s, deadline: 3s}, {name: default-unsafe, effect: unsafe, wanted: 1s, deadline: 3s}]\n")
 	admin := httptest.NewServer(g.Admin())
 	t.Cleanup(admin.Close)
@@ -292,7 +292,7 @@
 			t.Errorf("%s: %d %s", query, resp.StatusCode, text)
 		}
 	}
-	u := visit(t, g)
+	u := newUser(t, g)
 	ctx, leave := context.WithCancel(t.Context())
 	first := ask(ctx, "seconds=60")
 	if second := ask(t.Context(), "seconds=1"); second.StatusCode != http.StatusConflict {
@@ -339,11 +339,11 @@
 	}
 }
 
-// What an answer to HEAD says of its length is the server's, server-sent events come one by one, and a long answer comes
-// whole.
-func TestAnswersAsTheOriginMeansThem(t *testing.T) {
+// The Content-Length of an answer to HEAD is the origin's, server-sent events are forwarded one by one, and a long answer
+// is forwarded completely.
+func TestHeadAndStreamedResponsesAreForwardedUnchanged(t *testing.T) {
 	testbed.Leaks(t)
-	o := server(t)
+	o := newOrigin(t)
 	next := make(chan struct{})
 	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
 		switch r.URL.Path {
@@ -367,8 +367,8 @@
 		}
 		return true
 	})
-	g := run(t, four(t, "overload: {mode: fixed, limit: 1}, ", o))
-	u := visit(t, g)
+	g := run(t, configWithOrigins(t, "overload: {mode: fixed, limit: 1}, ", o))
+	u := newUser(t, g)
 	if r, err := u.do(http.MethodHead, "/head"); err != nil || r.header.Get("Content-Length") != "59" || r.body != "" {
 		t.Errorf("HEAD: %+v, %v", r, err)
 	}
@@ -394,18 +394,18 @@
 	}
 }
 
-// Rate limits by header and address: the burst passes, then 429 with what the client needs to know; other keys, routes and
-// methods of counting are not touched, and a reload that leaves a limit alone forgets nothing.
+// With rate limits by header and address the burst passes, and then there is 429 with the rate limit headers. Other keys
+// and routes are not affected, and a reload that does not change a limit retains its counts.
 func TestRateLimits(t *testing.T) {
 	testbed.Leaks(t)
-	o := server(t)
+	o := newOrigin(t)
 	conf := func(rate string) string {
-		return strings.Replace(four(t, "", o), "routes: [", "routes: [{name: free, match: {prefix: /free}, cluster: c}, {name: rest, match: {prefix: /r}, cluster: c}, ", 1) +
+		return strings.Replace(configWithOrigins(t, "", o), "routes: [", "routes: [{name: free, match: {prefix: /free}, cluster: c}, {name: rest, match: {prefix: /r}, cluster: c}, ", 1) +
 			"rate_limits:\n  - {name: tenant, routes: [rest], key: {header: X-Tenant}, rate: 0.1, burst: 3}\n" +
 			"  - {name: address, listeners: [web], routes: [rest], classes: [default-unsafe], key: {address: {ipv4: 24}}, rate: " + rate + ", burst: 2}\n"
 	}
 	g := run(t, conf("0.1"))
-	u := visit(t, g)
+	u := newUser(t, g)
 	count := func(n int, method, path string, header ...string) (ok, no int) {
 		for range n {
 			r, err := u.do(method, path, header...)
@@ -454,11 +454,11 @@
 	}
 }
 
-// Nine of ten descriptors are held by clients that owe a head, and more come: good clients are served all the while.
-func TestHalfOpenHeads(t *testing.T) {
+// While clients that do not finish their heads use nine of ten descriptors, and more come, other clients are served.
+func TestSlowHeadsDoNotStarveOtherClients(t *testing.T) {
 	testbed.Leaks(t)
-	o := server(t)
-	g := run(t, four(t, "", o)+"limits: {descriptors: 256}\n")
+	o := newOrigin(t)
+	g := run(t, configWithOrigins(t, "", o)+"limits: {descriptors: 256}\n")
 	addr := g.Addr("web").String()
 	var mu sync.Mutex
 	var open []net.Conn
@@ -490,7 +490,7 @@
 		}
 	})
 	for range 100 {
-		u := visit(t, g)
+		u := newUser(t, g)
 		if r, err := u.do(http.MethodGet, "/x"); err != nil || r.status != 200 {
 			t.Errorf("a good client: %+v, %v", r, err)
 		}
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -17,17 +17,17 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// An endpoint that is removed while a request waits for the answer of another gets neither its retry nor its copy.
-func TestRemovedWhileARetryIsDue(t *testing.T) {
+// An endpoint that is removed while a request is in flight at another one gets neither its retry nor its hedge.
+func TestRemovedEndpointGetsNoRetryOrHedge(t *testing.T) {
 	for _, how := range []string{"retry", "hedge"} {
 		t.Run(how, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := plane(t)
-			a, b := server(t), server(t)
+			s := newControlPlane(t)
+			a, b := newOrigin(t), newOrigin(t)
 			push(t, s, "0", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
-			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			u := visit(t, g)
+			u := newUser(t, g)
 			for range 60 { // so many that the class knows what is overdue
 				if r := u.get(t, "/x"); r.status != 200 {
 					t.Fatal(r.status)
@@ -93,12 +93,12 @@
 	}
 }
 
-// An endpoint is removed while a retry to it stands in its dial, which never comes up: the answer is that of the first
-// attempt, and soon. One that does come up late is tested in internal/backend.
-func TestRemovedWhileARetryConnects(t *testing.T) {
+// An endpoint is removed while a retry connects to it, which never succeeds: the answer is that of the first attempt, and
+// comes soon. A connection that succeeds late is tested in internal/backend.
+func TestEndpointRemovedWhileRetryConnects(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a := server(t)
+	s := newControlPlane(t)
+	a := newOrigin(t)
 	a.Script(func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
@@ -106,13 +106,13 @@
 	full := controlplane.Endpoint{Addr: testbed.Full(t), Zone: "a"}
 	c := cds("c")
 	push(t, s, "0", false, c, eds("c", a), rds("r", [2]string{"/", "c"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	push(t, s, "1", false, eds("c", a, full))
 	testbed.Eventually(t, "both", func() bool { return g.usable("c") == 2 })
 	result := make(chan reply, 1)
 	go func() {
-		r, err := visit(t, g).do(http.MethodGet, "/x")
+		r, err := newUser(t, g).do(http.MethodGet, "/x")
 		if err != nil {
 			r.body = err.Error()
 		}
@@ -134,28 +134,28 @@
 	}
 }
 
-// A STATIC cluster of the control plane serves, follows its updates, and refuses at once when it has nobody.
-func TestStaticClusterOfTheControlPlane(t *testing.T) {
+// A STATIC cluster of the control plane serves, follows its updates, and rejects at once when it has no endpoints.
+func TestControlPlaneStaticCluster(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := plane(t)
-			a, b := server(t), server(t)
+			s := newControlPlane(t)
+			a, b := newOrigin(t), newOrigin(t)
 			static := func(l ...any) controlplane.Resource {
 				body := &clusterv3.Cluster{Name: "c", ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_STATIC}}
 				body.LoadAssignment = eds("c", l...).Body.(*endpointv3.ClusterLoadAssignment)
 				return controlplane.Resource{Name: "c", Body: body}
 			}
 			push(t, s, "1", false, static(a), rds("r", [2]string{"/", "c"}))
-			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ", variant: "+variant))
+			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ", variant: "+variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			u := visit(t, g)
+			u := newUser(t, g)
 			if r := u.get(t, "/x"); r.status != 200 || r.header.Get("X-Origin") != a.Addr {
 				t.Errorf("%d from %q", r.status, r.header.Get("X-Origin"))
 			}
 			// What a warm server takes is looked at by and by: a list that is replaced sooner leaves the new server with next to
 			// nothing until it is warm.
-			l, began := press(t, g, 4, "/x"), time.Now()
+			l, began := startLoad(t, g, 4, "/x"), time.Now()
 			testbed.Eventually(t, "load", func() bool { return l.ok.Load() > 1000 && time.Since(began) > 1500*time.Millisecond })
 			at := push(t, s, "2", false, static(b))
 			testbed.Eventually(t, "the other one", func() bool { return b.Requests() > 100 })
@@ -170,16 +170,16 @@
 			push(t, s, "4", false, static(a, b))
 			testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
 			l.stop()
-			l.lost(t)
+			l.checkNoneLost(t)
 		})
 	}
 }
 
-// Where the guaranteed parts leave nothing over, a cluster whose core is replaced keeps its own, and one that comes in
-// the place of another gets that one's.
-func TestGuaranteedPartsStayWithTheirClusters(t *testing.T) {
+// Where the guaranteed quotas use up the limits, a cluster whose core is replaced retains its own, and a cluster that
+// replaces another one gets that one's.
+func TestGuaranteedQuotasSurviveReloads(t *testing.T) {
 	testbed.Leaks(t)
-	o := server(t)
+	o := newOrigin(t)
 	conf := func(first, wait string) string {
 		part := "limits: {guaranteed: {requests: 4, memory: 500KiB, descriptors: 100}}"
 		return strings.Replace(head, "descriptors: 512", "descriptors: 512, requests: 8, memory: 1000KiB, body: 100KiB", 1) + fmt.Sprintf(`clusters:
@@ -198,14 +198,14 @@
 		}
 		return f
 	}
-	g, err := New(load(conf("one", "100ms")), quiet())
+	g, err := New(load(conf("one", "100ms")), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
 	hold := make(chan struct{})
 	o.Script(func(http.ResponseWriter, *http.Request) bool { <-hold; return false })
-	u, results := visit(t, g), make(chan reply, 4)
+	u, results := newUser(t, g), make(chan reply, 4)
 	for range 4 { // all of the part is in use when its core is replaced
 		go func() {
 			r, _ := u.do(http.MethodGet, "/x")
@@ -229,7 +229,7 @@
 		}
 	}
 	testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
-	before := counted(g, "one")
+	before := acceptedRequests(g, "one")
 	if err := g.Reload(load(conf("three", "100ms"))); err != nil {
 		t.Fatal(err)
 	}
@@ -245,13 +245,13 @@
 	if err := g.Reload(load(conf("one", "100ms"))); err != nil {
 		t.Fatal(err)
 	}
-	testbed.Eventually(t, "the counters", func() bool { return counted(g, "one") >= before })
+	testbed.Eventually(t, "the counters", func() bool { return acceptedRequests(g, "one") >= before })
 	if g.Status(0).Limits.Requests > 8 {
 		t.Errorf("%+v", g.Status(0).Limits)
 	}
 }
 
-func counted(g *Gateway, name string) uint64 {
+func acceptedRequests(g *Gateway, name string) uint64 {
 	for _, c := range g.Status(0).Clusters {
 		if c.Name == name {
 			return c.Requests.Accepted
@@ -260,8 +260,8 @@
 	return 0
 }
 
-// What is kept of clusters that are gone has a bound.
-func TestCountersOfFormerNamesAreBounded(t *testing.T) {
+// The counters retained of removed clusters are bounded in number.
+func TestTotalsOfRemovedClustersAreBounded(t *testing.T) {
 	g := &Gateway{totals: map[string]*clusterTotals{}, clusters: map[string]*cluster{}, retired: map[*coreInstance]struct{}{}}
 	stays := &cluster{name: "stays", totals: g.totalsOf("stays")}
 	stays.totals.Accepted = 7
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -44,8 +44,8 @@
   - {name: hold, wanted: 100ms, deadline: 2s, effect: keyed, group: all, window: 4s}
 `
 
-// begin runs a gateway with head and the rest of a configuration.
-func begin(t testing.TB, rest string) *Gateway {
+// runGateway runs a gateway with the usual head and the given rest of a configuration.
+func runGateway(t testing.TB, rest string) *Gateway {
 	t.Helper()
 	g, err := New(parse(t, head+rest), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -55,7 +55,7 @@
 	return g
 }
 
-func server(t testing.TB) *origin.Origin {
+func newOrigin(t testing.TB) *origin.Origin {
 	t.Helper()
 	o, err := origin.Start("", origin.NewLedger())
 	if err != nil {
@@ -65,7 +65,7 @@
 	return o
 }
 
-func plane(t testing.TB) *controlplane.Server {
+func newControlPlane(t testing.TB) *controlplane.Server {
 	t.Helper()
 	s, err := controlplane.Start("")
 	if err != nil {
@@ -87,7 +87,7 @@
 	base string
 }
 
-func visit(t testing.TB, g *Gateway) *user {
+func newUser(t testing.TB, g *Gateway) *user {
 	t.Helper()
 	tr := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 	t.Cleanup(tr.CloseIdleConnections)
@@ -168,8 +168,8 @@
 	return -1
 }
 
-// ads is a configuration that takes everything from a control plane.
-func ads(s *controlplane.Server, rest string) string {
+// adsConfig returns a configuration that gets clusters and routes from a control plane.
+func adsConfig(s *controlplane.Server, rest string) string {
 	return fmt.Sprintf("xds: {servers: [%q], node: {id: gw}, clusters: true, route_configuration: r, backoff_base: 5ms, backoff_most: 20ms%s}\n", s.Addr, rest)
 }
 
@@ -184,10 +184,10 @@
 	requests atomic.Int64
 }
 
-func press(t testing.TB, g *Gateway, clients int, path string) *load {
+func startLoad(t testing.TB, g *Gateway, clients int, path string) *load {
 	l := &load{end: make(chan struct{})}
 	for range clients {
-		u := visit(t, g)
+		u := newUser(t, g)
 		l.all.Go(func() {
 			for {
 				select {
@@ -218,8 +218,8 @@
 	l.all.Wait()
 }
 
-// lost fails where a request had no good answer and no refusal.
-func (l *load) lost(t testing.TB) {
+// checkNoneLost fails the test if a request was neither served nor rejected.
+func (l *load) checkNoneLost(t testing.TB) {
 	t.Helper()
 	if n := l.other.Load(); n != 0 {
 		t.Errorf("%d of %d requests had neither a good answer nor a refusal: %s", n, l.requests.Load(), *l.why.Load())
@@ -228,8 +228,8 @@
 
 func TestStaticClustersAndRoutes(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := server(t), server(t)
-	g := begin(t, fmt.Sprintf(`
+	a, b := newOrigin(t), newOrigin(t)
+	g := runGateway(t, fmt.Sprintf(`
 clusters:
   - {name: a, endpoints: [{address: %q}]}
   - {name: b, endpoints: [{address: %q}]}
@@ -239,7 +239,7 @@
   - {match: {template: "/b/{x}", hosts: [b.example.org]}, cluster: b}
   - {match: {prefix: /none}, cluster: none}
 `, a.Addr, b.Addr))
-	u := visit(t, g)
+	u := newUser(t, g)
 	for _, c := range []struct {
 		path, host string
 		status     int
@@ -268,11 +268,11 @@
 	}
 }
 
-// Answers that are no failure pass as they are; a backend's own word of a failure does as well, once nobody else may be
-// asked.
-func TestAnswersPassThrough(t *testing.T) {
+// Responses that are no failures are forwarded unchanged, and so is a failure's response when no further attempt is
+// allowed.
+func TestResponsesAreForwarded(t *testing.T) {
 	testbed.Leaks(t)
-	a := server(t)
+	a := newOrigin(t)
 	a.Script(func(w http.ResponseWriter, r *http.Request) bool {
 		w.Header().Set("X-Seen", r.Header.Get("X-Sent"))
 		switch r.URL.Path {
@@ -296,8 +296,8 @@
 		}
 		return true
 	})
-	g := begin(t, fmt.Sprintf("clusters: [{name: a, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: a}]\n", a.Addr))
-	u := visit(t, g)
+	g := runGateway(t, fmt.Sprintf("clusters: [{name: a, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: a}]\n", a.Addr))
+	u := newUser(t, g)
 	if r, err := u.do(http.MethodHead, "/x"); err != nil || r.status != 200 || r.body != "" {
 		t.Errorf("HEAD: %+v %v", r, err)
 	}
@@ -322,8 +322,8 @@
 	}
 }
 
-// A keyed request is sent again after a break, one without its key is not, and neither takes effect twice.
-func TestKeyedNeedsItsKey(t *testing.T) {
+// A keyed request is retried after a broken connection, one without its key is not, and neither takes effect twice.
+func TestRetryNeedsIdempotencyKey(t *testing.T) {
 	testbed.Leaks(t)
 	ledger := origin.NewLedger()
 	var l []string
@@ -346,10 +346,10 @@
 			return true
 		})
 	}
-	g := begin(t, "clusters: [{name: a, hedge: false, endpoints: ["+strings.Join(l, ", ")+`]}]
+	g := runGateway(t, "clusters: [{name: a, hedge: false, endpoints: ["+strings.Join(l, ", ")+`]}]
 routes: [{match: {prefix: /}, cluster: a, class: hold, key: {header: Idempotency-Key}}]
 `)
-	u := visit(t, g)
+	u := newUser(t, g)
 	r, err := u.do(http.MethodPost, "/hold", "Idempotency-Key", "k1", "X-Request-Id", "1")
 	if err != nil || r.status != 200 {
 		t.Errorf("with its key: %d %v", r.status, err)
@@ -364,18 +364,18 @@
 	}
 }
 
-// Every word of the control plane is followed under load: drained, unhealthy or removed endpoints get nothing new, an
-// empty list refuses at once, the next one serves again and its servers are cold.
+// Updates of the control plane are applied under load: draining, unhealthy or removed endpoints get no new requests, with an
+// empty list requests are rejected at once, and the endpoints of the next list warm up.
 func TestEndpointsFollowTheControlPlane(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := plane(t)
-			a, b, c := server(t), server(t), server(t)
+			s := newControlPlane(t)
+			a, b, c := newOrigin(t), newOrigin(t), newOrigin(t)
 			push(t, s, "0", false, cds("c"), eds("c", a, b, c), rds("r", [2]string{"/", "c"}))
-			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ", variant: "+variant))
+			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ", variant: "+variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			l := press(t, g, 8, "/x")
+			l := startLoad(t, g, 8, "/x")
 			testbed.Eventually(t, "load on all", func() bool { return a.Requests() > 50 && b.Requests() > 50 && c.Requests() > 50 })
 			version := 0
 			out := func(what string, o *origin.Origin, r controlplane.Resource, usable int) {
@@ -403,7 +403,7 @@
 			at := push(t, s, fmt.Sprint(version), false, eds("c"))
 			testbed.Eventually(t, "the empty list", func() bool { return g.usable("c") == 0 })
 			began := time.Now()
-			if r := visit(t, g).get(t, "/x"); r.status != 503 {
+			if r := newUser(t, g).get(t, "/x"); r.status != 503 {
 				t.Errorf("%d with no endpoint", r.status)
 			}
 			if d := time.Since(began); d > time.Second { // the class has 15 s
@@ -427,21 +427,21 @@
 				}
 			}
 			l.stop()
-			l.lost(t)
+			l.checkNoneLost(t)
 		})
 	}
 }
 
-// While the control plane is away the last list goes on, and its age shows; one that comes back with an older version
-// and a smaller list is believed.
-func TestControlPlaneVanishes(t *testing.T) {
+// While the control plane is disconnected the last list stays in use, and the status shows its age. When it returns with an
+// older version and a smaller list, that is used.
+func TestControlPlaneDisconnectsAndReturns(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a, b := server(t), server(t)
+	s := newControlPlane(t)
+	a, b := newOrigin(t), newOrigin(t)
 	push(t, s, "9", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := press(t, g, 4, "/x")
+	l := startLoad(t, g, 4, "/x")
 	s.GoAway()
 	testbed.Eventually(t, "the loss to show", func() bool { src := g.Status(0).Sources[0]; return src.Connected == "" && src.Error != "" })
 	n := l.ok.Load()
@@ -458,21 +458,21 @@
 	}
 	testbed.Eventually(t, "the smaller list", func() bool { return g.usable("c") == 1 })
 	l.stop()
-	l.lost(t)
+	l.checkNoneLost(t)
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
 }
 
-// A route flips to a cluster whose endpoints come later: until then it leads where it led.
-func TestRoutesFlipOnceEndpointsAreThere(t *testing.T) {
+// A route changes to a cluster whose endpoints come later: until then it leads to the former cluster.
+func TestRoutesWaitForEndpoints(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a, b := server(t), server(t)
+	s := newControlPlane(t)
+	a, b := newOrigin(t), newOrigin(t)
 	push(t, s, "1", false, cds("old"), eds("old", a), rds("r", [2]string{"/", "old"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := press(t, g, 4, "/x")
+	l := startLoad(t, g, 4, "/x")
 	push(t, s, "2", false, cds("new"), rds("r", [2]string{"/", "new"}))
 	testbed.Eventually(t, "the flip to wait", func() bool { return g.Status(0).Routes.Pending })
 	n := a.Requests()
@@ -486,22 +486,22 @@
 		t.Errorf("%d requests to the old one after the flip", a.Requests()-n)
 	}
 	l.stop()
-	l.lost(t)
+	l.checkNoneLost(t)
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
 }
 
-// A cluster is renamed under load, in the order in which a control plane tells it: the new name replaces the old one
-// before the routes do.
-func TestClusterIsRenamed(t *testing.T) {
+// A cluster is renamed under load in the order of a control plane: the new name replaces the former one before the routes
+// change.
+func TestClusterRenamedUnderLoad(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a := server(t)
+	s := newControlPlane(t)
+	a := newOrigin(t)
 	push(t, s, "1", false, cds("n0"), eds("n0", a), rds("r", [2]string{"/", "n0"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := press(t, g, 4, "/x")
+	l := startLoad(t, g, 4, "/x")
 	for i := 1; i <= 10; i++ {
 		name := fmt.Sprint("n", i)
 		push(t, s, fmt.Sprint("v", i), true, eds(name, a), cds(name))
@@ -511,22 +511,22 @@
 		testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+50 })
 	}
 	l.stop()
-	l.lost(t)
+	l.checkNoneLost(t)
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
 	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.retired) == 0 })
 }
 
-// A cluster that is withdrawn while a route leads to it is refused soon, and served again when it is back.
-func TestClusterIsWithdrawn(t *testing.T) {
+// Requests to a withdrawn cluster are soon rejected, and served again when the cluster is back.
+func TestClusterWithdrawnAndRestored(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a, b := server(t), server(t)
+	s := newControlPlane(t)
+	a, b := newOrigin(t), newOrigin(t)
 	push(t, s, "1", false, cds("c"), cds("d"), eds("c", a), eds("d", b), rds("r", [2]string{"/c", "c"}, [2]string{"/d", "d"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	u := visit(t, g)
+	u := newUser(t, g)
 	if r := u.get(t, "/c"); r.status != 200 {
 		t.Fatal(r.status)
 	}
@@ -548,20 +548,20 @@
 	testbed.Eventually(t, "service", func() bool { return u.get(t, "/c").status == 200 })
 }
 
-// A listener names the routes, then other ones, and is withdrawn: requests follow.
+// Requests follow a listener that names routes, then other ones, and is withdrawn.
 func TestListenerNamesTheRoutes(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := plane(t)
-			a, b := server(t), server(t)
+			s := newControlPlane(t)
+			a, b := newOrigin(t), newOrigin(t)
 			lds := func(routes string) controlplane.Resource {
 				return controlplane.Resource{Name: "l", Body: controlplane.Listener("l", routes)}
 			}
 			push(t, s, "1", false, cds("ca"), cds("cb"), eds("ca", a), eds("cb", b), rds("ra", [2]string{"/", "ca"}), rds("rb", [2]string{"/", "cb"}), lds("ra"))
-			g := begin(t, fmt.Sprintf("clusters: []\nroutes: []\nxds: {servers: [%q], node: {id: gw}, clusters: true, listener: l, variant: %s}\n", s.Addr, variant))
+			g := runGateway(t, fmt.Sprintf("clusters: []\nroutes: []\nxds: {servers: [%q], node: {id: gw}, clusters: true, listener: l, variant: %s}\n", s.Addr, variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			u := visit(t, g)
+			u := newUser(t, g)
 			if r := u.get(t, "/x"); r.header.Get("X-Origin") != a.Addr {
 				t.Errorf("%+v", r)
 			}
@@ -576,15 +576,15 @@
 	}
 }
 
-// Cluster names, zones and endpoints that are ever new leave nothing behind: not in the gateway, its sources or its cores.
-func TestNamesThatAreEverNew(t *testing.T) {
+// Ever new cluster names, zones and endpoints leave nothing behind in the gateway, its sources and its cores.
+func TestChangingNamesLeaveNothingBehind(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := plane(t)
-			a := server(t)
+			s := newControlPlane(t)
+			a := newOrigin(t)
 			push(t, s, "0", false, cds("fixed"), eds("fixed", a), rds("r", [2]string{"/", "fixed"}))
-			g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ", variant: "+variant))
+			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ", variant: "+variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			const rounds = 300
 			for i := range rounds {
@@ -602,26 +602,26 @@
 			if n := g.Status(0).Limits.Requests; n != 2*(4096/4/2) {
 				t.Errorf("%d requests are kept for two clusters", n)
 			}
-			if r := visit(t, g).get(t, "/x"); r.status != 200 {
+			if r := newUser(t, g).get(t, "/x"); r.status != 200 {
 				t.Errorf("%d", r.status)
 			}
 		})
 	}
 }
 
-// drop_overloads refuses its part, endpoint_stale_after ends a list that nobody renews.
-func TestDropAndStale(t *testing.T) {
+// drop_overloads rejects its fraction of requests, and endpoint_stale_after ends a list that is not renewed.
+func TestDropOverloadsAndStaleAssignment(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a := server(t)
+	s := newControlPlane(t)
+	a := newOrigin(t)
 	as := eds("c", a)
 	if err := xdsPolicy(as, `{"policy":{"drop_overloads":[{"category":"x","drop_percentage":{"numerator":50}}]}}`); err != nil {
 		t.Fatal(err)
 	}
 	push(t, s, "1", false, cds("c"), as, rds("r", [2]string{"/", "c"}))
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	u := visit(t, g)
+	u := newUser(t, g)
 	dropped := 0
 	for range 200 {
 		if u.get(t, "/x").status == 503 {
@@ -645,21 +645,21 @@
 	testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
 }
 
-// A new configuration is taken over under load, while the control plane pushes: requests end where they are. A bad one
-// changes nothing and shows.
+// A configuration is reloaded under load while the control plane sends updates: requests in flight end where they are. An
+// invalid one changes nothing, and the status shows it.
 func TestReloadUnderLoad(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a, b := server(t), server(t)
+	s := newControlPlane(t)
+	a, b := newOrigin(t), newOrigin(t)
 	push(t, s, "0", false, eds("c", a))
 	conf := func(i int) string {
 		return fmt.Sprintf("xds: {servers: [%q], node: {id: gw}, backoff_base: 5ms, backoff_most: 20ms}\n"+
 			"clusters: [{name: c%d, xds: {service: c}, attempts: %d}, {name: s, endpoints: [{address: %q}]}]\n"+
 			"routes: [{match: {prefix: /}, clusters: [{name: c%d}, {name: s, weight: %d}]}]\n", s.Addr, i, i%3+1, b.Addr, i, i%5+1)
 	}
-	g := begin(t, conf(0))
+	g := runGateway(t, conf(0))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := press(t, g, 4, "/x")
+	l := startLoad(t, g, 4, "/x")
 	pushed := make(chan struct{})
 	go func() {
 		defer close(pushed)
@@ -692,7 +692,7 @@
 	n := l.ok.Load()
 	testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+20 })
 	l.stop()
-	l.lost(t)
+	l.checkNoneLost(t)
 	if l.no.Load() != 0 {
 		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
 	}
@@ -705,14 +705,14 @@
 	}
 }
 
-// Listeners come and go with the configuration; one that stays is not touched.
+// A reload opens and closes listeners; an unchanged one stays open.
 func TestListenersAreReplaced(t *testing.T) {
 	testbed.Leaks(t)
-	a := server(t)
+	a := newOrigin(t)
 	rest := fmt.Sprintf("clusters: [{name: a, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: a}]\n", a.Addr)
-	g := begin(t, rest)
+	g := runGateway(t, rest)
 	web := g.Addr("web").String()
-	u := visit(t, g)
+	u := newUser(t, g)
 	two := strings.Replace(head, "listeners: [", `listeners: [{name: second, address: "127.0.0.2:0"}, `, 1)
 	if err := g.Reload(parse(t, two+rest)); err != nil {
 		t.Fatal(err)
@@ -737,10 +737,10 @@
 	}
 }
 
-// One sick cluster holds all it can get, and another has its own part all the same.
-func TestSickClusterStarvesNobody(t *testing.T) {
+// A failing cluster uses all it can get of the limits, and another one still has its guaranteed quota.
+func TestFailingClusterDoesNotStarveOthers(t *testing.T) {
 	testbed.Leaks(t)
-	sick, well := server(t), server(t)
+	sick, well := newOrigin(t), newOrigin(t)
 	goOn := make(chan struct{})
 	sick.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 	conf := strings.Replace(head, "limits: {descriptors: 512, drain: 5s}", `limits: {descriptors: 512, requests: 30, per_cluster: {guaranteed: {requests: 5, descriptors: 8, memory: 1MiB}}}`, 1) +
@@ -754,7 +754,7 @@
 	var all sync.WaitGroup
 	var refused atomic.Int64
 	for range 60 {
-		u := visit(t, g)
+		u := newUser(t, g)
 		all.Go(func() {
 			if r, err := u.do(http.MethodGet, "/sick"); err == nil && r.status == 503 {
 				refused.Add(1)
@@ -765,7 +765,7 @@
 	if n := g.Status(0).Clusters[0].InFlight; n > 25 {
 		t.Errorf("%d requests in hand of 30, 5 of which are another's", n)
 	}
-	u := visit(t, g)
+	u := newUser(t, g)
 	for range 50 {
 		if r := u.get(t, "/well"); r.status != 200 {
 			t.Fatalf("the other cluster: %d", r.status)
@@ -775,22 +775,22 @@
 	all.Wait()
 }
 
-// SIGTERM while a push and a reload are under way: what is taken is answered.
-func TestStopInTheMiddle(t *testing.T) {
+// Requests accepted before a stop are answered while updates and reloads go on.
+func TestStopDuringUpdateAndReload(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a, b := server(t), server(t)
+	s := newControlPlane(t)
+	a, b := newOrigin(t), newOrigin(t)
 	a.Delay(30 * time.Millisecond)
 	b.Delay(30 * time.Millisecond)
 	push(t, s, "1", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
-	rest := "clusters: []\nroutes: []\n" + ads(s, "")
-	g := begin(t, rest)
+	rest := "clusters: []\nroutes: []\n" + adsConfig(s, "")
+	g := runGateway(t, rest)
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	var all sync.WaitGroup
 	var lost atomic.Int64
 	stopped := make(chan struct{})
 	for range 6 {
-		u := visit(t, g)
+		u := newUser(t, g)
 		all.Go(func() {
 			for {
 				r, err := u.do(http.MethodGet, "/x")
@@ -849,9 +849,9 @@
 
 func TestAdmin(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a := server(t)
-	g := begin(t, "clusters: []\nroutes: []\n"+ads(s, ""))
+	s := newControlPlane(t)
+	a := newOrigin(t)
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
 	u := &user{&http.Client{Transport: tr, Timeout: testbed.Patience}, "http://" + g.AdminAddr().String()}
@@ -863,7 +863,7 @@
 	}
 	push(t, s, "1", false, cds("c"), eds("c", a, controlplane.Endpoint{Addr: "127.0.0.1:9", Zone: "b", Health: corev3.HealthStatus_DRAINING}), rds("r", [2]string{"/", "c"}))
 	testbed.Eventually(t, "the gateway to be ready", func() bool { return u.get(t, "/health/ready").status == 200 })
-	visit(t, g).get(t, "/x")
+	newUser(t, g).get(t, "/x")
 	var st Status
 	if err := json.Unmarshal([]byte(u.get(t, "/status").body), &st); err != nil {
 		t.Fatal(err)
@@ -892,10 +892,10 @@
 	}
 }
 
-// A file of resources feeds clusters and routes like a control plane; one that cannot be used at the start is an error.
-func TestFileOfResources(t *testing.T) {
+// A file of resources provides clusters and routes like a control plane; an invalid one at the start is an error.
+func TestResourceFileSource(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := server(t), server(t)
+	a, b := newOrigin(t), newOrigin(t)
 	dir := t.TempDir()
 	write := func(l ...*origin.Origin) {
 		text := "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  cluster_name: c\n  endpoints:\n  - lb_endpoints:\n"
@@ -925,8 +925,8 @@
 	if err := CheckFiles(parse(t, head+rest)); err != nil {
 		t.Error(err)
 	}
-	g := begin(t, rest)
-	u := visit(t, g)
+	g := runGateway(t, rest)
+	u := newUser(t, g)
 	if r := u.get(t, "/x"); r.header.Get("X-Origin") != a.Addr {
 		t.Errorf("%+v", r)
 	}
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -14,7 +14,7 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// xdsPolicy adds to a resource what text says.
+// xdsPolicy merges text, in protobuf JSON, into a resource.
 func xdsPolicy(r controlplane.Resource, text string) error {
 	m := r.Body.ProtoReflect().New().Interface()
 	if err := protojson.Unmarshal([]byte(text), m); err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// xdsHigh gives the first route of a RouteConfiguration the priority HIGH.
+// xdsHigh sets the priority HIGH on the first route of a RouteConfiguration.
 func xdsHigh(r controlplane.Resource) error {
 	m, ok := r.Body.(*routev3.RouteConfiguration)
 	if !ok {
@@ -36,4 +36,4 @@
 
 func asOpError(err error, to **net.OpError) bool { return errors.As(err, to) }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
--- a/internal/gateway/locality_test.go
+++ b/internal/gateway/locality_test.go
@@ -62,8 +62,8 @@
 	return ZoneStatus{State: "not known"}
 }
 
-// A zone that dies is left, found again and led back by steps, whatever tells of its endpoints.
-func TestZoneDiesAndReturns(t *testing.T) {
+// A zone that fails gets no requests, is probed and recovers in steps, whatever the source of its endpoints.
+func TestZoneFailsAndRecovers(t *testing.T) {
 	for _, source := range []string{"static", "file", "xds", "xds by priority"} {
 		t.Run(source, func(t *testing.T) {
 			testbed.Leaks(t)
@@ -98,7 +98,7 @@
 				}
 				rest = fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters: [{name: c, file: {path: %q}}]\n", path)
 			default:
-				s := plane(t)
+				s := newControlPlane(t)
 				var l []any
 				for i, o := range all {
 					e := controlplane.Endpoint{Addr: o.Addr, Zone: zones[i]}
@@ -108,7 +108,7 @@
 					l = append(l, e)
 				}
 				push(t, s, "1", false, cds("c"), eds("c", l...), rds("r", [2]string{"/", "c"}))
-				rest = "clusters: []\nroutes: []\n" + ads(s, "")
+				rest = "clusters: []\nroutes: []\n" + adsConfig(s, "")
 			}
 			var log lines
 			g, err := New(parse(t, head+quick+rest), slog.New(slog.NewTextHandler(&log, nil)))
@@ -122,7 +122,7 @@
 				}
 			})
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			l := press(t, g, 6, "/x")
+			l := startLoad(t, g, 6, "/x")
 			// Where a machine gives it no time for long, a zone that is well looks like one that says nothing and is left until its
 			// way back is done. So what counts is a stretch of load that stays at home, which must come.
 			home, away := 0, 0
@@ -145,7 +145,7 @@
 			}
 			testbed.Eventually(t, "the zone to be up", func() bool { return g.zone(t, "a").State == "up" })
 			l.stop()
-			l.lost(t)
+			l.checkNoneLost(t)
 			z := g.zone(t, "a")
 			if z.Probes < 2 || z.Transitions < 4 || z.Tier != 0 || g.zone(t, "b").Crossed == 0 || g.zone(t, "b").Tier != 1 {
 				t.Errorf("%+v, %+v", z, g.zone(t, "b"))
@@ -172,21 +172,21 @@
 	}
 }
 
-// All zones dark: refused at once, with a time to come back; and what the tiers knew outlasts a reload.
-func TestAllZonesDarkAndAReload(t *testing.T) {
+// With all zones dark requests are rejected at once with Retry-After, and the zones' states survive a reload.
+func TestAllZonesDarkIsRejectedAndSurvivesReload(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := server(t), server(t)
+	a, b := newOrigin(t), newOrigin(t)
 	rest := fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr)
 	slow := strings.Replace(quick, "hold: 100ms, most_hold: 400ms", "hold: 1m, most_hold: 2m", 1)
-	g := begin(t, slow+rest)
-	l := press(t, g, 4, "/x")
+	g := runGateway(t, slow+rest)
+	l := startLoad(t, g, 4, "/x")
 	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
 	a.Kill()
 	b.Kill()
 	testbed.Eventually(t, "both to be dark", func() bool { return g.zone(t, "a").State == "dark" && g.zone(t, "b").State == "dark" })
 	l.stop()
 	began := time.Now()
-	r := visit(t, g).get(t, "/x")
+	r := newUser(t, g).get(t, "/x")
 	if took := time.Since(began); r.status != 503 || r.header.Get("Retry-After") == "" || took > time.Second {
 		t.Errorf("%d, Retry-After %q after %v", r.status, r.header.Get("Retry-After"), took)
 	}
@@ -205,11 +205,11 @@
 	}
 }
 
-// policy.overprovisioning_factor of an assignment counts in place of the configuration's.
-func TestOverprovisioningFactorOfTheControlPlane(t *testing.T) {
+// The policy.overprovisioning_factor of an assignment replaces the configuration's.
+func TestControlPlaneOverprovisioningFactor(t *testing.T) {
 	testbed.Leaks(t)
-	s := plane(t)
-	a, b, c := server(t), server(t), server(t)
+	s := newControlPlane(t)
+	a, b, c := newOrigin(t), newOrigin(t), newOrigin(t)
 	list := func(policy string) controlplane.Resource {
 		r := eds("c", controlplane.Endpoint{Addr: a.Addr, Zone: "a"}, controlplane.Endpoint{Addr: b.Addr, Zone: "a", Health: 2}, // unhealthy
 			controlplane.Endpoint{Addr: c.Addr, Zone: "b", Priority: 1})
@@ -219,9 +219,9 @@
 		return r
 	}
 	push(t, s, "1", false, cds("c"), list(`{}`), rds("r", [2]string{"/", "c"}))
-	g := begin(t, quick+"clusters: []\nroutes: []\n"+ads(s, ""))
+	g := runGateway(t, quick+"clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	u := visit(t, g)
+	u := newUser(t, g)
 	share := func(want float64) func() bool {
 		return func() bool {
 			u.get(t, "/x")
@@ -240,8 +240,8 @@
 	testbed.Eventually(t, "the configuration's again", share(0.7))
 }
 
-// A keyed request that may have run does not leave its zone, though that is dark and the other idle.
-func TestKeyedDoesNotCross(t *testing.T) {
+// A keyed request that may have run is not sent to another zone, although its own is dark and the other one idle.
+func TestKeyedRequestDoesNotCrossZones(t *testing.T) {
 	testbed.Leaks(t)
 	one, two := origin.NewLedger(), origin.NewLedger()
 	var all []*origin.Origin
@@ -257,12 +257,12 @@
 	for i, o := range all {
 		text += fmt.Sprintf("      - {address: %q, zone: %c}\n", o.Addr, "aabb"[i])
 	}
-	g, err := New(parse(t, text), quiet())
+	g, err := New(parse(t, text), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
-	u := visit(t, g)
+	u := newUser(t, g)
 	for _, o := range all[:2] { // it takes the effect, and breaks before its answer
 		o.Script(func(w http.ResponseWriter, _ *http.Request) bool {
 			c, _, err := http.NewResponseController(w).Hijack()
@@ -288,13 +288,13 @@
 	}
 }
 
-// A gateway that stops while a zone is dark loses nothing.
-func TestStopWhileAZoneIsDark(t *testing.T) {
+// A gateway that stops while a zone is dark loses no request.
+func TestStopWhileZoneIsDark(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := server(t), server(t)
+	a, b := newOrigin(t), newOrigin(t)
 	b.Delay(20 * time.Millisecond)
-	g := begin(t, quick+fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr))
-	l := press(t, g, 4, "/x")
+	g := runGateway(t, quick+fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr))
+	l := startLoad(t, g, 4, "/x")
 	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
 	a.Kill()
 	testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
@@ -302,11 +302,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
 	defer cancel()
 	g.Stop(ctx)
-	l.lost(t)
+	l.checkNoneLost(t)
 }
 
-// Each way to go dark over loopback: the zone is left, the other one serves, no effect is taken twice, and none is lost.
-func TestWaysToGoDark(t *testing.T) {
+// However a zone fails, the other one serves, no effect happens twice, and no request is lost.
+func TestZoneFailureModes(t *testing.T) {
 	ways := map[string]func(w http.ResponseWriter, r *http.Request) bool{
 		"accepts and says nothing": func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true },
 		"answers 503": func(w http.ResponseWriter, _ *http.Request) bool {
@@ -364,12 +364,12 @@
 				}
 				text += fmt.Sprintf("      - {address: %q, zone: %c}\n", at, "aabb"[i])
 			}
-			g, err := New(parse(t, text), quiet())
+			g, err := New(parse(t, text), discardLogger())
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(g.Close)
-			l := press(t, g, 6, "/x")
+			l := startLoad(t, g, 6, "/x")
 			testbed.Eventually(t, "load at home", func() bool { return all[0].Requests() > 200 && all[1].Requests() > 200 })
 			for i, o := range all[:2] {
 				if way == nil {
@@ -378,7 +378,7 @@
 				}
 				o.Script(way)
 			}
-			u := visit(t, g)
+			u := newUser(t, g)
 			var keys atomic.Int64
 			var posts sync.WaitGroup
 			for range 4 { // holds, while it goes dark
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -15,15 +15,15 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// table of what a client told its sink.
-type told struct {
+// recordingSink records the changes of a source.
+type recordingSink struct {
 	mu  sync.Mutex
 	all map[string]Resource
 	n   int
-	at  map[string][]string // versions by name, in the order told
+	at  map[string][]string // versions by name, in the order of the changes
 }
 
-func (s *told) Changed(l []Change) {
+func (s *recordingSink) Changed(l []Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range l {
@@ -33,7 +33,7 @@
 	}
 }
 
-func (s *told) get(name string) Resource {
+func (s *recordingSink) get(name string) Resource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all[name]
@@ -49,7 +49,7 @@
 	return s
 }
 
-func run(t *testing.T, shape func(*ClientOptions), servers ...string) (*Client, *told) {
+func run(t *testing.T, shape func(*ClientOptions), servers ...string) (*Client, *recordingSink) {
 	t.Helper()
 	began := time.Now()
 	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.Patience, BackoffBase: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond,
@@ -58,7 +58,7 @@
 	if shape != nil {
 		shape(&opt)
 	}
-	s := &told{all: map[string]Resource{}, at: map[string][]string{}}
+	s := &recordingSink{all: map[string]Resource{}, at: map[string][]string{}}
 	c := NewClient(opt, s)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -109,9 +109,9 @@
 	}
 }
 
-// The control plane goes away and comes back, with an older version and a smaller list, with the same version and other
-// contents, and says an old thing under a new nonce; what it says last holds, and while it is away what it said before.
-func TestControlPlaneGoesAndReturns(t *testing.T) {
+// The control plane disconnects and returns: with an older version and a smaller list, with the same version and other
+// contents, and with a former response under a new nonce. The last response is used, also while it is disconnected.
+func TestControlPlaneRestarts(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
 		s := serve(t)
@@ -153,8 +153,8 @@
 	})
 }
 
-// Control planes are asked in their order, and the first one again after a stream has ended.
-func TestSeveralControlPlanes(t *testing.T) {
+// Control planes are tried in order, beginning with the first one again after a stream has ended.
+func TestServersAreTriedInOrder(t *testing.T) {
 	testbed.Leaks(t)
 	first, second := serve(t), serve(t)
 	push(t, first, "1", cds("a"))
@@ -170,8 +170,8 @@
 	testbed.Eventually(t, "the second one's to be withdrawn", func() bool { return got.get("cluster b").State == Absent })
 }
 
-// A message over the limit ends the stream, not the gateway, and what was in use stays.
-func TestMessageOverTheLimit(t *testing.T) {
+// A message above the limit ends the stream only, and the resources stay in use.
+func TestOversizedMessageEndsStream(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
 		s := serve(t)
@@ -192,9 +192,8 @@
 	})
 }
 
-// Ten thousand endpoints at once, and updates as fast as they can be sent: the last one holds, nothing older is told
-// after newer.
-func TestManyEndpointsAndManyUpdates(t *testing.T) {
+// With ten thousand endpoints and updates as fast as they can be sent, the last one is used, and changes are in order.
+func TestManyEndpointsWithRapidUpdates(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
 		s := serve(t)
@@ -225,8 +224,8 @@
 	})
 }
 
-// One that stalls holds nothing up: what was told stays, what is wished meanwhile is asked for afterwards.
-func TestStall(t *testing.T) {
+// While a control plane stalls its resources stay in use, and subscriptions made meanwhile are sent afterwards.
+func TestStalledControlPlane(t *testing.T) {
 	testbed.Leaks(t)
 	s := serve(t)
 	push(t, s, "1", eps("a", "127.0.0.1:1"), eps("b", "127.0.0.1:2"))
@@ -241,9 +240,8 @@
 	testbed.Eventually(t, "the first one to go", func() bool { return got.get("endpoints a").State == Absent })
 }
 
-// While nobody is reached, time goes on: what nothing is said of is known not to exist after its time, so that requests
-// need not wait for it.
-func TestNobodyThere(t *testing.T) {
+// Resources time out also while no control plane is connected, so that requests need not wait for them.
+func TestFetchTimeoutWithoutControlPlane(t *testing.T) {
 	testbed.Leaks(t)
 	c, got := run(t, func(o *ClientOptions) {
 		o.Services, o.FetchTimeout = []string{"a"}, 20*time.Millisecond
@@ -257,8 +255,8 @@
 	}
 }
 
-// What is refused shows at the control plane with its reason, and the summaries count it.
-func TestRefusalIsTold(t *testing.T) {
+// The control plane gets the reason of a rejected response, and the summaries count it.
+func TestNACKCarriesReason(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
 		s := serve(t)
@@ -281,15 +279,15 @@
 	})
 }
 
-// A client that is ended while it connects ends at once, whatever it was about to send.
-func TestEndsWhileItConnects(t *testing.T) {
+// A client whose context ends while it connects returns at once.
+func TestRunEndsWhileConnecting(t *testing.T) {
 	testbed.Leaks(t)
 	s := serve(t)
 	push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
 	for i := range 50 {
 		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.Patience, BackoffBase: time.Millisecond, MaxBackoff: time.Millisecond,
 			Keepalive: time.Minute, MaxMessageBytes: 1 << 20, Now: func() time.Duration { return 1 }, Log: slog.New(slog.DiscardHandler), Options: Options{Clusters: true}}
-		c := NewClient(opt, &told{all: map[string]Resource{}, at: map[string][]string{}})
+		c := NewClient(opt, &recordingSink{all: map[string]Resource{}, at: map[string][]string{}})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
--- a/internal/xds/fields_test.go
+++ b/internal/xds/fields_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-var writePage = flag.Bool("write-page", false, "write docs/operate/xds-fields.md anew")
+var writePage = flag.Bool("write-page", false, "rewrite docs/operate/xds-fields.md")
 
-// The page of fields says what the tables say.
-func TestFieldsPage(t *testing.T) {
+// The page of fields agrees with the tables.
+func TestFieldsPageMatchesTables(t *testing.T) {
 	const path = "../../docs/operate/xds-fields.md"
 	var b strings.Builder
-	b.WriteString("# Which xDS fields count\n\nMade from the tables in `internal/xds` by `go test ./internal/xds -run TestFieldsPage -write-page`. A field that is set and stands\n" +
+	b.WriteString("# Which xDS fields count\n\nMade from the tables in `internal/xds` by `go test ./internal/xds -run TestFieldsPageMatchesTables -write-page`. A field that is set and stands\n" +
 		"in neither column has its resource refused, by the field's name. What is ignored shows as a warning in `/status`.\n\n" +
 		"| message | honoured | ignored with a warning |\n| --- | --- | --- |\n")
 	for _, m := range []struct {
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// replace moves a new file over the old one.
+// replace moves a new file over the former one.
 func replace(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -32,15 +32,15 @@
 	}
 }
 
-func source(path string, opt Options) (*FileSource, *told) {
-	s := &told{all: map[string]Resource{}, at: map[string][]string{}}
+func source(path string, opt Options) (*FileSource, *recordingSink) {
+	s := &recordingSink{all: map[string]Resource{}, at: map[string][]string{}}
 	began := time.Now()
 	return NewFileSource(path, opt, func() time.Duration { return time.Since(began) + 1 }, slog.New(slog.DiscardHandler), s), s
 }
 
-// A file is replaced, and spoilt, and put right, and emptied: what can be read is used within a second, what cannot
-// changes nothing and shows.
-func TestFileIsFollowed(t *testing.T) {
+// A file is replaced, made invalid, corrected and emptied: a valid one is used within a second, and an invalid one changes
+// nothing and is reported.
+func TestFileChangesAreApplied(t *testing.T) {
 	testbed.Leaks(t)
 	path := filepath.Join(t.TempDir(), "r.yaml")
 	replace(t, path, fileOf(1, 2))
@@ -98,8 +98,8 @@
 	}
 }
 
-// A file may hold clusters and routes as well; JSON is read like YAML; what nobody names is passed over.
-func TestFileOfEverything(t *testing.T) {
+// A file may contain clusters and routes as well, in JSON or YAML; resources without a subscription are ignored.
+func TestFileWithAllResourceTypes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	replace(t, path, `{"version_info":"7","resources":[
 		{"@type":"type.googleapis.com/envoy.config.route.v3.RouteConfiguration","name":"r","virtual_hosts":[{"domains":["*"],"routes":[{"match":{"prefix":"/"},"route":{"cluster":"a"}}]}]},
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -43,9 +43,8 @@
 	return strings.Join(l, " ")
 }
 
-// The conversation of the protocol's description, line by line: who asks, what is acknowledged, what is refused and with
-// which version.
-func TestConversation(t *testing.T) {
+// The requests of the state-of-the-world variant follow the protocol's description: node, ACKs, NACKs and their versions.
+func TestStateOfTheWorldProtocol(t *testing.T) {
 	m := NewMachine(Options{Clusters: true, Node: Node("gw", "c", "z")})
 	out, _ := m.StartStream(sec)
 	if len(out) != 1 || out[0].SotW.GetTypeUrl() != string(ClusterType) || out[0].SotW.GetNode().GetId() != "gw" || out[0].SotW.GetVersionInfo() != "" {
@@ -121,7 +120,7 @@
 	}
 }
 
-func TestIncremental(t *testing.T) {
+func TestIncrementalProtocol(t *testing.T) {
 	m := NewMachine(Options{Clusters: true, Delta: true, Services: []string{"fixed"}, Node: Node("gw", "c", "z")})
 	out, _ := m.StartStream(sec)
 	if len(out) != 2 || out[0].Delta.GetResourceNamesSubscribe() != nil || !slices.Equal(out[1].Delta.GetResourceNamesSubscribe(), []string{"fixed"}) {
@@ -163,8 +162,8 @@
 	}
 }
 
-// What nothing is said of for too long does not exist; what has a time to live ends with it, unless a heartbeat comes.
-func TestTimes(t *testing.T) {
+// A resource without a response times out, and one with a time to live expires unless a heartbeat renews it.
+func TestFetchTimeoutAndTimeToLive(t *testing.T) {
 	m := NewMachine(Options{Services: []string{"a", "b"}, FetchTimeout: 15 * sec})
 	m.StartStream(sec)
 	wrap := func(name string, body proto.Message, ttl time.Duration) *anypb.Any {
@@ -206,8 +205,8 @@
 	}
 }
 
-// 1 of 500 resources is malformed: the other 499 are used.
-func TestOneOfManyIsMalformed(t *testing.T) {
+// If 1 of 500 resources is malformed, the other 499 are used.
+func TestValidResourcesOfRejectedResponseAreUsed(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		m := NewMachine(Options{Clusters: true, Delta: delta})
 		m.StartStream(sec)
@@ -367,9 +366,9 @@
 	}
 }
 
-// Any legal interleaving of pushes, withdrawals, refusals, disconnects and replays ends in the state that the last
-// accepted versions say, state of the world and incremental alike.
-func TestAnyInterleavingEndsInTheLastAcceptedState(t *testing.T) {
+// Any legal interleaving of responses, removals, rejections, disconnects and replays ends in the state of the last accepted
+// versions, in both variants of the protocol.
+func TestAnyInterleavingEndsInLastAcceptedState(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		t.Run(fmt.Sprint("delta=", delta), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
@@ -491,7 +490,7 @@
 	}
 }
 
-// content is the version that a resource's contents say.
+// content returns the version that is encoded in the contents of a resource.
 func content(r Resource) string {
 	switch v := r.Value.(type) {
 	case *Assignment:
@@ -503,7 +502,7 @@
 	return ""
 }
 
-// Whatever bytes a response holds, the machine answers it once, and stays usable.
+// Whatever a response contains, the machine answers it once and stays usable.
 func FuzzResponses(f *testing.F) {
 	r := &discoveryv3.DiscoveryResponse{VersionInfo: "1", Nonce: "n", TypeUrl: string(ClusterType)}
 	b, err := anypb.New(controlplane.Cluster("a", "b"))
@@ -544,8 +543,8 @@
 	})
 }
 
-// An hour of names that are ever new leaves nothing behind.
-func TestNamesThatAreEverNew(t *testing.T) {
+// An hour of ever new names leaves nothing behind.
+func TestChangingNamesLeaveNothingBehind(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		m := NewMachine(Options{Clusters: true, Delta: delta})
 		m.StartStream(sec)
@@ -572,8 +571,8 @@
 	}
 }
 
-// Names that go round in a circle are names and nothing more.
-func TestCycleOfNames(t *testing.T) {
+// Clusters whose services form a cycle are subscribed to like others.
+func TestCyclicClusterReferences(t *testing.T) {
 	m := NewMachine(Options{Clusters: true, RouteConfigName: "a"})
 	m.StartStream(sec)
 	r := &discoveryv3.DiscoveryResponse{TypeUrl: string(ClusterType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -28,7 +28,7 @@
 
 const ads = `"eds_cluster_config":{"eds_config":{"ads":{}}}`
 
-func TestClusters(t *testing.T) {
+func TestParseCluster(t *testing.T) {
 	for name, c := range map[string]struct{ text, err, warn string }{
 		"eds":              {`{"name":"a","type":"EDS",` + ads + `}`, "", "lb_policy ROUND_ROBIN"},
 		"least":            {`{"name":"a","type":"EDS","lb_policy":"LEAST_REQUEST",` + ads + `}`, "", ""},
@@ -80,7 +80,7 @@
 	return fmt.Sprintf(`{"endpoint":{"address":{"socket_address":{"address":"127.0.0.1","port_value":%d}}}%s}`, port, rest)
 }
 
-func TestAssignments(t *testing.T) {
+func TestParseAssignment(t *testing.T) {
 	list := func(l ...string) string {
 		return `{"cluster_name":"a","endpoints":[{"locality":{"zone":"z"},"lb_endpoints":[` + strings.Join(l, ",") + `]}]}`
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestRouteConfigurations(t *testing.T) {
+func TestParseRoutes(t *testing.T) {
 	conf := func(routes string) string {
 		return `{"name":"r","virtual_hosts":[{"name":"h","domains":["*"],"routes":[` + routes + `]}]}`
 	}
@@ -195,7 +195,7 @@
 	}
 }
 
-func TestListeners(t *testing.T) {
+func TestParseListener(t *testing.T) {
 	hcm := func(rest string) string {
 		return `{"name":"l","filter_chains":[{"filters":[{"name":"h","typed_config":{"@type":"` + hcmURL + `",` + rest + `}}]}]}`
 	}
@@ -229,7 +229,7 @@
 	}
 }
 
-// No bytes, taken as any of the messages, upset the parsers; and what is accepted can be used.
+// The parsers accept any bytes without panicking, and what they accept can be used.
 func FuzzResources(f *testing.F) {
 	for _, m := range []proto.Message{
 		read(f, &clusterv3.Cluster{}, `{"name":"a","type":"EDS",`+ads+`}`),
