--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -1,14 +1,12 @@
 package gateway
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strconv"
 	"strings"
 	"sync"
@@ -16,34 +14,10 @@
 	"testing"
 	"time"
 
-	"robindrum/internal/capture"
 	"robindrum/internal/testbed"
 	"robindrum/internal/testbed/controlplane"
-	"robindrum/internal/testbed/origin"
 )
 
-// configWithOrigins returns a configuration of four lines with the given endpoints in cluster c.
-func configWithOrigins(t *testing.T, rest string, all ...*origin.Origin) string {
-	t.Helper()
-	var l []string
-	for _, o := range all {
-		l = append(l, fmt.Sprintf("{address: %q}", o.Addr))
-	}
-	return fmt.Sprintf("listeners: [{name: web, address: \"127.0.0.1:0\"}]\nadmin: {address: none}\nclusters: [{name: c, %sendpoints: [%s]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n",
-		rest, strings.Join(l, ", "))
-}
-
-func run(t *testing.T, conf string) *Gateway {
-	t.Helper()
-	g, err := New(parse(t, conf), discardLogger())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(g.Close)
-	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	return g
-}
-
 // A value of 0 in the file stays 0 and is not replaced by the default.
 func TestExplicitZeroIsNotReplacedByDefault(t *testing.T) {
 	conf := parse(t, "zone: a\nzones: {panic_threshold: 0, floor: 0, retry_budget: 0}\n"+strings.Replace(configWithOrigins(t, "overload: {floor: 0, retries: {ratio: 0, rate: 0}}, ", newOrigin(t)), "listeners", "gateway: {of: 3}\nlisteners", 1))
@@ -260,85 +234,6 @@
 	}
 }
 
-// A capture contains the requests made while it runs, with hashed keys. Only one runs at a time, and it ends when its
-// reader leaves.
-func TestCapture(t *testing.T) {
-	testbed.Leaks(t)
-	o := newOrigin(t)
-	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
-		if r.URL.Path == "/bad" {
-			w.WriteHeader(http.StatusInternalServerError)
-			return true
-		}
-		return false
-	})
-	conf := strings.Replace(configWithOrigins(t, "", o), "routes: [{", "routes: [{key: {header: Idempotency-Key}, ", 1)
-	g := run(t, conf+"classes: [{name: default-safe, wanted: 1s, deadline: 3s}, {name: default-unsafe, effect: unsafe, wanted: 1s, deadline: 3s}]\n")
-	admin := httptest.NewServer(g.Admin())
-	t.Cleanup(admin.Close)
-	ask := func(ctx context.Context, query string) *http.Response {
-		t.Helper()
-		r, _ := http.NewRequestWithContext(ctx, http.MethodPost, admin.URL+"/capture?"+query, nil)
-		resp, err := admin.Client().Do(r)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return resp
-	}
-	for query, want := range map[string]string{"seconds=0": "for: want more than 0", "sample=3": "sample: want", "seconds=x": `seconds: want a number, not "x"`, "records=-1": "records: want 0"} {
-		resp := ask(t.Context(), query)
-		text, _ := io.ReadAll(resp.Body)
-		if resp.Body.Close(); resp.StatusCode != http.StatusBadRequest || !strings.Contains(string(text), want) {
-			t.Errorf("%s: %d %s", query, resp.StatusCode, text)
-		}
-	}
-	u := newUser(t, g)
-	ctx, leave := context.WithCancel(t.Context())
-	first := ask(ctx, "seconds=60")
-	if second := ask(t.Context(), "seconds=1"); second.StatusCode != http.StatusConflict {
-		t.Errorf("a second one: %d", second.StatusCode)
-	} else {
-		second.Body.Close()
-	}
-	leave()
-	first.Body.Close()
-	testbed.Eventually(t, "the one whose reader left to end", func() bool { return g.recorder.Load() == nil })
-	third := ask(t.Context(), "seconds=60&records=4")
-	defer third.Body.Close()
-	for _, path := range []string{"/a", "/b?who=me", "/bad"} {
-		if _, err := u.do(http.MethodGet, path); err != nil {
-			t.Fatal(err)
-		}
-	}
-	r, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, u.base+"/pay", strings.NewReader("12345"))
-	r.Header.Set("Idempotency-Key", "customer-4711")
-	if resp, err := u.Do(r); err != nil {
-		t.Fatal(err)
-	} else {
-		resp.Body.Close()
-	}
-	text, err := io.ReadAll(third.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c, err := capture.Read("capture", bytes.NewReader(text))
-	if err != nil || !c.Whole || len(c.Records) != 4 {
-		t.Fatalf("%v\n%s", err, text)
-	}
-	for i, want := range []capture.Record{{Class: "default-safe", Method: "GET", Outcome: capture.Served}, {Class: "default-safe", Method: "GET", Outcome: capture.Served},
-		{Class: "default-safe", Method: "GET", Outcome: capture.Failed}, {Class: "default-unsafe", Method: "POST", Outcome: capture.Served, Size: 5}} {
-		got := c.Records[i]
-		if got.Class != want.Class || got.Method != want.Method || got.Outcome != want.Outcome || got.Size != want.Size || got.Took <= 0 || (got.Key != "") != (i == 3) {
-			t.Errorf("%d: %+v", i, got)
-		}
-	}
-	for _, secret := range []string{"4711", "who=me", "/pay", "12345", o.Addr, "127.0.0.1"} {
-		if strings.Contains(string(text), secret) {
-			t.Errorf("%q is in the capture:\n%s", secret, text)
-		}
-	}
-}
-
 // The Content-Length of an answer to HEAD is the origin's, server-sent events are forwarded one by one, and a long answer
 // is forwarded completely.
 func TestHeadAndStreamedResponsesAreForwardedUnchanged(t *testing.T) {
@@ -394,66 +289,6 @@
 	}
 }
 
-// With rate limits by header and address the burst passes, and then there is 429 with the rate limit headers. Other keys
-// and routes are not affected, and a reload that does not change a limit retains its counts.
-func TestRateLimits(t *testing.T) {
-	testbed.Leaks(t)
-	o := newOrigin(t)
-	conf := func(rate string) string {
-		return strings.Replace(configWithOrigins(t, "", o), "routes: [", "routes: [{name: free, match: {prefix: /free}, cluster: c}, {name: rest, match: {prefix: /r}, cluster: c}, ", 1) +
-			"rate_limits:\n  - {name: tenant, routes: [rest], key: {header: X-Tenant}, rate: 0.1, burst: 3}\n" +
-			"  - {name: address, listeners: [web], routes: [rest], classes: [default-unsafe], key: {address: {ipv4: 24}}, rate: " + rate + ", burst: 2}\n"
-	}
-	g := run(t, conf("0.1"))
-	u := newUser(t, g)
-	count := func(n int, method, path string, header ...string) (ok, no int) {
-		for range n {
-			r, err := u.do(method, path, header...)
-			switch {
-			case err != nil:
-				t.Fatal(err)
-			case r.status == 200:
-				ok++
-			case r.status == 429:
-				no++
-				if n, err := strconv.Atoi(r.header.Get("Retry-After")); err != nil || n < 1 || n > 30 {
-					t.Errorf("Retry-After: %q", r.header.Get("Retry-After"))
-				}
-				if p, l := r.header.Get("RateLimit-Policy"), r.header.Get("RateLimit"); !strings.Contains(p, ";q=") || !strings.Contains(l, ";r=0;t=") {
-					t.Errorf("RateLimit-Policy: %s, RateLimit: %s", p, l)
-				}
-			}
-		}
-		return ok, no
-	}
-	if ok, no := count(5, http.MethodGet, "/r", "X-Tenant", "a"); ok != 3 || no != 2 {
-		t.Errorf("%d served, %d refused", ok, no)
-	}
-	if ok, _ := count(3, http.MethodGet, "/r", "X-Tenant", "b"); ok != 3 {
-		t.Errorf("another tenant: %d served", ok)
-	}
-	if ok, _ := count(9, http.MethodGet, "/free", "X-Tenant", "a"); ok != 9 {
-		t.Errorf("another route: %d served", ok)
-	}
-	if ok, no := count(3, http.MethodPost, "/r", "X-Tenant", "c"); ok != 2 || no != 1 {
-		t.Errorf("by address: %d served, %d refused", ok, no)
-	}
-	if err := g.Reload(parse(t, conf("0.2"))); err != nil {
-		t.Fatal(err)
-	}
-	if ok, _ := count(2, http.MethodGet, "/r", "X-Tenant", "a"); ok != 0 {
-		t.Errorf("%d served by a limit that a reload left alone", ok)
-	}
-	if ok, _ := count(1, http.MethodPost, "/r", "X-Tenant", "d"); ok != 1 {
-		t.Errorf("%d served by a limit that a reload changed", ok)
-	}
-	for _, s := range g.Status(0).RateLimits {
-		if s.Name == "tenant" && (s.Rejected != 4 || s.CountedTogether != 0) {
-			t.Errorf("%+v", s)
-		}
-	}
-}
-
 // While clients that do not finish their heads use nine of ten descriptors, and more come, other clients are served.
 func TestSlowHeadsDoNotStarveOtherClients(t *testing.T) {
 	testbed.Leaks(t)
