--- a/internal/xds/assignment.go
+++ b/internal/xds/assignment.go
@@ -90,7 +90,7 @@
 	assignment  *Assignment
 	warnings    []string
 	pathOf      map[string]string // of each endpoint, by address
-	localities  map[localityKey]bool
+	localities  map[string]bool   // by priority and name, without a separator
 	weights     map[uint32]uint64 // of the localities together, by priority
 	hasPriority map[uint32]bool
 }
@@ -105,7 +105,7 @@
 	return &assignmentParser{
 		assignment:  &Assignment{Name: name},
 		pathOf:      map[string]string{},
-		localities:  map[localityKey]bool{},
+		localities:  map[string]bool{},
 		weights:     map[uint32]uint64{},
 		hasPriority: map[uint32]bool{},
 	}
@@ -178,10 +178,12 @@
 	if priority > maxPriority {
 		return fmt.Errorf("%spriority: %d, %d at most", path, priority, maxPriority)
 	}
-	if p.localities[key] {
+	// Without a separator, priority 1 of region "1" counts as priority 11 of no region.
+	priorityAndName := fmt.Sprint(priority, key.name)
+	if p.localities[priorityAndName] {
 		return fmt.Errorf("%slocality: %s stands twice in priority %d", path, key.name, priority)
 	}
-	p.localities[key] = true
+	p.localities[priorityAndName] = true
 	p.hasPriority[priority] = true
 	weight := message.GetLoadBalancingWeight()
 	if weight != nil && weight.GetValue() == 0 {
