--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -63,8 +63,8 @@
 			t.Fatal(err)
 		}
 	}
-	r, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, u.base+"/pay", strings.NewReader("12345"))
-	r.Header.Set("Idempotency-Key", "customer-4711")
+	r, _ := http.NewRequestWithContext(t.Context(), http.MethodPost, u.base+"/pay", strings.NewReader("body!"))
+	r.Header.Set("Idempotency-Key", "customer-secret")
 	if resp, err := u.Do(r); err != nil {
 		t.Fatal(err)
 	} else {
@@ -85,7 +85,7 @@
 			t.Errorf("%d: %+v", i, got)
 		}
 	}
-	for _, secret := range []string{"4711", "who=me", "/pay", "12345", o.Addr, "127.0.0.1"} {
+	for _, secret := range []string{"secret", "who=me", "/pay", "body!", o.Addr, "127.0.0.1"} {
 		if strings.Contains(string(text), secret) {
 			t.Errorf("%q is in the capture:\n%s", secret, text)
 		}
