--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -12,141 +13,217 @@
 	"pgregory.net/rapid"
 )
 
-func gateways(serving ...bool) (l []Gateway) {
+// gateways returns gateways g0, g1, ... of one site in zones a and b in turn.
+func gateways(serving ...bool) []Gateway {
+	var list []Gateway
 	for i, s := range serving {
-		l = append(l, Gateway{Name: fmt.Sprint("g", i), Site: "s", Zone: string(rune('a' + i%2)), Incarnation: 1, Serving: s})
+		list = append(list, Gateway{Name: fmt.Sprint("g", i), Site: "s", Zone: string(rune('a' + i%2)), Incarnation: 1, Serving: s})
 	}
-	return l
+	return list
 }
 
-// taken is what an outside observer counts as out by planned means: what an order keeps from serving, or may be about to.
-func taken(b *Ledger) map[string]bool {
-	m := map[string]bool{}
-	for _, o := range b.Requests {
-		if o.State.holdsSlot() {
-			m[o.Target.key()] = true
+// slotHolders returns what an outside observer counts as planned to be out: the targets of the requests that keep them from serving,
+// or may be about to.
+func slotHolders(l *Ledger) map[memberKey]bool {
+	holders := map[memberKey]bool{}
+	for _, r := range l.Requests {
+		if r.State.holdsSlot() {
+			holders[r.Target.key()] = true
 		}
 	}
-	return m
+	return holders
 }
 
-// One order through all its states, a second one that has to wait, and a way back that holds its slot until it is proven.
-func TestLifeOfAnOrder(t *testing.T) {
-	b := NewLedger()
-	if err := b.SetBudgets(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Max: 1}}); err != nil {
+// scenario drives a ledger step by step and checks the states of its requests.
+type scenario struct {
+	t *testing.T
+	*Ledger
+}
+
+func newScenario(t *testing.T, budgets ...Budget) *scenario {
+	t.Helper()
+	s := &scenario{t, NewLedger()}
+	if err := s.SetBudgets(0, budgets); err != nil {
 		t.Fatal(err)
 	}
-	see := func(serving ...bool) {
-		t.Helper()
-		if err := b.Observe(b.Now, b.Version, gateways(serving...), nil); err != nil {
-			t.Fatal(err)
-		}
+	return s
+}
+
+// observe reports the gateways at the ledger's present version.
+func (s *scenario) observe(serving ...bool) {
+	s.t.Helper()
+	if err := s.Observe(s.Now, s.Version, gateways(serving...), nil); err != nil {
+		s.t.Fatal(err)
 	}
-	is := func(id string, want State) *Request {
-		t.Helper()
-		if o := b.Requests[id]; o == nil || o.State != want {
-			t.Fatalf("%s: %+v, want %s", id, o, want)
-		}
-		return b.Requests[id]
+}
+
+func (s *scenario) submit(id string, gateway int) {
+	s.t.Helper()
+	if _, err := s.Submit(s.Now, Request{ID: id, Target: Target{Gateway: fmt.Sprint("g", gateway)}, Grace: time.Second}); err != nil {
+		s.t.Fatal(err)
 	}
-	ask := func(id string, gateway int) {
-		t.Helper()
-		if _, err := b.Submit(b.Now, Request{ID: id, Target: Target{Gateway: fmt.Sprint("g", gateway)}, Grace: time.Second}); err != nil {
-			t.Fatal(err)
-		}
+}
+
+func (s *scenario) begin(id string, token uint64) {
+	s.t.Helper()
+	if _, err := s.Begin(s.Now, id, token); err != nil {
+		s.t.Fatal(err)
 	}
-	see(true, true, true)
-	ask("x", 0)
-	ask("y", 1)
-	ask("z", 9)
-	first := is("x", Granted).Token
-	if o := is("y", Pending); !strings.Contains(o.StateReason, "1 of 3 are out, 1 may be") {
-		t.Errorf("%q", o.StateReason)
-	}
-	is("z", Rejected)
-	see(true, true, false) // a loss that nobody planned: what was not begun is taken back
-	is("x", Pending)
-	if _, err := b.Begin(b.Now, "x", first); err == nil {
-		t.Error("begun though it was taken back")
-	}
-	see(true, true, true)
-	token := is("x", Granted).Token
-	if token <= first {
-		t.Errorf("token %d behind %d", token, first)
-	}
-	if _, err := b.Begin(b.Now, "x", token); err != nil {
-		t.Fatal(err)
+}
+
+func (s *scenario) progress(now time.Duration, id string, token uint64, inFlight int) {
+	s.t.Helper()
+	if _, err := s.Progress(now, id, token, inFlight); err != nil {
+		s.t.Fatal(err)
 	}
-	see(false, true, true)
-	if _, err := b.Progress(b.Now+500*time.Millisecond, "x", token, 3); err != nil || is("x", Draining).InFlight != 3 {
-		t.Fatal(err)
+}
+
+func (s *scenario) cancel(id string) {
+	s.t.Helper()
+	if _, err := s.Cancel(s.Now, id); err != nil {
+		s.t.Fatal(err)
 	}
-	_, _ = b.Progress(b.Now+2*time.Second, "x", token, 1)
-	is("x", Overdue)
-	_, _ = b.Progress(b.Now, "x", token, 0)
-	is("x", Drained)
-	see(true, true, true) // it was killed and runs again, and says that it serves: it is out all the same
-	is("y", Pending)
-	before := b.Version
-	if _, err := b.Cancel(b.Now, "x"); err != nil {
-		t.Fatal(err)
+}
+
+// wantState returns the request, which has to be in the state.
+func (s *scenario) wantState(id string, want State) *Request {
+	s.t.Helper()
+	r := s.Requests[id]
+	if r == nil || r.State != want {
+		s.t.Fatalf("%s: %+v, want %s", id, r, want)
+	}
+	return r
+}
+
+// TestRequestLifecycle takes one request through all its states while a second one waits for the budget. The first one counts against
+// it until its target has been observed in service again.
+func TestRequestLifecycle(t *testing.T) {
+	s := newScenario(t, Budget{Name: "one", Scope: Scope{Gateways: true}, Max: 1})
+	s.observe(true, true, true)
+	s.submit("x", 0)
+	s.submit("y", 1)
+	s.submit("z", 9)
+	firstToken := s.wantState("x", Granted).Token
+	if y := s.wantState("y", Pending); !strings.Contains(y.StateReason, "1 of 3 are out, 1 may be") {
+		t.Errorf("%q", y.StateReason)
 	}
-	_ = b.Observe(b.Now, before, gateways(true, true, true), nil) // said before it heard of it
-	is("x", Cancelled)
-	is("y", Pending)
-	see(true, true, true)
-	is("x", Ended)
-	is("y", Granted)
-	b.SetHalted(b.Now, true)
-	if _, err := b.Cancel(b.Now, "y"); err != nil {
+	s.wantState("z", Rejected)
+
+	// An unplanned loss revokes a grant that has not begun.
+	s.observe(true, true, false)
+	s.wantState("x", Pending)
+	if _, err := s.Begin(s.Now, "x", firstToken); err == nil {
+		t.Error("begun though the grant was revoked")
+	}
+	s.observe(true, true, true)
+	token := s.wantState("x", Granted).Token
+	if token <= firstToken {
+		t.Errorf("token %d behind %d", token, firstToken)
+	}
+
+	s.begin("x", token)
+	s.observe(false, true, true)
+	s.progress(s.Now+500*time.Millisecond, "x", token, 3)
+	if n := s.wantState("x", Draining).InFlight; n != 3 {
+		t.Fatalf("%d requests in flight, want 3", n)
+	}
+	s.progress(s.Now+2*time.Second, "x", token, 1)
+	s.wantState("x", Overdue)
+	s.progress(s.Now, "x", token, 0)
+	s.wantState("x", Drained)
+
+	// A target that was killed and reports that it serves is still drained.
+	s.observe(true, true, true)
+	s.wantState("y", Pending)
+
+	// An observation from before the cancellation does not end the request.
+	before := s.Version
+	s.cancel("x")
+	if err := s.Observe(s.Now, before, gateways(true, true, true), nil); err != nil {
 		t.Fatal(err)
 	}
-	ask("w", 2)
-	is("w", Pending)
-	b.SetHalted(b.Now, false)
-	is("w", Granted)
-	if _, err := b.Submit(b.Now, Request{ID: "w", Target: Target{Gateway: "g1"}, Grace: 1}); err != ErrIDInUse {
+	s.wantState("x", Cancelled)
+	s.wantState("y", Pending)
+	s.observe(true, true, true)
+	s.wantState("x", Ended)
+	s.wantState("y", Granted)
+
+	s.SetHalted(s.Now, true)
+	s.cancel("y")
+	s.submit("w", 2)
+	s.wantState("w", Pending)
+	s.SetHalted(s.Now, false)
+	s.wantState("w", Granted)
+	if _, err := s.Submit(s.Now, Request{ID: "w", Target: Target{Gateway: "g1"}, Grace: 1}); !errors.Is(err, ErrIDInUse) {
 		t.Errorf("another target under the same id: %v", err)
 	}
-	for what, o := range map[string]Request{"a deadline in the past": {ID: "1", Target: Target{Gateway: "g1"}}, "a pattern": {ID: "2", Target: Target{Gateway: "g*"}, Grace: 1},
-		"no target": {ID: "3", Grace: 1}, "too long": {ID: "4", Target: Target{Gateway: "g1"}, Grace: 2 * MaxGrace}} {
-		if _, err := b.Submit(b.Now, o); err == nil {
-			t.Errorf("%s was taken", what)
-		}
+}
+
+func TestInvalidRequestIsAnError(t *testing.T) {
+	for name, r := range map[string]Request{
+		"a deadline in the past": {ID: "1", Target: Target{Gateway: "g1"}},
+		"a pattern":              {ID: "2", Target: Target{Gateway: "g*"}, Grace: 1},
+		"no target":              {ID: "3", Grace: 1},
+		"too long":               {ID: "4", Target: Target{Gateway: "g1"}, Grace: 2 * MaxGrace},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newScenario(t, Budget{Name: "one", Scope: Scope{Gateways: true}, Max: 1})
+			s.observe(true, true, true)
+			if _, err := s.Submit(s.Now, r); err == nil {
+				t.Error("it was accepted")
+			}
+		})
 	}
 }
 
-// step is one event for a book, drawn or walked.
-func step(b *Ledger, now time.Duration, event, id, who int, up []bool) {
-	name := fmt.Sprint("o", id)
+// eventKind is a call of a ledger, as the tests draw or enumerate it.
+type eventKind int
+
+const (
+	submitEvent eventKind = iota
+	beginEvent
+	progressEvent
+	cancelEvent
+	observeEvent
+	haltEvent
+	termEvent
+	budgetsEvent
+	eventKinds
+)
+
+// apply makes one call. The gateway's number also serves as the number of requests in flight and as the choice of budgets.
+func apply(l *Ledger, now time.Duration, event eventKind, request, gateway int, serving []bool) {
+	id := fmt.Sprint("o", request)
 	token := uint64(0)
-	if o := b.Requests[name]; o != nil {
-		token = o.Token
+	if r := l.Requests[id]; r != nil {
+		token = r.Token
 	}
 	switch event {
-	case 0:
-		_, _ = b.Submit(now, Request{ID: name, Target: Target{Gateway: fmt.Sprint("g", who)}, Grace: time.Second})
-	case 1:
-		_, _ = b.Begin(now, name, token)
-	case 2:
-		_, _ = b.Progress(now, name, token, who%2)
-	case 3:
-		_, _ = b.Cancel(now, name)
-	case 4:
-		_ = b.Observe(now, b.Version, gateways(up...), nil)
-	case 5:
-		b.SetHalted(now, !b.Halted)
-	case 6:
-		b.BeginTerm(0)
-	case 7:
-		_ = b.SetBudgets(now, []Budget{{Name: "n", Scope: Scope{Gateways: true}, Max: 1 + who%2}, {Name: "z", Scope: Scope{Gateways: true, EachZone: true}, Fraction: 0.5}})
+	case submitEvent:
+		_, _ = l.Submit(now, Request{ID: id, Target: Target{Gateway: fmt.Sprint("g", gateway)}, Grace: time.Second})
+	case beginEvent:
+		_, _ = l.Begin(now, id, token)
+	case progressEvent:
+		_, _ = l.Progress(now, id, token, gateway%2)
+	case cancelEvent:
+		_, _ = l.Cancel(now, id)
+	case observeEvent:
+		_ = l.Observe(now, l.Version, gateways(serving...), nil)
+	case haltEvent:
+		l.SetHalted(now, !l.Halted)
+	case termEvent:
+		l.BeginTerm(0)
+	case budgetsEvent:
+		_ = l.SetBudgets(now, []Budget{
+			{Name: "n", Scope: Scope{Gateways: true}, Max: 1 + gateway%2},
+			{Name: "z", Scope: Scope{Gateways: true, EachZone: true}, Fraction: 0.5},
+		})
 	}
 }
 
-// promise is what holds of every book: each budget is kept by what orders take out, counted with what is out by itself, at the
-// moment in which a slot is granted.
-func promise(before map[string]bool, b *Ledger) error {
-	now := taken(b)
+// checkNewGrants returns an error where a slot was granted since before that exceeds a budget, with all that is unavailable counted.
+func checkNewGrants(before map[memberKey]bool, l *Ledger) error {
+	now := slotHolders(l)
 	if len(now) <= len(before) {
 		return nil
 	}
@@ -154,175 +231,207 @@
 		if before[key] {
 			continue
 		}
-		for _, c := range b.counts(Target{Gateway: key}, b.held()) {
-			if len(c.out) > c.bound {
-				return fmt.Errorf("%s was granted: budget %s has %v out of %d, %d may be", key, c.name, slices.Sorted(maps.Keys(c.out)), c.of, c.bound)
+		for _, usage := range l.usageOf(Target{Gateway: string(key)}, l.reserved()) {
+			if len(usage.unavailable) > usage.allowed {
+				return fmt.Errorf("%s was granted: budget %s has %v out of %d, %d may be", key, usage.name,
+					slices.Sorted(maps.Keys(usage.unavailable)), usage.total, usage.allowed)
 			}
 		}
 	}
 	return nil
 }
 
-// Whatever is asked, begun, cancelled, lost and lowered, in any order, with other leaders in between and through its stored form: no
-// grant breaks a budget, tokens and versions rise, and what is cancelled comes back once it is seen.
-func TestBudgetsAreKept(t *testing.T) {
+// throughJSON returns the ledger as it is after storing and restoring it, which must not change its stored form.
+func throughJSON(t *rapid.T, l *Ledger) *Ledger {
+	text, err := json.Marshal(l)
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored, err := Restore(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if again, _ := json.Marshal(restored); string(again) != string(text) {
+		t.Fatalf("%s came back as %s", text, again)
+	}
+	return restored
+}
+
+// TestGrantsStayWithinBudgets makes calls in any order, with losses, changes of leader and storing in between: no grant exceeds a
+// budget, tokens and versions rise, and what is cancelled ends once it is observed in service.
+func TestGrantsStayWithinBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewLedger()
-		up := []bool{true, true, true, true}
-		step(b, 0, 7, 0, rapid.IntRange(0, 1).Draw(t, "most"), nil)
-		_ = b.Observe(0, 0, gateways(up...), nil)
+		l := NewLedger()
+		serving := []bool{true, true, true, true}
+		apply(l, 0, budgetsEvent, 0, rapid.IntRange(0, 1).Draw(t, "max"), nil)
+		_ = l.Observe(0, 0, gateways(serving...), nil)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 600).Draw(t, "ms")) * time.Millisecond
-			before, last, version := taken(b), b.LastToken, b.Version
+			before, token, version := slotHolders(l), l.LastToken, l.Version
 			if rapid.IntRange(0, 4).Draw(t, "loss") == 0 {
-				i := rapid.IntRange(0, 3).Draw(t, "which")
-				up[i] = !up[i]
+				i := rapid.IntRange(0, 3).Draw(t, "lost gateway")
+				serving[i] = !serving[i]
 			}
-			event := rapid.IntRange(0, 7).Draw(t, "event")
-			if step(b, now, event, rapid.IntRange(0, 4).Draw(t, "order"), rapid.IntRange(0, 3).Draw(t, "who"), up); event == 6 {
+			event := eventKind(rapid.IntRange(0, int(eventKinds)-1).Draw(t, "event"))
+			request := rapid.IntRange(0, 4).Draw(t, "request")
+			gateway := rapid.IntRange(0, 3).Draw(t, "gateway")
+			apply(l, now, event, request, gateway, serving)
+			if event == termEvent {
 				now = 0
 			}
-			if err := promise(before, b); err != nil {
+			if err := checkNewGrants(before, l); err != nil {
 				t.Fatal(err)
 			}
-			if b.LastToken < last || b.Version < version {
-				t.Fatalf("token %d behind %d, version %d behind %d", b.LastToken, last, b.Version, version)
+			if l.LastToken < token || l.Version < version {
+				t.Fatalf("token %d behind %d, version %d behind %d", l.LastToken, token, l.Version, version)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "store") == 0 {
-				text, err := json.Marshal(b)
-				if err != nil {
-					t.Fatal(err)
-				}
-				again, err := Restore(text)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if two, _ := json.Marshal(again); string(two) != string(text) {
-					t.Fatalf("%s came back as %s", text, two)
-				}
-				b = again
+				l = throughJSON(t, l)
 			}
 		}
-		for id := range b.Requests {
-			_, _ = b.Cancel(now, id)
+		for id := range l.Requests {
+			_, _ = l.Cancel(now, id)
 		}
-		_ = b.Observe(now, b.Version, gateways(true, true, true, true), nil)
-		if n := len(taken(b)); n > 0 {
-			t.Fatalf("%d are held though all is cancelled and serves", n)
+		_ = l.Observe(now, l.Version, gateways(true, true, true, true), nil)
+		if n := len(slotHolders(l)); n > 0 {
+			t.Fatalf("%d slots are held though every request is cancelled and every gateway serves", n)
 		}
 	})
 }
 
-// Every sequence of eight events of two orders on two gateways of which one may be out: never both, by an observer that counts what
-// orders hold. With the rule off that what is granted counts, it is found.
-func TestEveryOrderOfEvents(t *testing.T) {
-	type event struct{ kind, id, who int }
+// TestEveryEventSequenceStaysWithinBudget walks every sequence of eight events of two requests for two gateways of which one may be
+// unavailable: never more than one slot is held.
+func TestEveryEventSequenceStaysWithinBudget(t *testing.T) {
+	type event struct {
+		kind    eventKind
+		request int
+		gateway int
+	}
 	var events []event
-	for id := range 2 {
-		events = append(events, event{0, id, id}, event{1, id, 0}, event{2, id, 0}, event{3, id, 0})
+	for request := range 2 {
+		events = append(events,
+			event{submitEvent, request, request},
+			event{beginEvent, request, 0},
+			event{progressEvent, request, 0},
+			event{cancelEvent, request, 0})
 	}
-	events = append(events, event{4, 0, 0}, event{6, 0, 0})
-	states, seen := 0, map[string]bool{}
+	events = append(events, event{observeEvent, 0, 0}, event{termEvent, 0, 0})
+	steps, visited := 0, map[string]bool{}
 	var walk func(text []byte, depth int)
 	walk = func(text []byte, depth int) {
 		for _, e := range events {
-			b, err := Restore(text)
+			l, err := Restore(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			up := []bool{true, true}
-			for key := range taken(b) {
-				if o := b.Requests["o"+strings.TrimPrefix(key, "g")]; o != nil && o.State.Unavailable() {
-					up[key[1]-'0'] = false
+			serving := []bool{true, true}
+			for key := range slotHolders(l) {
+				if r := l.Requests["o"+strings.TrimPrefix(string(key), "g")]; r != nil && r.State.Unavailable() {
+					serving[key[1]-'0'] = false
 				}
 			}
-			step(b, b.Now, e.kind, e.id, e.who, up)
-			if n := len(taken(b)); n > 1 {
-				t.Fatalf("%d are held after %+v: %+v", n, e, b.List())
+			apply(l, l.Now, e.kind, e.request, e.gateway, serving)
+			if n := len(slotHolders(l)); n > 1 {
+				t.Fatalf("%d slots are held after %+v: %+v", n, e, l.List())
 			}
-			next, err := json.Marshal(b)
+			next, err := json.Marshal(l)
 			if err != nil {
 				t.Fatal(err)
 			}
 			key := fmt.Sprint(depth, string(next))
-			if !seen[key] && depth > 1 {
-				seen[key] = true
+			if !visited[key] && depth > 1 {
+				visited[key] = true
 				walk(next, depth-1)
 			}
-			states++
+			steps++
 		}
 	}
-	b := NewLedger()
-	_ = b.SetBudgets(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Max: 1}})
-	_ = b.Observe(0, 0, gateways(true, true), nil)
-	text, _ := json.Marshal(b)
+	l := NewLedger()
+	_ = l.SetBudgets(0, []Budget{{Name: "one", Scope: Scope{Gateways: true}, Max: 1}})
+	_ = l.Observe(0, 0, gateways(true, true), nil)
+	text, _ := json.Marshal(l)
 	walk(text, 8)
-	if states < 5000 {
-		t.Errorf("%d steps only", states)
+	if steps < 5000 {
+		t.Errorf("%d steps only", steps)
 	}
 }
 
-// Endpoints are counted by zone and by cluster; what is cold or ejected counts as out; a budget that allows none refuses.
-func TestEndpoints(t *testing.T) {
-	b := NewLedger()
-	_ = b.SetBudgets(0, []Budget{{Name: "third", Scope: Scope{Cluster: "*", EachZone: true}, Fraction: 0.34}, {Name: "none", Scope: Scope{Cluster: "db"}, Fraction: 0.1, Max: 9}})
-	var l []Endpoint
+// TestEndpointBudgets counts endpoints by zone and by cluster; an endpoint that is not healthy counts as unavailable, and a budget that
+// allows none rejects.
+func TestEndpointBudgets(t *testing.T) {
+	l := NewLedger()
+	_ = l.SetBudgets(0, []Budget{
+		{Name: "third", Scope: Scope{Cluster: "*", EachZone: true}, Fraction: 0.34},
+		{Name: "none", Scope: Scope{Cluster: "db"}, Fraction: 0.1, Max: 9},
+	})
+	var endpoints []Endpoint
 	for i := range 6 {
-		l = append(l, Endpoint{Cluster: "c", Address: fmt.Sprint(i), Zone: string(rune('a' + i%2)), Healthy: i != 2}, Endpoint{Cluster: "db", Address: fmt.Sprint(i), Healthy: true})
+		endpoints = append(endpoints,
+			Endpoint{Cluster: "c", Address: fmt.Sprint(i), Zone: string(rune('a' + i%2)), Healthy: i != 2},
+			Endpoint{Cluster: "db", Address: fmt.Sprint(i), Healthy: true})
 	}
-	if err := b.Observe(0, 0, nil, l); err != nil {
+	if err := l.Observe(0, 0, nil, endpoints); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(cluster, addr string) State {
-		o, err := b.Submit(0, Request{ID: cluster + addr, Target: Target{Cluster: cluster, Endpoint: addr}, Grace: time.Second})
+	submit := func(cluster, address string) State {
+		t.Helper()
+		r, err := l.Submit(0, Request{ID: cluster + address, Target: Target{Cluster: cluster, Endpoint: address}, Grace: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return o.State
+		return r.State
 	}
-	if a, z := ask("c", "0"), ask("c", "1"); a != Pending || z != Granted {
-		t.Errorf("zone a, where one is cold: %s; zone b: %s", a, z)
+	if a, b := submit("c", "0"), submit("c", "1"); a != Pending || b != Granted {
+		t.Errorf("zone a, where one is not healthy: %s; zone b: %s", a, b)
 	}
-	if s := ask("db", "0"); s != Rejected {
-		t.Errorf("a budget that allows none: %s", s)
+	if state := submit("db", "0"); state != Rejected {
+		t.Errorf("a budget that allows none: %s", state)
 	}
-	if l := b.BudgetStatuses(); len(l) != 4 || l[0].Allowed != 1 {
-		t.Errorf("%+v", l)
+	if statuses := l.BudgetStatuses(); len(statuses) != 4 || statuses[0].Allowed != 1 {
+		t.Errorf("%+v", statuses)
 	}
 }
 
-// What is stored is read as it was or refused.
+// FuzzRestore restores any text: it is an error, or a ledger that can be used.
 func FuzzRestore(f *testing.F) {
-	b := NewLedger()
-	step(b, 0, 7, 0, 0, nil)
-	_ = b.Observe(0, 0, gateways(true, true), nil)
-	step(b, 0, 0, 0, 0, nil)
-	text, _ := json.Marshal(b)
+	l := NewLedger()
+	apply(l, 0, budgetsEvent, 0, 0, nil)
+	_ = l.Observe(0, 0, gateways(true, true), nil)
+	apply(l, 0, submitEvent, 0, 0, nil)
+	text, _ := json.Marshal(l)
 	f.Add(text)
 	f.Add([]byte(`{"orders":{"x":null}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b, err := Restore(text)
+		l, err := Restore(text)
 		if err != nil {
 			return
 		}
-		for e := range 8 {
-			step(b, b.Now, e, 0, 0, []bool{true})
+		for event := range eventKinds {
+			apply(l, l.Now, event, 0, 0, []bool{true})
 		}
-		_ = b.View(1)
-		_ = b.BudgetStatuses()
+		_ = l.View(1)
+		_ = l.BudgetStatuses()
 	})
 }
 
-// At the end of a grace only what can have had no effect is offered to be asked for again.
-func TestLast(t *testing.T) {
-	for _, x := range []struct {
+// TestFinalAnswer offers for retry only what cannot have had an effect.
+func TestFinalAnswer(t *testing.T) {
+	for _, c := range []struct {
 		effect string
 		sent   bool
 		want   int
-	}{{"safe", true, 503}, {"keyed", true, 504}, {"unsafe", true, 504}, {"", true, 504}, {"keyed", false, 503}, {"unsafe", false, 503}} {
-		if status, again := FinalAnswer(x.effect, x.sent); status != x.want || again != (x.want == 503) {
-			t.Errorf("%q, sent %v: %d, %v", x.effect, x.sent, status, again)
+	}{
+		{"safe", true, 503},
+		{"keyed", true, 504},
+		{"unsafe", true, 504},
+		{"", true, 504},
+		{"keyed", false, 503},
+		{"unsafe", false, 503},
+	} {
+		status, retryable := FinalAnswer(c.effect, c.sent)
+		if status != c.want || retryable != (c.want == 503) {
+			t.Errorf("%q, sent %v: %d, %v", c.effect, c.sent, status, retryable)
 		}
 	}
 }
