--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -74,7 +74,9 @@
 			for _, g := range l.Gateways {
 				b.Gateways[g.Name] = g
 			}
-			why = b.RejectReason(p)
+			if err := b.CheckStart(p); err != nil {
+				why = err.Error()
+			}
 		}
 		if l.Current != nil {
 			why = l.Current.String() + " is under way"
--- /dev/null
+++ b/internal/release/plan.go
@@ -0,0 +1,121 @@
+package release
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"robindrum/internal/drain"
+)
+
+// Defaults of a plan and its gate.
+const (
+	defaultSoak             = 30 * time.Second
+	defaultRollbackSpeedup  = 4
+	defaultGrace            = 30 * time.Second
+	defaultNotice           = 2 * time.Second
+	defaultMinRequests      = 200
+	defaultMaxErrorIncrease = 0.01
+	defaultMaxMeanRatio     = 1.5
+	defaultMaxTailRatio     = 2
+	defaultMaxInTimeLoss    = 0.05
+	defaultMaxMemoryRatio   = 1.5
+)
+
+// Limits of a plan.
+const (
+	minSoak            = time.Millisecond
+	maxSoak            = 24 * time.Hour
+	maxRollbackSpeedup = 100
+)
+
+// Gate says when a wave passes. The canaries, which are the gateways of the wave, are compared with the control group, which are those
+// not released yet, and with the baseline, which is what the canaries showed before. Zero fields stand for defaults.
+type Gate struct {
+	// MinRequests is how many requests a wave must have had to pass.
+	MinRequests int `json:"requests"`
+	// MaxErrorIncrease is how much the part of failed or rejected requests may rise.
+	MaxErrorIncrease float64 `json:"errors"`
+	// MaxMeanRatio is the multiple that the mean latency may reach, with 5 ms added.
+	MaxMeanRatio float64 `json:"slower"`
+	// MaxTailRatio is a multiple of the others' 99th percentile of latency that at most 3 % of the answers may exceed.
+	MaxTailRatio float64 `json:"tail"`
+	// MaxInTimeLoss is how much the part of a class's requests that are answered in time may fall.
+	MaxInTimeLoss float64 `json:"in_time"`
+	// MaxMemoryRatio is the multiple that a gateway's memory may reach, with 32 MiB added.
+	MaxMemoryRatio float64 `json:"memory"`
+}
+
+func (g *Gate) setDefaults() {
+	g.MinRequests = cmp.Or(g.MinRequests, defaultMinRequests)
+	g.MaxErrorIncrease = cmp.Or(g.MaxErrorIncrease, defaultMaxErrorIncrease)
+	g.MaxMeanRatio = cmp.Or(g.MaxMeanRatio, defaultMaxMeanRatio)
+	g.MaxTailRatio = cmp.Or(g.MaxTailRatio, defaultMaxTailRatio)
+	g.MaxInTimeLoss = cmp.Or(g.MaxInTimeLoss, defaultMaxInTimeLoss)
+	g.MaxMemoryRatio = cmp.Or(g.MaxMemoryRatio, defaultMaxMemoryRatio)
+}
+
+func (g *Gate) validate() error {
+	switch {
+	case g.MinRequests < 1,
+		g.MaxErrorIncrease <= 0 || g.MaxErrorIncrease > 1,
+		g.MaxMeanRatio <= 1,
+		g.MaxTailRatio <= 1,
+		g.MaxInTimeLoss <= 0 || g.MaxInTimeLoss > 1,
+		g.MaxMemoryRatio <= 1:
+		return fmt.Errorf("gate: %+v", *g)
+	}
+	return nil
+}
+
+// Plan says what a release brings to the fleet, and how. Zero durations and numbers stand for defaults.
+type Plan struct {
+	ID     string `json:"id"`
+	Target string `json:"to"` // a configuration's digest, or a program version
+	// OfProgram says that Target is a program version. Gateways are drained and restarted for it, see Ledger.RequestDrains.
+	OfProgram bool `json:"program,omitempty"`
+	// Grace and Notice are those of the drains of a program release.
+	Grace  time.Duration `json:"grace,omitempty"`
+	Notice time.Duration `json:"notice,omitempty"`
+	Owner  string        `json:"owner"`
+	Reason string        `json:"reason,omitempty"`
+	// Soak is how long a wave is judged before the next one begins.
+	Soak time.Duration `json:"soak"`
+	// RollbackSpeedup divides Soak while the waves are rolled back.
+	RollbackSpeedup int  `json:"faster"`
+	Gate            Gate `json:"gate"`
+	// RollBackOnFailure rolls the release back when a gate fails. Otherwise it halts.
+	RollBackOnFailure bool `json:"back"`
+}
+
+func (p *Plan) setDefaults() {
+	p.Soak = cmp.Or(p.Soak, defaultSoak)
+	p.RollbackSpeedup = cmp.Or(p.RollbackSpeedup, defaultRollbackSpeedup)
+	p.Grace = cmp.Or(p.Grace, defaultGrace)
+	p.Notice = cmp.Or(p.Notice, min(defaultNotice, p.Grace))
+	p.Gate.setDefaults()
+}
+
+// validate returns an error that names the first value that no plan may have.
+func (p *Plan) validate() error {
+	for _, text := range []string{p.ID, p.Target, p.Owner, p.Reason} {
+		if len(text) > maxTextBytes {
+			return fmt.Errorf("a text of %d bytes, %d at most", len(text), maxTextBytes)
+		}
+	}
+	switch {
+	case p.ID == "" || p.Target == "":
+		return errors.New("want an id and a configuration")
+	case p.Soak < minSoak || p.Soak > maxSoak:
+		return fmt.Errorf("soak: %v, want up to 24h", p.Soak)
+	case p.RollbackSpeedup < 1 || p.RollbackSpeedup > maxRollbackSpeedup:
+		return fmt.Errorf("faster: %d, want 1 to %d", p.RollbackSpeedup, maxRollbackSpeedup)
+	case p.Grace < 0 || p.Grace > drain.MaxGrace || p.Notice < 0 || p.Notice > p.Grace:
+		return fmt.Errorf("grace: %v with a notice of %v, want up to %v", p.Grace, p.Notice, drain.MaxGrace)
+	case p.OfProgram && strings.ContainsAny(p.Target, "/\\ \t\n"):
+		return fmt.Errorf("version %q: want a name", p.Target)
+	}
+	return p.Gate.validate()
+}
--- /dev/null
+++ b/internal/release/steps.go
@@ -0,0 +1,286 @@
+package release
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Observe replaces what is known of the gateways by a complete observation, and takes the release's next step.
+func (l *Ledger) Observe(now time.Duration, gateways []Gateway) {
+	l.advance(now)
+	clear(l.Gateways)
+	for _, gateway := range gateways {
+		l.Gateways[gateway.Name] = gateway
+	}
+	r := l.Current
+	if r == nil {
+		return
+	}
+	switch r.State {
+	case Running:
+		l.stepForward(r)
+	case RollingBack:
+		l.stepBack(r)
+	}
+}
+
+// action is what a check of the present wave asks for.
+type action int
+
+const (
+	proceed     action = iota // nothing speaks against the next check
+	keepSoaking               // the wave goes on to be observed
+	wait                      // something is missing, which the reason names
+	halt                      // the release halts, whatever its plan says
+	fail                      // the gate fails
+	pass                      // the wave has passed
+)
+
+// step is an action with its reason.
+type step struct {
+	action action
+	reason string
+}
+
+// stepForward checks the present wave: first that its gateways have the target and live, and once they do how they serve.
+func (l *Ledger) stepForward(r *Release) {
+	if next := l.checkWave(r); next.action != proceed {
+		l.apply(r, next)
+		return
+	}
+	if !r.waveIsReady() {
+		l.beginSoak(r)
+		return
+	}
+	l.adoptReturned(r)
+	l.apply(r, l.checkSoak(r))
+}
+
+func (l *Ledger) apply(r *Release, next step) {
+	switch next.action {
+	case wait:
+		r.StateReason = next.reason
+	case halt:
+		l.setState(Halted, next.reason)
+	case fail:
+		l.failGate(next.reason)
+	case pass:
+		l.finishWave(r)
+	case proceed, keepSoaking:
+	}
+}
+
+// checkWave returns whether the present wave's gateways have the target and live, and those of earlier waves still do.
+func (l *Ledger) checkWave(r *Release) step {
+	if reason := l.lostZone(r); reason != "" {
+		return step{halt, reason}
+	}
+	wave := l.inspectWave(r)
+	tolerated := maxLosses(r.wave())
+	switch {
+	case wave.rejection != "":
+		return step{fail, wave.rejection}
+	case r.waveIsReady() && len(wave.missing) > tolerated:
+		return step{fail, joinNames(wave.missing) + ": no answer any more"}
+	case len(wave.restarted) > tolerated:
+		return step{fail, joinNames(wave.restarted) + ": started anew while it had it"}
+	case !r.waveIsReady() && (len(wave.waiting) > 0 || len(wave.missing) > tolerated):
+		return step{wait, "waits for " + joinNames(append(wave.waiting, wave.missing...))}
+	}
+	if reason := l.earlierWavesRegressed(r); reason != "" {
+		return step{fail, reason}
+	}
+	return step{action: proceed}
+}
+
+// maxLosses returns how many gateways of a wave may be missing or restart, since in a large wave some do so by chance.
+func maxLosses(wave []string) int { return len(wave) / 20 }
+
+func joinNames(names []string) string { return strings.Join(firstNames(names), ", ") }
+
+// waveMembers are the gateways of a wave by what keeps them from being ready.
+type waveMembers struct {
+	rejection string   // of the first one that rejects the target, with its reason
+	missing   []string // do not respond
+	waiting   []string // do not have the target, or do not serve yet
+	restarted []string // since the wave was ready
+}
+
+// inspectWave returns what its gateways report. One that has left the fleet is not counted: the next one that comes under its name is
+// assigned the target.
+func (l *Ledger) inspectWave(r *Release) waveMembers {
+	var members waveMembers
+	for _, name := range r.wave() {
+		gateway, known := l.Gateways[name]
+		if !known {
+			continue
+		}
+		current, rejection := r.current(&gateway)
+		switch {
+		case rejection != "":
+			members.rejection = cmp.Or(members.rejection, fmt.Sprintf("%s refuses it: %s", name, rejection))
+		case !gateway.Responding:
+			members.missing = append(members.missing, name)
+		case current != r.Target, r.OfProgram && !gateway.Serving:
+			members.waiting = append(members.waiting, name)
+		case r.waveIsReady() && r.hasRestarted(&gateway):
+			members.restarted = append(members.restarted, name)
+		}
+	}
+	return members
+}
+
+// earlierWavesRegressed returns which gateways of earlier waves have restarted since they have the target, where that is more than one
+// and more than a tenth of them. A canary's restart counts by itself in the wave right after its own.
+func (l *Ledger) earlierWavesRegressed(r *Release) string {
+	var restarted []string
+	total := 0
+	for i, wave := range r.Waves[:r.Wave] {
+		total += len(wave)
+		for _, name := range wave {
+			gateway := l.Gateways[name]
+			if !gateway.Responding || !r.hasRestarted(&gateway) {
+				continue
+			}
+			if i == 0 && r.Wave == 1 {
+				return name + ": started anew while it had it"
+			}
+			restarted = append(restarted, name)
+		}
+	}
+	if len(restarted) < 2 || 10*len(restarted) <= total {
+		return ""
+	}
+	return joinNames(restarted) + ": started anew while they had it"
+}
+
+// lostZone returns which zone has lost all of its gateways, of two or more that responded at the start of the release. Gateways that
+// restart in their wave are not lost, and in a fleet of one zone nothing can be told.
+func (l *Ledger) lostZone(r *Release) string {
+	type zone struct{ site, name string }
+	total, lost := map[zone]int{}, map[zone]int{}
+	for name, present := range r.PresentAtStart {
+		gateway, known := l.Gateways[name]
+		if !present || !known {
+			continue
+		}
+		place := zone{gateway.Site, gateway.Zone}
+		total[place]++
+		restarting := r.OfProgram && !r.waveIsReady() && slices.Contains(r.wave(), name)
+		if !gateway.Responding && !restarting {
+			lost[place]++
+		}
+	}
+	if len(total) < 2 {
+		return ""
+	}
+	for place, n := range lost {
+		if n > 1 && n == total[place] {
+			return strings.TrimSpace(fmt.Sprintf("all %d gateways of zone %q %s are lost", n, place.name, place.site))
+		}
+	}
+	return ""
+}
+
+// beginSoak records that the wave is ready, and what all gateways have counted until now.
+func (l *Ledger) beginSoak(r *Release) {
+	r.WaveReadyAt = positive(l.Now)
+	r.StateReason = ""
+	for name, gateway := range l.Gateways {
+		r.AtWaveReady[name] = gateway.Figures
+		if !slices.Contains(r.wave(), name) {
+			continue
+		}
+		delete(r.Incarnations, name)
+		if gateway.Responding {
+			r.Incarnations[name] = gateway.Incarnation
+		}
+	}
+}
+
+// adoptReturned begins to judge gateways that were missing when their wave became ready and respond now.
+func (l *Ledger) adoptReturned(r *Release) {
+	for _, name := range r.wave() {
+		gateway := l.Gateways[name]
+		if gateway.Responding && r.Incarnations[name] == 0 {
+			r.AtWaveReady[name] = gateway.Figures
+			r.Incarnations[name] = gateway.Incarnation
+		}
+	}
+}
+
+// checkSoak judges a wave that is ready. A failure counts at once, a pass at the end of the soak.
+func (l *Ledger) checkSoak(r *Release) step {
+	judged := l.judge(r)
+	switch {
+	case judged.outcome == failed:
+		return step{fail, judged.reason}
+	case l.Now-r.WaveReadyAt < r.Soak:
+		return step{action: keepSoaking}
+	case judged.outcome == undecided:
+		return step{wait, judged.reason}
+	}
+	return step{action: pass}
+}
+
+// finishWave begins the next wave, or ends the release behind its last one.
+func (l *Ledger) finishWave(r *Release) {
+	if r.Wave+1 == len(r.Waves) {
+		l.finish(Done, "")
+		return
+	}
+	r.Wave++
+	r.StateReason = ""
+	l.Revision++
+	l.beginWave(r)
+}
+
+// beginWave records the baseline of the present wave's gateways: what they have counted since the start of the release.
+func (l *Ledger) beginWave(r *Release) {
+	r.WaveReadyAt = 0
+	clear(r.AtWaveReady)
+	for _, name := range r.wave() {
+		if gateway, known := l.Gateways[name]; known {
+			r.BeforeWave[name] = gateway.since(r.AtStart[name])
+		}
+	}
+}
+
+// stepBack rolls the waves back, the last one first. Each waits until its gateways have what they had before, and then for a part of
+// the soak.
+func (l *Ledger) stepBack(r *Release) {
+	for _, name := range r.wave() {
+		if gateway, known := l.Gateways[name]; known && r.awaitsRollback(&gateway) {
+			return
+		}
+	}
+	if !r.waveIsReady() {
+		r.WaveReadyAt = positive(l.Now)
+	}
+	if r.Wave == 0 {
+		l.finish(RolledBack, r.StateReason)
+		return
+	}
+	pause := r.Soak / time.Duration(r.RollbackSpeedup)
+	if l.Now-r.WaveReadyAt >= pause {
+		r.Wave--
+		r.WaveReadyAt = 0
+		l.Revision++
+	}
+}
+
+// awaitsRollback reports whether a gateway responds and does not have again what it had before. One that rejects its former version is
+// not waited for.
+func (r *Release) awaitsRollback(g *Gateway) bool {
+	if !g.Responding {
+		return false
+	}
+	if !r.OfProgram {
+		return g.Config != r.Previous
+	}
+	previous := r.PreviousVersions[g.Name]
+	return previous != "" && g.Version != previous && g.VersionRejected == ""
+}
