--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -21,256 +20,298 @@
 	"robindrum/internal/supervisor"
 )
 
-// exitBack is a release that went back, or halts.
-const exitBack = 5
+// exitRolledBack is the exit code of a release that was rolled back or stopped, or halts.
+const exitRolledBack = 5
+
+const releaseWaitUsage = "wait until the release has ended or halts; exit code 0 done, 5 halted or back"
 
 func releaseCommand() *cobra.Command {
-	var addr string
-	c := &cobra.Command{Use: "release", Short: "Take a configuration or a version of the program over a fleet in waves, with a halt and a way back", Args: noArgs,
+	c := &cobra.Command{
+		Use:   "release",
+		Short: "Release a configuration or a version of the program to the fleet in waves, with a halt and a rollback",
 		Long: "A release brings the sections classes, clusters, routes, rate_limits, zones and xds of a file to every gateway of the fleet; all else stays each\n" +
 			"process's own. With --program it names a version that each gateway's supervisor has: gateways are drained for it within the budgets of all drains.\n" +
 			"It goes in waves: one gateway a site, a tenth, half, all, never two zones of a site in one; each is judged by what it shows.",
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.PersistentFlags().StringVarP(&addr, "admin", "a", "127.0.0.1:9901", "any process's admin `address`")
-	state := func(c *cobra.Command) (l quorum.ReleaseList, err error) {
-		err = ask(c, http.MethodGet, addr, "/fleet/releases", &l)
-		return l, err
+		Args: noArgs,
+		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	do := func(c *cobra.Command, x quorum.Command) error {
-		text, err := json.Marshal(x)
-		if err != nil {
-			return err
-		}
-		return send(c, http.MethodPost, addr, "/fleet/release", bytes.NewReader(text), io.Discard)
+	client := &releaseClient{}
+	c.PersistentFlags().StringVarP(&client.addr, "admin", "a", defaultAdmin, adminUsage)
+	c.AddCommand(releasePlanCommand(client), releaseStartCommand(client), releaseStatusCommand(client))
+	for _, operation := range []releaseOperation{
+		{"halt", "Halt the release; every gateway keeps what it has", quorum.OpHaltRelease},
+		{"resume", "Go on with the wave at which the release was halted", quorum.OpResumeRelease},
+		{"back", "Have every gateway go back to what it had", quorum.OpRollbackRelease},
+		{"stop", "End a halted release; every gateway keeps what it has", quorum.OpStopRelease},
+	} {
+		c.AddCommand(releaseOperationCommand(client, operation))
 	}
-	var wait, plain bool
-	var version string
-	p := release.Plan{}
-	// what says what is to be released: a file's text, or a version.
-	what := func(args []string) (text []byte, err error) {
-		switch {
-		case (len(args) == 0) == (version == ""):
-			return nil, fmt.Errorf("want a file, or --program: %w", errUsage)
-		case version != "":
-			p.OfProgram, p.Target = true, version
-			return nil, supervisor.CheckLabel(version)
-		}
-		if text, err = os.ReadFile(args[0]); err == nil {
-			p.Target = fleet.ConfigDigest(text)
-		}
-		return text, err
+	return c
+}
+
+// releaseClient sends requests about releases to the admin address of a process of the fleet.
+type releaseClient struct {
+	addr string
+}
+
+func (r *releaseClient) list(c *cobra.Command) (quorum.ReleaseList, error) {
+	var list quorum.ReleaseList
+	err := ask(c, http.MethodGet, r.addr, "/fleet/releases", &list)
+	return list, err
+}
+
+func (r *releaseClient) propose(c *cobra.Command, command quorum.Command) error {
+	text, err := json.Marshal(command)
+	if err != nil {
+		return err
 	}
-	planned := &cobra.Command{Use: "plan [FILE]", Short: "Print the waves in which a release would go, and what would be refused, without doing it", Args: cobra.MaximumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		l, err := state(c)
-		if err != nil {
-			return err
-		}
-		waves, budgets, why := release.Waves(l.Gateways), []drain.BudgetStatus{}, ""
-		if len(args) > 0 || version != "" {
-			if _, err := what(args); err != nil {
-				return err
-			}
-			b := release.Ledger{Gateways: map[string]release.Gateway{}, Configs: map[string]string{p.Target: ""}, CurrentConfig: l.CurrentConfig, CurrentVersion: l.CurrentVersion}
-			for _, g := range l.Gateways {
-				b.Gateways[g.Name] = g
-			}
-			if err := b.CheckStart(p); err != nil {
-				why = err.Error()
-			}
-		}
-		if l.Current != nil {
-			why = l.Current.String() + " is under way"
-		}
-		var o quorum.DrainList
-		if p.OfProgram {
-			if err := ask(c, http.MethodGet, addr, "/fleet/orders", &o); err != nil {
+	return send(c, http.MethodPost, r.addr, "/fleet/release", bytes.NewReader(text), io.Discard)
+}
+
+// setReleaseTarget makes the plan one of the file that args name, or of a program version, and returns the file's text.
+func setReleaseTarget(plan *release.Plan, args []string, version string) ([]byte, error) {
+	if (len(args) == 0) == (version == "") {
+		return nil, fmt.Errorf("want a file, or --program: %w", errUsage)
+	}
+	if version != "" {
+		plan.OfProgram = true
+		plan.Target = version
+		return nil, supervisor.CheckLabel(version)
+	}
+	text, err := os.ReadFile(args[0])
+	if err != nil {
+		return nil, err
+	}
+	plan.Target = fleet.ConfigDigest(text)
+	return text, nil
+}
+
+func releasePlanCommand(client *releaseClient) *cobra.Command {
+	var version string
+	var asJSON bool
+	c := &cobra.Command{
+		Use:   "plan [FILE]",
+		Short: "Print the waves in which a release would go, and what would be refused, without doing it",
+		Args:  cobra.MaximumNArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			preview, err := client.preview(c, args, version)
+			if err != nil {
 				return err
 			}
-			for _, b := range o.Budgets {
-				if strings.HasPrefix(b.Scope, "cluster") {
-					continue
-				}
-				if budgets = append(budgets, b); b.Allowed == 0 {
-					why = cmp.Or(why, "budget "+b.Name+" allows none to be out")
-				}
+			if asJSON {
+				err = json.NewEncoder(c.OutOrStdout()).Encode(preview)
+			} else {
+				preview.print(c.OutOrStdout())
 			}
-		}
-		if plain {
-			err := json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"waves": waves, "budgets": budgets, "refused": why})
-			if err == nil && why != "" {
-				err = exitCode(1)
+			if err == nil && preview.rejection != "" {
+				return exitCode(1)
 			}
 			return err
+		},
+	}
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	c.Flags().StringVar(&version, "program", "", "a `version` of the program")
+	return c
+}
+
+// releasePreview is what a release would do.
+type releasePreview struct {
+	waves     [][]string
+	gateways  int                  // in all waves
+	budgets   []drain.BudgetStatus // those of gateways; of a program release only
+	rejection string               // why it could not start; empty: it could
+}
+
+// MarshalJSON encodes what --json prints.
+func (p *releasePreview) MarshalJSON() ([]byte, error) {
+	return json.Marshal(map[string]any{"waves": p.waves, "budgets": p.budgets, "refused": p.rejection})
+}
+
+// preview returns the waves of the fleet's gateways, and where args or version name a target whether a release to it could start.
+func (r *releaseClient) preview(c *cobra.Command, args []string, version string) (*releasePreview, error) {
+	list, err := r.list(c)
+	if err != nil {
+		return nil, err
+	}
+	preview := &releasePreview{budgets: []drain.BudgetStatus{}, waves: release.Waves(list.Gateways), gateways: len(list.Gateways)}
+	plan := release.Plan{}
+	if len(args) > 0 || version != "" {
+		if _, err := setReleaseTarget(&plan, args, version); err != nil {
+			return nil, err
 		}
-		for i, w := range waves {
-			fmt.Fprintf(c.OutOrStdout(), "wave %d, %d of %d: %s\n", i+1, len(w), len(l.Gateways), strings.Join(w, " "))
-		}
-		for _, b := range budgets {
-			fmt.Fprintf(c.OutOrStdout(), "budget %s, %s: %d of %d may be out at once, %d are\n", b.Name, b.Scope, b.Allowed, b.Total, len(b.Unavailable))
-		}
-		if why != "" {
-			fmt.Fprintf(c.OutOrStdout(), "it would be refused: %s\n", why)
-			return exitCode(1)
+		if err := checkReleaseStart(&list, plan); err != nil {
+			preview.rejection = err.Error()
 		}
-		return nil
-	}}
-	planned.Flags().BoolVar(&plain, "json", false, "print JSON")
-	planned.Flags().StringVar(&version, "program", "", "a `version` of the program")
-	c.AddCommand(planned)
-	start := &cobra.Command{Use: "start [FILE]", Short: "Start a release of a file's sections, or of a version of the program", Args: cobra.MaximumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
-		text, err := what(args)
-		if err != nil {
-			return err
+	}
+	if list.Current != nil {
+		preview.rejection = list.Current.String() + " is under way"
+	}
+	if !plan.OfProgram {
+		return preview, nil
+	}
+	if preview.budgets, err = r.gatewayBudgets(c); err != nil {
+		return nil, err
+	}
+	for _, budget := range preview.budgets {
+		if budget.Allowed == 0 {
+			preview.rejection = cmp.Or(preview.rejection, "budget "+budget.Name+" allows none to be out")
 		}
-		if p.ID == "" {
-			p.ID = p.Target[:min(8, len(p.Target))]
+	}
+	return preview, nil
+}
+
+// checkReleaseStart returns why the fleet as it is listed could not start a release. A file counts as stored: it is with the start.
+func checkReleaseStart(list *quorum.ReleaseList, plan release.Plan) error {
+	ledger := release.NewLedger()
+	ledger.Configs[plan.Target] = ""
+	ledger.CurrentConfig = list.CurrentConfig
+	ledger.CurrentVersion = list.CurrentVersion
+	for _, gateway := range list.Gateways {
+		ledger.Gateways[gateway.Name] = gateway
+	}
+	return ledger.CheckStart(plan)
+}
+
+// gatewayBudgets returns the budgets that limit how many gateways are drained at a time.
+func (r *releaseClient) gatewayBudgets(c *cobra.Command) ([]drain.BudgetStatus, error) {
+	var drains quorum.DrainList
+	if err := ask(c, http.MethodGet, r.addr, "/fleet/orders", &drains); err != nil {
+		return nil, err
+	}
+	budgets := []drain.BudgetStatus{}
+	for _, budget := range drains.Budgets {
+		if !strings.HasPrefix(budget.Scope, "cluster") {
+			budgets = append(budgets, budget)
 		}
-		p.Owner = os.Getenv("USER")
-		if !p.OfProgram {
-			if err := do(c, quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: string(text)}); err != nil {
+	}
+	return budgets, nil
+}
+
+func (p *releasePreview) print(out io.Writer) {
+	for i, wave := range p.waves {
+		fmt.Fprintf(out, "wave %d, %d of %d: %s\n", i+1, len(wave), p.gateways, strings.Join(wave, " "))
+	}
+	for _, b := range p.budgets {
+		fmt.Fprintf(out, "budget %s, %s: %d of %d may be out at once, %d are\n", b.Name, b.Scope, b.Allowed, b.Total, len(b.Unavailable))
+	}
+	if p.rejection != "" {
+		fmt.Fprintf(out, "it would be refused: %s\n", p.rejection)
+	}
+}
+
+func releaseStartCommand(client *releaseClient) *cobra.Command {
+	var version string
+	var wait, asJSON bool
+	plan := release.Plan{}
+	c := &cobra.Command{
+		Use:   "start [FILE]",
+		Short: "Start a release of a file's sections, or of a version of the program",
+		Args:  cobra.MaximumNArgs(1),
+		RunE: func(c *cobra.Command, args []string) error {
+			text, err := setReleaseTarget(&plan, args, version)
+			if err != nil {
 				return err
 			}
-		}
-		if err := do(c, quorum.Command{Op: quorum.OpStartRelease, Plan: &p}); err != nil {
-			return err
-		}
-		if !wait {
-			fmt.Fprintf(c.OutOrStdout(), "release %s of %s begins\n", p.ID, p.Target)
+			if err := client.start(c, &plan, text); err != nil {
+				return err
+			}
+			if wait {
+				return client.watch(c, plan.ID, asJSON)
+			}
+			fmt.Fprintf(c.OutOrStdout(), "release %s of %s begins\n", plan.ID, plan.Target)
 			return nil
-		}
-		return watch(c, state, p.ID, plain)
-	}}
-	f := start.Flags()
+		},
+	}
+	f := c.Flags()
 	f.StringVar(&version, "program", "", "a `version` of the program, in place of a file")
-	f.DurationVar(&p.Grace, "grace", 30*time.Second, "with --program, how long what a gateway has in hand is waited for")
-	f.DurationVar(&p.Notice, "notice", 2*time.Second, "with --program, how long a gateway still takes what comes, with its readiness off")
-	f.Float64Var(&p.Gate.MaxTailRatio, "tail", 2, "multiple of the others' p99 beyond which three of a hundred answers are too many")
-	f.Float64Var(&p.Gate.MaxInTimeLoss, "in-time", 0.05, "part of a class's requests that may be less in time")
-	f.StringVar(&p.ID, "id", "", "the release's name; left out: the file's digest")
-	f.StringVar(&p.Reason, "reason", "", "why")
-	f.DurationVar(&p.Soak, "soak", 30*time.Second, "how long each wave shows what it does")
-	f.IntVar(&p.RollbackSpeedup, "faster", 4, "how many times faster it goes back")
-	f.BoolVar(&p.RollBackOnFailure, "back", true, "a gate that fails has all go back; else it halts")
-	f.IntVar(&p.Gate.MinRequests, "requests", 200, "that a wave must have had to be judged")
-	f.Float64Var(&p.Gate.MaxErrorIncrease, "errors", 0.01, "failed or refused requests that may be more, as a part of all")
-	f.Float64Var(&p.Gate.MaxMeanRatio, "slower", 1.5, "multiple of the mean time of an answer that is too much")
-	f.Float64Var(&p.Gate.MaxMemoryRatio, "memory", 1.5, "multiple of a gateway's memory before that is too much")
-	f.BoolVar(&wait, "wait", false, "wait until it has ended or halts; exit code 0 done, 5 halted or back")
-	f.BoolVar(&plain, "json", false, "with --wait, print JSON, a line a change")
-	c.AddCommand(start)
-	var raw bool
-	status := &cobra.Command{Use: "status", Short: "How the release stands, and who has what", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
-		if raw {
-			return ask(c, http.MethodGet, addr, "/fleet/releases", c.OutOrStdout())
-		}
-		l, err := state(c)
-		if err != nil {
+	f.BoolVar(&wait, "wait", false, releaseWaitUsage)
+	f.BoolVar(&asJSON, "json", false, "with --wait, print JSON, a line a change")
+	addPlanFlags(c, &plan)
+	return c
+}
+
+func addPlanFlags(c *cobra.Command, plan *release.Plan) {
+	f := c.Flags()
+	f.StringVar(&plan.ID, "id", "", "the release's name; left out: the start of the file's digest, or of the version")
+	f.StringVar(&plan.Reason, "reason", "", "why")
+	f.DurationVar(&plan.Grace, "grace", 30*time.Second, "with --program, how long requests in flight at a gateway may take to finish")
+	f.DurationVar(&plan.Notice, "notice", 2*time.Second, "with --program, how long a gateway still accepts requests, with its readiness off")
+	f.DurationVar(&plan.Soak, "soak", 30*time.Second, "how long each wave is judged")
+	f.IntVar(&plan.RollbackSpeedup, "faster", 4, "how many times faster it is rolled back")
+	f.BoolVar(&plan.RollBackOnFailure, "back", true, "roll back when a gate fails; else halt")
+	f.IntVar(&plan.Gate.MinRequests, "requests", 200, "that a wave must have had to be judged")
+	f.Float64Var(&plan.Gate.MaxErrorIncrease, "errors", 0.01, "failed or rejected requests that may be more, as a part of all")
+	f.Float64Var(&plan.Gate.MaxMeanRatio, "slower", 1.5, "multiple of the mean latency that is too much")
+	f.Float64Var(&plan.Gate.MaxTailRatio, "tail", 2, "multiple of the others' p99 beyond which three of a hundred answers are too many")
+	f.Float64Var(&plan.Gate.MaxInTimeLoss, "in-time", 0.05, "part of a class's requests that may be less in time")
+	f.Float64Var(&plan.Gate.MaxMemoryRatio, "memory", 1.5, "multiple of a gateway's memory before that is too much")
+}
+
+// start stores the text of a configuration and starts the release. A plan without an ID is called after its target.
+func (r *releaseClient) start(c *cobra.Command, plan *release.Plan, text []byte) error {
+	if plan.ID == "" {
+		plan.ID = plan.Target[:min(8, len(plan.Target))]
+	}
+	plan.Owner = os.Getenv("USER")
+	if !plan.OfProgram {
+		store := quorum.Command{Op: quorum.OpStoreConfig, Digest: plan.Target, Text: string(text)}
+		if err := r.propose(c, store); err != nil {
 			return err
 		}
-		return showReleases(c.OutOrStdout(), &l)
-	}}
-	status.Flags().BoolVar(&raw, "json", false, "print what the quorum says as it is")
-	c.AddCommand(status)
-	for _, x := range []struct {
-		name, what string
-		op         quorum.Op
-	}{{"halt", "Have it go no further; everyone keeps what it has", quorum.OpHaltRelease}, {"resume", "Go on with the wave that was halted", quorum.OpResumeRelease},
-		{"back", "Have every gateway go back to what it had", quorum.OpRollbackRelease}, {"stop", "End a halted release where it stands", quorum.OpStopRelease}} {
-		var wait, plain bool
-		hand := &cobra.Command{Use: x.name, Short: x.what, Args: noArgs, RunE: func(c *cobra.Command, _ []string) error {
-			l, err := state(c)
-			if err == nil {
-				err = do(c, quorum.Command{Op: x.op, Text: strings.TrimSpace("by hand, " + os.Getenv("USER"))})
+	}
+	return r.propose(c, quorum.Command{Op: quorum.OpStartRelease, Plan: plan})
+}
+
+func releaseStatusCommand(client *releaseClient) *cobra.Command {
+	var asJSON bool
+	c := &cobra.Command{
+		Use:   "status",
+		Short: "Print the release's state, and which gateway has what",
+		Args:  noArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if asJSON {
+				return ask(c, http.MethodGet, client.addr, "/fleet/releases", c.OutOrStdout())
 			}
-			if err != nil || !wait || l.Current == nil {
+			list, err := client.list(c)
+			if err != nil {
 				return err
 			}
-			return watch(c, state, l.Current.ID, plain)
-		}}
-		hand.Flags().BoolVar(&wait, "wait", false, "wait until the release has ended or halts; exit code 0 done, 5 halted or back")
-		hand.Flags().BoolVar(&plain, "json", false, "with --wait, print JSON, a line a change")
-		c.AddCommand(hand)
+			return printReleases(c.OutOrStdout(), &list)
+		},
 	}
+	c.Flags().BoolVar(&asJSON, "json", false, "print the quorum's answer unchanged")
 	return c
 }
 
-// watch prints a release's changes until it has ended or halts.
-func watch(c *cobra.Command, state func(*cobra.Command) (quorum.ReleaseList, error), id string, plain bool) error {
-	last := ""
-	for {
-		l, err := state(c)
-		var r *release.Release
-		if err == nil {
-			if r = l.Current; r == nil || r.ID != id {
-				r = nil
-				for i := range l.Ended {
-					if l.Ended[i].ID == id {
-						r = &l.Ended[i]
-					}
-				}
+// releaseOperation is a command that changes the release in progress.
+type releaseOperation struct {
+	name  string
+	short string
+	op    quorum.Op
+}
+
+func releaseOperationCommand(client *releaseClient, operation releaseOperation) *cobra.Command {
+	var wait, asJSON bool
+	c := &cobra.Command{
+		Use:   operation.name,
+		Short: operation.short,
+		Args:  noArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			list, err := client.list(c)
+			if err != nil {
+				return err
 			}
-		}
-		if r != nil {
-			if line := r.String(); line != last {
-				last = line
-				if plain {
-					if err := json.NewEncoder(c.OutOrStdout()).Encode(r); err != nil {
-						return err
-					}
-				} else {
-					fmt.Fprintln(c.OutOrStdout(), line)
-				}
+			reason := strings.TrimSpace("by hand, " + os.Getenv("USER"))
+			if err := client.propose(c, quorum.Command{Op: operation.op, Text: reason}); err != nil {
+				return err
 			}
-			switch r.State {
-			case release.Done:
+			if !wait || list.Current == nil {
 				return nil
-			case release.Halted, release.RolledBack, release.Stopped:
-				return exitCode(exitBack)
 			}
-		}
-		select {
-		case <-c.Context().Done():
-			return c.Context().Err()
-		case <-time.After(300 * time.Millisecond):
-		}
+			return client.watch(c, list.Current.ID, asJSON)
+		},
 	}
-}
-
-func showReleases(out io.Writer, l *quorum.ReleaseList) error {
-	if !l.Fresh {
-		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last. Nothing goes on\n", l.Voter)
-	}
-	if l.Current != nil {
-		fmt.Fprintf(out, "%s\n", l.Current)
-	} else {
-		fmt.Fprintln(out, "no release is under way; requests, bad and mean are as of the end of the last one, or of the last change")
-	}
-	for i := len(l.Ended) - 1; i >= max(0, len(l.Ended)-5); i-- {
-		fmt.Fprintf(out, "  ended %s ago: %s\n", seconds((l.Now - l.Ended[i].StateSince).Seconds()), &l.Ended[i])
-	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "GATEWAY\tSITE\tZONE\tHAS\tIS TO HAVE\tRUNS AS\tIS TO RUN AS\tREQUESTS\tBAD\tMEAN\tMEMORY\tREFUSED")
-	name := func(digest string) string {
-		if digest == "" {
-			return "its own file"
-		}
-		return digest[:min(12, len(digest))]
-	}
-	for _, g := range l.Gateways {
-		has := name(g.Config)
-		if !g.Responding {
-			has = "NO ANSWER"
-		}
-		mean := 0.0
-		if g.Served > 0 {
-			mean = 1000 * g.LatencySeconds / float64(g.Served)
-		}
-		runs, to := cmp.Or(g.Version, "not supervised"), cmp.Or(l.DesiredVersions[g.Name], "-")
-		if !g.Responding {
-			runs = "NO ANSWER"
-		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%.1f ms\t%d MiB\t%s\n", g.Name, g.Site, g.Zone, has, name(l.DesiredConfigs[g.Name]), runs, to, g.Accepted, g.Failed, mean, g.Memory>>20,
-			strings.TrimSpace(g.ConfigRejected+" "+g.VersionRejected))
-	}
-	return t.Flush()
+	c.Flags().BoolVar(&wait, "wait", false, releaseWaitUsage)
+	c.Flags().BoolVar(&asJSON, "json", false, "with --wait, print JSON, a line a change")
+	return c
 }
