--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -154,8 +154,16 @@
 	s.wantState("w", Pending)
 	s.SetHalted(s.Now, false)
 	s.wantState("w", Granted)
+}
+
+func TestSameIDWithAnotherTargetIsAnError(t *testing.T) {
+	s := newScenario(t, Budget{Name: "one", Scope: Scope{Gateways: true}, Max: 1})
+	s.observe(true, true, true)
+	s.submit("w", 2)
+	s.submit("w", 2)
+	s.wantState("w", Granted)
 	if _, err := s.Submit(s.Now, Request{ID: "w", Target: Target{Gateway: "g1"}, Grace: 1}); !errors.Is(err, ErrIDInUse) {
-		t.Errorf("another target under the same id: %v", err)
+		t.Errorf("%v", err)
 	}
 }
 
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -148,7 +148,7 @@
 
 func unknownTargetError(t Target) error { return fmt.Errorf("nobody knows of %s", t) }
 
-// place returns where a single gateway or endpoint stands, and whether it is known.
+// place returns the place of a single gateway or endpoint, and whether it is known.
 func (l *Ledger) place(t Target) (place, bool) {
 	if t.Gateway != "" {
 		gateway, known := l.Gateways[t.Gateway]
--- a/internal/release/release_test.go
+++ b/internal/release/release_test.go
@@ -188,30 +188,52 @@
 	}
 }
 
-// TestOperatorCommands halts, resumes, rolls back and stops a release; each call may be repeated, and a second release has to wait.
-func TestOperatorCommands(t *testing.T) {
+// runToWave plays rounds until the release is in a wave.
+func (f *fleet) runToWave(wave int) {
+	for f.ledger.Current.Wave < wave {
+		f.round()
+	}
+}
+
+// twice makes a call that may be repeated.
+func twice(t *testing.T, call func() error) {
+	t.Helper()
+	for range 2 {
+		if err := call(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestSecondReleaseWaitsForTheFirst(t *testing.T) {
 	f := newFleet(20)
-	l := f.ledger
-	_ = l.StoreConfig("other", "x")
-	if err := l.Start(f.now, configPlan(false)); err != nil {
-		t.Fatal(err)
+	_ = f.ledger.StoreConfig("other", "x")
+	twice(t, func() error { return f.ledger.Start(f.now, configPlan(false)) })
+	if err := f.ledger.Start(f.now, Plan{ID: "s", Target: "other"}); !errors.Is(err, ErrInProgress) {
+		t.Errorf("two at once: %v", err)
 	}
-	if err := l.Start(f.now, configPlan(false)); err != nil {
-		t.Errorf("the same once more: %v", err)
+}
+
+func TestCommandsWithoutReleaseAreErrors(t *testing.T) {
+	f := newFleet(20)
+	if err := f.ledger.Rollback(f.now, ""); !errors.Is(err, ErrNoRelease) {
+		t.Errorf("a rollback without a release: %v", err)
 	}
-	if err := l.Start(f.now, Plan{ID: "s", Target: "other"}); err == nil {
-		t.Error("two at once")
+	if err := f.ledger.Start(f.now, Plan{ID: "t", Target: "nobody has this"}); !errors.Is(err, ErrUnknownConfig) {
+		t.Errorf("a configuration that is not stored: %v", err)
 	}
+}
 
-	for l.Current.Wave < 1 {
-		f.round()
+// TestOperatorCommands halts, resumes and rolls back a release, and stops the next one; the calls may be repeated.
+func TestOperatorCommands(t *testing.T) {
+	f := newFleet(20)
+	l := f.ledger
+	if err := l.Start(f.now, configPlan(false)); err != nil {
+		t.Fatal(err)
 	}
+	f.runToWave(1)
 	before := f.countWith("new")
-	for range 2 {
-		if err := l.Halt(f.now, "by hand"); err != nil {
-			t.Fatal(err)
-		}
-	}
+	twice(t, func() error { return l.Halt(f.now, "by hand") })
 	for range 20 {
 		f.round()
 	}
@@ -220,14 +242,8 @@
 	}
 
 	_ = l.Resume(f.now)
-	for l.Current.Wave < 2 {
-		f.round()
-	}
-	for range 2 {
-		if err := l.Rollback(f.now, "by hand"); err != nil {
-			t.Fatal(err)
-		}
-	}
+	f.runToWave(2)
+	twice(t, func() error { return l.Rollback(f.now, "by hand") })
 	for l.Current != nil {
 		before := f.countWith("new")
 		f.round()
@@ -253,10 +269,7 @@
 		t.Errorf("stopped: %d have it", f.countWith("new"))
 	}
 	if err := l.Rollback(f.now, ""); !errors.Is(err, ErrNoRelease) {
-		t.Errorf("a rollback without a release: %v", err)
-	}
-	if err := l.Start(f.now, Plan{ID: "t", Target: "nobody has this"}); !errors.Is(err, ErrUnknownConfig) {
-		t.Errorf("a configuration that is not stored: %v", err)
+		t.Errorf("a rollback of a stopped release: %v", err)
 	}
 }
 
--- a/internal/release/steps.go
+++ b/internal/release/steps.go
@@ -157,8 +157,8 @@
 	return joinNames(restarted) + ": started anew while they had it"
 }
 
-// lostZone returns which zone has lost all of its gateways, of two or more that responded at the start of the release. Gateways that
-// restart in their wave are not lost, and in a fleet of one zone nothing can be told.
+// lostZone returns which zone has lost all of its gateways, of two or more that responded at the start of the release; empty: none, or
+// the fleet has a single zone. Gateways that restart in their wave are not lost.
 func (l *Ledger) lostZone(r *Release) string {
 	type zone struct{ site, name string }
 	total, lost := map[zone]int{}, map[zone]int{}
