--- a/cmd/robindrum-node/crowd_test.go
+++ b/cmd/robindrum-node/crowd_test.go
@@ -56,8 +56,8 @@
 // good clients are served, by dials to backends, all the while; discovery returns, and its list is had within 6 s.
 func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 128
-	answer := func(name string) func(testbed.Seen, int) string {
-		return func(testbed.Seen, int) string { // each attempt needs a connection of its own
+	answer := func(name string) func(testbed.ReceivedRequest, int) string {
+		return func(testbed.ReceivedRequest, int) string { // each attempt needs a connection of its own
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(name), name)
 		}
 	}
--- a/cmd/robindrum-node/main_test.go
+++ b/cmd/robindrum-node/main_test.go
@@ -57,8 +57,8 @@
 		}
 	})
 	t.Run("robindrum-node", func(t *testing.T) {
-		b := testbed.NewBackend(t, func(testbed.Seen, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
-		listen := testbed.Refusing(t)
+		b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
+		listen := testbed.RefusingAddress(t)
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(configText("", b.Addr, settings)), 0o600); err != nil {
 			t.Fatal(err)
@@ -127,7 +127,7 @@
 // A node that is told to read its file anew asks at the discovery that it names from then on, and goes on as it was
 // where the file is of no use.
 func testReload(t *testing.T) {
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
 	calls := make(chan string, 9)
 	discovery := func(name string) string {
 		over := make(chan struct{})
@@ -142,7 +142,7 @@
 		t.Cleanup(func() { close(over) })
 		return p.Addr
 	}
-	listen, path := testbed.Refusing(t), filepath.Join(t.TempDir(), "config.json")
+	listen, path := testbed.RefusingAddress(t), filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -193,7 +193,7 @@
 			t.Errorf("request %s: %d", id, resp.StatusCode)
 		}
 	}
-	if name := testbed.Within(t, "a first call", calls); name != "first" {
+	if name := testbed.Receive(t, "a first call", calls); name != "first" {
 		t.Errorf("called %s", name)
 	}
 	good := at("127.0.0.1:1")
@@ -207,7 +207,7 @@
 	ask("1")
 	write(at(discovery("second")))
 	_ = cmd.Process.Signal(syscall.SIGHUP)
-	if name := testbed.Within(t, "a call after the move", calls); name != "second" {
+	if name := testbed.Receive(t, "a call after the move", calls); name != "second" {
 		t.Errorf("called %s", name)
 	}
 	ask("2") // the list is the old one's until the new one tells another
--- a/cmd/robindrum-node/ready_test.go
+++ b/cmd/robindrum-node/ready_test.go
@@ -23,7 +23,7 @@
 	many := min(*readyOfEach, 100)
 	over := make(chan struct{})
 	hangs := testbed.NewPeer(t, func(net.Conn, int) { <-over })
-	full := testbed.NewBackend(t, func(testbed.Seen, int) string { return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n" })
+	full := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n" })
 	t.Cleanup(func() { close(over) })
 	var remembered strings.Builder
 	for i := range 20000 {
@@ -31,7 +31,7 @@
 	}
 	took := make(chan time.Duration, 3*many)
 	var all sync.WaitGroup
-	for name, at := range map[string]string{"down": testbed.Refusing(t), "hangs": hangs.Addr, "full": full.Addr} {
+	for name, at := range map[string]string{"down": testbed.RefusingAddress(t), "hangs": hangs.Addr, "full": full.Addr} {
 		for range many {
 			p := launch(t, func(listen string) string {
 				text := strings.Replace(configText(listen, "127.0.0.1:1", settings), `"127.0.0.1:1"`, fmt.Sprintf("%q", at), 1)
--- a/cmd/robindrum-node/signals_test.go
+++ b/cmd/robindrum-node/signals_test.go
@@ -34,7 +34,7 @@
 // launchWith is launch by a command of the caller's, which is to end by exec of the program.
 func launchWith(t *testing.T, text func(listen string) string, command func(program string) *exec.Cmd) *process {
 	t.Helper()
-	p := &process{listen: testbed.Refusing(t), path: filepath.Join(t.TempDir(), "config.json")}
+	p := &process{listen: testbed.RefusingAddress(t), path: filepath.Join(t.TempDir(), "config.json")}
 	p.write(t, text(p.listen))
 	p.Cmd = command(filepath.Join(programs, "robindrum-node"))
 	p.Env = append(os.Environ(), "PROXY_CONFIG="+p.path)
@@ -70,7 +70,7 @@
 		c, err = net.Dial("tcp", p.listen)
 		return err == nil
 	})
-	c.SetDeadline(time.Now().Add(testbed.Patience))
+	c.SetDeadline(time.Now().Add(testbed.WaitTimeout))
 	t.Cleanup(func() { c.Close() })
 	return c
 }
@@ -141,8 +141,8 @@
 // during the shutdown too, and what the new one tells of a drain counts.
 func TestSignalsTogether(t *testing.T) {
 	came, goOn := make(chan string, 99), make(chan struct{})
-	answer := func(name string) func(testbed.Seen, int) string {
-		return func(s testbed.Seen, _ int) string {
+	answer := func(name string) func(testbed.ReceivedRequest, int) string {
+		return func(s testbed.ReceivedRequest, _ int) string {
 			came <- name
 			if s.Header.Get("X-Trace-Id") == "1" {
 				<-goOn
@@ -166,12 +166,12 @@
 		}
 	}
 	p := launch(t, at(first))
-	if name := testbed.Within(t, "a call", calls); name != "first" {
+	if name := testbed.Receive(t, "a call", calls); name != "first" {
 		t.Errorf("called %s", name)
 	}
 	c := p.connect(t)
 	_, _ = io.WriteString(c, request("1"))
-	if name := testbed.Within(t, "the request", came); name != "a" {
+	if name := testbed.Receive(t, "the request", came); name != "a" {
 		t.Errorf("sent to %s", name)
 	}
 	// Requests that have begun to come keep their connections.
@@ -193,7 +193,7 @@
 	})
 	_ = p.Process.Signal(syscall.SIGHUP)
 	_ = p.Process.Signal(syscall.SIGTERM)
-	if name := testbed.Within(t, "a call at the new address", calls); name != "second" {
+	if name := testbed.Receive(t, "a call at the new address", calls); name != "second" {
 		t.Errorf("called %s", name)
 	}
 	// The list has been written to the node, which may need a moment to read it: from the first request on that goes by it, all do.
@@ -235,7 +235,7 @@
 		i, j := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
 		return text[:i] + text[j:]
 	})
-	testbed.Within(t, "a call", calls)
+	testbed.Receive(t, "a call", calls)
 	c := p.connect(t)
 	_, _ = io.WriteString(c, request("1"))
 	_ = p.Process.Signal(syscall.SIGTERM)
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -108,7 +108,7 @@
 		{[]string{"nope"}, 2, "unknown command"},
 		{[]string{"try", "--rate", "0"}, 2, "want more than 0"},
 		{[]string{"try", "--length", "0.5s", "--rate", "40"}, 0, "all rules kept"},
-		{[]string{"status", "-a", testbed.Refusing(t)}, 1, "connection refused"},
+		{[]string{"status", "-a", testbed.RefusingAddress(t)}, 1, "connection refused"},
 		{[]string{"serve", "-h"}, 0, "SIGHUP"},
 	} {
 		var out, errs bytes.Buffer
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	defer b.Kill()
-	web, admin := testbed.Refusing(t), testbed.Refusing(t)
+	web, admin := testbed.RefusingAddress(t), testbed.RefusingAddress(t)
 	path := file(t, fmt.Sprintf(least, web, admin, a.Addr))
 	hup := make(chan os.Signal)
 	var log buffer
@@ -141,7 +141,7 @@
 	go func() { done <- serve(ctx, path, hup, &log) }()
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr, Timeout: testbed.Patience}
+	client := &http.Client{Transport: tr, Timeout: testbed.WaitTimeout}
 	from := func() string {
 		resp, err := client.Get("http://" + web + "/x")
 		if err != nil {
@@ -173,7 +173,7 @@
 	http.DefaultClient.CloseIdleConnections()
 	tr.CloseIdleConnections()
 	cancel()
-	if err := testbed.Within(t, "the end", done); err != nil {
+	if err := testbed.Receive(t, "the end", done); err != nil {
 		t.Error(err)
 	}
 	if c, err := net.DialTimeout("tcp", web, time.Second); err == nil {
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -19,7 +19,7 @@
 func newPool(t testing.TB, opt Options, limit int) *Pool {
 	t.Helper()
 	if opt.ConnectTimeout == 0 {
-		opt.ConnectTimeout = testbed.Patience
+		opt.ConnectTimeout = testbed.WaitTimeout
 	}
 	if opt.IdleTimeout == 0 {
 		opt.IdleTimeout = time.Hour
@@ -42,7 +42,7 @@
 func refuseStream(int, http.Header, int64) io.Writer { panic("not a long answer") }
 
 func do(up *Upstream, r *Request) Reply {
-	return NewAttempt(up, r, time.Now().Add(testbed.Patience)).Do(refuseStream)
+	return NewAttempt(up, r, time.Now().Add(testbed.WaitTimeout)).Do(refuseStream)
 }
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -129,7 +129,7 @@
 // The client's time may run out while a connection is being made: the backend is not to blame for that.
 func TestDeadlineWithinDial(t *testing.T) {
 	testbed.Leaks(t)
-	a := NewAttempt(newPool(t, Options{}, 9).Upstream(testbed.Full(t), 0), get("/get"), time.Now().Add(20*time.Millisecond))
+	a := NewAttempt(newPool(t, Options{}, 9).Upstream(testbed.FullBacklogAddress(t), 0), get("/get"), time.Now().Add(20*time.Millisecond))
 	if r := a.Do(refuseStream); r.Result != balancer.TimedOut {
 		t.Errorf("result %d", r.Result)
 	}
@@ -170,18 +170,18 @@
 
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	r := post(100 << 10)
 	r.URI = "/post/a%2Fb;c?obj=%41&x=1+2&&"
 	r.Header["Idempotency-Key"] = []string{"k"}
 	if reply := do(newPool(t, Options{}, 9).Upstream(b.Addr, 0), r); reply.Result != balancer.Served {
 		t.Fatalf("result %d", reply.Result)
 	}
-	s := b.Seen()[0]
+	s := b.Requests()[0]
 	want := append(bytes.Clone(r.Body[0]), r.Body[1]...)
-	if s.Method != "POST" || s.RequestURI != "/post/a%2Fb;c?obj=%41&x=1+2&&" || !bytes.Equal(s.Text, want) ||
+	if s.Method != "POST" || s.RequestURI != "/post/a%2Fb;c?obj=%41&x=1+2&&" || !bytes.Equal(s.Content, want) ||
 		s.Header.Get("X-Trace-Id") != "t" || s.Header.Get("Idempotency-Key") != "k" || s.Host != "api.internal" {
-		t.Errorf("%s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.Text), s.Header)
+		t.Errorf("%s %s, %d bytes, %v", s.Method, s.RequestURI, len(s.Content), s.Header)
 	}
 	if ms := s.Header.Get("X-Expires-In-Ms"); len(ms) < 4 || s.Header["User-Agent"] != nil {
 		t.Errorf("X-Expires-In-Ms %q, User-Agent %q", ms, s.Header["User-Agent"])
@@ -195,7 +195,7 @@
 // that was used before and breaks without an answer.
 func TestAttemptWritesItsRequestOnce(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
+	b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string {
 		if n == 0 {
 			return ok
 		}
@@ -208,17 +208,17 @@
 	if reply := do(up, r); reply.Result != balancer.ConnectionLost {
 		t.Errorf("result %d", reply.Result)
 	}
-	if n := len(b.Seen()); n != 2 {
+	if n := len(b.Requests()); n != 2 {
 		t.Errorf("the backend has seen %d requests", n)
 	}
-	if reply := do(up, get("/get")); reply.Result != balancer.ConnectionLost || len(b.Seen()) != 3 {
-		t.Errorf("result %d, %d requests", reply.Result, len(b.Seen()))
+	if reply := do(up, get("/get")); reply.Result != balancer.ConnectionLost || len(b.Requests()) != 3 {
+		t.Errorf("result %d, %d requests", reply.Result, len(b.Requests()))
 	}
 }
 
 func TestIdleConnectionsEnd(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	p := newPool(t, Options{IdleTimeout: 50 * time.Millisecond}, 9)
 	do(p.Upstream(b.Addr, 0), get("/get"))
 	testbed.Eventually(t, "the connection to be closed", func() bool { return p.budget.Used() == 0 })
@@ -239,7 +239,7 @@
 // What this node lacks says nothing against a backend.
 func TestLocalShortageIsNotSent(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	p := newPool(t, Options{}, 2)
 	for p.budget.Used() < p.budget.Limit() {
 		p.budget.Acquire()
@@ -249,7 +249,7 @@
 			t.Errorf("%s: result %d", name, r.Result)
 		}
 	}
-	if n := b.Conns(); n != 0 || p.budget.Used() != p.budget.Limit() {
+	if n := b.Connections(); n != 0 || p.budget.Used() != p.budget.Limit() {
 		t.Errorf("%d connections made, %d descriptors held", n, p.budget.Used())
 	}
 }
@@ -257,7 +257,7 @@
 // A connection that is refused, or never comes up, holds no descriptor afterwards.
 func TestFailedDialReleasesItsDescriptor(t *testing.T) {
 	testbed.Leaks(t)
-	for name, addr := range map[string]string{"refused": testbed.Refusing(t), "never up": testbed.Full(t)} {
+	for name, addr := range map[string]string{"refused": testbed.RefusingAddress(t), "never up": testbed.FullBacklogAddress(t)} {
 		p := newPool(t, Options{ConnectTimeout: 20 * time.Millisecond}, 9)
 		if r := do(p.Upstream(addr, 0), get("/get")); r.Result != balancer.NotConnected {
 			t.Errorf("%s: result %d", name, r.Result)
@@ -273,7 +273,7 @@
 	testbed.Leaks(t)
 	const n = 3
 	came, goOn := make(chan struct{}, n), make(chan struct{})
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { came <- struct{}{}; <-goOn; return ok })
 	p := newPool(t, Options{}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 2 {
@@ -282,19 +282,19 @@
 			go func() { ends <- do(up, get("/get")) }()
 		}
 		for range n {
-			testbed.Within(t, "a request", came)
+			testbed.Receive(t, "a request", came)
 		}
 		for range n {
 			goOn <- struct{}{}
 		}
 		for range n {
-			if r := testbed.Within(t, "an end", ends); r.Result != balancer.Served {
+			if r := testbed.Receive(t, "an end", ends); r.Result != balancer.Served {
 				t.Errorf("result %d", r.Result)
 			}
 		}
 	}
-	if b.Conns() != n || len(up.idle) != n || p.budget.Used() != n {
-		t.Errorf("%d connections made, %d idle, %d descriptors held; want %d of each", b.Conns(), len(up.idle), p.budget.Used(), n)
+	if b.Connections() != n || len(up.idle) != n || p.budget.Used() != n {
+		t.Errorf("%d connections made, %d idle, %d descriptors held; want %d of each", b.Connections(), len(up.idle), p.budget.Used(), n)
 	}
 }
 
@@ -323,7 +323,7 @@
 			up := newPool(t, Options{}, 9).Upstream(b.Addr, 0)
 			var got bytes.Buffer
 			begun := 0
-			a := NewAttempt(up, get("/get"), time.Now().Add(testbed.Patience))
+			a := NewAttempt(up, get("/get"), time.Now().Add(testbed.WaitTimeout))
 			r := a.Do(func(int, http.Header, int64) io.Writer { begun++; return &got })
 			if r.Result != c.want || !r.Streamed || begun != 1 || r.FirstByteAt.IsZero() {
 				t.Errorf("result %d, streamed %v, begun %d", r.Result, r.Streamed, begun)
@@ -333,7 +333,7 @@
 			}
 			for what, w := range map[string]io.Writer{"the request is over": nil, "the client is gone": brokenWriter{}} {
 				// A connection of its own: the peer may be about to close the one before.
-				a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
+				a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.WaitTimeout))
 				if r := a.Do(func(int, http.Header, int64) io.Writer { return w }); r.Result != balancer.Cancelled {
 					t.Errorf("%s: result %d", what, r.Result)
 				}
@@ -352,7 +352,7 @@
 		<-over
 	})
 	defer close(over)
-	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
+	a := NewAttempt(newPool(t, Options{}, 9).Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.WaitTimeout))
 	if r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard }); r.Result != balancer.ConnectionLost || !r.Streamed {
 		t.Errorf("result %d, streamed %v", r.Result, r.Streamed)
 	}
@@ -369,7 +369,7 @@
 		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(time.Hour))
 		got := make(chan Reply, 1)
 		go func() { got <- a.Do(refuseStream) }()
-		if r := testbed.Within(t, "the end", got); r.Result != balancer.TimedOut {
+		if r := testbed.Receive(t, "the end", got); r.Result != balancer.TimedOut {
 			t.Errorf("%q: result %d", begun, r.Result)
 		}
 		close(over)
@@ -384,7 +384,7 @@
 		over := make(chan struct{})
 		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); _, _ = io.WriteString(c, begun); <-over })
 		p := newPool(t, Options{}, 9)
-		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
+		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.WaitTimeout))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return nil })
 		close(over)
 		if r.Result != balancer.ConnectionLost || p.budget.Used() != 0 {
@@ -432,20 +432,20 @@
 	go func() { got <- a.Do(refuseStream) }()
 	<-came
 	a.Cancel()
-	if r := testbed.Within(t, "the end", got); r.Result != balancer.Cancelled {
+	if r := testbed.Receive(t, "the end", got); r.Result != balancer.Cancelled {
 		t.Errorf("result %d", r.Result)
 	}
 }
 
 func TestHealthCheck(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
+	b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string {
 		if s.RequestURI != "/health/live" || s.Header.Get("X-Trace-Id") != "" {
 			return ""
 		}
 		return "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT inflight=7, queue=2\r\nContent-Length: 0\r\n\r\n"
 	})
-	r := HealthCheck(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", testbed.Patience)
+	r := HealthCheck(context.Background(), newPool(t, Options{}, 9).Upstream(b.Addr, 0), "/health/live", testbed.WaitTimeout)
 	load := ParseLoad(r.LoadReport)
 	if r.Result != balancer.Served || load["inflight"] != 7 || load["queue"] != 2 {
 		t.Errorf("result %d, load %v", r.Result, load)
@@ -468,7 +468,7 @@
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		b := testbed.NewPeer(t, func(c net.Conn, _ int) { readRequest(c); _, _ = c.Write(answer) })
 		p := newPool(t, Options{}, 9)
-		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.Patience))
+		a := NewAttempt(p.Upstream(b.Addr, 0), get("/get"), time.Now().Add(testbed.WaitTimeout))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard })
 		if r.Result == balancer.Served && !bytes.HasPrefix(answer, []byte("HTTP/1.")) {
 			t.Errorf("served from %q", answer)
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -152,9 +152,9 @@
 		"drains": func(u *Upstream) { u.SetDraining(true) },
 		"leaves": (*Upstream).Retire,
 	} {
-		b := testbed.NewBackend(t, func(testbed.Seen, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
+		b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
 		budget := NewBudget(8)
-		p := NewPool(Options{ConnectTimeout: testbed.Patience}, budget)
+		p := NewPool(Options{ConnectTimeout: testbed.WaitTimeout}, budget)
 		dialing, goOn := make(chan struct{}), make(chan struct{})
 		p.dialer.Control = func(string, string, syscall.RawConn) error {
 			close(dialing)
@@ -164,14 +164,14 @@
 		u := p.Upstream(b.Addr, 0)
 		got := make(chan Reply, 1)
 		r := &Request{Method: http.MethodGet, URI: "/", Host: "x", Header: http.Header{}}
-		go func() { got <- NewAttempt(u, r, time.Now().Add(testbed.Patience)).Do(refuseStream) }()
-		testbed.Within(t, "the dial", dialing)
+		go func() { got <- NewAttempt(u, r, time.Now().Add(testbed.WaitTimeout)).Do(refuseStream) }()
+		testbed.Receive(t, "the dial", dialing)
 		out(u)
 		close(goOn)
-		if res := testbed.Within(t, "the end", got).Result; res != balancer.NotSent {
+		if res := testbed.Receive(t, "the end", got).Result; res != balancer.NotSent {
 			t.Errorf("%s: result %d", name, res)
 		}
-		if n := len(b.Seen()); n != 0 || budget.Used() != 0 {
+		if n := len(b.Requests()); n != 0 || budget.Used() != 0 {
 			t.Errorf("%s: %d requests sent, %d descriptors held", name, n, budget.Used())
 		}
 		p.Close()
--- a/internal/backend/crossings_test.go
+++ b/internal/backend/crossings_test.go
@@ -42,13 +42,13 @@
 // The connection that rested for long enough is the one to use, and the one used last of those.
 func TestRestedConnectionsAreReused(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 3 {
 		do(up, get("/get"))
 	}
-	if n := b.Conns(); n != 3 {
+	if n := b.Connections(); n != 3 {
 		t.Fatalf("%d connections", n)
 	}
 	p.mu.Lock()
@@ -58,7 +58,7 @@
 	}
 	p.opt.IdleTimeout = 10 * time.Hour
 	p.mu.Unlock()
-	if c := up.reuse(time.Now().Add(testbed.Patience)); c != second {
+	if c := up.reuse(time.Now().Add(testbed.WaitTimeout)); c != second {
 		t.Error("another one is used")
 	} else {
 		c.returnToPool()
@@ -72,13 +72,13 @@
 // among the others. Danger: one that counted as used just now would be used again beyond the backend's idle time.
 func TestUnusedConnectionsKeepTheirIdleTime(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	p := newPool(t, Options{ReuseDelay: time.Hour}, 9)
 	up := p.Upstream(b.Addr, 0)
 	for range 2 {
 		do(up, get("/get"))
 	}
-	if n := b.Conns(); n != 2 {
+	if n := b.Connections(); n != 2 {
 		t.Fatalf("%d connections", n)
 	}
 	p.mu.Lock()
@@ -97,7 +97,7 @@
 		t.Errorf("%d are idle, the one not used for %v", len(up.idle), time.Since(newer.lastUsed))
 	}
 	p.mu.Unlock()
-	first, second := up.reuse(time.Now().Add(testbed.Patience)), up.reuse(time.Now().Add(testbed.Patience))
+	first, second := up.reuse(time.Now().Add(testbed.WaitTimeout)), up.reuse(time.Now().Add(testbed.WaitTimeout))
 	if first != newer || second != older {
 		t.Fatal("others are used")
 	}
@@ -106,7 +106,7 @@
 	if up.idle[0] != older || up.idle[1] != newer {
 		t.Error("the one used last is not at the end")
 	}
-	if n := b.Conns(); n != 2 || p.budget.Used() != 2 {
+	if n := b.Connections(); n != 2 || p.budget.Used() != 2 {
 		t.Errorf("%d connections, %d descriptors held", n, p.budget.Used())
 	}
 }
@@ -151,7 +151,7 @@
 		if r := do(up, c.r); r.Result != c.want {
 			t.Errorf("%s: result %d, want %d", name, r.Result, c.want)
 		}
-		if n := b.Conns(); n != 1 {
+		if n := b.Connections(); n != 1 {
 			t.Errorf("%s: %d connections", name, n)
 		}
 	}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -21,10 +21,10 @@
 	testbed.Leaks(t)
 	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	w.Watch(true)
-	watch := testbed.Within(t, "a call", w.calls)
+	watch := testbed.Receive(t, "a call", w.calls)
 	watch.begin()
 	w.Fetch()
-	fetch := testbed.Within(t, "a call", w.calls)
+	fetch := testbed.Receive(t, "a call", w.calls)
 	watch.chunk(line(9, false, entry("s1", "DRAINING")) + "\n")
 	w.expect(t, balancer.UpdateDelta, "s1")
 	fetch.whole(line(8, true, entry("s1", "SERVING")))
@@ -38,9 +38,9 @@
 	testbed.Leaks(t)
 	w := start(t, false, "", nil)
 	w.Fetch()
-	first := testbed.Within(t, "a call", w.calls)
+	first := testbed.Receive(t, "a call", w.calls)
 	w.Fetch()
-	testbed.Within(t, "a call", w.calls).whole(line(9, true, entry("s1", "DRAINING")))
+	testbed.Receive(t, "a call", w.calls).whole(line(9, true, entry("s1", "DRAINING")))
 	w.expect(t, balancer.UpdateSnapshot, "s1")
 	first.whole(line(8, true, entry("s1", "SERVING")))
 	w.expect(t, balancer.UpdateFailed)
@@ -52,7 +52,7 @@
 	for _, pushed := range []bool{false, true} {
 		w := start(t, pushed, line(70, true, entry("s1", "SERVING")), nil)
 		w.Watch(true)
-		c := testbed.Within(t, "a call", w.calls)
+		c := testbed.Receive(t, "a call", w.calls)
 		c.begin()
 		c.chunk(line(2, true, entry("s2", "SERVING")) + "\n")
 		w.expect(t, balancer.UpdateSnapshot, "s2")
@@ -68,9 +68,9 @@
 	old := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	next := start(t, false, "", nil) // lends its listener
 	old.Fetch()
-	fetch := testbed.Within(t, "a call", old.calls)
+	fetch := testbed.Receive(t, "a call", old.calls)
 	old.Move(next.addr)
-	c := testbed.Within(t, "a call at the new address", next.calls)
+	c := testbed.Receive(t, "a call at the new address", next.calls)
 	if c.uri != "/registry/instances?watch=1" {
 		t.Errorf("called %s", c.uri)
 	}
@@ -82,7 +82,7 @@
 	c.conn.Close()
 	old.expect(t, balancer.UpdateFailed)
 	old.Watch(true)
-	if c := testbed.Within(t, "a call", next.calls); c.uri != "/registry/instances?watch=1&after=3" {
+	if c := testbed.Receive(t, "a call", next.calls); c.uri != "/registry/instances?watch=1&after=3" {
 		t.Errorf("called %s", c.uri)
 	}
 }
@@ -93,7 +93,7 @@
 	for name, text := range map[string]string{"half a line": "x", "lines in half a list": "\n"} {
 		w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 100*time.Millisecond, 100*time.Millisecond })
 		w.Watch(true)
-		c := testbed.Within(t, "a call", w.calls)
+		c := testbed.Receive(t, "a call", w.calls)
 		c.begin()
 		c.chunk(`{"rev":1,`)
 		go func() {
@@ -116,7 +116,7 @@
 	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	for _, text := range []string{"", `{"rev":1,"all":true,"tar`, "{\n"} {
 		w.Watch(true)
-		c := testbed.Within(t, "a call", w.calls)
+		c := testbed.Receive(t, "a call", w.calls)
 		c.begin()
 		if text != "" {
 			c.chunk(text)
@@ -137,7 +137,7 @@
 	}
 	w := start(t, false, "", nil)
 	w.Watch(true)
-	c := testbed.Within(t, "a call", w.calls)
+	c := testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	for i := range 3 {
 		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with what looks like the end of it in a name
@@ -146,7 +146,7 @@
 		w.expect(t, balancer.UpdateSnapshot, fmt.Sprintf(`s{%d}"\`, i))
 	}
 	w.Fetch()
-	testbed.Within(t, "a call", w.calls).whole(indented(9, "s9", "SERVING"))
+	testbed.Receive(t, "a call", w.calls).whole(indented(9, "s9", "SERVING"))
 	w.expect(t, balancer.UpdateSnapshot, "s9")
 }
 
@@ -156,7 +156,7 @@
 	testbed.Leaks(t)
 	w := start(t, true, line(7, true), func(c *Client) { c.firstLineTimeout, c.minRetryPause = 20*time.Millisecond, time.Millisecond })
 	for i := range 12 {
-		c := testbed.Within(t, "a call", w.calls)
+		c := testbed.Receive(t, "a call", w.calls)
 		switch i % 3 {
 		case 0: // hangs
 		case 1:
@@ -165,7 +165,7 @@
 			_, _ = io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	c := testbed.Within(t, "a call", w.calls)
+	c := testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, false, entry("s1", "DRAINING")) + "\n")
 	w.expect(t, balancer.UpdateDelta, "s1")
@@ -184,12 +184,12 @@
 				testbed.Leaks(t)
 				w := start(t, false, line(1, true, entry("s0", "SERVING")), func(c *Client) { c.firstLineTimeout = 50 * time.Millisecond })
 				w.Watch(true)
-				late := testbed.Within(t, "a call", w.calls)
+				late := testbed.Receive(t, "a call", w.calls)
 				_, _ = io.WriteString(late.conn, half)
 				w.expect(t, balancer.UpdateFailed)
-				w.firstLineTimeout = testbed.Patience // from here on no time is to matter
+				w.firstLineTimeout = testbed.WaitTimeout // from here on no time is to matter
 				w.Watch(true)
-				next := testbed.Within(t, "a call beside it", w.calls)
+				next := testbed.Receive(t, "a call beside it", w.calls)
 				answers, ended := next, late
 				if lateAnswers {
 					answers, ended = late, next
@@ -227,7 +227,7 @@
 	var calls []call
 	for range 6 {
 		w.Watch(true)
-		calls = append(calls, testbed.Within(t, "a call", w.calls))
+		calls = append(calls, testbed.Receive(t, "a call", w.calls))
 		w.expect(t, balancer.UpdateFailed)
 	}
 	for i, c := range calls[:4] {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -110,7 +110,7 @@
 
 func (w *world) next(t *testing.T) Update {
 	t.Helper()
-	return testbed.Within(t, "an update", w.updates)
+	return testbed.Receive(t, "an update", w.updates)
 }
 
 func (w *world) expect(t *testing.T, kind balancer.UpdateKind, ids ...string) {
@@ -129,7 +129,7 @@
 	testbed.Leaks(t)
 	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
 	w.Watch(true)
-	c := testbed.Within(t, "a call", w.calls)
+	c := testbed.Receive(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1&after=7" {
 		t.Errorf("called %s", c.uri)
 	}
@@ -149,7 +149,7 @@
 	c.chunk(line(5, false, entry("old", "SERVING")) + "\n") // older than what is known: not to be followed
 	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
-	c = testbed.Within(t, "a call", w.calls)
+	c = testbed.Receive(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1&after=11" {
 		t.Errorf("resumed with %s", c.uri)
 	}
@@ -157,19 +157,19 @@
 	c.chunk("{nonsense\n" + line(12, false, entry("s4", "SERVING")) + "\n") // ends the watch, and nothing else
 	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
-	c = testbed.Within(t, "a call", w.calls)
+	c = testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false)[:9]) // breaks off in a line
 	c.conn.Close()
 	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
-	c = testbed.Within(t, "a call", w.calls)
+	c = testbed.Receive(t, "a call", w.calls)
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	w.expect(t, balancer.UpdateFailed)
 	w.Watch(true)
-	testbed.Within(t, "a call", w.calls)
+	testbed.Receive(t, "a call", w.calls)
 	w.Watch(true) // takes the place of the one that waits, which fails nobody
-	c = testbed.Within(t, "a call", w.calls)
+	c = testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(12, false) + "\n")
 	w.expect(t, balancer.UpdateDelta)
@@ -184,7 +184,7 @@
 	testbed.Leaks(t)
 	w := start(t, false, "null", nil)
 	w.Fetch()
-	c := testbed.Within(t, "a call", w.calls)
+	c := testbed.Receive(t, "a call", w.calls)
 	if c.uri != "/registry/instances" {
 		t.Errorf("called %s", c.uri)
 	}
@@ -192,7 +192,7 @@
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	w.expect(t, balancer.UpdateSnapshot, "s1")
 	w.Fetch()
-	c = testbed.Within(t, "a call", w.calls)
+	c = testbed.Receive(t, "a call", w.calls)
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text)+1, text)
 	c.conn.Close()
 	w.expect(t, balancer.UpdateFailed)
@@ -203,13 +203,13 @@
 	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	w.Watch(true)
-	c := testbed.Within(t, "a call", w.calls)
+	c := testbed.Receive(t, "a call", w.calls)
 	if c.uri != "/registry/instances?watch=1" {
 		t.Errorf("called %s", c.uri)
 	}
 	w.expect(t, balancer.UpdateFailed) // never an answer
 	w.Watch(true)
-	c = testbed.Within(t, "a call", w.calls)
+	c = testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(1, true, entry("s1", "SERVING")) + "\n")
 	w.expect(t, balancer.UpdateSnapshot, "s1")
@@ -221,18 +221,18 @@
 	w := start(t, true, line(7, true), func(c *Client) { c.minRetryPause = time.Millisecond })
 	w.Watch(true) // has no meaning here
 	for range 2 {
-		c := testbed.Within(t, "a call", w.calls)
+		c := testbed.Receive(t, "a call", w.calls)
 		if c.uri != "/registry/instances?watch=1&after=7" {
 			t.Errorf("called %s", c.uri)
 		}
 		c.conn.Close()
 	}
-	c := testbed.Within(t, "a call", w.calls)
+	c := testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	c.chunk(line(8, true, entry("s1", "SERVING")) + "\n")
 	w.expect(t, balancer.UpdateSnapshot, "s1")
 	c.conn.Close()
-	if c := testbed.Within(t, "a call", w.calls); c.uri != "/registry/instances?watch=1&after=8" {
+	if c := testbed.Receive(t, "a call", w.calls); c.uri != "/registry/instances?watch=1&after=8" {
 		t.Errorf("resumed with %s", c.uri)
 	}
 	if len(w.updates) != 0 {
@@ -247,13 +247,13 @@
 		old := start(t, pushed, line(7, true, entry("s1", "SERVING")), nil)
 		next := start(t, false, "", nil) // lends its listener
 		old.Watch(true)
-		c := testbed.Within(t, "a call", old.calls)
+		c := testbed.Receive(t, "a call", old.calls)
 		c.begin()
 		c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
 		old.expect(t, balancer.UpdateDelta, "s2")
 		old.Move(next.addr)
 		testbed.Eventually(t, "the old watch to end", func() bool { _, err := c.conn.Write([]byte("1\r\n\n\r\n")); return err != nil })
-		c = testbed.Within(t, "a call at the new address", next.calls)
+		c = testbed.Receive(t, "a call at the new address", next.calls)
 		if c.uri != "/registry/instances?watch=1" {
 			t.Errorf("pushed %v: called %s", pushed, c.uri)
 		}
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -142,13 +142,13 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 		defer cancel()
 		g.Stop(ctx)
 	}()
 	close(goOn)
 	all.Wait()
-	testbed.Within(t, "the stop", done)
+	testbed.Receive(t, "the stop", done)
 	if served.Load() != 7 || refused.Load() != 1 {
 		t.Errorf("%d served, %d refused, want 7 and 1", served.Load(), refused.Load())
 	}
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -63,12 +63,12 @@
 				}()
 			}
 			ask()
-			first := testbed.Within(t, "the first attempt", asked)
+			first := testbed.Receive(t, "the first attempt", asked)
 			if other = a; first == a {
 				other = b
 			}
 			if how == "hedge" { // it is under way at the other when that is removed, and ends there; what follows does not
-				if got := testbed.Within(t, "the copy", asked); got != other {
+				if got := testbed.Receive(t, "the copy", asked); got != other {
 					t.Fatal("the copy went to the first one again")
 				}
 			}
@@ -76,7 +76,7 @@
 			testbed.Eventually(t, "the removal", func() bool { return g.usable("c") == 1 })
 			before := other.Requests()
 			close(answer)
-			r := testbed.Within(t, "the answer", result)
+			r := testbed.Receive(t, "the answer", result)
 			if want := map[string]int{"retry": 500, "hedge": 200}[how]; r.status != want {
 				t.Errorf("%d %s, want %d", r.status, r.body, want)
 			}
@@ -103,7 +103,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	})
-	full := controlplane.Endpoint{Addr: testbed.Full(t), Zone: "a"}
+	full := controlplane.Endpoint{Addr: testbed.FullBacklogAddress(t), Zone: "a"}
 	c := cds("c")
 	push(t, s, "0", false, c, eds("c", a), rds("r", [2]string{"/", "c"}))
 	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
@@ -122,7 +122,7 @@
 		return g.Status(0).Clusters[0].Requests.Sends >= 2
 	})
 	at := push(t, s, "2", false, eds("c", a))
-	r := testbed.Within(t, "the answer", result)
+	r := testbed.Receive(t, "the answer", result)
 	if r.status != 500 {
 		t.Errorf("%d %s", r.status, r.body)
 	}
@@ -224,7 +224,7 @@
 	}
 	close(hold)
 	for range 4 {
-		if r := testbed.Within(t, "an answer", results); r.status != 200 {
+		if r := testbed.Receive(t, "an answer", results); r.status != 200 {
 			t.Errorf("%d to a request in hand", r.status)
 		}
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -346,7 +346,7 @@
 			_ = g.Reload(parse(t, head+rest)) // refused once it is stopping
 		}
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
 	g.Stop(ctx)
 	close(stopped)
@@ -370,7 +370,7 @@
 	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	tr := &http.Transport{}
 	defer tr.CloseIdleConnections()
-	u := &user{&http.Client{Transport: tr, Timeout: testbed.Patience}, "http://" + g.AdminAddr().String()}
+	u := &user{&http.Client{Transport: tr, Timeout: testbed.WaitTimeout}, "http://" + g.AdminAddr().String()}
 	if r := u.get(t, "/health/live"); r.status != 200 {
 		t.Errorf("live: %d", r.status)
 	}
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -89,7 +89,7 @@
 	t.Helper()
 	tr := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 	t.Cleanup(tr.CloseIdleConnections)
-	return &user{&http.Client{Transport: tr, Timeout: testbed.Patience, CheckRedirect: func(*http.Request, []*http.Request) error {
+	return &user{&http.Client{Transport: tr, Timeout: testbed.WaitTimeout, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}}, "http://" + g.Addr("web").String()}
 }
--- a/internal/gateway/locality_test.go
+++ b/internal/gateway/locality_test.go
@@ -299,7 +299,7 @@
 	a.Kill()
 	testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
 	l.stop()
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
 	g.Stop(ctx)
 	l.checkNoneLost(t)
--- a/internal/proxy/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -20,7 +20,7 @@
 		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
-			b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+			b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 			w := start(t, nil) // no list yet: it waits
 			c := w.dial(t)
 			c.send(head("GET", "get"))
@@ -41,7 +41,7 @@
 				code, _, _ = o.answer(t)
 				o.Close()
 			}
-			if n := len(b.Seen()); n != 1 {
+			if n := len(b.Requests()); n != 1 {
 				t.Errorf("%d requests were sent", n)
 			}
 		})
@@ -52,15 +52,15 @@
 func TestPipelinedRequestIsServedAfterTheAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, nil, b.Addr)
 	for range 100 {
 		c := w.dial(t)
 		c.send(head("GET", "get"))
-		testbed.Within(t, "the request", came)
+		testbed.Receive(t, "the request", came)
 		c.send(head("GET", "get"))
 		goOn <- struct{}{}
-		testbed.Within(t, "the next request", came)
+		testbed.Receive(t, "the next request", came)
 		goOn <- struct{}{}
 		for range 2 {
 			if code, _, _ := c.answer(t); code != 200 {
@@ -91,7 +91,7 @@
 // A client left while its request waited in the kernel: it is not sent on, though its end is not read yet.
 func TestClientLeavesBeforeItsRequestIsRead(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	h := &heldReads{w, make(chan struct{})}
 	w.router = h
@@ -108,11 +108,11 @@
 	_ = c.(*net.TCPConn).CloseWrite()
 	served := make(chan struct{})
 	go func() { w.Serve(l); close(served) }() // only now is anything read
-	c.SetDeadline(time.Now().Add(testbed.Patience))
+	c.SetDeadline(time.Now().Add(testbed.WaitTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // it may read yet
 	close(h.goOn)
-	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(b.Seen()) != 0 {
-		t.Errorf("%v, %v, and %d requests were sent", resp, err, len(b.Seen()))
+	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(b.Requests()) != 0 {
+		t.Errorf("%v, %v, and %d requests were sent", resp, err, len(b.Requests()))
 	}
 	c.Close()
 	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.ConnectionCount() == 0 })
@@ -139,7 +139,7 @@
 	} {
 		sent[name] = w.dial(t)
 		sent[name].send(text)
-		testbed.Within(t, "the request", came)
+		testbed.Receive(t, "the request", came)
 	}
 	sentTo := w
 	w = start(t, nil) // one that has no list yet, and holds what comes
@@ -162,7 +162,7 @@
 			stopped <- struct{}{}
 		}()
 	}
-	testbed.Within(t, "the end to be near", w.expired)
+	testbed.Receive(t, "the end to be near", w.expired)
 	last.send("X-Trace-Id: last\r\nX-Qos: get\r\n\r\n")
 	for name, c := range sent {
 		code, _, _ := c.answer(t)
@@ -178,8 +178,8 @@
 	if code, _, _ := last.answer(t); code == http.StatusOK { // it came too late, or was half a head
 		t.Errorf("the last one: %d", code)
 	}
-	testbed.Within(t, "the end", stopped)
-	testbed.Within(t, "the other end", stopped)
+	testbed.Receive(t, "the end", stopped)
+	testbed.Receive(t, "the other end", stopped)
 	if len(came) != 0 {
 		t.Errorf("sent at the end: %q", <-came)
 	}
@@ -209,18 +209,18 @@
 		w.Stop(ctx, w.l)
 		close(stopped)
 	}()
-	testbed.Within(t, "the end to be near", w.expired)
+	testbed.Receive(t, "the end to be near", w.expired)
 	close(goOn)
 	if code, body, _ := c.answer(t); code != 200 || body != half+half {
 		t.Errorf("%d and %d bytes", code, len(body))
 	}
-	testbed.Within(t, "the end", stopped)
+	testbed.Receive(t, "the end", stopped)
 }
 
 // A request comes between the look at an idle connection and its end: it is served, and the connection kept.
 func TestRequestOnAConnectionThatIsBeingClosed(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get"))
@@ -247,7 +247,7 @@
 // another one makes room.
 func TestConnectionWithARequestIsNotEvicted(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	c := [2]*peer{}
 	var k [2]*client
@@ -306,7 +306,7 @@
 // Connections that the kernel took and the node had no time to accept are served before the listener closes.
 func TestStopEmptiesTheBacklog(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -327,12 +327,12 @@
 		p.send(head("GET", "get"))
 		c = append(c, p)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
 	w.Stop(ctx, h, w.l)
-	testbed.Within(t, "the end of serving", served)
+	testbed.Receive(t, "the end of serving", served)
 	for i, p := range c {
-		p.SetDeadline(time.Now().Add(testbed.Patience))
+		p.SetDeadline(time.Now().Add(testbed.WaitTimeout))
 		// A burst may be refused in part; none may end without an answer.
 		if text, err := io.ReadAll(p); !strings.HasPrefix(string(text), "HTTP/1.1 200") && !strings.HasPrefix(string(text), "HTTP/1.1 503") {
 			t.Errorf("connection %d: %q, %v", i, text, err)
--- a/internal/proxy/gone_test.go
+++ b/internal/proxy/gone_test.go
@@ -50,7 +50,7 @@
 		},
 		"between an outcome and its retry": func(t *testing.T, came chan string) (*world, *peer, func()) {
 			first, goOn := make(chan struct{}, 1), make(chan struct{})
-			b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
+			b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string {
 				if n == 0 {
 					first <- struct{}{}
 					<-goOn
@@ -62,7 +62,7 @@
 			w := start(t, nil, b.Addr, b.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get"))
-			testbed.Within(t, "the first attempt", first)
+			testbed.Receive(t, "the first attempt", first)
 			return w, c, func() { close(goOn) }
 		},
 		"between a hedge's timer and its send": func(t *testing.T, came chan string) (*world, *peer, func()) {
@@ -79,7 +79,7 @@
 			w := start(t, func(o *Options) { o.Settings.ParallelAttempts = true }, b.Addr, b.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get", "X-Trace-Id: q"))
-			testbed.Within(t, "the first attempt", first)
+			testbed.Receive(t, "the first attempt", first)
 			return w, c, func() {
 				w.mu.Lock()
 				defer w.mu.Unlock()
@@ -87,7 +87,7 @@
 			}
 		},
 		"in a dial": func(t *testing.T, came chan string) (*world, *peer, func()) {
-			l := testbed.NewLate(t, wholes(came))
+			l := testbed.NewDelayedPeer(t, wholes(came))
 			w := start(t, nil, l.Addr)
 			c := w.dial(t)
 			c.send(head("GET", "get"))
@@ -203,7 +203,7 @@
 			}, unlock}
 		},
 		"in their dials": func(t *testing.T, script func(net.Conn, int)) place {
-			l := testbed.NewLate(t, script)
+			l := testbed.NewDelayedPeer(t, script)
 			w := start(t, shape, slices.Repeat([]string{l.Addr}, 60)...)
 			// The module sends no more than some 60 to servers that have answered nothing yet; it refuses the others.
 			// A retry is a send too: that all are there is told by what was taken.
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -38,7 +38,7 @@
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
 			late, came := make(chan string, 9), make(chan string, 9)
-			l := testbed.NewLate(t, wholes(late))
+			l := testbed.NewDelayedPeer(t, wholes(late))
 			b := testbed.NewPeer(t, wholes(came))
 			w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelAttempts = false, true }, l.Addr)
 			c := w.dial(t)
@@ -63,7 +63,7 @@
 				(*host)(w.Core).Send("q", "s1", 0)
 				w.mu.Unlock()
 			}
-			testbed.Within(t, "the request's end", q.Done())
+			testbed.Receive(t, "the request's end", q.Done())
 			l.Open()
 			// The dial ends, or the connection comes up after all: either way nothing may be written on it.
 			testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
@@ -93,7 +93,7 @@
 	w := start(t, func(o *Options) { o.Settings.MayCancel, o.Settings.ParallelAttempts = false, true }, b.Addr, b.Addr)
 	c := w.dial(t)
 	c.send(head("GET", "get", "X-Trace-Id: q"))
-	testbed.Within(t, "the request", came)
+	testbed.Receive(t, "the request", came)
 	w.mu.Lock()
 	q := w.requests["q"]
 	w.settleAnswer(q, Answer{Status: http.StatusBadGateway})
@@ -117,13 +117,13 @@
 func TestCancelAtEachStep(t *testing.T) {
 	testbed.Leaks(t)
 	budget := backend.NewBudget(8)
-	p := backend.NewPool(backend.Options{ConnectTimeout: testbed.Patience, IdleTimeout: time.Hour}, budget)
+	p := backend.NewPool(backend.Options{ConnectTimeout: testbed.WaitTimeout, IdleTimeout: time.Hour}, budget)
 	defer p.Close()
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	up := p.Upstream(b.Addr, 0)
 	nobody := func(int, http.Header, int64) io.Writer { return nil }
 	for i := range 400 {
-		a := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(testbed.Patience))
+		a := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(testbed.WaitTimeout))
 		cancelled := make(chan struct{})
 		go func() {
 			time.Sleep(time.Duration(i%100) * 2 * time.Microsecond)
@@ -139,7 +139,7 @@
 			t.Fatalf("result %d", r.Result)
 		}
 		<-cancelled
-		if r := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(testbed.Patience)).Do(nobody); r.Result != balancer.Served {
+		if r := backend.NewAttempt(up, &backend.Request{Method: "GET", URI: "/x", Host: "x", Header: http.Header{}}, time.Now().Add(testbed.WaitTimeout)).Do(nobody); r.Result != balancer.Served {
 			t.Fatalf("the next one: %d", r.Result)
 		}
 		if n := budget.Used(); n > 1 {
@@ -154,7 +154,7 @@
 	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
 	backendOf := func(name string, held bool) *testbed.Backend {
-		return testbed.NewBackend(t, func(testbed.Seen, int) string {
+		return testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string {
 			if came <- name; held {
 				<-goOn
 			}
@@ -165,7 +165,7 @@
 	w := start(t, nil, old.Addr)
 	first, second := w.dial(t), w.dial(t)
 	first.send(head("GET", "get"))
-	if name := testbed.Within(t, "the request", came); name != "old" {
+	if name := testbed.Receive(t, "the request", came); name != "old" {
 		t.Fatal(name)
 	}
 	inFlight := func() (n int) {
@@ -177,7 +177,7 @@
 		t.Errorf("%d in flight", n)
 	}
 	second.send(head("GET", "get"))
-	if name := testbed.Within(t, "the next request", came); name != "new" {
+	if name := testbed.Receive(t, "the next request", came); name != "new" {
 		t.Errorf("sent to the %s one", name)
 	}
 	second.answer(t)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -36,10 +36,10 @@
 	t.Helper()
 	s := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true,
 		Classes: []balancer.Class{
-			{Name: "get", Deadline: testbed.Patience, Effect: balancer.Idempotent, PriorityWeight: 1},
+			{Name: "get", Deadline: testbed.WaitTimeout, Effect: balancer.Idempotent, PriorityWeight: 1},
 			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: balancer.Idempotent, PriorityWeight: 1},
-			{Name: "put", Deadline: testbed.Patience, Effect: balancer.IdempotentWithKey, Group: balancer.GroupCell, Window: time.Minute, PriorityWeight: 1},
-			{Name: "post", Deadline: testbed.Patience, Effect: balancer.NonIdempotent, PriorityWeight: 1},
+			{Name: "put", Deadline: testbed.WaitTimeout, Effect: balancer.IdempotentWithKey, Group: balancer.GroupCell, Window: time.Minute, PriorityWeight: 1},
+			{Name: "post", Deadline: testbed.WaitTimeout, Effect: balancer.NonIdempotent, PriorityWeight: 1},
 		}}
 	w := &world{budget: backend.NewBudget(64), served: make(chan struct{})}
 	opt := Options{Settings: s, Seed: 1, BodyBytes: 64 << 20, Budget: w.budget}
@@ -47,7 +47,7 @@
 		shape(&opt)
 		w.budget = opt.Budget
 	}
-	pool := backend.NewPool(backend.Options{ConnectTimeout: testbed.Patience, IdleTimeout: time.Hour}, w.budget)
+	pool := backend.NewPool(backend.Options{ConnectTimeout: testbed.WaitTimeout, IdleTimeout: time.Hour}, w.budget)
 	var err error
 	if w.Node, err = New(opt, pool); err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	t.Cleanup(func() {
 		w.stopping.Store(true)
 		w.l.Close()
-		testbed.Within(t, "the end of serving", w.served)
+		testbed.Receive(t, "the end of serving", w.served)
 		w.Close()
 		w.conns.awaitEmpty()
 	})
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(testbed.Patience))
+	c.SetDeadline(time.Now().Add(testbed.WaitTimeout))
 	t.Cleanup(func() { c.Close() })
 	return &peer{c, bufio.NewReader(c)}
 }
@@ -148,8 +148,8 @@
 
 func TestServes(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string {
-		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-B: %d\r\nContent-Length: %d\r\n\r\n%s", n, len(s.Text), s.Text)
+	b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string {
+		return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-B: %d\r\nContent-Length: %d\r\n\r\n%s", n, len(s.Content), s.Content)
 	})
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
@@ -168,7 +168,7 @@
 	if code, body, _ := c.answer(t); code != 200 || body != "abcde" {
 		t.Errorf("%d %q", code, body)
 	}
-	for i, s := range b.Seen() {
+	for i, s := range b.Requests() {
 		if s.Header.Get("X-Trace-Id") == "" || s.Header.Get("X-Expires-In-Ms") == "" || i == 1 && s.Header.Get("Idempotency-Key") != "k" {
 			t.Errorf("request %d: %v", i, s.Header)
 		}
@@ -180,7 +180,7 @@
 
 func TestReady(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, nil, testbed.Refusing(t))
+	w := start(t, nil, testbed.RefusingAddress(t))
 	c := w.dial(t)
 	c.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	if code, _, _ := c.answer(t); code != 200 {
@@ -195,7 +195,7 @@
 
 func TestBadInput(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	w := start(t, nil, b.Addr)
 	hidden := "0\r\n\r\n" + head("GET", "get", "X-Trace-Id: hidden")
 	for name, c := range map[string]struct {
@@ -232,7 +232,7 @@
 			t.Errorf("%s: more was answered", name)
 		}
 	}
-	if n := len(b.Seen()); n != 0 {
+	if n := len(b.Requests()); n != 0 {
 		t.Errorf("%d of them were sent on", n)
 	}
 	k := w.dial(t)
@@ -287,7 +287,7 @@
 // the client says reaches the module, and the backend hears what is left of it.
 func TestClientsDeadlineIsForwarded(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 	silent := testbed.NewPeer(t, func(c net.Conn, _ int) { _, _ = io.Copy(io.Discard, c) })
 	w := start(t, nil, b.Addr)
 	c := w.dial(t)
@@ -295,7 +295,7 @@
 	if code, _, _ := c.answer(t); code != 200 {
 		t.Errorf("%d", code)
 	}
-	if ms, err := strconv.Atoi(b.Seen()[0].Header.Get("X-Expires-In-Ms")); err != nil || ms <= 0 || ms > 4800 {
+	if ms, err := strconv.Atoi(b.Requests()[0].Header.Get("X-Expires-In-Ms")); err != nil || ms <= 0 || ms > 4800 {
 		t.Errorf("the backend was told %d ms (%v)", ms, err)
 	}
 	w.list(silent.Addr)
@@ -309,18 +309,18 @@
 func TestIDInUseIsRejected(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 1), make(chan struct{})
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, nil, b.Addr)
 	one, two := w.dial(t), w.dial(t)
 	one.send(head("GET", "get", "X-Trace-Id: same"))
-	testbed.Within(t, "the request", came)
+	testbed.Receive(t, "the request", came)
 	two.send(head("GET", "get", "X-Trace-Id: same"))
 	if code, _, _ := two.answer(t); code != 409 {
 		t.Errorf("%d", code)
 	}
 	close(goOn)
-	if code, _, _ := one.answer(t); code != 200 || len(b.Seen()) != 1 {
-		t.Errorf("%d, %d requests", code, len(b.Seen()))
+	if code, _, _ := one.answer(t); code != 200 || len(b.Requests()) != 1 {
+		t.Errorf("%d, %d requests", code, len(b.Requests()))
 	}
 }
 
@@ -344,11 +344,11 @@
 func TestMaxOpen(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 1), make(chan struct{})
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, func(o *Options) { o.MaxOpen = 1 }, b.Addr)
 	one, two := w.dial(t), w.dial(t)
 	one.send(head("GET", "get"))
-	testbed.Within(t, "the request", came)
+	testbed.Receive(t, "the request", came)
 	two.send(head("GET", "get"))
 	if code, _, _ := two.answer(t); code != 503 {
 		t.Errorf("%d", code)
@@ -363,7 +363,7 @@
 func TestEndpointsRejectionIsNotForwarded(t *testing.T) {
 	testbed.Leaks(t)
 	for _, reply := range []string{"429 Slow", "503 Full"} {
-		b := testbed.NewBackend(t, func(testbed.Seen, int) string {
+		b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string {
 			return "HTTP/1.1 " + reply + "\r\nContent-Length: 0\r\n\r\n"
 		})
 		w := start(t, nil, b.Addr)
@@ -372,7 +372,7 @@
 		if code, _, _ := c.answer(t); code == 429 || code == 503 || code == 200 {
 			t.Errorf("%s became %d", reply, code)
 		}
-		if n := len(b.Seen()); n != 1 {
+		if n := len(b.Requests()); n != 1 {
 			t.Errorf("%s: sent %d times", reply, n)
 		}
 	}
@@ -392,7 +392,7 @@
 	if code, _, _ := c.answer(t); code != 503 { // safe to repeat
 		t.Errorf("%d", code)
 	}
-	testbed.Within(t, "the backend to see it", ended)
+	testbed.Receive(t, "the backend to see it", ended)
 	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 }
 
@@ -410,9 +410,9 @@
 		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
 		c := w.dial(t)
 		c.send(head("POST", "put", "Idempotency-Key: k", "Content-Length: 1") + "x")
-		testbed.Within(t, "the request", came)
+		testbed.Receive(t, "the request", came)
 		leave(c.Conn)
-		testbed.Within(t, "the attempt to be given up", ended)
+		testbed.Receive(t, "the attempt to be given up", ended)
 		if name == "half closed" { // it may still read, and what it is told must promise nothing
 			if code, _, _ := c.answer(t); code == 200 || code == 429 || code == 503 {
 				t.Errorf("%s: %d", name, code)
@@ -449,8 +449,8 @@
 			t.Errorf("%s: %d bytes, %v", name, len(body), err)
 		}
 		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
-		if b.Conns() != 1 {
-			t.Errorf("%s: sent %d times", name, b.Conns())
+		if b.Connections() != 1 {
+			t.Errorf("%s: sent %d times", name, b.Connections())
 		}
 	}
 }
@@ -458,7 +458,7 @@
 // Bodies together stay within the budget; one that finds no room is refused, as nothing of it was sent on.
 func TestBodiesStayWithinTheirBudget(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(s testbed.Seen, n int) string { return ok })
+	b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string { return ok })
 	w := start(t, func(o *Options) { o.BodyBytes = 64 << 10 }, b.Addr)
 	slow := w.dial(t)
 	slow.send(head("POST", "put", "Content-Length: 60000") + strings.Repeat("x", 50000))
@@ -479,16 +479,16 @@
 func TestStop(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
-	b := testbed.NewBackend(t, func(testbed.Seen, int) string { came <- struct{}{}; <-goOn; return ok })
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { came <- struct{}{}; <-goOn; return ok })
 	w := start(t, nil, b.Addr)
 	idle, busy, half := w.dial(t), w.dial(t), w.dial(t)
 	busy.send(head("GET", "get"))
-	testbed.Within(t, "the request", came)
+	testbed.Receive(t, "the request", came)
 	text := head("POST", "put", "Idempotency-Key: k", "Content-Length: 4") + "body"
 	half.send(text[:len(text)-3])
 	stopped := make(chan struct{})
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 		defer cancel()
 		w.Stop(ctx, w.l)
 		close(stopped)
@@ -496,7 +496,7 @@
 	testbed.Eventually(t, "the stop", w.stopping.Load)
 	late := w.dial(t)
 	late.send(head("GET", "get"))
-	testbed.Within(t, "the late request", came)
+	testbed.Receive(t, "the late request", came)
 	testbed.Eventually(t, "the listener to close", func() bool {
 		c, err := net.Dial("tcp", w.addr)
 		if err == nil {
@@ -505,7 +505,7 @@
 		return err != nil
 	})
 	half.send(text[len(text)-3:])
-	testbed.Within(t, "the half-sent request", came)
+	testbed.Receive(t, "the half-sent request", came)
 	close(goOn)
 	for name, c := range map[string]*peer{"busy": busy, "late": late, "half": half} {
 		code, body, h := c.answer(t)
@@ -519,7 +519,7 @@
 	if !idle.closed() {
 		t.Error("the idle connection is kept")
 	}
-	testbed.Within(t, "the end", stopped)
+	testbed.Receive(t, "the end", stopped)
 }
 
 // The guard fails what the module leaves unanswered, and says nothing of whether it ran.
@@ -559,7 +559,7 @@
 	f.Add([]byte("OPTIONS * HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\n\r\n"))
 	f.Add([]byte("GET //x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: get\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		b := testbed.NewBackend(t, func(testbed.Seen, int) string { return ok })
+		b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
 		w := start(t, nil, b.Addr)
 		c := w.dial(t)
 		_, _ = c.Write(text)
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -271,7 +271,7 @@
 			s.add(q)
 			continue
 		}
-		c.SetReadDeadline(time.Now().Add(testbed.Patience))
+		c.SetReadDeadline(time.Now().Add(testbed.WaitTimeout))
 		if resp, err := http.ReadResponse(r, nil); err == nil {
 			text, err := io.ReadAll(resp.Body)
 			if q.at = time.Now(); err == nil {
@@ -314,7 +314,7 @@
 	}
 	if rng.IntN(2) == 0 { // and one that refuses
 		u.Servers = append(u.Servers, balancer.Server{ID: "none", Zone: "z0", Weight: 1})
-		u.Endpoints["none"] = testbed.Refusing(t)
+		u.Endpoints["none"] = testbed.RefusingAddress(t)
 	}
 	n.UpdateEndpoints(u)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -337,7 +337,7 @@
 	s.audit.drained[drained.ID] = time.Now()
 	s.mu.Unlock()
 	all.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
 	n.Stop(ctx, l)
 	<-served
--- a/internal/quorum/store_test.go
+++ b/internal/quorum/store_test.go
@@ -56,7 +56,7 @@
 		_ = follower.store.SetUint64([]byte("CurrentTerm"), 99)
 		t.Error("the goroutine goes on")
 	}()
-	testbed.Within(t, "the end of the goroutine", ended)
+	testbed.Receive(t, "the end of the goroutine", ended)
 	testbed.Eventually(t, "the voter to report it", func() bool { return strings.Contains(follower.Stopped(), "no space") })
 	if _, err := os.Stat(filepath.Join(follower.dir, failedFile)); err == nil {
 		t.Error("the folder is marked as failed, although nothing was written and nothing is lost")
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -185,7 +185,7 @@
 			t.Fatal(err)
 		}
 		defer a.Close()
-		testbed.Within(t, "a holder", a.Holds())
+		testbed.Receive(t, "a holder", a.Holds())
 		before, _ := a.Asked()
 		sent := a.Traffic()
 		testbed.Eventually(t, "as many asks as ten of each", func() bool { n, _ := a.Asked(); return n-before >= int64(10*askers) })
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -52,7 +52,7 @@
 func run(t *testing.T, shape func(*ClientOptions), servers ...string) (*Client, *recordingSink) {
 	t.Helper()
 	began := time.Now()
-	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.Patience, BackoffBase: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond,
+	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.WaitTimeout, BackoffBase: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond,
 		Keepalive: time.Minute, MaxMessageBytes: 16 << 20, Now: func() time.Duration { return time.Since(began) + 1 }, Log: slog.New(slog.DiscardHandler),
 		Options: Options{Clusters: true, Node: Node("gw", "c", "z")}}
 	if shape != nil {
@@ -68,14 +68,14 @@
 	}()
 	t.Cleanup(func() {
 		cancel()
-		testbed.Within(t, "the client's end", done)
+		testbed.Receive(t, "the client's end", done)
 	})
 	return c, s
 }
 
 func await(t *testing.T, s *controlplane.Server, from int, fits func(controlplane.Request) bool) (controlplane.Request, int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testbed.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
 	r, n, err := s.Await(ctx, from, fits)
 	if err != nil {
@@ -245,7 +245,7 @@
 	testbed.Leaks(t)
 	c, got := run(t, func(o *ClientOptions) {
 		o.Services, o.FetchTimeout = []string{"a"}, 20*time.Millisecond
-	}, testbed.Refusing(t), testbed.Refusing(t))
+	}, testbed.RefusingAddress(t), testbed.RefusingAddress(t))
 	c.Subscribe([]string{"a", "b"}, nil)
 	testbed.Eventually(t, "both to be given up", func() bool {
 		return got.get("endpoints a").State == Absent && got.get("endpoints b").State == Absent
@@ -285,7 +285,7 @@
 	s := serve(t)
 	push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
 	for i := range 50 {
-		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.Patience, BackoffBase: time.Millisecond, MaxBackoff: time.Millisecond,
+		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.WaitTimeout, BackoffBase: time.Millisecond, MaxBackoff: time.Millisecond,
 			Keepalive: time.Minute, MaxMessageBytes: 1 << 20, Now: func() time.Duration { return 1 }, Log: slog.New(slog.DiscardHandler), Options: Options{Clusters: true}}
 		c := NewClient(opt, &recordingSink{all: map[string]Resource{}, at: map[string][]string{}})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -298,6 +298,6 @@
 			testbed.Eventually(t, "the connection", func() bool { return c.Connection().Streams > 0 })
 		}
 		cancel()
-		testbed.Within(t, "the end", done)
+		testbed.Receive(t, "the end", done)
 	}
 }
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -66,7 +66,7 @@
 	}()
 	defer func() {
 		cancel()
-		testbed.Within(t, "the end", done)
+		testbed.Receive(t, "the end", done)
 	}()
 	for i := range 20 {
 		began := time.Now()
