--- a/internal/demo/lease.go
+++ b/internal/demo/lease.go
@@ -32,8 +32,8 @@
 		fmt.Fprintf(out, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}
 	say("three gateways start: each votes; one of them is to follow the control plane for all, and one to post to a receiver")
-	s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 3, Shared: true, Lease: leaseLength, OwnAfter: 5 * time.Second, Heartbeat: 200 * time.Millisecond,
-		Posts: map[string]*cluster.End{"beat": &a.End}})
+	s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 3, SharedSubscription: true, Lease: leaseLength, DirectAfter: 5 * time.Second, Heartbeat: 200 * time.Millisecond,
+		Posts: map[string]*cluster.ExternalService{"beat": &a.ExternalService}})
 	if err != nil {
 		return err
 	}
@@ -45,16 +45,16 @@
 	}
 	var holder *cluster.Node
 	if err := cluster.Await(ctx, "a holder of the subscription, and posts", within, func() bool {
-		holder = s.Holder()
+		holder = s.SubscriptionLeader()
 		last, _ := a.Last()
 		return holder != nil && last.Token > 0
 	}); err != nil {
 		return err
 	}
-	streams, _ := s.Plane.Streams()
+	streams, _ := s.ControlPlane.Streams()
 	last, _ := a.Last()
 	say("%s holds the subscription, and all three have its list; the control plane sees %d stream; %s posts under token %d", holder.Name, streams, last.Member, last.Token)
-	load := s.Load(50)
+	load := s.StartLoad(50)
 	fail := func(err error) error {
 		load.Stop()
 		return err
@@ -82,15 +82,15 @@
 	}
 	next, _ := a.Last()
 	say("%s posts under token %d, %.1f s later: a lease lasts %v", next.Member, next.Token, time.Since(at).Seconds(), leaseLength)
-	if err := cluster.Await(ctx, "a holder of the subscription", within, func() bool { h := s.Holder(); return h != nil && !frozen[h] }); err != nil {
+	if err := cluster.Await(ctx, "a holder of the subscription", within, func() bool { h := s.SubscriptionLeader(); return h != nil && !frozen[h] }); err != nil {
 		return fail(err)
 	}
-	holder = s.Holder()
+	holder = s.SubscriptionLeader()
 	at = time.Now()
 	if _, err := s.Push(0, 1); err != nil {
 		return fail(err)
 	}
-	if err := s.Have(ctx, within); err != nil {
+	if err := s.AwaitVersion(ctx, within); err != nil {
 		return fail(err)
 	}
 	say("%s holds the subscription; the control plane removes a server, and every gateway that runs knows after %.2f s", holder.Name, time.Since(at).Seconds())
@@ -98,10 +98,10 @@
 		n.Thaw()
 		say("%s goes on; its lease is over by its own clock", n.Name)
 	}
-	if err := s.Have(ctx, within); err != nil {
+	if err := s.AwaitVersion(ctx, within); err != nil {
 		return fail(err)
 	}
-	if err := cluster.Await(ctx, "one stream", within, func() bool { n, _ := s.Plane.Streams(); return n == 1 }); err != nil {
+	if err := cluster.Await(ctx, "one stream", within, func() bool { n, _ := s.ControlPlane.Streams(); return n == 1 }); err != nil {
 		return fail(err)
 	}
 	say("all three have the newest list, on one stream again")
@@ -111,10 +111,10 @@
 	why := load.Stop()
 	f := cluster.Audit(a.Acts())
 	fmt.Fprintf(out, "\nrequests %d, failed %d %s\nposts %d under %d tokens: refused by their token %d, accepted out of order %d, begun beyond the lease %d\n",
-		load.Asked.Load(), load.Failed.Load(), why, f.Acts, f.Holders, f.Refused, f.Disorder, f.Beyond)
+		load.Requests.Load(), load.Failed.Load(), why, f.Acts, f.Tokens, f.Rejected, f.StaleAccepted, f.AfterLease)
 	switch {
-	case f.Broken():
-		return errors.New(f.First)
+	case f.Violated():
+		return errors.New(f.FirstViolation)
 	case why != "":
 		return fmt.Errorf("a request failed: %s", why)
 	}
--- a/internal/demo/release.go
+++ b/internal/demo/release.go
@@ -30,7 +30,7 @@
 	say := func(format string, args ...any) {
 		fmt.Fprintf(out, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}
-	bad, err := cluster.Altered(dir, "bad", binary, cluster.Tenth)
+	bad, err := cluster.WriteAlteredProgram(dir, "bad", binary, cluster.MisrouteTenth)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 		return err
 	}
 	defer s.Close()
-	load := s.Load(100)
+	load := s.StartLoad(100)
 	defer load.Stop()
 	const within = time.Minute
 	state := func() (l quorum.ReleaseList, err error) {
@@ -61,11 +61,11 @@
 			Gate: release.Gate{MinRequests: 100, MaxMeanRatio: 10, MaxTailRatio: 10}}
 		if version == "" {
 			p.Target = fleet.ConfigDigest([]byte(text))
-			if err := s.Nodes[0].Release(quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: text}); err != nil {
+			if err := s.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: text}); err != nil {
 				return r, err
 			}
 		}
-		if err := s.Nodes[0].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: p}); err != nil {
+		if err := s.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: p}); err != nil {
 			return r, err
 		}
 		last := ""
@@ -95,7 +95,7 @@
 						say("robindrum release back")
 					}
 					last = now.String()
-					_ = s.Nodes[1].Release(quorum.Command{Op: quorum.OpRollbackRelease, Text: "by hand"}) // asked again with the next look
+					_ = s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpRollbackRelease, Text: "by hand"}) // asked again with the next look
 					return false
 				}
 			}
@@ -114,12 +114,12 @@
 	if r.State != release.Done || load.Failed.Load() > 0 {
 		return fmt.Errorf("a good one: %s; %d requests failed", &r, load.Failed.Load())
 	}
-	say("%d requests until now, none failed; version 1.2 sends a tenth of its own nowhere", load.Asked.Load())
-	asked := load.Asked.Load()
+	say("%d requests until now, none failed; version 1.2 sends a tenth of its own nowhere", load.Requests.Load())
+	asked := load.Requests.Load()
 	if r, err = play("bad", "", "1.2", false); err != nil {
 		return err
 	}
-	asked, failed := load.Asked.Load()-asked, load.Failed.Load()
+	asked, failed := load.Requests.Load()-asked, load.Failed.Load()
 	say("of %d requests while the bad one was there %d failed (all at once it would be a tenth); %d of 5 gateways had it at the most", asked, failed, most)
 	if r.State != release.RolledBack || most != 1 || failed == 0 {
 		return errors.New("the bad one was not found out, or not stopped at its first gateway")
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -13,28 +13,28 @@
 
 // Act is one post that came.
 type Act struct {
-	Token    uint64
-	Member   string
-	Number   int
-	Began    time.Duration // when its holder judged that it may act, on the machine's clock
-	At       time.Duration // when it came, on the same
-	Accepted bool
+	Token      uint64
+	Member     string
+	Number     int
+	JudgedAt   time.Duration // when its holder judged that it may act, on the machine's clock
+	ReceivedAt time.Duration // when it came, on the same
+	Accepted   bool
 }
 
 // Auditor is what the posts of a duty go to. It refuses what is older than the highest token that it has seen, and writes all
 // down. Its methods may be called by several goroutines at once.
 type Auditor struct {
-	End
-	// Unfenced has it take all, to show that the audit finds out.
-	Unfenced bool
+	ExternalService
+	// AcceptAll has it take all, to show that the audit finds out.
+	AcceptAll bool
 
 	server *http.Server
 	done   chan struct{}
 
-	mu    sync.Mutex
-	fence lease.Fence
-	acts  []Act
-	news  chan struct{} // closed and made anew with each act that is accepted
+	mu       sync.Mutex
+	fence    lease.Fence
+	acts     []Act
+	accepted chan struct{} // closed and made anew with each act that is accepted
 }
 
 // maxActs bounds what is written down.
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Auditor{End: End{Name: name, Addr: l.Addr().String()}, done: make(chan struct{}), news: make(chan struct{})}
+	a := &Auditor{ExternalService: ExternalService{Name: name, Address: l.Addr().String()}, done: make(chan struct{}), accepted: make(chan struct{})}
 	a.server = &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
 	go func() {
 		defer close(a.done)
@@ -71,7 +71,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ok := a.fence.Admit(token) || a.Unfenced
+	ok := a.fence.Admit(token) || a.AcceptAll
 	if len(a.acts) < maxActs {
 		a.acts = append(a.acts, Act{token, r.Header.Get(fleet.MemberHeader), number, time.Duration(began), fleet.Clock(), ok})
 	}
@@ -79,8 +79,8 @@
 		http.Error(w, "older than the highest token seen", http.StatusConflict)
 		return
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.accepted)
+	a.accepted = make(chan struct{})
 }
 
 // Acts are all that came.
@@ -96,48 +96,48 @@
 	defer a.mu.Unlock()
 	for i := len(a.acts) - 1; i >= 0; i-- {
 		if a.acts[i].Accepted {
-			return a.acts[i], a.news
+			return a.acts[i], a.accepted
 		}
 	}
-	return Act{}, a.news
+	return Act{}, a.accepted
 }
 
-// Finding is what an audit says.
-type Finding struct {
-	Acts, Refused int
-	// Disorder: acts accepted behind one with a newer token.
-	Disorder int
-	// Two: tokens under which two members acted.
-	Two int
-	// Beyond: acts that their holder began, by the machine's clock, after the holder of a newer token had begun to act: the
+// AuditResult is what an audit says.
+type AuditResult struct {
+	Acts, Rejected int
+	// StaleAccepted: acts accepted behind one with a newer token.
+	StaleAccepted int
+	// SharedTokens: tokens under which two members acted.
+	SharedTokens int
+	// AfterLease: acts that their holder began, by the machine's clock, after the holder of a newer token had begun to act: the
 	// lease had been given away, and it went on.
-	Beyond int
-	// Holders is how often the duty changed hands.
-	Holders int
-	First   string // of what is wrong
+	AfterLease int
+	// Tokens is how often the duty changed hands.
+	Tokens         int
+	FirstViolation string // of what is wrong
 }
 
-// Broken tells whether it found anything wrong.
-func (f *Finding) Broken() bool { return f.Disorder+f.Two+f.Beyond > 0 }
+// Violated tells whether it found anything wrong.
+func (f *AuditResult) Violated() bool { return f.StaleAccepted+f.SharedTokens+f.AfterLease > 0 }
 
 // Add sums up.
-func (f *Finding) Add(o Finding) {
-	f.Acts, f.Refused, f.Disorder, f.Two, f.Beyond, f.Holders = f.Acts+o.Acts, f.Refused+o.Refused, f.Disorder+o.Disorder, f.Two+o.Two, f.Beyond+o.Beyond, f.Holders+o.Holders
-	if f.First == "" {
-		f.First = o.First
+func (f *AuditResult) Add(o AuditResult) {
+	f.Acts, f.Rejected, f.StaleAccepted, f.SharedTokens, f.AfterLease, f.Tokens = f.Acts+o.Acts, f.Rejected+o.Rejected, f.StaleAccepted+o.StaleAccepted, f.SharedTokens+o.SharedTokens, f.AfterLease+o.AfterLease, f.Tokens+o.Tokens
+	if f.FirstViolation == "" {
+		f.FirstViolation = o.FirstViolation
 	}
 }
 
 // Audit looks at acts in the order in which they came.
-func Audit(acts []Act) (f Finding) {
+func Audit(acts []Act) (f AuditResult) {
 	note := func(n *int, format string, args ...any) {
-		if *n++; f.First == "" {
-			f.First = fmt.Sprintf(format, args...)
+		if *n++; f.FirstViolation == "" {
+			f.FirstViolation = fmt.Sprintf(format, args...)
 		}
 	}
 	first := map[uint64]Act{} // the act of each token that began first
 	for _, a := range acts {
-		if b, ok := first[a.Token]; !ok || a.Began < b.Began {
+		if b, ok := first[a.Token]; !ok || a.JudgedAt < b.JudgedAt {
 			first[a.Token] = a
 		}
 	}
@@ -146,25 +146,25 @@
 	for _, a := range acts {
 		f.Acts++
 		if !a.Accepted {
-			f.Refused++
+			f.Rejected++
 		}
 		if m, ok := members[a.Token]; ok && m != a.Member {
-			note(&f.Two, "token %d: %s and %s", a.Token, m, a.Member)
+			note(&f.SharedTokens, "token %d: %s and %s", a.Token, m, a.Member)
 		}
 		members[a.Token] = a.Member
 		if a.Accepted && a.Token < highest {
-			note(&f.Disorder, "%s: token %d accepted behind %d", a.Member, a.Token, highest)
+			note(&f.StaleAccepted, "%s: token %d accepted behind %d", a.Member, a.Token, highest)
 		}
 		if a.Accepted {
 			highest = max(highest, a.Token)
 		}
 		for token, b := range first {
-			if token > a.Token && a.Began > b.Began {
-				note(&f.Beyond, "%s began act %d under token %d %v after %s had begun under %d", a.Member, a.Number, a.Token, a.Began-b.Began, b.Member, token)
+			if token > a.Token && a.JudgedAt > b.JudgedAt {
+				note(&f.AfterLease, "%s began act %d under token %d %v after %s had begun under %d", a.Member, a.Number, a.Token, a.JudgedAt-b.JudgedAt, b.Member, token)
 				break
 			}
 		}
 	}
-	f.Holders = len(members)
+	f.Tokens = len(members)
 	return f
 }
--- a/internal/testbed/cluster/build.go
+++ b/internal/testbed/cluster/build.go
@@ -45,17 +45,17 @@
 	return path, "", nil
 }
 
-// Tenth is a change for Altered: a tenth of all requests is sent nowhere.
-const Tenth = `s/^routes:.*/routes: [{match: {prefix: \/}, clusters: [{name: c, weight: 9}, {name: none, weight: 1}]}]/; s/^clusters:.*/clusters: [{name: none, endpoints: []}]/`
+// MisrouteTenth is a change for Altered: a tenth of all requests is sent nowhere.
+const MisrouteTenth = `s/^routes:.*/routes: [{match: {prefix: \/}, clusters: [{name: c, weight: 9}, {name: none, weight: 1}]}]/; s/^clusters:.*/clusters: [{name: none, endpoints: []}]/`
 
-// Altered writes a version of the program that changes its gateway's file by sed, and goes on as another version in the same process.
-func Altered(dir, name, program, change string) (string, error) {
+// WriteAlteredProgram writes a version of the program that changes its gateway's file by sed, and goes on as another version in the same process.
+func WriteAlteredProgram(dir, name, program, change string) (string, error) {
 	path := filepath.Join(dir, name)
 	text := "#!/bin/sh\nfor last; do :; done\nsed '" + change + "' \"$last\" > \"$last." + name + ".yaml\"\nexec " + program + " serve --with-parent -c \"$last." + name + ".yaml\"\n"
 	return path, os.WriteFile(path, []byte(text), 0o700)
 }
 
-func tagged(tags []string) string {
+func tagSuffix(tags []string) string {
 	if len(tags) == 0 {
 		return ""
 	}
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -32,36 +32,36 @@
 	Nodes  int    // processes
 	Voters int    // the first ones; 0: as many as there can be, up to 5
 	// Witness has the last voter be a witness.
-	Witness bool
-	Sites   []string // of the nodes, in turn
-	Lease   time.Duration
-	Beat    time.Duration // the voters' heartbeat
-	Probe   time.Duration
+	Witness   bool
+	Sites     []string // of the nodes, in turn
+	Lease     time.Duration
+	Heartbeat time.Duration // the voters' heartbeat
+	Probe     time.Duration
 	// Posts are duties by name, each to an end outside.
-	Posts map[string]*End
-	Every time.Duration // between two posts
+	Posts        map[string]*ExternalService
+	PostInterval time.Duration // between two posts
 	// XDS is the control plane, an end outside; nil: a static cluster.
-	XDS     *End
+	XDS     *ExternalService
 	Variant string // of xDS; empty: the program's default
-	// Fleet and File are more lines of the block `fleet:` and of the file; nil: none.
-	Fleet, File func(i int) string
+	// ExtraFleetConfig and File are more lines of the block `fleet:` and of the file; nil: none.
+	ExtraFleetConfig, ExtraConfig func(i int) string
 	// Binaries are other programs than Binary, by node: an earlier version.
 	Binaries map[int]string
 	// Versions has the nodes supervised: programs by label, of which they run Version at first.
 	Versions map[string]string
 	Version  string
 	// NoFleet leaves the block out.
-	NoFleet bool
-	MaxLog  string // most_bytes of the voters' logs
-	Seed    uint64
-	Lines   func(node int, line string) // of the logs; nil: nobody looks
+	NoFleet    bool
+	MaxLogSize string // most_bytes of the voters' logs
+	Seed       uint64
+	OnLogLine  func(node int, line string) // of the logs; nil: nobody looks
 }
 
-// End is something outside of the fleet that its members reach: each over a relay of its own.
-type End struct {
-	Name  string
-	Addr  string
-	Plain bool // reached without a relay
+// ExternalService is something outside of the fleet that its members reach: each over a relay of its own.
+type ExternalService struct {
+	Name    string
+	Address string
+	Direct  bool // reached without a relay
 }
 
 // Node is one process and its place.
@@ -70,25 +70,25 @@
 	Name, Address   string
 	Admin, Web, Dir string
 	Witness         bool
-	c               *Cluster
+	cluster         *Cluster
 	mu              sync.Mutex
-	p               *proc.Process
+	process         *proc.Process
 	starts          int
 	epoch           int // changes with each start, freeze and thaw
 	frozen          bool
-	came            bool   // it listens for operators
+	listening       bool   // it listens for operators
 	binary          string // in place of the options'; empty: theirs
 }
 
 // Cluster is the fleet. Its methods may be called by several goroutines at once.
 type Cluster struct {
-	opt    Options
-	host   string // of all addresses, 127.x.y
-	Nodes  []*Node
-	ends   []*End
-	relays []*relay
-	paths  map[[2]string]*path // from, to
-	client *http.Client
+	opt      Options
+	host     string // of all addresses, 127.x.y
+	Nodes    []*Node
+	services []*ExternalService
+	relays   []*relay
+	links    map[[2]string]*link // from, to
+	client   *http.Client
 }
 
 // clusters of this process, each with addresses of its own.
@@ -96,10 +96,10 @@
 
 // New makes the places and the relays. Nothing runs before Start.
 func New(opt Options) (*Cluster, error) {
-	c := &Cluster{opt: opt, paths: map[[2]string]*path{}, client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
+	c := &Cluster{opt: opt, links: map[[2]string]*link{}, client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 	c.opt.Name = cmp.Or(opt.Name, "rig")
-	c.opt.Lease, c.opt.Beat, c.opt.Probe = cmp.Or(opt.Lease, time.Second), cmp.Or(opt.Beat, 100*time.Millisecond), cmp.Or(opt.Probe, 100*time.Millisecond)
-	c.opt.Every = cmp.Or(opt.Every, 20*time.Millisecond)
+	c.opt.Lease, c.opt.Heartbeat, c.opt.Probe = cmp.Or(opt.Lease, time.Second), cmp.Or(opt.Heartbeat, 100*time.Millisecond), cmp.Or(opt.Probe, 100*time.Millisecond)
+	c.opt.PostInterval = cmp.Or(opt.PostInterval, 20*time.Millisecond)
 	if c.opt.Voters == 0 {
 		c.opt.Voters = map[bool]int{true: 1, false: 3}[opt.Nodes < 3]
 	}
@@ -107,7 +107,7 @@
 	n := uint32(os.Getpid())*16 + clusters.Add(1)
 	c.host = fmt.Sprintf("127.%d.%d", 16+n>>8&0x7f, n&0xff)
 	for i := range opt.Nodes {
-		node := &Node{Number: i, Name: fmt.Sprintf("n%d", i), c: c, Dir: filepath.Join(opt.Dir, fmt.Sprintf("n%d", i)), Witness: opt.Witness && i == c.opt.Voters-1}
+		node := &Node{Number: i, Name: fmt.Sprintf("n%d", i), cluster: c, Dir: filepath.Join(opt.Dir, fmt.Sprintf("n%d", i)), Witness: opt.Witness && i == c.opt.Voters-1}
 		ip := fmt.Sprintf("%s.%d", c.host, i+1)
 		node.Address, node.Admin, node.Web = ip+":7600", ip+":7601", ip+":7602"
 		if err := os.MkdirAll(node.Dir, 0o700); err != nil {
@@ -116,25 +116,25 @@
 		c.Nodes = append(c.Nodes, node)
 	}
 	for _, e := range opt.Posts {
-		c.ends = append(c.ends, e)
+		c.services = append(c.services, e)
 	}
 	if opt.XDS != nil {
-		c.ends = append(c.ends, opt.XDS)
+		c.services = append(c.services, opt.XDS)
 	}
 	for _, a := range c.Nodes {
 		for _, b := range c.Nodes {
 			if a != b {
-				if err := c.relay(a.Number, a.Name, b.Name, b.Address, b.Number); err != nil {
+				if err := c.addRelay(a.Number, a.Name, b.Name, b.Address, b.Number); err != nil {
 					c.Close()
 					return nil, err
 				}
 			}
 		}
-		for i, e := range c.ends {
-			if e.Plain {
+		for i, e := range c.services {
+			if e.Direct {
 				continue
 			}
-			if err := c.relay(a.Number, a.Name, e.Name, e.Addr, 200+i); err != nil {
+			if err := c.addRelay(a.Number, a.Name, e.Name, e.Address, 200+i); err != nil {
 				c.Close()
 				return nil, err
 			}
@@ -143,59 +143,61 @@
 	return c, nil
 }
 
-func (c *Cluster) via(from, to int) string { return fmt.Sprintf("%s.%d:%d", c.host, from+1, 8000+to) }
+func (c *Cluster) relayAddress(from, to int) string {
+	return fmt.Sprintf("%s.%d:%d", c.host, from+1, 8000+to)
+}
 
-func (c *Cluster) relay(number int, from, to, addr string, at int) error {
-	r, err := newRelay(c.via(number, at), addr, c.path(from, to), c.path(to, from))
+func (c *Cluster) addRelay(number int, from, to, addr string, at int) error {
+	r, err := newRelay(c.relayAddress(number, at), addr, c.link(from, to), c.link(to, from))
 	if err == nil {
 		c.relays = append(c.relays, r)
 	}
 	return err
 }
 
-func (c *Cluster) path(from, to string) *path {
+func (c *Cluster) link(from, to string) *link {
 	k := [2]string{from, to}
-	if c.paths[k] == nil {
-		c.paths[k] = newPath(c.opt.Seed + uint64(len(c.paths)))
+	if c.links[k] == nil {
+		c.links[k] = newLink(c.opt.Seed + uint64(len(c.links)))
 	}
-	return c.paths[k]
+	return c.links[k]
 }
 
 // Set changes what is on the way from one end to another, by name: one direction.
-func (c *Cluster) Set(from, to string, w Way) {
-	if p := c.paths[[2]string{from, to}]; p != nil {
+func (c *Cluster) Set(from, to string, w LinkState) {
+	if p := c.links[[2]string{from, to}]; p != nil {
 		p.set(w)
 	}
 }
 
-// Between changes both directions.
-func (c *Cluster) Between(a, b string, w Way) {
+// SetBoth changes both directions.
+func (c *Cluster) SetBoth(a, b string, w LinkState) {
 	c.Set(a, b, w)
 	c.Set(b, a, w)
 }
 
-// Alone cuts a node off from all other nodes; ends outside are still reached.
-func (c *Cluster) Alone(n *Node, w Way) {
+// Isolate cuts a node off from all other nodes; ends outside are still reached.
+func (c *Cluster) Isolate(n *Node, w LinkState) {
 	for _, o := range c.Nodes {
-		c.Between(n.Name, o.Name, w)
+		c.SetBoth(n.Name, o.Name, w)
 	}
 }
 
 // Heal has all ways carry all.
 func (c *Cluster) Heal() {
-	for _, p := range c.paths {
-		p.set(Way{})
+	for _, p := range c.links {
+		p.set(LinkState{})
 	}
 }
 
 // Ends are addresses as a node reaches them.
-func (n *Node) end(e *End) string {
-	for i, x := range n.c.ends {
-		if x == e && !e.Plain {
-			return n.c.via(n.Number, 200+i)
+func (n *Node) serviceAddress(e *ExternalService) string {
+	for i, x := range n.cluster.services {
+		if x == e && !e.Direct {
+			return n.cluster.relayAddress(n.Number, 200+i)
 		}
 	}
-	return e.Addr
+	return e.Address
 }
 
 // Voters are all voters of the fleet.
@@ -206,20 +208,20 @@
 	return l
 }
 
-// file is a node's configuration.
-func (n *Node) file() string {
-	c, o := n.c, &n.c.opt
+// configuration is a node's configuration.
+func (n *Node) configuration() string {
+	c, o := n.cluster, &n.cluster.opt
 	var b strings.Builder
 	fmt.Fprintf(&b, "log: {format: json, level: info}\nadmin: {address: %q, remote: true}\n", n.Admin)
 	if !n.Witness {
 		fmt.Fprintf(&b, "listeners: [{name: web, address: %q}]\nlimits: {drain: 2s}\ngateway: {number: %d, of: %d}\n", n.Web, n.Number, o.Nodes)
-		if o.File != nil {
-			b.WriteString(o.File(n.Number))
+		if o.ExtraConfig != nil {
+			b.WriteString(o.ExtraConfig(n.Number))
 		} else {
 			b.WriteString("clusters: [{name: c, endpoints: [{address: \"127.0.0.1:9\"}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n")
 		}
 		if o.XDS != nil {
-			fmt.Fprintf(&b, "xds: {servers: [%q], variant: %s, node: {id: %q}, clusters: true, backoff_base: 100ms, backoff_most: 1s, connect_timeout: 1s, initial_fetch_timeout: 5s}\n", n.end(o.XDS), cmp.Or(o.Variant, "sotw"), n.Name)
+			fmt.Fprintf(&b, "xds: {servers: [%q], variant: %s, node: {id: %q}, clusters: true, backoff_base: 100ms, backoff_most: 1s, connect_timeout: 1s, initial_fetch_timeout: 5s}\n", n.serviceAddress(o.XDS), cmp.Or(o.Variant, "sotw"), n.Name)
 		}
 	}
 	if o.NoFleet {
@@ -236,21 +238,21 @@
 	b.WriteString("]\n  via:\n")
 	for _, p := range c.Nodes {
 		if p != n {
-			fmt.Fprintf(&b, "    - {member: %q, at: %q}\n", p.Address, c.via(n.Number, p.Number))
+			fmt.Fprintf(&b, "    - {member: %q, at: %q}\n", p.Address, c.relayAddress(n.Number, p.Number))
 		}
 	}
-	fmt.Fprintf(&b, "  quorum:\n    heartbeat: %v\n    folder: votes\n    most_bytes: %s\n    voters:\n", o.Beat, cmp.Or(o.MaxLog, "64MiB"))
+	fmt.Fprintf(&b, "  quorum:\n    heartbeat: %v\n    folder: votes\n    most_bytes: %s\n    voters:\n", o.Heartbeat, cmp.Or(o.MaxLogSize, "64MiB"))
 	for _, v := range c.Voters() {
 		fmt.Fprintf(&b, "      - {name: %s, address: %q}\n", v.Name, v.Address)
 	}
 	if !n.Witness && len(o.Posts) > 0 {
 		b.WriteString("  posts:\n")
 		for name, e := range o.Posts {
-			fmt.Fprintf(&b, "    - {name: %s, url: \"http://%s/\", every: %v, timeout: 30s}\n", name, n.end(e), o.Every)
+			fmt.Fprintf(&b, "    - {name: %s, url: \"http://%s/\", every: %v, timeout: 30s}\n", name, n.serviceAddress(e), o.PostInterval)
 		}
 	}
-	if o.Fleet != nil && !n.Witness {
-		b.WriteString(o.Fleet(n.Number))
+	if o.ExtraFleetConfig != nil && !n.Witness {
+		b.WriteString(o.ExtraFleetConfig(n.Number))
 	}
 	return b.String()
 }
@@ -266,8 +268,8 @@
 	return errors.Join(errs...)
 }
 
-// Use has its next start run another program; it is for one goroutine at a time.
-func (n *Node) Use(binary string) {
+// SetBinary has its next start run another program; it is for one goroutine at a time.
+func (n *Node) SetBinary(binary string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.binary = binary
@@ -276,7 +278,7 @@
 // Start starts a node's process, with the folder as it is.
 func (n *Node) Start() error {
 	path := filepath.Join(n.Dir, "robindrum.yaml")
-	if err := os.WriteFile(path, []byte(n.file()), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(n.configuration()), 0o600); err != nil {
 		return err
 	}
 	verb := "serve"
@@ -286,11 +288,11 @@
 	up := make(chan struct{})
 	var once sync.Once
 	n.mu.Lock()
-	binary := cmp.Or(n.binary, n.c.opt.Binaries[n.Number], n.c.opt.Binary)
+	binary := cmp.Or(n.binary, n.cluster.opt.Binaries[n.Number], n.cluster.opt.Binary)
 	n.mu.Unlock()
 	args := []string{verb, "--with-parent", "-c", path}
-	if len(n.c.opt.Versions) > 0 && !n.Witness {
-		if err := n.supervised(); err != nil {
+	if len(n.cluster.opt.Versions) > 0 && !n.Witness {
+		if err := n.createVersionsDir(); err != nil {
 			return err
 		}
 		args = append([]string{"supervise", "--with-parent", "--folder", n.Dir, "--pause", "100ms", "--longest-pause", "1s", "--"}, args...)
@@ -299,22 +301,22 @@
 		if strings.Contains(line, `"listening for operators"`) {
 			once.Do(func() { close(up) })
 		}
-		if n.c.opt.Lines != nil {
-			n.c.opt.Lines(n.Number, line)
+		if n.cluster.opt.OnLogLine != nil {
+			n.cluster.opt.OnLogLine(n.Number, line)
 		}
 	}, args...)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	n.p, n.frozen, n.came = p, false, false
+	n.process, n.frozen, n.listening = p, false, false
 	n.starts++
 	n.epoch++
 	n.mu.Unlock()
 	select {
 	case <-up:
 		n.mu.Lock()
-		n.came = true
+		n.listening = true
 		n.mu.Unlock()
 		return nil
 	case <-p.Exited:
@@ -325,27 +327,27 @@
 	}
 }
 
-// supervised lays out the folder of a node's supervisor where there is none.
-func (n *Node) supervised() error {
+// createVersionsDir lays out the folder of a node's supervisor where there is none.
+func (n *Node) createVersionsDir() error {
 	if err := os.Mkdir(filepath.Join(n.Dir, "versions"), 0o700); err != nil {
 		if os.IsExist(err) {
 			return nil
 		}
 		return err
 	}
-	for label, program := range n.c.opt.Versions {
+	for label, program := range n.cluster.opt.Versions {
 		if err := os.Link(program, filepath.Join(n.Dir, "versions", label)); err != nil {
 			return err
 		}
 	}
-	return os.Symlink(filepath.Join("versions", n.c.opt.Version), filepath.Join(n.Dir, "current"))
+	return os.Symlink(filepath.Join("versions", n.cluster.opt.Version), filepath.Join(n.Dir, "current"))
 }
 
 // Process is its process; nil: it was never started.
 func (n *Node) Process() *proc.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.p
+	return n.process
 }
 
 // Starts is how often its process was started.
@@ -366,7 +368,7 @@
 func (n *Node) Up() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.p != nil && n.came && n.p.Running() && !n.p.Killed() && !n.frozen
+	return n.process != nil && n.listening && n.process.Running() && !n.process.Killed() && !n.frozen
 }
 
 // Kill ends its process at once.
@@ -382,7 +384,7 @@
 	defer n.mu.Unlock()
 	n.frozen = true
 	n.epoch++
-	n.p.Freeze()
+	n.process.Freeze()
 }
 
 // Thaw has it go on.
@@ -391,22 +393,22 @@
 	defer n.mu.Unlock()
 	n.frozen = false
 	n.epoch++
-	n.p.Thaw()
+	n.process.Thaw()
 }
 
 // Restart starts it again: with its folder, or with an empty one.
 func (n *Node) Restart(empty bool) error {
 	n.Kill()
 	if empty {
-		if err := os.RemoveAll(n.Votes()); err != nil {
+		if err := os.RemoveAll(n.VoterDir()); err != nil {
 			return err
 		}
 	}
 	return n.Start()
 }
 
-// Plain has a supervised node run another version as a plain script does: told to end, linked, started.
-func (n *Node) Plain(version string) error {
+// RestartAs has a supervised node run another version as a plain script does: told to end, linked, started.
+func (n *Node) RestartAs(version string) error {
 	if p := n.Process(); p != nil {
 		p.Stop(20 * time.Second)
 	}
@@ -420,8 +422,8 @@
 	return n.Start()
 }
 
-// Votes is the folder of its vote.
-func (n *Node) Votes() string { return filepath.Join(n.Dir, "votes") }
+// VoterDir is the folder of its vote.
+func (n *Node) VoterDir() string { return filepath.Join(n.Dir, "votes") }
 
 // Close ends all processes and relays.
 func (c *Cluster) Close() {
@@ -441,7 +443,7 @@
 
 // Get asks a node's admin listener.
 func (n *Node) Get(path string, v any) error {
-	resp, err := n.c.client.Get("http://" + n.Admin + path)
+	resp, err := n.cluster.client.Get("http://" + n.Admin + path)
 	if err != nil {
 		return err
 	}
@@ -465,8 +467,8 @@
 	return s, err
 }
 
-// Order has a node's admin listener pass on an order: what is drain, undrain, halt or resume.
-func (n *Node) Order(what string, o drain.Request) (x drain.Request, err error) {
+// SendDrain has a node's admin listener pass on an order: what is drain, undrain, halt or resume.
+func (n *Node) SendDrain(what string, o drain.Request) (x drain.Request, err error) {
 	err = n.post("/fleet/"+what, o, &x)
 	return x, err
 }
@@ -477,8 +479,8 @@
 	return l, err
 }
 
-// Release has a node's admin listener pass on a command about releases.
-func (n *Node) Release(c quorum.Command) error { return n.post("/fleet/release", c, nil) }
+// SendRelease has a node's admin listener pass on a command about releases.
+func (n *Node) SendRelease(c quorum.Command) error { return n.post("/fleet/release", c, nil) }
 
 // post asks a node's admin listener for something; out may be nil.
 func (n *Node) post(path string, in, out any) error {
@@ -486,7 +488,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := n.c.client.Post("http://"+n.Admin+path, "application/json", bytes.NewReader(text))
+	resp, err := n.cluster.client.Post("http://"+n.Admin+path, "application/json", bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
@@ -501,8 +503,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// Orders are all orders, as the quorum says to a node, by id.
-func (n *Node) Orders() (map[string]drain.Request, error) {
+// DrainRequests are all orders, as the quorum says to a node, by id.
+func (n *Node) DrainRequests() (map[string]drain.Request, error) {
 	var l quorum.DrainList
 	m := map[string]drain.Request{}
 	err := n.Get("/fleet/orders", &l)
@@ -514,7 +516,7 @@
 
 // Ready tells whether a gateway says that it is ready.
 func (n *Node) Ready() bool {
-	resp, err := n.c.client.Get("http://" + n.Admin + "/health/ready")
+	resp, err := n.cluster.client.Get("http://" + n.Admin + "/health/ready")
 	if err != nil {
 		return false
 	}
@@ -528,8 +530,8 @@
 	return l, err
 }
 
-// Holder is the node that holds a duty by its own word; nil: none does.
-func (c *Cluster) Holder(duty string) *Node {
+// TaskLeader is the node that holds a duty by its own word; nil: none does.
+func (c *Cluster) TaskLeader(duty string) *Node {
 	for _, n := range c.Nodes {
 		if !n.Up() {
 			continue
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(dir, "robindrum"+tagged(tags))
+	path := filepath.Join(dir, "robindrum"+tagSuffix(tags))
 	if _, err := os.Stat(path); err == nil {
 		return path
 	}
@@ -69,7 +69,7 @@
 // comes waits for something of a cluster; processes start and elect within it.
 func comes(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	if err := Await(t.Context(), what, back, ok); err != nil {
+	if err := Await(t.Context(), what, recoveryTimeout, ok); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -99,7 +99,7 @@
 	for i := 0; i < len(Faults); i += 3 {
 		all = append(all, Schedule{Seed: uint64(100 + i), Nodes: 3 + i%3, Faults: Faults[i : i+3]})
 	}
-	all = append(all, Draw(1), Draw(2))
+	all = append(all, DrawSchedule(1), DrawSchedule(2))
 	opt := PlayOptions{Binary: binary(t), Dir: t.TempDir(), Lease: testLease, History: true}
 	// Processes run beside the tests of other packages, some of which look at times.
 	at := make(chan struct{}, max(runtime.GOMAXPROCS(0)/2, 1))
@@ -108,7 +108,7 @@
 		work.Go(func() {
 			at <- struct{}{}
 			defer func() { <-at }()
-			if v := Play(t.Context(), s, opt); v.Broken() || v.Acts < 10 || v.Operations == 0 {
+			if v := Play(t.Context(), s, opt); v.Violated() || v.Acts < 10 || v.Operations == 0 {
 				t.Errorf("%v: %v", s.Faults, &v)
 			}
 		})
@@ -119,37 +119,37 @@
 // With a safeguard off the audit finds what it is there for, each time.
 func TestAuditFindsPlantedFaults(t *testing.T) {
 	testbed.Leaks(t)
-	play := func(f Fault, binary string, open bool) (sum Finding) {
+	play := func(f Fault, binary string, open bool) (sum AuditResult) {
 		for seed := range uint64(3) {
-			v := Play(t.Context(), Schedule{Seed: seed, Nodes: 3, Faults: []Fault{f}}, PlayOptions{Binary: binary, Dir: t.TempDir(), Lease: testLease, Unfenced: open})
+			v := Play(t.Context(), Schedule{Seed: seed, Nodes: 3, Faults: []Fault{f}}, PlayOptions{Binary: binary, Dir: t.TempDir(), Lease: testLease, AcceptAll: open})
 			if v.Err != nil {
 				t.Fatal(v.Err)
 			}
-			if sum.Add(v.Finding); sum.Broken() {
+			if sum.Add(v.AuditResult); sum.Violated() {
 				break
 			}
 		}
 		return sum
 	}
-	if f := play(LateAct, binary(t), true); f.Disorder == 0 || f.Beyond != 0 {
+	if f := play(DelayAct, binary(t), true); f.StaleAccepted == 0 || f.AfterLease != 0 {
 		t.Errorf("a receiver that takes every token: %+v", f)
 	}
-	if f := play(FreezeLong, binary(t, "faultinjection"), false); f.Beyond == 0 || f.Disorder != 0 {
+	if f := play(FreezeLong, binary(t, "faultinjection"), false); f.AfterLease == 0 || f.StaleAccepted != 0 {
 		t.Errorf("a holder that goes on when its lease is over: %+v", f)
 	}
 	ms := time.Millisecond
-	got := func(m string, token uint64, call, ret time.Duration) asked {
-		return asked{op: quorum.OpAcquire, member: m, token: token, length: 100 * ms, call: call, ret: ret, result: "granted"}
+	got := func(m string, token uint64, call, ret time.Duration) operation {
+		return operation{op: quorum.OpAcquire, member: m, token: token, length: 100 * ms, calledAt: call, returnedAt: ret, result: "granted"}
 	}
-	for want, ops := range map[bool][]asked{
-		true:  {got("k0", 1, 0, 5*ms), got("k1", 2, 99*ms, 101*ms), {op: quorum.OpRelease, member: "k1", token: 2, call: 102 * ms, ret: 103 * ms, result: "unknown"}, got("k0", 3, 104*ms, 105*ms)},
+	for want, ops := range map[bool][]operation{
+		true:  {got("k0", 1, 0, 5*ms), got("k1", 2, 99*ms, 101*ms), {op: quorum.OpRelease, member: "k1", token: 2, calledAt: 102 * ms, returnedAt: 103 * ms, result: "unknown"}, got("k0", 3, 104*ms, 105*ms)},
 		false: {got("k0", 1, 0, 5*ms), got("k1", 2, 50*ms, 99*ms)},
 	} {
 		if ok, decided := linearizable(ops, time.Minute); ok != want || !decided {
 			t.Errorf("%v: linearizable %v (decided %v)", ops, ok, decided)
 		}
 	}
-	if ok, _ := linearizable([]asked{got("k0", 2, 0, 5*ms), got("k1", 1, 150*ms, 160*ms)}, time.Minute); ok {
+	if ok, _ := linearizable([]operation{got("k0", 2, 0, 5*ms), got("k1", 1, 150*ms, 160*ms)}, time.Minute); ok {
 		t.Error("a token that is lower than one before")
 	}
 }
@@ -176,7 +176,7 @@
 
 func readIdentity(t testing.TB, n *Node) (identity voterIdentity) {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(n.Votes(), "voter.json"))
+	text, err := os.ReadFile(filepath.Join(n.VoterDir(), "voter.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,7 +217,7 @@
 	// With the other voter it is a majority, so its word would count.
 	old := filepath.Join(t.TempDir(), "old")
 	one.Kill()
-	copied(t, one.Votes(), old)
+	copied(t, one.VoterDir(), old)
 	for range 2 { // starts that the copy knows nothing of
 		if err := one.Restart(false); err != nil {
 			t.Fatal(err)
@@ -235,7 +235,7 @@
 		one.Kill()
 	}
 	one.Kill()
-	copied(t, old, one.Votes())
+	copied(t, old, one.VoterDir())
 	if err := one.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 	comes(t, "another fleet", func() bool { return other.Leader() != nil && other.Nodes[1].vote().Fleet != "" })
 	comes(t, "its agreement", func() bool { return other.Nodes[1].vote().Applied > 1 })
 	other.Nodes[1].Kill()
-	copied(t, other.Nodes[1].Votes(), one.Votes())
+	copied(t, other.Nodes[1].VoterDir(), one.VoterDir())
 	if err := one.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -269,8 +269,8 @@
 	one.Kill()
 
 	// Cut anywhere within what it holds.
-	copied(t, old, one.Votes())
-	log := filepath.Join(one.Votes(), "raft.db")
+	copied(t, old, one.VoterDir())
+	log := filepath.Join(one.VoterDir(), "raft.db")
 	if err := os.Truncate(log, 9000); err != nil {
 		t.Fatal(err)
 	}
@@ -295,11 +295,11 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	c := up(t, Options{Nodes: 4, MaxLog: "1MiB", Posts: map[string]*End{"audit": &a.End}})
+	c := up(t, Options{Nodes: 4, MaxLogSize: "1MiB", Posts: map[string]*ExternalService{"audit": &a.ExternalService}})
 	comes(t, "acts", func() bool { x, _ := a.Last(); return x.Token > 0 })
 	full := c.Nodes[2]
 	full.Kill()
-	f, err := os.OpenFile(filepath.Join(full.Votes(), "raft.db"), os.O_WRONLY|os.O_APPEND, 0)
+	f, err := os.OpenFile(filepath.Join(full.VoterDir(), "raft.db"), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +319,7 @@
 	x, _ := a.Last()
 	n := len(a.Acts())
 	comes(t, "acts", func() bool { return len(a.Acts()) > n+20 })
-	if f := Audit(a.Acts()); f.Broken() || x.Token == 0 {
+	if f := Audit(a.Acts()); f.Violated() || x.Token == 0 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -347,7 +347,7 @@
 	comes(t, "five members", all(membership.Serving, "n0", "n1", "n3", "n4"))
 	comes(t, "a witness", all(membership.Witness, "n2"))
 	born := c.Nodes[0].member("n4").Incarnation
-	c.Alone(c.Nodes[4], Way{Cut: true})
+	c.Isolate(c.Nodes[4], LinkState{Partitioned: true})
 	comes(t, "it is dead to the others", func() bool { return c.Nodes[0].member("n4").State == membership.Dead })
 	c.Heal()
 	comes(t, "it is back", all(membership.Serving, "n4"))
@@ -365,7 +365,7 @@
 	// A split, in which one joins.
 	c.Nodes[3].Kill()
 	comes(t, "it is dead", func() bool { return c.Nodes[0].member("n3").State == membership.Dead })
-	c.Alone(c.Nodes[0], Way{Cut: true})
+	c.Isolate(c.Nodes[0], LinkState{Partitioned: true})
 	if err := c.Nodes[3].Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -376,11 +376,11 @@
 	// Another fleet's member asks the same seeds; and one claims a name.
 	dir := t.TempDir()
 	stranger := func(name, member, host string) *Node {
-		x := &Node{Number: 4, Name: member, c: c, Dir: filepath.Join(dir, name), Address: host + ":7600", Admin: host + ":7601", Web: host + ":7602"}
+		x := &Node{Number: 4, Name: member, cluster: c, Dir: filepath.Join(dir, name), Address: host + ":7600", Admin: host + ":7601", Web: host + ":7602"}
 		if err := os.MkdirAll(x.Dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		text := strings.Replace(x.file(), "name: rig", "name: "+name, 1)
+		text := strings.Replace(x.configuration(), "name: rig", "name: "+name, 1)
 		text = text[:strings.Index(text, "  via:")] + text[strings.Index(text, "  quorum:"):]
 		path := filepath.Join(x.Dir, "x.yaml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -474,21 +474,21 @@
 // each other for many leases. Every version reaches every gateway, none goes back, and no request fails for any of it.
 func TestOneSubscriptionForASite(t *testing.T) {
 	testbed.Leaks(t)
-	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 4, Shared: true, Lease: testLease, OwnAfter: 2 * time.Second, Heartbeat: 100 * time.Millisecond})
+	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 4, SharedSubscription: true, Lease: testLease, DirectAfter: 2 * time.Second, Heartbeat: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(20)
+	load := s.StartLoad(20)
 	defer load.Stop()
-	open := func() int { n, _ := s.Plane.Streams(); return n }
-	one := func() bool { return open() == 1 && s.Holder() != nil }
+	open := func() int { n, _ := s.ControlPlane.Streams(); return n }
+	one := func() bool { return open() == 1 && s.SubscriptionLeader() != nil }
 	comes(t, "one stream", one)
 	push := func(within time.Duration, origins ...int) {
 		t.Helper()
 		at, err := s.Push(origins...)
 		if err == nil {
-			err = s.Have(t.Context(), within)
+			err = s.AwaitVersion(t.Context(), within)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -500,51 +500,51 @@
 		}
 	}
 	for range 5 {
-		push(back, 0, 1)
-		push(back, 0, 1, 2)
+		push(recoveryTimeout, 0, 1)
+		push(recoveryTimeout, 0, 1, 2)
 	}
 	comes(t, "one stream", one)
 
-	old := s.Holder()
+	old := s.SubscriptionLeader()
 	old.Freeze()
-	comes(t, "another holder", func() bool { h := s.Holder(); return h != nil && h != old })
-	push(back, 0, 1)
+	comes(t, "another holder", func() bool { h := s.SubscriptionLeader(); return h != nil && h != old })
+	push(recoveryTimeout, 0, 1)
 	old.Thaw()
-	if err := s.Have(t.Context(), back); err != nil { // also the one that was frozen
+	if err := s.AwaitVersion(t.Context(), recoveryTimeout); err != nil { // also the one that was frozen
 		t.Error(err)
 	}
 	comes(t, "one stream", one)
 
-	s.Plane.GoAway()
+	s.ControlPlane.GoAway()
 	comes(t, "it is noticed", func() bool { return open() == 0 })
-	_, before := s.Plane.Streams()
+	_, before := s.ControlPlane.Streams()
 	if _, err := s.Push(0, 1, 2); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Plane.Return(); err != nil {
+	if err := s.ControlPlane.Return(); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Have(t.Context(), back); err != nil {
+	if err := s.AwaitVersion(t.Context(), recoveryTimeout); err != nil {
 		t.Error(err)
 	}
-	if _, ever := s.Plane.Streams(); ever-before >= len(s.Nodes) {
+	if _, ever := s.ControlPlane.Streams(); ever-before >= len(s.Nodes) {
 		t.Errorf("%d streams at the return", ever-before)
 	}
 
 	// No quorum, and no member: each goes on, and after a while by itself.
 	for _, n := range s.Nodes {
-		s.Alone(n, Way{Cut: true})
+		s.Isolate(n, LinkState{Partitioned: true})
 	}
 	comes(t, "each on a stream of its own", func() bool { return open() == len(s.Nodes) })
-	push(back, 0, 1)
+	push(recoveryTimeout, 0, 1)
 	comes(t, "the loss is told", func() bool {
 		st, err := s.Nodes[0].Fleet()
 		return err == nil && st.Stale != "" && st.Contact.Error != ""
 	})
 	s.Heal()
 	comes(t, "one stream", one)
-	push(back, 0, 1, 2)
-	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
-		t.Errorf("%d of %d failed, first %s", load.Failed.Load(), load.Asked.Load(), why)
+	push(recoveryTimeout, 0, 1, 2)
+	if why := load.Stop(); why != "" || load.Requests.Load() < 200 {
+		t.Errorf("%d of %d failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
 	}
 }
--- a/internal/testbed/cluster/orders_test.go
+++ b/internal/testbed/cluster/orders_test.go
@@ -23,12 +23,12 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(20)
+	load := s.StartLoad(20)
 	defer load.Stop()
 	defer func() {
 		if t.Failed() {
 			for _, n := range s.Nodes {
-				o, err := n.Orders()
+				o, err := n.DrainRequests()
 				st, err2 := n.Status()
 				t.Logf("%s: ready %v, orders %+v %v, %v", n.Name, st.Ready, o, err, err2)
 				for _, c := range st.Clusters {
@@ -40,7 +40,7 @@
 	state := func(id string) drain.State {
 		for _, n := range s.Nodes {
 			if n.Up() {
-				if l, err := n.Orders(); err == nil {
+				if l, err := n.DrainRequests(); err == nil {
 					return l[id].State
 				}
 			}
@@ -60,7 +60,7 @@
 		})
 	}
 	orderDrain := func(id string, at int, t drain.Target) (drain.Request, error) {
-		return s.Nodes[at].Order("drain", drain.Request{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
+		return s.Nodes[at].SendDrain("drain", drain.Request{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
 	}
 	gateway := func(i int) drain.Target { return drain.Target{Gateway: s.Nodes[i].Name} }
 	comes(t, "the gateways to be known", func() bool {
@@ -98,10 +98,10 @@
 	}
 	for i := range 4 { // those that wait go first, so that none of them takes the place
 		if id := fmt.Sprint("all", i); id != granted {
-			_, _ = s.Nodes[0].Order("undrain", drain.Request{ID: id})
+			_, _ = s.Nodes[0].SendDrain("undrain", drain.Request{ID: id})
 		}
 	}
-	if _, err := s.Nodes[0].Order("undrain", drain.Request{ID: granted}); err != nil {
+	if _, err := s.Nodes[0].SendDrain("undrain", drain.Request{ID: granted}); err != nil {
 		t.Fatal(err)
 	}
 	gets(granted, drain.Ended)
@@ -130,7 +130,7 @@
 	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != drain.Pending {
 		t.Errorf("with two out: %+v, %v", o, err)
 	}
-	if o, _ := s.Nodes[0].Orders(); !strings.Contains(o["more"].StateReason, "2 of 5 are out") && !strings.Contains(o["more"].StateReason, "budget g") {
+	if o, _ := s.Nodes[0].DrainRequests(); !strings.Contains(o["more"].StateReason, "2 of 5 are out") && !strings.Contains(o["more"].StateReason, "budget g") {
 		t.Errorf("%+v", o["more"])
 	}
 	if err := s.Nodes[3].Start(); err != nil {
@@ -138,7 +138,7 @@
 	}
 	gets("more", drain.Drained)
 	for _, id := range []string{"more", "first"} {
-		if _, err := s.Nodes[1].Order("undrain", drain.Request{ID: id}); err != nil {
+		if _, err := s.Nodes[1].SendDrain("undrain", drain.Request{ID: id}); err != nil {
 			t.Fatal(err)
 		}
 		gets(id, drain.Ended)
@@ -153,7 +153,7 @@
 	})
 
 	// An endpoint: nothing new within a second, also from a gateway that was cut off and comes back.
-	s.Alone(s.Nodes[4], Way{Cut: true})
+	s.Isolate(s.Nodes[4], LinkState{Partitioned: true})
 	e := drain.Target{Cluster: "c", Endpoint: s.Origins[0].Addr}
 	o, err := orderDrain("e", 0, e)
 	if err != nil || o.State == drain.Rejected {
@@ -169,7 +169,7 @@
 	if o, err := orderDrain("f", 1, drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != drain.Pending {
 		t.Errorf("a second one: %+v, %v", o, err)
 	}
-	if _, err := s.Nodes[2].Order("undrain", drain.Request{ID: "e"}); err != nil {
+	if _, err := s.Nodes[2].SendDrain("undrain", drain.Request{ID: "e"}); err != nil {
 		t.Fatal(err)
 	}
 	before := s.Origins[0].Requests()
@@ -183,8 +183,8 @@
 	if o, err := orderDrain("none", 2, gateway(4)); err == nil {
 		t.Errorf("granted without a quorum: %+v", o)
 	}
-	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
-		t.Errorf("%d of %d failed, first %s", load.Failed.Load(), load.Asked.Load(), why)
+	if why := load.Stop(); why != "" || load.Requests.Load() < 200 {
+		t.Errorf("%d of %d failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
 	}
 }
 
@@ -198,7 +198,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(50)
+	load := s.StartLoad(50)
 	defer load.Stop()
 	state := func() (l quorum.ReleaseList) {
 		for _, n := range s.Nodes {
@@ -214,7 +214,7 @@
 		digest := fleet.ConfigDigest([]byte(text))
 		for _, c := range []quorum.Command{{Op: quorum.OpStoreConfig, Digest: digest, Text: text}, {Op: quorum.OpStartRelease, Plan: &release.Plan{ID: id, Target: digest, Soak: time.Second, RollBackOnFailure: back,
 			Gate: release.Gate{MinRequests: 50, MaxMeanRatio: 20, MaxMemoryRatio: 10}}}} {
-			comes(t, "the command to be taken", func() bool { return s.Nodes[5].Release(c) == nil })
+			comes(t, "the command to be taken", func() bool { return s.Nodes[5].SendRelease(c) == nil })
 		}
 	}
 	ended := func(id string) release.Release {
@@ -246,7 +246,7 @@
 	}
 	comes(t, "all to have it", func() bool { return has(fleet.ConfigDigest([]byte(good))) == 6 })
 	if n := load.Failed.Load(); n > 0 {
-		t.Errorf("%d of %d requests failed for a good one", n, load.Asked.Load())
+		t.Errorf("%d of %d requests failed for a good one", n, load.Requests.Load())
 	}
 
 	// It sends half of all requests nowhere.
--- a/internal/testbed/cluster/relay.go
+++ b/internal/testbed/cluster/relay.go
@@ -13,55 +13,55 @@
 	"time"
 )
 
-// Way is what is on the way in one direction. The zero value carries all.
-type Way struct {
-	// Cut holds what comes: streams until it is healed, as TCP sends again; packets are lost.
-	Cut bool
+// LinkState is what is on the way in one direction. The zero value carries all.
+type LinkState struct {
+	// Partitioned holds what comes: streams until it is healed, as TCP sends again; packets are lost.
+	Partitioned bool
 	// Delay holds each piece for so long, and up to Jitter more, so that packets overtake each other.
 	Delay, Jitter time.Duration
 	// Loss is the part of packets that is lost; of streams, the part of pieces that comes 200 ms later.
 	Loss float64
-	// Double is the part of packets that comes twice.
-	Double float64
+	// Duplication is the part of packets that comes twice.
+	Duplication float64
 }
 
-// retransmit is what a lost piece of a stream costs.
-const retransmit = 200 * time.Millisecond
+// retransmitDelay is what a lost piece of a stream costs.
+const retransmitDelay = 200 * time.Millisecond
 
-// path is one direction between two ends.
-type path struct {
+// link is one direction between two ends.
+type link struct {
 	mu      sync.Mutex
-	way     Way
+	state   LinkState
 	rng     *rand.Rand
 	changed chan struct{} // closed and made anew with each change
 }
 
-func newPath(seed uint64) *path {
-	return &path{rng: rand.New(rand.NewPCG(seed, 0x70617468)), changed: make(chan struct{})}
+func newLink(seed uint64) *link {
+	return &link{rng: rand.New(rand.NewPCG(seed, 0x70617468)), changed: make(chan struct{})}
 }
 
-func (p *path) set(w Way) {
+func (p *link) set(w LinkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.way = w
+	p.state = w
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// pass waits until a piece of a stream may go on.
-func (p *path) pass(ctx context.Context) error {
+// waitToForward waits until a piece of a stream may go on.
+func (p *link) waitToForward(ctx context.Context) error {
 	for {
 		p.mu.Lock()
-		w, changed := p.way, p.changed
+		w, changed := p.state, p.changed
 		wait := w.Delay
 		if w.Jitter > 0 {
 			wait += time.Duration(p.rng.Int64N(int64(w.Jitter)))
 		}
 		if w.Loss > 0 && p.rng.Float64() < w.Loss {
-			wait += retransmit
+			wait += retransmitDelay
 		}
 		p.mu.Unlock()
-		if !w.Cut {
+		if !w.Partitioned {
 			return sleep(ctx, wait)
 		}
 		select {
@@ -72,12 +72,12 @@
 	}
 }
 
-// packet gives when copies of a packet come; none: it is lost.
-func (p *path) packet() (after []time.Duration) {
+// packetDelays gives when copies of a packet come; none: it is lost.
+func (p *link) packetDelays() (after []time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.way
-	if w.Cut || w.Loss > 0 && p.rng.Float64() < w.Loss {
+	w := p.state
+	if w.Partitioned || w.Loss > 0 && p.rng.Float64() < w.Loss {
 		return nil
 	}
 	one := func() time.Duration {
@@ -88,7 +88,7 @@
 		return d
 	}
 	after = append(after, one())
-	if w.Double > 0 && p.rng.Float64() < w.Double {
+	if w.Duplication > 0 && p.rng.Float64() < w.Duplication {
 		after = append(after, one()+10*time.Millisecond)
 	}
 	return after
@@ -110,24 +110,24 @@
 
 // relay carries what one end sends to another, and the answers to it.
 type relay struct {
-	addr  string
-	to    string
-	there *path // from who connects
-	back  *path
-	tcp   net.Listener
-	udp   *net.UDPConn
-	ctx   context.Context
-	end   context.CancelFunc
-	work  sync.WaitGroup
+	addr       string
+	target     string
+	forward    *link // from who connects
+	backward   *link
+	tcp        net.Listener
+	udp        *net.UDPConn
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	ended bool
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
 }
 
-func newRelay(addr, to string, there, back *path) (*relay, error) {
-	r := &relay{addr: addr, to: to, there: there, back: back, conns: map[net.Conn]struct{}{}}
-	r.ctx, r.end = context.WithCancel(context.Background())
+func newRelay(addr, to string, there, back *link) (*relay, error) {
+	r := &relay{addr: addr, target: to, forward: there, backward: back, conns: map[net.Conn]struct{}{}}
+	r.ctx, r.cancel = context.WithCancel(context.Background())
 	var err error
 	if r.tcp, err = net.Listen("tcp", addr); err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -137,28 +137,28 @@
 		r.tcp.Close()
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r.work.Go(r.accept)
-	r.work.Go(r.packets)
+	r.goroutines.Go(r.accept)
+	r.goroutines.Go(r.packets)
 	return r, nil
 }
 
 func (r *relay) close() {
-	r.end()
+	r.cancel()
 	r.tcp.Close()
 	r.udp.Close()
 	r.mu.Lock()
-	r.ended = true
+	r.closed = true
 	for c := range r.conns {
 		c.Close()
 	}
 	r.mu.Unlock()
-	r.work.Wait()
+	r.goroutines.Wait()
 }
 
-func (r *relay) keep(c net.Conn) bool {
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ended {
+	if r.closed {
 		c.Close()
 		return false
 	}
@@ -166,7 +166,7 @@
 	return true
 }
 
-func (r *relay) drop(c net.Conn) {
+func (r *relay) untrack(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,35 +179,35 @@
 		if err != nil {
 			return
 		}
-		if r.keep(c) {
-			r.work.Go(func() { r.carry(c) })
+		if r.track(c) {
+			r.goroutines.Go(func() { r.carry(c) })
 		}
 	}
 }
 
 // carry takes a connection over. It comes up at the other end only when the way there is open.
 func (r *relay) carry(c net.Conn) {
-	defer r.drop(c)
-	if r.there.pass(r.ctx) != nil {
+	defer r.untrack(c)
+	if r.forward.waitToForward(r.ctx) != nil {
 		return
 	}
-	s, err := net.Dial("tcp", r.to)
-	if err != nil || !r.keep(s) {
+	s, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(s) {
 		return
 	}
-	defer r.drop(s)
+	defer r.untrack(s)
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(s, c, r.there) })
-	both.Go(func() { r.pump(c, s, r.back) })
+	both.Go(func() { r.pump(s, c, r.forward) })
+	both.Go(func() { r.pump(c, s, r.backward) })
 	both.Wait()
 }
 
 // pump carries one direction. What was sent before its sender has gone comes all the same, however late.
-func (r *relay) pump(to, from net.Conn, p *path) {
+func (r *relay) pump(to, from net.Conn, p *link) {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(b)
-		if p.pass(r.ctx) != nil {
+		if p.waitToForward(r.ctx) != nil {
 			return
 		}
 		if n > 0 {
@@ -227,15 +227,15 @@
 	}
 }
 
-// maxHeld bounds packets that are on their way.
-const maxHeld = 4096
+// maxPacketsInFlight bounds packets that are on their way.
+const maxPacketsInFlight = 4096
 
 func (r *relay) packets() {
-	to, err := net.ResolveUDPAddr("udp", r.to)
+	to, err := net.ResolveUDPAddr("udp", r.target)
 	if err != nil {
 		return
 	}
-	held := make(chan struct{}, maxHeld)
+	held := make(chan struct{}, maxPacketsInFlight)
 	b := make([]byte, 64<<10)
 	for {
 		n, _, err := r.udp.ReadFromUDP(b)
@@ -245,7 +245,7 @@
 		if err != nil {
 			continue
 		}
-		for _, after := range r.there.packet() {
+		for _, after := range r.forward.packetDelays() {
 			if after == 0 {
 				_, _ = r.udp.WriteToUDP(b[:n], to)
 				continue
@@ -256,7 +256,7 @@
 			default:
 				continue
 			}
-			r.work.Go(func() {
+			r.goroutines.Go(func() {
 				defer func() { <-held }()
 				if sleep(r.ctx, after) == nil {
 					_, _ = r.udp.WriteToUDP(text, to)
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -18,31 +18,31 @@
 	"robindrum/internal/release"
 )
 
-// ReleaseVerdict is what came of one schedule of releases.
-type ReleaseVerdict struct {
-	DrainVerdict
-	Releases, Done, Back int
-	Starts               int // of versions, as the supervisors said
-	Same                 int // of them, those that were asked for and were of the version that ran: a step twice
+// ReleaseResult is what came of one schedule of releases.
+type ReleaseResult struct {
+	DrainResult
+	Releases, Done, RolledBack int
+	Starts                     int // of versions, as the supervisors said
+	RepeatedStarts             int // of them, those that were asked for and were of the version that ran: a step twice
 }
 
-// Broken tells whether a promise was broken.
-func (v *ReleaseVerdict) Broken() bool { return v.DrainVerdict.Broken() || v.Same > 0 }
+// Violated tells whether a promise was broken.
+func (v *ReleaseResult) Violated() bool { return v.DrainResult.Violated() || v.RepeatedStarts > 0 }
 
-func (v *ReleaseVerdict) String() string {
-	return fmt.Sprintf("%s\n  %d releases, %d done, %d back; %d starts, %d of them as the same version", &v.DrainVerdict, v.Releases, v.Done, v.Back, v.Starts, v.Same)
+func (v *ReleaseResult) String() string {
+	return fmt.Sprintf("%s\n  %d releases, %d done, %d back; %d starts, %d of them as the same version", &v.DrainResult, v.Releases, v.Done, v.RolledBack, v.Starts, v.RepeatedStarts)
 }
 
-// starts follows what supervisors say.
-type starts struct {
-	mu    sync.Mutex
-	last  map[int]string // the version that ended as it asked, by node
-	all   int
-	same  int
-	first string
+// startLog follows what supervisors say.
+type startLog struct {
+	mu             sync.Mutex
+	requestedFrom  map[int]string // the version that ended as it asked, by node
+	count          int
+	repeated       int
+	firstViolation string
 }
 
-func (s *starts) line(node int, text string) {
+func (s *startLog) line(node int, text string) {
 	_, version, ok := strings.Cut(text, "msg=started version=")
 	asked := strings.Contains(text, `msg="restarting on request"`)
 	if !ok && !asked {
@@ -51,29 +51,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if asked {
-		_, s.last[node], _ = strings.Cut(text, "from=")
+		_, s.requestedFrom[node], _ = strings.Cut(text, "from=")
 		return
 	}
 	version, _, _ = strings.Cut(version, " ")
-	if s.all++; s.last[node] == version {
-		if s.same++; s.first == "" {
-			s.first = fmt.Sprintf("n%d was asked to start anew as %s, which ran", node, version)
+	if s.count++; s.requestedFrom[node] == version {
+		if s.repeated++; s.firstViolation == "" {
+			s.firstViolation = fmt.Sprintf("n%d was asked to start anew as %s, which ran", node, version)
 		}
 	}
-	delete(s.last, node)
+	delete(s.requestedFrom, node)
 }
 
 // Sections of a configuration that can be used, and of one that cannot.
 const (
-	usable   = "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
-	unusable = "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n"
+	validConfig   = "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
+	invalidConfig = "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n"
 )
 
 // PlayReleases plays one schedule: releases of versions, good ones and one that crashes, and of configurations, begun, halted, resumed
 // and taken back at any gateway, drains by hand in between, while processes are killed, frozen and cut off; the observer of drains looks on.
-func PlayReleases(ctx context.Context, seed uint64, opt DrainOptions) (v ReleaseVerdict) {
+func PlayReleases(ctx context.Context, seed uint64, opt DrainOptions) (v ReleaseResult) {
 	v.Seed = seed
-	fail := func(err error) ReleaseVerdict { v.Err = err; return v }
+	fail := func(err error) ReleaseResult { v.Err = err; return v }
 	dir, err := os.MkdirTemp(opt.Dir, fmt.Sprintf("releases-%d-", seed))
 	if err != nil {
 		return fail(err)
@@ -84,24 +84,24 @@
 		return fail(err)
 	}
 	budgets := fmt.Sprintf("[{name: g, most: %d}]", drainBudget)
-	if opt.Apart {
+	if opt.IgnoreBudget {
 		budgets = "[{name: g, most: 99}]"
 	}
-	seen := &starts{last: map[int]string{}}
-	s, err := NewSite(ctx, SiteOptions{Binary: opt.Binary, Dir: dir, Gateways: drainGateways, Lease: opt.Lease, Budgets: budgets, Seed: seed, Lines: seen.line,
+	seen := &startLog{requestedFrom: map[int]string{}}
+	s, err := NewSite(ctx, SiteOptions{Binary: opt.Binary, Dir: dir, Gateways: drainGateways, Lease: opt.Lease, Budgets: budgets, Seed: seed, OnLogLine: seen.line,
 		Version: "v1", Versions: map[string]string{"v1": opt.Binary, "v2": opt.Binary, "crash": crash}})
 	if err != nil {
 		return fail(err)
 	}
 	defer s.Close()
 	rng := rand.New(rand.NewPCG(seed, 0x4e1e))
-	load := s.Load(20)
+	load := s.StartLoad(20)
 	defer load.Stop()
-	stop := s.Watch(&v.DrainVerdict, drainBudget)
+	stop := s.Watch(&v.DrainResult, drainBudget)
 	defer func() { stop() }()
 	var open []string
 	version := "v1"
-	do := func(n *Node, c quorum.Command) bool { return n.Up() && n.Release(c) == nil }
+	do := func(n *Node, c quorum.Command) bool { return n.Up() && n.SendRelease(c) == nil }
 	for step := range cmp.Or(opt.Steps, drainSteps+4) {
 		n := s.Nodes[rng.IntN(drainGateways)]
 		victim := n // of a fault; half of all hit who runs the release
@@ -126,7 +126,7 @@
 				}
 			}
 		case k == 4:
-			text := []string{usable, unusable}[rng.IntN(2)]
+			text := []string{validConfig, invalidConfig}[rng.IntN(2)]
 			p.Target = fleet.ConfigDigest([]byte(text))
 			if do(n, quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: text}) && do(n, quorum.Command{Op: quorum.OpStartRelease, Plan: p}) {
 				v.Releases++
@@ -136,12 +136,12 @@
 		case k == 7:
 			do(n, quorum.Command{Op: quorum.OpResumeRelease})
 		case k == 8 && n.Up():
-			o, err := n.Order("drain", drain.Request{ID: id, Target: drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Asked++; err == nil && o.State != drain.Rejected {
+			o, err := n.SendDrain("drain", drain.Request{ID: id, Target: drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
+			if v.Requested++; err == nil && o.State != drain.Rejected {
 				open = append(open, id)
 			}
 		case k == 9 && len(open) > 0 && n.Up():
-			if _, err := n.Order("undrain", drain.Request{ID: open[0]}); err == nil {
+			if _, err := n.SendDrain("undrain", drain.Request{ID: open[0]}); err == nil {
 				open = open[1:]
 			}
 		case k == 10:
@@ -155,7 +155,7 @@
 			_ = sleep(ctx, opt.Lease)
 			victim.Thaw()
 		case k == 12:
-			s.Alone(victim, Way{Cut: true})
+			s.Isolate(victim, LinkState{Partitioned: true})
 			_ = sleep(ctx, opt.Lease)
 			s.Heal()
 		case k == 13: // no quorum for longer than a version on trial waits for a word
@@ -173,11 +173,11 @@
 	}
 	// All comes to an end: orders are taken back by hand, the release too, and every gateway runs as it is to.
 	// Also those that were agreed on though the asker was told nothing.
-	if err := Await(ctx, "orders to be cancelled", back, func() bool {
-		m, err := s.Nodes[0].Orders()
+	if err := Await(ctx, "orders to be cancelled", recoveryTimeout, func() bool {
+		m, err := s.Nodes[0].DrainRequests()
 		for id, o := range m {
 			if strings.HasPrefix(id, fmt.Sprint(seed, "-")) && o.State != drain.Ended && o.State != drain.Rejected && o.State != drain.Cancelled {
-				_, e := s.Nodes[0].Order("undrain", drain.Request{ID: id})
+				_, e := s.Nodes[0].SendDrain("undrain", drain.Request{ID: id})
 				err = errors.Join(err, e)
 			}
 		}
@@ -187,7 +187,7 @@
 	}
 	var l quorum.ReleaseList
 	what := ""
-	err = Await(ctx, "the releases to end", 2*back, func() bool {
+	err = Await(ctx, "the releases to end", 2*recoveryTimeout, func() bool {
 		l = quorum.ReleaseList{}
 		if err := s.Nodes[1].Get("/fleet/releases", &l); err != nil || !l.Fresh {
 			what = fmt.Sprint("no word of them: ", err)
@@ -196,7 +196,7 @@
 		if l.Current != nil {
 			what = l.Current.String()
 			if l.Current.State != release.RollingBack {
-				_ = s.Nodes[1].Release(quorum.Command{Op: quorum.OpRollbackRelease, Text: "the end"})
+				_ = s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpRollbackRelease, Text: "the end"})
 			}
 			return false
 		}
@@ -209,7 +209,7 @@
 		return len(l.Gateways) == drainGateways
 	})
 	if err == nil {
-		err = Await(ctx, "every gateway to be back", back, func() bool {
+		err = Await(ctx, "every gateway to be back", recoveryTimeout, func() bool {
 			for _, n := range s.Nodes {
 				if !n.Ready() {
 					what = n.Name + " is not ready"
@@ -227,10 +227,10 @@
 		case release.Done:
 			v.Done++
 		case release.RolledBack:
-			v.Back++
+			v.RolledBack++
 		}
 	}
-	if m, err := s.Nodes[1].Orders(); err == nil {
+	if m, err := s.Nodes[1].DrainRequests(); err == nil {
 		for _, o := range m {
 			if o.Token > 0 {
 				v.Granted++
@@ -238,19 +238,19 @@
 		}
 	}
 	stop()
-	if why := load.Stop(); why != "" && v.First == "" {
-		v.First = why
+	if why := load.Stop(); why != "" && v.FirstViolation == "" {
+		v.FirstViolation = why
 	}
-	v.Requests, v.Failed = load.Asked.Load(), load.Failed.Load()
+	v.Requests, v.Failed = load.Requests.Load(), load.Failed.Load()
 	seen.mu.Lock()
 	defer seen.mu.Unlock()
-	if v.Starts, v.Same = seen.all, seen.same; v.First == "" {
-		v.First = seen.first
+	if v.Starts, v.RepeatedStarts = seen.count, seen.repeated; v.FirstViolation == "" {
+		v.FirstViolation = seen.firstViolation
 	}
 	return v
 }
 
-// CampaignReleases plays schedules, so many at once, and tells of each as it ends.
-func CampaignReleases(ctx context.Context, seeds []uint64, at int, opt DrainOptions, each func(ReleaseVerdict)) {
-	spread(ctx, seeds, at, func(seed uint64) ReleaseVerdict { return PlayReleases(ctx, seed, opt) }, each)
+// RunReleaseSchedules plays schedules, so many at once, and tells of each as it ends.
+func RunReleaseSchedules(ctx context.Context, seeds []uint64, at int, opt DrainOptions, each func(ReleaseResult)) {
+	runSeeds(ctx, seeds, at, func(seed uint64) ReleaseResult { return PlayReleases(ctx, seed, opt) }, each)
 }
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -82,24 +82,24 @@
 		t.Fatal(err)
 	}
 	defer a.Close()
-	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: old, Dir: dir, Gateways: 4, Lease: testLease, Budgets: "[{name: g, most: 1}]", Posts: map[string]*cluster.End{"audit": &a.End}})
+	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: old, Dir: dir, Gateways: 4, Lease: testLease, Budgets: "[{name: g, most: 1}]", Posts: map[string]*cluster.ExternalService{"audit": &a.ExternalService}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(50)
+	load := s.StartLoad(50)
 	defer load.Stop()
 	acts := func(what string) {
 		t.Helper()
 		before, _ := a.Last()
-		comes(t, "an act, "+what, func() bool { x, _ := a.Last(); return x.At > before.At })
+		comes(t, "an act, "+what, func() bool { x, _ := a.Last(); return x.ReceivedAt > before.ReceivedAt })
 	}
 	orderDrain := func(by int, id string) (drain.Request, error) {
-		return s.Nodes[by].Order("drain", drain.Request{ID: id, Target: drain.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
+		return s.Nodes[by].SendDrain("drain", drain.Request{ID: id, Target: drain.Target{Gateway: "n3"}, Grace: time.Second, Notice: 100 * time.Millisecond})
 	}
 	restart := func(n *cluster.Node, binary string) {
 		t.Helper()
-		n.Use(binary)
+		n.SetBinary(binary)
 		n.Kill()
 		if err := n.Start(); err != nil {
 			t.Fatal(err)
@@ -120,7 +120,7 @@
 			id := fmt.Sprint("early", tries)
 			_, err := orderDrain(0, id)
 			if err == nil {
-				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].Order("undrain", drain.Request{ID: id}); return err == nil })
+				comes(t, "it to be taken back", func() bool { _, err := s.Nodes[0].SendDrain("undrain", drain.Request{ID: id}); return err == nil })
 				restart(s.Nodes[2], old)
 			}
 			return err != nil && strings.Contains(err.Error(), "earlier version")
@@ -128,18 +128,18 @@
 		comes(t, "nothing to be out", s.Nodes[3].Ready)
 	}
 	comes(t, "an order to be taken", func() bool { _, err := orderDrain(1, "late"); return err == nil })
-	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Drained })
-	if _, err := s.Nodes[2].Order("undrain", drain.Request{ID: "late"}); err != nil {
+	comes(t, "n3 to be out", func() bool { m, _ := s.Nodes[0].DrainRequests(); return m["late"].State == drain.Drained })
+	if _, err := s.Nodes[2].SendDrain("undrain", drain.Request{ID: "late"}); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "n3 to be back", func() bool { m, _ := s.Nodes[0].Orders(); return m["late"].State == drain.Ended })
+	comes(t, "n3 to be back", func() bool { m, _ := s.Nodes[0].DrainRequests(); return m["late"].State == drain.Ended })
 	restart(s.Nodes[3], old)
 	acts("with n3 of the previous build again")
-	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
-		t.Errorf("%d of %d requests failed, first %s", load.Failed.Load(), load.Asked.Load(), why)
+	if why := load.Stop(); why != "" || load.Requests.Load() < 200 {
+		t.Errorf("%d of %d requests failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
 	}
-	if f := cluster.Audit(a.Acts()); f.Broken() {
-		t.Error(f.First)
+	if f := cluster.Audit(a.Acts()); f.Violated() {
+		t.Error(f.FirstViolation)
 	}
 }
 
@@ -154,19 +154,19 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(20)
+	load := s.StartLoad(20)
 	defer load.Stop()
-	state := func(id string) drain.Request { m, _ := s.Nodes[2].Orders(); return m[id] }
+	state := func(id string) drain.Request { m, _ := s.Nodes[2].DrainRequests(); return m[id] }
 	ask := func(by int, o drain.Request) (drain.Request, error) {
 		o.Owner = "test"
 		if o.Grace == 0 {
 			o.Grace, o.Notice = 5*time.Second, 300*time.Millisecond
 		}
-		return s.Nodes[by].Order("drain", o)
+		return s.Nodes[by].SendDrain("drain", o)
 	}
 	back := func(id string) {
 		t.Helper()
-		if _, err := s.Nodes[1].Order("undrain", drain.Request{ID: id}); err != nil {
+		if _, err := s.Nodes[1].SendDrain("undrain", drain.Request{ID: id}); err != nil {
 			t.Fatal(err)
 		}
 		comes(t, id+" to end", func() bool { return state(id).State == drain.Ended })
@@ -211,8 +211,8 @@
 	}
 	back("third")
 	back("ends")
-	if why := load.Stop(); why != "" || load.Asked.Load() < 100 {
-		t.Fatalf("%d of %d requests failed, first %s", load.Failed.Load(), load.Asked.Load(), why)
+	if why := load.Stop(); why != "" || load.Requests.Load() < 100 {
+		t.Fatalf("%d of %d requests failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
 	}
 
 	type answer struct {
@@ -291,7 +291,7 @@
 
 func altered(t testing.TB, dir, name, program, change string) string {
 	t.Helper()
-	path, err := cluster.Altered(dir, name, program, change)
+	path, err := cluster.WriteAlteredProgram(dir, name, program, change)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,12 +310,12 @@
 	}
 	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: bin, Dir: dir, Gateways: 5, Lease: testLease, Budgets: "[{name: g, most: 1}]", Version: "v1",
 		Versions: map[string]string{"v1": bin, "v2": bin, "crash": crash, "mute": altered(t, dir, "mute", bin, "s/name: rig$/name: other/"),
-			"fails": altered(t, dir, "fails", bin, cluster.Tenth)}})
+			"fails": altered(t, dir, "fails", bin, cluster.MisrouteTenth)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(50)
+	load := s.StartLoad(50)
 	defer load.Stop()
 	defer func() {
 		if t.Failed() {
@@ -329,7 +329,7 @@
 			}
 		}
 	}()
-	var v cluster.DrainVerdict
+	var v cluster.DrainResult
 	watch := s.Watch(&v, 1)
 	state := func() (l quorum.ReleaseList) {
 		for _, n := range s.Nodes {
@@ -352,7 +352,7 @@
 		t.Helper()
 		p := &release.Plan{ID: id, Target: to, OfProgram: true, Soak: 500 * time.Millisecond, RollBackOnFailure: true, Grace: 2 * time.Second, Notice: 300 * time.Millisecond,
 			Gate: release.Gate{MinRequests: 20, MaxMeanRatio: 20, MaxTailRatio: 20, MaxMemoryRatio: 10}}
-		comes(t, id+" to be taken", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: p}) == nil })
+		comes(t, id+" to be taken", func() bool { return s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: p}) == nil })
 		last := ""
 		err := cluster.Await(t.Context(), id+" to end", long, func() bool {
 			l := state()
@@ -382,7 +382,7 @@
 	}
 	comes(t, "all to run as v2", func() bool { return runAs("v2") == 5 })
 	if n := load.Failed.Load(); n > 0 {
-		t.Errorf("%d of %d requests failed for a good one", n, load.Asked.Load())
+		t.Errorf("%d of %d requests failed for a good one", n, load.Requests.Load())
 	}
 	for _, x := range []struct{ to, why string }{{"none", "is not here"}, {"crash", "given up here: it ended with 3"}, {"mute", "nobody is heard of"}, {"fails", "failed or were refused"}} {
 		failed := load.Failed.Load()
@@ -395,7 +395,7 @@
 			t.Errorf("%s: %d requests failed", x.to, n)
 		}
 	}
-	if m, err := s.Nodes[1].Orders(); err == nil {
+	if m, err := s.Nodes[1].DrainRequests(); err == nil {
 		for _, o := range m {
 			if o.Restart == "none" {
 				t.Errorf("drained for a version that is not there: %+v", o)
@@ -403,7 +403,7 @@
 		}
 	}
 	watch()
-	if v.Over > 0 || v.MaxUnavailable == 0 {
+	if v.OverBudget > 0 || v.MaxUnavailable == 0 {
 		t.Errorf("%s", &v)
 	}
 	t.Log(fmt.Sprint(&v))
@@ -420,14 +420,16 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(30)
+	load := s.StartLoad(30)
 	defer load.Stop()
 	state := func() (l quorum.ReleaseList) { _ = s.Nodes[0].Get("/fleet/releases", &l); return l }
 	comes(t, "the gateways to be known", func() bool { return len(state().Gateways) == 5 })
 	plan := &release.Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 300 * time.Millisecond, RollBackOnFailure: true, Grace: time.Second, Notice: 300 * time.Millisecond,
 		Gate: release.Gate{MinRequests: 10, MaxMeanRatio: 1000, MaxTailRatio: 1000, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
-	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil })
-	if err := s.Nodes[2].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: &release.Plan{ID: "second", Target: "v1", OfProgram: true}}); err == nil {
+	comes(t, "it to begin", func() bool {
+		return s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil
+	})
+	if err := s.Nodes[2].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: &release.Plan{ID: "second", Target: "v1", OfProgram: true}}); err == nil {
 		t.Error("a second release began")
 	}
 	comes(t, "the second wave", func() bool {
@@ -466,17 +468,17 @@
 		}
 		return here == 5
 	})
-	if err := s.Nodes[1].Release(quorum.Command{Op: quorum.OpResumeRelease}); err != nil {
+	if err := s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpResumeRelease}); err != nil {
 		t.Fatal(err)
 	}
 	comes(t, "it to be done", func() bool { l := state(); return len(l.Ended) > 0 && l.Ended[0].State == release.Done })
 	plan.ID, plan.Target = "again", "v1"
-	if err := s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
+	if err := s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
 		// By the second time it may have ended.
-		if err := s.Nodes[1].Release(quorum.Command{Op: quorum.OpRollbackRelease}); err != nil && !strings.Contains(err.Error(), release.ErrNoRelease.Error()) {
+		if err := s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpRollbackRelease}); err != nil && !strings.Contains(err.Error(), release.ErrNoRelease.Error()) {
 			t.Fatal(err)
 		}
 	}
@@ -489,8 +491,8 @@
 		}
 		return true
 	})
-	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
-		t.Errorf("%d of %d requests failed, first %s", load.Failed.Load(), load.Asked.Load(), why)
+	if why := load.Stop(); why != "" || load.Requests.Load() < 200 {
+		t.Errorf("%d of %d requests failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
 	}
 }
 
@@ -499,8 +501,8 @@
 	testbed.Leaks(t)
 	const at = 3 // they mostly wait
 	opt := cluster.DrainOptions{Binary: binary(t), Dir: t.TempDir(), Lease: testLease, Steps: 7}
-	cluster.CampaignReleases(t.Context(), []uint64{11, 12, 13, 14, 15, 16}, at, opt, func(v cluster.ReleaseVerdict) {
-		if v.Broken() || v.Requests == 0 {
+	cluster.RunReleaseSchedules(t.Context(), []uint64{11, 12, 13, 14, 15, 16}, at, opt, func(v cluster.ReleaseResult) {
+		if v.Violated() || v.Requests == 0 {
 			t.Error(&v)
 		}
 	})
@@ -512,18 +514,20 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	load := s.Load(20)
+	load := s.StartLoad(20)
 	defer load.Stop()
-	var v cluster.DrainVerdict
+	var v cluster.DrainResult
 	stop := s.Watch(&v, 2)
 	state := func() (l quorum.ReleaseList) { _ = s.Nodes[0].Get("/fleet/releases", &l); return l }
 	comes(t, "the gateways to be known", func() bool { return len(state().Gateways) == 5 })
 	plan := &release.Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 200 * time.Millisecond, Grace: 5 * time.Second, Notice: time.Second,
 		Gate: release.Gate{MinRequests: 5, MaxMeanRatio: 50, MaxTailRatio: 50, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
-	comes(t, "it to begin", func() bool { return s.Nodes[1].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil })
+	comes(t, "it to begin", func() bool {
+		return s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil
+	})
 	comes(t, "it to be done", func() bool { l := state(); return len(l.Ended) > 0 && l.Ended[0].State == release.Done })
 	stop()
-	if v.Over == 0 || v.MaxUnavailable < 3 {
+	if v.OverBudget == 0 || v.MaxUnavailable < 3 {
 		t.Errorf("without budgets nothing was found: the observer is blind: %s", &v)
 	}
 }
--- a/internal/testbed/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -19,31 +19,31 @@
 // Site is gateways of one site, before the same servers and under the same control plane.
 type Site struct {
 	*Cluster
-	Plane   *controlplane.Server
-	Origins []*origin.Origin
-	dir     string
-	version int
-	zones   []string // of the servers in turn
+	ControlPlane *controlplane.Server
+	Origins      []*origin.Origin
+	dir          string
+	version      int
+	zones        []string // of the servers in turn
 }
 
 // SiteOptions are what a Site is made of.
 type SiteOptions struct {
-	Binary, Dir string
-	Gateways    int
-	Shared      bool   // one subscription for all
-	Variant     string // of xDS; empty: the program's default
-	Lease       time.Duration
-	OwnAfter    time.Duration
-	Heartbeat   time.Duration // of the holder of the subscription
-	Seed        uint64
-	Posts       map[string]*End
-	Sites       []string // of the gateways in turn; nil: one
-	Budgets     string   // of the file; empty: what is taken without
-	Zones       []string // of the gateways, and of the servers, in turn; nil: none
-	File        string   // more sections of every gateway's file
-	Versions    map[string]string
-	Version     string
-	Lines       func(node int, line string) // of the logs; nil: nobody looks
+	Binary, Dir        string
+	Gateways           int
+	SharedSubscription bool   // one subscription for all
+	Variant            string // of xDS; empty: the program's default
+	Lease              time.Duration
+	DirectAfter        time.Duration
+	Heartbeat          time.Duration // of the holder of the subscription
+	Seed               uint64
+	Posts              map[string]*ExternalService
+	Sites              []string // of the gateways in turn; nil: one
+	Budgets            string   // of the file; empty: what is taken without
+	Zones              []string // of the gateways, and of the servers, in turn; nil: none
+	ExtraConfig        string   // more sections of every gateway's file
+	Versions           map[string]string
+	Version            string
+	OnLogLine          func(node int, line string) // of the logs; nil: nobody looks
 }
 
 // NewSite starts one, and waits until every gateway is ready.
@@ -57,7 +57,7 @@
 		s.Close()
 		return nil, err
 	}
-	if s.Plane, err = controlplane.Start(""); err != nil {
+	if s.ControlPlane, err = controlplane.Start(""); err != nil {
 		return fail(err)
 	}
 	for range 3 {
@@ -71,8 +71,8 @@
 		return fail(err)
 	}
 	fleet := ""
-	if o.Shared {
-		fleet = fmt.Sprintf("  subscription: {own_after: %v, spread: %v, heartbeat: %v}\n", o.OwnAfter, o.OwnAfter, o.Heartbeat)
+	if o.SharedSubscription {
+		fleet = fmt.Sprintf("  subscription: {own_after: %v, spread: %v, heartbeat: %v}\n", o.DirectAfter, o.DirectAfter, o.Heartbeat)
 	}
 	if o.Budgets != "" {
 		fleet += "  budgets: " + o.Budgets + "\n"
@@ -81,12 +81,12 @@
 	if len(sites) == 0 {
 		sites = []string{"s"}
 	}
-	plane := &End{Name: "plane", Addr: s.Plane.Addr}
-	if s.Cluster, err = New(Options{Binary: o.Binary, Dir: s.dir, Nodes: o.Gateways, Sites: sites, Lease: o.Lease, Beat: o.Lease / 6, XDS: plane, Variant: o.Variant, Seed: o.Seed, Posts: o.Posts,
-		Versions: o.Versions, Version: o.Version, Lines: o.Lines,
-		Fleet: func(int) string { return fleet },
-		File: func(i int) string {
-			text := "clusters: []\nroutes: [{match: {prefix: /}, cluster: c}]\n" + o.File
+	plane := &ExternalService{Name: "plane", Address: s.ControlPlane.Addr}
+	if s.Cluster, err = New(Options{Binary: o.Binary, Dir: s.dir, Nodes: o.Gateways, Sites: sites, Lease: o.Lease, Heartbeat: o.Lease / 6, XDS: plane, Variant: o.Variant, Seed: o.Seed, Posts: o.Posts,
+		Versions: o.Versions, Version: o.Version, OnLogLine: o.OnLogLine,
+		ExtraFleetConfig: func(int) string { return fleet },
+		ExtraConfig: func(i int) string {
+			text := "clusters: []\nroutes: [{match: {prefix: /}, cluster: c}]\n" + o.ExtraConfig
 			if len(o.Zones) > 0 {
 				text += "zone: " + o.Zones[i%len(o.Zones)] + "\n"
 			}
@@ -97,7 +97,7 @@
 	if err := s.Start(); err != nil {
 		return fail(err)
 	}
-	return s, s.Have(ctx, back)
+	return s, s.AwaitVersion(ctx, recoveryTimeout)
 }
 
 // Close ends it.
@@ -105,8 +105,8 @@
 	if s.Cluster != nil {
 		s.Cluster.Close()
 	}
-	if s.Plane != nil {
-		s.Plane.GoAway()
+	if s.ControlPlane != nil {
+		s.ControlPlane.GoAway()
 	}
 	for _, o := range s.Origins {
 		o.Kill()
@@ -125,12 +125,12 @@
 		}
 		l = append(l, e)
 	}
-	return s.Plane.Push(strconv.Itoa(s.version), false, controlplane.Resource{Name: "c", Body: controlplane.Cluster("c", "")},
+	return s.ControlPlane.Push(strconv.Itoa(s.version), false, controlplane.Resource{Name: "c", Body: controlplane.Cluster("c", "")},
 		controlplane.Resource{Name: "c", Body: controlplane.Assignment("c", l...)})
 }
 
-// has tells whether a gateway that is up uses the newest version.
-func (s *Site) has(n *Node) bool {
+// usesVersion tells whether a gateway that is up uses the newest version.
+func (s *Site) usesVersion(n *Node) bool {
 	if !n.Up() {
 		return true
 	}
@@ -138,11 +138,11 @@
 	return err == nil && st.Ready && len(st.Clusters) == 1 && st.Clusters[0].Version == strconv.Itoa(s.version)
 }
 
-// Have waits until every gateway that is up uses the newest version.
-func (s *Site) Have(ctx context.Context, within time.Duration) error {
+// AwaitVersion waits until every gateway that is up uses the newest version.
+func (s *Site) AwaitVersion(ctx context.Context, within time.Duration) error {
 	return Await(ctx, "version "+strconv.Itoa(s.version)+" at every gateway", within, func() bool {
 		for _, n := range s.Nodes {
-			if !s.has(n) {
+			if !s.usesVersion(n) {
 				return false
 			}
 		}
@@ -150,31 +150,31 @@
 	})
 }
 
-// Holder is who holds the subscription; nil: nobody.
-func (s *Site) Holder() *Node { return s.Cluster.Holder("xds/s") }
+// SubscriptionLeader is who holds the subscription; nil: nobody.
+func (s *Site) SubscriptionLeader() *Node { return s.Cluster.TaskLeader("xds/s") }
 
 // Load asks every gateway for something, again and again.
 type Load struct {
-	Asked, Failed atomic.Int64
-	Answered      func(took time.Duration, ok bool) // nil: nobody looks; called by many goroutines
-	mu            sync.Mutex
-	first         string // of what failed
-	end           context.CancelFunc
-	work          sync.WaitGroup
+	Requests, Failed atomic.Int64
+	OnResponse       func(took time.Duration, ok bool) // nil: nobody looks; called by many goroutines
+	mu               sync.Mutex
+	firstFailure     string // of what failed
+	cancel           context.CancelFunc
+	goroutines       sync.WaitGroup
 }
 
-// Load asks each gateway so often a second, until Stop.
-func (s *Site) Load(rate int) *Load { return s.LoadTold(rate, nil) }
+// StartLoad asks each gateway so often a second, until Stop.
+func (s *Site) StartLoad(rate int) *Load { return s.StartObservedLoad(rate, nil) }
 
-// LoadTold is Load that tells of each answer.
-func (s *Site) LoadTold(rate int, answered func(took time.Duration, ok bool)) *Load {
+// StartObservedLoad is Load that tells of each answer.
+func (s *Site) StartObservedLoad(rate int, answered func(took time.Duration, ok bool)) *Load {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{end: cancel, Answered: answered}
+	l := &Load{cancel: cancel, OnResponse: answered}
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, MaxIdleConns: 1024}}
 	for _, n := range s.Nodes {
 		var ready atomic.Int64 // in which epoch it was ready; 0: it is not
 		ready.Store(int64(n.Epoch()))
-		l.work.Go(func() { // as whoever stands before the gateways looks at them
+		l.goroutines.Go(func() { // as whoever stands before the gateways looks at them
 			tick := time.NewTicker(50 * time.Millisecond)
 			defer tick.Stop()
 			for {
@@ -190,7 +190,7 @@
 				}
 			}
 		})
-		l.work.Go(func() {
+		l.goroutines.Go(func() {
 			tick := time.NewTicker(time.Second / time.Duration(rate))
 			defer tick.Stop()
 			for {
@@ -202,19 +202,19 @@
 				if !n.Up() || ready.Load() != int64(n.Epoch()) { // a client cannot tell a frozen gateway from a slow one: whoever stands before it does
 					continue
 				}
-				l.ask(client, n)
+				l.request(client, n)
 			}
 		})
 	}
 	go func() {
-		l.work.Wait()
+		l.goroutines.Wait()
 		client.CloseIdleConnections()
 	}()
 	return l
 }
 
-func (l *Load) ask(client *http.Client, n *Node) {
-	l.Asked.Add(1)
+func (l *Load) request(client *http.Client, n *Node) {
+	l.Requests.Add(1)
 	start, epoch, began := n.Starts(), n.Epoch(), time.Now()
 	why := ""
 	resp, err := client.Get("http://" + n.Web + "/")
@@ -229,69 +229,69 @@
 	if err != nil {
 		why = err.Error()
 	}
-	if l.Answered != nil {
-		l.Answered(time.Since(began), why == "")
+	if l.OnResponse != nil {
+		l.OnResponse(time.Since(began), why == "")
 	}
 	if why != "" && n.Up() && n.Starts() == start {
 		l.Failed.Add(1)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.first == "" {
-			l.first = n.Name + ": " + strings.TrimSpace(why)
+		if l.firstFailure == "" {
+			l.firstFailure = n.Name + ": " + strings.TrimSpace(why)
 		}
 	}
 }
 
 // Stop ends it, and gives what failed first.
 func (l *Load) Stop() string {
-	l.end()
-	l.work.Wait()
+	l.cancel()
+	l.goroutines.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.first
+	return l.firstFailure
 }
 
-// HerdResult is what a control plane sees when it returns.
-type HerdResult struct {
-	Shared        bool
-	Gateways      int
-	Streams       int           // opened at the return and in the time after it
-	First         int           // of them within a second
-	Requests      int           // discovery requests of the same time
-	All           time.Duration // from the return until every gateway uses what it returned with
-	Asked, Failed int64
-	Why           string
+// ReconnectResult is what a control plane sees when it returns.
+type ReconnectResult struct {
+	Shared                     bool
+	Gateways                   int
+	Streams                    int           // opened at the return and in the time after it
+	FirstSecond                int           // of them within a second
+	Requests                   int           // discovery requests of the same time
+	Recovery                   time.Duration // from the return until every gateway uses what it returned with
+	LoadRequests, LoadFailures int64
+	FirstFailure               string
 }
 
-// Herd has the control plane away for so long and back with a new version.
-func (s *Site) Herd(ctx context.Context, shared bool, away time.Duration) (r HerdResult, err error) {
-	r = HerdResult{Shared: shared, Gateways: len(s.Nodes)}
-	load := s.Load(20)
-	s.Plane.GoAway()
+// MeasureReconnect has the control plane away for so long and back with a new version.
+func (s *Site) MeasureReconnect(ctx context.Context, shared bool, away time.Duration) (r ReconnectResult, err error) {
+	r = ReconnectResult{Shared: shared, Gateways: len(s.Nodes)}
+	load := s.StartLoad(20)
+	s.ControlPlane.GoAway()
 	if err := sleep(ctx, away); err != nil {
 		load.Stop()
 		return r, err
 	}
-	_, streams := s.Plane.Streams()
-	requests := len(s.Plane.Requests())
+	_, streams := s.ControlPlane.Streams()
+	requests := len(s.ControlPlane.Requests())
 	if _, err := s.Push(0, 1); err != nil {
 		load.Stop()
 		return r, err
 	}
-	if err := s.Plane.Return(); err != nil {
+	if err := s.ControlPlane.Return(); err != nil {
 		load.Stop()
 		return r, err
 	}
 	began := time.Now()
-	err = s.Have(ctx, 2*back)
-	r.All = time.Since(began)
-	_ = sleep(ctx, time.Second-r.All)
-	_, ever := s.Plane.Streams()
-	r.First = ever - streams
+	err = s.AwaitVersion(ctx, 2*recoveryTimeout)
+	r.Recovery = time.Since(began)
+	_ = sleep(ctx, time.Second-r.Recovery)
+	_, ever := s.ControlPlane.Streams()
+	r.FirstSecond = ever - streams
 	_ = sleep(ctx, 3*time.Second-time.Since(began))
-	_, ever = s.Plane.Streams()
-	r.Streams, r.Requests = ever-streams, len(s.Plane.Requests())-requests
-	r.Why = load.Stop()
-	r.Asked, r.Failed = load.Asked.Load(), load.Failed.Load()
+	_, ever = s.ControlPlane.Streams()
+	r.Streams, r.Requests = ever-streams, len(s.ControlPlane.Requests())-requests
+	r.FirstFailure = load.Stop()
+	r.LoadRequests, r.LoadFailures = load.Requests.Load(), load.Failed.Load()
 	return r, err
 }
--- a/internal/testbed/cluster/upgrade/upgrade_test.go
+++ b/internal/testbed/cluster/upgrade/upgrade_test.go
@@ -51,7 +51,7 @@
 	f.await("an act", func() bool {
 		act, _ := f.auditor.Last()
 		member, token = act.Member, act.Token
-		return act.At > before.At
+		return act.ReceivedAt > before.ReceivedAt
 	})
 	return member, token
 }
@@ -92,11 +92,11 @@
 func (f *mixedFleet) drainAndReturn(id string, target, by int) {
 	f.t.Helper()
 	request := drain.Request{ID: id, Target: drain.Target{Gateway: f.Nodes[target].Name}, Grace: time.Second, Notice: 100 * time.Millisecond}
-	f.await(id+" to be accepted", func() bool { _, err := f.Nodes[by].Order("drain", request); return err == nil })
-	f.await(id+" to be drained", func() bool { l, _ := f.Nodes[by].Orders(); return l[id].State == drain.Drained })
+	f.await(id+" to be accepted", func() bool { _, err := f.Nodes[by].SendDrain("drain", request); return err == nil })
+	f.await(id+" to be drained", func() bool { l, _ := f.Nodes[by].DrainRequests(); return l[id].State == drain.Drained })
 	f.await(id+" to be not ready", func() bool { return !f.Nodes[target].Ready() })
-	f.await(id+" to be cancelled", func() bool { _, err := f.Nodes[by].Order("undrain", request); return err == nil })
-	f.await(id+" to be in service again", func() bool { l, _ := f.Nodes[by].Orders(); return l[id].State == drain.Ended })
+	f.await(id+" to be cancelled", func() bool { _, err := f.Nodes[by].SendDrain("undrain", request); return err == nil })
+	f.await(id+" to be in service again", func() bool { l, _ := f.Nodes[by].DrainRequests(); return l[id].State == drain.Ended })
 }
 
 // TestFormerBuildInOneFleet runs voters, gateways and lease holders of an earlier build beside those of this one, under load: leases are
@@ -121,18 +121,18 @@
 	}
 	defer auditor.Close()
 	site, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: formerBuild, Dir: dir, Gateways: 4, Lease: leaseTime, Budgets: "[{name: g, most: 1}]",
-		Posts: map[string]*cluster.End{"audit": &auditor.End}})
+		Posts: map[string]*cluster.ExternalService{"audit": &auditor.ExternalService}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer site.Close()
-	load := site.Load(50)
+	load := site.StartLoad(50)
 	defer load.Stop()
 	f := &mixedFleet{Site: site, t: t, auditor: auditor, current: map[string]bool{}}
 
 	// One voter and one gateway that does not vote are of this build; two voters are of the former one.
 	for _, i := range []int{0, 3} {
-		f.Nodes[i].Use(currentBuild)
+		f.Nodes[i].SetBinary(currentBuild)
 		f.current[f.Nodes[i].Name] = true
 		f.restart(f.Nodes[i])
 	}
@@ -144,10 +144,10 @@
 		f.drainAndReturn(fmt.Sprintf("current-gateway-%v", current), 3, 1)
 	}
 	f.awaitAct()
-	if why := load.Stop(); why != "" || load.Asked.Load() < 200 {
-		t.Errorf("%d of %d requests failed, first %s", load.Failed.Load(), load.Asked.Load(), why)
+	if why := load.Stop(); why != "" || load.Requests.Load() < 200 {
+		t.Errorf("%d of %d requests failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
 	}
-	if finding := cluster.Audit(auditor.Acts()); finding.Broken() {
-		t.Error(finding.First)
+	if finding := cluster.Audit(auditor.Acts()); finding.Violated() {
+		t.Error(finding.FirstViolation)
 	}
 }
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -19,7 +19,7 @@
 
 // program makes a folder with the program, for processes.
 func program(ctx context.Context) (dir, binary string, remove func(), err error) {
-	if dir, remove, err = cluster.Folder(); err != nil {
+	if dir, remove, err = cluster.TempDir(); err != nil {
 		return "", "", nil, err
 	}
 	if binary, err = cluster.Build(ctx, dir); err != nil {
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	c, err := cluster.New(cluster.Options{Binary: binary, Dir: folder, Nodes: voters, Voters: voters, Lease: lease, Beat: 300 * time.Millisecond, Probe: time.Second})
+	c, err := cluster.New(cluster.Options{Binary: binary, Dir: folder, Nodes: voters, Voters: voters, Lease: lease, Heartbeat: 300 * time.Millisecond, Probe: time.Second})
 	if err != nil {
 		return err
 	}
@@ -250,8 +250,8 @@
 		return err
 	}
 	const text = "clusters: [{name: c, endpoints: [{address: \"127.0.0.1:9\"}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n"
-	c, err := cluster.New(cluster.Options{Binary: binary, Dir: folder, Nodes: 4, Voters: 3, Sites: []string{"s"}, Lease: 10 * time.Second, Beat: beat, Probe: beat,
-		File: func(int) string { return text + "zone: z0\n" }}) // as the hollow ones: a release's waves keep zones apart, and these serve nothing
+	c, err := cluster.New(cluster.Options{Binary: binary, Dir: folder, Nodes: 4, Voters: 3, Sites: []string{"s"}, Lease: 10 * time.Second, Heartbeat: beat, Probe: beat,
+		ExtraConfig: func(int) string { return text + "zone: z0\n" }}) // as the hollow ones: a release's waves keep zones apart, and these serve nothing
 	if err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 	who := fmt.Sprint("h", n/2)
 	at := fleet.Clock()
 	if err := cluster.Await(ctx, "an order that is granted", 60*time.Second, func() bool {
-		o, err := c.Nodes[0].Order("drain", drain.Request{ID: "capacity", Target: drain.Target{Gateway: who}, Owner: "measure", Grace: time.Minute})
+		o, err := c.Nodes[0].SendDrain("drain", drain.Request{ID: "capacity", Target: drain.Target{Gateway: who}, Owner: "measure", Grace: time.Minute})
 		return err == nil && o.State != drain.Rejected
 	}); err != nil {
 		return err
@@ -317,7 +317,10 @@
 		return err
 	}
 	told := g.Drained(who, "capacity") - at
-	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool { l, err := c.Nodes[0].Orders(); return err == nil && l["capacity"].State == drain.Drained }); err != nil {
+	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool {
+		l, err := c.Nodes[0].DrainRequests()
+		return err == nil && l["capacity"].State == drain.Drained
+	}); err != nil {
 		return err
 	}
 	done := fleet.Clock() - at
@@ -339,7 +342,7 @@
 		return err
 	}
 	s.put("the same with 20,000 endpoints", float64(len(seen)), 0)
-	if _, err := c.Nodes[0].Order("undrain", drain.Request{ID: "capacity"}); err != nil {
+	if _, err := c.Nodes[0].SendDrain("undrain", drain.Request{ID: "capacity"}); err != nil {
 		return fmt.Errorf("undrain: %w", err)
 	}
 	if err := releaseWaves(ctx, s, c, g, n, beat); err != nil {
@@ -358,7 +361,7 @@
 	if err := idleFor(ctx, 8*beat); err != nil { // a round in which nothing was ordered
 		return err
 	}
-	if err := c.Nodes[0].Release(quorum.Command{Op: quorum.OpStoreConfig, Digest: plan.Target, Text: text}); err != nil {
+	if err := c.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStoreConfig, Digest: plan.Target, Text: text}); err != nil {
 		return err
 	}
 	leader := c.Leader()
@@ -367,7 +370,7 @@
 	}
 	cpu0, _, _ := spent([]*cluster.Node{leader})
 	b0, e0, began := spoken([]*cluster.Node{leader}), applied(c), time.Now()
-	if err := c.Nodes[0].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
+	if err := c.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
 		return err
 	}
 	waves, why := 0, ""
@@ -452,7 +455,7 @@
 }
 
 func subscriptionSize(ctx context.Context, s *series, dir, binary, variant string, n, clusters, each int, lease time.Duration) error {
-	site, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 3, Shared: true, Variant: variant, Lease: lease, OwnAfter: 20 * time.Second, Heartbeat: time.Second})
+	site, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 3, SharedSubscription: true, Variant: variant, Lease: lease, DirectAfter: 20 * time.Second, Heartbeat: time.Second})
 	if err != nil {
 		return err
 	}
@@ -469,7 +472,7 @@
 		_, _, _, p0, b0 := g.News(0)
 		cpu0, _, _ := spent(site.Nodes)
 		at := fleet.Clock()
-		if _, err := site.Plane.Push(strconv.Itoa(version), false, set...); err != nil {
+		if _, err := site.ControlPlane.Push(strconv.Itoa(version), false, set...); err != nil {
 			return nil, 0, 0, err
 		}
 		if err := cluster.Await(ctx, "the change at every gateway", 60*time.Second, func() bool { _, none, _, _, _ := g.News(at); return none == 0 }); err != nil {
@@ -506,7 +509,7 @@
 	}
 	// The holder dies: whoever is next tells all gateways the whole.
 	_, _, w0, _, b0 := g.News(0)
-	holder := site.Holder()
+	holder := site.SubscriptionLeader()
 	if holder == nil {
 		return fmt.Errorf("nobody holds the subscription")
 	}
--- a/tools/measure/capacity_limits.go
+++ b/tools/measure/capacity_limits.go
@@ -27,7 +27,7 @@
 }
 
 func drainAmong(ctx context.Context, dir, binary string, clusters int) error {
-	s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 4, Shared: true, Variant: "delta", Lease: 2 * time.Second, OwnAfter: 20 * time.Second, Heartbeat: time.Second})
+	s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 4, SharedSubscription: true, Variant: "delta", Lease: 2 * time.Second, DirectAfter: 20 * time.Second, Heartbeat: time.Second})
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	for i := range clusters {
 		set = append(set, controlplane.Resource{Name: fmt.Sprint("k", i), Body: controlplane.Cluster(fmt.Sprint("k", i), "")}, assignment(i, targetEach, 1))
 	}
-	if _, err := s.Plane.Push("100", false, set...); err != nil {
+	if _, err := s.ControlPlane.Push("100", false, set...); err != nil {
 		return err
 	}
 	if err := cluster.Await(ctx, "all clusters at every gateway", 60*time.Second, func() bool {
@@ -53,7 +53,7 @@
 	var o drain.Request
 	began := time.Now()
 	for time.Since(began) < within && o.State != drain.Drained && o.State != drain.Rejected {
-		if o, err = s.Nodes[0].Order("drain", drain.Request{ID: "limits", Target: drain.Target{Gateway: s.Nodes[3].Name}, Owner: "measure", Grace: 5 * time.Second}); err != nil {
+		if o, err = s.Nodes[0].SendDrain("drain", drain.Request{ID: "limits", Target: drain.Target{Gateway: s.Nodes[3].Name}, Owner: "measure", Grace: 5 * time.Second}); err != nil {
 			return err
 		}
 		if err := idleFor(ctx, 200*time.Millisecond); err != nil {
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -26,19 +26,19 @@
 	}
 	began := time.Now()
 	seeds = min(seeds, maxSchedules)
-	sum, broken, ops, unlinear, undecided := cluster.Finding{}, 0, 0, 0, 0
+	sum, broken, ops, unlinear, undecided := cluster.AuditResult{}, 0, 0, 0, 0
 	gaps := map[cluster.Fault][]time.Duration{}
 	var list []uint64
 	for i := range seeds {
 		list = append(list, first+uint64(i))
 	}
 	lease := 600 * time.Millisecond
-	cluster.Campaign(ctx, list, at, cluster.PlayOptions{Binary: plain, Dir: dir, Lease: lease, History: true, Previous: previous}, func(v cluster.Verdict) {
-		if v.Broken() {
+	cluster.RunSchedules(ctx, list, at, cluster.PlayOptions{Binary: plain, Dir: dir, Lease: lease, History: true, PreviousBinary: previous}, func(v cluster.ScheduleResult) {
+		if v.Violated() {
 			broken++
 			fmt.Println(&v)
 		}
-		sum.Add(v.Finding)
+		sum.Add(v.AuditResult)
 		ops += v.Operations
 		for f, l := range v.Gaps {
 			gaps[f] = append(gaps[f], l...)
@@ -46,7 +46,7 @@
 				fmt.Printf("seed %d: %v without an act: %s, of %v\n", v.Seed, d, f, v.Faults)
 			}
 		}
-		if v.Unlinear {
+		if v.NotLinearizable {
 			unlinear++
 		}
 		if v.Undecided {
@@ -54,8 +54,8 @@
 		}
 	})
 	fmt.Printf("%d schedules in %v on %d processors, %d at once; lease %v\n", seeds, time.Since(began).Round(time.Second), runtime.NumCPU(), at, lease)
-	fmt.Printf("acts %d, holders %d, refused by their token %d\n", sum.Acts, sum.Holders, sum.Refused)
-	fmt.Printf("accepted out of order %d, two under one token %d, begun beyond the lease %d\n", sum.Disorder, sum.Two, sum.Beyond)
+	fmt.Printf("acts %d, holders %d, refused by their token %d\n", sum.Acts, sum.Tokens, sum.Rejected)
+	fmt.Printf("accepted out of order %d, two under one token %d, begun beyond the lease %d\n", sum.StaleAccepted, sum.SharedTokens, sum.AfterLease)
 	fmt.Printf("lease operations %d, histories not linearizable %d, not decided in time %d\n", ops, unlinear, undecided)
 	fmt.Printf("schedules with something broken %d\n\n", broken)
 	fmt.Println("without an act, over leases: n, p50, p99, max")
@@ -71,29 +71,29 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	flapped, longest, err := cluster.FlapForLong(ctx, plain, dir, 60)
+	flapped, longest, err := cluster.MeasureFlapping(ctx, plain, dir, 60)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("\nthe holder cut off for half of each second for a minute, lease 2s: %d acts, %d holders, longest without one %v; out of order %d, beyond the lease %d\n",
-		flapped.Acts, flapped.Holders, longest.Round(time.Millisecond), flapped.Disorder, flapped.Beyond)
+		flapped.Acts, flapped.Tokens, longest.Round(time.Millisecond), flapped.StaleAccepted, flapped.AfterLease)
 	// What must be found out.
 	for _, w := range []struct {
 		what   string
 		fault  cluster.Fault
 		binary string
 		open   bool
-	}{{"the receiver takes every token", cluster.LateAct, plain, true}, {"a holder goes on when its lease is over", cluster.FreezeLong, withFault, false}} {
-		found := cluster.Finding{}
+	}{{"the receiver takes every token", cluster.DelayAct, plain, true}, {"a holder goes on when its lease is over", cluster.FreezeLong, withFault, false}} {
+		found := cluster.AuditResult{}
 		for seed := range uint64(5) {
-			v := cluster.Play(ctx, cluster.Schedule{Seed: seed, Nodes: 3, Faults: []cluster.Fault{w.fault, w.fault}}, cluster.PlayOptions{Binary: w.binary, Dir: dir, Lease: lease, Unfenced: w.open})
+			v := cluster.Play(ctx, cluster.Schedule{Seed: seed, Nodes: 3, Faults: []cluster.Fault{w.fault, w.fault}}, cluster.PlayOptions{Binary: w.binary, Dir: dir, Lease: lease, AcceptAll: w.open})
 			if v.Err != nil {
 				return v.Err
 			}
-			found.Add(v.Finding)
+			found.Add(v.AuditResult)
 		}
-		fmt.Printf("\nsafeguard off, %s (5 schedules): accepted out of order %d, begun beyond the lease %d\n  %s\n", w.what, found.Disorder, found.Beyond, found.First)
-		if !found.Broken() {
+		fmt.Printf("\nsafeguard off, %s (5 schedules): accepted out of order %d, begun beyond the lease %d\n  %s\n", w.what, found.StaleAccepted, found.AfterLease, found.FirstViolation)
+		if !found.Violated() {
 			return fmt.Errorf("with a safeguard off (%s) nothing was found: the audit is blind", w.what)
 		}
 	}
@@ -122,7 +122,7 @@
 			list = append(list, first+uint64(i))
 		}
 		began, broken := time.Now(), 0
-		sum, over := play(ctx, list, cluster.DrainOptions{Binary: binary, Dir: dir, Lease: 600 * time.Millisecond, Apart: apart}, func(v fmt.Stringer, bad bool) {
+		sum, over := play(ctx, list, cluster.DrainOptions{Binary: binary, Dir: dir, Lease: 600 * time.Millisecond, IgnoreBudget: apart}, func(v fmt.Stringer, bad bool) {
 			if bad {
 				if broken++; broken <= 5 || !apart {
 					fmt.Println(v)
@@ -146,24 +146,24 @@
 // releases plays schedules of releases.
 func releases(seeds, at int, first uint64) error {
 	return campaigns(seeds, at, first, func(ctx context.Context, list []uint64, opt cluster.DrainOptions, each func(fmt.Stringer, bool)) (string, int) {
-		sum := cluster.ReleaseVerdict{}
-		cluster.CampaignReleases(ctx, list, at, opt, func(v cluster.ReleaseVerdict) {
-			each(&v, v.Broken())
-			sum.Add(&v.DrainVerdict)
-			sum.Releases, sum.Done, sum.Back, sum.Starts, sum.Same = sum.Releases+v.Releases, sum.Done+v.Done, sum.Back+v.Back, sum.Starts+v.Starts, sum.Same+v.Same
+		sum := cluster.ReleaseResult{}
+		cluster.RunReleaseSchedules(ctx, list, at, opt, func(v cluster.ReleaseResult) {
+			each(&v, v.Violated())
+			sum.Add(&v.DrainResult)
+			sum.Releases, sum.Done, sum.RolledBack, sum.Starts, sum.RepeatedStarts = sum.Releases+v.Releases, sum.Done+v.Done, sum.RolledBack+v.RolledBack, sum.Starts+v.Starts, sum.RepeatedStarts+v.RepeatedStarts
 		})
-		return fmt.Sprintf("%s\n  releases %d, done %d, back %d; starts of versions %d, %d twice", sum.Sum(), sum.Releases, sum.Done, sum.Back, sum.Starts, sum.Same), sum.Over
+		return fmt.Sprintf("%s\n  releases %d, done %d, back %d; starts of versions %d, %d twice", sum.Summary(), sum.Releases, sum.Done, sum.RolledBack, sum.Starts, sum.RepeatedStarts), sum.OverBudget
 	})
 }
 
 // drains plays schedules of drains.
 func drains(seeds, at int, first uint64) error {
 	return campaigns(seeds, at, first, func(ctx context.Context, list []uint64, opt cluster.DrainOptions, each func(fmt.Stringer, bool)) (string, int) {
-		sum := cluster.DrainVerdict{}
-		cluster.CampaignDrains(ctx, list, at, opt, func(v cluster.DrainVerdict) {
-			each(&v, v.Broken())
+		sum := cluster.DrainResult{}
+		cluster.RunDrainSchedules(ctx, list, at, opt, func(v cluster.DrainResult) {
+			each(&v, v.Violated())
 			sum.Add(&v)
 		})
-		return sum.Sum(), sum.Over
+		return sum.Summary(), sum.OverBudget
 	})
 }
--- a/tools/measure/fleet.go
+++ b/tools/measure/fleet.go
@@ -47,17 +47,17 @@
 	fmt.Println("20 gateways, each asked 20 times a second; the control plane is away for 10 s and returns with a new version")
 	fmt.Println("subscription      streams in 1 s  in 3 s  requests  all have it after  asked  failed")
 	for _, shared := range []bool{false, true, false, true} {
-		s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 20, Shared: shared, Lease: 2 * time.Second, OwnAfter: 5 * time.Second, Heartbeat: 500 * time.Millisecond})
+		s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 20, SharedSubscription: shared, Lease: 2 * time.Second, DirectAfter: 5 * time.Second, Heartbeat: 500 * time.Millisecond})
 		if err != nil {
 			return err
 		}
-		r, err := s.Herd(ctx, shared, 10*time.Second)
+		r, err := s.MeasureReconnect(ctx, shared, 10*time.Second)
 		s.Close()
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-16s %15d %7d %9d %18v %6d %7d  %s\n", map[bool]string{false: "each its own", true: "one for all"}[shared], r.First, r.Streams, r.Requests,
-			r.All.Round(time.Millisecond), r.Asked, r.Failed, r.Why)
+		fmt.Printf("%-16s %15d %7d %9d %18v %6d %7d  %s\n", map[bool]string{false: "each its own", true: "one for all"}[shared], r.FirstSecond, r.Streams, r.Requests,
+			r.Recovery.Round(time.Millisecond), r.LoadRequests, r.LoadFailures, r.FirstFailure)
 	}
 	return nil
 }
@@ -88,10 +88,10 @@
 		if err != nil {
 			return err
 		}
-		opt := cluster.Options{Binary: binary, Dir: folder, Nodes: 1, NoFleet: true, File: file}
+		opt := cluster.Options{Binary: binary, Dir: folder, Nodes: 1, NoFleet: true, ExtraConfig: file}
 		if on {
-			opt = cluster.Options{Binary: binary, Dir: folder, Nodes: 3, File: file, Lease: 2 * time.Second, Beat: 300 * time.Millisecond, Probe: time.Second,
-				Posts: map[string]*cluster.End{"audit": &a.End}, Every: 100 * time.Millisecond}
+			opt = cluster.Options{Binary: binary, Dir: folder, Nodes: 3, ExtraConfig: file, Lease: 2 * time.Second, Heartbeat: 300 * time.Millisecond, Probe: time.Second,
+				Posts: map[string]*cluster.ExternalService{"audit": &a.ExternalService}, PostInterval: 100 * time.Millisecond}
 		}
 		c, err := cluster.New(opt)
 		if err != nil {
@@ -205,7 +205,7 @@
 		if err != nil {
 			return err
 		}
-		c, err := cluster.New(cluster.Options{Binary: binary, Dir: folder, Nodes: 3, Lease: 10 * time.Second, Beat: 300 * time.Millisecond, Probe: time.Second})
+		c, err := cluster.New(cluster.Options{Binary: binary, Dir: folder, Nodes: 3, Lease: 10 * time.Second, Heartbeat: 300 * time.Millisecond, Probe: time.Second})
 		if err != nil {
 			return err
 		}
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	bad, err := cluster.Altered(dir, "bad", binary, cluster.Tenth)
+	bad, err := cluster.WriteAlteredProgram(dir, "bad", binary, cluster.MisrouteTenth)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 		ok bool
 	}
 	var window []answer
-	load := s.LoadTold(worthRate, func(took time.Duration, ok bool) {
+	load := s.StartObservedLoad(worthRate, func(took time.Duration, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		_ = h.RecordValue(took.Microseconds())
@@ -119,7 +119,7 @@
 	if way == "release" {
 		p := &release.Plan{ID: version, Target: version, OfProgram: true, Soak: 3 * time.Second, RollBackOnFailure: true, Grace: 5 * time.Second, Notice: 300 * time.Millisecond,
 			Gate: release.Gate{MinRequests: 25, MaxMeanRatio: 20, MaxTailRatio: 20, MaxMemoryRatio: 5}}
-		if err := s.Nodes[0].Release(quorum.Command{Op: quorum.OpStartRelease, Plan: p}); err != nil {
+		if err := s.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: p}); err != nil {
 			return r, err
 		}
 		err = cluster.Await(ctx, "the release to end", 5*time.Minute, func() bool {
@@ -149,7 +149,7 @@
 	}
 	r.took = time.Since(began)
 	load.Stop()
-	r.asked, r.failed, r.p99 = load.Asked.Load(), load.Failed.Load(), h.ValueAtQuantile(99)
+	r.asked, r.failed, r.p99 = load.Requests.Load(), load.Failed.Load(), h.ValueAtQuantile(99)
 	return r, err
 }
 
@@ -161,7 +161,7 @@
 		var work sync.WaitGroup
 		for i, n := range nodes {
 			work.Go(func() {
-				errs[i] = n.Plain(to)
+				errs[i] = n.RestartAs(to)
 				had.Add(step)
 			})
 		}
