--- a/internal/experiment/child.go
+++ b/internal/experiment/child.go
@@ -82,7 +82,7 @@
 	select {
 	case <-addresses:
 	case <-c.Exited:
-		return nil, c.Died()
+		return nil, c.ExitError()
 	case <-ctx.Done():
 		c.stop()
 		return nil, ctx.Err()
@@ -108,7 +108,7 @@
 		}
 		select {
 		case <-c.Exited:
-			return c.Died()
+			return c.ExitError()
 		case <-ctx.Done():
 			c.stop()
 			return fmt.Errorf("gateway %d is not ready: %w", c.number, ctx.Err())
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -277,7 +277,7 @@
 			select {
 			case <-c.Exited:
 				if !c.Killed() {
-					cancel(c.Died())
+					cancel(c.ExitError())
 				}
 			case <-ctx.Done():
 			}
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -11,160 +12,212 @@
 	"robindrum/internal/lease"
 )
 
-// Act is one post that came.
+// Act is a post that an Auditor received.
 type Act struct {
 	Token      uint64
 	Member     string
 	Number     int
-	JudgedAt   time.Duration // when its holder judged that it may act, on the machine's clock
-	ReceivedAt time.Duration // when it came, on the same
+	JudgedAt   time.Duration // when the sender found its lease valid, by fleet.Clock
+	ReceivedAt time.Duration // by fleet.Clock
 	Accepted   bool
 }
 
-// Auditor is what the posts of a duty go to. It refuses what is older than the highest token that it has seen, and writes all
-// down. Its methods may be called by several goroutines at once.
+// Auditor is an external service that receives the posts of a leader-only task. It rejects those with a token lower than the
+// highest that it has accepted, and records all. Its methods may be called by several goroutines at once.
 type Auditor struct {
 	ExternalService
-	// AcceptAll has it take all, to show that the audit finds out.
+	// AcceptAll turns the fence off, to show that Audit finds what it prevents. Set it before the first post.
 	AcceptAll bool
 
 	server *http.Server
-	done   chan struct{}
+	done   chan struct{} // closed when the server has ended
 
 	mu       sync.Mutex
 	fence    lease.Fence
 	acts     []Act
-	accepted chan struct{} // closed and made anew with each act that is accepted
+	accepted chan struct{} // closed and replaced with each act that is accepted
 }
 
-// maxActs bounds what is written down.
-const maxActs = 1 << 20
+const (
+	// maxActs bounds the recorded acts; later ones are judged all the same.
+	maxActs = 1 << 20
 
-// NewAuditor starts one.
+	auditorHeaderTimeout = time.Minute
+)
+
+// NewAuditor starts an auditor on a loopback address. Close must be called.
 func NewAuditor(name string) (*Auditor, error) {
-	l, err := Listen()
+	listener, err := Listen()
 	if err != nil {
 		return nil, err
 	}
-	a := &Auditor{ExternalService: ExternalService{Name: name, Address: l.Addr().String()}, done: make(chan struct{}), accepted: make(chan struct{})}
-	a.server = &http.Server{Handler: a, ReadHeaderTimeout: time.Minute}
+	a := &Auditor{
+		ExternalService: ExternalService{Name: name, Address: listener.Addr().String()},
+		done:            make(chan struct{}),
+		accepted:        make(chan struct{}),
+	}
+	a.server = &http.Server{Handler: a, ReadHeaderTimeout: auditorHeaderTimeout}
 	go func() {
 		defer close(a.done)
-		_ = a.server.Serve(l)
+		_ = a.server.Serve(listener)
 	}()
 	return a, nil
 }
 
-// Close ends it.
+// Close closes all connections and waits for the server's end.
 func (a *Auditor) Close() {
 	_ = a.server.Close()
 	<-a.done
 }
 
+// ServeHTTP records a post. It answers 400 without a token and 409 if the token is stale.
 func (a *Auditor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	token, err := strconv.ParseUint(r.Header.Get(fleet.TokenHeader), 10, 64)
-	began, err2 := strconv.ParseInt(r.Header.Get(fleet.JudgedAtHeader), 10, 64)
-	number, _ := strconv.Atoi(r.Header.Get(fleet.NumberHeader))
-	if err != nil || err2 != nil {
+	act, err := readAct(r.Header)
+	if err != nil {
 		http.Error(w, "no token", http.StatusBadRequest)
 		return
 	}
+	if !a.record(act) {
+		http.Error(w, "older than the highest token seen", http.StatusConflict)
+	}
+}
+
+func readAct(header http.Header) (Act, error) {
+	token, err := strconv.ParseUint(header.Get(fleet.TokenHeader), 10, 64)
+	if err != nil {
+		return Act{}, fmt.Errorf("token: %w", err)
+	}
+	judgedAt, err := strconv.ParseInt(header.Get(fleet.JudgedAtHeader), 10, 64)
+	if err != nil {
+		return Act{}, fmt.Errorf("time of judgement: %w", err)
+	}
+	number, _ := strconv.Atoi(header.Get(fleet.NumberHeader))
+	return Act{Token: token, Member: header.Get(fleet.MemberHeader), Number: number, JudgedAt: time.Duration(judgedAt)}, nil
+}
+
+// record stores an act and reports whether it is accepted.
+func (a *Auditor) record(act Act) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ok := a.fence.Admit(token) || a.AcceptAll
+	act.Accepted = a.fence.Admit(act.Token) || a.AcceptAll
+	act.ReceivedAt = fleet.Clock()
 	if len(a.acts) < maxActs {
-		a.acts = append(a.acts, Act{token, r.Header.Get(fleet.MemberHeader), number, time.Duration(began), fleet.Clock(), ok})
+		a.acts = append(a.acts, act)
 	}
-	if !ok {
-		http.Error(w, "older than the highest token seen", http.StatusConflict)
-		return
+	if act.Accepted {
+		close(a.accepted)
+		a.accepted = make(chan struct{})
 	}
-	close(a.accepted)
-	a.accepted = make(chan struct{})
+	return act.Accepted
 }
 
-// Acts are all that came.
+// Acts returns all recorded acts in the order in which they were received.
 func (a *Auditor) Acts() []Act {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]Act(nil), a.acts...)
+	return slices.Clone(a.acts)
 }
 
-// Last is the last act that was accepted, and a channel that is closed with the next one.
+// Last returns the last act that was accepted, the zero Act if there is none, and a channel that is closed with the next one.
 func (a *Auditor) Last() (Act, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for i := len(a.acts) - 1; i >= 0; i-- {
-		if a.acts[i].Accepted {
-			return a.acts[i], a.accepted
+	for _, act := range slices.Backward(a.acts) {
+		if act.Accepted {
+			return act, a.accepted
 		}
 	}
 	return Act{}, a.accepted
 }
 
-// AuditResult is what an audit says.
+// AuditResult counts the acts of a history and what is wrong with them.
 type AuditResult struct {
-	Acts, Rejected int
-	// StaleAccepted: acts accepted behind one with a newer token.
+	Acts     int
+	Rejected int
+	// Tokens is how many there were: how often the lease was granted and used.
+	Tokens int
+	// StaleAccepted counts acts that were accepted after one with a newer token.
 	StaleAccepted int
-	// SharedTokens: tokens under which two members acted.
+	// SharedTokens counts changes of the member under one token.
 	SharedTokens int
-	// AfterLease: acts that their holder began, by the machine's clock, after the holder of a newer token had begun to act: the
-	// lease had been given away, and it went on.
+	// AfterLease counts acts that were judged valid after an act under a newer token: the lease had been granted to another
+	// holder by then.
 	AfterLease int
-	// Tokens is how often the duty changed hands.
-	Tokens         int
-	FirstViolation string // of what is wrong
+	// FirstViolation describes the first of them; empty: there is none.
+	FirstViolation string
 }
 
-// Violated tells whether it found anything wrong.
-func (f *AuditResult) Violated() bool { return f.StaleAccepted+f.SharedTokens+f.AfterLease > 0 }
-
-// Add sums up.
-func (f *AuditResult) Add(o AuditResult) {
-	f.Acts, f.Rejected, f.StaleAccepted, f.SharedTokens, f.AfterLease, f.Tokens = f.Acts+o.Acts, f.Rejected+o.Rejected, f.StaleAccepted+o.StaleAccepted, f.SharedTokens+o.SharedTokens, f.AfterLease+o.AfterLease, f.Tokens+o.Tokens
-	if f.FirstViolation == "" {
-		f.FirstViolation = o.FirstViolation
+// Violated reports whether anything is wrong.
+func (r *AuditResult) Violated() bool { return r.StaleAccepted+r.SharedTokens+r.AfterLease > 0 }
+
+// Add adds the counts of another result.
+func (r *AuditResult) Add(other AuditResult) {
+	r.Acts += other.Acts
+	r.Rejected += other.Rejected
+	r.Tokens += other.Tokens
+	r.StaleAccepted += other.StaleAccepted
+	r.SharedTokens += other.SharedTokens
+	r.AfterLease += other.AfterLease
+	if r.FirstViolation == "" {
+		r.FirstViolation = other.FirstViolation
 	}
 }
 
-// Audit looks at acts in the order in which they came.
-func Audit(acts []Act) (f AuditResult) {
-	note := func(n *int, format string, args ...any) {
-		if *n++; f.FirstViolation == "" {
-			f.FirstViolation = fmt.Sprintf(format, args...)
-		}
-	}
-	first := map[uint64]Act{} // the act of each token that began first
-	for _, a := range acts {
-		if b, ok := first[a.Token]; !ok || a.JudgedAt < b.JudgedAt {
-			first[a.Token] = a
-		}
+// violation counts one and describes it if it is the first.
+func (r *AuditResult) violation(count *int, format string, arguments ...any) {
+	*count++
+	if r.FirstViolation == "" {
+		r.FirstViolation = fmt.Sprintf(format, arguments...)
 	}
+}
+
+// Audit checks acts, which must be in the order in which they were received.
+func Audit(acts []Act) AuditResult {
+	var result AuditResult
+	earliest := earliestActs(acts)
 	members := map[uint64]string{}
 	highest := uint64(0)
-	for _, a := range acts {
-		f.Acts++
-		if !a.Accepted {
-			f.Rejected++
+	for _, act := range acts {
+		result.Acts++
+		if !act.Accepted {
+			result.Rejected++
+		}
+		if member, ok := members[act.Token]; ok && member != act.Member {
+			result.violation(&result.SharedTokens, "token %d: %s and %s", act.Token, member, act.Member)
 		}
-		if m, ok := members[a.Token]; ok && m != a.Member {
-			note(&f.SharedTokens, "token %d: %s and %s", a.Token, m, a.Member)
+		members[act.Token] = act.Member
+		if act.Accepted && act.Token < highest {
+			result.violation(&result.StaleAccepted, "%s: token %d accepted behind %d", act.Member, act.Token, highest)
 		}
-		members[a.Token] = a.Member
-		if a.Accepted && a.Token < highest {
-			note(&f.StaleAccepted, "%s: token %d accepted behind %d", a.Member, a.Token, highest)
+		if act.Accepted {
+			highest = max(highest, act.Token)
 		}
-		if a.Accepted {
-			highest = max(highest, a.Token)
+		if newer, ok := newerBefore(act, earliest); ok {
+			result.violation(&result.AfterLease, "%s began act %d under token %d %v after %s had begun under %d",
+				act.Member, act.Number, act.Token, act.JudgedAt-newer.JudgedAt, newer.Member, newer.Token)
 		}
-		for token, b := range first {
-			if token > a.Token && a.JudgedAt > b.JudgedAt {
-				note(&f.AfterLease, "%s began act %d under token %d %v after %s had begun under %d", a.Member, a.Number, a.Token, a.JudgedAt-b.JudgedAt, b.Member, token)
-				break
-			}
+	}
+	result.Tokens = len(members)
+	return result
+}
+
+// earliestActs returns the act of each token that was judged valid first.
+func earliestActs(acts []Act) map[uint64]Act {
+	earliest := map[uint64]Act{}
+	for _, act := range acts {
+		if e, ok := earliest[act.Token]; !ok || act.JudgedAt < e.JudgedAt {
+			earliest[act.Token] = act
+		}
+	}
+	return earliest
+}
+
+// newerBefore returns an act under a newer token that was judged valid before this one.
+func newerBefore(act Act, earliest map[uint64]Act) (Act, bool) {
+	for token, newer := range earliest {
+		if token > act.Token && act.JudgedAt > newer.JudgedAt {
+			return newer, true
 		}
 	}
-	f.Tokens = len(members)
-	return f
+	return Act{}, false
 }
--- a/internal/testbed/cluster/build.go
+++ b/internal/testbed/cluster/build.go
@@ -10,62 +10,89 @@
 	"strings"
 )
 
-// BuildAt builds the program of an earlier commit of this repository into a folder; skip says why that cannot be, as there is no
-// history here.
+// shortCommit is how many digits of a commit's hash name its files.
+const shortCommit = 8
+
+// TempDir creates a directory for the processes of schedules. remove deletes it.
+func TempDir() (dir string, remove func(), err error) {
+	dir, err = os.MkdirTemp("", "robindrum-cluster-")
+	return dir, func() { _ = os.RemoveAll(dir) }, err
+}
+
+// Build builds the program with build tags into a directory and returns its path. The working directory must be in the module.
+func Build(ctx context.Context, dir string, tags ...string) (string, error) {
+	path := filepath.Join(dir, "robindrum"+tagSuffix(tags))
+	command := exec.CommandContext(ctx, "go", "build", "-tags", strings.Join(tags, ","), "-o", path, "robindrum/cmd/robindrum")
+	if output, err := command.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("building robindrum: %w\n%s", err, output)
+	}
+	return path, nil
+}
+
+// tagSuffix is the end of the name of a program that is built with tags.
+func tagSuffix(tags []string) string {
+	if len(tags) == 0 {
+		return ""
+	}
+	return "-" + strings.Join(tags, "-")
+}
+
+// BuildAt builds the program of an earlier commit of this repository into a directory and returns its path. skip is why that is not
+// possible where the history is not available, and empty otherwise. commit must be a full hash.
 func BuildAt(ctx context.Context, dir, commit string) (path, skip string, err error) {
-	root, err := exec.CommandContext(ctx, "git", "rev-parse", "--show-toplevel").Output()
+	output, err := exec.CommandContext(ctx, "git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
 		return "", "this is no git repository", nil
 	}
-	top := strings.TrimSpace(string(root))
-	if exec.CommandContext(ctx, "git", "-C", top, "cat-file", "-e", commit+"^{commit}").Run() != nil {
+	repository := strings.TrimSpace(string(output))
+	if exec.CommandContext(ctx, "git", "-C", repository, "cat-file", "-e", commit+"^{commit}").Run() != nil {
 		return "", "commit " + commit + " is not here: a shallow clone", nil
 	}
-	tree := filepath.Join(dir, "tree-"+commit[:8])
+	tree := filepath.Join(dir, "tree-"+commit[:shortCommit])
+	if err := unpackCommit(ctx, repository, commit, tree); err != nil {
+		return "", "", fmt.Errorf("unpacking %s: %w", commit, err)
+	}
+	path = filepath.Join(dir, "robindrum-"+commit[:shortCommit])
+	build := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "./cmd/robindrum")
+	build.Dir = tree
+	if output, err := build.CombinedOutput(); err != nil {
+		return "", "", fmt.Errorf("building %s: %w\n%s", commit, err, output)
+	}
+	return path, "", nil
+}
+
+// unpackCommit writes the files of a commit into a new directory.
+func unpackCommit(ctx context.Context, repository, commit, tree string) error {
 	if err := os.MkdirAll(tree, 0o700); err != nil {
-		return "", "", err
+		return err
 	}
-	archive := exec.CommandContext(ctx, "git", "-C", top, "archive", commit)
+	archive := exec.CommandContext(ctx, "git", "-C", repository, "archive", commit)
 	unpack := exec.CommandContext(ctx, "tar", "-x", "-C", tree)
+	var err error
 	if unpack.Stdin, err = archive.StdoutPipe(); err != nil {
-		return "", "", err
+		return err
 	}
 	if err := unpack.Start(); err != nil {
-		return "", "", err
-	}
-	if err := errors.Join(archive.Run(), unpack.Wait()); err != nil {
-		return "", "", fmt.Errorf("unpacking %s: %w", commit, err)
+		return err
 	}
-	path = filepath.Join(dir, "robindrum-"+commit[:8])
-	make := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", path, "./cmd/robindrum")
-	make.Dir = tree
-	if out, err := make.CombinedOutput(); err != nil {
-		return "", "", fmt.Errorf("building %s: %w\n%s", commit, err, out)
-	}
-	return path, "", nil
+	return errors.Join(archive.Run(), unpack.Wait())
 }
 
-// MisrouteTenth is a change for Altered: a tenth of all requests is sent nowhere.
+// MisrouteTenth is a change for WriteAlteredProgram: a tenth of all requests is routed to a cluster without endpoints.
 const MisrouteTenth = `s/^routes:.*/routes: [{match: {prefix: \/}, clusters: [{name: c, weight: 9}, {name: none, weight: 1}]}]/; s/^clusters:.*/clusters: [{name: none, endpoints: []}]/`
 
-// WriteAlteredProgram writes a version of the program that changes its gateway's file by sed, and goes on as another version in the same process.
+// alteredProgram is a shell script that changes the configuration, its last argument, with sed and then becomes the program.
+// Its verbs are the change, the name, the program, and the name once more.
+const alteredProgram = `#!/bin/sh
+for last; do :; done
+sed '%s' "$last" > "$last.%s.yaml"
+exec %s serve --with-parent -c "$last.%s.yaml"
+`
+
+// WriteAlteredProgram writes a version of the program that changes its gateway's configuration with a sed script first, and returns
+// its path.
 func WriteAlteredProgram(dir, name, program, change string) (string, error) {
 	path := filepath.Join(dir, name)
-	text := "#!/bin/sh\nfor last; do :; done\nsed '" + change + "' \"$last\" > \"$last." + name + ".yaml\"\nexec " + program + " serve --with-parent -c \"$last." + name + ".yaml\"\n"
-	return path, os.WriteFile(path, []byte(text), 0o700)
-}
-
-func tagSuffix(tags []string) string {
-	if len(tags) == 0 {
-		return ""
-	}
-	return "-" + strings.Join(tags, "-")
-}
-
-func build(ctx context.Context, path string, tags []string) (string, error) {
-	out, err := exec.CommandContext(ctx, "go", "build", "-tags", strings.Join(tags, ","), "-o", path, "robindrum/cmd/robindrum").CombinedOutput()
-	if err != nil {
-		return "", fmt.Errorf("building robindrum: %w\n%s", err, out)
-	}
-	return path, nil
+	script := fmt.Sprintf(alteredProgram, change, name, program, name)
+	return path, os.WriteFile(path, []byte(script), 0o700)
 }
--- a/internal/testbed/cluster/campaign.go
+++ b/internal/testbed/cluster/campaign.go
@@ -1,280 +1,251 @@
 package cluster
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"slices"
 	"sync"
 	"time"
 )
 
-// Fault is one thing that a schedule does to a fleet.
-type Fault string
-
-// The faults there are. A holder is who holds the audited duty, a leader who leads the quorum.
 const (
-	KillHolder               Fault = "holder killed"
-	FreezeShort              Fault = "holder frozen for less than its lease"
-	FreezeLong               Fault = "holder frozen for longer than its lease, in the middle of an act"
-	PartitionHolder          Fault = "holder cut off from all voters, not from the receiver"
-	PartitionHolderOutbound  Fault = "holder cut off one way, what it sends"
-	PartitionHolderInbound   Fault = "holder cut off one way, what it gets"
-	PartitionHolderFromVoter Fault = "holder cut off from one voter"
-	DelayHolder              Fault = "holder so slow that a renewal takes most of its lease"
-	DelayAct                 Fault = "holder's act held on its way until another one has the duty"
-	KillLeader               Fault = "leader killed"
-	FreezeLeader             Fault = "leader frozen"
-	PartitionLeader          Fault = "leader cut off"
-	KillMajority             Fault = "a majority of voters killed"
-	KillAllVoters            Fault = "all voters killed at once"
-	EraseVoter               Fault = "a voter comes back with an empty folder"
-	DegradeNetwork           Fault = "all ways lose, double and hold back"
-	SplitFleet               Fault = "the fleet split in two"
-	FlapMember               Fault = "a member cut off and back, again and again"
+	defaultPlayLease = 600 * time.Millisecond
+	// heartbeatsPerLease is the ratio of a fleet's lease to its voters' heartbeat.
+	heartbeatsPerLease = 6
+	historyClients     = 3
+	// maxDecisionTime bounds the check of a history.
+	maxDecisionTime = 20 * time.Second
+	// actsOfRecovery is how many acts must be accepted until a fleet counts as recovered.
+	actsOfRecovery = 3
 )
 
-// Faults are all, in order.
-var Faults = []Fault{KillHolder, FreezeShort, FreezeLong, PartitionHolder, PartitionHolderOutbound, PartitionHolderInbound, PartitionHolderFromVoter, DelayHolder, DelayAct, KillLeader, FreezeLeader, PartitionLeader,
-	KillMajority, KillAllVoters, EraseVoter, DegradeNetwork, SplitFleet, FlapMember}
-
-// Schedule is what a seed draws.
-type Schedule struct {
-	Seed   uint64
-	Nodes  int
-	Faults []Fault
-}
-
-// DrawSchedule gives a seed's schedule: three to seven processes, four faults.
-func DrawSchedule(seed uint64) Schedule {
-	rng := rand.New(rand.NewPCG(seed, 0x5c6ed))
-	s := Schedule{Seed: seed, Nodes: 3 + rng.IntN(5)}
-	for range 4 {
-		s.Faults = append(s.Faults, Faults[rng.IntN(len(Faults))])
-	}
-	return s
-}
-
-// PlayOptions are how schedules are played.
+// PlayOptions configure how schedules are played.
 type PlayOptions struct {
-	Binary         string
-	Dir            string
-	AcceptAll      bool // the receiver takes all
-	Lease          time.Duration
-	PreviousBinary string // another program, which the first process runs: an earlier version; empty: none does
-	History        bool   // clients ask for a lease of their own, and what they were told is checked
-}
-
-// ScheduleResult is what came of one schedule.
-type ScheduleResult struct {
-	Schedule
-	AuditResult
-	// Gaps are how long the receiver was without an act it took, by fault, over what lies between two acts.
-	Gaps map[Fault][]time.Duration
-	// NotLinearizable: the history of lease operations has no order that explains it; Undecided: the check did not end in time.
-	NotLinearizable, Undecided bool
-	Operations                 int
-	Err                        error // the fleet did not come back within the time it has
+	Binary string
+	// Dir is where temporary directories are created.
+	Dir   string
+	Lease time.Duration // 0: 600 ms
+	// PreviousBinary is the program of the first process, of an earlier version; empty: Binary.
+	PreviousBinary string
+	// AcceptAll turns the auditor's fence off.
+	AcceptAll bool
+	// History has clients of the quorum use a lease of their own, and checks that their history is linearizable.
+	History bool
 }
 
-// Violated tells whether a promise was broken.
-func (v *ScheduleResult) Violated() bool {
-	return v.AuditResult.Violated() || v.NotLinearizable || v.Err != nil
-}
-
-func (v *ScheduleResult) String() string {
-	s := fmt.Sprintf("seed %d: %d processes, %d acts, %d holders, %d refused; accepted out of order %d, two under a token %d, begun beyond the lease %d",
-		v.Seed, v.Nodes, v.Acts, v.Tokens, v.Rejected, v.StaleAccepted, v.SharedTokens, v.AfterLease)
-	if v.Operations > 0 {
-		s += fmt.Sprintf("; %d operations, linearizable %v", v.Operations, !v.NotLinearizable)
-	}
-	if v.Undecided {
-		s += " (not decided in time)"
-	}
-	if v.FirstViolation != "" {
-		s += "\n  " + v.FirstViolation
-	}
-	if v.Err != nil {
-		s += fmt.Sprintf("\n  %v", v.Err)
-	}
-	return s
-}
-
-// recoveryTimeout is how long a fleet may take until its duty runs again after all is healed. Danger for a verdict that is the same each
-// time: the machine may be busy; what it takes is measured apart.
-const recoveryTimeout = 30 * time.Second
-
-// scheduleRun is one schedule under way.
+// scheduleRun is a schedule that is being played.
 type scheduleRun struct {
 	cluster *Cluster
 	auditor *Auditor
-	opt     PlayOptions
-	rng     *rand.Rand
+	options PlayOptions
+	random  *rand.Rand
 }
 
-// Play plays one schedule.
-func Play(ctx context.Context, s Schedule, opt PlayOptions) (v ScheduleResult) {
-	v = ScheduleResult{Schedule: s, Gaps: map[Fault][]time.Duration{}}
-	if opt.Lease == 0 {
-		opt.Lease = 600 * time.Millisecond
-	}
-	dir, err := os.MkdirTemp(opt.Dir, fmt.Sprintf("seed-%d-", s.Seed))
+// Play plays a schedule with a fleet of its own, and blocks until all its processes have ended. It ends early when ctx does.
+func Play(ctx context.Context, schedule Schedule, options PlayOptions) ScheduleResult {
+	result := ScheduleResult{Schedule: schedule, Gaps: map[Fault][]time.Duration{}}
+	options.Lease = cmp.Or(options.Lease, defaultPlayLease)
+	dir, err := os.MkdirTemp(options.Dir, fmt.Sprintf("seed-%d-", schedule.Seed))
 	if err != nil {
-		v.Err = err
-		return v
+		result.Err = err
+		return result
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	a, err := NewAuditor("receiver")
+	run, err := startRun(dir, schedule, options)
+	if err != nil {
+		result.Err = err
+		return result
+	}
+	defer run.close()
+	run.play(ctx, &result)
+	return result
+}
+
+// startRun starts an auditor and a fleet that posts to it.
+func startRun(dir string, schedule Schedule, options PlayOptions) (*scheduleRun, error) {
+	auditor, err := NewAuditor("receiver")
 	if err != nil {
-		v.Err = err
-		return v
+		return nil, err
 	}
-	defer a.Close()
-	a.AcceptAll = opt.AcceptAll
+	auditor.AcceptAll = options.AcceptAll
 	binaries := map[int]string{}
-	if opt.PreviousBinary != "" {
-		binaries[0] = opt.PreviousBinary
+	if options.PreviousBinary != "" {
+		binaries[0] = options.PreviousBinary
 	}
-	c, err := New(Options{Binary: opt.Binary, Binaries: binaries, Dir: dir, Nodes: s.Nodes, Lease: opt.Lease, Heartbeat: opt.Lease / 6, Posts: map[string]*ExternalService{"audit": &a.ExternalService}, Seed: s.Seed})
+	cluster, err := New(Options{
+		Binary:    options.Binary,
+		Binaries:  binaries,
+		Dir:       dir,
+		Nodes:     schedule.Nodes,
+		Lease:     options.Lease,
+		Heartbeat: options.Lease / heartbeatsPerLease,
+		Posts:     map[string]*ExternalService{"audit": &auditor.ExternalService},
+		Seed:      schedule.Seed,
+	})
 	if err != nil {
-		v.Err = err
-		return v
+		auditor.Close()
+		return nil, err
 	}
-	defer c.Close()
-	if err := c.Start(); err != nil {
-		v.Err = err
-		return v
+	run := &scheduleRun{
+		cluster: cluster,
+		auditor: auditor,
+		options: options,
+		random:  rand.New(rand.NewPCG(schedule.Seed, faultStream)),
 	}
-	p := &scheduleRun{cluster: c, auditor: a, opt: opt, rng: rand.New(rand.NewPCG(s.Seed, 0x9e3))}
-	if err := p.awaitActs(ctx); err != nil {
-		v.Err = fmt.Errorf("at the start: %w", err)
-		return v
+	if err := cluster.Start(); err != nil {
+		run.close()
+		return nil, err
 	}
-	asking, stop := context.WithCancel(ctx)
-	defer stop()
-	var clients sync.WaitGroup
-	var all []*historyClient
-	if opt.History {
-		for k := range 3 {
-			h, err := c.newClient(k, s.Seed)
-			if err != nil {
-				v.Err = err
-				return v
-			}
-			all = append(all, h)
-			clients.Go(func() { h.run(asking) })
-		}
+	return run, nil
+}
+
+func (r *scheduleRun) close() {
+	r.cluster.Close()
+	r.auditor.Close()
+}
+
+// play injects the schedule's faults and fills in the result.
+func (r *scheduleRun) play(ctx context.Context, result *ScheduleResult) {
+	if err := r.awaitActs(ctx); err != nil {
+		result.Err = fmt.Errorf("at the start: %w", err)
+		return
 	}
-	for i, f := range s.Faults {
-		n := len(a.Acts())
-		err := p.inject(ctx, f)
-		c.Heal()
-		if err == nil {
-			err = p.repair()
+	stopHistory := func() []operation { return nil }
+	if r.options.History {
+		stop, err := r.startHistory(ctx, result.Seed)
+		if err != nil {
+			result.Err = err
+			return
 		}
-		if err == nil {
-			err = p.awaitActs(ctx)
+		stopHistory = stop
+	}
+	for i, fault := range result.Faults {
+		before := len(r.auditor.Acts())
+		if err := r.injectAndRecover(ctx, fault); err != nil {
+			result.Err = fmt.Errorf("fault %d, %s: %w", i+1, fault, err)
+			break
 		}
-		if err == nil {
-			err = p.awaitAllVoters(ctx)
+		result.Gaps[fault] = append(result.Gaps[fault], longestGap(r.auditor.Acts(), max(before-1, 0)))
+	}
+	operations := stopHistory()
+	result.AuditResult = Audit(r.auditor.Acts())
+	result.addHistory(operations)
+}
+
+// startHistory starts clients that use a lease of their own. stop ends them, waits for them, and returns their operations.
+func (r *scheduleRun) startHistory(ctx context.Context, seed uint64) (stop func() []operation, err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	var clients []*historyClient
+	stop = func() []operation {
+		cancel()
+		running.Wait()
+		var operations []operation
+		for _, client := range clients {
+			operations = append(operations, client.operations...)
 		}
+		return operations
+	}
+	for number := range historyClients {
+		client, err := r.cluster.newClient(number, seed)
 		if err != nil {
-			v.Err = fmt.Errorf("fault %d, %s: %w", i+1, f, err)
-			break
+			stop()
+			return nil, err
 		}
-		v.Gaps[f] = append(v.Gaps[f], longestGap(a.Acts(), max(n-1, 0)))
+		clients = append(clients, client)
+		running.Go(func() { client.run(ctx) })
 	}
-	stop()
-	clients.Wait()
-	v.AuditResult = Audit(a.Acts())
-	var ops []operation
-	for _, h := range all {
-		ops = append(ops, h.operations...)
+	return stop, nil
+}
+
+// addHistory checks a history, if there is one.
+func (r *ScheduleResult) addHistory(operations []operation) {
+	r.Operations = len(operations)
+	if len(operations) == 0 {
+		return
 	}
-	if len(ops) > 0 {
-		v.Operations = len(ops)
-		slices.SortFunc(ops, func(x, y operation) int { return int(x.calledAt - y.calledAt) })
-		ok, decided := linearizable(ops, 20*time.Second)
-		v.NotLinearizable, v.Undecided = !ok, !decided
+	slices.SortFunc(operations, func(a, b operation) int { return cmp.Compare(a.calledAt, b.calledAt) })
+	ok, decided := linearizable(operations, maxDecisionTime)
+	r.NotLinearizable = !ok
+	r.Undecided = !decided
+}
+
+// injectAndRecover injects a fault, repairs what it broke, and waits until the fleet has recovered.
+func (r *scheduleRun) injectAndRecover(ctx context.Context, fault Fault) error {
+	err := r.inject(ctx, fault)
+	r.cluster.Heal()
+	if err != nil {
+		return err
+	}
+	if err := r.repair(); err != nil {
+		return err
 	}
-	return v
+	if err := r.awaitActs(ctx); err != nil {
+		return err
+	}
+	return r.awaitAllVoters(ctx)
 }
 
-// longestGap is the longest time between two acts that were taken, from the last one before index on.
-func longestGap(acts []Act, from int) (longest time.Duration) {
-	last := time.Duration(0)
-	for i, a := range acts {
-		if !a.Accepted {
+// repair starts the processes that have ended and thaws the others.
+func (r *scheduleRun) repair() error {
+	for _, n := range r.cluster.Nodes {
+		if p := n.Process(); p != nil && p.Running() {
+			n.Thaw()
 			continue
 		}
-		if i > from && last > 0 {
-			longest = max(longest, a.ReceivedAt-last)
+		if err := n.Start(); err != nil {
+			return err
 		}
-		last = a.ReceivedAt
 	}
-	return longest
+	return nil
 }
 
-// awaitActs waits until three more acts are taken.
-func (p *scheduleRun) awaitActs(ctx context.Context) error {
-	t := time.NewTimer(recoveryTimeout)
-	defer t.Stop()
-	for range 3 {
-		_, news := p.auditor.Last()
+// awaitActs waits until some more acts are accepted.
+func (r *scheduleRun) awaitActs(ctx context.Context) error {
+	timeout := time.NewTimer(recoveryTimeout)
+	defer timeout.Stop()
+	for range actsOfRecovery {
+		_, accepted := r.auditor.Last()
 		select {
-		case <-news:
+		case <-accepted:
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
+		case <-timeout.C:
 			return fmt.Errorf("no act for %v", recoveryTimeout)
 		}
 	}
 	return nil
 }
 
-// awaitNewerToken waits until an act under a newer token is taken, or for so long.
-func (p *scheduleRun) awaitNewerToken(ctx context.Context, token uint64, within time.Duration) bool {
-	t := time.NewTimer(within)
-	defer t.Stop()
+// awaitNewerToken waits until an act under a newer token is accepted, at most for limit.
+func (r *scheduleRun) awaitNewerToken(ctx context.Context, token uint64, limit time.Duration) {
+	timeout := time.NewTimer(limit)
+	defer timeout.Stop()
 	for {
-		a, news := p.auditor.Last()
-		if a.Token > token {
-			return true
+		act, accepted := r.auditor.Last()
+		if act.Token > token {
+			return
 		}
 		select {
-		case <-news:
+		case <-accepted:
 		case <-ctx.Done():
-			return false
-		case <-t.C:
-			return false
+			return
+		case <-timeout.C:
+			return
 		}
 	}
 }
 
-// repair starts what is down and thaws what is frozen.
-func (p *scheduleRun) repair() error {
-	for _, n := range p.cluster.Nodes {
-		if pr := n.Process(); pr != nil && pr.Running() {
-			n.Thaw()
-			continue
-		}
-		if err := n.Start(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// awaitAllVoters waits until every voter votes: one with an empty folder does when the leader has taken it in, and until then the
-// next fault would be one more than a majority stands.
-func (p *scheduleRun) awaitAllVoters(ctx context.Context) error {
-	voters := p.cluster.Nodes[:p.cluster.opt.Voters]
+// awaitAllVoters waits until every voter votes. A voter with an empty directory does so once the leader has added it; until then,
+// the next fault could cost the fleet its majority.
+func (r *scheduleRun) awaitAllVoters(ctx context.Context) error {
+	voters := r.cluster.voterNodes()
 	return Await(ctx, "all voters", recoveryTimeout, func() bool {
-		for _, n := range voters {
-			s, err := n.Fleet()
-			if err != nil || s.Vote == nil || s.Vote.Unassigned || len(s.Vote.Voters) != len(voters) || s.Vote.State != "leader" && s.Vote.State != "follower" || s.Vote.Leader == "" {
+		for _, voter := range voters {
+			if !voter.votesAmong(len(voters)) {
 				return false
 			}
 		}
@@ -282,176 +253,86 @@
 	})
 }
 
-// holder is who took the last act; leader who leads, or a voter by chance where nobody is known to.
-func (p *scheduleRun) holder() (*Node, uint64) {
-	a, _ := p.auditor.Last()
-	for _, n := range p.cluster.Nodes {
-		if n.Name == a.Member {
-			return n, a.Token
+// votesAmong reports whether a voter says that it votes, knows this many voters, and knows the leader.
+func (n *Node) votesAmong(voters int) bool {
+	status, err := n.Fleet()
+	if err != nil || status.Vote == nil {
+		return false
+	}
+	vote := status.Vote
+	if vote.Unassigned || vote.Leader == "" || len(vote.Voters) != voters {
+		return false
+	}
+	return vote.State == voterLeads || vote.State == voterFollows
+}
+
+// holder returns the node whose act was accepted last, and its token. Without one it returns the first node.
+func (r *scheduleRun) holder() (*Node, uint64) {
+	act, _ := r.auditor.Last()
+	for _, n := range r.cluster.Nodes {
+		if n.Name == act.Member {
+			return n, act.Token
 		}
 	}
-	return p.cluster.Nodes[0], a.Token
+	return r.cluster.Nodes[0], act.Token
 }
 
-func (p *scheduleRun) leader() *Node {
-	if n := p.cluster.Leader(); n != nil {
-		return n
+// leader returns the leader of the quorum, or a random voter if there is none.
+func (r *scheduleRun) leader() *Node {
+	if leader := r.cluster.Leader(); leader != nil {
+		return leader
 	}
-	return p.cluster.Nodes[p.rng.IntN(p.cluster.opt.Voters)]
+	return r.drawVoter()
 }
 
-// inject causes a fault, and waits until it has had its effect.
-func (p *scheduleRun) inject(ctx context.Context, f Fault) error {
-	c, lease := p.cluster, p.opt.Lease
-	h, token := p.holder()
-	long := 4 * lease
-	voters := c.Nodes[:c.opt.Voters]
-	switch f {
-	case KillHolder:
-		h.Kill()
-		p.awaitNewerToken(ctx, token, recoveryTimeout)
-	case FreezeShort:
-		h.Freeze()
-		_ = sleep(ctx, lease/3)
-		h.Thaw()
-	case FreezeLong:
-		// In the middle of an act: right behind one that came.
-		_, news := p.auditor.Last()
-		select {
-		case <-news:
-		case <-time.After(lease):
-		}
-		h.Freeze()
-		p.awaitNewerToken(ctx, token, long)
-		h.Thaw()
-		_ = sleep(ctx, lease/4) // it goes on
-	case PartitionHolder:
-		c.Isolate(h, LinkState{Partitioned: true})
-		p.awaitNewerToken(ctx, token, long)
-		_ = sleep(ctx, lease/4)
-	case PartitionHolderOutbound, PartitionHolderInbound:
-		for _, o := range c.Nodes {
-			if f == PartitionHolderOutbound {
-				c.Set(h.Name, o.Name, LinkState{Partitioned: true})
-			} else {
-				c.Set(o.Name, h.Name, LinkState{Partitioned: true})
-			}
-		}
-		p.awaitNewerToken(ctx, token, long)
-	case PartitionHolderFromVoter:
-		c.SetBoth(h.Name, voters[p.rng.IntN(len(voters))].Name, LinkState{Partitioned: true})
-		_ = sleep(ctx, 2*lease)
-	case DelayHolder:
-		c.Isolate(h, LinkState{Delay: lease * 2 / 5, Jitter: lease / 20}) // there and back: 0.8 to 0.9 of it
-		_ = sleep(ctx, 3*lease)
-	case DelayAct:
-		c.Set(h.Name, "receiver", LinkState{Partitioned: true})
-		_ = sleep(ctx, lease/10) // acts are sent meanwhile, and held
-		c.Isolate(h, LinkState{Partitioned: true})
-		p.awaitNewerToken(ctx, token, long)
-		c.Set(h.Name, "receiver", LinkState{})
-		_ = sleep(ctx, lease/4)
-	case KillLeader:
-		p.leader().Kill()
-		_ = sleep(ctx, 2*lease)
-	case FreezeLeader:
-		n := p.leader()
-		n.Freeze()
-		_ = sleep(ctx, 3*lease)
-	case PartitionLeader:
-		c.Isolate(p.leader(), LinkState{Partitioned: true})
-		_ = sleep(ctx, 3*lease)
-	case KillMajority:
-		for _, n := range voters[:len(voters)/2+1] {
-			n.Kill()
-		}
-		_ = sleep(ctx, 2*lease)
-	case KillAllVoters:
-		for _, n := range voters {
-			n.Kill()
-		}
-	case EraseVoter:
-		n := voters[p.rng.IntN(len(voters))]
-		n.Kill()
-		if err := os.RemoveAll(n.VoterDir()); err != nil {
-			return err
-		}
-	case DegradeNetwork:
-		for _, a := range c.Nodes {
-			c.Isolate(a, LinkState{Delay: lease / 100, Jitter: lease / 20, Loss: 0.1, Duplication: 0.2})
-		}
-		_ = sleep(ctx, 3*lease)
-	case SplitFleet:
-		for i, a := range c.Nodes {
-			for j, b := range c.Nodes {
-				if i%2 != j%2 {
-					c.Set(a.Name, b.Name, LinkState{Partitioned: true})
-				}
-			}
+// longestGap returns the longest time between two accepted acts, of which the second has a higher index than from.
+func longestGap(acts []Act, from int) time.Duration {
+	longest := time.Duration(0)
+	last := time.Duration(0)
+	for i, act := range acts {
+		if !act.Accepted {
+			continue
 		}
-		_ = sleep(ctx, 3*lease)
-	case FlapMember:
-		n := c.Nodes[p.rng.IntN(len(c.Nodes))]
-		for range 4 {
-			c.Isolate(n, LinkState{Partitioned: true})
-			_ = sleep(ctx, lease/2)
-			c.Isolate(n, LinkState{})
-			_ = sleep(ctx, lease/4)
+		if i > from && last > 0 {
+			longest = max(longest, act.ReceivedAt-last)
 		}
-	default:
-		return fmt.Errorf("no such fault: %q", f)
+		last = act.ReceivedAt
 	}
-	return ctx.Err()
+	return longest
 }
 
-// MeasureFlapping has a member cut off for half of each second, so many times, and gives the audit with the longest time without an act.
-func MeasureFlapping(ctx context.Context, binary, dir string, times int) (f AuditResult, longest time.Duration, err error) {
-	a, err := NewAuditor("receiver")
+// The fleet and the rhythm of MeasureFlapping.
+const (
+	flappingNodes    = 5
+	flappingLease    = 2 * time.Second
+	flappingHalfTime = 500 * time.Millisecond
+)
+
+// MeasureFlapping isolates the holder for half of each second, that many times. It returns the audit and the longest time without
+// an accepted act.
+func MeasureFlapping(ctx context.Context, binary, parentDir string, times int) (AuditResult, time.Duration, error) {
+	dir, err := os.MkdirTemp(parentDir, "flap-")
 	if err != nil {
-		return f, 0, err
-	}
-	defer a.Close()
-	if dir, err = os.MkdirTemp(dir, "flap-"); err != nil {
-		return f, 0, err
+		return AuditResult{}, 0, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	const lease = 2 * time.Second
-	c, err := New(Options{Binary: binary, Dir: dir, Nodes: 5, Lease: lease, Heartbeat: lease / 6, Posts: map[string]*ExternalService{"audit": &a.ExternalService}})
+	run, err := startRun(dir, Schedule{Nodes: flappingNodes}, PlayOptions{Binary: binary, Lease: flappingLease})
 	if err != nil {
-		return f, 0, err
-	}
-	defer c.Close()
-	if err := c.Start(); err != nil {
-		return f, 0, err
+		return AuditResult{}, 0, err
 	}
-	p := &scheduleRun{cluster: c, auditor: a, opt: PlayOptions{Lease: lease}}
-	if err := p.awaitActs(ctx); err != nil {
-		return f, 0, err
+	defer run.close()
+	if err := run.awaitActs(ctx); err != nil {
+		return AuditResult{}, 0, err
 	}
-	from := len(a.Acts())
+	before := len(run.auditor.Acts())
 	for range times {
-		n, _ := p.holder()
-		c.Isolate(n, LinkState{Partitioned: true})
-		_ = sleep(ctx, 500*time.Millisecond)
-		c.Heal()
-		_ = sleep(ctx, 500*time.Millisecond)
+		holder, _ := run.holder()
+		run.cluster.Isolate(holder, partitioned)
+		_ = sleep(ctx, flappingHalfTime)
+		run.cluster.Heal()
+		_ = sleep(ctx, flappingHalfTime)
 	}
-	err = p.awaitActs(ctx)
-	return Audit(a.Acts()), longestGap(a.Acts(), from-1), err
-}
-
-// RunSchedules plays schedules, so many at once, and tells of each as it ends.
-func RunSchedules(ctx context.Context, seeds []uint64, at int, opt PlayOptions, each func(ScheduleResult)) {
-	runSeeds(ctx, seeds, at, func(seed uint64) ScheduleResult { return Play(ctx, DrawSchedule(seed), opt) }, each)
-}
-
-// TempDir makes a folder for a campaign's processes, on the file system of the working folder.
-func TempDir() (string, func(), error) {
-	dir, err := os.MkdirTemp("", "robindrum-cluster-")
-	return dir, func() { _ = os.RemoveAll(dir) }, err
-}
-
-// Build builds robindrum into a folder, with tags.
-func Build(ctx context.Context, dir string, tags ...string) (string, error) {
-	return build(ctx, filepath.Join(dir, "robindrum"+tagSuffix(tags)), tags)
+	err = run.awaitActs(ctx)
+	acts := run.auditor.Acts()
+	return Audit(acts), longestGap(acts, before-1), err
 }
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -4,270 +4,328 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"sync"
+	"slices"
 	"time"
 
 	"robindrum/internal/drain"
 )
 
-// DrainOptions are how schedules of drains are played.
+// DrainOptions configure how schedules of drains and of releases are played.
 type DrainOptions struct {
-	Binary, Dir string
-	Lease       time.Duration
-	// IgnoreBudget has each asker keep the budget by itself, by what it has asked for: what is to be broken then.
+	Binary string
+	// Dir is where temporary directories are created.
+	Dir   string
+	Lease time.Duration
+	// IgnoreBudget sets budgets that allow everything, so that each requester respects the budget for its own requests alone. It
+	// shows that the observer finds violations.
 	IgnoreBudget bool
-	Steps        int // of a schedule of releases; 0: 16
+	// Steps of a schedule of releases; 0: 16.
+	Steps int
 }
 
-// DrainResult is what came of one schedule.
+// DrainResult is the outcome of a schedule of drains.
 type DrainResult struct {
-	Seed               uint64
-	Requested, Granted int
-	MaxUnavailable     int // gateways that orders kept out at once, as an outside observer saw them
-	OverBudget         int // looks at which more were out by order than may be
-	LateRequests       int // requests to a drained endpoint later than a second
-	Requests           int64
-	Failed             int64
-	Observations       int
-	FirstViolation     string
-	Err                error
+	Seed      uint64
+	Requested int // drain requests
+	Granted   int // drain requests that took out what they name
+	// Observations is how often the observer counted unavailable gateways, OverBudget at how many of them there were more than
+	// the budget allows, and MaxUnavailable how many there were at most.
+	Observations   int
+	OverBudget     int
+	MaxUnavailable int
+	// Requests and Failed count the load's requests, LateRequests those that reached a drained endpoint after a second.
+	Requests     int64
+	Failed       int64
+	LateRequests int
+	// FirstViolation describes the first violation; empty: there is none.
+	FirstViolation string
+	// Err is why the fleet did not recover in time, or why the schedule could not be played.
+	Err error
 }
 
-// Violated tells whether a promise was broken.
-func (v *DrainResult) Violated() bool {
-	return v.OverBudget+v.LateRequests > 0 || v.Failed > 0 || v.Err != nil
+// Violated reports whether a guarantee was violated.
+func (r *DrainResult) Violated() bool {
+	return r.OverBudget+r.LateRequests > 0 || r.Failed > 0 || r.Err != nil
 }
 
-func (v *DrainResult) String() string {
+// String describes the result for a report.
+func (r *DrainResult) String() string {
 	s := fmt.Sprintf("seed %d: %d orders, %d granted; most out by order %d of 2, over the budget at %d of %d looks; %d requests, %d failed, %d late to a drained endpoint",
-		v.Seed, v.Requested, v.Granted, v.MaxUnavailable, v.OverBudget, v.Observations, v.Requests, v.Failed, v.LateRequests)
-	if v.FirstViolation != "" {
-		s += "\n  " + v.FirstViolation
-	}
-	if v.Err != nil {
-		s += fmt.Sprintf("\n  %v", v.Err)
-	}
-	return s
+		r.Seed, r.Requested, r.Granted, r.MaxUnavailable, r.OverBudget, r.Observations, r.Requests, r.Failed, r.LateRequests)
+	return s + describeFailure(r.FirstViolation, r.Err)
 }
 
-// Add adds another verdict's numbers, Sum says them.
-func (v *DrainResult) Add(o *DrainResult) {
-	v.Requested, v.Granted, v.OverBudget, v.LateRequests, v.Observations = v.Requested+o.Requested, v.Granted+o.Granted, v.OverBudget+o.OverBudget, v.LateRequests+o.LateRequests, v.Observations+o.Observations
-	v.Requests, v.Failed, v.MaxUnavailable = v.Requests+o.Requests, v.Failed+o.Failed, max(v.MaxUnavailable, o.MaxUnavailable)
+// Add adds the counts of another result.
+func (r *DrainResult) Add(other *DrainResult) {
+	r.Requested += other.Requested
+	r.Granted += other.Granted
+	r.OverBudget += other.OverBudget
+	r.LateRequests += other.LateRequests
+	r.Observations += other.Observations
+	r.Requests += other.Requests
+	r.Failed += other.Failed
+	r.MaxUnavailable = max(r.MaxUnavailable, other.MaxUnavailable)
 }
 
-// Summary says the numbers of several.
-func (v *DrainResult) Summary() string {
+// Summary describes the counts of added results for a report.
+func (r *DrainResult) Summary() string {
 	return fmt.Sprintf("orders by hand %d, slots granted %d; most out %d (%d may be), over the budget at %d of %d looks; requests %d, failed %d; late to a drained endpoint %d",
-		v.Requested, v.Granted, v.MaxUnavailable, drainBudget, v.OverBudget, v.Observations, v.Requests, v.Failed, v.LateRequests)
+		r.Requested, r.Granted, r.MaxUnavailable, drainBudget, r.OverBudget, r.Observations, r.Requests, r.Failed, r.LateRequests)
+}
+
+// violation describes a violation if it is the first.
+func (r *DrainResult) violation(format string, arguments ...any) {
+	if r.FirstViolation == "" {
+		r.FirstViolation = fmt.Sprintf(format, arguments...)
+	}
+}
+
+// addGranted counts the drain requests of a list that took something out.
+func (r *DrainResult) addGranted(n *Node) {
+	requests, err := n.DrainRequests()
+	if err != nil {
+		return
+	}
+	for _, request := range requests {
+		if request.Token > 0 {
+			r.Granted++
+		}
+	}
+}
+
+// addLoad stops a load and adds its counts.
+func (r *DrainResult) addLoad(load *Load) {
+	if failure := load.Stop(); failure != "" {
+		r.violation("%s", failure)
+	}
+	r.Requests = load.Requests.Load()
+	r.Failed = load.Failed.Load()
 }
 
-// Numbers of a schedule of drains.
 const (
 	drainGateways = 5
-	drainBudget   = 2
+	drainBudget   = 2 // gateways
 	drainSteps    = 12
+	// unlimitedBudget allows everything to be unavailable.
+	unlimitedBudget = 99
+	// scheduleLoad is the load of a schedule, in requests per second and gateway.
+	scheduleLoad = 20
+	// endpointDrainTime is after which time a drained endpoint must get no request.
+	endpointDrainTime    = time.Second
+	endpointDrainTimeout = 5 * time.Second
+	drainGrace           = time.Second
+	drainNotice          = 250 * time.Millisecond
+	maxDrainPause        = 300 // ms
 )
 
-// PlayDrains plays one: askers at five gateways under load, who drain and undrain by chance, while processes are killed, frozen and
-// cut off; an observer asks every process each 100 ms what keeps it out.
-func PlayDrains(ctx context.Context, seed uint64, opt DrainOptions) (v DrainResult) {
-	v.Seed = seed
-	budgets := fmt.Sprintf("[{name: g, most: %d}, {name: e, cluster: \"*\", most: 1}]", drainBudget)
-	if opt.IgnoreBudget {
-		budgets = "[{name: g, most: 99}, {name: e, cluster: \"*\", most: 99}]"
-	}
-	s, err := NewSite(ctx, SiteOptions{Binary: opt.Binary, Dir: opt.Dir, Gateways: drainGateways, Lease: opt.Lease, Budgets: budgets, Seed: seed})
+// noOrigin is the index of no origin.
+const noOrigin = -1
+
+// openDrain is a drain request that has not been cancelled.
+type openDrain struct {
+	id        string
+	requester int
+	target    drain.Target
+}
+
+// drainRun is a schedule of drains that is being played.
+type drainRun struct {
+	site    *Site
+	options DrainOptions
+	random  *rand.Rand
+	result  *DrainResult
+
+	open          []openDrain
+	ownGateways   map[int]int // gateways that each requester has drained
+	drainedOrigin int         // or noOrigin
+	drainedAt     time.Time
+}
+
+// PlayDrains plays the schedule of a seed with five gateways under load: each drains and undrains gateways and endpoints at random,
+// while processes are killed, frozen and isolated. An observer counts unavailable gateways. It blocks until all processes have ended.
+func PlayDrains(ctx context.Context, seed uint64, options DrainOptions) (result DrainResult) {
+	result.Seed = seed
+	site, err := NewSite(ctx, SiteOptions{
+		Binary:   options.Binary,
+		Dir:      options.Dir,
+		Gateways: drainGateways,
+		Lease:    options.Lease,
+		Budgets:  drainBudgets(options.IgnoreBudget),
+		Seed:     seed,
+	})
 	if err != nil {
-		v.Err = err
-		return v
+		result.Err = err
+		return result
 	}
-	defer s.Close()
-	rng := rand.New(rand.NewPCG(seed, 0xd4a1))
-	load := s.StartLoad(20)
+	defer site.Close()
+	load := site.StartLoad(scheduleLoad)
 	defer load.Stop()
-	stop := s.Watch(&v, drainBudget)
-	defer func() { stop() }()
+	// The observer writes into the result until it is stopped.
+	stopObserver := site.Watch(&result, drainBudget)
+	defer stopObserver()
+	run := &drainRun{
+		site:          site,
+		options:       options,
+		random:        rand.New(rand.NewPCG(seed, drainStream)),
+		result:        &result,
+		ownGateways:   map[int]int{},
+		drainedOrigin: noOrigin,
+	}
+	if err := run.play(ctx); err != nil {
+		result.Err = err
+		return result
+	}
+	if err := run.cancelAll(ctx); err != nil {
+		result.Err = err
+		return result
+	}
+	result.Err = site.awaitReady(ctx)
+	result.addGranted(site.Nodes[0])
+	stopObserver()
+	result.addLoad(load)
+	return result
+}
 
-	type asked struct {
-		id    string
-		by    int
-		drain drain.Target
+// drainBudgets returns the section `budgets` of the configuration.
+func drainBudgets(ignore bool) string {
+	gateways, endpoints := drainBudget, 1
+	if ignore {
+		gateways, endpoints = unlimitedBudget, unlimitedBudget
 	}
-	var open []asked
-	own := map[int]int{} // by asker, of gateways
-	var drainedAt time.Time
-	drained := -1
+	return fmt.Sprintf("[{name: g, most: %d}, {name: e, cluster: \"*\", most: %d}]", gateways, endpoints)
+}
+
+// play takes the steps of the schedule. It returns an error if a process does not start again.
+func (r *drainRun) play(ctx context.Context) error {
 	for step := range drainSteps {
-		by := rng.IntN(drainGateways)
-		n := s.Nodes[by]
-		switch k := rng.IntN(10); {
-		case k < 5 && n.Up(): // a drain
-			t := drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}
-			origin := -1
-			if rng.IntN(4) == 0 && drained < 0 {
-				origin = rng.IntN(len(s.Origins))
-				t = drain.Target{Cluster: "c", Endpoint: s.Origins[origin].Addr}
-			}
-			if opt.IgnoreBudget && t.Gateway != "" {
-				if own[by] >= drainBudget {
-					break
-				}
-				own[by]++
-			}
-			o, err := n.SendDrain("drain", drain.Request{ID: fmt.Sprint(seed, "-", step), Target: t, Owner: n.Name, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Requested++; err != nil || o.State == drain.Rejected {
-				break
-			}
-			open = append(open, asked{o.ID, by, t})
-			if origin >= 0 {
-				if Await(ctx, "an endpoint to be out", 5*time.Second, func() bool { m, _ := n.DrainRequests(); return m[o.ID].State == drain.Drained }) == nil {
-					drained, drainedAt = origin, time.Now()
-				}
-			}
-		case k < 7 && len(open) > 0: // a way back
-			i := rng.IntN(len(open))
-			o := open[i]
-			if n.Up() {
-				until := time.Now() // it may be told of before this asker is
-				if _, err := n.SendDrain("undrain", drain.Request{ID: o.id}); err == nil {
-					open = append(open[:i], open[i+1:]...)
-					if o.drain.Gateway != "" {
-						own[o.by]--
-					} else if drained >= 0 {
-						v.LateRequests += s.Origins[drained].Between(drainedAt.Add(time.Second), until)
-						drained = -1
-					}
-				}
-			}
-		case k == 7:
-			n.Kill()
-			_ = sleep(ctx, opt.Lease/2)
-			if v.Err = n.Start(); v.Err != nil {
-				return v
-			}
-		case k == 8 && n.Up():
-			n.Freeze()
-			_ = sleep(ctx, opt.Lease)
-			n.Thaw()
-		default:
-			s.Isolate(n, LinkState{Partitioned: true})
-			_ = sleep(ctx, opt.Lease)
-			s.Heal()
+		number := r.random.IntN(drainGateways)
+		if err := r.step(ctx, step, number); err != nil {
+			return err
 		}
-		_ = sleep(ctx, time.Duration(rng.IntN(300))*time.Millisecond)
+		_ = sleep(ctx, time.Duration(r.random.IntN(maxDrainPause))*time.Millisecond)
 	}
-	if drained >= 0 {
-		v.LateRequests += s.Origins[drained].Between(drainedAt.Add(time.Second), time.Now())
+	r.countLateRequests(time.Now())
+	return nil
+}
+
+// step draws what happens to or at the gateway with number.
+func (r *drainRun) step(ctx context.Context, step, number int) error {
+	n := r.site.Nodes[number]
+	switch draw := r.random.IntN(10); {
+	case draw < 5 && n.Up():
+		r.drain(ctx, step, number)
+	case draw < 7 && len(r.open) > 0:
+		r.undrain(n)
+	case draw == 7:
+		return restartAfter(ctx, n, r.options.Lease/2)
+	case draw == 8 && n.Up():
+		freezeFor(ctx, n, r.options.Lease)
+	default:
+		isolateFor(ctx, r.site.Cluster, n, r.options.Lease)
 	}
-	// All back: everything can be undone, by anyone.
-	for _, o := range open {
-		if err := Await(ctx, "an order to be cancelled", recoveryTimeout, func() bool { _, err := s.Nodes[0].SendDrain("undrain", drain.Request{ID: o.id}); return err == nil }); err != nil {
-			v.Err = err
-			return v
-		}
+	return nil
+}
+
+// drain has a gateway request the drain of a random gateway or, if none is drained, endpoint.
+func (r *drainRun) drain(ctx context.Context, step, requester int) {
+	n := r.site.Nodes[requester]
+	target := drain.Target{Gateway: r.site.Nodes[r.random.IntN(drainGateways)].Name}
+	drawnOrigin := noOrigin
+	if r.random.IntN(4) == 0 && r.drainedOrigin == noOrigin {
+		drawnOrigin = r.random.IntN(len(r.site.Origins))
+		target = drain.Target{Cluster: "c", Endpoint: r.site.Origins[drawnOrigin].Addr}
 	}
-	v.Err = Await(ctx, "every gateway to be back", recoveryTimeout, func() bool {
-		for _, n := range s.Nodes {
-			if !n.Ready() {
-				return false
-			}
-		}
-		return true
-	})
-	if m, err := s.Nodes[0].DrainRequests(); err == nil {
-		for _, o := range m {
-			if o.Token > 0 {
-				v.Granted++
-			}
+	if r.options.IgnoreBudget && target.Gateway != "" {
+		if r.ownGateways[requester] >= drainBudget {
+			return
 		}
+		r.ownGateways[requester]++
 	}
-	stop()
-	if why := load.Stop(); why != "" && v.FirstViolation == "" {
-		v.FirstViolation = why
+	id := fmt.Sprint(r.result.Seed, "-", step)
+	request, err := n.SendDrain("drain", drain.Request{ID: id, Target: target, Owner: n.Name, Grace: drainGrace, Notice: drainNotice})
+	r.result.Requested++
+	if err != nil || request.State == drain.Rejected {
+		return
+	}
+	r.open = append(r.open, openDrain{id: request.ID, requester: requester, target: target})
+	if drawnOrigin != noOrigin && awaitDrained(ctx, n, request.ID) {
+		r.drainedOrigin = drawnOrigin
+		r.drainedAt = time.Now()
 	}
-	v.Requests, v.Failed = load.Requests.Load(), load.Failed.Load()
-	return v
 }
 
-// Watch observes until what it gives is called.
-func (s *Site) Watch(v *DrainResult, most int) (stop func()) {
-	ctx, cancel := context.WithCancel(context.Background())
-	var work sync.WaitGroup
-	work.Go(func() { s.observe(ctx, v, most) })
-	return func() { cancel(); work.Wait() }
+// awaitDrained waits until an endpoint is drained, and reports whether it was in time.
+func awaitDrained(ctx context.Context, n *Node, id string) bool {
+	err := Await(ctx, "an endpoint to be out", endpointDrainTimeout, func() bool {
+		requests, _ := n.DrainRequests()
+		return requests[id].State == drain.Drained
+	})
+	return err == nil
 }
 
-// observe counts, from outside, how many gateways are out by planned means: those that say that an order keeps them out, and under
-// supervisors those that do not answer though nobody has killed or frozen them, as they start anew.
-func (s *Site) observe(ctx context.Context, v *DrainResult, most int) {
-	tick := time.NewTicker(100 * time.Millisecond)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		var mu sync.Mutex
-		var all sync.WaitGroup
-		out := map[string]string{}
-		for _, n := range s.Nodes {
-			if !n.Up() {
-				continue
-			}
-			all.Go(func() {
-				epoch := n.Epoch()
-				st, err := n.Status()
-				if err != nil && len(s.opt.Versions) > 0 && n.Up() && n.Epoch() == epoch {
-					st.DrainID = err.Error()
-				} else if err != nil {
-					return
-				}
-				if st.DrainID != "" {
-					mu.Lock()
-					out[n.Name] = st.DrainID
-					mu.Unlock()
-				}
-			})
-		}
-		all.Wait()
-		v.Observations++
-		v.MaxUnavailable = max(v.MaxUnavailable, len(out))
-		if len(out) > most {
-			if v.OverBudget++; v.FirstViolation == "" {
-				v.FirstViolation = fmt.Sprintf("%d gateways are out by order: %v", len(out), out)
-			}
-		}
+// undrain has a gateway cancel a random open drain request.
+func (r *drainRun) undrain(n *Node) {
+	i := r.random.IntN(len(r.open))
+	open := r.open[i]
+	if !n.Up() {
+		return
+	}
+	// Other gateways may know of it before this one has its answer.
+	before := time.Now()
+	if _, err := n.SendDrain("undrain", drain.Request{ID: open.id}); err != nil {
+		return
 	}
+	r.open = slices.Delete(r.open, i, i+1)
+	if open.target.Gateway != "" {
+		r.ownGateways[open.requester]--
+		return
+	}
+	r.countLateRequests(before)
+	r.drainedOrigin = noOrigin
 }
 
-// RunDrainSchedules plays schedules, so many at once, and tells of each as it ends.
-func RunDrainSchedules(ctx context.Context, seeds []uint64, at int, opt DrainOptions, each func(DrainResult)) {
-	runSeeds(ctx, seeds, at, func(seed uint64) DrainResult { return PlayDrains(ctx, seed, opt) }, each)
+// countLateRequests counts the requests to a drained endpoint up to a time.
+func (r *drainRun) countLateRequests(until time.Time) {
+	if r.drainedOrigin != noOrigin {
+		r.result.LateRequests += r.site.Origins[r.drainedOrigin].Between(r.drainedAt.Add(endpointDrainTime), until)
+	}
 }
 
-// runSeeds plays seeds, so many at once.
-func runSeeds[V any](ctx context.Context, seeds []uint64, at int, play func(seed uint64) V, each func(V)) {
-	next := make(chan uint64)
-	var work sync.WaitGroup
-	var mu sync.Mutex
-	for range at {
-		work.Go(func() {
-			for seed := range next {
-				v := play(seed)
-				mu.Lock()
-				each(v)
-				mu.Unlock()
-			}
+// cancelAll cancels all open drain requests: any gateway can.
+func (r *drainRun) cancelAll(ctx context.Context) error {
+	n := r.site.Nodes[0]
+	for _, open := range r.open {
+		err := Await(ctx, "an order to be cancelled", recoveryTimeout, func() bool {
+			_, err := n.SendDrain("undrain", drain.Request{ID: open.id})
+			return err == nil
 		})
-	}
-	for _, s := range seeds {
-		select {
-		case next <- s:
-		case <-ctx.Done():
+		if err != nil {
+			return err
 		}
 	}
-	close(next)
-	work.Wait()
+	return nil
+}
+
+// restartAfter kills a node and starts it again after a pause.
+func restartAfter(ctx context.Context, n *Node, pause time.Duration) error {
+	n.Kill()
+	_ = sleep(ctx, pause)
+	return n.Start()
+}
+
+func freezeFor(ctx context.Context, n *Node, d time.Duration) {
+	n.Freeze()
+	_ = sleep(ctx, d)
+	n.Thaw()
+}
+
+func isolateFor(ctx context.Context, c *Cluster, n *Node, d time.Duration) {
+	c.Isolate(n, partitioned)
+	_ = sleep(ctx, d)
+	c.Heal()
+}
+
+// RunDrainSchedules plays the schedules of seeds, at most parallel at once. It calls report like RunSchedules.
+func RunDrainSchedules(ctx context.Context, seeds []uint64, parallel int, options DrainOptions, report func(DrainResult)) {
+	runSeeds(ctx, seeds, parallel, func(seed uint64) DrainResult { return PlayDrains(ctx, seed, options) }, report)
 }
--- a/internal/testbed/cluster/relay.go
+++ b/internal/testbed/cluster/relay.go
@@ -1,5 +1,3 @@
-// Package cluster starts processes of the built program as a fleet, each with its own folder and address and a relay for TCP and
-// UDP between each pair, breaks what is between them by a seeded schedule, and audits what the fleet does to the outside.
 package cluster
 
 import (
@@ -7,110 +5,22 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
+	"slices"
 	"sync"
 	"time"
 )
 
-// LinkState is what is on the way in one direction. The zero value carries all.
-type LinkState struct {
-	// Partitioned holds what comes: streams until it is healed, as TCP sends again; packets are lost.
-	Partitioned bool
-	// Delay holds each piece for so long, and up to Jitter more, so that packets overtake each other.
-	Delay, Jitter time.Duration
-	// Loss is the part of packets that is lost; of streams, the part of pieces that comes 200 ms later.
-	Loss float64
-	// Duplication is the part of packets that comes twice.
-	Duplication float64
-}
-
-// retransmitDelay is what a lost piece of a stream costs.
-const retransmitDelay = 200 * time.Millisecond
-
-// link is one direction between two ends.
-type link struct {
-	mu      sync.Mutex
-	state   LinkState
-	rng     *rand.Rand
-	changed chan struct{} // closed and made anew with each change
-}
-
-func newLink(seed uint64) *link {
-	return &link{rng: rand.New(rand.NewPCG(seed, 0x70617468)), changed: make(chan struct{})}
-}
-
-func (p *link) set(w LinkState) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.state = w
-	close(p.changed)
-	p.changed = make(chan struct{})
-}
-
-// waitToForward waits until a piece of a stream may go on.
-func (p *link) waitToForward(ctx context.Context) error {
-	for {
-		p.mu.Lock()
-		w, changed := p.state, p.changed
-		wait := w.Delay
-		if w.Jitter > 0 {
-			wait += time.Duration(p.rng.Int64N(int64(w.Jitter)))
-		}
-		if w.Loss > 0 && p.rng.Float64() < w.Loss {
-			wait += retransmitDelay
-		}
-		p.mu.Unlock()
-		if !w.Partitioned {
-			return sleep(ctx, wait)
-		}
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-changed:
-		}
-	}
-}
-
-// packetDelays gives when copies of a packet come; none: it is lost.
-func (p *link) packetDelays() (after []time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	w := p.state
-	if w.Partitioned || w.Loss > 0 && p.rng.Float64() < w.Loss {
-		return nil
-	}
-	one := func() time.Duration {
-		d := w.Delay
-		if w.Jitter > 0 {
-			d += time.Duration(p.rng.Int64N(int64(w.Jitter)))
-		}
-		return d
-	}
-	after = append(after, one())
-	if w.Duplication > 0 && p.rng.Float64() < w.Duplication {
-		after = append(after, one()+10*time.Millisecond)
-	}
-	return after
-}
-
-func sleep(ctx context.Context, d time.Duration) error {
-	if d <= 0 {
-		return ctx.Err()
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-t.C:
-		return nil
-	}
-}
+const (
+	// maxPacketsInFlight bounds the delayed packets of a relay; further ones are lost.
+	maxPacketsInFlight = 4096
+	maxPacketSize      = 64 << 10 // bytes
+	relayBufferSize    = 32 << 10 // bytes
+)
 
-// relay carries what one end sends to another, and the answers to it.
+// relay forwards the TCP connections and UDP packets of one process to another. Packets are forwarded in that direction alone.
 type relay struct {
-	addr       string
+	address    string
 	target     string
 	forward    *link // from who connects
 	backward   *link
@@ -120,16 +30,17 @@
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	closed bool
+	mu          sync.Mutex
+	connections map[net.Conn]struct{}
+	closed      bool
 }
 
-func newRelay(addr, to string, there, back *link) (*relay, error) {
-	r := &relay{addr: addr, target: to, forward: there, backward: back, conns: map[net.Conn]struct{}{}}
+// newRelay listens on address for TCP and UDP until close.
+func newRelay(address, target string, forward, backward *link) (*relay, error) {
+	r := &relay{address: address, target: target, forward: forward, backward: backward, connections: map[net.Conn]struct{}{}}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
 	var err error
-	if r.tcp, err = net.Listen("tcp", addr); err != nil {
+	if r.tcp, err = net.Listen("tcp", address); err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	at := r.tcp.Addr().(*net.TCPAddr)
@@ -138,130 +49,143 @@
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	r.goroutines.Go(r.accept)
-	r.goroutines.Go(r.packets)
+	r.goroutines.Go(r.relayPackets)
 	return r, nil
 }
 
+// close closes the sockets and all connections, and waits for the relay's goroutines.
 func (r *relay) close() {
 	r.cancel()
 	r.tcp.Close()
 	r.udp.Close()
+	r.closeConnections()
+	r.goroutines.Wait()
+}
+
+func (r *relay) closeConnections() {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.closed = true
-	for c := range r.conns {
-		c.Close()
+	for connection := range r.connections {
+		connection.Close()
 	}
-	r.mu.Unlock()
-	r.goroutines.Wait()
 }
 
-func (r *relay) track(c net.Conn) bool {
+// track has close close the connection too. It closes the connection and returns false if the relay is closed already.
+func (r *relay) track(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
-		c.Close()
+		connection.Close()
 		return false
 	}
-	r.conns[c] = struct{}{}
+	r.connections[connection] = struct{}{}
 	return true
 }
 
-func (r *relay) untrack(c net.Conn) {
-	c.Close()
+// untrack closes a connection.
+func (r *relay) untrack(connection net.Conn) {
+	connection.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.conns, c)
+	delete(r.connections, connection)
 }
 
 func (r *relay) accept() {
 	for {
-		c, err := r.tcp.Accept()
+		client, err := r.tcp.Accept()
 		if err != nil {
 			return
 		}
-		if r.track(c) {
-			r.goroutines.Go(func() { r.carry(c) })
+		if r.track(client) {
+			r.goroutines.Go(func() { r.relayConnection(client) })
 		}
 	}
 }
 
-// carry takes a connection over. It comes up at the other end only when the way there is open.
-func (r *relay) carry(c net.Conn) {
-	defer r.untrack(c)
+// relayConnection connects to the target once the forward link delivers, and copies in both directions until both end.
+func (r *relay) relayConnection(client net.Conn) {
+	defer r.untrack(client)
 	if r.forward.waitToForward(r.ctx) != nil {
 		return
 	}
-	s, err := net.Dial("tcp", r.target)
-	if err != nil || !r.track(s) {
+	server, err := net.Dial("tcp", r.target)
+	if err != nil || !r.track(server) {
 		return
 	}
-	defer r.untrack(s)
+	defer r.untrack(server)
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(s, c, r.forward) })
-	both.Go(func() { r.pump(c, s, r.backward) })
+	both.Go(func() { r.copyStream(server, client, r.forward) })
+	both.Go(func() { r.copyStream(client, server, r.backward) })
 	both.Wait()
 }
 
-// pump carries one direction. What was sent before its sender has gone comes all the same, however late.
-func (r *relay) pump(to, from net.Conn, p *link) {
-	b := make([]byte, 32<<10)
+// copyStream copies one direction. What the sender wrote before it closed the connection is delivered, however late.
+func (r *relay) copyStream(to, from net.Conn, l *link) {
+	buffer := make([]byte, relayBufferSize)
 	for {
-		n, err := from.Read(b)
-		if p.waitToForward(r.ctx) != nil {
+		n, err := from.Read(buffer)
+		if l.waitToForward(r.ctx) != nil {
 			return
 		}
 		if n > 0 {
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				_ = from.Close()
 				return
 			}
 		}
 		if err != nil {
-			if t, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-				_ = t.CloseWrite()
-			} else {
-				_ = to.Close()
-			}
+			closeWrite(to, err)
 			return
 		}
 	}
 }
 
-// maxPacketsInFlight bounds packets that are on their way.
-const maxPacketsInFlight = 4096
+// closeWrite passes the end of a stream on: half-closed after io.EOF, closed after any other error.
+func closeWrite(to net.Conn, reason error) {
+	if connection, ok := to.(*net.TCPConn); ok && errors.Is(reason, io.EOF) {
+		_ = connection.CloseWrite()
+		return
+	}
+	_ = to.Close()
+}
 
-func (r *relay) packets() {
-	to, err := net.ResolveUDPAddr("udp", r.target)
+func (r *relay) relayPackets() {
+	target, err := net.ResolveUDPAddr("udp", r.target)
 	if err != nil {
 		return
 	}
-	held := make(chan struct{}, maxPacketsInFlight)
-	b := make([]byte, 64<<10)
+	inFlight := make(chan struct{}, maxPacketsInFlight)
+	buffer := make([]byte, maxPacketSize)
 	for {
-		n, _, err := r.udp.ReadFromUDP(b)
+		n, _, err := r.udp.ReadFromUDP(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		for _, after := range r.forward.packetDelays() {
-			if after == 0 {
-				_, _ = r.udp.WriteToUDP(b[:n], to)
+		for _, delay := range r.forward.packetDelays() {
+			if delay == 0 {
+				_, _ = r.udp.WriteToUDP(buffer[:n], target)
 				continue
 			}
-			text := append([]byte(nil), b[:n]...)
-			select {
-			case held <- struct{}{}:
-			default:
-				continue
-			}
-			r.goroutines.Go(func() {
-				defer func() { <-held }()
-				if sleep(r.ctx, after) == nil {
-					_, _ = r.udp.WriteToUDP(text, to)
-				}
-			})
+			r.sendLater(slices.Clone(buffer[:n]), target, delay, inFlight)
 		}
 	}
 }
+
+// sendLater sends a packet after a delay, unless too many are in flight. It does not block.
+func (r *relay) sendLater(packet []byte, target *net.UDPAddr, delay time.Duration, inFlight chan struct{}) {
+	select {
+	case inFlight <- struct{}{}:
+	default:
+		return
+	}
+	r.goroutines.Go(func() {
+		defer func() { <-inFlight }()
+		if sleep(r.ctx, delay) == nil {
+			_, _ = r.udp.WriteToUDP(packet, target)
+		}
+	})
+}
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -18,239 +18,391 @@
 	"robindrum/internal/release"
 )
 
-// ReleaseResult is what came of one schedule of releases.
+// ReleaseResult is the outcome of a schedule of releases.
 type ReleaseResult struct {
 	DrainResult
-	Releases, Done, RolledBack int
-	Starts                     int // of versions, as the supervisors said
-	RepeatedStarts             int // of them, those that were asked for and were of the version that ran: a step twice
+	Releases   int // that began
+	Done       int
+	RolledBack int
+	// Starts is how often supervisors started a version, RepeatedStarts how often of these it was the version that had ended
+	// because it asked to be started anew: a step of a release that was taken twice.
+	Starts         int
+	RepeatedStarts int
 }
 
-// Violated tells whether a promise was broken.
-func (v *ReleaseResult) Violated() bool { return v.DrainResult.Violated() || v.RepeatedStarts > 0 }
+// Violated reports whether a guarantee was violated.
+func (r *ReleaseResult) Violated() bool { return r.DrainResult.Violated() || r.RepeatedStarts > 0 }
 
-func (v *ReleaseResult) String() string {
-	return fmt.Sprintf("%s\n  %d releases, %d done, %d back; %d starts, %d of them as the same version", &v.DrainResult, v.Releases, v.Done, v.RolledBack, v.Starts, v.RepeatedStarts)
+// String describes the result for a report.
+func (r *ReleaseResult) String() string {
+	return fmt.Sprintf("%s\n  %d releases, %d done, %d back; %d starts, %d of them as the same version",
+		&r.DrainResult, r.Releases, r.Done, r.RolledBack, r.Starts, r.RepeatedStarts)
 }
 
-// startLog follows what supervisors say.
+// startLog counts the starts that supervisors log. Its methods may be called by several goroutines at once.
 type startLog struct {
 	mu             sync.Mutex
-	requestedFrom  map[int]string // the version that ended as it asked, by node
+	requestedFrom  map[int]string // the version that ended to be started anew, by node
 	count          int
 	repeated       int
 	firstViolation string
 }
 
-func (s *startLog) line(node int, text string) {
-	_, version, ok := strings.Cut(text, "msg=started version=")
-	asked := strings.Contains(text, `msg="restarting on request"`)
-	if !ok && !asked {
+// line reads a line that a node has logged.
+func (l *startLog) line(node int, text string) {
+	_, fields, started := strings.Cut(text, "msg=started version=")
+	requested := strings.Contains(text, `msg="restarting on request"`)
+	if !started && !requested {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if asked {
-		_, s.requestedFrom[node], _ = strings.Cut(text, "from=")
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if requested {
+		_, l.requestedFrom[node], _ = strings.Cut(text, "from=")
 		return
 	}
-	version, _, _ = strings.Cut(version, " ")
-	if s.count++; s.requestedFrom[node] == version {
-		if s.repeated++; s.firstViolation == "" {
-			s.firstViolation = fmt.Sprintf("n%d was asked to start anew as %s, which ran", node, version)
+	version, _, _ := strings.Cut(fields, " ")
+	l.started(node, version)
+}
+
+// started must be called with mu held.
+func (l *startLog) started(node int, version string) {
+	l.count++
+	if l.requestedFrom[node] == version {
+		l.repeated++
+		if l.firstViolation == "" {
+			l.firstViolation = fmt.Sprintf("n%d was asked to start anew as %s, which ran", node, version)
 		}
 	}
-	delete(s.requestedFrom, node)
+	delete(l.requestedFrom, node)
+}
+
+// addTo adds the counts to a result.
+func (l *startLog) addTo(result *ReleaseResult) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	result.Starts = l.count
+	result.RepeatedStarts = l.repeated
+	if result.FirstViolation == "" {
+		result.FirstViolation = l.firstViolation
+	}
 }
 
-// Sections of a configuration that can be used, and of one that cannot.
+// Sections of a configuration that gateways accept, and of one that they reject.
 const (
 	validConfig   = "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
 	invalidConfig = "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n"
 )
 
-// PlayReleases plays one schedule: releases of versions, good ones and one that crashes, and of configurations, begun, halted, resumed
-// and taken back at any gateway, drains by hand in between, while processes are killed, frozen and cut off; the observer of drains looks on.
-func PlayReleases(ctx context.Context, seed uint64, opt DrainOptions) (v ReleaseResult) {
-	v.Seed = seed
-	fail := func(err error) ReleaseResult { v.Err = err; return v }
-	dir, err := os.MkdirTemp(opt.Dir, fmt.Sprintf("releases-%d-", seed))
+// Versions of the program in a schedule of releases.
+const (
+	firstVersion    = "v1"
+	secondVersion   = "v2"
+	crashingVersion = "crash"
+	crashingProgram = "#!/bin/sh\nexit 3\n"
+)
+
+const (
+	releaseSteps    = drainSteps + 4
+	releaseSoak     = 200 * time.Millisecond
+	maxReleasePause = 1500 // ms
+	// quorumLossLeases is for how many leases the quorum is lost: longer than a new version waits for a confirmation.
+	quorumLossLeases = 5
+)
+
+// releaseRun is a schedule of releases that is being played.
+type releaseRun struct {
+	site    *Site
+	options DrainOptions
+	random  *rand.Rand
+	result  *ReleaseResult
+
+	openDrains []string // ids
+	version    string   // of the last release that did not crash
+}
+
+// PlayReleases plays the schedule of a seed with five supervised gateways under load: releases of versions, one of which crashes, and of
+// configurations are begun, halted, resumed and rolled back at random gateways, which are drained by hand too, while processes are
+// killed, frozen and isolated. An observer counts unavailable gateways. It blocks until all processes have ended.
+func PlayReleases(ctx context.Context, seed uint64, options DrainOptions) (result ReleaseResult) {
+	result.Seed = seed
+	dir, err := os.MkdirTemp(options.Dir, fmt.Sprintf("releases-%d-", seed))
 	if err != nil {
-		return fail(err)
+		result.Err = err
+		return result
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	crash := filepath.Join(dir, "crash")
-	if err := os.WriteFile(crash, []byte("#!/bin/sh\nexit 3\n"), 0o700); err != nil {
-		return fail(err)
+	starts := &startLog{requestedFrom: map[int]string{}}
+	site, err := newReleaseSite(ctx, dir, seed, options, starts)
+	if err != nil {
+		result.Err = err
+		return result
+	}
+	defer site.Close()
+	load := site.StartLoad(scheduleLoad)
+	defer load.Stop()
+	// The observer writes into the result until it is stopped.
+	stopObserver := site.Watch(&result.DrainResult, drainBudget)
+	defer stopObserver()
+	run := &releaseRun{
+		site:    site,
+		options: options,
+		random:  rand.New(rand.NewPCG(seed, releaseStream)),
+		result:  &result,
+		version: firstVersion,
 	}
-	budgets := fmt.Sprintf("[{name: g, most: %d}]", drainBudget)
-	if opt.IgnoreBudget {
-		budgets = "[{name: g, most: 99}]"
+	if err := run.play(ctx); err != nil {
+		result.Err = err
+		return result
 	}
-	seen := &startLog{requestedFrom: map[int]string{}}
-	s, err := NewSite(ctx, SiteOptions{Binary: opt.Binary, Dir: dir, Gateways: drainGateways, Lease: opt.Lease, Budgets: budgets, Seed: seed, OnLogLine: seen.line,
-		Version: "v1", Versions: map[string]string{"v1": opt.Binary, "v2": opt.Binary, "crash": crash}})
+	list, err := run.recover(ctx)
 	if err != nil {
-		return fail(err)
+		result.Err = err
+		return result
 	}
-	defer s.Close()
-	rng := rand.New(rand.NewPCG(seed, 0x4e1e))
-	load := s.StartLoad(20)
-	defer load.Stop()
-	stop := s.Watch(&v.DrainResult, drainBudget)
-	defer func() { stop() }()
-	var open []string
-	version := "v1"
-	do := func(n *Node, c quorum.Command) bool { return n.Up() && n.SendRelease(c) == nil }
-	for step := range cmp.Or(opt.Steps, drainSteps+4) {
-		n := s.Nodes[rng.IntN(drainGateways)]
-		victim := n // of a fault; half of all hit who runs the release
-		if rng.IntN(2) == 0 {
-			if l := s.Leader(); l != nil {
-				victim = l
-			}
-		}
-		id := fmt.Sprint(seed, "-", step)
-		p := &release.Plan{ID: id, Soak: 200 * time.Millisecond, RollBackOnFailure: rng.IntN(2) == 0, Grace: time.Second, Notice: 250 * time.Millisecond,
-			Gate: release.Gate{MinRequests: 5, MaxMeanRatio: 50, MaxTailRatio: 50, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
-		switch k := rng.IntN(15); {
-		case k < 4:
-			p.OfProgram, p.Target = true, map[string]string{"v1": "v2", "v2": "v1"}[version]
-			if rng.IntN(4) == 0 {
-				p.Target = "crash"
-			}
-			if do(n, quorum.Command{Op: quorum.OpStartRelease, Plan: p}) {
-				v.Releases++
-				if p.Target != "crash" {
-					version = p.Target
-				}
-			}
-		case k == 4:
-			text := []string{validConfig, invalidConfig}[rng.IntN(2)]
-			p.Target = fleet.ConfigDigest([]byte(text))
-			if do(n, quorum.Command{Op: quorum.OpStoreConfig, Digest: p.Target, Text: text}) && do(n, quorum.Command{Op: quorum.OpStartRelease, Plan: p}) {
-				v.Releases++
-			}
-		case k < 7 && rng.IntN(2) == 0:
-			do(n, quorum.Command{Op: []quorum.Op{quorum.OpHaltRelease, quorum.OpRollbackRelease}[k-5], Text: "by hand"})
-		case k == 7:
-			do(n, quorum.Command{Op: quorum.OpResumeRelease})
-		case k == 8 && n.Up():
-			o, err := n.SendDrain("drain", drain.Request{ID: id, Target: drain.Target{Gateway: s.Nodes[rng.IntN(drainGateways)].Name}, Grace: time.Second, Notice: 250 * time.Millisecond})
-			if v.Requested++; err == nil && o.State != drain.Rejected {
-				open = append(open, id)
-			}
-		case k == 9 && len(open) > 0 && n.Up():
-			if _, err := n.SendDrain("undrain", drain.Request{ID: open[0]}); err == nil {
-				open = open[1:]
-			}
-		case k == 10:
-			victim.Kill()
-			_ = sleep(ctx, opt.Lease/2)
-			if err := victim.Start(); err != nil {
-				return fail(err)
-			}
-		case k == 11 && victim.Up():
-			victim.Freeze()
-			_ = sleep(ctx, opt.Lease)
-			victim.Thaw()
-		case k == 12:
-			s.Isolate(victim, LinkState{Partitioned: true})
-			_ = sleep(ctx, opt.Lease)
-			s.Heal()
-		case k == 13: // no quorum for longer than a version on trial waits for a word
-			for _, v := range s.Nodes[:2] {
-				v.Kill()
-			}
-			_ = sleep(ctx, 5*opt.Lease)
-			for _, v := range s.Nodes[:2] {
-				if err := v.Start(); err != nil {
-					return fail(err)
-				}
-			}
-		}
-		_ = sleep(ctx, time.Duration(rng.IntN(1500))*time.Millisecond)
-	}
-	// All comes to an end: orders are taken back by hand, the release too, and every gateway runs as it is to.
-	// Also those that were agreed on though the asker was told nothing.
-	if err := Await(ctx, "orders to be cancelled", recoveryTimeout, func() bool {
-		m, err := s.Nodes[0].DrainRequests()
-		for id, o := range m {
-			if strings.HasPrefix(id, fmt.Sprint(seed, "-")) && o.State != drain.Ended && o.State != drain.Rejected && o.State != drain.Cancelled {
-				_, e := s.Nodes[0].SendDrain("undrain", drain.Request{ID: id})
-				err = errors.Join(err, e)
-			}
-		}
-		return err == nil
-	}); err != nil {
-		return fail(err)
-	}
-	var l quorum.ReleaseList
-	what := ""
-	err = Await(ctx, "the releases to end", 2*recoveryTimeout, func() bool {
-		l = quorum.ReleaseList{}
-		if err := s.Nodes[1].Get("/fleet/releases", &l); err != nil || !l.Fresh {
-			what = fmt.Sprint("no word of them: ", err)
-			return false
+	result.addEnded(list.Ended)
+	result.addGranted(site.Nodes[1])
+	stopObserver()
+	result.addLoad(load)
+	starts.addTo(&result)
+	return result
+}
+
+func newReleaseSite(ctx context.Context, dir string, seed uint64, options DrainOptions, starts *startLog) (*Site, error) {
+	crashing := filepath.Join(dir, crashingVersion)
+	if err := os.WriteFile(crashing, []byte(crashingProgram), 0o700); err != nil {
+		return nil, err
+	}
+	budget := drainBudget
+	if options.IgnoreBudget {
+		budget = unlimitedBudget
+	}
+	return NewSite(ctx, SiteOptions{
+		Binary:    options.Binary,
+		Dir:       dir,
+		Gateways:  drainGateways,
+		Lease:     options.Lease,
+		Budgets:   fmt.Sprintf("[{name: g, most: %d}]", budget),
+		Seed:      seed,
+		OnLogLine: starts.line,
+		Version:   firstVersion,
+		Versions:  map[string]string{firstVersion: options.Binary, secondVersion: options.Binary, crashingVersion: crashing},
+	})
+}
+
+// play takes the steps of the schedule. It returns an error if a process does not start again.
+func (r *releaseRun) play(ctx context.Context) error {
+	for step := range cmp.Or(r.options.Steps, releaseSteps) {
+		n := r.site.Nodes[r.random.IntN(drainGateways)]
+		victim := r.drawVictim(n)
+		if err := r.step(ctx, n, victim, fmt.Sprint(r.result.Seed, "-", step)); err != nil {
+			return err
 		}
-		if l.Current != nil {
-			what = l.Current.String()
-			if l.Current.State != release.RollingBack {
-				_ = s.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpRollbackRelease, Text: "the end"})
-			}
-			return false
+		_ = sleep(ctx, time.Duration(r.random.IntN(maxReleasePause))*time.Millisecond)
+	}
+	return nil
+}
+
+// drawVictim returns whom a fault hits: half of all faults hit the leader, which runs the release.
+func (r *releaseRun) drawVictim(n *Node) *Node {
+	if r.random.IntN(2) != 0 {
+		return n
+	}
+	if leader := r.site.Leader(); leader != nil {
+		return leader
+	}
+	return n
+}
+
+// step draws what happens at the gateway n or to the victim. id is that of the release or drain request that may begin.
+func (r *releaseRun) step(ctx context.Context, n, victim *Node, id string) error {
+	plan := r.newPlan(id)
+	switch draw := r.random.IntN(15); {
+	case draw < 4:
+		r.releaseProgram(n, plan)
+	case draw == 4:
+		r.releaseConfig(n, plan)
+	case draw < 7 && r.random.IntN(2) == 0:
+		op := quorum.OpHaltRelease
+		if draw == 6 {
+			op = quorum.OpRollbackRelease
 		}
-		for _, g := range l.Gateways {
-			if to := l.DesiredVersions[g.Name]; !g.Responding || g.Config != l.DesiredConfigs[g.Name] || to != "" && g.Version != to {
-				what = fmt.Sprintf("%s here %v has %q, is to have %q, runs as %q, is to run as %q %s", g.Name, g.Responding, g.Config, l.DesiredConfigs[g.Name], g.Version, to, g.VersionRejected)
-				return false
-			}
+		sendRelease(n, quorum.Command{Op: op, Text: "by hand"})
+	case draw == 7:
+		sendRelease(n, quorum.Command{Op: quorum.OpResumeRelease})
+	case draw == 8 && n.Up():
+		r.drain(n, id)
+	case draw == 9 && len(r.openDrains) > 0 && n.Up():
+		r.undrain(n)
+	case draw == 10:
+		return restartAfter(ctx, victim, r.options.Lease/2)
+	case draw == 11 && victim.Up():
+		freezeFor(ctx, victim, r.options.Lease)
+	case draw == 12:
+		isolateFor(ctx, r.site.Cluster, victim, r.options.Lease)
+	case draw == 13:
+		return r.loseQuorum(ctx)
+	}
+	return nil
+}
+
+// newPlan draws whether a release rolls itself back when it fails.
+func (r *releaseRun) newPlan(id string) *release.Plan {
+	return &release.Plan{
+		ID:                id,
+		Soak:              releaseSoak,
+		RollBackOnFailure: r.random.IntN(2) == 0,
+		Grace:             drainGrace,
+		Notice:            drainNotice,
+		Gate:              release.Gate{MinRequests: 5, MaxMeanRatio: 50, MaxTailRatio: 50, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9},
+	}
+}
+
+// sendRelease sends a command to a gateway that is up, and reports whether it was accepted.
+func sendRelease(n *Node, command quorum.Command) bool {
+	return n.Up() && n.SendRelease(command) == nil
+}
+
+// releaseProgram begins the release of the other version, or of the one that crashes.
+func (r *releaseRun) releaseProgram(n *Node, plan *release.Plan) {
+	plan.OfProgram = true
+	plan.Target = firstVersion
+	if r.version == firstVersion {
+		plan.Target = secondVersion
+	}
+	if r.random.IntN(4) == 0 {
+		plan.Target = crashingVersion
+	}
+	if !sendRelease(n, quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) {
+		return
+	}
+	r.result.Releases++
+	if plan.Target != crashingVersion {
+		r.version = plan.Target
+	}
+}
+
+// releaseConfig begins the release of a configuration, which may be invalid.
+func (r *releaseRun) releaseConfig(n *Node, plan *release.Plan) {
+	text := []string{validConfig, invalidConfig}[r.random.IntN(2)]
+	plan.Target = fleet.ConfigDigest([]byte(text))
+	if !sendRelease(n, quorum.Command{Op: quorum.OpStoreConfig, Digest: plan.Target, Text: text}) {
+		return
+	}
+	if sendRelease(n, quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) {
+		r.result.Releases++
+	}
+}
+
+func (r *releaseRun) drain(n *Node, id string) {
+	target := drain.Target{Gateway: r.site.Nodes[r.random.IntN(drainGateways)].Name}
+	request, err := n.SendDrain("drain", drain.Request{ID: id, Target: target, Grace: drainGrace, Notice: drainNotice})
+	r.result.Requested++
+	if err == nil && request.State != drain.Rejected {
+		r.openDrains = append(r.openDrains, id)
+	}
+}
+
+// undrain cancels the oldest open drain request.
+func (r *releaseRun) undrain(n *Node) {
+	if _, err := n.SendDrain("undrain", drain.Request{ID: r.openDrains[0]}); err == nil {
+		r.openDrains = r.openDrains[1:]
+	}
+}
+
+// loseQuorum kills two of three voters for a while.
+func (r *releaseRun) loseQuorum(ctx context.Context) error {
+	majority := r.site.Nodes[:2]
+	for _, voter := range majority {
+		voter.Kill()
+	}
+	_ = sleep(ctx, quorumLossLeases*r.options.Lease)
+	for _, voter := range majority {
+		if err := voter.Start(); err != nil {
+			return err
 		}
-		return len(l.Gateways) == drainGateways
-	})
-	if err == nil {
-		err = Await(ctx, "every gateway to be back", recoveryTimeout, func() bool {
-			for _, n := range s.Nodes {
-				if !n.Ready() {
-					what = n.Name + " is not ready"
-					return false
-				}
-			}
-			return true
-		})
 	}
+	return nil
+}
+
+// recover cancels all drain requests, rolls back a current release, and waits until every gateway runs what it should.
+func (r *releaseRun) recover(ctx context.Context) (quorum.ReleaseList, error) {
+	if err := Await(ctx, "orders to be cancelled", recoveryTimeout, r.cancelDrains); err != nil {
+		return quorum.ReleaseList{}, err
+	}
+	var list quorum.ReleaseList
+	obstacle := ""
+	err := Await(ctx, "the releases to end", 2*recoveryTimeout, func() bool {
+		list, obstacle = r.releasesEnded()
+		return obstacle == ""
+	})
 	if err != nil {
-		return fail(fmt.Errorf("%w: %s", err, what))
+		return list, fmt.Errorf("%w: %s", err, obstacle)
 	}
-	for _, r := range l.Ended {
-		switch r.State {
-		case release.Done:
-			v.Done++
-		case release.RolledBack:
-			v.RolledBack++
+	return list, r.site.awaitReady(ctx)
+}
+
+// cancelDrains cancels all drain requests of the schedule, also those whose requester got no answer, and reports whether none
+// is left.
+func (r *releaseRun) cancelDrains() bool {
+	n := r.site.Nodes[0]
+	requests, err := n.DrainRequests()
+	prefix := fmt.Sprint(r.result.Seed, "-")
+	for id, request := range requests {
+		if !strings.HasPrefix(id, prefix) || drainOver(request.State) {
+			continue
+		}
+		_, cancelErr := n.SendDrain("undrain", drain.Request{ID: id})
+		err = errors.Join(err, cancelErr)
+	}
+	return err == nil
+}
+
+func drainOver(state drain.State) bool {
+	return state == drain.Ended || state == drain.Rejected || state == drain.Cancelled
+}
+
+// releasesEnded returns the releases and why they have not ended: empty if there is no current one and every gateway runs what it
+// should. It rolls a current release back.
+func (r *releaseRun) releasesEnded() (list quorum.ReleaseList, obstacle string) {
+	n := r.site.Nodes[1]
+	list, err := n.Releases()
+	if err != nil || !list.Fresh {
+		return list, fmt.Sprint("no list of releases: ", err)
+	}
+	if list.Current != nil {
+		if list.Current.State != release.RollingBack {
+			_ = n.SendRelease(quorum.Command{Op: quorum.OpRollbackRelease, Text: "the end"})
 		}
+		return list, list.Current.String()
 	}
-	if m, err := s.Nodes[1].DrainRequests(); err == nil {
-		for _, o := range m {
-			if o.Token > 0 {
-				v.Granted++
-			}
+	for _, gateway := range list.Gateways {
+		config, version := list.DesiredConfigs[gateway.Name], list.DesiredVersions[gateway.Name]
+		rightVersion := version == "" || gateway.Version == version
+		if !gateway.Responding || gateway.Config != config || !rightVersion {
+			return list, fmt.Sprintf("%s responds %v, has %q, should have %q, runs %q, should run %q %s",
+				gateway.Name, gateway.Responding, gateway.Config, config, gateway.Version, version, gateway.VersionRejected)
 		}
 	}
-	stop()
-	if why := load.Stop(); why != "" && v.FirstViolation == "" {
-		v.FirstViolation = why
+	if len(list.Gateways) != drainGateways {
+		return list, fmt.Sprintf("%d gateways are known", len(list.Gateways))
 	}
-	v.Requests, v.Failed = load.Requests.Load(), load.Failed.Load()
-	seen.mu.Lock()
-	defer seen.mu.Unlock()
-	if v.Starts, v.RepeatedStarts = seen.count, seen.repeated; v.FirstViolation == "" {
-		v.FirstViolation = seen.firstViolation
+	return list, ""
+}
+
+// addEnded counts how releases ended.
+func (r *ReleaseResult) addEnded(ended []release.Release) {
+	for _, e := range ended {
+		switch e.State {
+		case release.Done:
+			r.Done++
+		case release.RolledBack:
+			r.RolledBack++
+		}
 	}
-	return v
 }
 
-// RunReleaseSchedules plays schedules, so many at once, and tells of each as it ends.
-func RunReleaseSchedules(ctx context.Context, seeds []uint64, at int, opt DrainOptions, each func(ReleaseResult)) {
-	runSeeds(ctx, seeds, at, func(seed uint64) ReleaseResult { return PlayReleases(ctx, seed, opt) }, each)
+// RunReleaseSchedules plays the schedules of seeds, at most parallel at once. It calls report like RunSchedules.
+func RunReleaseSchedules(ctx context.Context, seeds []uint64, parallel int, options DrainOptions, report func(ReleaseResult)) {
+	runSeeds(ctx, seeds, parallel, func(seed uint64) ReleaseResult { return PlayReleases(ctx, seed, options) }, report)
 }
--- a/internal/testbed/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -3,104 +3,156 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"net/http"
 	"os"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"robindrum/internal/testbed/controlplane"
 	"robindrum/internal/testbed/origin"
 )
 
-// Site is gateways of one site, before the same servers and under the same control plane.
+// Site is a cluster of gateways before the same origins and under the same control plane.
 type Site struct {
 	*Cluster
 	ControlPlane *controlplane.Server
 	Origins      []*origin.Origin
-	dir          string
-	version      int
-	zones        []string // of the servers in turn
+
+	dir     string
+	version int      // that the control plane serves
+	zones   []string // of the origins, in turn
 }
 
-// SiteOptions are what a Site is made of.
+// SiteOptions configure a Site.
 type SiteOptions struct {
-	Binary, Dir        string
-	Gateways           int
-	SharedSubscription bool   // one subscription for all
-	Variant            string // of xDS; empty: the program's default
-	Lease              time.Duration
+	Binary string
+	// Dir is where temporary directories are created.
+	Dir string
+	// Versions has the gateways run under supervisors, with these programs by label. They run Version first.
+	Versions map[string]string
+	Version  string
+
+	Gateways int
+	// Sites are those of the gateways, in turn; nil: one.
+	Sites []string
+	// Zones are those of the gateways, and of the origins, in turn; nil: none.
+	Zones []string
+
+	// SharedSubscription has one gateway subscribe for all; DirectAfter is after which time without it the others subscribe
+	// themselves, Heartbeat that of the subscription's leader.
+	SharedSubscription bool
 	DirectAfter        time.Duration
-	Heartbeat          time.Duration // of the holder of the subscription
-	Seed               uint64
-	Posts              map[string]*ExternalService
-	Sites              []string // of the gateways in turn; nil: one
-	Budgets            string   // of the file; empty: what is taken without
-	Zones              []string // of the gateways, and of the servers, in turn; nil: none
-	ExtraConfig        string   // more sections of every gateway's file
-	Versions           map[string]string
-	Version            string
-	OnLogLine          func(node int, line string) // of the logs; nil: nobody looks
+	Heartbeat          time.Duration
+	// Variant of xDS; empty: state of the world.
+	Variant string
+
+	Lease time.Duration
+	// Posts are leader-only tasks by name, each of which posts to an external service.
+	Posts map[string]*ExternalService
+	// Budgets is the section of the fleet's configuration; empty: none.
+	Budgets string
+	// ExtraConfig is more lines of every gateway's configuration.
+	ExtraConfig string
+	// Seed of the links' random numbers.
+	Seed uint64
+	// OnLogLine is called with each line that a node logs, by a goroutine a node; nil: lines are dropped.
+	OnLogLine func(node int, line string)
 }
 
-// NewSite starts one, and waits until every gateway is ready.
-func NewSite(ctx context.Context, o SiteOptions) (*Site, error) {
-	s := &Site{zones: o.Zones}
-	var err error
-	if s.dir, err = os.MkdirTemp(o.Dir, "site-"); err != nil {
-		return nil, err
-	}
-	fail := func(err error) (*Site, error) {
+// siteOrigins is how many origins a site has.
+const siteOrigins = 3
+
+// NewSite starts a site and waits until every gateway uses all origins. It returns an error if one does not in time. Close must be
+// called if there is no error.
+func NewSite(ctx context.Context, options SiteOptions) (*Site, error) {
+	s := &Site{zones: options.Zones}
+	if err := s.start(options); err != nil {
 		s.Close()
 		return nil, err
 	}
+	return s, s.AwaitVersion(ctx, recoveryTimeout)
+}
+
+func (s *Site) start(options SiteOptions) error {
+	var err error
+	if s.dir, err = os.MkdirTemp(options.Dir, "site-"); err != nil {
+		return err
+	}
+	if err := s.startServers(); err != nil {
+		return err
+	}
+	if s.Cluster, err = New(s.clusterOptions(options)); err != nil {
+		return err
+	}
+	return s.Start()
+}
+
+// startServers starts the control plane and the origins that it serves.
+func (s *Site) startServers() error {
+	var err error
 	if s.ControlPlane, err = controlplane.Start(""); err != nil {
-		return fail(err)
+		return err
 	}
-	for range 3 {
-		org, err := origin.Start("", nil)
+	var all []int
+	for i := range siteOrigins {
+		o, err := origin.Start("", nil)
 		if err != nil {
-			return fail(err)
+			return err
 		}
-		s.Origins = append(s.Origins, org)
+		s.Origins = append(s.Origins, o)
+		all = append(all, i)
 	}
-	if _, err := s.Push(0, 1, 2); err != nil {
-		return fail(err)
+	_, err = s.Push(all...)
+	return err
+}
+
+func (s *Site) clusterOptions(options SiteOptions) Options {
+	sites := options.Sites
+	if len(sites) == 0 {
+		sites = []string{"s"}
+	}
+	fleetConfig := options.fleetConfig()
+	return Options{
+		Binary:           options.Binary,
+		Dir:              s.dir,
+		Versions:         options.Versions,
+		Version:          options.Version,
+		Nodes:            options.Gateways,
+		Sites:            sites,
+		Lease:            options.Lease,
+		Heartbeat:        options.Lease / heartbeatsPerLease,
+		Posts:            options.Posts,
+		XDS:              &ExternalService{Name: "plane", Address: s.ControlPlane.Addr},
+		Variant:          options.Variant,
+		ExtraFleetConfig: func(int) string { return fleetConfig },
+		ExtraConfig:      options.gatewayConfig,
+		Seed:             options.Seed,
+		OnLogLine:        options.OnLogLine,
 	}
-	fleet := ""
+}
+
+// fleetConfig returns more lines of the block `fleet:`.
+func (o *SiteOptions) fleetConfig() string {
+	var b strings.Builder
 	if o.SharedSubscription {
-		fleet = fmt.Sprintf("  subscription: {own_after: %v, spread: %v, heartbeat: %v}\n", o.DirectAfter, o.DirectAfter, o.Heartbeat)
+		fmt.Fprintf(&b, "  subscription: {own_after: %v, spread: %v, heartbeat: %v}\n", o.DirectAfter, o.DirectAfter, o.Heartbeat)
 	}
 	if o.Budgets != "" {
-		fleet += "  budgets: " + o.Budgets + "\n"
-	}
-	sites := o.Sites
-	if len(sites) == 0 {
-		sites = []string{"s"}
+		fmt.Fprintf(&b, "  budgets: %s\n", o.Budgets)
 	}
-	plane := &ExternalService{Name: "plane", Address: s.ControlPlane.Addr}
-	if s.Cluster, err = New(Options{Binary: o.Binary, Dir: s.dir, Nodes: o.Gateways, Sites: sites, Lease: o.Lease, Heartbeat: o.Lease / 6, XDS: plane, Variant: o.Variant, Seed: o.Seed, Posts: o.Posts,
-		Versions: o.Versions, Version: o.Version, OnLogLine: o.OnLogLine,
-		ExtraFleetConfig: func(int) string { return fleet },
-		ExtraConfig: func(i int) string {
-			text := "clusters: []\nroutes: [{match: {prefix: /}, cluster: c}]\n" + o.ExtraConfig
-			if len(o.Zones) > 0 {
-				text += "zone: " + o.Zones[i%len(o.Zones)] + "\n"
-			}
-			return text
-		}}); err != nil {
-		return fail(err)
-	}
-	if err := s.Start(); err != nil {
-		return fail(err)
+	return b.String()
+}
+
+// gatewayConfig returns a gateway's sections of clusters and routes, and more lines.
+func (o *SiteOptions) gatewayConfig(node int) string {
+	text := "clusters: []\nroutes: [{match: {prefix: /}, cluster: c}]\n" + o.ExtraConfig
+	if len(o.Zones) > 0 {
+		text += "zone: " + o.Zones[node%len(o.Zones)] + "\n"
 	}
-	return s, s.AwaitVersion(ctx, recoveryTimeout)
+	return text
 }
 
-// Close ends it.
+// Close ends all processes, the control plane and the origins, and removes the directory.
 func (s *Site) Close() {
 	if s.Cluster != nil {
 		s.Cluster.Close()
@@ -114,33 +166,37 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// Push has the control plane name these servers under a new version.
+// Push has the control plane serve these origins, by index, under a new version. It returns when it did.
 func (s *Site) Push(origins ...int) (time.Time, error) {
 	s.version++
-	var l []controlplane.Endpoint
+	var endpoints []controlplane.Endpoint
 	for _, i := range origins {
-		e := controlplane.Endpoint{Addr: s.Origins[i].Addr}
+		endpoint := controlplane.Endpoint{Addr: s.Origins[i].Addr}
 		if len(s.zones) > 0 {
-			e.Zone = s.zones[i%len(s.zones)]
+			endpoint.Zone = s.zones[i%len(s.zones)]
 		}
-		l = append(l, e)
+		endpoints = append(endpoints, endpoint)
 	}
-	return s.ControlPlane.Push(strconv.Itoa(s.version), false, controlplane.Resource{Name: "c", Body: controlplane.Cluster("c", "")},
-		controlplane.Resource{Name: "c", Body: controlplane.Assignment("c", l...)})
+	return s.ControlPlane.Push(strconv.Itoa(s.version), false,
+		controlplane.Resource{Name: "c", Body: controlplane.Cluster("c", "")},
+		controlplane.Resource{Name: "c", Body: controlplane.Assignment("c", endpoints...)})
 }
 
-// usesVersion tells whether a gateway that is up uses the newest version.
+// usesVersion reports whether a gateway uses the version that was pushed last. One that is not up counts as doing so.
 func (s *Site) usesVersion(n *Node) bool {
 	if !n.Up() {
 		return true
 	}
-	st, err := n.Status()
-	return err == nil && st.Ready && len(st.Clusters) == 1 && st.Clusters[0].Version == strconv.Itoa(s.version)
+	status, err := n.Status()
+	if err != nil || !status.Ready || len(status.Clusters) != 1 {
+		return false
+	}
+	return status.Clusters[0].Version == strconv.Itoa(s.version)
 }
 
-// AwaitVersion waits until every gateway that is up uses the newest version.
-func (s *Site) AwaitVersion(ctx context.Context, within time.Duration) error {
-	return Await(ctx, "version "+strconv.Itoa(s.version)+" at every gateway", within, func() bool {
+// AwaitVersion waits until every gateway that is up uses the version that was pushed last.
+func (s *Site) AwaitVersion(ctx context.Context, timeout time.Duration) error {
+	return Await(ctx, "version "+strconv.Itoa(s.version)+" at every gateway", timeout, func() bool {
 		for _, n := range s.Nodes {
 			if !s.usesVersion(n) {
 				return false
@@ -150,148 +206,23 @@
 	})
 }
 
-// SubscriptionLeader is who holds the subscription; nil: nobody.
-func (s *Site) SubscriptionLeader() *Node { return s.Cluster.TaskLeader("xds/s") }
-
-// Load asks every gateway for something, again and again.
-type Load struct {
-	Requests, Failed atomic.Int64
-	OnResponse       func(took time.Duration, ok bool) // nil: nobody looks; called by many goroutines
-	mu               sync.Mutex
-	firstFailure     string // of what failed
-	cancel           context.CancelFunc
-	goroutines       sync.WaitGroup
-}
-
-// StartLoad asks each gateway so often a second, until Stop.
-func (s *Site) StartLoad(rate int) *Load { return s.StartObservedLoad(rate, nil) }
-
-// StartObservedLoad is Load that tells of each answer.
-func (s *Site) StartObservedLoad(rate int, answered func(took time.Duration, ok bool)) *Load {
-	ctx, cancel := context.WithCancel(context.Background())
-	l := &Load{cancel: cancel, OnResponse: answered}
-	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4, MaxIdleConns: 1024}}
-	for _, n := range s.Nodes {
-		var ready atomic.Int64 // in which epoch it was ready; 0: it is not
-		ready.Store(int64(n.Epoch()))
-		l.goroutines.Go(func() { // as whoever stands before the gateways looks at them
-			tick := time.NewTicker(50 * time.Millisecond)
-			defer tick.Stop()
-			for {
-				select {
-				case <-ctx.Done():
-					return
-				case <-tick.C:
-				}
-				if epoch := n.Epoch(); n.Ready() {
-					ready.Store(int64(epoch))
-				} else {
-					ready.Store(0)
-				}
-			}
-		})
-		l.goroutines.Go(func() {
-			tick := time.NewTicker(time.Second / time.Duration(rate))
-			defer tick.Stop()
-			for {
-				select {
-				case <-ctx.Done():
-					return
-				case <-tick.C:
-				}
-				if !n.Up() || ready.Load() != int64(n.Epoch()) { // a client cannot tell a frozen gateway from a slow one: whoever stands before it does
-					continue
-				}
-				l.request(client, n)
+// awaitReady waits until every gateway is ready.
+func (s *Site) awaitReady(ctx context.Context) error {
+	notReady := ""
+	err := Await(ctx, "every gateway to be back", recoveryTimeout, func() bool {
+		for _, n := range s.Nodes {
+			if !n.Ready() {
+				notReady = n.Name
+				return false
 			}
-		})
-	}
-	go func() {
-		l.goroutines.Wait()
-		client.CloseIdleConnections()
-	}()
-	return l
-}
-
-func (l *Load) request(client *http.Client, n *Node) {
-	l.Requests.Add(1)
-	start, epoch, began := n.Starts(), n.Epoch(), time.Now()
-	why := ""
-	resp, err := client.Get("http://" + n.Web + "/")
-	if err == nil {
-		_, err = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		// A freeze may be longer than a notice: what came before it is refused behind it, and is answered then.
-		if resp.StatusCode != http.StatusOK && (resp.StatusCode != http.StatusServiceUnavailable || n.Epoch() == epoch) {
-			why = resp.Status
 		}
-	}
+		return true
+	})
 	if err != nil {
-		why = err.Error()
+		return fmt.Errorf("%w: %s is not ready", err, notReady)
 	}
-	if l.OnResponse != nil {
-		l.OnResponse(time.Since(began), why == "")
-	}
-	if why != "" && n.Up() && n.Starts() == start {
-		l.Failed.Add(1)
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if l.firstFailure == "" {
-			l.firstFailure = n.Name + ": " + strings.TrimSpace(why)
-		}
-	}
-}
-
-// Stop ends it, and gives what failed first.
-func (l *Load) Stop() string {
-	l.cancel()
-	l.goroutines.Wait()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.firstFailure
+	return nil
 }
 
-// ReconnectResult is what a control plane sees when it returns.
-type ReconnectResult struct {
-	Shared                     bool
-	Gateways                   int
-	Streams                    int           // opened at the return and in the time after it
-	FirstSecond                int           // of them within a second
-	Requests                   int           // discovery requests of the same time
-	Recovery                   time.Duration // from the return until every gateway uses what it returned with
-	LoadRequests, LoadFailures int64
-	FirstFailure               string
-}
-
-// MeasureReconnect has the control plane away for so long and back with a new version.
-func (s *Site) MeasureReconnect(ctx context.Context, shared bool, away time.Duration) (r ReconnectResult, err error) {
-	r = ReconnectResult{Shared: shared, Gateways: len(s.Nodes)}
-	load := s.StartLoad(20)
-	s.ControlPlane.GoAway()
-	if err := sleep(ctx, away); err != nil {
-		load.Stop()
-		return r, err
-	}
-	_, streams := s.ControlPlane.Streams()
-	requests := len(s.ControlPlane.Requests())
-	if _, err := s.Push(0, 1); err != nil {
-		load.Stop()
-		return r, err
-	}
-	if err := s.ControlPlane.Return(); err != nil {
-		load.Stop()
-		return r, err
-	}
-	began := time.Now()
-	err = s.AwaitVersion(ctx, 2*recoveryTimeout)
-	r.Recovery = time.Since(began)
-	_ = sleep(ctx, time.Second-r.Recovery)
-	_, ever := s.ControlPlane.Streams()
-	r.FirstSecond = ever - streams
-	_ = sleep(ctx, 3*time.Second-time.Since(began))
-	_, ever = s.ControlPlane.Streams()
-	r.Streams, r.Requests = ever-streams, len(s.ControlPlane.Requests())-requests
-	r.FirstFailure = load.Stop()
-	r.LoadRequests, r.LoadFailures = load.Requests.Load(), load.Failed.Load()
-	return r, err
-}
+// SubscriptionLeader returns the gateway that subscribes for all by its own account, or nil.
+func (s *Site) SubscriptionLeader() *Node { return s.TaskLeader("xds/s") }
--- a/internal/testbed/proc/proc.go
+++ b/internal/testbed/proc/proc.go
@@ -92,8 +92,8 @@
 	return append([]string(nil), p.last...)
 }
 
-// Died says how it ended by itself.
-func (p *Process) Died() error {
+// ExitError says how it ended by itself.
+func (p *Process) ExitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return fmt.Errorf("%s ended by itself: %w; its last output:\n%s", p.Name, p.err, strings.Join(p.last, "\n"))
