--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -186,7 +186,7 @@
 			if err != nil {
 				return err
 			}
-			o.Delay(4 * time.Millisecond)
+			o.SetDelay(4 * time.Millisecond)
 			p.servers = append(p.servers, &server{Origin: o, name: fmt.Sprintf("%s-%d", zone, i+1), zone: zone, health: corev3.HealthStatus_HEALTHY, listed: true})
 		}
 	}
@@ -196,11 +196,11 @@
 	} else if p.losing() {
 		conf += zoneLoss
 		for _, s := range p.servers { // 160 requests a second each, once it is warm
-			s.Delay(25 * time.Millisecond)
-			s.Limit(origin.Capacity{Workers: 4, Warm: 10 * time.Second, Share: 0.1})
+			s.SetDelay(25 * time.Millisecond)
+			s.SetCapacity(origin.Capacity{Workers: 4, WarmUp: 10 * time.Second, InitialSpeed: 0.1})
 		}
 	} else {
-		p.servers[2].Delay(80 * time.Millisecond)
+		p.servers[2].SetDelay(80 * time.Millisecond)
 	}
 	if err := p.push(); err != nil {
 		return err
@@ -223,7 +223,7 @@
 		p.g.Close()
 	}
 	if p.plane != nil {
-		p.plane.GoAway()
+		p.plane.Stop()
 	}
 	for _, s := range p.servers {
 		s.Kill()
@@ -288,7 +288,7 @@
 		{0.15, "sapporo-2 drains", func() error {
 			drain.health = corev3.HealthStatus_DRAINING
 			err := p.push()
-			drain.Drained(time.Now())
+			drain.SetDrainedAt(time.Now())
 			return err
 		}},
 		{0.3, "ishikari-2 dies, and nobody says so", func() error { die.Kill(); return nil }},
@@ -299,7 +299,7 @@
 			return err
 		}},
 		{0.5, "ishikari-2 is back, and cold: taken from the list and put on it again", func() error {
-			if err := die.Revive(); err != nil {
+			if err := die.Restart(); err != nil {
 				return err
 			}
 			die.listed = false
@@ -309,20 +309,20 @@
 			die.listed = true
 			return p.push()
 		}},
-		{0.6, "the control plane goes away", func() error { p.plane.GoAway(); return nil }},
+		{0.6, "the control plane goes away", func() error { p.plane.Stop(); return nil }},
 		{0.75, "the control plane is back, without sapporo-1 and with an older version", func() error {
 			leave.listed = false
-			p.plane.Forget()
+			p.plane.ClearAll()
 			p.version = 0
 			if err := p.push(); err != nil {
 				return err
 			}
-			if err := p.plane.Return(); err != nil {
+			if err := p.plane.Restart(); err != nil {
 				return err
 			}
 			return nil
 		}},
-		{0.85, "sapporo-1 has left the list by now", func() error { leave.Drained(time.Now()); return nil }},
+		{0.85, "sapporo-1 has left the list by now", func() error { leave.SetDrainedAt(time.Now()); return nil }},
 	}
 }
 
@@ -483,10 +483,10 @@
 
 func (p *play) summary() Summary {
 	s := Summary{Sent: p.sum.sent.Load(), Served: p.sum.served.Load(), Refused: p.sum.refused.Load(), Failed: p.sum.failed.Load(),
-		Lost: p.sum.lost.Load(), Twice: origin.Twice(p.groups...)}
+		Lost: p.sum.lost.Load(), Twice: origin.DuplicateEffects(p.groups...)}
 	for _, v := range p.servers {
-		s.AfterDrain += v.Late(time.Second)
-		s.Worst = max(s.Worst, v.Worst())
+		s.AfterDrain += v.RequestsAfterDrain(time.Second)
+		s.Worst = max(s.Worst, v.MaxColdLoad())
 	}
 	if p.overloading() {
 		s.Classes, s.RefusedAfter = p.over.sums(), p.over.refusedAfter.Load()
--- a/internal/demo/loss.go
+++ b/internal/demo/loss.go
@@ -22,7 +22,7 @@
 		}},
 		{0.4, "sapporo is back, all cold: taken from the list and put on it again", func() error {
 			for _, s := range zone {
-				if err := s.Revive(); err != nil {
+				if err := s.Restart(); err != nil {
 					return err
 				}
 				s.listed = false
--- a/internal/demo/overload.go
+++ b/internal/demo/overload.go
@@ -24,8 +24,8 @@
 // fewer leaves two servers with a capacity on the list.
 func (p *play) fewer() {
 	for i, s := range p.servers {
-		s.Delay(25 * time.Millisecond)
-		s.Limit(origin.Capacity{Workers: 4, Share: 1})
+		s.SetDelay(25 * time.Millisecond)
+		s.SetCapacity(origin.Capacity{Workers: 4, InitialSpeed: 1})
 		s.listed = i < 2
 	}
 }
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -237,7 +237,7 @@
 			DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext}})
 	}
 	source := p.e.Gateways.Source
-	p.plane.Limit(source.Places, source.Takes.D(), source.Patience.D())
+	p.plane.SetCapacity(source.Places, source.Takes.D(), source.Patience.D())
 	if p.opt.started != nil {
 		p.opt.started(p)
 	}
@@ -263,7 +263,7 @@
 		}
 	}
 	if p.plane != nil {
-		p.plane.GoAway()
+		p.plane.Stop()
 	}
 }
 
@@ -628,9 +628,9 @@
 	case "push":
 		return p.push(nil)
 	case "away":
-		p.plane.GoAway()
+		p.plane.Stop()
 	case "back":
-		return errors.Join(p.push(nil), p.plane.Return())
+		return errors.Join(p.push(nil), p.plane.Restart())
 	}
 	return nil
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -37,8 +37,8 @@
 func TestBurstsAreServedCompletely(t *testing.T) {
 	testbed.Leaks(t)
 	a, b := newOrigin(t), newOrigin(t)
-	a.Delay(5 * time.Millisecond)
-	b.Delay(5 * time.Millisecond)
+	a.SetDelay(5 * time.Millisecond)
+	b.SetDelay(5 * time.Millisecond)
 	g := run(t, configWithOrigins(t, "", a, b))
 	u := newUser(t, g)
 	var bad atomic.Int64
@@ -68,8 +68,8 @@
 func TestEndpointFailsUnderLoad(t *testing.T) {
 	testbed.Leaks(t)
 	a, b := newOrigin(t), newOrigin(t)
-	a.Delay(2 * time.Millisecond)
-	b.Delay(2 * time.Millisecond)
+	a.SetDelay(2 * time.Millisecond)
+	b.SetDelay(2 * time.Millisecond)
 	g := run(t, configWithOrigins(t, "", a, b))
 	l := startLoad(t, g, 64, "/x")
 	testbed.Eventually(t, "load", func() bool { return a.Requests() > 500 && b.Requests() > 500 })
@@ -88,7 +88,7 @@
 	testbed.Leaks(t)
 	o := newOrigin(t)
 	goOn := make(chan struct{})
-	o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
+	o.SetHandler(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 	const rest = "hedge: false, overload: {mode: fixed, limit: 2}, circuit_breakers: {max_pending_requests: 6}, "
 	classes := "classes: [{name: default-safe, wanted: 20s, deadline: 20s}]\n"
 	g := run(t, classes+configWithOrigins(t, rest, o))
@@ -163,7 +163,7 @@
 	s := newControlPlane(t)
 	o := newOrigin(t)
 	goOn := make(chan struct{})
-	o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
+	o.SetHandler(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 	c := cds("c")
 	if err := xdsPolicy(c, `{"circuit_breakers":{"thresholds":[{"max_requests":2,"max_pending_requests":1,"max_retries":7}]}}`); err != nil {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 			testbed.Leaks(t)
 			o := newOrigin(t)
 			goOn := make(chan struct{})
-			o.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
+			o.SetHandler(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 			var g *Gateway
 			if source == "file" {
 				conf := configWithOrigins(t, "circuit_breakers: {max_requests: 1, max_pending_requests: 1, high: {max_requests: 2, max_pending_requests: 1}}, ", o)
@@ -240,7 +240,7 @@
 	testbed.Leaks(t)
 	o := newOrigin(t)
 	next := make(chan struct{})
-	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
+	o.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 		switch r.URL.Path {
 		case "/head":
 			w.Header().Set("Content-Length", "59")
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -35,7 +35,7 @@
 			}
 			asked, answer := make(chan *origin.Origin, 2), make(chan struct{})
 			for _, o := range []*origin.Origin{a, b} {
-				o.Script(func(w http.ResponseWriter, r *http.Request) bool {
+				o.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 					if r.URL.Path != "/slow" {
 						return false
 					}
@@ -86,7 +86,7 @@
 			if n := other.Requests() - before; n != 0 {
 				t.Errorf("%d requests to it after its removal was taken in", n)
 			}
-			if n := other.After(at.Add(time.Second)); n != 0 {
+			if n := other.RequestsAfter(at.Add(time.Second)); n != 0 {
 				t.Errorf("%d requests later than a second after its removal", n)
 			}
 		})
@@ -99,7 +99,7 @@
 	testbed.Leaks(t)
 	s := newControlPlane(t)
 	a := newOrigin(t)
-	a.Script(func(w http.ResponseWriter, _ *http.Request) bool {
+	a.SetHandler(func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	})
@@ -159,7 +159,7 @@
 			testbed.Eventually(t, "load", func() bool { return l.ok.Load() > 1000 && time.Since(began) > 1500*time.Millisecond })
 			at := push(t, s, "2", false, static(b))
 			testbed.Eventually(t, "the other one", func() bool { return b.Requests() > 100 })
-			if n := a.After(at.Add(time.Second)); n != 0 {
+			if n := a.RequestsAfter(at.Add(time.Second)); n != 0 {
 				t.Errorf("%d requests to the removed one", n)
 			}
 			push(t, s, "3", false, static())
@@ -204,7 +204,7 @@
 	}
 	t.Cleanup(g.Close)
 	hold := make(chan struct{})
-	o.Script(func(http.ResponseWriter, *http.Request) bool { <-hold; return false })
+	o.SetHandler(func(http.ResponseWriter, *http.Request) bool { <-hold; return false })
 	u, results := newUser(t, g), make(chan reply, 4)
 	for range 4 { // all of the part is in use when its core is replaced
 		go func() {
--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -18,7 +18,7 @@
 func TestCapture(t *testing.T) {
 	testbed.Leaks(t)
 	o := newOrigin(t)
-	o.Script(func(w http.ResponseWriter, r *http.Request) bool {
+	o.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 		if r.URL.Path == "/bad" {
 			w.WriteHeader(http.StatusInternalServerError)
 			return true
--- a/internal/gateway/controlplane_test.go
+++ b/internal/gateway/controlplane_test.go
@@ -38,10 +38,10 @@
 				testbed.Eventually(t, what, func() bool { return g.usable("c") == usable })
 				n := l.ok.Load()
 				testbed.Eventually(t, "more load", func() bool { return l.ok.Load() > n+300 })
-				if late := o.After(at.Add(time.Second)); late != 0 {
+				if late := o.RequestsAfter(at.Add(time.Second)); late != 0 {
 					t.Errorf("%s: %d requests later than 1 s after it was told", what, late)
 				}
-				if d := o.Last().Sub(at); d > time.Second {
+				if d := o.LastRequest().Sub(at); d > time.Second {
 					t.Errorf("%s: the last request %v after it was told", what, d)
 				}
 			}
@@ -65,7 +65,7 @@
 			n := l.no.Load()
 			testbed.Eventually(t, "refusals", func() bool { return l.no.Load() > n+100 })
 			for _, o := range []*origin.Origin{a, b, c} {
-				if late := o.After(at.Add(time.Second)); late != 0 {
+				if late := o.RequestsAfter(at.Add(time.Second)); late != 0 {
 					t.Errorf("%d requests to one that was removed", late)
 				}
 			}
@@ -95,7 +95,7 @@
 	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
 	l := startLoad(t, g, 4, "/x")
-	s.GoAway()
+	s.Stop()
 	testbed.Eventually(t, "the loss to show", func() bool { src := g.Status(0).Sources[0]; return src.Connected == "" && src.Error != "" })
 	n := l.ok.Load()
 	testbed.Eventually(t, "service without it", func() bool { return l.ok.Load() > n+200 })
@@ -104,9 +104,9 @@
 	if !g.Ready() || g.usable("c") != 2 {
 		t.Error("the list is gone with the control plane")
 	}
-	s.Forget()
+	s.ClearAll()
 	push(t, s, "3", false, cds("c"), eds("c", b), rds("r", [2]string{"/", "c"}))
-	if err := s.Return(); err != nil {
+	if err := s.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	testbed.Eventually(t, "the smaller list", func() bool { return g.usable("c") == 1 })
@@ -188,7 +188,7 @@
 	if d := time.Since(at); d > time.Second+500*time.Millisecond {
 		t.Errorf("refused after %v", d)
 	}
-	if a.After(at.Add(time.Second)) != 0 {
+	if a.RequestsAfter(at.Add(time.Second)) != 0 {
 		t.Error("requests reach a cluster that is withdrawn")
 	}
 	if r := u.get(t, "/d"); r.status != 200 {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -70,7 +70,7 @@
 func TestResponsesAreForwarded(t *testing.T) {
 	testbed.Leaks(t)
 	a := newOrigin(t)
-	a.Script(func(w http.ResponseWriter, r *http.Request) bool {
+	a.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 		w.Header().Set("X-Seen", r.Header.Get("X-Sent"))
 		switch r.URL.Path {
 		case "/204":
@@ -132,7 +132,7 @@
 		}
 		t.Cleanup(o.Kill)
 		l = append(l, fmt.Sprintf("{address: %q}", o.Addr))
-		o.Script(func(w http.ResponseWriter, r *http.Request) bool {
+		o.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 			if first.Swap(true) {
 				return false
 			}
@@ -258,7 +258,7 @@
 	testbed.Leaks(t)
 	sick, well := newOrigin(t), newOrigin(t)
 	goOn := make(chan struct{})
-	sick.Script(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
+	sick.SetHandler(func(http.ResponseWriter, *http.Request) bool { <-goOn; return false })
 	conf := strings.Replace(head, "limits: {descriptors: 512, drain: 5s}", `limits: {descriptors: 512, requests: 30, per_cluster: {guaranteed: {requests: 5, descriptors: 8, memory: 1MiB}}}`, 1) +
 		fmt.Sprintf("clusters: [{name: sick, hedge: false, endpoints: [{address: %q}]}, {name: well, endpoints: [{address: %q}]}]\n"+
 			"routes: [{match: {prefix: /sick}, cluster: sick}, {match: {prefix: /well}, cluster: well}]\n", sick.Addr, well.Addr)
@@ -296,8 +296,8 @@
 	testbed.Leaks(t)
 	s := newControlPlane(t)
 	a, b := newOrigin(t), newOrigin(t)
-	a.Delay(30 * time.Millisecond)
-	b.Delay(30 * time.Millisecond)
+	a.SetDelay(30 * time.Millisecond)
+	b.SetDelay(30 * time.Millisecond)
 	push(t, s, "1", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
 	rest := "clusters: []\nroutes: []\n" + adsConfig(s, "")
 	g := runGateway(t, rest)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.GoAway)
+	t.Cleanup(s.Stop)
 	return s
 }
 
--- a/internal/gateway/locality_test.go
+++ b/internal/gateway/locality_test.go
@@ -75,7 +75,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(o.Kill)
-				o.Delay(2 * time.Millisecond)
+				o.SetDelay(2 * time.Millisecond)
 				all = append(all, o)
 			}
 			zones := []string{"a", "a", "b", "b"}
@@ -139,7 +139,7 @@
 			n := l.ok.Load()
 			testbed.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+300 })
 			for _, o := range all[:2] {
-				if err := o.Revive(); err != nil {
+				if err := o.Restart(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -264,7 +264,7 @@
 	t.Cleanup(g.Close)
 	u := newUser(t, g)
 	for _, o := range all[:2] { // it takes the effect, and breaks before its answer
-		o.Script(func(w http.ResponseWriter, _ *http.Request) bool {
+		o.SetHandler(func(w http.ResponseWriter, _ *http.Request) bool {
 			c, _, err := http.NewResponseController(w).Hijack()
 			if err == nil {
 				testbed.Reset(c)
@@ -280,7 +280,7 @@
 		}
 		status[r.status]++
 	}
-	if n := origin.Twice(one, two); n != 0 {
+	if n := origin.DuplicateEffects(one, two); n != 0 {
 		t.Errorf("%d effects taken twice, %v", n, status)
 	}
 	if status[200] == 0 || status[502] == 0 {
@@ -292,7 +292,7 @@
 func TestStopWhileZoneIsDark(t *testing.T) {
 	testbed.Leaks(t)
 	a, b := newOrigin(t), newOrigin(t)
-	b.Delay(20 * time.Millisecond)
+	b.SetDelay(20 * time.Millisecond)
 	g := runGateway(t, quick+fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr))
 	l := startLoad(t, g, 4, "/x")
 	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
@@ -351,7 +351,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(o.Kill)
-				o.Delay(2 * time.Millisecond)
+				o.SetDelay(2 * time.Millisecond)
 				all = append(all, o)
 				at := o.Addr
 				if way == nil {
@@ -373,10 +373,10 @@
 			testbed.Eventually(t, "load at home", func() bool { return all[0].Requests() > 200 && all[1].Requests() > 200 })
 			for i, o := range all[:2] {
 				if way == nil {
-					links[i].Lose(0.8)
+					links[i].SetLoss(0.8)
 					continue
 				}
-				o.Script(way)
+				o.SetHandler(way)
 			}
 			u := newUser(t, g)
 			var keys atomic.Int64
@@ -398,7 +398,7 @@
 			if n := l.other.Load(); name != "resets after the last byte" && n != 0 { // those are 502 while the retry budget is spent
 				t.Errorf("%d of %d were neither served nor refused: %s", n, l.requests.Load(), *l.why.Load())
 			}
-			if n := origin.Twice(one, two); n != 0 {
+			if n := origin.DuplicateEffects(one, two); n != 0 {
 				t.Errorf("%d effects taken twice", n)
 			}
 		})
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -494,7 +494,7 @@
 			t.Fatal(err)
 		}
 		for _, o := range s.Origins[len(origins):] {
-			if n := o.After(at.Add(time.Second)); n != 0 {
+			if n := o.RequestsAfter(at.Add(time.Second)); n != 0 {
 				t.Errorf("%d requests to one that was removed", n)
 			}
 		}
@@ -515,13 +515,13 @@
 	}
 	comes(t, "one stream", one)
 
-	s.ControlPlane.GoAway()
+	s.ControlPlane.Stop()
 	comes(t, "it is noticed", func() bool { return open() == 0 })
 	_, before := s.ControlPlane.Streams()
 	if _, err := s.Push(0, 1, 2); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.ControlPlane.Return(); err != nil {
+	if err := s.ControlPlane.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.AwaitVersion(t.Context(), recoveryTimeout); err != nil {
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -287,7 +287,7 @@
 // countLateRequests counts the requests to a drained endpoint up to a time.
 func (r *drainRun) countLateRequests(until time.Time) {
 	if r.drainedOrigin != noOrigin {
-		r.result.LateRequests += r.site.Origins[r.drainedOrigin].Between(r.drainedAt.Add(endpointDrainTime), until)
+		r.result.LateRequests += r.site.Origins[r.drainedOrigin].RequestsBetween(r.drainedAt.Add(endpointDrainTime), until)
 	}
 }
 
--- a/internal/testbed/cluster/orders_test.go
+++ b/internal/testbed/cluster/orders_test.go
@@ -163,7 +163,7 @@
 	s.Heal()
 	healed := time.Now()
 	gets("e", drain.Drained)
-	if n := s.Origins[0].After(healed.Add(time.Second)); n != 0 {
+	if n := s.Origins[0].RequestsAfter(healed.Add(time.Second)); n != 0 {
 		t.Errorf("%d requests to an endpoint that is out", n)
 	}
 	if o, err := orderDrain("f", 1, drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != drain.Pending {
--- a/internal/testbed/cluster/reconnect.go
+++ b/internal/testbed/cluster/reconnect.go
@@ -32,7 +32,7 @@
 	result := ReconnectResult{Shared: shared, Gateways: len(s.Nodes)}
 	load := s.StartLoad(reconnectLoad)
 	defer load.Stop()
-	s.ControlPlane.GoAway()
+	s.ControlPlane.Stop()
 	if err := sleep(ctx, outage); err != nil {
 		return result, err
 	}
@@ -41,7 +41,7 @@
 	if _, err := s.Push(0, 1); err != nil {
 		return result, err
 	}
-	if err := s.ControlPlane.Return(); err != nil {
+	if err := s.ControlPlane.Restart(); err != nil {
 		return result, err
 	}
 	returned := time.Now()
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -206,7 +206,7 @@
 	}
 	before := s.Origins[1].Requests()
 	comes(t, "the other server to serve", func() bool { return s.Origins[1].Requests() > before+20 })
-	if n := s.Origins[0].After(at) + s.Origins[2].After(at); n > 0 {
+	if n := s.Origins[0].RequestsAfter(at) + s.Origins[2].RequestsAfter(at); n > 0 {
 		t.Errorf("%d requests to a zone that is out", n)
 	}
 	back("third")
@@ -225,7 +225,7 @@
 		// A request that takes longer than a grace; the server says when it has it.
 		arrived, release := make(chan struct{}, 8), make(chan struct{})
 		for _, x := range s.Origins {
-			x.Script(func(w http.ResponseWriter, r *http.Request) bool {
+			x.SetHandler(func(w http.ResponseWriter, r *http.Request) bool {
 				arrived <- struct{}{}
 				select {
 				case <-release:
@@ -275,7 +275,7 @@
 			close(release)
 		}
 		for _, x := range s.Origins {
-			x.Script(nil)
+			x.SetHandler(nil)
 		}
 		back(id)
 		return got
@@ -322,7 +322,7 @@
 			for _, n := range s.Nodes {
 				st, err := n.Status()
 				t.Logf("%s: ready %v, drained %q, %v", n.Name, st.Ready, st.DrainID, err)
-				t.Log(strings.Join(n.Process().Last(), "\n"))
+				t.Log(strings.Join(n.Process().LastLines(), "\n"))
 				for _, c := range st.Clusters {
 					t.Logf("  %s: %+v %+v", c.Name, c.Endpoints, c.Requests)
 				}
--- a/internal/testbed/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -158,7 +158,7 @@
 		s.Cluster.Close()
 	}
 	if s.ControlPlane != nil {
-		s.ControlPlane.GoAway()
+		s.ControlPlane.Stop()
 	}
 	for _, o := range s.Origins {
 		o.Kill()
--- a/internal/testbed/controlplane/resources.go
+++ b/internal/testbed/controlplane/resources.go
@@ -17,77 +17,117 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// Cluster is an EDS cluster whose endpoints stand under service, or under its own name where that is empty.
+// connectTimeout of clusters.
+const connectTimeout = 250 * time.Millisecond
+
+// metadataNamespace is where robindrum reads the metadata of endpoints.
+const metadataNamespace = "robindrum"
+
+// Cluster returns an EDS cluster whose endpoints have the name service, or the cluster's own name if service is empty.
 func Cluster(name, service string) *clusterv3.Cluster {
-	return &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(250 * time.Millisecond), LbPolicy: clusterv3.Cluster_LEAST_REQUEST,
+	return &clusterv3.Cluster{
+		Name:                 name,
+		ConnectTimeout:       durationpb.New(connectTimeout),
+		LbPolicy:             clusterv3.Cluster_LEAST_REQUEST,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{ServiceName: service,
-			EdsConfig: &corev3.ConfigSource{ResourceApiVersion: corev3.ApiVersion_V3,
-				ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}
+		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{ServiceName: service, EdsConfig: overADS()},
+	}
 }
 
-// Endpoint is one of a cluster's.
+// overADS says that a resource is on the same stream.
+func overADS() *corev3.ConfigSource {
+	return &corev3.ConfigSource{
+		ResourceApiVersion:    corev3.ApiVersion_V3,
+		ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}},
+	}
+}
+
+// Endpoint is an endpoint of a cluster.
 type Endpoint struct {
-	Addr     string // host:port
+	Addr     string // host:port; an invalid port is served as 0, which clients have to reject
 	Zone     string
 	Health   corev3.HealthStatus
-	Weight   uint32 // 0: not said
+	Weight   uint32 // 0: unset
 	Priority uint32
-	Kind     string
-	Cell     int
+	Kind     string // metadata
+	Cell     int    // metadata
 }
 
-// Assignment is a cluster's endpoints, by zone and priority.
+// Assignment returns a cluster's endpoints, grouped by zone and priority.
 func Assignment(name string, endpoints ...Endpoint) *endpointv3.ClusterLoadAssignment {
-	type place struct {
+	type localityKey struct {
 		zone     string
 		priority uint32
 	}
-	m := &endpointv3.ClusterLoadAssignment{ClusterName: name}
-	at := map[place]*endpointv3.LocalityLbEndpoints{}
-	for _, e := range endpoints {
-		p := place{e.Zone, e.Priority}
-		l := at[p]
-		if l == nil {
-			l = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: e.Zone}, Priority: e.Priority}
-			at[p] = l
-			m.Endpoints = append(m.Endpoints, l)
-		}
-		host, port, _ := net.SplitHostPort(e.Addr)
-		n, _ := strconv.Atoi(port) // a bad one is port 0, which clients have to refuse
-		lb := &endpointv3.LbEndpoint{HealthStatus: e.Health, HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
-			Address: &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{Address: host,
-				PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}}}}
-		if e.Weight > 0 {
-			lb.LoadBalancingWeight = wrapperspb.UInt32(e.Weight)
+	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: name}
+	localities := map[localityKey]*endpointv3.LocalityLbEndpoints{}
+	for _, endpoint := range endpoints {
+		key := localityKey{zone: endpoint.Zone, priority: endpoint.Priority}
+		locality := localities[key]
+		if locality == nil {
+			locality = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: endpoint.Zone}, Priority: endpoint.Priority}
+			localities[key] = locality
+			assignment.Endpoints = append(assignment.Endpoints, locality)
 		}
-		if e.Kind != "" || e.Cell != 0 {
-			lb.Metadata = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{"robindrum": {Fields: map[string]*structpb.Value{
-				"kind": structpb.NewStringValue(e.Kind), "cell": structpb.NewNumberValue(float64(e.Cell))}}}}
-		}
-		l.LbEndpoints = append(l.LbEndpoints, lb)
+		locality.LbEndpoints = append(locality.LbEndpoints, endpoint.message())
+	}
+	return assignment
+}
+
+func (e Endpoint) message() *endpointv3.LbEndpoint {
+	message := &endpointv3.LbEndpoint{
+		HealthStatus:   e.Health,
+		HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: e.address()}},
+	}
+	if e.Weight > 0 {
+		message.LoadBalancingWeight = wrapperspb.UInt32(e.Weight)
+	}
+	if e.Kind != "" || e.Cell != 0 {
+		message.Metadata = e.metadata()
+	}
+	return message
+}
+
+func (e Endpoint) address() *corev3.Address {
+	host, portText, _ := net.SplitHostPort(e.Addr)
+	port, _ := strconv.Atoi(portText)
+	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
+		Address:       host,
+		PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(port)},
+	}}}
+}
+
+func (e Endpoint) metadata() *corev3.Metadata {
+	fields := map[string]*structpb.Value{
+		"kind": structpb.NewStringValue(e.Kind),
+		"cell": structpb.NewNumberValue(float64(e.Cell)),
 	}
-	return m
+	return &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{metadataNamespace: {Fields: fields}}}
 }
 
-// Routes is a RouteConfiguration that sends each path prefix of any host to a cluster, in the order given.
+// Routes returns a RouteConfiguration for all hosts. Each pair is a path prefix and the cluster for it, in order of precedence.
 func Routes(name string, prefixes ...[2]string) *routev3.RouteConfiguration {
-	h := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
-	for _, p := range prefixes {
-		h.Routes = append(h.Routes, &routev3.Route{Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: p[0]}},
-			Action: &routev3.Route_Route{Route: &routev3.RouteAction{ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: p[1]}}}})
+	host := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
+	for _, pair := range prefixes {
+		prefix, cluster := pair[0], pair[1]
+		action := &routev3.RouteAction{ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: cluster}}
+		host.Routes = append(host.Routes, &routev3.Route{
+			Match:  &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: prefix}},
+			Action: &routev3.Route_Route{Route: action},
+		})
 	}
-	return &routev3.RouteConfiguration{Name: name, VirtualHosts: []*routev3.VirtualHost{h}}
+	return &routev3.RouteConfiguration{Name: name, VirtualHosts: []*routev3.VirtualHost{host}}
 }
 
-// Listener is one whose routes stand in a RouteConfiguration.
+// Listener returns a listener that uses the RouteConfiguration with the name routes.
 func Listener(name, routes string) *listenerv3.Listener {
-	conf, err := anypb.New(&hcmv3.HttpConnectionManager{StatPrefix: name, RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{
-		RouteConfigName: routes, ConfigSource: &corev3.ConfigSource{ResourceApiVersion: corev3.ApiVersion_V3,
-			ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}})
-	if err != nil { // a message made here always marshals
+	manager, err := anypb.New(&hcmv3.HttpConnectionManager{
+		StatPrefix:     name,
+		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: routes, ConfigSource: overADS()}},
+	})
+	if err != nil { // a message that is built here can be marshalled
 		panic(err)
 	}
-	return &listenerv3.Listener{Name: name, FilterChains: []*listenerv3.FilterChain{{Filters: []*listenerv3.Filter{{Name: "http",
-		ConfigType: &listenerv3.Filter_TypedConfig{TypedConfig: conf}}}}}}
+	filter := &listenerv3.Filter{Name: "http", ConfigType: &listenerv3.Filter_TypedConfig{TypedConfig: manager}}
+	return &listenerv3.Listener{Name: name, FilterChains: []*listenerv3.FilterChain{{Filters: []*listenerv3.Filter{filter}}}}
 }
--- a/internal/testbed/link/link.go
+++ b/internal/testbed/link/link.go
@@ -1,6 +1,6 @@
-// Package link is a scripted link between a gateway and a server, on loopback: it relays TCP with a delay, loses a part of
-// the answers, and is cut. A stream cannot go on behind a part that was lost, so a connection that loses one says nothing
-// more, as one whose segments are dropped until it times out.
+// Package link provides a TCP relay on loopback between a gateway and a server, which adds a delay and loses responses. As a stream
+// cannot continue after lost data, a connection that loses a response delivers nothing more to the client, like one whose segments
+// are dropped until it times out.
 package link
 
 import (
@@ -11,127 +11,149 @@
 	"time"
 )
 
-// Link is one relay. Its methods may be called by several goroutines at once.
+const (
+	bufferSize = 32 << 10 // bytes
+	// lossStream distinguishes the random numbers of links from others of the same seed.
+	lossStream = 0x6c696e6b
+)
+
+// Link is a relay. Its methods may be called by several goroutines at once.
 type Link struct {
-	Addr string // where it listens
-	to   string
-	l    net.Listener
-	work sync.WaitGroup
-
-	mu    sync.Mutex
-	rng   *rand.Rand
-	delay time.Duration // each way
-	loss  float64       // of answers
-	conns map[net.Conn]struct{}
-	lost  int
-	ended bool
+	Addr string // host:port on which it listens
+
+	target     string
+	listener   net.Listener
+	goroutines sync.WaitGroup
+
+	mu          sync.Mutex
+	random      *rand.Rand
+	delay       time.Duration // each way
+	loss        float64       // of responses
+	lost        int           // responses
+	connections map[net.Conn]struct{}
+	closed      bool
 }
 
-// Start has one listen on loopback at a port of its own and relay to the address to. The same seed and the same order of
-// answers lose the same ones.
-func Start(to string, seed uint64) (*Link, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// Start starts a relay to target at a loopback address. The same seed loses the same responses if they come in the same order. Close
+// must be called.
+func Start(target string, seed uint64) (*Link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	k := &Link{Addr: l.Addr().String(), to: to, l: l, rng: rand.New(rand.NewPCG(seed, 0x6c696e6b)), conns: map[net.Conn]struct{}{}}
-	k.work.Go(k.accept)
-	return k, nil
+	l := &Link{
+		Addr:        listener.Addr().String(),
+		target:      target,
+		listener:    listener,
+		random:      rand.New(rand.NewPCG(seed, lossStream)),
+		connections: map[net.Conn]struct{}{},
+	}
+	l.goroutines.Go(l.accept)
+	return l, nil
+}
+
+// SetDelay sets the delay in each direction from now on.
+func (l *Link) SetDelay(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.delay = d
 }
 
-// Delay holds back all that comes from now on for so long, each way.
-func (k *Link) Delay(d time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.delay = d
+// SetLoss sets the fraction of responses that are lost from now on, from 0 to 1.
+func (l *Link) SetLoss(fraction float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.loss = fraction
 }
 
-// Lose has it lose this part of the answers, from 0 to 1.
-func (k *Link) Lose(part float64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.loss = part
+// Lost returns how many responses were lost.
+func (l *Link) Lost() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lost
 }
 
-// Lost is how many answers were lost.
-func (k *Link) Lost() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lost
+// Close closes the listener and all connections, and waits for the relay's goroutines.
+func (l *Link) Close() {
+	l.closeAll()
+	l.goroutines.Wait()
 }
 
-// Close ends it and all its connections.
-func (k *Link) Close() {
-	k.mu.Lock()
-	k.ended = true
-	k.l.Close()
-	for c := range k.conns {
-		c.Close()
+func (l *Link) closeAll() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
+	l.listener.Close()
+	for connection := range l.connections {
+		connection.Close()
 	}
-	k.mu.Unlock()
-	k.work.Wait()
 }
 
-func (k *Link) accept() {
+func (l *Link) accept() {
 	for {
-		c, err := k.l.Accept()
+		client, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !k.keep(c) {
+		if !l.track(client) {
 			return
 		}
-		k.work.Go(func() {
-			defer k.drop(c)
-			s, err := net.Dial("tcp", k.to)
-			if err != nil || !k.keep(s) {
-				return
-			}
-			defer k.drop(s)
-			left := make(chan struct{})
-			k.work.Go(func() {
-				defer close(left)
-				k.relay(s, c, false)
-				k.drop(s) // the client has ended: so does the server's side
-			})
-			if k.relay(c, s, true) {
-				<-left // whatever the server does, the client hears nothing of it
-			}
-		})
+		l.goroutines.Go(func() { l.relay(client) })
+	}
+}
+
+// relay connects to the target and copies in both directions until both have ended.
+func (l *Link) relay(client net.Conn) {
+	defer l.untrack(client)
+	server, err := net.Dial("tcp", l.target)
+	if err != nil || !l.track(server) {
+		return
+	}
+	defer l.untrack(server)
+	clientEnded := make(chan struct{})
+	l.goroutines.Go(func() {
+		defer close(clientEnded)
+		l.copyStream(server, client, false)
+		l.untrack(server)
+	})
+	if l.copyStream(client, server, true) {
+		// A response was lost: the client's connection stays open until the client ends it.
+		<-clientEnded
 	}
 }
 
-// keep notes a connection, or closes it where the link has ended.
-func (k *Link) keep(c net.Conn) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ended {
-		c.Close()
+// track has Close close the connection too. It closes the connection and returns false if the link is closed already.
+func (l *Link) track(connection net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		connection.Close()
 		return false
 	}
-	k.conns[c] = struct{}{}
+	l.connections[connection] = struct{}{}
 	return true
 }
 
-func (k *Link) drop(c net.Conn) {
-	c.Close()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.conns, c)
+// untrack closes a connection.
+func (l *Link) untrack(connection net.Conn) {
+	connection.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.connections, connection)
 }
 
-// relay passes on what comes until a side ends, or tells that an answer was lost.
-func (k *Link) relay(to, from net.Conn, answers bool) (lost bool) {
-	b := make([]byte, 32<<10)
+// copyStream copies one direction until a side ends, or a response is lost.
+func (l *Link) copyStream(to, from net.Conn, responses bool) (lost bool) {
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(b)
+		n, err := from.Read(buffer)
 		if n > 0 {
-			delay, lost := k.next(answers)
+			delay, lost := l.draw(responses)
 			if lost {
 				return true
 			}
 			time.Sleep(delay)
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				return false
 			}
 		}
@@ -141,11 +163,13 @@
 	}
 }
 
-func (k *Link) next(answer bool) (delay time.Duration, lost bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if lost = answer && k.loss > 0 && k.rng.Float64() < k.loss; lost {
-		k.lost++
+// draw returns the delay of data and whether it is lost.
+func (l *Link) draw(response bool) (delay time.Duration, lost bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	lost = response && l.loss > 0 && l.random.Float64() < l.loss
+	if lost {
+		l.lost++
 	}
-	return k.delay, lost
+	return l.delay, lost
 }
--- a/internal/testbed/link/link_test.go
+++ b/internal/testbed/link/link_test.go
@@ -12,7 +12,8 @@
 	"robindrum/internal/testbed/origin"
 )
 
-func TestLink(t *testing.T) {
+// TestDelayLossAndClose checks a delay in both directions, lost responses, of which the client hears nothing, and the end of the link.
+func TestDelayLossAndClose(t *testing.T) {
 	testbed.Leaks(t)
 	o, err := origin.Start("", nil)
 	if err != nil {
@@ -40,13 +41,13 @@
 	if b, err := get(10 * time.Second); b != "/x\n" || err != nil {
 		t.Fatalf("%q, %v", b, err)
 	}
-	k.Delay(30 * time.Millisecond)
+	k.SetDelay(30 * time.Millisecond)
 	began := time.Now()
 	if _, err := get(10 * time.Second); err != nil || time.Since(began) < 60*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(began))
 	}
-	k.Delay(0)
-	k.Lose(0.8)
+	k.SetDelay(0)
+	k.SetLoss(0.8)
 	served, silent := 0, 0
 	for range 40 {
 		switch _, err := get(50 * time.Millisecond); {
--- a/internal/testbed/memnet/memnet_test.go
+++ b/internal/testbed/memnet/memnet_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Connections and packets go to who listens; addresses are taken once and free behind a close; what has no room is lost and counted.
-func TestNet(t *testing.T) {
+// TestListenDialAndLostPackets checks that an address is used once and refuses after its close, and that packets without room are lost and counted.
+func TestListenDialAndLostPackets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New()
 		l, err := n.Listen("127.0.0.1:7")
@@ -49,7 +49,7 @@
 
 		// Nobody accepts: as many as there is room for wait, one more in vain, and the close breaks them.
 		var waiting []net.Conn
-		for range maxWaiting {
+		for range maxBacklog {
 			c, err := n.Dial(t.Context(), "127.0.0.1:7")
 			if err != nil {
 				t.Fatal(err)
--- a/internal/testbed/origin/origin.go
+++ b/internal/testbed/origin/origin.go
@@ -1,8 +1,10 @@
-// Package origin is a scripted server behind a gateway, on loopback: it serves HTTP/1.1 with a delay, knows when it was
-// told to drain, dies and comes back, and drops repeats of keyed requests together with the others of its group.
+// Package origin provides scripted origin servers on loopback. An origin serves HTTP/1.1 with a delay and a limited capacity, can be
+// killed and restarted, and counts the effects of requests.
 package origin
 
 import (
+	"cmp"
+	"context"
 	"fmt"
 	"io"
 	"net"
@@ -12,137 +14,65 @@
 	"time"
 )
 
-// Ledger is what a group of origins ran together: effects by key. Its methods may be called by several goroutines.
-type Ledger struct {
-	mu    sync.Mutex
-	runs  map[string]int
-	again int
-}
-
-// NewLedger makes an empty one.
-func NewLedger() *Ledger { return &Ledger{runs: map[string]int{}} }
-
-// run notes one run of a request and tells whether its key has run before. A keyed repeat is dropped by the group and so
-// no second effect.
-func (l *Ledger) run(key string, keyed bool) (repeat bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.runs[key] > 0 && keyed {
-		return true
-	}
-	if l.runs[key]++; l.runs[key] > 1 {
-		l.again++
-	}
-	return false
-}
-
-// Effects is how many effects there were, and how many of them were second ones.
-func (l *Ledger) Effects() (all, twice int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, n := range l.runs {
-		all += n
-	}
-	return all, l.again
-}
+const (
+	maxBodySize   = 1 << 30 // bytes
+	headerTimeout = 10 * time.Second
+)
 
-// Origin is one server.
+// Origin is a server. Its methods may be called by several goroutines at once.
 type Origin struct {
-	Addr   string
-	ledger *Ledger
-	delay  atomic.Int64 // ns
-	reply  atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
+	// Addr is host:port. It stays the same over restarts.
+	Addr string
 
-	arrived  atomic.Pointer[func(r *http.Request)]
-	capacity atomic.Pointer[Capacity]
-	slots    atomic.Pointer[chan struct{}] // one for each worker
+	ledger    *Ledger
+	delay     atomic.Int64 // ns
+	handler   atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
+	onRequest atomic.Pointer[func(r *http.Request)]
+	capacity  atomic.Pointer[Capacity]
+	workers   atomic.Pointer[chan struct{}] // holds one element a busy worker
 
 	mu          sync.Mutex
-	server      *http.Server
-	started     time.Time // zero: long ago
-	worst       float64
-	done        chan struct{}
-	times       []time.Time // of requests, as their head came
-	drained     time.Time   // since when it wants nothing new; zero: it does
-	inflight    int
+	server      *http.Server  // nil: killed
+	done        chan struct{} // closed when the server has ended
+	restarted   time.Time     // zero: never
+	maxColdLoad float64
+	times       []time.Time // of the requests' heads, in order
+	drainedAt   time.Time   // zero: not drained
+	inFlight    int
 	maxInFlight int
 }
 
-// Capacity is what an origin can do: so many requests at once, the others wait; for a while after a Revive it takes the
-// longer for each, and begins with a part of its speed.
-type Capacity struct {
-	Workers int
-	Warm    time.Duration
-	Share   float64
-}
-
-// Limit gives it a capacity, from now on.
-func (o *Origin) Limit(c Capacity) {
-	slots := make(chan struct{}, c.Workers)
-	o.slots.Store(&slots)
-	o.capacity.Store(&c)
-}
-
-// warmth is the part of its speed that it has.
-func (o *Origin) warmth(c *Capacity, now time.Time) float64 {
-	age := now.Sub(o.started)
-	if o.started.IsZero() || age >= c.Warm {
-		return 1
-	}
-	return c.Share + (1-c.Share)*float64(age)/float64(c.Warm)
+// Start starts an origin at a loopback address, or at any free one if address is empty. ledger counts the effects of its requests;
+// nil: they are not counted. The origin runs until Kill.
+func Start(address string, ledger *Ledger) (*Origin, error) {
+	o := &Origin{Addr: cmp.Or(address, "127.0.0.1:0"), ledger: ledger}
+	return o, o.Restart()
 }
 
-// Worst is the most that it got in any second while it was cold, over what it could do in that second.
-func (o *Origin) Worst() float64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.worst
-}
-
-// measure notes a request's load on one that is cold, and gives its warmth. The lock is held.
-func (o *Origin) measure(c *Capacity, now time.Time) float64 {
-	w, delay := o.warmth(c, now), time.Duration(o.delay.Load()).Seconds()
-	if w < 1 && delay > 0 {
-		n := 0
-		for i := len(o.times) - 1; i >= 0 && now.Sub(o.times[i]) < time.Second && o.times[i].After(o.started); i-- {
-			n++
-		}
-		o.worst = max(o.worst, float64(n)/(float64(c.Workers)/delay*w))
-	}
-	return w
-}
-
-// Start has one listen on loopback, at addr or, where that is empty, at a port of its own.
-func Start(addr string, ledger *Ledger) (*Origin, error) {
-	if addr == "" {
-		addr = "127.0.0.1:0"
-	}
-	o := &Origin{Addr: addr, ledger: ledger}
-	return o, o.Revive()
-}
-
-// Revive has one that died listen at its address again.
-func (o *Origin) Revive() error {
-	l, err := net.Listen("tcp", o.Addr)
+// Restart has a killed origin listen at its address again. It returns an error if the address is in use.
+func (o *Origin) Restart() error {
+	listener, err := net.Listen("tcp", o.Addr)
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.Addr = l.Addr().String()
-	if !o.started.IsZero() || o.server == nil && o.done != nil { // not the first start
-		o.started = time.Now()
-	}
-	server, done := &http.Server{Handler: o, ReadHeaderTimeout: 10 * time.Second}, make(chan struct{})
-	o.server, o.done = server, done
+	o.Addr = listener.Addr().String()
+	if first := o.done == nil; !first {
+		o.restarted = time.Now()
+	}
+	server := &http.Server{Handler: o, ReadHeaderTimeout: headerTimeout}
+	done := make(chan struct{})
+	o.server = server
+	o.done = done
 	go func() {
 		defer close(done)
-		_ = server.Serve(l) // ends with Kill
+		_ = server.Serve(listener) // ends with Kill
 	}()
 	return nil
 }
 
-// Kill ends it at once: its connections break, new ones are refused.
+// Kill closes the listener and all connections. It does nothing if the origin was killed already.
 func (o *Origin) Kill() {
 	o.mu.Lock()
 	server, done := o.server, o.done
@@ -154,50 +84,55 @@
 	}
 }
 
-// Delay is how long each answer takes from now on.
-func (o *Origin) Delay(d time.Duration) { o.delay.Store(int64(d)) }
+// SetDelay sets how long responses take from now on.
+func (o *Origin) SetDelay(d time.Duration) { o.delay.Store(int64(d)) }
 
-// Script has fn answer in place of the usual 200, unless it says false; nil ends that.
-func (o *Origin) Script(fn func(w http.ResponseWriter, r *http.Request) bool) {
-	if fn == nil {
-		o.reply.Store(nil)
+// SetHandler has handler answer requests, after the delay, unless it returns false; nil ends that. It must be safe for several
+// goroutines.
+func (o *Origin) SetHandler(handler func(w http.ResponseWriter, r *http.Request) bool) {
+	if handler == nil {
+		o.handler.Store(nil)
 		return
 	}
-	o.reply.Store(&fn)
+	o.handler.Store(&handler)
 }
 
-// Arrived has fn look at each request as its head comes, before anything else; it must be safe for several goroutines.
-func (o *Origin) Arrived(fn func(r *http.Request)) { o.arrived.Store(&fn) }
+// OnRequest has observe called with each request when its head has been read, before anything else. It must be safe for several
+// goroutines.
+func (o *Origin) OnRequest(observe func(r *http.Request)) { o.onRequest.Store(&observe) }
 
-// Drained notes since when it wants nothing new.
-func (o *Origin) Drained(at time.Time) {
+// SetDrainedAt sets since when the origin should get no new requests; zero: it should.
+func (o *Origin) SetDrainedAt(at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drained = at
+	o.drainedAt = at
 }
 
-// Requests is how many requests came, After how many of them later than at.
+// Requests returns how many requests were received.
 func (o *Origin) Requests() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.times)
 }
 
-// After is how many requests came later than at.
-func (o *Origin) After(at time.Time) (n int) {
+// RequestsAfter returns how many requests were received later than at.
+func (o *Origin) RequestsAfter(at time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
+	requests := 0
 	for i := len(o.times) - 1; i >= 0 && o.times[i].After(at); i-- {
-		n++
+		requests++
 	}
-	return n
+	return requests
 }
 
-// Between is how many requests came later than from and no later than to.
-func (o *Origin) Between(from, to time.Time) int { return o.After(from) - o.After(to) }
+// RequestsBetween returns how many requests were received later than from and not later than to.
+func (o *Origin) RequestsBetween(from, to time.Time) int {
+	return o.RequestsAfter(from) - o.RequestsAfter(to)
+}
 
-// Last is when the last request came; zero: none did.
-func (o *Origin) Last() time.Time {
+// LastRequest returns when the last request was received; zero: none was.
+func (o *Origin) LastRequest() time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.times) == 0 {
@@ -206,93 +141,103 @@
 	return o.times[len(o.times)-1]
 }
 
-// Late is how many requests came more than grace after it was told to drain.
-func (o *Origin) Late(grace time.Duration) int {
+// RequestsAfterDrain returns how many requests were received more than grace after the origin was drained.
+func (o *Origin) RequestsAfterDrain(grace time.Duration) int {
 	o.mu.Lock()
-	at := o.drained
+	at := o.drainedAt
 	o.mu.Unlock()
 	if at.IsZero() {
 		return 0
 	}
-	return o.After(at.Add(grace))
+	return o.RequestsAfter(at.Add(grace))
 }
 
-// InFlight is how many requests it works on, Most how many it ever did at once.
+// InFlight returns how many requests are being served, and how many were at most.
 func (o *Origin) InFlight() (now, most int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.inflight, o.maxInFlight
+	return o.inFlight, o.maxInFlight
 }
 
-// ServeHTTP answers 200 with the path, after the delay. What has an effect is a POST: keyed by its Idempotency-Key, or,
-// where it has none, told apart by its X-Request-Id.
+// ServeHTTP reads the request, waits for a worker and the delay, and answers with the handler, or 200 and the path. It answers
+// nothing if the client leaves before.
 func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if fn := o.arrived.Load(); fn != nil {
-		(*fn)(r)
-	}
-	o.mu.Lock()
-	o.times = append(o.times, time.Now())
-	o.inflight++
-	o.maxInFlight = max(o.maxInFlight, o.inflight)
-	c, warmth := o.capacity.Load(), 1.0
-	if c != nil {
-		warmth = o.measure(c, time.Now())
-	}
-	o.mu.Unlock()
-	defer func() {
-		o.mu.Lock()
-		o.inflight--
-		o.mu.Unlock()
-	}()
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 1<<30)); err != nil {
-		return // half a request does not run
-	}
-	if r.Method == http.MethodPost && o.ledger != nil {
-		if key := r.Header.Get("Idempotency-Key"); key != "" {
-			o.ledger.run("k "+key, true)
-		} else if id := r.Header.Get("X-Request-Id"); id != "" {
-			o.ledger.run("r "+id, false)
-		}
-	}
-	if c != nil {
-		slots := *o.slots.Load()
+	if observe := o.onRequest.Load(); observe != nil {
+		(*observe)(r)
+	}
+	capacity := o.capacity.Load()
+	speed := o.begin(capacity)
+	defer o.end()
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodySize)); err != nil {
+		return // an incomplete request has no effect
+	}
+	o.recordEffect(r)
+	if capacity != nil {
+		workers := *o.workers.Load()
 		select {
-		case slots <- struct{}{}:
-			defer func() { <-slots }()
+		case workers <- struct{}{}:
+			defer func() { <-workers }()
 		case <-r.Context().Done():
 			return
 		}
 	}
-	if d := time.Duration(float64(o.delay.Load()) / warmth); d > 0 {
-		t := time.NewTimer(d)
-		defer t.Stop()
-		select {
-		case <-t.C:
-		case <-r.Context().Done():
-			return
-		}
+	if !wait(r.Context(), time.Duration(float64(o.delay.Load())/speed)) {
+		return
 	}
-	if fn := o.reply.Load(); fn != nil && (*fn)(w, r) {
+	if handler := o.handler.Load(); handler != nil && (*handler)(w, r) {
 		return
 	}
 	w.Header().Set("X-Origin", o.Addr)
 	fmt.Fprintln(w, r.URL.Path)
 }
 
-// Twice is how many keys took effect more than once in several groups together.
-func Twice(groups ...*Ledger) (twice int) {
-	sum := map[string]int{}
-	for _, l := range groups {
-		l.mu.Lock()
-		for key, n := range l.runs {
-			sum[key] += n
-		}
-		l.mu.Unlock()
+// begin counts a request and returns the fraction of the full speed at which it is served.
+func (o *Origin) begin(capacity *Capacity) (speed float64) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.times = append(o.times, time.Now())
+	o.inFlight++
+	o.maxInFlight = max(o.maxInFlight, o.inFlight)
+	if capacity == nil {
+		return 1
 	}
-	for _, n := range sum {
-		if n > 1 {
-			twice++
-		}
+	now := time.Now()
+	speed = o.speed(capacity, now)
+	o.measureLoad(capacity, speed, now)
+	return speed
+}
+
+func (o *Origin) end() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.inFlight--
+}
+
+// recordEffect counts the effect of a POST: by its Idempotency-Key, or, as one of its own, by its X-Request-Id.
+func (o *Origin) recordEffect(r *http.Request) {
+	if r.Method != http.MethodPost || o.ledger == nil {
+		return
+	}
+	if key := r.Header.Get("Idempotency-Key"); key != "" {
+		o.ledger.record("k "+key, true)
+		return
+	}
+	if id := r.Header.Get("X-Request-Id"); id != "" {
+		o.ledger.record("r "+id, false)
+	}
+}
+
+// wait blocks for d and reports whether ctx is still active. It does not check ctx if d is not positive.
+func wait(ctx context.Context, d time.Duration) bool {
+	if d <= 0 {
+		return true
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	return twice
 }
--- a/internal/testbed/proc/proc.go
+++ b/internal/testbed/proc/proc.go
@@ -1,5 +1,5 @@
-// Package proc runs the real program as child processes, for experiments and rigs: they end with their parent, can be
-// stopped, killed and frozen, and what they log is followed.
+// Package proc runs the built program as child processes for experiments and test clusters. They end with their parent, can be
+// stopped, killed and frozen, and what they log can be followed.
 package proc
 
 import (
@@ -7,64 +7,66 @@
 	"fmt"
 	"io"
 	"os/exec"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// lastLines of a log are kept for the error of a process that ended by itself.
-const lastLines = 16
+const (
+	// maxLastLines is how many lines of a log are retained.
+	maxLastLines = 16
+	// maxLineSize bounds a line in bytes; what follows a longer one is dropped.
+	maxLineSize = 1 << 20
+)
 
-// Process is one child. Its methods may be called by several goroutines at once.
+// Process is a child process. Its methods may be called by several goroutines at once.
 type Process struct {
-	Name   string
-	Exited chan struct{} // closed when it has ended
+	Name string
+	// Exited is closed when the process has ended and all it logged was read.
+	Exited chan struct{}
 
 	cmd   *exec.Cmd
 	stdin io.Closer
 
 	mu     sync.Mutex
-	err    error // how it ended
-	last   []string
-	killed bool // on purpose
+	err    error    // of the process's end
+	last   []string // lines
+	killed bool
 }
 
-// Start runs a program. args must have it end with its standard input, as --with-parent does. line, which may be nil, gets
-// each line of its standard error, by one goroutine.
-func Start(name, binary string, line func(text string), args ...string) (*Process, error) {
-	p := &Process{Name: name, Exited: make(chan struct{}), cmd: exec.Command(binary, args...)}
-	// A group of its own, so that an interrupt on the terminal is for the parent to pass on.
+// Start starts a program. The arguments must have it end with its standard input, as --with-parent does, so that it ends when this
+// process is killed. onLine, which may be nil, is called with each line of its standard error, by one goroutine.
+func Start(name, binary string, onLine func(line string), arguments ...string) (*Process, error) {
+	p := &Process{Name: name, Exited: make(chan struct{}), cmd: exec.Command(binary, arguments...)}
+	// In a process group of its own, an interrupt from the terminal does not reach it.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	logs, err := p.cmd.StderrPipe()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	// It ends when this end of its standard input is closed, also where this process is killed.
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	go p.follow(logs, line)
+	go p.follow(logs, onLine)
 	return p, nil
 }
 
-func (p *Process) follow(logs io.Reader, line func(string)) {
+// follow reads the log until the process ends.
+func (p *Process) follow(logs io.Reader, onLine func(string)) {
 	lines := bufio.NewScanner(logs)
-	lines.Buffer(nil, 1<<20)
+	lines.Buffer(nil, maxLineSize)
 	for lines.Scan() {
-		p.mu.Lock()
-		if p.last = append(p.last, lines.Text()); len(p.last) > lastLines {
-			p.last = p.last[1:]
-		}
-		p.mu.Unlock()
-		if line != nil {
-			line(lines.Text())
+		p.retain(lines.Text())
+		if onLine != nil {
+			onLine(lines.Text())
 		}
 	}
-	_, _ = io.Copy(io.Discard, logs) // a line too long must not hold it up
+	_, _ = io.Copy(io.Discard, logs) // so that a line that is too long does not block the process
 	err := p.cmd.Wait()
 	p.mu.Lock()
 	p.err = err
@@ -72,10 +74,19 @@
 	close(p.Exited)
 }
 
-// PID is its process's number.
+func (p *Process) retain(line string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.last = append(p.last, line)
+	if len(p.last) > maxLastLines {
+		p.last = p.last[1:]
+	}
+}
+
+// PID returns the process's id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Running tells whether it has not ended yet.
+// Running reports whether the process has not ended.
 func (p *Process) Running() bool {
 	select {
 	case <-p.Exited:
@@ -85,41 +96,41 @@
 	}
 }
 
-// Last are its last lines.
-func (p *Process) Last() []string {
+// LastLines returns the last 16 lines of the log.
+func (p *Process) LastLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.last...)
+	return slices.Clone(p.last)
 }
 
-// ExitError says how it ended by itself.
+// ExitError returns an error that describes how the process ended by itself, with its last lines. It must have ended.
 func (p *Process) ExitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return fmt.Errorf("%s ended by itself: %w; its last output:\n%s", p.Name, p.err, strings.Join(p.last, "\n"))
 }
 
-// Killed tells whether Kill was called.
+// Killed reports whether Kill was called.
 func (p *Process) Killed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.killed
 }
 
-// Signal sends one to the process and to those that it has started, which are of its group; where it has ended it does nothing.
-func (p *Process) Signal(s syscall.Signal) {
+// Signal sends a signal to the process and its children. It does nothing if the process has ended.
+func (p *Process) Signal(signal syscall.Signal) {
 	if p.Running() {
-		_ = syscall.Kill(-p.PID(), s) // it may have ended
+		_ = syscall.Kill(-p.PID(), signal) // it may have ended meanwhile
 	}
 }
 
-// Freeze stops it in the middle of whatever it does, Thaw has it go on.
+// Freeze stops the process with SIGSTOP until Thaw.
 func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw has it go on.
+// Thaw continues a frozen process.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends it at once, with all that it has in hand.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	p.killed = true
@@ -129,15 +140,15 @@
 	_ = p.stdin.Close()
 }
 
-// Stop ends it by SIGTERM, or, where that takes too long, at once.
-func (p *Process) Stop(within time.Duration) {
+// Stop ends the process with SIGTERM, or with SIGKILL after timeout, and waits for its end.
+func (p *Process) Stop(timeout time.Duration) {
 	p.Thaw()
 	p.Signal(syscall.SIGTERM)
-	t := time.NewTimer(within)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-p.Exited:
-	case <-t.C:
+	case <-timer.C:
 		p.Signal(syscall.SIGKILL)
 		<-p.Exited
 	}
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.GoAway)
+	t.Cleanup(s.Stop)
 	return s
 }
 
@@ -128,14 +128,14 @@
 		if l := c.Connection(); l.Server != s.Addr || l.LastResponseAt == 0 || l.Streams != 1 {
 			t.Errorf("%+v", l)
 		}
-		s.GoAway()
+		s.Stop()
 		testbed.Eventually(t, "the loss to show", func() bool { l := c.Connection(); return l.Server == "" && l.LastError != "" })
 		if count("a") != 2 || len(c.Resources(EndpointType)) != 2 {
 			t.Error("what was told is lost with the connection")
 		}
-		s.Forget()
+		s.ClearAll()
 		push(t, s, "3", cds("a"), eps("a", "127.0.0.1:2"))
-		if err := s.Return(); err != nil {
+		if err := s.Restart(); err != nil {
 			t.Fatal(err)
 		}
 		testbed.Eventually(t, "the older, smaller list", func() bool { return count("a") == 1 && got.get("cluster b").State == Absent })
@@ -159,13 +159,13 @@
 	first, second := serve(t), serve(t)
 	push(t, first, "1", cds("a"))
 	push(t, second, "2", cds("b"))
-	first.GoAway()
+	first.Stop()
 	c, got := run(t, nil, first.Addr, second.Addr)
 	testbed.Eventually(t, "the second one's word", func() bool { return got.get("cluster b").State == Received })
-	if err := first.Return(); err != nil {
+	if err := first.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	second.GoAway()
+	second.Stop()
 	testbed.Eventually(t, "the first one's word", func() bool { return got.get("cluster a").State == Received && c.Connection().Server == first.Addr })
 	testbed.Eventually(t, "the second one's to be withdrawn", func() bool { return got.get("cluster b").State == Absent })
 }
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -92,7 +92,7 @@
 	if g.process != nil {
 		g.stop()
 	}
-	g.plane.GoAway()
+	g.plane.Stop()
 }
 
 // settled waits until a gateway has told the last of what it was sent.
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -425,7 +425,7 @@
 	if err != nil {
 		return err
 	}
-	defer plane.GoAway()
+	defer plane.Stop()
 	var all []*origin.Origin
 	for range 3 {
 		o, err := origin.Start("", nil)
@@ -433,7 +433,7 @@
 			return err
 		}
 		defer o.Kill()
-		o.Delay(time.Millisecond)
+		o.SetDelay(time.Millisecond)
 		all = append(all, o)
 	}
 	list := func(without int) controlplane.Resource {
@@ -510,10 +510,10 @@
 			return err
 		}
 		time.Sleep(15 * time.Millisecond)
-		took = append(took, max(all[gone].Last().Sub(at), 0))
+		took = append(took, max(all[gone].LastRequest().Sub(at), 0))
 		// What came even later shows in the next round: the endpoint is away for the whole of it.
-		if late := all[gone].After(at.Add(15 * time.Millisecond)); late > 0 {
-			took[i] = all[gone].Last().Sub(at)
+		if late := all[gone].RequestsAfter(at.Add(15 * time.Millisecond)); late > 0 {
+			took[i] = all[gone].LastRequest().Sub(at)
 		}
 	}
 	close(end)
@@ -542,7 +542,7 @@
 	if err != nil {
 		return err
 	}
-	defer plane.GoAway()
+	defer plane.Stop()
 	conf := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: delta, node: {id: m}, clusters: true, message: 64MiB}\nclusters: []\nroutes: [{match: {prefix: /}, cluster: c0}]\n", plane.Addr)
 	p, err := start("robindrum", conf)
 	if err != nil {
@@ -624,7 +624,7 @@
 	if err != nil {
 		return err
 	}
-	defer plane.GoAway()
+	defer plane.Stop()
 	conf := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], node: {id: m}}\nclusters: [{name: c, xds: {}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n", plane.Addr)
 	p, err := start("robindrum", conf)
 	if err != nil {
