--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -170,7 +170,7 @@
 			return
 		}
 		o := e.options(1)
-		if o.Length != e.Length.D() || len(o.Classes) == 0 || o.Gateways < 1 {
+		if o.Duration != e.Length.D() || len(o.Classes) == 0 || o.Gateways < 1 {
 			t.Fatalf("%+v", o)
 		}
 	})
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -15,7 +15,7 @@
 	admissions       = []string{"adaptive", "fixed", "off", "estimate"}
 	clientRetryModes = []string{"gives_up", "at_once", "heeds"}
 	deeds            = []string{"kill", "revive", "slow", "drain", "undrain", "flap", "push", "away", "back", "restart"}
-	hows             = map[string]fleet.How{"refuses": fleet.Refuses, "silent": fleet.Silent, "says_503": fleet.Says503, "resets": fleet.Resets, "loses": fleet.Loses}
+	hows             = map[string]fleet.ServerState{"refuses": fleet.RefusesConnections, "silent": fleet.NeverResponds, "says_503": fleet.Responds503, "resets": fleet.ResetsAfterRequest, "loses": fleet.LosesResponses}
 )
 
 func index(l []string, v string) int {
@@ -31,24 +31,24 @@
 func (e *Experiment) options(seed uint64) fleet.Options {
 	f, g := &e.Fleet, &e.Gateways
 	a := e.arrivals(seed)
-	o := fleet.Options{Mode: fleet.Mode(index(zoneModes, g.Zones)), Seed: seed, Zones: f.Zones, Gateways: g.Number, Clients: e.Load.Clients, Think: e.Load.Think.D(),
+	o := fleet.Options{Mode: fleet.Mode(index(zoneModes, g.Zones)), Seed: seed, Zones: f.Zones, Gateways: g.Number, Clients: e.Load.Clients, ThinkTime: e.Load.Think.D(),
 		Arrivals: func() (fleet.Arrival, bool) {
 			x, ok := a.take()
 			return fleet.Arrival{At: x.at, Class: x.class, Gateway: x.gateway, Tenant: x.key}, ok
 		},
-		Link:   fleet.Link{Delay: f.Link.Delay.D(), Jitter: f.Link.Jitter.D(), Loss: f.Link.Loss},
-		Length: e.Length.D(), Workers: f.Workers, Service: f.Service.D(), Queue: f.Queue, Warm: f.WarmUp.D(), Share: f.Share, Fall: f.Fall,
-		Cross: f.Cross.D(), Connect: f.Connect.D(), Source: fleet.Source{Places: g.Source.Places, Takes: g.Source.Takes.D(), Patience: g.Source.Patience.D()}, Again: fleet.Again(index(clientRetryModes, e.Load.Again))}
+		Link:     fleet.Link{Delay: f.Link.Delay.D(), Jitter: f.Link.Jitter.D(), Loss: f.Link.Loss},
+		Duration: e.Length.D(), Workers: f.Workers, ServiceTime: f.Service.D(), QueueSize: f.Queue, WarmUp: f.WarmUp.D(), InitialSpeed: f.Share, OverloadMultiple: f.Fall,
+		CrossZoneDelay: f.Cross.D(), ConnectTime: f.Connect.D(), Source: fleet.Source{Slots: g.Source.Places, CallTime: g.Source.Takes.D(), MaxWait: g.Source.Patience.D()}, ClientRetry: fleet.ClientRetry(index(clientRetryModes, e.Load.Again))}
 	for _, g := range f.Groups {
-		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, Queue: g.Queue, Speed: g.at})
+		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, QueueSize: g.Queue, Speed: g.at})
 	}
 	for _, c := range e.Classes {
-		o.Classes = append(o.Classes, fleet.Class{Part: c.Part, Draw: c.draw, Answer: f.Link.takes(c.Answer), Class: balancer.Class{Name: c.Name, LatencyObjective: c.Wanted.D(), Deadline: c.Deadline.D(), PriorityWeight: c.Worth,
+		o.Classes = append(o.Classes, fleet.Class{Fraction: c.Part, DrawServiceTime: c.draw, ResponseTime: f.Link.takes(c.Answer), Class: balancer.Class{Name: c.Name, LatencyObjective: c.Wanted.D(), Deadline: c.Deadline.D(), PriorityWeight: c.Worth,
 			Effect: balancer.Effect(c.Effect), Group: balancer.Group(c.Group), Window: c.Window.D()}})
 	}
 	if g.Admission != "estimate" {
 		mode := map[string]admission.Mode{"adaptive": admission.Adaptive, "fixed": admission.Fixed, "off": admission.Off}[g.Admission]
-		o.Admission = fleet.Admit(o, admission.Options{Mode: mode, Limit: g.Limit})
+		o.Admission = fleet.NewAdmission(o, admission.Options{Mode: mode, Limit: g.Limit})
 		o.Zone.OwnFree = mode != admission.Off
 	}
 	for _, p := range e.Phases {
@@ -58,21 +58,21 @@
 		o.Events = append(o.Events, fleet.Event{At: v.At.D(), Do: func(f *fleet.Fleet) {
 			switch v.Do {
 			case "kill":
-				f.Down(v.Zone, hows[v.How], v.Part)
+				f.FailServers(v.Zone, hows[v.How], v.Part)
 			case "revive":
-				f.Up(v.Zone, v.Renamed)
-				f.Tell(v.Late.D())
+				f.RestartServers(v.Zone, v.Renamed)
+				f.PublishEndpoints(v.Late.D())
 			case "slow":
-				f.Slow(v.Zone, v.By)
+				f.SlowDown(v.Zone, v.By)
 			case "drain", "undrain":
-				f.Drain(v.Zone, v.Part, v.Do == "drain")
-				f.Tell(v.Late.D())
+				f.SetDraining(v.Zone, v.Part, v.Do == "drain")
+				f.PublishEndpoints(v.Late.D())
 			case "push":
-				f.Tell(0)
+				f.PublishEndpoints(0)
 			case "away", "back":
-				f.Away(v.Do == "away")
+				f.SetControlPlaneDown(v.Do == "away")
 			case "restart":
-				f.Restart(v.Part, v.Down.D())
+				f.RestartGateways(v.Part, v.Down.D())
 			}
 		}})
 	}
@@ -88,9 +88,9 @@
 	for i := range seeds {
 		seed := uint64(e.Seed + i)
 		o, c := e.options(seed), newCollector(e)
-		o.Watch = fleet.Watch{
-			Sent: func(at time.Duration, _, server string) { c.sent(at, server) },
-			Answered: func(a fleet.Answer) {
+		o.Observer = fleet.Observer{
+			AttemptSent: func(at time.Duration, _, server string) { c.sent(at, server) },
+			ResponseReceived: func(a fleet.Response) {
 				out := refused
 				switch {
 				case a.InTime:
@@ -106,13 +106,13 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s with seed %d: %w", e.Name, seed, err)
 		}
-		c.back = res.Back
-		c.twice, c.afterDrain, c.steps = res.Twice, res.AfterDrain, res.Events
+		c.back = res.MaxTimeToReady
+		c.twice, c.afterDrain, c.steps = res.DuplicateEffects, res.AttemptsAfterDrain, res.Events
 		if c.lost = res.Lost; res.Lost == 0 && c.asked != asked(res) {
 			return nil, fmt.Errorf("%s with seed %d: %d answers were seen and %d were counted", e.Name, seed, c.asked, asked(res))
 		}
 		for j, p := range res.Phases {
-			c.phases[j].servers(&Phase{Crossed: p.Crossed, Sends: p.Sends, Connects: p.Connects, Fallen: p.Fallen, WorstCold: p.Worst, Queue: p.Queue})
+			c.phases[j].servers(&Phase{Crossed: p.CrossZone, Sends: p.Attempts, Connects: p.NewConnections, Fallen: p.Overloads, WorstCold: p.MaxColdLoad, Queue: p.MaxQueue})
 		}
 		r.add(c, seed)
 	}
@@ -123,7 +123,7 @@
 func asked(r fleet.Result) (n int) {
 	for _, p := range r.Phases {
 		for _, c := range p.Classes {
-			n += c.InTime + c.Late + c.Refused + c.Failed
+			n += c.InTime + c.Late + c.Rejected + c.Failed
 		}
 	}
 	return n
--- a/internal/testbed/fleet/admission.go
+++ b/internal/testbed/fleet/admission.go
@@ -9,8 +9,8 @@
 	"robindrum/internal/admission"
 )
 
-// Admit gives the admissions of Options.Admission: a Controller each, with the classes of o.
-func Admit(o Options, a admission.Options) func(int) (balancer.Admission, error) {
+// NewAdmission gives the admissions of Options.Admission: a Controller each, with the classes of o.
+func NewAdmission(o Options, a admission.Options) func(int) (balancer.Admission, error) {
 	for _, c := range o.Classes {
 		a.Classes = append(a.Classes, admission.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, LatencyObjective: c.LatencyObjective})
 	}
@@ -18,9 +18,9 @@
 	return func(i int) (balancer.Admission, error) { return admission.New(a, o.Seed*100+uint64(i)) }
 }
 
-// AIMD gives the plain alternative to an evidence of standing requests: a limit that rises by one for each answer in time
+// NewAIMD gives the plain alternative to an evidence of standing requests: a limit that rises by one for each answer in time
 // and falls by a tenth, once in 100 ms, for one that is late or turned away. Nothing waits, nothing is worth more.
-func AIMD(o Options, first float64) func(int) (balancer.Admission, error) {
+func NewAIMD(o Options, first float64) func(int) (balancer.Admission, error) {
 	wanted := map[string]time.Duration{}
 	for _, c := range o.Classes {
 		wanted[c.Name] = c.LatencyObjective
@@ -64,7 +64,7 @@
 func (p *Phase) Quantile(q float64) time.Duration {
 	var all []time.Duration
 	for _, c := range p.Classes {
-		all = append(all, c.Took...)
+		all = append(all, c.Latencies...)
 	}
 	if len(all) == 0 {
 		return 0
--- a/internal/testbed/fleet/admission_test.go
+++ b/internal/testbed/fleet/admission_test.go
@@ -13,28 +13,28 @@
 
 // web is a cluster with the classes that a file of four lines has, shop one whose classes are worth different things.
 func web(o Options) Options {
-	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Part: 1}}
+	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Fraction: 1}}
 	return admitted(o)
 }
 
 func shop(o Options) Options {
 	o.Classes = []Class{
-		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Part: 0.90},
-		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Group: balancer.GroupAll, Window: 4 * s}, Part: 0.08},
-		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Part: 0.02},
+		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Fraction: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Group: balancer.GroupAll, Window: 4 * s}, Fraction: 0.08},
+		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Fraction: 0.02},
 	}
 	return admitted(o)
 }
 
 func admitted(o Options) Options {
-	o.Zones, o.Mode = []string{"a"}, Price
+	o.Zones, o.Mode = []string{"a"}, PriceOnly
 	if o.Seed == 0 {
 		o.Seed = 1
 	}
 	if o.Gateways == 0 {
 		o.Gateways = 1
 	}
-	o.Admission = Admit(o, admission.Options{})
+	o.Admission = NewAdmission(o, admission.Options{})
 	return o
 }
 
@@ -51,14 +51,14 @@
 	} {
 		t.Run(fmt.Sprintf("%d at %d workers, %v apart", c.n, c.workers, c.rest), func(t *testing.T) {
 			t.Parallel()
-			o := web(Options{Servers: 2, Service: 5 * ms, Workers: c.workers, Queue: 10000, Length: 25 * (c.rest + s), Rate: 0.001, Cross: ms})
+			o := web(Options{Servers: 2, ServiceTime: 5 * ms, Workers: c.workers, QueueSize: 10000, Duration: 25 * (c.rest + s), Rate: 0.001, CrossZoneDelay: ms})
 			for i := range 20 {
-				o.Events = append(o.Events, Event{time.Duration(i) * (c.rest + s), func(f *Fleet) { f.Burst(c.n) }})
+				o.Events = append(o.Events, Event{time.Duration(i) * (c.rest + s), func(f *Fleet) { f.SendBurst(c.n) }})
 			}
 			r := run(t, o)
 			k := r.Phases[0].Classes["default-safe"]
-			if k.Asked < 20*c.n || k.InTime != k.Asked {
-				t.Errorf("%d of %d served in time, %d refused, %d failed", k.InTime, k.Asked, k.Refused, k.Failed)
+			if k.Requests < 20*c.n || k.InTime != k.Requests {
+				t.Errorf("%d of %d served in time, %d refused, %d failed", k.InTime, k.Requests, k.Rejected, k.Failed)
 			}
 		})
 	}
@@ -70,10 +70,10 @@
 	t.Parallel()
 	const capacity = 2 * 4 / 0.02
 	for _, over := range []float64{1.5, 3, 10} {
-		for _, again := range []Again{GivesUp, AtOnce, Heeds} {
+		for _, again := range []ClientRetry{NoRetry, RetryAtOnce, RetryAfter} {
 			t.Run(fmt.Sprintf("%v times the capacity, clients %d", over, again), func(t *testing.T) {
 				t.Parallel()
-				o := shop(Options{Servers: 2, Rate: capacity, Length: 90 * s, Again: again, Cross: 30 * ms, Phases: []time.Duration{10 * s, 70 * s, 72 * s},
+				o := shop(Options{Servers: 2, Rate: capacity, Duration: 90 * s, ClientRetry: again, CrossZoneDelay: 30 * ms, Phases: []time.Duration{10 * s, 70 * s, 72 * s},
 					Burst: func(at time.Duration) float64 {
 						if at >= 10*s && at < 70*s {
 							return over
@@ -121,12 +121,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := shop(Options{Servers: 2, Rate: c.rate, Length: 40 * s, Phases: []time.Duration{}})
+			o := shop(Options{Servers: 2, Rate: c.rate, Duration: 40 * s, Phases: []time.Duration{}})
 			could := 0.0
 			before := 1.0
 			for i := range 40 {
 				by := c.slow(i)
-				o.Events = append(o.Events, Event{time.Duration(i) * s, func(f *Fleet) { f.Slow("a", by/before); before = by }})
+				o.Events = append(o.Events, Event{time.Duration(i) * s, func(f *Fleet) { f.SlowDown("a", by/before); before = by }})
 				could += min(c.rate, capacity/by)
 			}
 			p := run(t, o).Phases[0]
@@ -151,7 +151,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			const capacity = 18 * 4 / 0.02
-			o := shop(Options{Gateways: n, Servers: 18, Rate: capacity, Length: 25 * s, Phases: []time.Duration{5 * s, 15 * s, 17 * s},
+			o := shop(Options{Gateways: n, Servers: 18, Rate: capacity, Duration: 25 * s, Phases: []time.Duration{5 * s, 15 * s, 17 * s},
 				Burst: func(at time.Duration) float64 {
 					if at >= 5*s && at < 15*s {
 						return 1.5
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -22,9 +22,9 @@
 
 // The modes there are.
 const (
-	Tiers    Mode = iota // a zone.Book each
-	Price                // no tiers: another zone is weighed by its price alone
-	Failover             // the own zone while it has a ready server, else another, without limits
+	Tiers     Mode = iota // a zone.Book each
+	PriceOnly             // no tiers: another zone is weighed by its price alone
+	Failover              // the own zone while it has a ready server, else another, without limits
 )
 
 func (m Mode) String() string { return [...]string{"tiers", "no tiers", "plain failover"}[m] }
@@ -32,18 +32,18 @@
 // Class is a kind of request and its part of the load.
 type Class struct {
 	balancer.Class
-	Part float64
-	// Draw gives how long a server at its full speed takes for one; nil: exponential with Options.Service as its mean.
-	Draw func(*rand.Rand) time.Duration
-	// Answer is how long its answer takes on the link, over the delay.
-	Answer time.Duration
+	Fraction float64
+	// DrawServiceTime gives how long a server at its full speed takes for one; nil: exponential with Options.Service as its mean.
+	DrawServiceTime func(*rand.Rand) time.Duration
+	// ResponseTime is how long its answer takes on the link, over the delay.
+	ResponseTime time.Duration
 }
 
 // Group is servers that are alike. Zero values are those of Options.
 type Group struct {
-	Zone           string
-	Servers        int
-	Workers, Queue int
+	Zone               string
+	Servers            int
+	Workers, QueueSize int
 	// Speed is their part of the full speed at a time, which may change as a neighbour's work comes and goes; nil: 1.
 	Speed func(at time.Duration) float64
 }
@@ -62,17 +62,17 @@
 	Loss   float64       // of answers: the connection breaks in place of one
 }
 
-// Answer is how a client's request ended. Exactly one of the four is set.
-type Answer struct {
-	At, Took                      time.Duration // At: since the start, when its client asked for the first time
-	Class                         string
-	InTime, Late, Refused, Failed bool
+// Response is how a client's request ended. Exactly one of the four is set.
+type Response struct {
+	At, Took                       time.Duration // At: since the start, when its client asked for the first time
+	Class                          string
+	InTime, Late, Rejected, Failed bool
 }
 
-// Watch is told what happens, where its functions are set.
-type Watch struct {
-	Answered func(Answer)
-	Sent     func(at time.Duration, zone, server string)
+// Observer is told what happens, where its functions are set.
+type Observer struct {
+	ResponseReceived func(Response)
+	AttemptSent      func(at time.Duration, zone, server string)
 }
 
 // Options are what is simulated. Zero values are filled in.
@@ -88,42 +88,42 @@
 	// Arrivals gives the load, in the order of time, in place of Rate and Burst; nil: those two.
 	Arrivals func() (Arrival, bool)
 	// Clients ask one request after the other, with a pause whose mean is Think, beside what else comes.
-	Clients int
-	Think   time.Duration
-	Burst   func(at time.Duration) float64
-	Length  time.Duration
-	Classes []Class
-
-	Workers int           // of a server
-	Service time.Duration // mean of a request
-	Queue   int           // requests a server holds beside its workers' before it turns away
-	Warm    time.Duration
-	Share   float64 // of its capacity that a cold server begins with
-	Fall    float64 // multiple of its warm-up capacity, over a second, at which a cold server falls over
-	Cross   time.Duration
-	Link    Link
-	// Connect is a server's work for a new connection, at its full speed; 0: none. Gateways keep one for Idle.
-	Connect time.Duration
-	Idle    time.Duration
-	Source  Source
-	Watch   Watch
-	Zone    locality.Options
+	Clients   int
+	ThinkTime time.Duration
+	Burst     func(at time.Duration) float64
+	Duration  time.Duration
+	Classes   []Class
+
+	Workers          int           // of a server
+	ServiceTime      time.Duration // mean of a request
+	QueueSize        int           // requests a server holds beside its workers' before it turns away
+	WarmUp           time.Duration
+	InitialSpeed     float64 // of its capacity that a cold server begins with
+	OverloadMultiple float64 // multiple of its warm-up capacity, over a second, at which a cold server falls over
+	CrossZoneDelay   time.Duration
+	Link             Link
+	// ConnectTime is a server's work for a new connection, at its full speed; 0: none. Gateways keep one for Idle.
+	ConnectTime time.Duration
+	IdleTimeout time.Duration
+	Source      Source
+	Observer    Observer
+	Zone        locality.Options
 	// Admission makes what says which requests of a gateway may start; nil: the decision module's own estimate.
-	Admission func(gateway int) (balancer.Admission, error)
-	Again     Again
-	Events    []Event
-	Phases    []time.Duration // where one ends and the next begins
-	Trace     func(at time.Duration, text string)
+	Admission   func(gateway int) (balancer.Admission, error)
+	ClientRetry ClientRetry
+	Events      []Event
+	Phases      []time.Duration // where one ends and the next begins
+	Trace       func(at time.Duration, text string)
 }
 
-// Again is what a client does that is refused.
-type Again uint8
+// ClientRetry is what a client does that is refused.
+type ClientRetry uint8
 
 // What clients do.
 const (
-	GivesUp Again = iota
-	AtOnce        // asks again after a round trip, for as long as an answer is of use to it
-	Heeds         // asks again when it was told to, for as long as an answer is of use to it
+	NoRetry     ClientRetry = iota
+	RetryAtOnce             // asks again after a round trip, for as long as an answer is of use to it
+	RetryAfter              // asks again when it was told to, for as long as an answer is of use to it
 )
 
 // Event is something that happens.
@@ -134,36 +134,36 @@
 
 // Phase is what came of the requests that began in one.
 type Phase struct {
-	From, To time.Duration
-	Classes  map[string]*Count
-	Crossed  int     // attempts that left their gateway's zone
-	Sends    int     // attempts
-	Connects int     // of them, those on a new connection, where these cost anything
-	Fallen   int     // times that a cold server fell over
-	Queue    int     // the most requests at a server at once
-	Worst    float64 // the most that any cold server got in a second, over its capacity then
-	WorstAny float64 // the same of any server
-}
-
-// Count is of one class.
-type Count struct {
-	Asked, InTime, Late, Refused, Failed int             // a client that asks again counts once, from its last time on
-	FailedLate                           int             // of the failed and refused, those told after their aim
-	Slowest                              time.Duration   // refusal
-	Home, HomeInTime                     int             // of them, those at gateways whose own zone lives
-	Took                                 []time.Duration // of those answered, in time or late
+	From, To       time.Duration
+	Classes        map[string]*ClassCount
+	CrossZone      int     // attempts that left their gateway's zone
+	Attempts       int     // attempts
+	NewConnections int     // of them, those on a new connection, where these cost anything
+	Overloads      int     // times that a cold server fell over
+	MaxQueue       int     // the most requests at a server at once
+	MaxColdLoad    float64 // the most that any cold server got in a second, over its capacity then
+	MaxLoad        float64 // the same of any server
+}
+
+// ClassCount is of one class.
+type ClassCount struct {
+	Requests, InTime, Late, Rejected, Failed int             // a client that asks again counts once, from its last time on
+	FailedLate                               int             // of the failed and refused, those told after their aim
+	SlowestRejection                         time.Duration   // refusal
+	Local, LocalInTime                       int             // of them, those at gateways whose own zone lives
+	Latencies                                []time.Duration // of those answered, in time or late
 }
 
 // Result is what came of all.
 type Result struct {
-	Phases []Phase
-	Twice  int // effects that were taken twice
-	Lost   int // requests without an answer, or with two
-	// AfterDrain is attempts sent to a server more than a second after its list said that it drains.
-	AfterDrain   int
-	Events       int           // of the simulation
-	SourceFailed int           // calls to the source
-	Back         time.Duration // the longest from a gateway's start until it was ready
+	Phases           []Phase
+	DuplicateEffects int // effects that were taken twice
+	Lost             int // requests without an answer, or with two
+	// AttemptsAfterDrain is attempts sent to a server more than a second after its list said that it drains.
+	AttemptsAfterDrain int
+	Events             int           // of the simulation
+	SourceFailures     int           // calls to the source
+	MaxTimeToReady     time.Duration // the longest from a gateway's start until it was ready
 }
 
 // Fleet runs.
@@ -190,7 +190,7 @@
 	id, zone string
 	f        *Fleet
 	since    time.Duration // it started; 0: long ago
-	how      How
+	how      ServerState
 	until    time.Duration // it has fallen over until then
 	workers  int
 	limit    int // of its queue
@@ -204,17 +204,17 @@
 	slow     float64         // multiple of its time
 }
 
-// How a server is down.
-type How uint8
+// ServerState a server is down.
+type ServerState uint8
 
 // The ways of being down.
 const (
-	Lives   How = iota
-	Refuses     // connections
-	Silent      // it accepts and says nothing
-	Says503     // at once, and runs nothing
-	Resets      // after the last byte, and has run it
-	Loses       // four of five answers
+	Healthy            ServerState = iota
+	RefusesConnections             // connections
+	NeverResponds                  // it accepts and says nothing
+	Responds503                    // at once, and runs nothing
+	ResetsAfterRequest             // after the last byte, and has run it
+	LosesResponses                 // four of five answers
 )
 
 type attempt struct {
@@ -290,25 +290,25 @@
 		o.Zones = []string{"sapporo", "ishikari"}
 	}
 	o.Gateways, o.Servers = cmp.Or(o.Gateways, 4), cmp.Or(o.Servers, 6)
-	o.Workers, o.Service, o.Queue = cmp.Or(o.Workers, 4), cmp.Or(o.Service, 20*time.Millisecond), cmp.Or(o.Queue, 100)
-	o.Warm, o.Share, o.Fall = cmp.Or(o.Warm, 10*time.Second), cmp.Or(o.Share, 0.2), cmp.Or(o.Fall, 2.5)
-	o.Idle = cmp.Or(o.Idle, 10*time.Second)
-	o.Cross, o.Length = cmp.Or(o.Cross, 8*time.Millisecond), cmp.Or(o.Length, 30*time.Second)
+	o.Workers, o.ServiceTime, o.QueueSize = cmp.Or(o.Workers, 4), cmp.Or(o.ServiceTime, 20*time.Millisecond), cmp.Or(o.QueueSize, 100)
+	o.WarmUp, o.InitialSpeed, o.OverloadMultiple = cmp.Or(o.WarmUp, 10*time.Second), cmp.Or(o.InitialSpeed, 0.2), cmp.Or(o.OverloadMultiple, 2.5)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, 10*time.Second)
+	o.CrossZoneDelay, o.Duration = cmp.Or(o.CrossZoneDelay, 8*time.Millisecond), cmp.Or(o.Duration, 30*time.Second)
 	if len(o.Classes) == 0 {
 		o.Classes = []Class{
-			{Class: balancer.Class{Name: "seat-map", LatencyObjective: 200 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}, Part: 0.7},
+			{Class: balancer.Class{Name: "seat-map", LatencyObjective: 200 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}, Fraction: 0.7},
 			{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 5, Effect: balancer.IdempotentWithKey,
-				Group: balancer.GroupZone, Window: 4 * time.Second}, Part: 0.25},
-			{Class: balancer.Class{Name: "pay", LatencyObjective: 200 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Part: 0.05},
+				Group: balancer.GroupZone, Window: 4 * time.Second}, Fraction: 0.25},
+			{Class: balancer.Class{Name: "pay", LatencyObjective: 200 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Fraction: 0.05},
 		}
 	}
 	f := &Fleet{opt: o, now: origin, rng: rand.New(rand.NewPCG(o.Seed, 0x666c656574)), servers: map[string]*server{},
 		ran: map[string]map[string]int{}, lives: map[string]bool{}}
 	from := time.Duration(0)
-	for _, to := range append(slices.Clone(o.Phases), o.Length) {
-		p := Phase{From: from, To: to, Classes: map[string]*Count{}}
+	for _, to := range append(slices.Clone(o.Phases), o.Duration) {
+		p := Phase{From: from, To: to, Classes: map[string]*ClassCount{}}
 		for _, c := range o.Classes {
-			p.Classes[c.Name] = &Count{}
+			p.Classes[c.Name] = &ClassCount{}
 		}
 		f.result.Phases = append(f.result.Phases, p)
 		from = to
@@ -323,7 +323,7 @@
 		f.lives[g.Zone] = true
 		for range g.Servers {
 			s := f.add(fmt.Sprintf("%s-%d", g.Zone, n[g.Zone]), g.Zone, 0)
-			s.workers, s.limit, s.speed = cmp.Or(g.Workers, o.Workers), cmp.Or(g.Queue, o.Queue), g.Speed
+			s.workers, s.limit, s.speed = cmp.Or(g.Workers, o.Workers), cmp.Or(g.QueueSize, o.QueueSize), g.Speed
 			n[g.Zone]++
 		}
 	}
@@ -335,18 +335,18 @@
 		g.ready = true // it has long had the list
 		f.gateways = append(f.gateways, g)
 	}
-	f.Tell(0)
+	f.PublishEndpoints(0)
 	for _, e := range o.Events {
 		f.after(e.At, func() { e.Do(f) })
 	}
 	f.arrive()
 	for i := range o.Clients {
-		f.after(time.Duration(f.rng.ExpFloat64()*float64(o.Think)), func() { f.loop(i) })
+		f.after(time.Duration(f.rng.ExpFloat64()*float64(o.ThinkTime)), func() { f.loop(i) })
 	}
 	for len(f.heap) > 0 {
 		e := heap.Pop(&f.heap).(event)
 		f.result.Events++
-		if f.now = e.at; f.now > origin+o.Length+5*time.Second {
+		if f.now = e.at; f.now > origin+o.Duration+5*time.Second {
 			break
 		}
 		e.do()
@@ -354,7 +354,7 @@
 	f.result.Lost += f.waits
 	for _, g := range f.gateways {
 		if !g.ready {
-			f.result.Back = max(f.result.Back, f.now-g.born)
+			f.result.MaxTimeToReady = max(f.result.MaxTimeToReady, f.now-g.born)
 		}
 		f.result.Lost += len(g.open)
 	}
@@ -364,7 +364,7 @@
 			n += k
 		}
 		if n > 1 {
-			f.result.Twice++
+			f.result.DuplicateEffects++
 		}
 	}
 	return f.result, f.err
@@ -395,7 +395,7 @@
 	f.made++
 	g := &gateway{f: f, number: i, zone: o.Zones[i%len(o.Zones)], open: map[string]*request{}, idle: map[string][]time.Duration{}}
 	set := balancer.Settings{Zone: g.zone, Index: i, Proxies: o.Gateways, MaxAttempts: 3, ParallelAttempts: true, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: 5 * time.Second, Multiplex: 1, DrainGrace: time.Second, WarmUpTime: o.Warm, WarmUpShare: o.Share, OverloadMultiple: o.Fall,
+		MaxRetryAfter: 5 * time.Second, Multiplex: 1, DrainGrace: time.Second, WarmUpTime: o.WarmUp, WarmUpShare: o.InitialSpeed, OverloadMultiple: o.OverloadMultiple,
 		OverloadWindow: time.Second, Price: balancer.Prices{CrossZone: 0.05}, Weights: balancer.WeightNominal}
 	for _, c := range o.Classes {
 		set.Classes = append(set.Classes, c.Class)
@@ -462,8 +462,8 @@
 func (*failover) AttemptEnded(time.Duration, balancer.Locality, balancer.LocalityRequest, balancer.Result, time.Duration) {
 }
 
-// Tell hands all gateways the list as it stands now, after a while.
-func (f *Fleet) Tell(late time.Duration) {
+// PublishEndpoints hands all gateways the list as it stands now, after a while.
+func (f *Fleet) PublishEndpoints(late time.Duration) {
 	if f.away {
 		return
 	}
@@ -495,15 +495,15 @@
 	return l
 }
 
-// Down takes a zone's servers down. Only some, where part is below 1.
-func (f *Fleet) Down(z string, how How, part float64) {
+// FailServers takes a zone's servers down. Only some, where part is below 1.
+func (f *Fleet) FailServers(z string, how ServerState, part float64) {
 	n := 0
 	all := f.part(z, part)
 	for _, s := range f.order {
 		if s.zone == z && n < all {
 			n++
 			s.how = how
-			if how == Refuses || how == Resets || how == Says503 {
+			if how == RefusesConnections || how == ResetsAfterRequest || how == Responds503 {
 				for _, a := range s.queue {
 					f.finish(a, balancer.ConnectionLost)
 				}
@@ -525,8 +525,8 @@
 	return int(math.Round(part * float64(n)))
 }
 
-// Drain has part of a zone's servers drain, or ends that. The list says so when Tell is called.
-func (f *Fleet) Drain(z string, part float64, yes bool) {
+// SetDraining has part of a zone's servers drain, or ends that. The list says so when Tell is called.
+func (f *Fleet) SetDraining(z string, part float64, yes bool) {
 	n := f.part(z, part)
 	for _, s := range f.order {
 		if s.zone == z && n > 0 {
@@ -536,15 +536,15 @@
 	}
 }
 
-// Away has the control plane say nothing more, or say the list as it stands now.
-func (f *Fleet) Away(yes bool) {
+// SetControlPlaneDown has the control plane say nothing more, or say the list as it stands now.
+func (f *Fleet) SetControlPlaneDown(yes bool) {
 	if f.away = yes; !yes {
-		f.Tell(0)
+		f.PublishEndpoints(0)
 	}
 }
 
-// Slow multiplies the time that a zone's servers take.
-func (f *Fleet) Slow(z string, by float64) {
+// SlowDown multiplies the time that a zone's servers take.
+func (f *Fleet) SlowDown(z string, by float64) {
 	for _, s := range f.order {
 		if s.zone == z {
 			s.slow *= by
@@ -552,8 +552,8 @@
 	}
 }
 
-// Sick has a zone's servers turn a class away.
-func (f *Fleet) Sick(z, class string, yes bool) {
+// SetRejectedClass has a zone's servers turn a class away.
+func (f *Fleet) SetRejectedClass(z, class string, yes bool) {
 	for _, s := range f.order {
 		if s.zone == z {
 			s.sick = map[string]bool{class: yes}
@@ -561,11 +561,11 @@
 	}
 }
 
-// Up has a zone's servers start again, cold; the first renamed ones under new ids. The list says so when Tell is called.
-func (f *Fleet) Up(z string, renamed int) {
+// RestartServers has a zone's servers start again, cold; the first renamed ones under new ids. The list says so when Tell is called.
+func (f *Fleet) RestartServers(z string, renamed int) {
 	f.lives[z] = true
 	for _, s := range f.order {
-		if s.zone != z || s.how == Lives {
+		if s.zone != z || s.how == Healthy {
 			continue
 		}
 		if renamed > 0 {
@@ -574,16 +574,16 @@
 			s.id += "'"
 			f.servers[s.id] = s
 		}
-		s.how, s.since, s.busy, s.queue, s.arrivals, s.until = Lives, f.now, 0, nil, nil, 0
+		s.how, s.since, s.busy, s.queue, s.arrivals, s.until = Healthy, f.now, 0, nil, nil, 0
 		s.draining, s.told = false, 0
 	}
 }
 
-// UpWarm has them go on as if nothing had been. Their zone does not count as one that lives: it may go again.
-func (f *Fleet) UpWarm(z string) {
+// ReviveServers has them go on as if nothing had been. Their zone does not count as one that lives: it may go again.
+func (f *Fleet) ReviveServers(z string) {
 	for _, s := range f.order {
 		if s.zone == z {
-			s.how, s.busy, s.queue = Lives, 0, nil
+			s.how, s.busy, s.queue = Healthy, 0, nil
 		}
 	}
 }
@@ -607,7 +607,7 @@
 		rate *= f.opt.Burst(f.Now())
 	}
 	f.after(time.Duration(f.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		if f.Now() >= f.opt.Length {
+		if f.Now() >= f.opt.Duration {
 			return
 		}
 		f.ask()
@@ -615,8 +615,8 @@
 	})
 }
 
-// Burst has n clients ask at once.
-func (f *Fleet) Burst(n int) {
+// SendBurst has n clients ask at once.
+func (f *Fleet) SendBurst(n int) {
 	for range n {
 		f.ask()
 	}
@@ -630,17 +630,17 @@
 func (f *Fleet) class() (c *Class) {
 	u := f.rng.Float64()
 	for i := range f.opt.Classes {
-		if c = &f.opt.Classes[i]; u < c.Part {
+		if c = &f.opt.Classes[i]; u < c.Fraction {
 			break
 		}
-		u -= c.Part
+		u -= c.Fraction
 	}
 	return c
 }
 
 // loop has a client ask once more.
 func (f *Fleet) loop(client int) {
-	if f.Now() < f.opt.Length {
+	if f.Now() < f.opt.Duration {
 		f.begin(f.class(), f.gateways[client%len(f.gateways)], strconv.Itoa(client), true)
 	}
 }
@@ -650,15 +650,15 @@
 	if err != nil {
 		return
 	}
-	f.after(time.Duration(f.rng.ExpFloat64()*float64(f.opt.Think))+time.Microsecond, func() { f.loop(client) })
+	f.after(time.Duration(f.rng.ExpFloat64()*float64(f.opt.ThinkTime))+time.Microsecond, func() { f.loop(client) })
 }
 
 // begin has a client ask for the first time.
 func (f *Fleet) begin(c *Class, g *gateway, tenant string, loop bool) {
 	r := &request{class: c, began: f.now, deadline: f.now + c.Deadline, phase: f.phase(), home: f.lives[g.zone], tenant: tenant, loop: loop}
 	n := r.phase.Classes[c.Name]
-	if n.Asked++; r.home {
-		n.Home++
+	if n.Requests++; r.home {
+		n.Local++
 	}
 	f.lead(g, r)
 }
@@ -666,7 +666,7 @@
 // lead brings a request to a gateway that is ready.
 func (f *Fleet) lead(g *gateway, r *request) {
 	if g = f.front(g.number); g == nil { // nobody takes its connection
-		f.answer(r, func(c *Count) { c.Failed++ }, Answer{Failed: true})
+		f.answer(r, func(c *ClassCount) { c.Failed++ }, Response{Failed: true})
 		return
 	}
 	g.request(r)
@@ -692,11 +692,11 @@
 	s := f.servers[to]
 	a := &attempt{r: r, n: len(r.attempts), s: s, sent: f.now, extra: g.connect(to)}
 	r.attempts = append(r.attempts, a)
-	r.phase.Sends++
-	way := f.opt.Cross / 16
+	r.phase.Attempts++
+	way := f.opt.CrossZoneDelay / 16
 	if s != nil && s.zone != g.zone {
-		r.phase.Crossed++
-		way = f.opt.Cross / 2
+		r.phase.CrossZone++
+		way = f.opt.CrossZoneDelay / 2
 	}
 	l := &f.opt.Link
 	if way += l.Delay; l.Jitter > 0 {
@@ -704,21 +704,21 @@
 	}
 	if s != nil {
 		if s.told > 0 && f.now > s.told+time.Second {
-			f.result.AfterDrain++
+			f.result.AttemptsAfterDrain++
 		}
-		if f.opt.Watch.Sent != nil {
-			f.opt.Watch.Sent(f.Now(), s.zone, s.id)
+		if f.opt.Observer.AttemptSent != nil {
+			f.opt.Observer.AttemptSent(f.Now(), s.zone, s.id)
 		}
 	}
 	end := func(res balancer.Result, at time.Duration) {
 		if res == balancer.Served {
-			if at += r.class.Answer; l.Loss > 0 && f.rng.Float64() < l.Loss {
+			if at += r.class.ResponseTime; l.Loss > 0 && f.rng.Float64() < l.Loss {
 				res = balancer.ConnectionLost
 			}
 		}
 		f.after(at, func() { g.ended(a, res) })
 	}
-	if s == nil || s.how == Refuses { // also one that has another id by now
+	if s == nil || s.how == RefusesConnections { // also one that has another id by now
 		end(balancer.NotConnected, 2*way)
 		return
 	}
@@ -742,22 +742,22 @@
 		done = true
 		took := g.f.now - r.asked
 		delete(g.open, r.id)
-		g.f.answer(r, func(c *Count) {
-			c.Took = append(c.Took, took)
+		g.f.answer(r, func(c *ClassCount) {
+			c.Latencies = append(c.Latencies, took)
 			if took <= r.class.LatencyObjective {
 				if c.InTime++; r.home {
-					c.HomeInTime++
+					c.LocalInTime++
 				}
 			} else {
 				c.Late++
 			}
-		}, Answer{InTime: took <= r.class.LatencyObjective, Late: took > r.class.LatencyObjective})
+		}, Response{InTime: took <= r.class.LatencyObjective, Late: took > r.class.LatencyObjective})
 	}
 	g.bal.Outcome(g.f.now, balancer.Outcome{ID: r.id, Attempt: a.n, Result: res, Latency: g.f.now - a.sent, Final: done || r.answered})
 }
 
 // answer gives a request its one answer.
-func (f *Fleet) answer(r *request, count func(*Count), a Answer) {
+func (f *Fleet) answer(r *request, count func(*ClassCount), a Response) {
 	if r.answered {
 		f.result.Lost++
 		return
@@ -767,9 +767,9 @@
 	if r.loop {
 		f.again(r)
 	}
-	if f.opt.Watch.Answered != nil {
+	if f.opt.Observer.ResponseReceived != nil {
 		a.At, a.Took, a.Class = r.began-origin, f.now-r.asked, r.class.Name
-		f.opt.Watch.Answered(a)
+		f.opt.Observer.ResponseReceived(a)
 	}
 }
 
@@ -779,27 +779,27 @@
 		return
 	}
 	delete(g.open, id)
-	g.f.answer(r, func(c *Count) {
+	g.f.answer(r, func(c *ClassCount) {
 		took := g.f.now - r.asked
 		if took > r.class.LatencyObjective {
 			c.FailedLate++
 		}
 		if refused {
-			c.Refused++
-			c.Slowest = max(c.Slowest, took)
+			c.Rejected++
+			c.SlowestRejection = max(c.SlowestRejection, took)
 		} else {
 			c.Failed++
 		}
-	}, Answer{Refused: refused, Failed: !refused})
+	}, Response{Rejected: refused, Failed: !refused})
 }
 
 // Reject answers a client, who may ask again. Its request counts as refused once it gives up.
 func (g *gateway) Reject(id string, after time.Duration) {
 	f, r := g.f, g.open[id]
-	if f.opt.Again == AtOnce || after <= 0 {
-		after = f.opt.Cross
+	if f.opt.ClientRetry == RetryAtOnce || after <= 0 {
+		after = f.opt.CrossZoneDelay
 	}
-	if r == nil || r.answered || f.opt.Again == GivesUp || f.now+after >= r.began+r.class.LatencyObjective {
+	if r == nil || r.answered || f.opt.ClientRetry == NoRetry || f.now+after >= r.began+r.class.LatencyObjective {
 		g.no(id, true)
 		return
 	}
@@ -846,10 +846,10 @@
 
 func (s *server) warmth() float64 {
 	age := s.f.now - s.since
-	if s.since == 0 || age >= s.f.opt.Warm {
+	if s.since == 0 || age >= s.f.opt.WarmUp {
 		return 1
 	}
-	return s.f.opt.Share + (1-s.f.opt.Share)*float64(age)/float64(s.f.opt.Warm)
+	return s.f.opt.InitialSpeed + (1-s.f.opt.InitialSpeed)*float64(age)/float64(s.f.opt.WarmUp)
 }
 
 // part is its part of the full speed now, for all but its warm-up.
@@ -865,17 +865,17 @@
 	for len(s.arrivals) > 0 && s.arrivals[0] < s.f.now-time.Second {
 		s.arrivals = s.arrivals[1:]
 	}
-	return float64(len(s.arrivals)) / (float64(s.workers) / s.f.opt.Service.Seconds() * s.warmth() * s.part())
+	return float64(len(s.arrivals)) / (float64(s.workers) / s.f.opt.ServiceTime.Seconds() * s.warmth() * s.part())
 }
 
 func (s *server) take(a *attempt, end func(balancer.Result)) {
 	f := s.f
 	s.arrivals = append(s.arrivals, f.now)
 	p, w, load := f.phase(), s.warmth(), s.load()
-	p.WorstAny = max(p.WorstAny, load)
-	if w < 1 && s.how == Lives && f.now >= s.until {
-		if p.Worst = max(p.Worst, load); load > f.opt.Fall { // it falls over, with all that it has
-			p.Fallen++
+	p.MaxLoad = max(p.MaxLoad, load)
+	if w < 1 && s.how == Healthy && f.now >= s.until {
+		if p.MaxColdLoad = max(p.MaxColdLoad, load); load > f.opt.OverloadMultiple { // it falls over, with all that it has
+			p.Overloads++
 			s.until = f.now + 2*time.Second
 			for _, q := range s.queue {
 				f.finish(q, balancer.ConnectionLost)
@@ -884,17 +884,17 @@
 		}
 	}
 	switch {
-	case s.how == Refuses, f.now < s.until:
+	case s.how == RefusesConnections, f.now < s.until:
 		end(balancer.NotConnected)
-	case s.how == Silent:
-	case s.how == Says503, s.sick[a.r.class.Name], len(s.queue) >= s.limit:
+	case s.how == NeverResponds:
+	case s.how == Responds503, s.sick[a.r.class.Name], len(s.queue) >= s.limit:
 		end(balancer.Rejected)
-	case s.how == Resets:
+	case s.how == ResetsAfterRequest:
 		s.run(a)
 		end(balancer.ConnectionLost)
 	default:
 		s.queue = append(s.queue, a)
-		p.Queue = max(p.Queue, s.busy+len(s.queue))
+		p.MaxQueue = max(p.MaxQueue, s.busy+len(s.queue))
 		a.s = s
 		s.next(end)
 	}
@@ -917,19 +917,19 @@
 		s.busy++
 		since := s.since
 		var took time.Duration
-		if draw := a.r.class.Draw; draw != nil {
+		if draw := a.r.class.DrawServiceTime; draw != nil {
 			took = draw(f.rng)
 		} else {
-			took = time.Duration(f.rng.ExpFloat64() * float64(f.opt.Service))
+			took = time.Duration(f.rng.ExpFloat64() * float64(f.opt.ServiceTime))
 		}
 		took = time.Duration(float64(took+a.extra) * s.slow / s.warmth() / s.part())
 		f.after(took, func() {
-			if s.since != since || s.how == Refuses {
+			if s.since != since || s.how == RefusesConnections {
 				return // it died meanwhile
 			}
 			s.busy--
 			s.run(a)
-			if s.how == Lives || s.how == Loses && f.rng.IntN(5) == 0 {
+			if s.how == Healthy || s.how == LosesResponses && f.rng.IntN(5) == 0 {
 				end(balancer.Served)
 			}
 			for len(s.queue) > 0 {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -20,8 +20,8 @@
 	var b bytes.Buffer
 	r.Print(&b)
 	t.Logf("%v\n%s", o.Mode, b.String())
-	if o.Mode == Tiers && (r.Twice != 0 || r.Lost != 0) {
-		t.Errorf("%d effects taken twice, %d requests lost", r.Twice, r.Lost)
+	if o.Mode == Tiers && (r.DuplicateEffects != 0 || r.Lost != 0) {
+		t.Errorf("%d effects taken twice, %d requests lost", r.DuplicateEffects, r.Lost)
 	}
 	return r
 }
@@ -30,17 +30,17 @@
 func (p Phase) in() (all, home float64) {
 	var asked, ok, h, hok float64
 	for _, c := range p.Classes {
-		asked, ok, h, hok = asked+float64(c.Asked), ok+float64(c.InTime), h+float64(c.Home), hok+float64(c.HomeInTime)
+		asked, ok, h, hok = asked+float64(c.Requests), ok+float64(c.InTime), h+float64(c.Local), hok+float64(c.LocalInTime)
 	}
 	return ok / max(asked, 1), hok / max(h, 1)
 }
 
-func (c *Count) part(n int) float64 { return float64(n) / float64(max(c.Asked, 1)) }
+func (c *ClassCount) part(n int) float64 { return float64(n) / float64(max(c.Requests, 1)) }
 
 // The same options give the same result.
 func TestSameSeedSameResult(t *testing.T) {
 	t.Parallel()
-	o := Options{Seed: 3, Rate: 800, Length: 8 * s, Events: []Event{{2 * s, func(f *Fleet) { f.Down("sapporo", Loses, 1) }}}}
+	o := Options{Seed: 3, Rate: 800, Duration: 8 * s, Events: []Event{{2 * s, func(f *Fleet) { f.FailServers("sapporo", LosesResponses, 1) }}}}
 	a, err := Run(o)
 	if err != nil {
 		t.Fatal(err)
@@ -58,12 +58,12 @@
 // sapporo goes dark in each way while both zones together have three quarters of what ishikari alone can do.
 func TestZoneGoesDark(t *testing.T) {
 	t.Parallel()
-	for name, how := range map[string]How{"refuses connections": Refuses, "accepts and says nothing": Silent, "answers 503": Says503,
-		"resets after the last byte": Resets, "loses four of five answers": Loses} {
+	for name, how := range map[string]ServerState{"refuses connections": RefusesConnections, "accepts and says nothing": NeverResponds, "answers 503": Responds503,
+		"resets after the last byte": ResetsAfterRequest, "loses four of five answers": LosesResponses} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Seed: 1, Gateways: 8, Rate: 900, Length: 30 * s, Phases: []time.Duration{10 * s, 13 * s},
-				Events: []Event{{10 * s, func(f *Fleet) { f.Down("sapporo", how, 1) }}}})
+			r := run(t, Options{Seed: 1, Gateways: 8, Rate: 900, Duration: 30 * s, Phases: []time.Duration{10 * s, 13 * s},
+				Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", how, 1) }}}})
 			if _, home := r.Phases[1].in(); home < 0.97 {
 				t.Errorf("%.3f in time at the gateways of the zone that lives, while the other goes", home)
 			}
@@ -71,8 +71,8 @@
 			if all < 0.95 || home < 0.98 {
 				t.Errorf("%.3f in time once it is gone, %.3f at the gateways of the zone that lives", all, home)
 			}
-			if p := r.Phases[0]; p.Crossed > p.Sends/200 {
-				t.Errorf("%d of %d crossed in good times", p.Crossed, p.Sends)
+			if p := r.Phases[0]; p.CrossZone > p.Attempts/200 {
+				t.Errorf("%d of %d crossed in good times", p.CrossZone, p.Attempts)
 			}
 		})
 	}
@@ -80,9 +80,9 @@
 		t.Parallel()
 		var l []Event
 		for i := range 8 {
-			l = append(l, Event{10*s + time.Duration(i)*s, func(f *Fleet) { f.Slow("sapporo", 2) }})
+			l = append(l, Event{10*s + time.Duration(i)*s, func(f *Fleet) { f.SlowDown("sapporo", 2) }})
 		}
-		r := run(t, Options{Seed: 1, Gateways: 8, Rate: 900, Length: 30 * s, Phases: []time.Duration{10 * s, 18 * s}, Events: l})
+		r := run(t, Options{Seed: 1, Gateways: 8, Rate: 900, Duration: 30 * s, Phases: []time.Duration{10 * s, 18 * s}, Events: l})
 		if all, _ := r.Phases[2].in(); all < 0.9 {
 			t.Errorf("%.3f in time in the end", all)
 		}
@@ -93,8 +93,8 @@
 // others does not fit is refused early.
 func TestSurvivorIsBusyAlready(t *testing.T) {
 	t.Parallel()
-	o := Options{Seed: 2, Gateways: 8, Rate: 2040, Length: 40 * s, Phases: []time.Duration{10 * s, 13 * s},
-		Events: []Event{{10 * s, func(f *Fleet) { f.Down("sapporo", Refuses, 1) }}}}
+	o := Options{Seed: 2, Gateways: 8, Rate: 2040, Duration: 40 * s, Phases: []time.Duration{10 * s, 13 * s},
+		Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 1) }}}}
 	r := run(t, o)
 	_, before := r.Phases[0].in()
 	_, home := r.Phases[2].in()
@@ -123,9 +123,9 @@
 	var l []Event
 	for i := range 30 {
 		at := 10*s + time.Duration(2*i)*s
-		l = append(l, Event{at, func(f *Fleet) { f.Down("sapporo", Refuses, 1) }}, Event{at + s, func(f *Fleet) { f.UpWarm("sapporo") }})
+		l = append(l, Event{at, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 1) }}, Event{at + s, func(f *Fleet) { f.ReviveServers("sapporo") }})
 	}
-	r := run(t, Options{Seed: 4, Gateways: 8, Rate: 450, Length: 75 * s, Phases: []time.Duration{10 * s, 70 * s}, Events: l,
+	r := run(t, Options{Seed: 4, Gateways: 8, Rate: 450, Duration: 75 * s, Phases: []time.Duration{10 * s, 70 * s}, Events: l,
 		Burst: func(at time.Duration) float64 {
 			if at >= 10*s && at < 70*s {
 				return 4
@@ -136,8 +136,8 @@
 	if _, home := p.in(); home < 0.9 {
 		t.Errorf("%.3f in time where the own zone lives at the time", home)
 	}
-	if p.WorstAny > 1.5 {
-		t.Errorf("a server got %.2f of its capacity in a second", p.WorstAny)
+	if p.MaxLoad > 1.5 {
+		t.Errorf("a server got %.2f of its capacity in a second", p.MaxLoad)
 	}
 }
 
@@ -146,13 +146,13 @@
 func TestReturnsColdAndTheListIsLate(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{0, 10 * s} {
-		o := Options{Seed: 5, Gateways: 8, Rate: 900, Length: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
-			Events: []Event{{10 * s, func(f *Fleet) { f.Down("sapporo", Refuses, 1) }},
-				{20 * s, func(f *Fleet) { f.Up("sapporo", 3); f.Tell(late) }}}}
+		o := Options{Seed: 5, Gateways: 8, Rate: 900, Duration: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
+			Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 1) }},
+				{20 * s, func(f *Fleet) { f.RestartServers("sapporo", 3); f.PublishEndpoints(late) }}}}
 		r := run(t, o)
 		p := r.Phases[2]
-		if p.Fallen > 0 || p.Worst > 1 {
-			t.Errorf("list %v late: %d fell over, the worst got %.2f of its warm-up capacity", late, p.Fallen, p.Worst)
+		if p.Overloads > 0 || p.MaxColdLoad > 1 {
+			t.Errorf("list %v late: %d fell over, the worst got %.2f of its warm-up capacity", late, p.Overloads, p.MaxColdLoad)
 		}
 		if all, _ := p.in(); all < 0.93 {
 			t.Errorf("list %v late: %.3f in time on the way back", late, all)
@@ -163,8 +163,8 @@
 		if late > 0 {
 			o := o
 			o.Mode = Failover
-			if w := run(t, o).Phases[2].Worst; w < 2*p.Worst {
-				t.Errorf("a plain failover gives them %.2f, tiers %.2f: the steps do nothing", w, p.Worst)
+			if w := run(t, o).Phases[2].MaxColdLoad; w < 2*p.MaxColdLoad {
+				t.Errorf("a plain failover gives them %.2f, tiers %.2f: the steps do nothing", w, p.MaxColdLoad)
 			}
 		}
 	}
@@ -173,16 +173,20 @@
 // It returns for one class alone: that one is served there, the others go on crossing.
 func TestReturnsForOneClass(t *testing.T) {
 	t.Parallel()
-	r := run(t, Options{Seed: 6, Gateways: 8, Rate: 700, Length: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
-		Events: []Event{{10 * s, func(f *Fleet) { f.Down("sapporo", Says503, 1) }},
-			{20 * s, func(f *Fleet) { f.Up("sapporo", 0); f.Sick("sapporo", "seat-hold", true); f.Tell(0) }}}})
+	r := run(t, Options{Seed: 6, Gateways: 8, Rate: 700, Duration: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
+		Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", Responds503, 1) }},
+			{20 * s, func(f *Fleet) {
+				f.RestartServers("sapporo", 0)
+				f.SetRejectedClass("sapporo", "seat-hold", true)
+				f.PublishEndpoints(0)
+			}}}})
 	p := r.Phases[3]
 	for name, c := range p.Classes {
 		if c.part(c.InTime) < 0.93 {
 			t.Errorf("%s: %.3f in time", name, c.part(c.InTime))
 		}
 	}
-	if part := float64(p.Crossed) / float64(p.Sends); part < 0.08 || part > 0.3 { // an eighth is the class of half the gateways
+	if part := float64(p.CrossZone) / float64(p.Attempts); part < 0.08 || part > 0.3 { // an eighth is the class of half the gateways
 		t.Errorf("%.3f of the attempts cross", part)
 	}
 }
@@ -190,13 +194,13 @@
 // Half a zone dies: what it lacks goes over, the rest stays.
 func TestHalfAZoneDies(t *testing.T) {
 	t.Parallel()
-	r := run(t, Options{Seed: 7, Gateways: 8, Rate: 1200, Length: 30 * s, Phases: []time.Duration{10 * s, 12 * s},
-		Events: []Event{{10 * s, func(f *Fleet) { f.Down("sapporo", Refuses, 0.5) }}}})
+	r := run(t, Options{Seed: 7, Gateways: 8, Rate: 1200, Duration: 30 * s, Phases: []time.Duration{10 * s, 12 * s},
+		Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 0.5) }}}})
 	p := r.Phases[2]
 	if all, _ := p.in(); all < 0.97 {
 		t.Errorf("%.3f in time", all)
 	}
-	if part := float64(p.Crossed) / float64(p.Sends); part < 0.05 || part > 0.35 { // 30% of half the load by Envoy's rule
+	if part := float64(p.CrossZone) / float64(p.Attempts); part < 0.05 || part > 0.35 { // 30% of half the load by Envoy's rule
 		t.Errorf("%.3f of the attempts cross", part)
 	}
 }
@@ -204,11 +208,11 @@
 // Three tiers: the first two go, the third takes over and the first that returns is used again.
 func TestThreeTiers(t *testing.T) {
 	t.Parallel()
-	o := Options{Seed: 8, Zones: []string{"sapporo", "ishikari", "tokyo"}, Gateways: 6, Rate: 700, Length: 60 * s,
+	o := Options{Seed: 8, Zones: []string{"sapporo", "ishikari", "tokyo"}, Gateways: 6, Rate: 700, Duration: 60 * s,
 		Phases: []time.Duration{5 * s, 15 * s, 25 * s, 45 * s}}
 	o.Zone.Tiers = [][]string{{"sapporo"}, {"ishikari"}, {"tokyo"}}
-	o.Events = []Event{{5 * s, func(f *Fleet) { f.Down("sapporo", Refuses, 1) }}, {15 * s, func(f *Fleet) { f.Down("ishikari", Silent, 1) }},
-		{25 * s, func(f *Fleet) { f.Up("sapporo", 0); f.Tell(0) }}}
+	o.Events = []Event{{5 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 1) }}, {15 * s, func(f *Fleet) { f.FailServers("ishikari", NeverResponds, 1) }},
+		{25 * s, func(f *Fleet) { f.RestartServers("sapporo", 0); f.PublishEndpoints(0) }}}
 	r := run(t, o)
 	for i, least := range []float64{0.98, 0.9, 0.8, 0.9, 0.98} {
 		if all, _ := r.Phases[i].in(); all < least {
@@ -220,16 +224,19 @@
 // All zones go dark: what comes is refused at once, and the first that is back is found without a stampede.
 func TestAllZonesDark(t *testing.T) {
 	t.Parallel()
-	r := run(t, Options{Seed: 9, Gateways: 8, Rate: 900, Length: 60 * s, Phases: []time.Duration{10 * s, 12 * s, 20 * s, 24 * s, 40 * s},
-		Events: []Event{{10 * s, func(f *Fleet) { f.Down("sapporo", Refuses, 1); f.Down("ishikari", Refuses, 1) }},
-			{20 * s, func(f *Fleet) { f.Up("ishikari", 0); f.Tell(0) }}}})
+	r := run(t, Options{Seed: 9, Gateways: 8, Rate: 900, Duration: 60 * s, Phases: []time.Duration{10 * s, 12 * s, 20 * s, 24 * s, 40 * s},
+		Events: []Event{{10 * s, func(f *Fleet) {
+			f.FailServers("sapporo", RefusesConnections, 1)
+			f.FailServers("ishikari", RefusesConnections, 1)
+		}},
+			{20 * s, func(f *Fleet) { f.RestartServers("ishikari", 0); f.PublishEndpoints(0) }}}})
 	dark := r.Phases[2]
 	for name, c := range dark.Classes {
 		if c.part(c.FailedLate) > 0.01 {
 			t.Errorf("%s: %.3f given up late while all is dark", name, c.part(c.FailedLate))
 		}
 	}
-	if n := dark.Sends; n > 8*2*8*3 { // probes of eight gateways to two zones, twice a second and some
+	if n := dark.Attempts; n > 8*2*8*3 { // probes of eight gateways to two zones, twice a second and some
 		t.Errorf("%d attempts at dark zones in 8 s", n)
 	}
 	found := 0
@@ -239,8 +246,8 @@
 	if found == 0 {
 		t.Error("nothing is served 4 s after one is back")
 	}
-	if p := r.Phases[4]; p.Fallen > 0 || r.Phases[3].Fallen > 0 {
-		t.Errorf("%d and %d servers fell over", r.Phases[3].Fallen, p.Fallen)
+	if p := r.Phases[4]; p.Overloads > 0 || r.Phases[3].Overloads > 0 {
+		t.Errorf("%d and %d servers fell over", r.Phases[3].Overloads, p.Overloads)
 	}
 }
 
@@ -249,11 +256,11 @@
 func TestFortyGatewaysSeeOneReturn(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1, 2} {
-		r := run(t, Options{Seed: seed, Gateways: 40, Servers: 9, Rate: 1500, Length: 45 * s, Phases: []time.Duration{5 * s, 15 * s, 35 * s},
-			Events: []Event{{5 * s, func(f *Fleet) { f.Down("sapporo", Refuses, 1) }},
-				{15 * s, func(f *Fleet) { f.Up("sapporo", 0); f.Tell(0) }}}})
-		if p := r.Phases[2]; p.Fallen > 0 || p.Worst > 1 { // 1 is what it can do as cold as it is, 2.5 where it falls over
-			t.Errorf("seed %d: %d fell over, the worst got %.2f of its warm-up capacity", seed, p.Fallen, p.Worst)
+		r := run(t, Options{Seed: seed, Gateways: 40, Servers: 9, Rate: 1500, Duration: 45 * s, Phases: []time.Duration{5 * s, 15 * s, 35 * s},
+			Events: []Event{{5 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 1) }},
+				{15 * s, func(f *Fleet) { f.RestartServers("sapporo", 0); f.PublishEndpoints(0) }}}})
+		if p := r.Phases[2]; p.Overloads > 0 || p.MaxColdLoad > 1 { // 1 is what it can do as cold as it is, 2.5 where it falls over
+			t.Errorf("seed %d: %d fell over, the worst got %.2f of its warm-up capacity", seed, p.Overloads, p.MaxColdLoad)
 		}
 		if all, _ := r.Phases[3].in(); all < 0.98 {
 			t.Errorf("seed %d: %.3f in time in the end", seed, all)
@@ -262,15 +269,15 @@
 }
 
 func Example() {
-	r, err := Run(Options{Seed: 1, Rate: 100, Length: 2 * s})
-	fmt.Println(err, r.Lost, r.Twice)
+	r, err := Run(Options{Seed: 1, Rate: 100, Duration: 2 * s})
+	fmt.Println(err, r.Lost, r.DuplicateEffects)
 	// Output: <nil> 0 0
 }
 
 // Both zones are short: what is worth more is served first, each class has its floor, and nothing is given up late.
 func TestBothZonesAreShort(t *testing.T) {
 	t.Parallel()
-	r := run(t, Options{Seed: 10, Gateways: 8, Rate: 1200, Length: 30 * s, Phases: []time.Duration{10 * s, 13 * s},
+	r := run(t, Options{Seed: 10, Gateways: 8, Rate: 1200, Duration: 30 * s, Phases: []time.Duration{10 * s, 13 * s},
 		Burst: func(at time.Duration) float64 {
 			if at >= 10*s {
 				return 4 // of 1,200, where both zones can do 2,400
--- a/internal/testbed/fleet/restart.go
+++ b/internal/testbed/fleet/restart.go
@@ -12,9 +12,9 @@
 // Source is what tells gateways the list. One that starts has to ask it and is not ready before it was told; those that
 // run hear of each change. The zero value answers at once, any number at a time.
 type Source struct {
-	Places   int           // calls that it works on at once; 0: any number
-	Takes    time.Duration // of a call
-	Patience time.Duration // that a call waits for a place before it fails; 0: for ever
+	Slots    int           // calls that it works on at once; 0: any number
+	CallTime time.Duration // of a call
+	MaxWait  time.Duration // that a call waits for a place before it fails; 0: for ever
 
 	busy int
 	line []*call
@@ -38,19 +38,19 @@
 		return
 	}
 	c := &call{g: g}
-	if s.Places == 0 || s.busy < s.Places {
+	if s.Slots == 0 || s.busy < s.Slots {
 		f.work(c)
 		return
 	}
 	s.line = append(s.line, c)
-	if s.Patience == 0 {
+	if s.MaxWait == 0 {
 		return
 	}
-	f.after(s.Patience, func() {
+	f.after(s.MaxWait, func() {
 		for i, w := range s.line {
 			if w == c {
 				s.line = append(s.line[:i], s.line[i+1:]...)
-				f.result.SourceFailed++
+				f.result.SourceFailures++
 				wait := min(firstWait<<min(n, 10), maxWait)
 				f.after(wait/2+time.Duration(f.rng.Float64()*float64(wait/2)), func() { f.askSource(g, n+1) })
 				return
@@ -63,13 +63,13 @@
 func (f *Fleet) work(c *call) {
 	s := &f.opt.Source
 	s.busy++
-	f.after(s.Takes, func() {
+	f.after(s.CallTime, func() {
 		s.busy--
 		if g := c.g; !g.dead && !f.away {
 			g.bal.UpdateEndpoints(f.now, balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot, Servers: f.list()})
 			if !g.ready {
 				g.ready = true
-				f.result.Back = max(f.result.Back, f.now-g.born)
+				f.result.MaxTimeToReady = max(f.result.MaxTimeToReady, f.now-g.born)
 			}
 		}
 		if len(s.line) > 0 {
@@ -80,16 +80,16 @@
 	})
 }
 
-// Restart kills part of the gateways at once, spread over the zones, with all that they have in hand, and has them start
+// RestartGateways kills part of the gateways at once, spread over the zones, with all that they have in hand, and has them start
 // from nothing after a while. Clients are led to those that are ready meanwhile. An error ends the run.
-func (f *Fleet) Restart(part float64, down time.Duration) {
+func (f *Fleet) RestartGateways(part float64, down time.Duration) {
 	n := int(math.Round(part * float64(len(f.gateways))))
 	for i := range n {
 		old := f.gateways[i]
 		old.dead, old.ready = true, false
 		// In one order, as clients that ask again draw their pause then: the same seed is to give the same run.
 		for _, id := range slices.Sorted(maps.Keys(old.open)) {
-			f.answer(old.open[id], func(c *Count) { c.Failed++ }, Answer{Failed: true})
+			f.answer(old.open[id], func(c *ClassCount) { c.Failed++ }, Response{Failed: true})
 		}
 		clear(old.open)
 		g, err := f.newGateway(i)
@@ -125,25 +125,25 @@
 // connect gives what a new connection costs the server of an attempt, 0 where an idle one is left.
 func (g *gateway) connect(to string) time.Duration {
 	f := g.f
-	if f.opt.Connect == 0 {
+	if f.opt.ConnectTime == 0 {
 		return 0
 	}
 	idle := g.idle[to]
 	if n := len(idle); n > 0 {
 		last := idle[n-1]
 		g.idle[to] = idle[:n-1]
-		if f.now-last < f.opt.Idle {
+		if f.now-last < f.opt.IdleTimeout {
 			return 0
 		}
 		g.idle[to] = nil // those before it have stood idle for longer
 	}
-	f.phase().Connects++
-	return f.opt.Connect
+	f.phase().NewConnections++
+	return f.opt.ConnectTime
 }
 
 // keep has an attempt's connection wait for another one.
 func (g *gateway) keep(a *attempt, res balancer.Result) {
-	if g.f.opt.Connect > 0 && res == balancer.Served && a.s != nil {
+	if g.f.opt.ConnectTime > 0 && res == balancer.Served && a.s != nil {
 		g.idle[a.s.id] = append(g.idle[a.s.id], g.f.now)
 	}
 }
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -14,24 +14,24 @@
 func overload() error {
 	const s, ms = time.Second, time.Millisecond
 	classes := []fleet.Class{
-		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Part: 0.90},
-		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Window: 4 * s}, Part: 0.08},
-		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Part: 0.02},
+		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Fraction: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Window: 4 * s}, Fraction: 0.08},
+		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Fraction: 0.02},
 	}
 	ways := []struct {
 		name string
 		of   func(o fleet.Options) func(int) (balancer.Admission, error)
 	}{
 		{"off", func(o fleet.Options) func(int) (balancer.Admission, error) {
-			return fleet.Admit(o, admission.Options{Mode: admission.Off})
+			return fleet.NewAdmission(o, admission.Options{Mode: admission.Off})
 		}},
 		{"the module's estimate", func(fleet.Options) func(int) (balancer.Admission, error) { return nil }},
 		{"fixed 1024", func(o fleet.Options) func(int) (balancer.Admission, error) {
-			return fleet.Admit(o, admission.Options{Mode: admission.Fixed, Limit: 1024})
+			return fleet.NewAdmission(o, admission.Options{Mode: admission.Fixed, Limit: 1024})
 		}},
-		{"AIMD", func(o fleet.Options) func(int) (balancer.Admission, error) { return fleet.AIMD(o, 512) }},
+		{"AIMD", func(o fleet.Options) func(int) (balancer.Admission, error) { return fleet.NewAIMD(o, 512) }},
 		{"adaptive", func(o fleet.Options) func(int) (balancer.Admission, error) {
-			return fleet.Admit(o, admission.Options{})
+			return fleet.NewAdmission(o, admission.Options{})
 		}},
 	}
 	// Two servers of four workers, 20 ms a request: 400 a second.
@@ -50,8 +50,8 @@
 	for _, over := range []float64{1.5, 3, 10} {
 		for a, text := range again {
 			for _, w := range ways {
-				o := fleet.Options{Mode: fleet.Price, Zones: []string{"a"}, Gateways: 1, Servers: 2, Seed: 1, Rate: capacity, Burst: at(over), Length: 80 * s,
-					Phases: phases, Classes: classes, Again: fleet.Again(a), Cross: 30 * ms, Queue: 10000}
+				o := fleet.Options{Mode: fleet.PriceOnly, Zones: []string{"a"}, Gateways: 1, Servers: 2, Seed: 1, Rate: capacity, Burst: at(over), Duration: 80 * s,
+					Phases: phases, Classes: classes, ClientRetry: fleet.ClientRetry(a), CrossZoneDelay: 30 * ms, QueueSize: 10000}
 				o.Admission = w.of(o)
 				r, err := fleet.Run(o)
 				if err != nil {
@@ -60,17 +60,17 @@
 				p := &r.Phases[1]
 				inTime, asked, refused := 0, 0, 0
 				for _, c := range p.Classes {
-					inTime, asked, refused = inTime+c.InTime, asked+c.Asked, refused+c.Refused+c.Failed
+					inTime, asked, refused = inTime+c.InTime, asked+c.Requests, refused+c.Rejected+c.Failed
 				}
 				part := func(name string) float64 {
 					c := p.Classes[name]
-					return 100 * float64(c.InTime) / float64(max(c.Asked, 1))
+					return 100 * float64(c.InTime) / float64(max(c.Requests, 1))
 				}
 				wellAfter := "not by 10 s"
 				for _, q := range r.Phases[2:] {
 					n, good := 0, 0
 					for _, c := range q.Classes {
-						n, good = n+c.Asked, good+c.InTime
+						n, good = n+c.Requests, good+c.InTime
 					}
 					if float64(good) >= 0.995*float64(n) {
 						wellAfter = (q.From - 70*s).String()
@@ -79,7 +79,7 @@
 				}
 				fmt.Printf("%-22s %4.1f x capacity    %-18s %18.1f%%  %10.1f%%  %11.1f%%  %6.1f%%  %-6v  %-6v  %-6v  %5d  %s\n", w.name, over, text,
 					100*float64(inTime)/(60*capacity), part("pay"), part("seat-hold"), 100*float64(refused)/float64(max(asked, 1)),
-					p.Quantile(0.5).Round(ms), p.Quantile(0.99).Round(ms), p.Quantile(0.999).Round(ms), p.Queue, wellAfter)
+					p.Quantile(0.5).Round(ms), p.Quantile(0.99).Round(ms), p.Quantile(0.999).Round(ms), p.MaxQueue, wellAfter)
 			}
 		}
 	}
@@ -87,19 +87,19 @@
 	for _, workers := range []int{100000, 4} {
 		for _, n := range []int{8, 32, 64, 200, 500, 1000} {
 			for _, w := range ways {
-				o := fleet.Options{Mode: fleet.Price, Zones: []string{"a"}, Gateways: 1, Servers: 2, Seed: 1, Rate: 0.001, Service: 5 * ms, Workers: workers, Queue: 100000,
-					Length: 60 * s, Cross: ms, Classes: []fleet.Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Part: 1}}}
+				o := fleet.Options{Mode: fleet.PriceOnly, Zones: []string{"a"}, Gateways: 1, Servers: 2, Seed: 1, Rate: 0.001, ServiceTime: 5 * ms, Workers: workers, QueueSize: 100000,
+					Duration: 60 * s, CrossZoneDelay: ms, Classes: []fleet.Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Fraction: 1}}}
 				o.Admission = w.of(o)
 				gap := 200*ms + time.Duration(float64(n)/(2*float64(min(workers, n))/0.005)*float64(s)) + 50*ms
 				for i := range 25 {
-					o.Events = append(o.Events, fleet.Event{At: time.Duration(i) * gap, Do: func(f *fleet.Fleet) { f.Burst(n) }})
+					o.Events = append(o.Events, fleet.Event{At: time.Duration(i) * gap, Do: func(f *fleet.Fleet) { f.SendBurst(n) }})
 				}
 				r, err := fleet.Run(o)
 				if err != nil {
 					return err
 				}
 				c := r.Phases[0].Classes["default-safe"]
-				fmt.Printf("%-22s %4d at %6d workers: %5.1f%%, %5.1f%%\n", w.name, n, workers, 100*float64(c.Refused+c.Failed)/float64(c.Asked), 100*float64(c.InTime)/float64(c.Asked))
+				fmt.Printf("%-22s %4d at %6d workers: %5.1f%%, %5.1f%%\n", w.name, n, workers, 100*float64(c.Rejected+c.Failed)/float64(c.Requests), 100*float64(c.InTime)/float64(c.Requests))
 			}
 		}
 	}
