--- a/internal/testbed/hollow/fit.go
+++ b/internal/testbed/hollow/fit.go
@@ -6,26 +6,25 @@
 	"slices"
 )
 
-// Fit is what a figure does as a size grows: a straight line by least squares, how far the points are off it, and how it bends.
+// Fit is a straight line through the values of several sizes by least squares, and how far they deviate from it.
 type Fit struct {
-	Sizes, Values []float64
-	Slope, Start  float64 // value = Start + Slope * size
-	// Residual is the largest distance of a point from the line, as a part of the largest value.
+	Sizes, Values    []float64
+	Slope, Intercept float64 // value = Start + Slope * size
+	// Residual is the largest distance of a value from the line, as a fraction of the largest value.
 	Residual float64
-	// Power is the slope between the last two sizes on logarithmic scales: 1 a figure that grows as the size does, 0 one that does
-	// not grow, 2 one that grows as its square.
+	// Power is the slope between the last two sizes on logarithmic scales: 1 for linear, 0 for no and 2 for quadratic growth.
 	Power             float64
 	smallest, largest float64
 }
 
 const (
-	// bend is the residual over which a line does not stand for the points.
-	bend = 0.10
-	// flat is the range within which points are taken for one figure and noise.
-	flat = 0.10
+	// maxLinearResidual is the residual above which values count as nonlinear.
+	maxLinearResidual = 0.10
+	// flatRange is the range, as a fraction of the largest value, within which values count as constant.
+	flatRange = 0.10
 )
 
-// NewFit fits a line to at least two points with different sizes.
+// NewFit fits a line to the values of at least two sizes, which must be positive and rising.
 func NewFit(sizes, values []float64) (Fit, error) {
 	f := Fit{Sizes: slices.Clone(sizes), Values: slices.Clone(values)}
 	n := float64(len(sizes))
@@ -43,7 +42,7 @@
 		f.smallest, f.largest = min(f.smallest, y), max(f.largest, y)
 	}
 	f.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	f.Start = (sy - f.Slope*sx) / n
+	f.Intercept = (sy - f.Slope*sx) / n
 	for i, x := range sizes {
 		if largest > 0 {
 			f.Residual = max(f.Residual, math.Abs(values[i]-f.line(x))/largest)
@@ -56,39 +55,39 @@
 	return f, nil
 }
 
-func (f *Fit) line(size float64) float64 { return f.Start + f.Slope*size }
+func (f *Fit) line(size float64) float64 { return f.Intercept + f.Slope*size }
 
-// Flat tells that the points do not differ by more than noise: a slope between them would be noise, too, and large where it is drawn
-// out to another size.
-func (f *Fit) Flat() bool { return f.smallest >= 0 && f.largest-f.smallest <= flat*f.largest }
+// IsFlat reports whether the values differ by no more than noise, so that their slope has no meaning.
+func (f *Fit) IsFlat() bool { return f.smallest >= 0 && f.largest-f.smallest <= flatRange*f.largest }
 
-// Bends tells that no line stands for the points.
-func (f *Fit) Bends() bool { return !f.Flat() && f.Residual > bend }
+// IsNonlinear reports whether the values deviate too far from a line.
+func (f *Fit) IsNonlinear() bool { return !f.IsFlat() && f.Residual > maxLinearResidual }
 
-// At is the figure at a size: the largest of flat ones, and of those whose line would go below zero, else by the line, or where that bends by the power between the last two sizes. far is how many times larger
-// than the largest one measured the size is.
-func (f *Fit) At(size float64) (value, far float64) {
+// Extrapolate returns the value at a size, and the size as a multiple of the largest one measured. It is the largest value if the
+// values are flat or the line falls below zero there, that of the line if they are linear, and otherwise that of the power between
+// the last two sizes.
+func (f *Fit) Extrapolate(size float64) (value, far float64) {
 	last := len(f.Sizes) - 1
 	far = size / f.Sizes[last]
-	if f.Flat() || f.smallest >= 0 && !f.Bends() && f.line(size) < 0 { // a line below zero is noise that was drawn out
+	if f.IsFlat() || f.smallest >= 0 && !f.IsNonlinear() && f.line(size) < 0 { // a line below zero is noise that was drawn out
 		return f.largest, far
 	}
-	if f.Bends() {
+	if f.IsNonlinear() {
 		return f.Values[last] * math.Pow(far, f.Power), far
 	}
 	return f.line(size), far
 }
 
-// Crosses is the size at which a figure that rises reaches a bound; +Inf: it does not, as far as the points tell.
+// Crosses returns the size at which the value exceeds a bound; +Inf: it does at none.
 func (f *Fit) Crosses(bound float64) float64 {
 	last := len(f.Sizes) - 1
-	if f.Flat() {
+	if f.IsFlat() {
 		if f.largest > bound {
 			return f.Sizes[0]
 		}
 		return math.Inf(1)
 	}
-	if f.Bends() {
+	if f.IsNonlinear() {
 		if f.Power <= 0 || f.Values[last] <= 0 {
 			return math.Inf(1)
 		}
@@ -97,16 +96,16 @@
 	if f.Slope <= 0 {
 		return math.Inf(1)
 	}
-	return max((bound-f.Start)/f.Slope, 0)
+	return max((bound-f.Intercept)/f.Slope, 0)
 }
 
-// String tells the formula, its residual and, where it bends, that.
+// String returns the formula, its residual and, if the values are nonlinear, their power.
 func (f *Fit) String() string {
-	if f.Flat() {
+	if f.IsFlat() {
 		return fmt.Sprintf("flat, %.4g to %.4g", f.smallest, f.largest)
 	}
-	s := fmt.Sprintf("%.4g + %.4g x size, residual %.0f%%", f.Start, f.Slope, 100*f.Residual)
-	if f.Bends() {
+	s := fmt.Sprintf("%.4g + %.4g x size, residual %.0f%%", f.Intercept, f.Slope, 100*f.Residual)
+	if f.IsNonlinear() {
 		s += fmt.Sprintf(", BENDS: power %.2f between the last two", f.Power)
 	}
 	return s
--- a/internal/testbed/hollow/fit_test.go
+++ b/internal/testbed/hollow/fit_test.go
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		near := func(got, want float64) bool { return math.Abs(got-want) <= 1e-6*math.Abs(want)+1e-6 }
-		if v, far := f.At(24000); !near(v, start+slope*24000) || far != 10 || f.Bends() || f.Residual > 1e-9 {
+		if v, far := f.Extrapolate(24000); !near(v, start+slope*24000) || far != 10 || f.IsNonlinear() || f.Residual > 1e-9 {
 			t.Fatalf("%v: %v, %v times", &f, v, far)
 		}
 		if at := f.Crosses(start + slope*1234); !near(at, 1234) {
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := f.At(24000); !f.Bends() || math.Abs(f.Power-2) > 1e-9 || math.Abs(v-576000) > 1 || !strings.Contains(f.String(), "BENDS") {
+	if v, _ := f.Extrapolate(24000); !f.IsNonlinear() || math.Abs(f.Power-2) > 1e-9 || math.Abs(v-576000) > 1 || !strings.Contains(f.String(), "BENDS") {
 		t.Errorf("%v: %v", &f, v)
 	}
 	if at := f.Crosses(576000); math.Abs(at-24000) > 1 {
@@ -51,7 +51,7 @@
 	if f, err = NewFit(sizes, []float64{100, 97, 102, 99}); err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := f.At(1e6); !f.Flat() || v != 102 || !math.IsInf(f.Crosses(200), 1) || f.Crosses(50) != 100 {
+	if v, _ := f.Extrapolate(1e6); !f.IsFlat() || v != 102 || !math.IsInf(f.Crosses(200), 1) || f.Crosses(50) != 100 {
 		t.Errorf("%v: %v, %v, %v", &f, v, f.Crosses(200), f.Crosses(50))
 	}
 }
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := f.At(2400); f.Flat() || f.Bends() || v != 626 || !math.IsInf(f.Crosses(1000), 1) {
+	if v, _ := f.Extrapolate(2400); f.IsFlat() || f.IsNonlinear() || v != 626 || !math.IsInf(f.Crosses(1000), 1) {
 		t.Errorf("%v: %v", &f, v)
 	}
 }
@@ -85,14 +85,14 @@
 		"processes":   {10, 201, 256 << 30, 1 << 20},
 		"descriptors": {2400, 0, 256 << 30, 1024},
 	} {
-		if err := MembersNeed(c.members, c.processes).refuse(c.memory, c.files); err == nil || !strings.Contains(err.Error(), what) {
+		if err := MembersRequirement(c.members, c.processes).check(c.memory, c.files); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if err := MembersNeed(800, 5).refuse(24<<30, 20000); err != nil {
+	if err := MembersRequirement(800, 5).check(24<<30, 20000); err != nil {
 		t.Errorf("800 members on a machine of 24 GiB: %v", err)
 	}
-	if err := MembersNeed(2400, 5).refuse(24<<30, 20000); err == nil {
+	if err := MembersRequirement(2400, 5).check(24<<30, 20000); err == nil {
 		t.Error("2400 members on a machine of 24 GiB")
 	}
 	if _, err := New(Options{Members: 4001}); err == nil {
@@ -104,12 +104,12 @@
 func TestHostsAreApart(t *testing.T) {
 	seen := map[int]bool{}
 	for range 5 {
-		h, err := newHost()
+		h, err := newAddressRange()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(h.close)
-		hosts.Add(^uint32(0)) // the next one begins its search where this one did
+		rangeCount.Add(^uint32(0)) // the next one begins its search where this one did
 		if seen[h.net] {
 			t.Errorf("127.%d is taken twice", h.net)
 		}
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -1,6 +1,6 @@
-// Package hollow runs many members of a fleet in one process, each with the real code of its role over sockets of its own on
-// loopback: its address, the members' list, the clients of the quorum. What a role does not need is left out: clients' sockets and
-// backends. What is sent is counted, so that a figure at a size can be held against the same at another one.
+// Package hollow runs many members of a fleet in one process, each with the real code of its role: its address, the membership and
+// the clients of the quorum, but neither clients' sockets nor backends. Traffic is counted, so that the cost at one size can be
+// compared with that at another.
 package hollow
 
 import (
@@ -22,72 +22,76 @@
 	"robindrum/internal/quorum"
 )
 
-// Options are what a Fleet is made of.
+// Options configure a Fleet.
 type Options struct {
 	Name    string // of the fleet; empty: "hollow"
 	Members int
-	// Seeds are addresses of members elsewhere; empty: its own first three.
-	Seeds  []string
-	Voters []quorum.Voter // elsewhere
-	Sites  []string       // of the members in turn; nil: one
-	Probe  time.Duration  // 0: a second
-	Beat   time.Duration  // the voters' heartbeat; 0: a second
-	Lease  time.Duration  // 0: 10 s
-	// Together is how many join at once; 0: 16.
-	Together int
-	// Network is what they are on; nil: loopback, with sockets.
+	// Seeds are addresses of members in other processes; empty: the first three of this one.
+	Seeds         []string
+	Voters        []quorum.Voter // in other processes
+	Sites         []string       // of the members in turn; nil: one
+	ProbeInterval time.Duration  // 0: a second
+	Heartbeat     time.Duration  // the voters' heartbeat; 0: a second
+	LeaseLength   time.Duration  // 0: 10 s
+	// JoinBatch is how many members join at once; 0: 16.
+	JoinBatch int
+	// Network connects the members; nil: sockets on loopback.
 	Network peer.Network
-	// Look is between two looks at whether all know something; 0: a twentieth of Probe, 20 ms at the least.
-	Look time.Duration
-	// Prepare is called for each member before it speaks; nil: nothing is added to it.
+	// CheckInterval is the minimal time between two checks whether all members know something; 0: a twentieth of ProbeInterval, at
+	// least 20 ms.
+	CheckInterval time.Duration
+	// Prepare is called with each member before it starts; nil: nothing is.
 	Prepare func(*Member) error
 }
 
 // Fleet is the members of this process. Its methods may be called by several goroutines at once.
 type Fleet struct {
-	opt  Options
-	host *host
-	log  *slog.Logger
-	past peer.Traffic // of those that were ended
-	work sync.WaitGroup
-
-	suspicions, dropped atomic.Int64
-
-	mu      sync.Mutex
-	members []*Member
+	opt        Options
+	host       *addressRange
+	log        *slog.Logger
+	goroutines sync.WaitGroup
+	suspicions atomic.Int64
+	dropped    atomic.Int64
+
+	mu             sync.Mutex
+	members        []*Member
+	stoppedTraffic peer.Traffic // of members that were stopped
 }
 
-// Member is one.
+// Member is a member of the fleet.
 type Member struct {
-	Number              int
-	Name, Address, Site string
-	*fleet.Fleet        // nil while it is down
+	Number       int
+	Name         string
+	Address      string
+	Site         string
+	*fleet.Fleet // nil while it does not run
 }
 
-// New makes the places. Nothing runs before Start.
+// New creates the members' addresses. No member runs before Start. Close must be called.
 func New(opt Options) (*Fleet, error) {
 	if opt.Members < 1 || opt.Members > 4000 {
 		return nil, fmt.Errorf("%d hollow members: want 1 to 4000", opt.Members)
 	}
 	opt.Name = cmp.Or(opt.Name, "hollow")
-	opt.Probe, opt.Beat, opt.Lease = cmp.Or(opt.Probe, time.Second), cmp.Or(opt.Beat, time.Second), cmp.Or(opt.Lease, 10*time.Second)
-	opt.Together = cmp.Or(opt.Together, 16)
-	opt.Look = cmp.Or(opt.Look, max(opt.Probe/20, 20*time.Millisecond))
-	h := &host{net: firstNet}
+	opt.ProbeInterval, opt.Heartbeat, opt.LeaseLength = cmp.Or(opt.ProbeInterval, time.Second), cmp.Or(opt.Heartbeat, time.Second), cmp.Or(opt.LeaseLength, 10*time.Second)
+	opt.JoinBatch = cmp.Or(opt.JoinBatch, 16)
+	opt.CheckInterval = cmp.Or(opt.CheckInterval, max(opt.ProbeInterval/20, 20*time.Millisecond))
+	h := &addressRange{net: firstNet}
 	if opt.Network == nil {
 		var err error
-		if h, err = newHost(); err != nil {
+		if h, err = newAddressRange(); err != nil {
 			return nil, err
 		}
 	}
 	f := &Fleet{opt: opt, host: h}
-	f.log = slog.New(&suspects{f: f})
+	f.log = slog.New(&suspicionCounter{f: f})
 	for i := range opt.Members {
 		f.add(i)
 	}
 	return f, nil
 }
 
+// add adds a member that does not run.
 func (f *Fleet) add(i int) *Member {
 	m := &Member{Number: i, Name: fmt.Sprintf("h%d", i), Address: f.host.address(i)}
 	if len(f.opt.Sites) > 0 {
@@ -99,16 +103,16 @@
 	return m
 }
 
-// suspects counts how often a member of this process took another one for gone, and what its list had no room for, as its log tells.
-type suspects struct {
+// suspicionCounter is a log handler that counts how often members suspect others and drop messages.
+type suspicionCounter struct {
 	slog.Handler // of nothing else
 	f            *Fleet
 }
 
-func (s *suspects) Enabled(_ context.Context, l slog.Level) bool { return l <= slog.LevelInfo }
-func (s *suspects) WithAttrs([]slog.Attr) slog.Handler           { return s }
-func (s *suspects) WithGroup(string) slog.Handler                { return s }
-func (s *suspects) Handle(_ context.Context, r slog.Record) error {
+func (s *suspicionCounter) Enabled(_ context.Context, l slog.Level) bool { return l <= slog.LevelInfo }
+func (s *suspicionCounter) WithAttrs([]slog.Attr) slog.Handler           { return s }
+func (s *suspicionCounter) WithGroup(string) slog.Handler                { return s }
+func (s *suspicionCounter) Handle(_ context.Context, r slog.Record) error {
 	r.Attrs(func(a slog.Attr) bool {
 		switch {
 		case a.Key == "to" && a.Value.String() == string(membership.Suspect):
@@ -121,10 +125,10 @@
 	return nil
 }
 
-// Dropped is how many messages their lists had no room for.
+// Dropped returns how many messages were dropped as a member's queue was full.
 func (f *Fleet) Dropped() int64 { return f.dropped.Load() }
 
-// Suspicions is how often one of them took another member for gone, also for a moment.
+// Suspicions returns how often a member suspected another one to be dead.
 func (f *Fleet) Suspicions() int64 { return f.suspicions.Load() }
 
 func (f *Fleet) seeds() []string {
@@ -138,12 +142,12 @@
 	return l
 }
 
-// start has one speak.
+// start starts a member with a configuration version.
 func (f *Fleet) start(m *Member, version string) error {
 	o := &f.opt
 	c := &config.Fleet{Name: o.Name, Member: m.Name, Site: m.Site, Address: m.Address, Advertise: m.Address, AllowRemote: true, Seeds: f.seeds(),
-		ProbeInterval: config.Duration(o.Probe), ForgetAfter: config.Duration(time.Hour), LeaseLength: config.Duration(o.Lease)}
-	c.Quorum.ElectionTimeout = config.Duration(o.Beat)
+		ProbeInterval: config.Duration(o.ProbeInterval), ForgetAfter: config.Duration(time.Hour), LeaseLength: config.Duration(o.LeaseLength)}
+	c.Quorum.ElectionTimeout = config.Duration(o.Heartbeat)
 	for _, v := range o.Voters {
 		c.Quorum.Voters = append(c.Quorum.Voters, config.Voter(v))
 	}
@@ -163,8 +167,8 @@
 	return nil
 }
 
-// More has one more start.
-func (f *Fleet) More() (*Member, error) {
+// AddMember starts a further member.
+func (f *Fleet) AddMember() (*Member, error) {
 	f.mu.Lock()
 	n := len(f.members)
 	f.mu.Unlock()
@@ -172,8 +176,8 @@
 	return m, f.start(m, "c0")
 }
 
-// up are those that run.
-func (f *Fleet) up() (l []*Member) {
+// running returns the members that run.
+func (f *Fleet) running() (l []*Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
@@ -184,16 +188,17 @@
 	return l
 }
 
-// Start has all join, some at a time: the next ones as soon as these know most of those before them.
+// Start starts all members in batches, each as soon as the one before knows nine of ten of the members before it. It returns an
+// error if that takes longer than 60 probe intervals, or ctx ends.
 func (f *Fleet) Start(ctx context.Context) error {
-	for from := 0; from < len(f.members); from += f.opt.Together {
-		some := f.members[from:min(from+f.opt.Together, len(f.members))]
+	for from := 0; from < len(f.members); from += f.opt.JoinBatch {
+		some := f.members[from:min(from+f.opt.JoinBatch, len(f.members))]
 		for _, m := range some {
 			if err := f.start(m, "c0"); err != nil {
 				return err
 			}
 		}
-		if err := f.wait(ctx, 60*f.opt.Probe, func() bool {
+		if err := f.await(ctx, 60*f.opt.ProbeInterval, func() bool {
 			for _, m := range some {
 				if m.Members().Len() < from*9/10 {
 					return false
@@ -207,10 +212,11 @@
 	return nil
 }
 
-// errNotYet is that something did not come in time.
+// errNotYet is returned when a condition did not become true in time.
 var errNotYet = errors.New("not in time")
 
-func (f *Fleet) wait(ctx context.Context, within time.Duration, ok func() bool) error {
+// await polls ok until it returns true, the timeout has passed or ctx ends.
+func (f *Fleet) await(ctx context.Context, within time.Duration, ok func() bool) error {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for end := time.Now().Add(within); !ok(); {
@@ -226,19 +232,19 @@
 	return nil
 }
 
-// Lacking counts the pairs of members that run of which the first one does not know of the second what it should.
-func (f *Fleet) Lacking(knows func(membership.Member) bool) (pairs int) {
-	all := f.up()
+// CountUnknown counts the pairs of running members of which the first one does not know what it should about the second.
+func (f *Fleet) CountUnknown(knows func(membership.Member) bool) (pairs int) {
+	all := f.running()
 	names := make([]string, len(all))
 	for i, m := range all {
 		names[i] = m.Name
 	}
-	return f.lacking(names, func(_ *Member, m membership.Member, known bool) bool { return known && knows(m) })
+	return f.countUnknown(names, func(_ *Member, m membership.Member, known bool) bool { return known && knows(m) })
 }
 
-// lacking counts the pairs of a member that runs and a name of which it does not know what it should.
-func (f *Fleet) lacking(names []string, knows func(one *Member, m membership.Member, known bool) bool) (pairs int) {
-	all := f.up()
+// countUnknown counts the pairs of a running member and a name about which it does not know what it should.
+func (f *Fleet) countUnknown(names []string, knows func(one *Member, m membership.Member, known bool) bool) (pairs int) {
+	all := f.running()
 	var sum atomic.Int64
 	var work sync.WaitGroup
 	for part := range runtime.GOMAXPROCS(0) {
@@ -258,29 +264,30 @@
 	return int(sum.Load())
 }
 
-// Spread is how something came to be known: after how long by so many pairs, and how many lacked it when it was waited for no longer.
+// Spread is how long something took to become known, and to how many pairs or members it was unknown in the end.
 type Spread struct {
 	Took    time.Duration
-	Lacking int
+	Unknown int
 }
 
+// String describes the spread for a report.
 func (s Spread) String() string {
-	if s.Lacking > 0 {
-		return fmt.Sprintf("%d lack it after %v", s.Lacking, s.Took.Round(10*time.Millisecond))
+	if s.Unknown > 0 {
+		return fmt.Sprintf("%d lack it after %v", s.Unknown, s.Took.Round(10*time.Millisecond))
 	}
 	return s.Took.Round(10 * time.Millisecond).String()
 }
 
-// all waits until nothing lacks, and looks less often the longer a look takes.
-func (f *Fleet) all(ctx context.Context, within time.Duration, lacking func() int) (Spread, error) {
+// awaitNone waits until unknown returns 0 or the timeout has passed. It checks less often the longer a check takes.
+func (f *Fleet) awaitNone(ctx context.Context, within time.Duration, lacking func() int) (Spread, error) {
 	for began := time.Now(); ; {
 		look := time.Now()
-		s := Spread{Lacking: lacking()}
+		s := Spread{Unknown: lacking()}
 		s.Took = time.Since(began)
-		if s.Lacking == 0 || s.Took >= within {
+		if s.Unknown == 0 || s.Took >= within {
 			return s, nil
 		}
-		t := time.NewTimer(max(f.opt.Look, 4*time.Since(look)))
+		t := time.NewTimer(max(f.opt.CheckInterval, 4*time.Since(look)))
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -290,24 +297,24 @@
 	}
 }
 
-// Settle waits until each of them knows each, but for so many pairs, and tells how that came: what the joins told does not reach all,
-// and a full exchange, which mends that, is rare.
+// Settle waits until each member knows each other one, but for allow pairs. Gossip about joins does not reach all members; the
+// rest learns by full exchanges, which are rare.
 func (f *Fleet) Settle(ctx context.Context, within time.Duration, allow int) (Spread, error) {
 	left := 0
-	s, err := f.all(ctx, within, func() int {
-		if left = f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead }); left <= allow {
+	s, err := f.awaitNone(ctx, within, func() int {
+		if left = f.CountUnknown(func(m membership.Member) bool { return m.State != membership.Dead }); left <= allow {
 			return 0
 		}
 		return left
 	})
-	s.Lacking = left
+	s.Unknown = left
 	return s, err
 }
 
-// know waits until all that run know of one name what they should. knows is told whether it is known at all.
-func (f *Fleet) know(ctx context.Context, within time.Duration, name string, knows func(m membership.Member, known bool) bool) (Spread, error) {
-	return f.all(ctx, within, func() (n int) {
-		for _, m := range f.up() {
+// awaitKnown waits until all other running members know about a name what they should, or the timeout has passed.
+func (f *Fleet) awaitKnown(ctx context.Context, within time.Duration, name string, knows func(m membership.Member, known bool) bool) (Spread, error) {
+	return f.awaitNone(ctx, within, func() (n int) {
+		for _, m := range f.running() {
 			if m.Name != name && !knows(m.Members().Lookup(name)) {
 				n++
 			}
@@ -316,11 +323,11 @@
 	})
 }
 
-// Traffic is what all of them have sent, those included that were ended.
+// Traffic returns what all members have sent, including those that were stopped.
 func (f *Fleet) Traffic() peer.Traffic {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := f.past
+	t := f.stoppedTraffic
 	for _, m := range f.members {
 		if m.Fleet != nil {
 			t = t.Plus(m.Node().Traffic())
@@ -329,42 +336,43 @@
 	return t
 }
 
-func (f *Fleet) down(m *Member) *fleet.Fleet {
+// detach takes a running member out and returns its fleet, or nil.
+func (f *Fleet) detach(m *Member) *fleet.Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x := m.Fleet
 	if x != nil {
-		f.past = f.past.Plus(x.Node().Traffic())
+		f.stoppedTraffic = f.stoppedTraffic.Plus(x.Node().Traffic())
 		m.Fleet = nil
 	}
 	return x
 }
 
-// leave ends a member that says so.
+// leave stops a member, which announces that it leaves.
 func (f *Fleet) leave(m *Member) {
-	if x := f.down(m); x != nil {
-		x.Stop(max(f.opt.Probe, time.Second))
+	if x := f.detach(m); x != nil {
+		x.Stop(max(f.opt.ProbeInterval, time.Second))
 	}
 }
 
-// kill ends a member that says nothing any more: its address is shut first, and what is left of it ends behind that.
+// kill stops a member without an announcement: it closes its sockets, and stops the rest in the background.
 func (f *Fleet) kill(m *Member) {
-	x := f.down(m)
+	x := f.detach(m)
 	if x == nil {
 		return
 	}
 	x.Node().Close()
-	// Not 0: to memberlist that is no bound.
-	f.work.Go(func() { x.Stop(10 * time.Millisecond) })
+	// A timeout of 0 would be none for memberlist.
+	f.goroutines.Go(func() { x.Stop(10 * time.Millisecond) })
 }
 
-// Close ends all, without a word.
+// Close kills all members and waits for them.
 func (f *Fleet) Close() {
 	var work sync.WaitGroup
-	for _, m := range f.up() {
+	for _, m := range f.running() {
 		work.Go(func() { f.kill(m) })
 	}
 	work.Wait()
-	f.work.Wait()
+	f.goroutines.Wait()
 	f.host.close()
 }
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -97,8 +97,8 @@
 				t.Fatal(err)
 			}
 			t.Logf("%+v", r)
-			if r.Join.Lacking+r.News.Lacking+r.Come.Lacking+r.Leave.Lacking+r.Death.Lacking+r.Rollout.Lacking > 0 {
-				t.Errorf("%d members: join %v, news %v, come %v, leave %v, death %v, rollout %v", n, r.Join, r.News, r.Come, r.Leave, r.Death, r.Rollout)
+			if r.Join.Unknown+r.StateChange.Unknown+r.JoinOne.Unknown+r.Leave.Unknown+r.Death.Unknown+r.Rollout.Unknown > 0 {
+				t.Errorf("%d members: join %v, news %v, come %v, leave %v, death %v, rollout %v", n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.Death, r.Rollout)
 			}
 			if r.Packets > mostPackets || r.PacketBytes > mostPacketBytes {
 				t.Errorf("%d members: %.2f packets and %.0f bytes of a member in a probe's time", n, r.Packets, r.PacketBytes)
@@ -121,7 +121,7 @@
 // A fifth restarts at once, without a word: all know of the new processes.
 func TestManyRestartAtOnce(t *testing.T) {
 	testbed.Leaks(t)
-	f, err := New(Options{Members: 15, Probe: 300 * time.Millisecond})
+	f, err := New(Options{Members: 15, ProbeInterval: 300 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,11 +129,11 @@
 	if err := f.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := f.Settle(t.Context(), 30*time.Second, 0); err != nil || s.Lacking > 0 {
+	if s, err := f.Settle(t.Context(), 30*time.Second, 0); err != nil || s.Unknown > 0 {
 		t.Fatal(s, err)
 	}
-	var r MembersRow
-	if err := f.restart(t.Context(), &r, 1000); err != nil || r.Restart.Lacking > 0 {
+	var r MembersResult
+	if err := f.measureRestart(t.Context(), &r, 1000); err != nil || r.Restart.Unknown > 0 {
 		t.Error(r.Restart, err)
 	}
 }
@@ -141,7 +141,7 @@
 // A dead member is lacking until it is known to be: what waits for it does not take its silence for knowledge.
 func TestLackingCountsPairs(t *testing.T) {
 	testbed.Leaks(t)
-	f, err := New(Options{Members: 3, Probe: 100 * time.Millisecond})
+	f, err := New(Options{Members: 3, ProbeInterval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,8 +149,8 @@
 	if err := f.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	testbed.Eventually(t, "all to know all", func() bool { return f.Lacking(func(membership.Member) bool { return true }) == 0 })
-	if n := f.Lacking(func(m membership.Member) bool { return m.Name != "h1" }); n != 3 {
+	testbed.Eventually(t, "all to know all", func() bool { return f.CountUnknown(func(membership.Member) bool { return true }) == 0 })
+	if n := f.CountUnknown(func(m membership.Member) bool { return m.Name != "h1" }); n != 3 {
 		t.Errorf("%d pairs lack one member that nobody is to know, want 3", n)
 	}
 	before := f.Traffic()
@@ -158,8 +158,8 @@
 	if after := f.Traffic(); after.Packets < before.Packets {
 		t.Errorf("the traffic of one that has ended is not counted any more: %+v, before %+v", after, before)
 	}
-	if len(f.up()) != 2 {
-		t.Errorf("%d are up", len(f.up()))
+	if len(f.running()) != 2 {
+		t.Errorf("%d are up", len(f.running()))
 	}
 }
 
@@ -180,18 +180,18 @@
 	s.Start()
 	t.Cleanup(func() { s.Close(); n.Close() })
 	asks := func(askers int) float64 {
-		a, err := StartAskers(t.Context(), AskersOptions{Fleet: "asked", Askers: askers, Voters: v, Duties: []string{"d"}, Length: 400 * time.Millisecond})
+		a, err := StartAcquirers(t.Context(), AcquirersOptions{Fleet: "asked", Acquirers: askers, Voters: v, Tasks: []string{"d"}, LeaseLength: 400 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer a.Close()
-		testbed.Receive(t, "a holder", a.Holds())
-		before, _ := a.Asked()
+		testbed.Receive(t, "a holder", a.Acquisitions())
+		before, _ := a.Commands()
 		sent := a.Traffic()
-		testbed.Eventually(t, "as many asks as ten of each", func() bool { n, _ := a.Asked(); return n-before >= int64(10*askers) })
-		after, _ := a.Asked()
+		testbed.Eventually(t, "as many asks as ten of each", func() bool { n, _ := a.Commands(); return n-before >= int64(10*askers) })
+		after, _ := a.Commands()
 		d := a.Traffic().Minus(sent)
-		if a.Answered() == 0 {
+		if a.LastAnswer() == 0 {
 			t.Error("nothing was answered")
 		}
 		return float64(d.Out+d.In) / float64(after-before)
@@ -208,7 +208,7 @@
 func TestGatewaysTakeOrdersAndNews(t *testing.T) {
 	testbed.Leaks(t)
 	g := NewGateways()
-	f, err := New(Options{Members: 2, Probe: 100 * time.Millisecond, Sites: []string{"s"}, Prepare: g.Prepare})
+	f, err := New(Options{Members: 2, ProbeInterval: 100 * time.Millisecond, Sites: []string{"s"}, Prepare: g.Prepare})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,17 +218,17 @@
 	}
 	to, from := f.members[0], f.members[1]
 	x := drain.Request{ID: "x", Target: drain.Target{Gateway: to.Name}, State: drain.Draining}
-	if r := g.all[to.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); r.Serving || r.Version != 3 || g.Drained(to.Name, "x") == 0 {
+	if r := g.agents[to.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); r.Serving || r.Version != 3 || g.DrainedAt(to.Name, "x") == 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := g.all[from.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); !r.Serving || g.Drained(from.Name, "x") != 0 {
+	if r := g.agents[from.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); !r.Serving || g.DrainedAt(from.Name, "x") != 0 {
 		t.Errorf("%+v", r)
 	}
-	if r := g.all[to.Name].ApplyDrains(drain.View{Version: 3}, false); r.Figures.Accepted != 0 {
+	if r := g.agents[to.Name].ApplyDrains(drain.View{Version: 3}, false); r.Figures.Accepted != 0 {
 		t.Errorf("it shows %+v before it is to", r.Figures)
 	}
-	g.Show()
-	if a, b := g.all[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures, g.all[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures; a.Accepted == 0 || b.Accepted != 2*a.Accepted || b.Served != b.Accepted {
+	g.ReportRequests()
+	if a, b := g.agents[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures, g.agents[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures; a.Accepted == 0 || b.Accepted != 2*a.Accepted || b.Served != b.Accepted {
 		t.Errorf("it shows %+v, then %+v", a, b)
 	}
 	push := func(p subscription.Update) (v subscription.Verdict) {
@@ -236,7 +236,7 @@
 		var r struct {
 			Verdict subscription.Verdict `json:"verdict"`
 		}
-		if err := from.Node().Call(t.Context(), to.Address, sharePath, p, &r); err != nil {
+		if err := from.Node().Call(t.Context(), to.Address, subscriptionPath, p, &r); err != nil {
 			t.Fatal(err)
 		}
 		return r.Verdict
@@ -255,16 +255,16 @@
 			t.Errorf("%+v: %s, want %s", c.p, v, c.want)
 		}
 	}
-	if took, none, wholes, pushes, _ := g.News(0); len(took) != 1 || none != 1 || wholes != 1 || pushes != 5 {
+	if took, none, wholes, pushes, _ := g.Updates(0); len(took) != 1 || none != 1 || wholes != 1 || pushes != 5 {
 		t.Errorf("%v took, %d none, %d wholes, %d pushes", took, none, wholes, pushes)
 	}
-	if at, bytes := g.First(to.Name); at == 0 || bytes == 0 {
+	if at, bytes := g.FirstUpdate(to.Name); at == 0 || bytes == 0 {
 		t.Errorf("its first at %v, %d bytes", at, bytes)
 	}
-	if at, _ := g.First(from.Name); at != 0 {
+	if at, _ := g.FirstUpdate(from.Name); at != 0 {
 		t.Errorf("one that was told nothing took its first at %v", at)
 	}
-	if _, calls := g.Rounds(0); calls != 5 {
+	if _, calls := g.ReconcileIntervals(0); calls != 5 {
 		t.Errorf("%d rounds", calls)
 	}
 }
--- a/internal/testbed/hollow/members.go
+++ b/internal/testbed/hollow/members.go
@@ -10,132 +10,176 @@
 	"robindrum/internal/membership"
 )
 
-// MembersRow is what membership comes to at one size. A probe's time is the unit of rates, as all of membership's timers follow from it.
-type MembersRow struct {
+// MembersResult is the cost of membership at one size. Rates are per probe interval, from which all of membership's timers follow.
+type MembersResult struct {
 	Members int
-	// From the first start until each knows each: time, and processor time of the whole.
+	// Join is the time from the first start until all members know each other, JoinCPU the processor time of all.
 	Join    Spread
 	JoinCPU time.Duration
-	Dropped int64 // messages that the members' lists had no room for until then
-	// With nothing to tell, of a member in a probe's time.
-	Packets, PacketBytes float64
-	Exchanges            float64 // full ones begun, and probes over TCP
-	ExchangeBytes        float64 // of a full one, both ways
-	CPU                  time.Duration
-	Windows              int     // looked at until one passed in which nobody was suspected; 0: none did
-	Heap                 float64 // bytes, of a member
-	// One member's: until all know.
-	News, Come, Leave, Death Spread
-	LeftAsDead               int // of those who know that one has left, who take it for dead
-	// Each says that it has another configuration, at once.
+	// Dropped counts messages for which members' queues had no room during the join.
+	Dropped int64
+	// Idle traffic of a member in a probe interval: packets, their bytes, full exchanges and probes over TCP that it begins, and
+	// processor time.
+	Packets     float64
+	PacketBytes float64
+	Exchanges   float64
+	CPU         time.Duration
+	// ExchangeBytes of a full exchange, in both directions.
+	ExchangeBytes float64
+	// Windows is how many idle windows were measured until one without a suspicion; 0: there was none.
+	Windows int
+	// Heap is the memory of a member in bytes.
+	Heap float64
+	// The spreads of one member's change of state, join, leave and death.
+	StateChange Spread
+	JoinOne     Spread
+	Leave       Spread
+	Death       Spread
+	// LeftAsDead counts members that take one that left for dead.
+	LeftAsDead int
+	// Rollout is the spread of a new configuration of all members at once; RolloutBytes are sent by a member for each of these
+	// updates beyond its idle traffic, RolloutCPU is the processor time of all.
 	Rollout      Spread
-	RolloutBytes float64       // of a member for each update, beyond what it sends idle
-	RolloutCPU   time.Duration // of the whole
-	Rollouts     int           // until one in which nobody was suspected; 0: none was
-	// A fifth is killed and started again at once. Zero where it was not asked for.
+	RolloutBytes float64
+	RolloutCPU   time.Duration
+	// Rollouts is how many were measured until one without a suspicion; 0: there was none.
+	Rollouts int
+	// Restart is the spread when a fifth of the members is killed and started again at once; RestartBytes are sent by a member
+	// for each of these beyond its idle traffic. Zero without MembersOptions.Restart.
 	Restart      Spread
-	RestartBytes float64 // of a member for each restarted one, beyond what it sends idle
+	RestartBytes float64
 }
 
-// ExchangeEvery is after how many probes a member begins a full exchange, as the library has it: each 30, and less often the more
-// members there are (PushPullInterval here, pushPullScale of hashicorp/memberlist).
+// exchangeProbes is how many probes pass between two full exchanges of a small fleet.
+const exchangeProbes = 30
+
+// ExchangeEvery returns after how many probes a member begins a full exchange: 30 up to 32 members, and more with each doubling (as
+// pushPullScale of hashicorp/memberlist does).
 func ExchangeEvery(members float64) float64 {
 	if members <= 32 {
-		return 30
+		return exchangeProbes
 	}
-	return 30 * (math.Ceil(math.Log2(members)-5) + 1)
+	return exchangeProbes * (math.Ceil(math.Log2(members)-5) + 1)
 }
 
-// MembersOptions are what is measured.
+// MembersOptions configure a measurement.
 type MembersOptions struct {
 	Options
 	Window  int  // probes of the idle window; 0: 20
-	Restart bool // have a fifth restart at once, too
+	Restart bool // measure the restart of a fifth too
 }
 
-// MeasureMembers takes the figures at one size.
-func MeasureMembers(ctx context.Context, opt MembersOptions) (r MembersRow, err error) {
-	n := opt.Members
-	r.Members = n
-	before, cpu0 := heap(), cpu()
-	f, err := New(opt.Options)
+// MeasureMembers measures membership at one size.
+func MeasureMembers(ctx context.Context, options MembersOptions) (MembersResult, error) {
+	result := MembersResult{Members: options.Members}
+	heapBefore := heap()
+	f, err := New(options.Options)
 	if err != nil {
-		return r, err
+		return result, err
 	}
 	defer f.Close()
-	probe := f.opt.Probe
-	limit := 300 * probe // who was missed by all that was told waits for full exchanges, each 30 probes or less often
+	if err := f.measureJoin(ctx, &result); err != nil {
+		return result, err
+	}
+	if err := f.measureIdle(ctx, &result, options.Window); err != nil {
+		return result, err
+	}
+	result.Heap = float64(heap()-heapBefore) / float64(options.Members)
+	rate := idleRate(&result, f.opt.ProbeInterval)
+	if err := f.measureSingleChanges(ctx, &result); err != nil {
+		return result, err
+	}
+	if err := f.measureRollout(ctx, &result, rate); err != nil {
+		return result, err
+	}
+	if options.Restart {
+		err = f.measureRestart(ctx, &result, rate)
+	}
+	return result, err
+}
+
+// spreadTimeout bounds the wait for a spread: members that missed all gossip learn by full exchanges, which are rare.
+func (f *Fleet) spreadTimeout() time.Duration { return 300 * f.opt.ProbeInterval }
+
+// measureJoin starts all members and waits until they know each other.
+func (f *Fleet) measureJoin(ctx context.Context, result *MembersResult) error {
+	cpuBefore := cpu()
 	began := time.Now()
 	if err := f.Start(ctx); err != nil {
-		return r, err
+		return err
 	}
-	if r.Join, err = f.Settle(ctx, limit, 0); err != nil {
-		return r, err
+	var err error
+	if result.Join, err = f.Settle(ctx, f.spreadTimeout(), 0); err != nil {
+		return err
 	}
-	r.Join.Took, r.JoinCPU = time.Since(began), cpu()-cpu0
-	r.Dropped = f.Dropped()
-	if r.Join.Lacking > n*n/100 {
+	result.Join.Took = time.Since(began)
+	result.JoinCPU = cpu() - cpuBefore
+	result.Dropped = f.Dropped()
+	pairs := result.Members * result.Members
+	if result.Join.Unknown > pairs/100 {
 		t := f.Traffic()
-		return r, fmt.Errorf("%d members do not come together: %v of %d pairs; they dropped %d messages, suspected %d times, sent %d packets, began %d streams and used %v of processor time", n, r.Join, n*n, r.Dropped,
-			f.Suspicions(), t.Packets, t.Streams, r.JoinCPU.Round(time.Second))
+		return fmt.Errorf("%d members do not come together: %v of %d pairs; they dropped %d messages, suspected %d times, sent %d packets, began %d streams and used %v of processor time",
+			result.Members, result.Join, pairs, result.Dropped, f.Suspicions(), t.Packets, t.Streams, result.JoinCPU.Round(time.Second))
 	}
-	if err := f.idle(ctx, &r, opt.Window); err != nil {
-		return r, err
-	}
-	r.Heap = float64(heap()-before) / float64(n)
-	rate := idleRate(&r, probe)
-	one := f.members[n/2]
-	f.work.Go(func() { one.Announce(membership.Draining, "c0") }) // it returns once it has been told on
-	if r.News, err = f.know(ctx, limit, one.Name, func(m membership.Member, _ bool) bool { return m.State == membership.Draining }); err != nil {
-		return r, err
+	return nil
+}
+
+// measureSingleChanges measures how the change of state, join, leave and death of one member spread.
+func (f *Fleet) measureSingleChanges(ctx context.Context, result *MembersResult) error {
+	limit := f.spreadTimeout()
+	one := f.members[result.Members/2]
+	f.goroutines.Go(func() { one.Announce(membership.Draining, "c0") }) // it blocks until the change was sent
+	var err error
+	if result.StateChange, err = f.awaitKnown(ctx, limit, one.Name, isDraining); err != nil {
+		return err
 	}
-	more, err := f.More()
+	added, err := f.AddMember()
 	if err != nil {
-		return r, err
+		return err
 	}
-	if r.Come, err = f.know(ctx, limit, more.Name, func(_ membership.Member, known bool) bool { return known }); err != nil {
-		return r, err
+	if result.JoinOne, err = f.awaitKnown(ctx, limit, added.Name, isKnown); err != nil {
+		return err
 	}
-	f.work.Go(func() { f.leave(more) })
-	if r.Leave, err = f.know(ctx, limit, more.Name, func(m membership.Member, known bool) bool { return !known || m.State == membership.Dead }); err != nil {
-		return r, err
+	f.goroutines.Go(func() { f.leave(added) })
+	if result.Leave, err = f.awaitKnown(ctx, limit, added.Name, isUnknownOrDead); err != nil {
+		return err
 	}
-	// Whoever heard of its end and not of its leaving takes it for dead: news of one name take the place of those before them.
-	for _, m := range f.up() {
-		if _, known := m.Members().Lookup(more.Name); known {
-			r.LeftAsDead++
+	// A member that received the end and not the leave takes it for dead: later gossip about a name replaces earlier one.
+	for _, m := range f.running() {
+		if _, known := m.Members().Lookup(added.Name); known {
+			result.LeftAsDead++
 		}
 	}
 	f.kill(one)
-	if r.Death, err = f.know(ctx, limit, one.Name, func(m membership.Member, known bool) bool { return !known || m.State == membership.Dead }); err != nil {
-		return r, err
-	}
-	if err := f.rollout(ctx, &r, rate); err != nil {
-		return r, err
-	}
-	if opt.Restart {
-		err = f.restart(ctx, &r, rate)
-	}
-	return r, err
+	result.Death, err = f.awaitKnown(ctx, limit, one.Name, isUnknownOrDead)
+	return err
+}
+
+func isDraining(m membership.Member, _ bool) bool { return m.State == membership.Draining }
+
+func isKnown(_ membership.Member, known bool) bool { return known }
+
+func isUnknownOrDead(m membership.Member, known bool) bool {
+	return !known || m.State == membership.Dead
 }
 
-// idleRate is what a member sends with nothing to tell, in bytes a second.
-func idleRate(r *MembersRow, probe time.Duration) float64 {
-	return Sent(r.PacketBytes, r.ExchangeBytes, float64(r.Members)) / probe.Seconds()
+// idleRate returns the idle traffic of a member in bytes per second.
+func idleRate(r *MembersResult, probe time.Duration) float64 {
+	return IdleTraffic(r.PacketBytes, r.ExchangeBytes, float64(r.Members)) / probe.Seconds()
 }
 
-// idle waits for a window without a suspicion: whoever is suspected, as the machine was busy, has others ask and tell about it.
-func (f *Fleet) idle(ctx context.Context, r *MembersRow, window int) error {
+// measureIdle measures windows until one passes without a suspicion: suspicions, which a busy machine causes, are gossiped.
+func (f *Fleet) measureIdle(ctx context.Context, r *MembersResult, window int) error {
 	if window == 0 {
 		window = 20
 	}
-	n := float64(len(f.up()))
+	n := float64(len(f.running()))
 	for try := range 10 {
-		if err := pause(ctx, 4*f.opt.Probe); err != nil { // what was told of the joins, or of the window before
+		if err := sleep(ctx, 4*f.opt.ProbeInterval); err != nil { // for gossip about the joins, or from the window before, to end
 			return err
 		}
 		before, suspected, cpu0 := f.Traffic(), f.Suspicions(), cpu()
-		if err := pause(ctx, time.Duration(window)*f.opt.Probe); err != nil {
+		if err := sleep(ctx, time.Duration(window)*f.opt.ProbeInterval); err != nil {
 			return err
 		}
 		t := f.Traffic().Minus(before)
@@ -147,18 +191,18 @@
 			break
 		}
 	}
-	return f.exchange(r)
+	return f.measureExchange(r)
 }
 
-// exchanger is a member's list that makes a full exchange when it is asked to.
+// exchanger is a membership that can begin a full exchange on demand.
 type exchanger interface {
 	Exchange(address string) error
 }
 
-// exchange takes the bytes of a full exchange from some that nothing else came between.
-func (f *Fleet) exchange(r *MembersRow) error {
+// measureExchange measures the bytes of full exchanges during which no other stream was begun.
+func (f *Fleet) measureExchange(r *MembersResult) error {
 	const some = 4
-	all := f.up()
+	all := f.running()
 	for range 20 {
 		before := f.Traffic()
 		for i := range some {
@@ -178,22 +222,22 @@
 	return errors.New("no full exchange without another one beside it")
 }
 
-// told has something told by many and waits until all know and what is sent is near to idle again.
-func (f *Fleet) told(ctx context.Context, rate float64, tell func(), lacking func() int) (s Spread, bytes float64, used time.Duration, err error) {
+// disseminate has many members announce something, and waits until all know it and the traffic is nearly idle again.
+func (f *Fleet) disseminate(ctx context.Context, rate float64, tell func(), lacking func() int) (s Spread, bytes float64, used time.Duration, err error) {
 	before, cpu0, began := f.Traffic(), cpu(), time.Now()
 	tell()
-	limit := 300 * f.opt.Probe
-	if s, err = f.all(ctx, limit, lacking); err != nil {
+	limit := 300 * f.opt.ProbeInterval
+	if s, err = f.awaitNone(ctx, limit, lacking); err != nil {
 		return s, 0, 0, err
 	}
 	s.Took = time.Since(began)
-	n := float64(len(f.up()))
+	n := float64(len(f.running()))
 	for last := f.Traffic(); time.Since(began) < 2*limit; {
-		if err := pause(ctx, 2*f.opt.Probe); err != nil {
+		if err := sleep(ctx, 2*f.opt.ProbeInterval); err != nil {
 			return s, 0, 0, err
 		}
 		t := f.Traffic()
-		if float64(t.Minus(last).PacketBytes) < 1.3*rate*n*(2*f.opt.Probe).Seconds() {
+		if float64(t.Minus(last).PacketBytes) < 1.3*rate*n*(2*f.opt.ProbeInterval).Seconds() {
 			break
 		}
 		last = t
@@ -202,16 +246,16 @@
 	return s, sent / n, cpu() - cpu0, nil
 }
 
-// rollout is tried again while somebody was suspected in it, as doubts are told on as well.
-func (f *Fleet) rollout(ctx context.Context, r *MembersRow, rate float64) error {
-	all := f.up()
+// measureRollout measures again while there was a suspicion, as these are gossiped as well.
+func (f *Fleet) measureRollout(ctx context.Context, r *MembersResult, rate float64) error {
+	all := f.running()
 	for try := range 6 {
 		version, suspected := fmt.Sprint("c", 1+try), f.Suspicions()
-		s, bytes, used, err := f.told(ctx, rate, func() {
+		s, bytes, used, err := f.disseminate(ctx, rate, func() {
 			for _, m := range all {
-				f.work.Go(func() { m.Announce(membership.Serving, version) })
+				f.goroutines.Go(func() { m.Announce(membership.Serving, version) })
 			}
-		}, func() int { return f.Lacking(func(m membership.Member) bool { return m.Config == version }) })
+		}, func() int { return f.CountUnknown(func(m membership.Member) bool { return m.Config == version }) })
 		if err != nil {
 			return err
 		}
@@ -224,16 +268,16 @@
 	return nil
 }
 
-func (f *Fleet) restart(ctx context.Context, r *MembersRow, rate float64) error {
+func (f *Fleet) measureRestart(ctx context.Context, r *MembersResult, rate float64) error {
 	births := map[string]uint64{}
-	all := f.up()
+	all := f.running()
 	some := all[3 : 3+max(len(all)/5, 1)]
 	var fault error
-	s, bytes, _, err := f.told(ctx, rate, func() {
+	s, bytes, _, err := f.disseminate(ctx, rate, func() {
 		for _, m := range some {
 			f.kill(m)
 		}
-		f.work.Wait()
+		f.goroutines.Wait()
 		for _, m := range some {
 			if fault = f.start(m, "c1"); fault != nil {
 				return
@@ -241,7 +285,7 @@
 			births[m.Name] = m.Members().Self().Incarnation
 		}
 	}, func() int {
-		return f.Lacking(func(m membership.Member) bool { return m.State != membership.Dead && m.Incarnation >= births[m.Name] })
+		return f.CountUnknown(func(m membership.Member) bool { return m.State != membership.Dead && m.Incarnation >= births[m.Name] })
 	})
 	if fault != nil {
 		return fault
@@ -250,12 +294,12 @@
 	return err
 }
 
-// Sent is what the idle traffic of membership comes to at a size, in bytes of a member in a probe's time.
-func Sent(packetBytes, exchangeBytes float64, members float64) float64 {
+// IdleTraffic returns the idle traffic of a member at a size, in bytes per probe interval.
+func IdleTraffic(packetBytes, exchangeBytes float64, members float64) float64 {
 	return packetBytes + exchangeBytes/ExchangeEvery(members)
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/testbed/hollow/outage_test.go
+++ b/internal/testbed/hollow/outage_test.go
@@ -21,14 +21,14 @@
 	}
 	apart(t, func(t *testing.T, opt Options) {
 		opt.Members = 20
-		rows, err := MeasureOutages(t.Context(), opt, []Outage{{Name: "rack", Part: 0.1}, {Name: "regions", Part: 0.5, Apart: true}})
+		rows, err := MeasureOutages(t.Context(), opt, []Outage{{Name: "rack", Fraction: 0.1}, {Name: "regions", Fraction: 0.5, Partition: true}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, lost := range []int{2, 10} {
 			r := rows[i]
 			t.Logf("%+v", r)
-			if r.Lost != lost || r.Dead.Lacking > 0 || r.DeadBytes > mostLostBytes || r.BackBytes > mostBackBytes {
+			if r.Lost != lost || r.Detection.Unknown > 0 || r.DetectionBytes > mostLostBytes || r.RecoveryBytes > mostBackBytes {
 				t.Errorf("%+v: want %d lost, all known, %d and %d bytes for each at the most", r, lost, mostLostBytes, mostBackBytes)
 			}
 		}
@@ -50,20 +50,20 @@
 		if err := f.Start(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if s, err := f.Settle(t.Context(), 5*time.Minute, 0); err != nil || s.Lacking > 0 {
+		if s, err := f.Settle(t.Context(), 5*time.Minute, 0); err != nil || s.Unknown > 0 {
 			t.Fatal(s, err)
 		}
 		alive := func(m membership.Member) bool { return m.State != membership.Dead }
-		side := f.part(2)
+		side := f.partition(2)
 		if len(side) != 2 || side[f.members[0].Address] {
 			t.Errorf("sides %v", side)
 		}
-		if n := f.Lacking(alive); n != 0 {
+		if n := f.CountUnknown(alive); n != 0 {
 			t.Errorf("%d pairs lack each other before anybody can know of the parts", n)
 		}
 		wait := func(what string, pairs int) {
-			if err := f.wait(t.Context(), 5*time.Minute, func() bool { return f.Lacking(alive) == pairs }); err != nil {
-				t.Errorf("%s: %v, %d pairs lack each other", what, err, f.Lacking(alive))
+			if err := f.await(t.Context(), 5*time.Minute, func() bool { return f.CountUnknown(alive) == pairs }); err != nil {
+				t.Errorf("%s: %v, %d pairs lack each other", what, err, f.CountUnknown(alive))
 			}
 		}
 		wait("each of two sides takes the other for dead", 2*2*3)
--- a/internal/testbed/hollow/bounds.go
+++ b/internal/testbed/hollow/requirement.go
@@ -11,47 +11,46 @@
 	"time"
 )
 
-// maxProcesses of the program a rig starts.
+// maxProcesses is how many processes of the program a measurement starts at most.
 const maxProcesses = 200
 
-// Need is what a size would take of the machine.
-type Need struct {
+// Requirement is an estimate of the resources that a size needs.
+type Requirement struct {
 	Memory    int64 // bytes
-	Processes int   // real ones
+	Processes int   // of the program
 	Files     int64 // descriptors in this process
 }
 
-// Bytes by which sizes are refused before they are tried. Those of a pair are what 600 and 800 members had resident while all of them
-// told each other of their joins (3.4 and 4.9 GB); what stays behind that is far less.
+// Resident bytes during the join of all members, when they need the most.
 const (
-	memberBytes  = 400 << 10 // of a member by itself: its sockets' buffers, goroutines, queues
-	pairBytes    = 8000      // of what one member keeps of another one
+	memberBytes  = 400 << 10 // of a member: socket buffers, goroutines and queues
+	pairBytes    = 8000      // of what a member stores about another one
 	processBytes = 80 << 20  // of a process of the program
 )
 
-// MembersNeed is what so many hollow members and real processes would take.
-func MembersNeed(members, processes int) Need {
+// MembersRequirement estimates what hollow members and real processes need.
+func MembersRequirement(members, processes int) Requirement {
 	n := int64(members)
-	return Need{Memory: n*memberBytes + n*n*pairBytes + int64(processes)*processBytes, Processes: processes, Files: 8*n + 200}
+	return Requirement{Memory: n*memberBytes + n*n*pairBytes + int64(processes)*processBytes, Processes: processes, Files: 8*n + 200}
 }
 
-// Of members on a network and a clock of their own, which are never behind with what they are told: what lives at the most, while all tell
-// each other of their joins. The collector's headroom is bounded by a limit of memory instead.
+// Live bytes during the join of members on a network in memory. The collector's headroom is not included, as a memory limit bounds it.
 const (
 	simulatedMemberBytes = 800 << 10
 	simulatedPairBytes   = 2100
 )
 
-// SimulatedNeed is what so many hollow members on a network in memory would take.
-func SimulatedNeed(members int) Need {
+// SimulatedRequirement estimates what hollow members on a network in memory need.
+func SimulatedRequirement(members int) Requirement {
 	n := int64(members)
-	return Need{Memory: n*simulatedMemberBytes + n*n*simulatedPairBytes}
+	return Requirement{Memory: n*simulatedMemberBytes + n*n*simulatedPairBytes}
 }
 
-// Refuse gives why a size is not tried on this machine: half of its memory, 200 processes and the descriptors of one process bound it.
-func (n Need) Refuse() error { return n.refuse(machineMemory(), maxFiles()) }
+// Check returns an error if a size is too large for this machine: it may need half of the memory, 200 processes and the
+// descriptors of one process.
+func (n Requirement) Check() error { return n.check(machineMemory(), maxFiles()) }
 
-func (n Need) refuse(memory, files int64) error {
+func (n Requirement) check(memory, files int64) error {
 	switch {
 	case n.Processes > maxProcesses:
 		return fmt.Errorf("needs %d processes, %d at most", n.Processes, maxProcesses)
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// machineMemory is the machine's, in bytes; 0: not known.
+// machineMemory returns the machine's memory in bytes; 0: unknown.
 func machineMemory() int64 {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -79,6 +78,7 @@
 	return 0
 }
 
+// maxFiles returns how many descriptors this process may have; 0: unknown.
 func maxFiles() int64 {
 	var l syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) != nil {
@@ -87,7 +87,7 @@
 	return int64(min(l.Cur, 1<<40))
 }
 
-// cpu is the processor time of this process so far.
+// cpu returns the processor time that this process has used.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -96,7 +96,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is what lives on this process's heap, behind a collection.
+// heap returns the bytes of live objects on the heap, after a collection.
 func heap() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/testbed/hollow/sizes_test.go
+++ b/internal/testbed/hollow/sizes_test.go
@@ -44,19 +44,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := SimulatedNeed(n).Refuse(); err != nil {
+		if err := SimulatedRequirement(n).Check(); err != nil {
 			t.Errorf("%d members: %v", n, err)
 			break
 		}
 		began := time.Now()
 		apart(t, func(t *testing.T, opt Options) {
-			opt.Members, opt.Look = n, *lookFlag
+			opt.Members, opt.CheckInterval = n, *lookFlag
 			r, err := MeasureMembers(t.Context(), MembersOptions{Options: opt, Restart: n >= 10})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Logf("%d: join %v, news %v, one more %v, leave %v (%d take it for dead), death %v, told by each %v, a fifth restarted %v; suspected in windows before the last of %d and %d; lost packets %d",
-				n, r.Join, r.News, r.Come, r.Leave, r.LeftAsDead, r.Death, r.Rollout, r.Restart, r.Windows, r.Rollouts, opt.Network.(*memnet.Net).Lost())
+				n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.LeftAsDead, r.Death, r.Rollout, r.Restart, r.Windows, r.Rollouts, opt.Network.(*memnet.Net).Lost())
 			t.Logf("%+v", r)
 			put("packets", r.Packets)
 			put("packet bytes", r.PacketBytes)
@@ -70,13 +70,13 @@
 		})
 		if *outagesFlag {
 			apart(t, func(t *testing.T, opt Options) {
-				opt.Members, opt.Look = n, *lookFlag
+				opt.Members, opt.CheckInterval = n, *lookFlag
 				rows, err := MeasureOutages(t.Context(), opt, Outages)
 				for i, r := range rows {
 					name := Outages[i].Name
-					t.Logf("%d: %s, %d lost: known by all after %v, back with all after %v", n, name, r.Lost, r.Dead, r.Back)
-					put(name+": bytes for each lost", r.DeadBytes)
-					put(name+": bytes for each back", r.BackBytes)
+					t.Logf("%d: %s, %d lost: known by all after %v, back with all after %v", n, name, r.Lost, r.Detection, r.Recovery)
+					put(name+": bytes for each lost", r.DetectionBytes)
+					put(name+": bytes for each back", r.RecoveryBytes)
 				}
 				if err != nil {
 					t.Error(err)
@@ -98,7 +98,7 @@
 			t.Logf("%-44s %.4g  %v", name, values[name], err)
 			continue
 		}
-		v, far := f.At(2400)
+		v, far := f.Extrapolate(2400)
 		t.Logf("%-44s %.4g  %s; at 2,400: %.4g, %.1f times beyond", name, values[name], &f, v, far)
 	}
 }
--- a/tools/measure/capacity.go
+++ b/tools/measure/capacity.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return math.NaN()
 	}
-	v, _ := f.At(size)
+	v, _ := f.Extrapolate(size)
 	return v
 }
 
@@ -185,7 +185,7 @@
 			fmt.Printf("  %v\n", err)
 			continue
 		}
-		v, far := f.At(at)
+		v, far := f.Extrapolate(at)
 		fmt.Printf(" %14.4g  %s", v, &f)
 		if far > 10 {
 			fmt.Printf("; EXTRAPOLATED %.0f times", far)
@@ -231,7 +231,7 @@
 	s := newSeries("members")
 	defer func() { s.print(target) }()
 	s.derive("bytes a second, idle, with full exchanges", boundBytes, func(n float64, fit func(string) float64) float64 {
-		return hollow.Sent(fit("packet bytes a second"), fit("bytes of a full exchange, both ways"), n)
+		return hollow.IdleTraffic(fit("packet bytes a second"), fit("bytes of a full exchange, both ways"), n)
 	})
 	// What each of them says of itself goes to all: so many updates a second, each told by a member for so many bytes.
 	s.derive("bytes a second for 6,000 changes a day by each", boundBytes, func(n float64, fit func(string) float64) float64 {
@@ -249,10 +249,10 @@
 	}
 	fmt.Printf("a probe each %v; rates are told for one a second. Each member is a hollow one, all in this process\n", probe)
 	for _, n := range sizes {
-		if err := hollow.MembersNeed(n, 0).Refuse(); err != nil {
+		if err := hollow.MembersRequirement(n, 0).Check(); err != nil {
 			return fmt.Errorf("%d members: %w", n, err)
 		}
-		r, err := hollow.MeasureMembers(ctx, hollow.MembersOptions{Options: hollow.Options{Members: n, Probe: probe}, Window: map[bool]int{true: 30, false: 8}[full], Restart: full})
+		r, err := hollow.MeasureMembers(ctx, hollow.MembersOptions{Options: hollow.Options{Members: n, ProbeInterval: probe}, Window: map[bool]int{true: 30, false: 8}[full], Restart: full})
 		if err != nil {
 			return fmt.Errorf("%d members: %w", n, err)
 		}
@@ -269,7 +269,7 @@
 			s.put("bytes of a member for each restarted one", r.RestartBytes, 0)
 		}
 		fmt.Printf("%5d members: join %v (%d messages dropped), news %v, one more %v, leave %v (%d take it for dead), death %v, a new configuration told by each %v, a fifth restarted %v; windows %d, rollouts %d\n",
-			n, r.Join, r.Dropped, r.News, r.Come, r.Leave, r.LeftAsDead, r.Death, r.Rollout, r.Restart, r.Windows, r.Rollouts)
+			n, r.Join, r.Dropped, r.StateChange, r.JoinOne, r.Leave, r.LeftAsDead, r.Death, r.Rollout, r.Restart, r.Windows, r.Rollouts)
 	}
 	return nil
 }
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -113,13 +113,13 @@
 		return err
 	}
 	for i, n := range sizes {
-		if err := (hollow.Need{Processes: voters, Memory: int64(n) * 400 << 10, Files: int64(6*n) + 200}).Refuse(); err != nil {
+		if err := (hollow.Requirement{Processes: voters, Memory: int64(n) * 400 << 10, Files: int64(6*n) + 200}).Check(); err != nil {
 			return fmt.Errorf("%d askers: %w", n, err)
 		}
 		if err := cluster.Await(ctx, "a leader", 30*time.Second, func() bool { return c.Leader() != nil }); err != nil {
 			return err
 		}
-		a, err := hollow.StartAskers(ctx, hollow.AskersOptions{Fleet: "rig", Askers: n, Voters: c.Voters(), Duties: []string{fmt.Sprint("capacity", i)}, Length: lease})
+		a, err := hollow.StartAcquirers(ctx, hollow.AcquirersOptions{Fleet: "rig", Acquirers: n, Voters: c.Voters(), Tasks: []string{fmt.Sprint("capacity", i)}, LeaseLength: lease})
 		if err != nil {
 			return err
 		}
@@ -132,9 +132,9 @@
 	return nil
 }
 
-func quorumSize(ctx context.Context, s *series, c *cluster.Cluster, a *hollow.Askers, n int, lease, window time.Duration) error {
+func quorumSize(ctx context.Context, s *series, c *cluster.Cluster, a *hollow.Acquirers, n int, lease, window time.Duration) error {
 	select {
-	case <-a.Holds():
+	case <-a.Acquisitions():
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(30 * time.Second):
@@ -144,14 +144,14 @@
 		return err
 	}
 	cpu0, _, _ := spent(c.Nodes)
-	asked0, failed0 := a.Asked()
+	asked0, failed0 := a.Commands()
 	e0, t0, v0, began := applied(c), a.Traffic(), spoken(c.Nodes), time.Now()
 	if err := idleFor(ctx, window); err != nil {
 		return err
 	}
 	v1 := spoken(c.Nodes)
 	cpu1, resident, files := spent(c.Nodes)
-	asked1, failed1 := a.Asked()
+	asked1, failed1 := a.Commands()
 	e1, t, d := applied(c), a.Traffic().Minus(t0), time.Since(began).Seconds()*10/lease.Seconds() // as with a lease of 10 s
 	s.size(n)
 	s.put("asks a second, of all", float64(asked1-asked0)/d, 0)
@@ -169,10 +169,10 @@
 	}
 	leader.Kill()
 	killed := fleet.Clock()
-	if err := cluster.Await(ctx, "an answer behind the leader's death", 60*time.Second, func() bool { return a.Answered() > killed+20*time.Millisecond }); err != nil {
+	if err := cluster.Await(ctx, "an answer behind the leader's death", 60*time.Second, func() bool { return a.LastAnswer() > killed+20*time.Millisecond }); err != nil {
 		return err
 	}
-	fmt.Printf("%5d askers: %d of %d asks failed; a leader is lost: the next answer %v later\n", n, failed1-failed0, asked1-asked0, (a.Answered() - killed).Round(time.Millisecond))
+	fmt.Printf("%5d askers: %d of %d asks failed; a leader is lost: the next answer %v later\n", n, failed1-failed0, asked1-asked0, (a.LastAnswer() - killed).Round(time.Millisecond))
 	return leader.Restart(false)
 }
 
@@ -195,7 +195,7 @@
 	defer remove()
 	fmt.Printf("3 voters and a gateway that does not vote (processes), a heartbeat of %v; each other gateway a hollow one, all in this process\n", beat)
 	for _, n := range sizes {
-		if err := hollow.MembersNeed(n, 3).Refuse(); err != nil {
+		if err := hollow.MembersRequirement(n, 3).Check(); err != nil {
 			return fmt.Errorf("%d gateways: %w", n, err)
 		}
 		if err := ordersSize(ctx, s, dir, binary, n, beat, window); err != nil {
@@ -212,7 +212,7 @@
 	for _, v := range c.Nodes[:min(3, len(c.Nodes))] {
 		seeds = append(seeds, v.Address)
 	}
-	f, err := hollow.New(hollow.Options{Name: "rig", Members: n, Seeds: seeds, Voters: c.Voters(), Sites: []string{site}, Probe: probe, Beat: beat, Lease: lease, Prepare: g.Prepare})
+	f, err := hollow.New(hollow.Options{Name: "rig", Members: n, Seeds: seeds, Voters: c.Voters(), Sites: []string{site}, ProbeInterval: probe, Heartbeat: beat, LeaseLength: lease, Prepare: g.Prepare})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -234,7 +234,7 @@
 	// Danger: what is measured while the members still tell each other of the joins is the joins.
 	allow := n * n / 1000
 	settled, err := f.Settle(ctx, 120*probe, allow)
-	if err == nil && settled.Lacking > allow {
+	if err == nil && settled.Unknown > allow {
 		err = fmt.Errorf("%d gateways do not come together: %v", n, settled)
 	}
 	if err != nil {
@@ -280,7 +280,7 @@
 		if err := idleFor(ctx, window); err != nil {
 			return 0, 0, 0, 0, 0, 0, err
 		}
-		between, k := g.Rounds(since)
+		between, k := g.ReconcileIntervals(since)
 		d := time.Since(began).Seconds()
 		cpu1, _, _ := spent([]*cluster.Node{leader})
 		if st, err := leader.Fleet(); err == nil {
@@ -313,10 +313,10 @@
 	}); err != nil {
 		return err
 	}
-	if err := cluster.Await(ctx, "the gateway to be told", 60*time.Second, func() bool { return g.Drained(who, "capacity") > 0 }); err != nil {
+	if err := cluster.Await(ctx, "the gateway to be told", 60*time.Second, func() bool { return g.DrainedAt(who, "capacity") > 0 }); err != nil {
 		return err
 	}
-	told := g.Drained(who, "capacity") - at
+	told := g.DrainedAt(who, "capacity") - at
 	if err := cluster.Await(ctx, "the order to be done", 60*time.Second, func() bool {
 		l, err := c.Nodes[0].DrainRequests()
 		return err == nil && l["capacity"].State == drain.Drained
@@ -357,7 +357,7 @@
 func releaseWaves(ctx context.Context, s *series, c *cluster.Cluster, g *hollow.Gateways, n int, beat time.Duration) error {
 	const text = "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
 	plan := &release.Plan{ID: "capacity", Target: fleet.ConfigDigest([]byte(text)), Owner: "measure", Soak: 2 * beat, Gate: release.Gate{MinRequests: 50}}
-	g.Show()
+	g.ReportRequests()
 	if err := idleFor(ctx, 8*beat); err != nil { // a round in which nothing was ordered
 		return err
 	}
@@ -432,7 +432,7 @@
 	defer remove()
 	fmt.Printf("3 gateways (processes) with one subscription, the others hollow, in this process; %d clusters of %d endpoints; a sign of life each second\n", clusters, each)
 	for _, n := range sizes {
-		if err := hollow.MembersNeed(n, 3).Refuse(); err != nil {
+		if err := hollow.MembersRequirement(n, 3).Check(); err != nil {
 			return fmt.Errorf("%d gateways: %w", n, err)
 		}
 		s.size(n)
@@ -469,20 +469,20 @@
 	// news has a change pushed and gives when the gateways have it and what it cost, less the signs of life meanwhile.
 	news := func(set ...controlplane.Resource) (took []time.Duration, bytes float64, cpu time.Duration, err error) {
 		version++
-		_, _, _, p0, b0 := g.News(0)
+		_, _, _, p0, b0 := g.Updates(0)
 		cpu0, _, _ := spent(site.Nodes)
 		at := fleet.Clock()
 		if _, err := site.ControlPlane.Push(strconv.Itoa(version), false, set...); err != nil {
 			return nil, 0, 0, err
 		}
-		if err := cluster.Await(ctx, "the change at every gateway", 60*time.Second, func() bool { _, none, _, _, _ := g.News(at); return none == 0 }); err != nil {
+		if err := cluster.Await(ctx, "the change at every gateway", 60*time.Second, func() bool { _, none, _, _, _ := g.Updates(at); return none == 0 }); err != nil {
 			return nil, 0, 0, err
 		}
 		for before := -1; ; { // what comes in several messages
 			if err := idleFor(ctx, 300*time.Millisecond); err != nil {
 				return nil, 0, 0, err
 			}
-			l, _, _, _, _ := g.News(at)
+			l, _, _, _, _ := g.Updates(at)
 			if last := int(l[len(l)-1]); last == before {
 				took = l
 				break
@@ -491,7 +491,7 @@
 			}
 		}
 		cpu1, _, _ := spent(site.Nodes)
-		_, _, _, p1, b1 := g.News(0)
+		_, _, _, p1, b1 := g.Updates(0)
 		const life = 180 // bytes of a sign of life, about
 		return took, float64(b1-b0-int64(life*(p1-p0-n))) / float64(n), cpu1 - cpu0, nil
 	}
@@ -508,25 +508,25 @@
 		return fmt.Errorf("one endpoint: %w", err)
 	}
 	// The holder dies: whoever is next tells all gateways the whole.
-	_, _, w0, _, b0 := g.News(0)
+	_, _, w0, _, b0 := g.Updates(0)
 	holder := site.SubscriptionLeader()
 	if holder == nil {
 		return fmt.Errorf("nobody holds the subscription")
 	}
 	at := fleet.Clock()
 	holder.Kill()
-	if err := cluster.Await(ctx, "the whole from the next holder at every gateway", 90*time.Second, func() bool { _, none, _, _, _ := g.News(at); return none == 0 }); err != nil {
+	if err := cluster.Await(ctx, "the whole from the next holder at every gateway", 90*time.Second, func() bool { _, none, _, _, _ := g.Updates(at); return none == 0 }); err != nil {
 		return err
 	}
-	whole, _, w1, _, b1 := g.News(at)
+	whole, _, w1, _, b1 := g.Updates(at)
 	began := fleet.Clock()
-	more, err := f.More()
+	more, err := f.AddMember()
 	if err != nil {
 		return err
 	}
 	var first time.Duration
 	var startBytes int64
-	if err := cluster.Await(ctx, "the whole at a gateway that has started", 60*time.Second, func() bool { first, startBytes = g.First(more.Name); return first > 0 }); err != nil {
+	if err := cluster.Await(ctx, "the whole at a gateway that has started", 60*time.Second, func() bool { first, startBytes = g.FirstUpdate(more.Name); return first > 0 }); err != nil {
 		return err
 	}
 	s.put(variant+", a gateway's start: bytes to it, MB", float64(startBytes)/1e6, 0)
