--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -48,7 +48,7 @@
 
 const testLease = 600 * time.Millisecond
 
-// up starts a cluster, and closes it with the test.
+// up starts a cluster and closes it with the test.
 func up(t testing.TB, opt Options) *Cluster {
 	t.Helper()
 	opt.Binary, opt.Dir = binary(t), t.TempDir()
@@ -66,7 +66,7 @@
 	return c
 }
 
-// comes waits for something of a cluster; processes start and elect within it.
+// comes waits for a condition of a cluster and fails the test if it does not become true in time.
 func comes(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	if err := Await(t.Context(), what, recoveryTimeout, ok); err != nil {
@@ -91,9 +91,9 @@
 	return quorum.Status{}
 }
 
-// Each kind of fault once, and two seeds as they are drawn: no act is accepted out of order, nobody acts beyond its lease, what
-// clients of the quorum are told can be explained, and the fleet comes back each time.
-func TestSchedules(t *testing.T) {
+// TestScheduledFaultsViolateNoGuarantee injects each fault once, and the schedules of two seeds. No act is accepted out of order,
+// no member acts beyond its lease, the history of lease operations is linearizable, and the fleet recovers each time.
+func TestScheduledFaultsViolateNoGuarantee(t *testing.T) {
 	testbed.Leaks(t)
 	var all []Schedule
 	for i := 0; i < len(Faults); i += 3 {
@@ -116,8 +116,9 @@
 	work.Wait()
 }
 
-// With a safeguard off the audit finds what it is there for, each time.
-func TestAuditFindsPlantedFaults(t *testing.T) {
+// TestAuditFindsInjectedFaults switches off the fence and the end of a lease in turn. The audit finds what each of them prevents,
+// and the check of histories rejects those that are not linearizable.
+func TestAuditFindsInjectedFaults(t *testing.T) {
 	testbed.Leaks(t)
 	play := func(f Fault, binary string, open bool) (sum AuditResult) {
 		for seed := range uint64(3) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// copied copies a folder.
+// copied replaces a directory by a copy of another one.
 func copied(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.RemoveAll(to); err != nil {
@@ -206,9 +207,9 @@
 	return true
 }
 
-// A voter comes back with an old copy of its folder, with another fleet's, with a log that was cut, and with none: the first
-// three do not vote, say why, and serve; the last one is taken in.
-func TestFoldersOfVoters(t *testing.T) {
+// TestVoterWithUnusableDirectoryDoesNotVote restarts a voter with an old copy of its directory, with that of another fleet, with a
+// truncated log, and with none. The first three do not vote, report why, and serve; the last one is added again.
+func TestVoterWithUnusableDirectoryDoesNotVote(t *testing.T) {
 	testbed.Leaks(t)
 	c := up(t, Options{Nodes: 3})
 	comes(t, "a leader", func() bool { return c.Leader() != nil })
@@ -287,8 +288,8 @@
 	comes(t, "a leader", func() bool { return c.Leader() != nil })
 }
 
-// A voter whose log has reached its size stops voting, says so, and serves on; the others decide.
-func TestFullDisk(t *testing.T) {
+// TestVoterWithFullLogStopsVoting fills a voter's log: it stops voting, reports it, and serves, and the others have a majority.
+func TestVoterWithFullLogStopsVoting(t *testing.T) {
 	testbed.Leaks(t)
 	a, err := NewAuditor("receiver")
 	if err != nil {
@@ -324,9 +325,9 @@
 	}
 }
 
-// Names: another fleet with the same seeds, a member that claims another's name, a restart and a return, a member that joins
-// while the fleet is split, and a witness.
-func TestMembersOfAFleet(t *testing.T) {
+// TestMembershipAfterPartitionRestartAndNameConflict covers another fleet with the same seeds, a member that claims the name of
+// another one, a restart, a partition, a join during a partition, and a witness.
+func TestMembershipAfterPartitionRestartAndNameConflict(t *testing.T) {
 	testbed.Leaks(t)
 	c := up(t, Options{Nodes: 5, Witness: true})
 	all := func(want membership.State, names ...string) func() bool {
@@ -408,9 +409,9 @@
 	}
 }
 
-// Twenty ask for one lease at once: one has it; released twice nothing happens; a later birth of the holder's name waits, and the
-// holder cannot renew; what is granted and never heard of ends by itself.
-func TestManyAskForOneLease(t *testing.T) {
+// TestConcurrentAcquireGrantsOneLease has twenty members acquire a lease at once: one is granted it. A second release has no
+// effect, a later incarnation of the holder waits and the holder cannot renew, and a grant that its member never received expires.
+func TestConcurrentAcquireGrantsOneLease(t *testing.T) {
 	testbed.Leaks(t)
 	c := up(t, Options{Nodes: 3})
 	comes(t, "a leader", func() bool { return c.Leader() != nil })
@@ -470,8 +471,8 @@
 	}
 }
 
-// One subscription for a site under load: the holder is frozen, the control plane goes and returns, and all are cut off from
-// each other for many leases. Every version reaches every gateway, none goes back, and no request fails for any of it.
+// TestOneSubscriptionForASite freezes the leader of a shared subscription, restarts the control plane, and partitions all gateways
+// for many leases, under load. Every version reaches every gateway, no gateway goes back to an earlier one, and no request fails.
 func TestOneSubscriptionForASite(t *testing.T) {
 	testbed.Leaks(t)
 	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 4, SharedSubscription: true, Lease: testLease, DirectAfter: 2 * time.Second, Heartbeat: 100 * time.Millisecond})
--- a/internal/testbed/cluster/orders_test.go
+++ b/internal/testbed/cluster/drains_test.go
@@ -14,9 +14,9 @@
 	"robindrum/internal/testbed"
 )
 
-// Drains of gateways and endpoints under load, within what may be out: asked for by all at once, with one dead, through a kill and a
-// restart of what is out, with a gateway that was cut off, and without a quorum.
-func TestDrainsAreAgreed(t *testing.T) {
+// TestDrainsStayWithinBudget drains gateways and endpoints under load: requested by all gateways at once, with one dead, while a
+// drained one is killed and restarted, with one that was partitioned, and without a quorum.
+func TestDrainsStayWithinBudget(t *testing.T) {
 	testbed.Leaks(t)
 	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 5, Lease: testLease, Budgets: `[{name: g, most: 2}, {name: e, cluster: "*", most: 1}]`})
 	if err != nil {
@@ -188,9 +188,9 @@
 	}
 }
 
-// A release of a configuration over six gateways of two sites under load: a good one reaches all; one that fails goes back at its
-// canaries, with the leader killed on the way; one that cannot be read is refused there. No request is lost but those that the bad
-// one turned away.
+// TestReleaseOfAConfiguration releases configurations to six gateways of two sites under load. A good one reaches all; one that
+// fails requests is rolled back at its canaries although the leader is killed; one that is invalid is rejected there. Only the bad
+// one fails requests.
 func TestReleaseOfAConfiguration(t *testing.T) {
 	testbed.Leaks(t)
 	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 6, Sites: []string{"s", "t"}, Lease: testLease})
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -64,10 +64,10 @@
 // previous is the build that this one has to work beside: the last commit of the landing before.
 const previous = "3acd1043bac94fdc604212d3f823228b0287a8d6"
 
-// The previous build beside this one, under load: voters and gateways go over to this one by one and none of their requests is lost,
-// duties are handed on; while a voter is of the previous build a leader of this one orders nothing, with a word why, and then it does; one that goes back to
-// the previous build serves.
-func TestBesideThePreviousBuild(t *testing.T) {
+// TestFleetWithPreviousBuild replaces processes of the previous build by this one, one by one and under load. No request is lost
+// and leader-only tasks are handed over. While a voter is of the previous build, a leader of this one grants no drains and reports
+// why. A process that goes back to the previous build serves.
+func TestFleetWithPreviousBuild(t *testing.T) {
 	testbed.Leaks(t)
 	dir := t.TempDir()
 	old, skip, err := cluster.BuildAt(t.Context(), dir, previous)
@@ -143,10 +143,10 @@
 	}
 }
 
-// Orders of zones, all or none, and the end of a grace: two operators at once get one zone of two; a zone whose loss the budget does
-// not bear is refused; a zone of servers gets nothing new from any gateway; what a drained gateway has in hand when its grace is over
-// is answered there by class, unless it is waited for.
-func TestZonesAndTheEndOfAGrace(t *testing.T) {
+// TestZoneDrainAndEndOfGrace drains zones, which are drained completely or not at all. Of two operators at once one drains a zone;
+// a zone beyond the budget waits; a drained zone of servers gets no request of any gateway; requests in flight at the end of the
+// grace are answered by class, unless the drain waits for them.
+func TestZoneDrainAndEndOfGrace(t *testing.T) {
 	testbed.Leaks(t)
 	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 4, Lease: testLease, Zones: []string{"a", "b"},
 		Budgets: `[{name: site, each: site, most: 2}, {name: ends, cluster: "*", most: 2}]`})
@@ -298,9 +298,9 @@
 	return path
 }
 
-// Releases of versions of the program over five supervised gateways under load: a good one reaches all with at most one out at a time
-// and no request lost; one that crashes, one that cannot reach the quorum and one that fails a class all
-// go back at their canary, each found out in another place; one that nobody has is refused.
+// TestReleaseOfAProgram releases versions of the program to five supervised gateways under load. A good one reaches all with at
+// most one unavailable at a time and loses no request; one that crashes, one that does not reach the quorum and one that fails a
+// class are rolled back at their canary; one that does not exist is rejected.
 func TestReleaseOfAProgram(t *testing.T) {
 	testbed.Leaks(t)
 	bin, dir := binary(t), t.TempDir()
@@ -409,9 +409,10 @@
 	t.Log(fmt.Sprint(&v))
 }
 
-// A zone is lost in the middle of a release of a program: it halts, what was drained for it serves again, and when the zone is back it is
-// resumed and reaches all; a second release meanwhile is refused, back twice is as once.
-func TestReleaseHaltsAsAZoneIsLost(t *testing.T) {
+// TestReleaseHaltsWhenZoneIsLost loses a zone during a release of the program: it halts, drained gateways serve again, and once
+// the zone has returned it is resumed and reaches all. A second release meanwhile is rejected, and a second rollback has no
+// effect.
+func TestReleaseHaltsWhenZoneIsLost(t *testing.T) {
 	testbed.Leaks(t)
 	bin := binary(t)
 	s, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: bin, Dir: t.TempDir(), Gateways: 5, Lease: testLease, Zones: []string{"a", "a", "a", "b", "b"},
@@ -496,8 +497,9 @@
 	}
 }
 
-// Six seeded schedules of releases, drains, kills, freezes and cuts keep every promise; without budgets the observer finds it.
-func TestSchedulesOfReleases(t *testing.T) {
+// TestReleaseSchedulesViolateNoGuarantee plays six seeded schedules of releases, drains, kills, freezes and partitions. Without
+// budgets the observer finds a violation.
+func TestReleaseSchedulesViolateNoGuarantee(t *testing.T) {
 	testbed.Leaks(t)
 	const at = 3 // they mostly wait
 	opt := cluster.DrainOptions{Binary: binary(t), Dir: t.TempDir(), Lease: testLease, Steps: 7}
--- a/internal/testbed/fleet/admission_test.go
+++ b/internal/testbed/fleet/admission_test.go
@@ -40,7 +40,7 @@
 
 // Bursts after rests, from the first request on: healthy servers refuse nothing, and what servers of four workers can do in
 // the wanted time is served.
-func TestBurstsAreServed(t *testing.T) {
+func TestBurstsAfterIdleTimeAreServed(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		n, workers int
@@ -145,7 +145,7 @@
 }
 
 // Many gateways share nothing before the same servers, at one and a half times what these can do, and at half of it.
-func TestManyGatewaysAdmit(t *testing.T) {
+func TestManyGatewaysAdmitWithoutCoordination(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{40, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -56,7 +56,7 @@
 }
 
 // sapporo goes dark in each way while both zones together have three quarters of what ishikari alone can do.
-func TestZoneGoesDark(t *testing.T) {
+func TestZoneFails(t *testing.T) {
 	t.Parallel()
 	for name, how := range map[string]ServerState{"refuses connections": RefusesConnections, "accepts and says nothing": NeverResponds, "answers 503": Responds503,
 		"resets after the last byte": ResetsAfterRequest, "loses four of five answers": LosesResponses} {
@@ -91,7 +91,7 @@
 
 // The zone that lives is at 85% of what it can do with its own requests alone: they keep their service, and what of the
 // others does not fit is refused early.
-func TestSurvivorIsBusyAlready(t *testing.T) {
+func TestZoneFailsWhileOtherIsBusy(t *testing.T) {
 	t.Parallel()
 	o := Options{Seed: 2, Gateways: 8, Rate: 2040, Duration: 40 * s, Phases: []time.Duration{10 * s, 13 * s},
 		Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 1) }}}}
@@ -118,7 +118,7 @@
 }
 
 // The zone flaps for a minute, up one second and down one, during a sale of four times the usual load.
-func TestFlappingInASale(t *testing.T) {
+func TestZoneFlapsDuringSale(t *testing.T) {
 	t.Parallel()
 	var l []Event
 	for i := range 30 {
@@ -143,7 +143,7 @@
 
 // It returns with all servers cold, half of them under new ids, and the list says so ten seconds late. Who sends all at
 // once then gives them more than they can do.
-func TestReturnsColdAndTheListIsLate(t *testing.T) {
+func TestZoneReturnsColdWithLateEndpointList(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{0, 10 * s} {
 		o := Options{Seed: 5, Gateways: 8, Rate: 900, Duration: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
@@ -171,7 +171,7 @@
 }
 
 // It returns for one class alone: that one is served there, the others go on crossing.
-func TestReturnsForOneClass(t *testing.T) {
+func TestZoneReturnsExceptForOneClass(t *testing.T) {
 	t.Parallel()
 	r := run(t, Options{Seed: 6, Gateways: 8, Rate: 700, Duration: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
 		Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", Responds503, 1) }},
@@ -192,7 +192,7 @@
 }
 
 // Half a zone dies: what it lacks goes over, the rest stays.
-func TestHalfAZoneDies(t *testing.T) {
+func TestHalfOfZoneFails(t *testing.T) {
 	t.Parallel()
 	r := run(t, Options{Seed: 7, Gateways: 8, Rate: 1200, Duration: 30 * s, Phases: []time.Duration{10 * s, 12 * s},
 		Events: []Event{{10 * s, func(f *Fleet) { f.FailServers("sapporo", RefusesConnections, 0.5) }}}})
@@ -222,7 +222,7 @@
 }
 
 // All zones go dark: what comes is refused at once, and the first that is back is found without a stampede.
-func TestAllZonesDark(t *testing.T) {
+func TestAllZonesFail(t *testing.T) {
 	t.Parallel()
 	r := run(t, Options{Seed: 9, Gateways: 8, Rate: 900, Duration: 60 * s, Phases: []time.Duration{10 * s, 12 * s, 20 * s, 24 * s, 40 * s},
 		Events: []Event{{10 * s, func(f *Fleet) {
@@ -253,7 +253,7 @@
 
 // Forty gateways share nothing and see the same return at once: no server is pushed past its warm-up load by all of them
 // together.
-func TestFortyGatewaysSeeOneReturn(t *testing.T) {
+func TestFortyGatewaysRecoverZoneAtOnce(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1, 2} {
 		r := run(t, Options{Seed: seed, Gateways: 40, Servers: 9, Rate: 1500, Duration: 45 * s, Phases: []time.Duration{5 * s, 15 * s, 35 * s},
@@ -275,7 +275,7 @@
 }
 
 // Both zones are short: what is worth more is served first, each class has its floor, and nothing is given up late.
-func TestBothZonesAreShort(t *testing.T) {
+func TestBothZonesAreOverloaded(t *testing.T) {
 	t.Parallel()
 	r := run(t, Options{Seed: 10, Gateways: 8, Rate: 1200, Duration: 30 * s, Phases: []time.Duration{10 * s, 13 * s},
 		Burst: func(at time.Duration) float64 {
--- a/internal/testbed/hollow/fit_test.go
+++ b/internal/testbed/hollow/fit_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A line is found again, whatever its slope, and its crossing with a bound.
-func TestFitFindsALine(t *testing.T) {
+// TestFitOfLinearValues checks the slope and the crossing of a line.
+func TestFitOfLinearValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start, slope := rapid.Float64Range(1, 100).Draw(t, "start"), rapid.Float64Range(0.5, 20).Draw(t, "slope")
 		var values []float64
@@ -31,8 +31,8 @@
 	})
 }
 
-// What bends is told, and is drawn out by its power; what is flat but for noise stays where it is.
-func TestFitTellsBendsAndNoise(t *testing.T) {
+// TestFitDetectsNonlinearityAndNoise checks that nonlinear values are extrapolated by their power, and flat ones not at all.
+func TestFitDetectsNonlinearityAndNoise(t *testing.T) {
 	sizes := []float64{100, 300, 800, 2400}
 	var square []float64
 	for _, n := range sizes {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A figure of bytes does not become less than none, however far a falling line is drawn out.
+// TestFitDoesNotFallBelowZero extrapolates a falling line.
 func TestFitDoesNotFallBelowZero(t *testing.T) {
 	f, err := NewFit([]float64{10, 20, 40, 80}, []float64{626, 580, 560, 540})
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFitRefusesWhatIsNoSeries(t *testing.T) {
+func TestFitRejectsInvalidSeries(t *testing.T) {
 	for _, c := range []struct{ sizes, values []float64 }{{nil, nil}, {[]float64{1}, []float64{1}}, {[]float64{1, 2}, []float64{1}}, {[]float64{2, 1}, []float64{1, 2}}, {[]float64{0, 1}, []float64{1, 2}}} {
 		if f, err := NewFit(c.sizes, c.values); err == nil {
 			t.Errorf("%v, %v: %v", c.sizes, c.values, &f)
@@ -75,8 +75,8 @@
 	}
 }
 
-// A size that would take more than half of the machine, 200 processes or the descriptors is refused with the estimate.
-func TestSizesThatAreTooLargeAreRefused(t *testing.T) {
+// TestRequirementBeyondMachineIsRejected checks the bounds of memory, processes and descriptors.
+func TestRequirementBeyondMachineIsRejected(t *testing.T) {
 	for what, c := range map[string]struct {
 		members, processes int
 		memory, files      int64
@@ -100,8 +100,8 @@
 	}
 }
 
-// Two rigs have no address in common, whichever process they are in.
-func TestHostsAreApart(t *testing.T) {
+// TestAddressRangesDoNotOverlap claims ranges whose search begins at the same network, as in several processes.
+func TestAddressRangesDoNotOverlap(t *testing.T) {
 	seen := map[int]bool{}
 	for range 5 {
 		h, err := newAddressRange()
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -65,7 +65,7 @@
 	return true
 }
 
-// TestMain takes away what plainly has built.
+// TestMain removes what plainly has built.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if plain.dir != "" {
@@ -83,8 +83,9 @@
 	})
 }
 
-// What membership sends does not grow with the members but where the page says so, by slopes over four sizes.
-func TestMembershipBySlopes(t *testing.T) {
+// TestMembershipTrafficSlopes measures at four sizes that what membership sends does not grow with the members, except where
+// docs/CAPACITY.md says so.
+func TestMembershipTrafficSlopes(t *testing.T) {
 	if plainly(t) {
 		return
 	}
@@ -118,8 +119,8 @@
 	}
 }
 
-// A fifth restarts at once, without a word: all know of the new processes.
-func TestManyRestartAtOnce(t *testing.T) {
+// TestFifthOfMembersRestartsAtOnce restarts members without an announcement: all know the new processes.
+func TestFifthOfMembersRestartsAtOnce(t *testing.T) {
 	testbed.Leaks(t)
 	f, err := New(Options{Members: 15, ProbeInterval: 300 * time.Millisecond})
 	if err != nil {
@@ -138,8 +139,8 @@
 	}
 }
 
-// A dead member is lacking until it is known to be: what waits for it does not take its silence for knowledge.
-func TestLackingCountsPairs(t *testing.T) {
+// TestCountUnknownCountsPairs checks that a dead member counts as unknown until all know that it is dead.
+func TestCountUnknownCountsPairs(t *testing.T) {
 	testbed.Leaks(t)
 	f, err := New(Options{Members: 3, ProbeInterval: 100 * time.Millisecond})
 	if err != nil {
@@ -163,8 +164,8 @@
 	}
 }
 
-// One voter in this process is asked by several, and what they ask and send is counted.
-func TestAskersAsk(t *testing.T) {
+// TestAcquirersAcquireAndAreCounted has several acquirers use one voter and checks the counts of commands and traffic.
+func TestAcquirersAcquireAndAreCounted(t *testing.T) {
 	testbed.Leaks(t)
 	quiet := slog.New(slog.DiscardHandler)
 	n, err := peer.Listen(peer.Options{Fleet: "asked", Address: "127.0.0.1:0", Log: quiet})
@@ -204,8 +205,8 @@
 	}
 }
 
-// A hollow gateway takes orders and news by the rules of a real one.
-func TestGatewaysTakeOrdersAndNews(t *testing.T) {
+// TestGatewayAgentsAcceptDrainsAndUpdates checks that an agent follows the rules of a gateway.
+func TestGatewayAgentsAcceptDrainsAndUpdates(t *testing.T) {
 	testbed.Leaks(t)
 	g := NewGateways()
 	f, err := New(Options{Members: 2, ProbeInterval: 100 * time.Millisecond, Sites: []string{"s"}, Prepare: g.Prepare})
--- a/internal/testbed/hollow/outage_test.go
+++ b/internal/testbed/hollow/outage_test.go
@@ -14,7 +14,7 @@
 	mostBackBytes = 2300 // 1,680
 )
 
-// Some are killed and come back, and two halves are kept from each other: all that run know of it, and all know all in the end.
+// TestOutages kills and restarts some members, and partitions two halves: all running members detect the outage and recover.
 func TestOutages(t *testing.T) {
 	if plainly(t) {
 		return
@@ -35,8 +35,8 @@
 	})
 }
 
-// A fleet that is kept in two parts is not taken for one that has come together, nor one that is whole for two parts.
-func TestPartsAreTold(t *testing.T) {
+// TestPartitionedFleetIsNotSettled checks that a partitioned fleet does not count as settled, nor a settled one as partitioned.
+func TestPartitionedFleetIsNotSettled(t *testing.T) {
 	if plainly(t) {
 		return
 	}
