--- a/cmd/robindrum/try.go
+++ b/cmd/robindrum/try.go
@@ -46,12 +46,12 @@
 				fmt.Fprintln(out, "\nall rules kept")
 				return nil
 			}
-			s, err := demo.Run(c.Context(), demo.Options{Scene: scene, Length: length, Rate: rate, Out: out, Redraw: out == os.Stdout && terminal(os.Stdout), Verbose: verbose})
+			s, err := demo.Run(c.Context(), demo.Options{Scene: scene, Duration: length, Rate: rate, Out: out, Redraw: out == os.Stdout && terminal(os.Stdout), Verbose: verbose})
 			if err != nil {
 				return err
 			}
 			s.Print(out)
-			if err := s.Broken(); err != nil {
+			if err := s.Violations(); err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), "\na rule broke:", err)
 				return errors.Join(errReported, err)
 			}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -10,17 +10,17 @@
 	"robindrum/internal/testbed"
 )
 
-// The play goes through all its scenes and breaks no rule, on a terminal and elsewhere.
-func TestPlay(t *testing.T) {
+// TestMainScene checks that all steps are taken, on a terminal and elsewhere, and that no guarantee is violated.
+func TestMainScene(t *testing.T) {
 	for name, redraw := range map[string]bool{"lines": false, "terminal": true} {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
 			var out bytes.Buffer
-			s, err := Run(context.Background(), Options{Length: 5 * time.Second, Rate: 150, Out: &out, Redraw: redraw})
-			if err != nil || s.Broken() != nil {
-				t.Errorf("%v, %v\n%s", err, s.Broken(), out.String())
+			s, err := Run(context.Background(), Options{Duration: 5 * time.Second, Rate: 150, Out: &out, Redraw: redraw})
+			if err != nil || s.Violations() != nil {
+				t.Errorf("%v, %v\n%s", err, s.Violations(), out.String())
 			}
-			if s.Sent != 750 || s.Served+s.Refused+s.Failed != s.Sent {
+			if s.Sent != 750 || s.Served+s.Rejected+s.Failed != s.Sent {
 				t.Errorf("%+v", s)
 			}
 			s.Print(&out)
@@ -33,15 +33,15 @@
 	}
 }
 
-// A zone is lost and returns; the whole way back takes longer than this.
-func TestZoneLoss(t *testing.T) {
+// TestZoneLossScene has a zone fail and return. The complete recovery takes longer than the test.
+func TestZoneLossScene(t *testing.T) {
 	testbed.Leaks(t)
 	var out bytes.Buffer
-	s, err := Run(context.Background(), Options{Scene: "zone-loss", Length: 9 * time.Second, Rate: 150, Out: &out})
+	s, err := Run(context.Background(), Options{Scene: "zone-loss", Duration: 9 * time.Second, Rate: 150, Out: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Broken(); err != nil {
+	if err := s.Violations(); err != nil {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	s.Print(&out)
@@ -50,28 +50,29 @@
 			t.Errorf("%q is missing in\n%s", want, out.String())
 		}
 	}
-	if s.Crossed == 0 || !s.Zones {
+	if s.CrossZone == 0 || !s.ZoneLoss {
 		t.Errorf("%+v", s)
 	}
 	if _, err := Run(context.Background(), Options{Scene: "no such", Out: &out}); err == nil {
-		t.Error("a scene that is not there is played")
+		t.Error("an unknown scene is played")
 	}
 }
 
-// Three times what the servers do: what is worth most is served, and nothing is refused afterwards.
+// TestOverloadScene checks that the class of the highest priority weight is served during an overload, and that nothing is
+// rejected after it.
 func TestOverloadScene(t *testing.T) {
 	testbed.Leaks(t)
 	var out bytes.Buffer
-	s, err := Run(context.Background(), Options{Scene: "overload", Length: 10 * time.Second, Out: &out})
+	s, err := Run(context.Background(), Options{Scene: "overload", Duration: 10 * time.Second, Out: &out})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Print(&out)
-	if err := s.Broken(); err != nil || len(s.Classes) != 3 || s.Refused == 0 || s.RefusedAfter != 0 {
+	if err := s.Violations(); err != nil || len(s.Classes) != 3 || s.Rejected == 0 || s.RejectedAfter != 0 {
 		t.Errorf("%v, %+v\n%s", err, s, out.String())
 	}
-	if m, p := s.Classes[0], s.Classes[2]; float64(p.Served) < 0.8*float64(p.Asked) || m.Served*p.Asked > p.Served*m.Asked {
-		t.Errorf("worth does not count: %+v\n%s", s.Classes, out.String())
+	if m, p := s.Classes[0], s.Classes[2]; float64(p.Served) < 0.8*float64(p.Requests) || m.Served*p.Requests > p.Served*m.Requests {
+		t.Errorf("the priority weight does not count: %+v\n%s", s.Classes, out.String())
 	}
 	for _, want := range []string{"three times", "cluster overloaded", "waiting", "in time"} {
 		if !strings.Contains(out.String(), want) {
@@ -80,22 +81,23 @@
 	}
 }
 
-func TestBrokenRulesShow(t *testing.T) {
-	for name, s := range map[string]Summary{"lost": {Served: 1, Lost: 1}, "twice": {Served: 1, Twice: 1}, "drain": {Served: 1, AfterDrain: 1},
-		"nothing": {}, "cold": {Served: 1, Worst: 3}, "unready": {Unready: true}} {
-		if s.Broken() == nil {
+// TestViolationsAreReported checks each violation, and that invalid options and a cancelled context are errors.
+func TestViolationsAreReported(t *testing.T) {
+	for name, s := range map[string]Summary{"lost": {Served: 1, Lost: 1}, "twice": {Served: 1, DuplicateEffects: 1}, "drain": {Served: 1, AfterDrain: 1},
+		"nothing": {}, "cold": {Served: 1, MaxColdLoad: 3}, "unready": {Unready: true}} {
+		if s.Violations() == nil {
 			t.Errorf("%s: good", name)
 		}
 	}
-	if err := (Summary{Served: 1}).Broken(); err != nil {
+	if err := (Summary{Served: 1}).Violations(); err != nil {
 		t.Error(err)
 	}
-	if _, err := Run(context.Background(), Options{Length: time.Hour, Rate: 1000}); err == nil {
-		t.Error("a play without end is played")
+	if _, err := Run(context.Background(), Options{Duration: time.Hour, Rate: 1000}); err == nil {
+		t.Error("a scene with too many requests is played")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := Run(ctx, Options{Out: &bytes.Buffer{}}); err == nil {
-		t.Error("a play that is called off is good")
+		t.Error("a cancelled scene returns no error")
 	}
 }
--- a/internal/demo/lease.go
+++ b/internal/demo/lease.go
@@ -11,112 +11,180 @@
 	"robindrum/internal/testbed/cluster"
 )
 
-// leaseLength is short enough to watch.
-const leaseLength = 2 * time.Second
+const (
+	// leaseLength is short, so that a takeover can be watched.
+	leaseLength      = 2 * time.Second
+	leaseGateways    = 3
+	leaseLoad        = 50 // requests per second and gateway
+	leaseTimeout     = 30 * time.Second
+	postsBetween     = 50 // steps of the scene
+	subscribeAfter   = 5 * time.Second
+	leaderHeartbeats = 200 * time.Millisecond
+)
+
+// leaseScene is the demonstration of the loss of a lease.
+type leaseScene struct {
+	narrator
+	auditor *cluster.Auditor
+	site    *cluster.Site
+	load    *cluster.Load
+	frozen  map[*cluster.Node]bool
+}
 
-// LeaseLoss plays the loss of a lease's holder: three processes of the program, which share one subscription to a control
-// plane and one duty that posts to a receiver. The holder is frozen and goes on later. The error is what went wrong.
+// LeaseLoss demonstrates the loss of a lease: three processes of the program share a subscription to a control plane and a leader-only
+// task that posts to a receiver. The task's leader, and if it is the same one that of the subscription, is frozen and continues later.
+// It blocks until all processes have ended, and returns an error that says what went wrong.
 func LeaseLoss(ctx context.Context, binary string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "robindrum-try-")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	a, err := cluster.NewAuditor("receiver")
+	auditor, err := cluster.NewAuditor("receiver")
 	if err != nil {
 		return err
 	}
-	defer a.Close()
-	began := time.Now()
-	say := func(format string, args ...any) {
-		fmt.Fprintf(out, "%6.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
+	defer auditor.Close()
+	s := &leaseScene{narrator: narrator{out: out, began: time.Now()}, auditor: auditor}
+	s.say("three gateways start: each votes; one of them is to follow the control plane for all, and one to post to a receiver")
+	s.site, err = cluster.NewSite(ctx, cluster.SiteOptions{
+		Binary:             binary,
+		Dir:                dir,
+		Gateways:           leaseGateways,
+		SharedSubscription: true,
+		Lease:              leaseLength,
+		DirectAfter:        subscribeAfter,
+		Heartbeat:          leaderHeartbeats,
+		Posts:              map[string]*cluster.ExternalService{"beat": &auditor.ExternalService},
+	})
+	if err != nil {
+		return err
 	}
-	say("three gateways start: each votes; one of them is to follow the control plane for all, and one to post to a receiver")
-	s, err := cluster.NewSite(ctx, cluster.SiteOptions{Binary: binary, Dir: dir, Gateways: 3, SharedSubscription: true, Lease: leaseLength, DirectAfter: 5 * time.Second, Heartbeat: 200 * time.Millisecond,
-		Posts: map[string]*cluster.ExternalService{"beat": &a.ExternalService}})
+	defer s.site.Close()
+	leader, err := s.awaitLeaders(ctx)
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	const within = 30 * time.Second
-	posts := func(n int) error {
-		n += len(a.Acts())
-		return cluster.Await(ctx, "posts", within, func() bool { return len(a.Acts()) >= n })
-	}
-	var holder *cluster.Node
-	if err := cluster.Await(ctx, "a holder of the subscription, and posts", within, func() bool {
-		holder = s.SubscriptionLeader()
-		last, _ := a.Last()
-		return holder != nil && last.Token > 0
-	}); err != nil {
+	s.load = s.site.StartLoad(leaseLoad)
+	defer s.load.Stop()
+	if err := s.freezeLeaders(ctx, leader); err != nil {
 		return err
 	}
-	streams, _ := s.ControlPlane.Streams()
-	last, _ := a.Last()
-	say("%s holds the subscription, and all three have its list; the control plane sees %d stream; %s posts under token %d", holder.Name, streams, last.Member, last.Token)
-	load := s.StartLoad(50)
-	fail := func(err error) error {
-		load.Stop()
+	if err := s.observeTakeover(ctx); err != nil {
 		return err
 	}
-	poster := holder
-	for _, n := range s.Nodes {
+	if err := s.thaw(ctx); err != nil {
+		return err
+	}
+	return s.audit(out)
+}
+
+// awaitLeaders waits until the subscription and the posts have a leader, and returns that of the subscription.
+func (s *leaseScene) awaitLeaders(ctx context.Context) (*cluster.Node, error) {
+	var leader *cluster.Node
+	err := cluster.Await(ctx, "a holder of the subscription, and posts", leaseTimeout, func() bool {
+		leader = s.site.SubscriptionLeader()
+		last, _ := s.auditor.Last()
+		return leader != nil && last.Token > 0
+	})
+	if err != nil {
+		return nil, err
+	}
+	streams, _ := s.site.ControlPlane.Streams()
+	last, _ := s.auditor.Last()
+	s.say("%s holds the subscription, and all three have its list; the control plane sees %d stream; %s posts under token %d",
+		leader.Name, streams, last.Member, last.Token)
+	return leader, nil
+}
+
+// awaitPosts waits for some more posts.
+func (s *leaseScene) awaitPosts(ctx context.Context) error {
+	target := len(s.auditor.Acts()) + postsBetween
+	return cluster.Await(ctx, "posts", leaseTimeout, func() bool { return len(s.auditor.Acts()) >= target })
+}
+
+// freezeLeaders freezes the leaders and waits until another gateway posts. If two gateways lead, only the one that posts is frozen, as
+// a majority has to run.
+func (s *leaseScene) freezeLeaders(ctx context.Context, subscriptionLeader *cluster.Node) error {
+	last, _ := s.auditor.Last()
+	poster := subscriptionLeader
+	for _, n := range s.site.Nodes {
 		if n.Name == last.Member {
 			poster = n
 		}
 	}
-	if err := posts(50); err != nil {
-		return fail(err)
-	}
-	frozen := map[*cluster.Node]bool{holder: true, poster: true}
-	if len(frozen) == 2 { // a majority has to be left
-		delete(frozen, holder)
-	}
-	for n := range frozen {
-		n.Freeze()
-		say("%s is frozen in the middle of what it does (SIGSTOP); the others serve on", n.Name)
+	if err := s.awaitPosts(ctx); err != nil {
+		return err
 	}
-	at := time.Now()
-	if err := cluster.Await(ctx, "another poster", within, func() bool { l, _ := a.Last(); return l.Token > last.Token }); err != nil {
-		return fail(err)
+	s.frozen = map[*cluster.Node]bool{poster: true}
+	poster.Freeze()
+	s.say("%s is frozen in the middle of what it does (SIGSTOP); the others serve on", poster.Name)
+	frozenAt := time.Now()
+	err := cluster.Await(ctx, "another poster", leaseTimeout, func() bool {
+		act, _ := s.auditor.Last()
+		return act.Token > last.Token
+	})
+	if err != nil {
+		return err
 	}
-	next, _ := a.Last()
-	say("%s posts under token %d, %.1f s later: a lease lasts %v", next.Member, next.Token, time.Since(at).Seconds(), leaseLength)
-	if err := cluster.Await(ctx, "a holder of the subscription", within, func() bool { h := s.SubscriptionLeader(); return h != nil && !frozen[h] }); err != nil {
-		return fail(err)
+	next, _ := s.auditor.Last()
+	s.say("%s posts under token %d, %.1f s later: a lease lasts %v", next.Member, next.Token, time.Since(frozenAt).Seconds(), leaseLength)
+	return nil
+}
+
+// observeTakeover waits until a gateway that runs leads the subscription, and pushes an endpoint list.
+func (s *leaseScene) observeTakeover(ctx context.Context) error {
+	err := cluster.Await(ctx, "a holder of the subscription", leaseTimeout, func() bool {
+		leader := s.site.SubscriptionLeader()
+		return leader != nil && !s.frozen[leader]
+	})
+	if err != nil {
+		return err
 	}
-	holder = s.SubscriptionLeader()
-	at = time.Now()
-	if _, err := s.Push(0, 1); err != nil {
-		return fail(err)
+	leader := s.site.SubscriptionLeader()
+	pushedAt := time.Now()
+	if _, err := s.site.Push(0, 1); err != nil {
+		return err
 	}
-	if err := s.AwaitVersion(ctx, within); err != nil {
-		return fail(err)
+	if err := s.site.AwaitVersion(ctx, leaseTimeout); err != nil {
+		return err
 	}
-	say("%s holds the subscription; the control plane removes a server, and every gateway that runs knows after %.2f s", holder.Name, time.Since(at).Seconds())
-	for n := range frozen {
+	s.say("%s holds the subscription; the control plane removes a server, and every gateway that runs knows after %.2f s",
+		leader.Name, time.Since(pushedAt).Seconds())
+	return nil
+}
+
+// thaw has the frozen gateway continue, and waits until all use one stream again.
+func (s *leaseScene) thaw(ctx context.Context) error {
+	for n := range s.frozen {
 		n.Thaw()
-		say("%s goes on; its lease is over by its own clock", n.Name)
+		s.say("%s goes on; its lease is over by its own clock", n.Name)
 	}
-	if err := s.AwaitVersion(ctx, within); err != nil {
-		return fail(err)
-	}
-	if err := cluster.Await(ctx, "one stream", within, func() bool { n, _ := s.ControlPlane.Streams(); return n == 1 }); err != nil {
-		return fail(err)
+	if err := s.site.AwaitVersion(ctx, leaseTimeout); err != nil {
+		return err
 	}
-	say("all three have the newest list, on one stream again")
-	if err := posts(50); err != nil {
-		return fail(err)
+	err := cluster.Await(ctx, "one stream", leaseTimeout, func() bool {
+		streams, _ := s.site.ControlPlane.Streams()
+		return streams == 1
+	})
+	if err != nil {
+		return err
 	}
-	why := load.Stop()
-	f := cluster.Audit(a.Acts())
+	s.say("all three have the newest list, on one stream again")
+	return s.awaitPosts(ctx)
+}
+
+// audit stops the load, checks the posts and prints the outcome.
+func (s *leaseScene) audit(out io.Writer) error {
+	failure := s.load.Stop()
+	result := cluster.Audit(s.auditor.Acts())
 	fmt.Fprintf(out, "\nrequests %d, failed %d %s\nposts %d under %d tokens: refused by their token %d, accepted out of order %d, begun beyond the lease %d\n",
-		load.Requests.Load(), load.Failed.Load(), why, f.Acts, f.Tokens, f.Rejected, f.StaleAccepted, f.AfterLease)
+		s.load.Requests.Load(), s.load.Failed.Load(), failure, result.Acts, result.Tokens, result.Rejected, result.StaleAccepted, result.AfterLease)
 	switch {
-	case f.Violated():
-		return errors.New(f.FirstViolation)
-	case why != "":
-		return fmt.Errorf("a request failed: %s", why)
+	case result.Violated():
+		return errors.New(result.FirstViolation)
+	case failure != "":
+		return fmt.Errorf("a request failed: %s", failure)
 	}
 	return nil
 }
--- a/internal/demo/overload.go
+++ b/internal/demo/overload.go
@@ -3,105 +3,115 @@
 import (
 	"fmt"
 	"net/http"
-	"strings"
 	"sync/atomic"
 	"time"
 
-	"robindrum/internal/gateway"
 	"robindrum/internal/testbed/origin"
 )
 
-// What two servers of four workers do, 25 ms a request, and the parts of the play between which they are asked for three
-// times that.
 const (
-	does     = 2 * 4 / 0.025
-	overFrom = 0.3
-	overTo   = 0.7
+	overloadServers = 2
+	overloadWorkers = 4 // of a server
+	overloadDelay   = 25 * time.Millisecond
+	// overloadCapacity is the requests per second that all servers can serve.
+	overloadCapacity = overloadServers * overloadWorkers / 0.025
+	// The load is three times the capacity between these fractions of the duration, and half of it otherwise.
+	overloadFrom = 0.3
+	overloadTo   = 0.7
+	// overloadTail is for how long after the overload requests may still be rejected.
+	overloadTail = 2 * time.Second
 )
 
-func (p *play) overloading() bool { return p.opt.Scene == "overload" }
-
-// fewer leaves two servers with a capacity on the list.
-func (p *play) fewer() {
-	for i, s := range p.servers {
-		s.SetDelay(25 * time.Millisecond)
-		s.SetCapacity(origin.Capacity{Workers: 4, InitialSpeed: 1})
-		s.listed = i < 2
+// limitServers leaves two servers with a capacity on the endpoint list.
+func (r *run) limitServers() {
+	for i, s := range r.servers {
+		s.SetDelay(overloadDelay)
+		s.SetCapacity(origin.Capacity{Workers: overloadWorkers, InitialSpeed: 1})
+		s.listed = i < overloadServers
 	}
 }
 
-// rate is how many requests a second are asked at a time.
-func (p *play) rate(at time.Duration) float64 {
-	if !p.overloading() {
-		return float64(p.opt.Rate)
-	}
-	if part := float64(at) / float64(p.opt.Length); part >= overFrom && part < overTo {
-		return 3 * does
+// rate returns the requests per second at a time since the start.
+func (r *run) rate(at time.Duration) float64 {
+	switch {
+	case r.options.Scene != overloadScene:
+		return float64(r.options.Rate)
+	case r.overloadedAt(at):
+		return 3 * overloadCapacity
 	}
-	return does / 2
+	return overloadCapacity / 2
+}
+
+// overloadedAt reports whether a time since the start is within the overload.
+func (r *run) overloadedAt(at time.Duration) bool {
+	fraction := float64(at) / float64(r.options.Duration)
+	return fraction >= overloadFrom && fraction < overloadTo
 }
 
-// overloads is the story of a load that is too much for a while.
-func (p *play) overloads() []scene {
-	return []scene{
-		{0, fmt.Sprintf("the load begins: half of the %.0f requests a second that two servers do", does), nil},
-		{overFrom, "three times what they do", nil},
-		{overTo, "half again", nil},
+func overloadSteps() []step {
+	return []step{
+		{0, fmt.Sprintf("the load begins: half of the %.0f requests a second that two servers do", overloadCapacity), nil},
+		{overloadFrom, "three times what they do", nil},
+		{overloadTo, "half again", nil},
 	}
 }
 
-// overload counts by class while it lasts, and what is refused once it is over.
-type overload struct {
-	classes      [3]struct{ asked, served, inTime atomic.Int64 }
-	refusedAfter atomic.Int64
+// overloadClasses are the classes of the requests, by requestClass.
+var overloadClasses = [...]struct {
+	name             string
+	latencyObjective time.Duration
+}{
+	readClass: {"seat-map", 100 * time.Millisecond},
+	holdClass: {"seat-hold", 150 * time.Millisecond},
+	payClass:  {"pay", 200 * time.Millisecond},
 }
 
-var overClasses = [...]struct {
-	name   string
-	wanted time.Duration
-}{{"seat-map", 100 * time.Millisecond}, {"seat-hold", 150 * time.Millisecond}, {"pay", 200 * time.Millisecond}}
+// overloadCounts counts the requests during the overload by class, and those that are rejected after it.
+type overloadCounts struct {
+	classes       [len(overloadClasses)]classCounts
+	rejectedAfter atomic.Int64
+}
 
-func (o *overload) count(p *play, kind int, began time.Time, status int) {
-	i := 0
-	switch {
-	case kind == 0:
-		i = 2
-	case kind <= 5:
-		i = 1
+type classCounts struct {
+	requests atomic.Int64
+	served   atomic.Int64
+	inTime   atomic.Int64
+}
+
+// countOverload counts a response.
+func (r *run) countOverload(class requestClass, began time.Time, status int) {
+	at := began.Sub(r.began)
+	if r.overloadedAt(at) {
+		r.overload.classes[class].count(class, time.Since(began), status)
+		return
 	}
-	at := began.Sub(p.began)
-	switch part := float64(at) / float64(p.opt.Length); {
-	case part >= overFrom && part < overTo:
-		c := &o.classes[i]
-		c.asked.Add(1)
-		if status == http.StatusOK {
-			c.served.Add(1)
-			if time.Since(began) <= overClasses[i].wanted {
-				c.inTime.Add(1)
-			}
-		}
-	case at > time.Duration(overTo*float64(p.opt.Length))+2*time.Second && status == http.StatusServiceUnavailable:
-		o.refusedAfter.Add(1)
+	end := time.Duration(overloadTo * float64(r.options.Duration))
+	if at > end+overloadTail && status == http.StatusServiceUnavailable {
+		r.overload.rejectedAfter.Add(1)
 	}
 }
 
-func (o *overload) sums() (l []ClassSum) {
-	for i := range o.classes {
-		c := &o.classes[i]
-		l = append(l, ClassSum{overClasses[i].name, c.asked.Load(), c.served.Load(), c.inTime.Load()})
+func (c *classCounts) count(class requestClass, took time.Duration, status int) {
+	c.requests.Add(1)
+	if status != http.StatusOK {
+		return
+	}
+	c.served.Add(1)
+	if took <= overloadClasses[class].latencyObjective {
+		c.inTime.Add(1)
 	}
-	return l
 }
 
-// admission says what is admitted, where that is the story.
-func (p *play) admission(s gateway.Status) string {
-	if !p.overloading() {
-		return ""
-	}
-	var b strings.Builder
-	for _, c := range s.Clusters {
-		a := c.Admission
-		fmt.Fprintf(&b, " | limit %d, %d in flight, %d waiting", a.Limit, a.InFlight, a.Waiting)
+func (o *overloadCounts) summaries() []ClassSummary {
+	var summaries []ClassSummary
+	for i := range o.classes {
+		c := &o.classes[i]
+		summaries = append(summaries, ClassSummary{
+			Name:     overloadClasses[i].name,
+			Requests: c.requests.Load(),
+			Served:   c.served.Load(),
+			InTime:   c.inTime.Load(),
+		})
 	}
-	return b.String()
+	return summaries
 }
