--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -21,15 +21,15 @@
 	"robindrum/internal/testbed/memnet"
 )
 
-// Bounds of the slopes: counts and bytes, never times. Each is some 1.4 times what was measured, so that twice as much is over it.
+// Bounds of traffic. Each is below twice the usual value, so that a doubled cost fails.
 const (
-	mostPackets       = 2.8 // of a member in a probe's time, at any size: its own probe and one that it answers
-	mostPacketBytes   = 140 // the same
-	mostExchangeSlope = 95  // bytes of a full exchange for one more member, both ways, packed: 20 to 68 in 80 plays
-	mostUpdateBytes   = 800 // of a member for each other's update: it is told on some times, to three at a time
+	maxPackets       = 2.8 // of a member in a probe interval, at any size: its own probe and one that it answers
+	maxPacketBytes   = 140 // of a member in a probe interval, at any size
+	maxExchangeSlope = 95  // bytes of a full exchange for each member, in both directions, compressed
+	maxUpdateBytes   = 800 // of a member for each update of another one, which it gossips some times, to three at a time
 )
 
-// plain is this package's tests without the race detector; see plainly.
+// plain is the program of this package's tests without the race detector; see runWithoutRaceDetector.
 var plain struct {
 	once      sync.Once
 	dir, path string
@@ -46,11 +46,10 @@
 	}
 }
 
-// plainly plays a test of apart in a process without the race detector, where this one has it, and tells that it did.
-//
-// Danger: with it, testing/synctest and as many timers as members have, the detector itself ends the process now and then ("CHECK failed:
-// tsan_rtl.cpp:346", go1.26.8: 5 of 36 processes with four plays each). The members' code is under it in the tests on loopback.
-func plainly(t *testing.T) bool {
+// runWithoutRaceDetector runs a simulated test in a process without the race detector if this one has it, and reports whether it did.
+// With testing/synctest and as many timers as members have, the detector itself crashes at times ("CHECK failed: tsan_rtl.cpp:346",
+// go1.26.8). It covers the members' code in the tests on loopback.
+func runWithoutRaceDetector(t *testing.T) bool {
 	if !underRace {
 		return false
 	}
@@ -65,7 +64,7 @@
 	return true
 }
 
-// TestMain removes what plainly has built.
+// TestMain removes what runWithoutRaceDetector has built.
 func TestMain(m *testing.M) {
 	code := m.Run()
 	if plain.dir != "" {
@@ -74,11 +73,11 @@
 	os.Exit(code)
 }
 
-// apart has a test's members on a network and a clock of their own: what they send does not depend on how busy the machine is.
-func apart(t *testing.T, test func(t *testing.T, opt Options)) {
+// simulate runs a test with a network in memory and simulated time, so that traffic does not depend on the machine's load.
+func simulate(t *testing.T, test func(t *testing.T, opt Options)) {
 	synctest.Test(t, func(t *testing.T) {
 		test(t, Options{Network: memnet.New()})
-		// Time stands once this returns, and a probe that was under way as its member ended still waits for its answer.
+		// Simulated time stops when this returns, and probes in flight still wait for their answers.
 		time.Sleep(5 * time.Minute)
 	})
 }
@@ -86,12 +85,12 @@
 // TestMembershipTrafficSlopes measures at four sizes that what membership sends does not grow with the members, except where
 // docs/CAPACITY.md says so.
 func TestMembershipTrafficSlopes(t *testing.T) {
-	if plainly(t) {
+	if runWithoutRaceDetector(t) {
 		return
 	}
 	var sizes, exchange []float64
 	for _, n := range []int{6, 12, 24, 48} {
-		apart(t, func(t *testing.T, opt Options) {
+		simulate(t, func(t *testing.T, opt Options) {
 			opt.Members = n
 			r, err := MeasureMembers(t.Context(), MembersOptions{Options: opt})
 			if err != nil {
@@ -101,10 +100,10 @@
 			if r.Join.Unknown+r.StateChange.Unknown+r.JoinOne.Unknown+r.Leave.Unknown+r.Death.Unknown+r.Rollout.Unknown > 0 {
 				t.Errorf("%d members: join %v, news %v, come %v, leave %v, death %v, rollout %v", n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.Death, r.Rollout)
 			}
-			if r.Packets > mostPackets || r.PacketBytes > mostPacketBytes {
+			if r.Packets > maxPackets || r.PacketBytes > maxPacketBytes {
 				t.Errorf("%d members: %.2f packets and %.0f bytes of a member in a probe's time", n, r.Packets, r.PacketBytes)
 			}
-			if r.RolloutBytes > mostUpdateBytes {
+			if r.RolloutBytes > maxUpdateBytes {
 				t.Errorf("%d members: %.0f bytes of a member for each other's update", n, r.RolloutBytes)
 			}
 			sizes, exchange = append(sizes, float64(n)), append(exchange, r.ExchangeBytes)
@@ -114,7 +113,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("a full exchange: %v", &f); f.Slope > mostExchangeSlope {
+	if t.Logf("a full exchange: %v", &f); f.Slope > maxExchangeSlope {
 		t.Errorf("a full exchange grows by %.0f bytes with each member", f.Slope)
 	}
 }
--- a/internal/testbed/hollow/outage_test.go
+++ b/internal/testbed/hollow/outage_test.go
@@ -7,19 +7,18 @@
 	"robindrum/internal/membership"
 )
 
-// Bounds of what a member sends for each one that is lost, and for each that is back, beyond what it sends idle: some 1.4 times the most
-// that 60 plays gave.
+// Bounds of what a member sends for each lost and for each recovered member beyond its idle traffic, below twice the usual value.
 const (
-	mostLostBytes = 1800 // 1,328
-	mostBackBytes = 2300 // 1,680
+	maxDetectionBytes = 1800
+	maxRecoveryBytes  = 2300
 )
 
 // TestOutages kills and restarts some members, and partitions two halves: all running members detect the outage and recover.
 func TestOutages(t *testing.T) {
-	if plainly(t) {
+	if runWithoutRaceDetector(t) {
 		return
 	}
-	apart(t, func(t *testing.T, opt Options) {
+	simulate(t, func(t *testing.T, opt Options) {
 		opt.Members = 20
 		rows, err := MeasureOutages(t.Context(), opt, []Outage{{Name: "rack", Fraction: 0.1}, {Name: "regions", Fraction: 0.5, Partition: true}})
 		if err != nil {
@@ -28,8 +27,8 @@
 		for i, lost := range []int{2, 10} {
 			r := rows[i]
 			t.Logf("%+v", r)
-			if r.Lost != lost || r.Detection.Unknown > 0 || r.DetectionBytes > mostLostBytes || r.RecoveryBytes > mostBackBytes {
-				t.Errorf("%+v: want %d lost, all known, %d and %d bytes for each at the most", r, lost, mostLostBytes, mostBackBytes)
+			if r.Lost != lost || r.Detection.Unknown > 0 || r.DetectionBytes > maxDetectionBytes || r.RecoveryBytes > maxRecoveryBytes {
+				t.Errorf("%+v: want %d lost, all known, %d and %d bytes for each at the most", r, lost, maxDetectionBytes, maxRecoveryBytes)
 			}
 		}
 	})
@@ -37,10 +36,10 @@
 
 // TestPartitionedFleetIsNotSettled checks that a partitioned fleet does not count as settled, nor a settled one as partitioned.
 func TestPartitionedFleetIsNotSettled(t *testing.T) {
-	if plainly(t) {
+	if runWithoutRaceDetector(t) {
 		return
 	}
-	apart(t, func(t *testing.T, opt Options) {
+	simulate(t, func(t *testing.T, opt Options) {
 		opt.Members = 5
 		f, err := New(opt)
 		if err != nil {
--- a/internal/testbed/hollow/sizes_test.go
+++ b/internal/testbed/hollow/sizes_test.go
@@ -23,7 +23,7 @@
 //
 //	go test ./internal/testbed/hollow -run TestAtSizes -v -timeout 1h -args -sizes 100,200,400,800
 func TestAtSizes(t *testing.T) {
-	if plainly(t) {
+	if runWithoutRaceDetector(t) {
 		return
 	}
 	if m := machineMemory(); m > 0 {
@@ -49,7 +49,7 @@
 			break
 		}
 		began := time.Now()
-		apart(t, func(t *testing.T, opt Options) {
+		simulate(t, func(t *testing.T, opt Options) {
 			opt.Members, opt.CheckInterval = n, *lookFlag
 			r, err := MeasureMembers(t.Context(), MembersOptions{Options: opt, Restart: n >= 10})
 			if err != nil {
@@ -69,7 +69,7 @@
 			put("bytes of a member for each restarted one", r.RestartBytes)
 		})
 		if *outagesFlag {
-			apart(t, func(t *testing.T, opt Options) {
+			simulate(t, func(t *testing.T, opt Options) {
 				opt.Members, opt.CheckInterval = n, *lookFlag
 				rows, err := MeasureOutages(t.Context(), opt, Outages)
 				for i, r := range rows {
