--- a/internal/testbed/hollow/members.go
+++ b/internal/testbed/hollow/members.go
@@ -73,12 +73,13 @@
 func MeasureMembers(ctx context.Context, options MembersOptions) (MembersResult, error) {
 	result := MembersResult{Members: options.Members}
 	heapBefore := heap()
+	cpuBefore := cpu()
 	f, err := New(options.Options)
 	if err != nil {
 		return result, err
 	}
 	defer f.Close()
-	if err := f.measureJoin(ctx, &result); err != nil {
+	if err := f.measureJoin(ctx, &result, cpuBefore); err != nil {
 		return result, err
 	}
 	if err := f.measureIdle(ctx, &result, options.Window); err != nil {
@@ -101,9 +102,8 @@
 // spreadTimeout bounds the wait for a spread: members that missed all gossip learn by full exchanges, which are rare.
 func (f *Fleet) spreadTimeout() time.Duration { return 300 * f.opt.ProbeInterval }
 
-// measureJoin starts all members and waits until they know each other.
-func (f *Fleet) measureJoin(ctx context.Context, result *MembersResult) error {
-	cpuBefore := cpu()
+// measureJoin starts all members and waits until they know each other. cpuBefore is the processor time before the fleet was created.
+func (f *Fleet) measureJoin(ctx context.Context, result *MembersResult, cpuBefore time.Duration) error {
 	began := time.Now()
 	if err := f.Start(ctx); err != nil {
 		return err
