--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// It returns for one class alone: that one is served there, the others go on crossing.
+// A zone returns and rejects one class: the other classes are served there, that one goes on crossing zones.
 func TestZoneReturnsExceptForOneClass(t *testing.T) {
 	t.Parallel()
 	r := run(t, Options{Seed: 6, Gateways: 8, Rate: 700, Duration: 60 * s, Phases: []time.Duration{10 * s, 20 * s, 40 * s},
