--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -10,7 +10,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -95,14 +94,9 @@
 	g.plane.Stop()
 }
 
-// settled waits until a gateway has told the last of what it was sent.
+// settled waits until the gateway has acknowledged the endpoint lists that it was sent.
 func (g *loaded) settled(ctx context.Context, from int) error {
-	ctx, cancel := context.WithTimeout(ctx, 60*time.Second)
-	defer cancel()
-	_, _, err := g.plane.Await(ctx, from, func(r controlplane.Request) bool {
-		return strings.HasSuffix(r.Type(), "ClusterLoadAssignment") && r.Nonce() != ""
-	})
-	return err
+	return awaitAcks(ctx, g.plane, from)
 }
 
 func load(ctx context.Context, dir, at string, clusters, each, routes, tenants int) (g *loaded, err error) {
@@ -139,15 +133,7 @@
 		g.close()
 		return nil, fmt.Errorf("the first list: %w", err)
 	}
-	if err := await("all endpoints", func() bool {
-		resp, err := http.Get("http://" + g.addr[1] + "/status?endpoints=1")
-		if err != nil {
-			return false
-		}
-		defer resp.Body.Close()
-		text, _ := io.ReadAll(resp.Body)
-		return strings.Count(string(text), `"usable_endpoints": `+strconv.Itoa(each)) >= clusters
-	}); err != nil {
+	if err := g.awaitEndpoints(clusters, each); err != nil {
 		g.close()
 		return nil, err
 	}
@@ -164,7 +150,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	origin, err := bare()
+	origin, err := startFixedResponder()
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/tools/measure/size.go
@@ -0,0 +1,105 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+
+	"robindrum/internal/testbed/controlplane"
+)
+
+const (
+	sizeChanges    = 100
+	sizeIdle       = 3 * time.Second
+	ackTimeout     = 60 * time.Second
+	hostsPerSubnet = 250 // the addresses of a simulated /24 in use
+)
+
+// measureSizes measures memory and CPU by the number of clusters and endpoints.
+func measureSizes() error {
+	machine()
+	fmt.Println("clusters  endpoints  resident MiB  CPU to take all  CPU a changed cluster  CPU a second idle")
+	for _, c := range []struct{ clusters, each int }{{10, 10}, {100, 10}, {1000, 10}, {1, 10000}} {
+		if err := measureSize(c.clusters, c.each); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// measureSize starts a gateway that gets all clusters by xDS, changes one cluster after the other and prints a line.
+func measureSize(clusters, each int) error {
+	plane, err := controlplane.Start("")
+	if err != nil {
+		return err
+	}
+	defer plane.Stop()
+	configuration := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: delta, node: {id: m}, clusters: true, message: 64MiB}\nclusters: []\nroutes: [{match: {prefix: /}, cluster: c0}]\n", plane.Addr)
+	p, err := start(childRobindrum, configuration)
+	if err != nil {
+		return err
+	}
+	defer p.stop()
+	var resources []controlplane.Resource
+	for i := range clusters {
+		name := fmt.Sprint("c", i)
+		resources = append(resources, controlplane.Resource{Name: name, Body: controlplane.Cluster(name, "")}, sizeAssignment(i, each, 1))
+	}
+	if _, err := plane.Push("1", false, resources...); err != nil {
+		return err
+	}
+	if err := awaitAcks(context.Background(), plane, 0); err != nil {
+		return err
+	}
+	if err := p.awaitEndpoints(clusters, each); err != nil {
+		return err
+	}
+	started, resident := p.usage()
+	for i := range sizeChanges {
+		seen := len(plane.Requests())
+		if _, err := plane.Push(fmt.Sprint("v", i), false, sizeAssignment(i%clusters, each, 2+i)); err != nil {
+			return err
+		}
+		if err := awaitAcks(context.Background(), plane, seen); err != nil {
+			return err
+		}
+	}
+	changed, _ := p.usage()
+	time.Sleep(sizeIdle)
+	idle, _ := p.usage()
+	fmt.Printf("%8d  %9d  %12.1f  %15v  %21v  %17v\n", clusters, clusters*each, float64(resident)/(1<<20), started,
+		((changed - started) / sizeChanges).Round(10*time.Microsecond),
+		((idle - changed) / (sizeIdle / time.Second)).Round(time.Millisecond))
+	return nil
+}
+
+// sizeAssignment is the endpoint list of a cluster, of which the first endpoint has one more weight than the others.
+func sizeAssignment(cluster, each, weight int) controlplane.Resource {
+	name := fmt.Sprint("c", cluster)
+	endpoints := make([]controlplane.Endpoint, each)
+	for j := range endpoints {
+		address := fmt.Sprintf("127.%d.%d.%d:80", 1+cluster/hostsPerSubnet, cluster%hostsPerSubnet, 1+j%hostsPerSubnet)
+		if each > hostsPerSubnet {
+			address = wideAddress(j)
+		}
+		endpoints[j] = controlplane.Endpoint{Addr: address, Zone: fmt.Sprint("z", j%3), Weight: uint32(weight)}
+	}
+	endpoints[0].Weight = uint32(weight) + 1
+	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, endpoints...)}
+}
+
+// wideAddress is the address of an endpoint of a cluster that spans several simulated subnets.
+func wideAddress(endpoint int) string {
+	return fmt.Sprintf("127.1.%d.%d:80", endpoint/hostsPerSubnet, 1+endpoint%hostsPerSubnet)
+}
+
+// awaitAcks waits until the gateway has acknowledged an endpoint list behind the request of that index: it uses what the list held.
+func awaitAcks(ctx context.Context, plane *controlplane.Server, from int) error {
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
+	defer cancel()
+	_, _, err := plane.Await(ctx, from, func(r controlplane.Request) bool {
+		return strings.HasSuffix(r.Type(), "ClusterLoadAssignment") && r.Nonce() != ""
+	})
+	return err
+}
