--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -15,11 +15,12 @@
 
 // duties plays seeded schedules of faults against fleets of the built program, and then a few with each safeguard off.
 func duties(seeds, at int, first uint64, previous string) error {
-	ctx, dir, plain, done, err := built()
-	defer done()
+	ctx, b, err := newBuild()
 	if err != nil {
 		return err
 	}
+	defer b.close()
+	dir, plain := b.dir, b.binary
 	withFault, err := cluster.Build(ctx, dir, "faultinjection")
 	if err != nil {
 		return err
@@ -106,11 +107,11 @@
 // campaigns plays seeded schedules within budgets that the quorum keeps, and some without: there the observer has to find something.
 // play gives what they came to in words, and the looks at which more were out than may be.
 func campaigns(seeds, at int, first uint64, play func(ctx context.Context, list []uint64, opt cluster.DrainOptions, each func(v fmt.Stringer, broken bool)) (sum string, over int)) error {
-	ctx, dir, binary, done, err := built()
-	defer done()
+	ctx, b, err := newBuild()
 	if err != nil {
 		return err
 	}
+	defer b.close()
 	machine()
 	for _, apart := range []bool{false, true} {
 		n := min(seeds, maxSchedules)
@@ -122,7 +123,7 @@
 			list = append(list, first+uint64(i))
 		}
 		began, broken := time.Now(), 0
-		sum, over := play(ctx, list, cluster.DrainOptions{Binary: binary, Dir: dir, Lease: 600 * time.Millisecond, IgnoreBudget: apart}, func(v fmt.Stringer, bad bool) {
+		sum, over := play(ctx, list, cluster.DrainOptions{Binary: b.binary, Dir: b.dir, Lease: 600 * time.Millisecond, IgnoreBudget: apart}, func(v fmt.Stringer, bad bool) {
 			if bad {
 				if broken++; broken <= 5 || !apart {
 					fmt.Println(v)
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -37,11 +37,12 @@
 // worth brings a good and a bad version (a tenth of its requests fail) to twenty processes under load: as a release, by a loop with
 // sleeps, and all at once. Whoever looks at the loop stops it when more than a hundredth of five seconds' requests failed.
 func worth() error {
-	ctx, dir, binary, done, err := built()
-	defer done()
+	ctx, b, err := newBuild()
 	if err != nil {
 		return err
 	}
+	defer b.close()
+	dir, binary := b.dir, b.binary
 	bad, err := cluster.WriteAlteredProgram(dir, "bad", binary, cluster.MisrouteTenth)
 	if err != nil {
 		return err
