--- a/lab/experiments.go
+++ b/lab/experiments.go
@@ -1,4 +1,4 @@
-// Package experiments holds the experiments that come with the program, one file each.
+// Package experiments embeds the experiments that come with the program, one YAML file each.
 package experiments
 
 import (
@@ -10,20 +10,24 @@
 //go:embed *.yaml
 var files embed.FS
 
-// Names are the experiments there are, sorted.
-func Names() (l []string) {
-	all, err := fs.Glob(files, "*.yaml")
-	if err != nil { // the pattern is good
+// extension is what a file's name has behind its experiment's name.
+const extension = ".yaml"
+
+// Names returns the names of the embedded experiments, sorted.
+func Names() []string {
+	paths, err := fs.Glob(files, "*"+extension)
+	if err != nil { // only for a malformed pattern
 		panic(err)
 	}
-	for _, f := range all {
-		l = append(l, strings.TrimSuffix(f, ".yaml"))
+	var names []string
+	for _, path := range paths {
+		names = append(names, strings.TrimSuffix(path, extension))
 	}
-	return l
+	return names
 }
 
-// Read gives the text of one; false if there is none of that name.
-func Read(name string) ([]byte, bool) {
-	b, err := files.ReadFile(name + ".yaml")
-	return b, err == nil
+// Read returns the text of an experiment, and whether there is one of that name.
+func Read(name string) (text []byte, ok bool) {
+	text, err := files.ReadFile(name + extension)
+	return text, err == nil
 }
