--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -175,77 +175,136 @@
 	return nil
 }
 
+// gatewayRun is the measurement of one size of capacityGateway.
+type gatewayRun struct {
+	clusters int
+	routes   int
+	tenants  int
+	requests int // of a round
+	rounds   int
+	pushes   int
+	small    *loaded // the baseline
+	large    *loaded
+}
+
+// gatewayLatencies are the quantiles of each round's requests in microseconds, of the small gateway and of the large one.
+type gatewayLatencies struct {
+	p50 [2][]float64
+	p99 [2][]float64
+}
+
+// gatewaySize measures a gateway with so many clusters beside the small one.
 func gatewaySize(ctx context.Context, s *series, dir, origin string, small *loaded, n, requests, rounds, pushes int) error {
-	routes, tenants := targetRoutes*n/targetClusters, targetTenants*n/targetClusters
-	g, err := load(ctx, dir, origin, n, targetEach, routes, tenants)
+	run := gatewayRun{
+		clusters: n,
+		routes:   targetRoutes * n / targetClusters,
+		tenants:  targetTenants * n / targetClusters,
+		requests: requests,
+		rounds:   rounds,
+		pushes:   pushes,
+		small:    small,
+	}
+	g, err := load(ctx, dir, origin, n, targetEach, run.routes, run.tenants)
 	if err != nil {
 		return err
 	}
 	defer g.close()
-	took, lists := g.usage()
-	// The small one gets the same requests: what they leave behind is no control.
-	var other int64
-	for _, at := range []*loaded{small, g} {
-		if _, other, err = timed(at.addr[0], tenants, 16, func(i int) string {
-			return fmt.Sprintf("GET /x HTTP/1.1\r\nHost: x\r\nX-Tenant: t%d\r\n\r\n", i)
-		}); err != nil {
-			return fmt.Errorf("tenants: %w", err)
-		}
+	run.large = g
+	startCPU, residentLists := g.usage()
+	rejected, err := run.requestAsTenants()
+	if err != nil {
+		return err
 	}
-	_, tenanted := g.usage()
-	// The request path, in turn with the small one's.
-	var p50, p99 [2][]float64
-	for round := range rounds {
-		for k := range 2 {
-			which := (k + round) % 2
-			at := []*loaded{small, g}[which]
-			h, _, err := timed(at.addr[0], requests, 8, func(i int) string {
-				return fmt.Sprintf("GET /x HTTP/1.1\r\nHost: x\r\nX-Tenant: t%d\r\n\r\n", i*7919%max(tenants, 1))
-			})
-			if err != nil {
-				return fmt.Errorf("requests: %w", err)
-			}
-			p50[which] = append(p50[which], float64(h.ValueAtQuantile(50)))
-			p99[which] = append(p99[which], float64(h.ValueAtQuantile(99)))
-		}
+	_, residentTenants := g.usage()
+	latencies, err := run.measureLatencies()
+	if err != nil {
+		return err
 	}
-	before, _ := g.usage()
-	for i := range pushes { // one a second is the users' rate; what one costs does not depend on it
-		k := len(g.plane.Requests())
-		if _, err := g.plane.Push(fmt.Sprint("v", i), false, assignment(i%n, targetEach, 2+i)); err != nil {
-			return err
-		}
-		if err := g.settled(ctx, k); err != nil {
-			return fmt.Errorf("change %d: %w", i, err)
-		}
+	changeCPU, err := run.pushChanges(ctx)
+	if err != nil {
+		return err
 	}
-	after, _ := g.usage()
-	_, end := g.usage()
-	_, empty := small.usage()
-	lives, err := g.heap()
+	_, resident := g.usage()
+	_, residentSmall := small.usage()
+	heap, err := g.heap()
 	if err != nil {
 		return fmt.Errorf("its heap: %w", err)
 	}
-	livesEmpty, err := small.heap()
+	heapSmall, err := small.heap()
 	if err != nil {
 		return fmt.Errorf("the small one's heap: %w", err)
 	}
+	changeMilliseconds := float64(changeCPU.Microseconds()) / 1000 / float64(pushes)
 	s.size(n)
-	s.put("resident with lists and routes, MB", float64(lists)/1e6, 0)
-	s.put("resident with tenants seen, MB", float64(tenanted)/1e6, 0)
-	s.put("resident behind all of it, MB", float64(end)/1e6, 0)
-	s.put("the same, over a gateway with 10 endpoints", float64(end-empty)/1e6, boundMemory)
-	s.put("live heap behind all of it, MB", float64(lives)/1e6, 0)
-	s.put("live heap over a gateway with 10 endpoints", float64(lives-livesEmpty)/1e6, boundMemory)
-	s.put("CPU to take all at the start, ms", float64(took.Milliseconds()), 0)
-	s.put("CPU of a changed cluster, ms", float64((after-before).Microseconds())/1000/float64(pushes), 0)
-	s.put("CPU of one change a second, %", float64((after-before).Microseconds())/1000/float64(pushes)/10, boundCPU)
-	s.put("p99 of a request over the small one's, ms", (median(p99[1])-median(p99[0]))/1000, boundAdded)
-	fmt.Printf("%5d clusters, %d endpoints, %d routes, %d tenants (%d refused): p50 %.0f and %.0f us, p99 %.0f and %.0f us with 10 endpoints and here, medians of %d rounds\n", n, n*targetEach, routes, tenants,
-		other, median(p50[0]), median(p50[1]), median(p99[0]), median(p99[1]), rounds)
+	s.put("resident with lists and routes, MB", float64(residentLists)/1e6, 0)
+	s.put("resident with tenants seen, MB", float64(residentTenants)/1e6, 0)
+	s.put("resident behind all of it, MB", float64(resident)/1e6, 0)
+	s.put("the same, over a gateway with 10 endpoints", float64(resident-residentSmall)/1e6, boundMemory)
+	s.put("live heap behind all of it, MB", float64(heap)/1e6, 0)
+	s.put("live heap over a gateway with 10 endpoints", float64(heap-heapSmall)/1e6, boundMemory)
+	s.put("CPU to take all at the start, ms", float64(startCPU.Milliseconds()), 0)
+	s.put("CPU of a changed cluster, ms", changeMilliseconds, 0)
+	s.put("CPU of one change a second, %", changeMilliseconds/10, boundCPU)
+	s.put("p99 of a request over the small one's, ms", (median(latencies.p99[1])-median(latencies.p99[0]))/1000, boundAdded)
+	fmt.Printf("%5d clusters, %d endpoints, %d routes, %d tenants (%d refused): p50 %.0f and %.0f us, p99 %.0f and %.0f us with 10 endpoints and here, medians of %d rounds\n",
+		n, n*targetEach, run.routes, run.tenants, rejected, median(latencies.p50[0]), median(latencies.p50[1]), median(latencies.p99[0]), median(latencies.p99[1]), rounds)
 	return nil
 }
 
+// tenantRequest is the header of a request of a tenant.
+func tenantRequest(tenant int) string {
+	return fmt.Sprintf("GET /x HTTP/1.1\r\nHost: x\r\nX-Tenant: t%d\r\n\r\n", tenant)
+}
+
+// requestAsTenants sends one request of each tenant and returns how many the large gateway rejected. The small gateway gets the
+// same requests: what they leave behind is no control state.
+func (r *gatewayRun) requestAsTenants() (rejected int64, err error) {
+	for _, g := range []*loaded{r.small, r.large} {
+		_, rejected, err = timed(g.addr[0], r.tenants, 16, tenantRequest)
+		if err != nil {
+			return 0, fmt.Errorf("tenants: %w", err)
+		}
+	}
+	return rejected, nil
+}
+
+// measureLatencies sends requests to both gateways, in turn.
+func (r *gatewayRun) measureLatencies() (gatewayLatencies, error) {
+	const stride = 7919 // a prime, so that the tenants come in no order
+	header := func(i int) string { return tenantRequest(i * stride % max(r.tenants, 1)) }
+	gateways := []*loaded{r.small, r.large}
+	var latencies gatewayLatencies
+	for round := range r.rounds {
+		for k := range gateways {
+			which := (k + round) % len(gateways)
+			took, _, err := timed(gateways[which].addr[0], r.requests, 8, header)
+			if err != nil {
+				return latencies, fmt.Errorf("requests: %w", err)
+			}
+			latencies.p50[which] = append(latencies.p50[which], float64(took.ValueAtQuantile(50)))
+			latencies.p99[which] = append(latencies.p99[which], float64(took.ValueAtQuantile(99)))
+		}
+	}
+	return latencies, nil
+}
+
+// pushChanges changes one cluster after the other and returns the CPU time of the large gateway. The users' rate is one change a
+// second; what a change costs does not depend on it.
+func (r *gatewayRun) pushChanges(ctx context.Context) (time.Duration, error) {
+	before, _ := r.large.usage()
+	for i := range r.pushes {
+		seen := len(r.large.plane.Requests())
+		if _, err := r.large.plane.Push(fmt.Sprint("v", i), false, assignment(i%r.clusters, targetEach, 2+i)); err != nil {
+			return 0, err
+		}
+		if err := r.large.settled(ctx, seen); err != nil {
+			return 0, fmt.Errorf("change %d: %w", i, err)
+		}
+	}
+	after, _ := r.large.usage()
+	return after - before, nil
+}
+
 // capacityNode has the platform's node take a list, as a process of its own: the node's packages, without discovery's client.
 func capacityNode(ctx context.Context, sizes []int, _ bool) error {
 	s := newSeries("endpoints")
