--- a/tools/measure/capacity.go
+++ b/tools/measure/capacity.go
@@ -17,19 +17,19 @@
 	"robindrum/internal/testbed/hollow"
 )
 
-// target is the size that the figures are told for.
-const target = 2400
+// targetGateways is the number of gateways that the fits are evaluated at.
+const targetGateways = 2400
 
-// part is one of capacity.
-type part struct {
+// capacityPart is one of capacity.
+type capacityPart struct {
 	about string
 	short []int // sizes
 	full  []int
 	run   func(ctx context.Context, sizes []int, full bool) error
 }
 
-func parts() map[string]part {
-	return map[string]part{
+func parts() map[string]capacityPart {
+	return map[string]capacityPart{
 		"members":      {"membership, by members", []int{10, 20, 40, 80}, []int{50, 100, 200, 400}, capacityMembers},
 		"quorum":       {"leases asked of the voters, by askers", []int{25, 50, 100, 200}, []int{100, 300, 800, 2400}, capacityQuorum},
 		"orders":       {"the leader's rounds, by gateways", []int{10, 20, 40, 80}, []int{50, 100, 200, 400}, capacityOrders},
@@ -74,7 +74,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	machine()
+	printMachine()
 	for _, n := range partNames {
 		if name != "" && n != name {
 			continue
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// series are the figures of one part by size; what was measured is printed also where a later size was not.
+// series holds the figures of one part by size. They can be printed where a later size was not measured.
 type series struct {
 	unit   string
 	sizes  []float64
@@ -107,7 +107,7 @@
 	more   []derived
 }
 
-// derived is a figure that follows from fitted ones by a formula that is no line.
+// derived is a figure that follows from fitted ones by a formula that is not linear.
 type derived struct {
 	name  string
 	bound float64 // 0: it has none
@@ -123,7 +123,7 @@
 	s.more = append(s.more, derived{name, bound, at})
 }
 
-// fit is a figure at a size; NaN: it was not measured.
+// fit returns a figure at a size by its fit; NaN if it was not measured at every size.
 func (s *series) fit(name string, size float64) float64 {
 	l := s.values[name]
 	if len(l) != len(s.sizes) {
@@ -141,7 +141,7 @@
 	return d.at(size, func(name string) float64 { return s.fit(name, size) })
 }
 
-// crosses is the first size, to a hundredth, at which it is over its bound.
+// crosses returns the first size, to a hundredth, at which the figure is over its bound.
 func (d *derived) crosses(s *series) float64 {
 	for n := 1.0; n < 1e6; n *= 1.01 {
 		if d.value(s, n) > d.bound {
@@ -151,10 +151,10 @@
 	return math.Inf(1)
 }
 
-// size begins the figures of one.
+// size begins the figures of a size.
 func (s *series) size(n int) { s.sizes = append(s.sizes, float64(n)) }
 
-// put takes one; bound 0: it has none.
+// put adds a figure of the last size; bound 0 means that it has none.
 func (s *series) put(name string, v, bound float64) {
 	if !slices.Contains(s.names, name) {
 		s.names = append(s.names, name)
@@ -163,7 +163,7 @@
 	s.bounds[name] = bound
 }
 
-// print tells the points, the fit, the figure at a size and where it crosses its bound.
+// print prints the points, the fit, the figure at a size and where it crosses its bound.
 func (s *series) print(at float64) {
 	fmt.Printf("%-44s", s.unit)
 	for _, n := range s.sizes {
@@ -222,26 +222,26 @@
 	boundCPU    = 4.6 // percent of a core
 	boundBytes  = 2000.0
 	boundMemory = 64.0 // MB
-	// What a day brings, in a second.
-	changes  = 6000.0 / 86400
-	restarts = 6100.0 / 86400
+	// A day's changes and restarts, a second.
+	changesPerSecond  = 6000.0 / 86400
+	restartsPerSecond = 6100.0 / 86400
 )
 
 func capacityMembers(ctx context.Context, sizes []int, full bool) error {
 	s := newSeries("members")
-	defer func() { s.print(target) }()
+	defer func() { s.print(targetGateways) }()
 	s.derive("bytes a second, idle, with full exchanges", boundBytes, func(n float64, fit func(string) float64) float64 {
 		return hollow.IdleTraffic(fit("packet bytes a second"), fit("bytes of a full exchange, both ways"), n)
 	})
-	// What each of them says of itself goes to all: so many updates a second, each told by a member for so many bytes.
+	// Each update of a member goes to all members: so many updates a second, each costing a member so many bytes.
 	s.derive("bytes a second for 6,000 changes a day by each", boundBytes, func(n float64, fit func(string) float64) float64 {
-		return changes * n * fit("bytes of a member for each other's update")
+		return changesPerSecond * n * fit("bytes of a member for each other's update")
 	})
 	s.derive("CPU, % of a core, for 6,000 changes a day", boundCPU, func(n float64, fit func(string) float64) float64 {
-		return 100 * changes * fit("CPU of a member for a rollout, ms") / 1000
+		return 100 * changesPerSecond * fit("CPU of a member for a rollout, ms") / 1000
 	})
 	s.derive("bytes a second for 6,100 restarts a day", boundBytes, func(_ float64, fit func(string) float64) float64 {
-		return restarts * fit("bytes of a member for each restarted one")
+		return restartsPerSecond * fit("bytes of a member for each restarted one")
 	})
 	probe := 100 * time.Millisecond
 	if full {
@@ -274,6 +274,7 @@
 	return nil
 }
 
+// median returns the middle value; of an even number of values the upper one.
 func median(l []float64) float64 {
 	l = slices.Sorted(slices.Values(l))
 	return l[len(l)/2]
--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -10,8 +10,8 @@
 	"robindrum/internal/testbed/hollow"
 )
 
-// program makes a folder with the program, for processes.
-func program(ctx context.Context) (dir, binary string, remove func(), err error) {
+// buildProgram builds the program in a new folder. The caller calls remove.
+func buildProgram(ctx context.Context) (dir, binary string, remove func(), err error) {
 	if dir, remove, err = cluster.TempDir(); err != nil {
 		return "", "", nil, err
 	}
@@ -22,8 +22,9 @@
 	return dir, binary, remove, nil
 }
 
-// spent is processor time and open descriptors of some nodes, and the memory of the largest.
-func spent(nodes []*cluster.Node) (cpu time.Duration, resident int64, files int) {
+// resourceUsage returns the CPU time of the nodes that run together, and the resident bytes and the open descriptors of the
+// largest of them.
+func resourceUsage(nodes []*cluster.Node) (cpu time.Duration, resident int64, files int) {
 	for _, n := range nodes {
 		if !n.Up() {
 			continue
@@ -39,8 +40,8 @@
 	return cpu, resident, files
 }
 
-// spoken is what some nodes have sent, each to all others, calls, streams and packets.
-func spoken(nodes []*cluster.Node) (bytes int64) {
+// sentBytes returns the bytes that the nodes have sent to all others in calls, streams and packets.
+func sentBytes(nodes []*cluster.Node) (bytes int64) {
 	for _, n := range nodes {
 		if s, err := n.Fleet(); err == nil {
 			bytes += s.Traffic.Sent()
@@ -49,7 +50,8 @@
 	return bytes
 }
 
-func applied(c *cluster.Cluster) (n uint64) {
+// appliedEntries returns the index of the last log entry that a voter has applied.
+func appliedEntries(c *cluster.Cluster) (n uint64) {
 	for _, v := range c.Nodes {
 		if s, err := v.Fleet(); err == nil && s.Vote != nil {
 			n = max(n, s.Vote.Applied)
@@ -58,6 +60,7 @@
 	return n
 }
 
+// idleFor waits, for as long as the context lasts, and returns its error where that ends first.
 func idleFor(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -69,8 +72,8 @@
 	}
 }
 
-// joined starts hollow gateways beside a cluster and waits until its nodes know them.
-func joined(ctx context.Context, c *cluster.Cluster, n int, probe, beat, lease time.Duration, site string) (*hollow.Fleet, *hollow.Gateways, error) {
+// joinHollowGateways starts hollow gateways beside a cluster and waits until its nodes know them. The caller closes the fleet.
+func joinHollowGateways(ctx context.Context, c *cluster.Cluster, n int, probe, beat, lease time.Duration, site string) (*hollow.Fleet, *hollow.Gateways, error) {
 	g := hollow.NewGateways()
 	var seeds []string
 	for _, v := range c.Nodes[:min(3, len(c.Nodes))] {
--- a/tools/measure/capacity_limits.go
+++ b/tools/measure/capacity_limits.go
@@ -13,7 +13,7 @@
 // capacityLimits asks for a drain where a site has so many clusters of the users' 29 endpoints: sizes are clusters. The quorum's book has
 // a bound on endpoints of its own.
 func capacityLimits(ctx context.Context, sizes []int, _ bool) error {
-	dir, binary, remove, err := program(ctx)
+	dir, binary, remove, err := buildProgram(ctx)
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 	defer s.Close()
 	var set []controlplane.Resource
 	for i := range clusters {
-		set = append(set, controlplane.Resource{Name: fmt.Sprint("k", i), Body: controlplane.Cluster(fmt.Sprint("k", i), "")}, assignment(i, targetEach, 1))
+		set = append(set, controlplane.Resource{Name: fmt.Sprint("k", i), Body: controlplane.Cluster(fmt.Sprint("k", i), "")}, assignment(i, targetEndpointsPerCluster, 1))
 	}
 	if _, err := s.ControlPlane.Push("100", false, set...); err != nil {
 		return err
@@ -60,6 +60,6 @@
 			return err
 		}
 	}
-	fmt.Printf("%5d clusters, %d endpoints: %v behind a drain of one of four gateways it is %s; %s\n", clusters, clusters*targetEach+3, time.Since(began).Round(10*time.Millisecond), o.State, o.StateReason)
+	fmt.Printf("%5d clusters, %d endpoints: %v behind a drain of one of four gateways it is %s; %s\n", clusters, clusters*targetEndpointsPerCluster+3, time.Since(began).Round(10*time.Millisecond), o.State, o.StateReason)
 	return nil
 }
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -23,16 +23,17 @@
 
 // The users' size, of one gateway.
 const (
-	targetClusters  = 720
-	targetEach      = 29 // endpoints of a cluster: 20,880
-	targetEndpoints = targetClusters * targetEach
-	targetRoutes    = 5700
-	targetTenants   = 51000
-	boundAdded      = 5.9 // ms for 99 in 100
+	targetClusters            = 720
+	targetEndpointsPerCluster = 29 // endpoints of a cluster: 20,880
+	targetEndpoints           = targetClusters * targetEndpointsPerCluster
+	targetRoutes              = 5700
+	targetTenants             = 51000
+	boundAddedLatency         = 5.9 // ms for 99 in 100
 )
 
-// timed sends n requests over some connections, one at a time on each, and gives how long the served ones took, in microseconds.
-func timed(addr string, n, conns int, head func(i int) string) (*hdrhistogram.Histogram, int64, error) {
+// measureLatency sends n requests over some connections, one at a time on each, and returns the latencies of the served ones in
+// microseconds and the number of the others.
+func measureLatency(addr string, n, conns int, head func(i int) string) (*hdrhistogram.Histogram, int64, error) {
 	took := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var next, refused atomic.Int64
@@ -81,30 +82,32 @@
 	}
 }
 
-// loaded is a gateway with so many clusters, endpoints, routes and limits by tenant, as a process of its own.
-type loaded struct {
+// loadedGateway is a gateway with many clusters, endpoints, routes and limits by tenant, as a process of its own.
+type loadedGateway struct {
 	*process
 	plane *controlplane.Server
 }
 
-func (g *loaded) close() {
+func (g *loadedGateway) close() {
 	if g.process != nil {
 		g.stop()
 	}
 	g.plane.Stop()
 }
 
-// settled waits until the gateway has acknowledged the endpoint lists that it was sent.
-func (g *loaded) settled(ctx context.Context, from int) error {
+// awaitAcks waits until the gateway has acknowledged the endpoint lists that it was sent.
+func (g *loadedGateway) awaitAcks(ctx context.Context, from int) error {
 	return awaitAcks(ctx, g.plane, from)
 }
 
-func load(ctx context.Context, dir, at string, clusters, each, routes, tenants int) (g *loaded, err error) {
+// startLoadedGateway starts a gateway whose last route leads to an origin, and waits until it uses all clusters. The caller closes
+// it.
+func startLoadedGateway(ctx context.Context, dir, at string, clusters, each, routes, tenants int) (g *loadedGateway, err error) {
 	plane, err := controlplane.Start("")
 	if err != nil {
 		return nil, err
 	}
-	g = &loaded{plane: plane}
+	g = &loadedGateway{plane: plane}
 	var b strings.Builder
 	fmt.Fprintf(&b, "listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: delta, node: {id: m}, clusters: true, message: 64MiB}\n", plane.Addr)
 	fmt.Fprintf(&b, "clusters: [{name: real, endpoints: [{address: %q}]}]\nrate_limits: [{name: tenants, key: {header: X-Tenant}, rate: 1000, burst: 1000, keys: %d}]\nroutes:\n", at, max(tenants, 1))
@@ -125,11 +128,11 @@
 		g.close()
 		return nil, err
 	}
-	if g.process, err = start("robindrum", "@"+path); err != nil {
+	if g.process, err = startProcess("robindrum", "@"+path); err != nil {
 		g.close()
 		return nil, err
 	}
-	if err := g.settled(ctx, 0); err != nil {
+	if err := g.awaitAcks(ctx, 0); err != nil {
 		g.close()
 		return nil, fmt.Errorf("the first list: %w", err)
 	}
@@ -159,13 +162,13 @@
 	if full {
 		requests, rounds, pushes = 20000, 5, 500
 	}
-	small, err := load(ctx, dir, origin.Addr().String(), 1, 10, 1, 1)
+	small, err := startLoadedGateway(ctx, dir, origin.Addr().String(), 1, 10, 1, 1)
 	if err != nil {
 		return err
 	}
 	defer small.close()
 	_, empty := small.usage()
-	fmt.Printf("%d endpoints a cluster, routes and tenants in proportion (%d and %d at %d); beside it a gateway with 10 endpoints, %.1f MB resident\n", targetEach, targetRoutes, targetTenants, targetClusters,
+	fmt.Printf("%d endpoints a cluster, routes and tenants in proportion (%d and %d at %d); beside it a gateway with 10 endpoints, %.1f MB resident\n", targetEndpointsPerCluster, targetRoutes, targetTenants, targetClusters,
 		float64(empty)/1e6)
 	for _, n := range sizes {
 		if err := gatewaySize(ctx, s, dir, origin.Addr().String(), small, n, requests, rounds, pushes); err != nil {
@@ -183,8 +186,8 @@
 	requests int // of a round
 	rounds   int
 	pushes   int
-	small    *loaded // the baseline
-	large    *loaded
+	small    *loadedGateway // the baseline
+	large    *loadedGateway
 }
 
 // gatewayLatencies are the quantiles of each round's requests in microseconds, of the small gateway and of the large one.
@@ -194,7 +197,7 @@
 }
 
 // gatewaySize measures a gateway with so many clusters beside the small one.
-func gatewaySize(ctx context.Context, s *series, dir, origin string, small *loaded, n, requests, rounds, pushes int) error {
+func gatewaySize(ctx context.Context, s *series, dir, origin string, small *loadedGateway, n, requests, rounds, pushes int) error {
 	run := gatewayRun{
 		clusters: n,
 		routes:   targetRoutes * n / targetClusters,
@@ -204,7 +207,7 @@
 		pushes:   pushes,
 		small:    small,
 	}
-	g, err := load(ctx, dir, origin, n, targetEach, run.routes, run.tenants)
+	g, err := startLoadedGateway(ctx, dir, origin, n, targetEndpointsPerCluster, run.routes, run.tenants)
 	if err != nil {
 		return err
 	}
@@ -245,9 +248,9 @@
 	s.put("CPU to take all at the start, ms", float64(startCPU.Milliseconds()), 0)
 	s.put("CPU of a changed cluster, ms", changeMilliseconds, 0)
 	s.put("CPU of one change a second, %", changeMilliseconds/10, boundCPU)
-	s.put("p99 of a request over the small one's, ms", (median(latencies.p99[1])-median(latencies.p99[0]))/1000, boundAdded)
+	s.put("p99 of a request over the small one's, ms", (median(latencies.p99[1])-median(latencies.p99[0]))/1000, boundAddedLatency)
 	fmt.Printf("%5d clusters, %d endpoints, %d routes, %d tenants (%d refused): p50 %.0f and %.0f us, p99 %.0f and %.0f us with 10 endpoints and here, medians of %d rounds\n",
-		n, n*targetEach, run.routes, run.tenants, rejected, median(latencies.p50[0]), median(latencies.p50[1]), median(latencies.p99[0]), median(latencies.p99[1]), rounds)
+		n, n*targetEndpointsPerCluster, run.routes, run.tenants, rejected, median(latencies.p50[0]), median(latencies.p50[1]), median(latencies.p99[0]), median(latencies.p99[1]), rounds)
 	return nil
 }
 
@@ -259,8 +262,8 @@
 // requestAsTenants sends one request of each tenant and returns how many the large gateway rejected. The small gateway gets the
 // same requests: what they leave behind is no control state.
 func (r *gatewayRun) requestAsTenants() (rejected int64, err error) {
-	for _, g := range []*loaded{r.small, r.large} {
-		_, rejected, err = timed(g.addr[0], r.tenants, 16, tenantRequest)
+	for _, g := range []*loadedGateway{r.small, r.large} {
+		_, rejected, err = measureLatency(g.addr[0], r.tenants, 16, tenantRequest)
 		if err != nil {
 			return 0, fmt.Errorf("tenants: %w", err)
 		}
@@ -272,12 +275,12 @@
 func (r *gatewayRun) measureLatencies() (gatewayLatencies, error) {
 	const stride = 7919 // a prime, so that the tenants come in no order
 	header := func(i int) string { return tenantRequest(i * stride % max(r.tenants, 1)) }
-	gateways := []*loaded{r.small, r.large}
+	gateways := []*loadedGateway{r.small, r.large}
 	var latencies gatewayLatencies
 	for round := range r.rounds {
 		for k := range gateways {
 			which := (k + round) % len(gateways)
-			took, _, err := timed(gateways[which].addr[0], r.requests, 8, header)
+			took, _, err := measureLatency(gateways[which].addr[0], r.requests, 8, header)
 			if err != nil {
 				return latencies, fmt.Errorf("requests: %w", err)
 			}
@@ -294,10 +297,10 @@
 	before, _ := r.large.usage()
 	for i := range r.pushes {
 		seen := len(r.large.plane.Requests())
-		if _, err := r.large.plane.Push(fmt.Sprint("v", i), false, assignment(i%r.clusters, targetEach, 2+i)); err != nil {
+		if _, err := r.large.plane.Push(fmt.Sprint("v", i), false, assignment(i%r.clusters, targetEndpointsPerCluster, 2+i)); err != nil {
 			return 0, err
 		}
-		if err := r.large.settled(ctx, seen); err != nil {
+		if err := r.large.awaitAcks(ctx, seen); err != nil {
 			return 0, fmt.Errorf("change %d: %w", i, err)
 		}
 	}
@@ -326,7 +329,7 @@
 		if err := os.WriteFile(path, []byte(strings.Join(l, "\n")), 0o600); err != nil {
 			return err
 		}
-		p, err := start("robindrum-node", "@"+path)
+		p, err := startProcess("robindrum-node", "@"+path)
 		if err != nil {
 			return err
 		}
@@ -342,7 +345,7 @@
 // capacityModule plays one service's part of the fleet on simulated time: the same load over ever more nodes.
 func capacityModule(ctx context.Context, sizes []int, full bool) error {
 	s := newSeries("nodes")
-	defer func() { s.print(target) }()
+	defer func() { s.print(targetGateways) }()
 	const (
 		rate    = 630000.0 / targetClusters // of one service
 		service = 0.04
@@ -353,7 +356,7 @@
 		seeds = 3
 	}
 	fmt.Printf("simulated: one service of %d servers with 2 workers of 40 ms, %.0f requests a second over all nodes, 10 ms of work for a new connection; five servers are gone from 20 to 24 s and come back cold; %d seed(s)\n",
-		targetEach, rate, seeds)
+		targetEndpointsPerCluster, rate, seeds)
 	for _, n := range sizes {
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -367,7 +370,7 @@
 load: {rate: %.0f}
 events: [{at: 20s, do: kill, zone: a, part: 0.17, how: refuses}, {at: 24s, do: revive, zone: a}]
 phases: [10s, 20s, 24s]
-`, targetEach, n, rate))
+`, targetEndpointsPerCluster, n, rate))
 		if err != nil {
 			return err
 		}
@@ -378,10 +381,10 @@
 		calm, back := r.Phases[1], r.Phases[3]
 		s.size(n)
 		s.put("own requests in flight, of a node", rate/float64(n)*service, 0)
-		s.put("servers that a node draws from", targetEach, 0)
+		s.put("servers that a node draws from", targetEndpointsPerCluster, 0)
 		s.put("new connections an attempt", float64(calm.Connects)/float64(max(calm.Sends, 1)), 0)
-		s.put("the same, by the rate at a pair alone", math.Exp(-rate/float64(n)/targetEach*idle), 0)
-		s.put("most at one server, over the mean", float64(calm.Queue)/(rate*service/targetEach), 0)
+		s.put("the same, by the rate at a pair alone", math.Exp(-rate/float64(n)/targetEndpointsPerCluster*idle), 0)
+		s.put("most at one server, over the mean", float64(calm.Queue)/(rate*service/targetEndpointsPerCluster), 0)
 		s.put("p50 of a request, ms", float64(calm.All.P50.Microseconds())/1000, 0)
 		s.put("p99 of a request, ms", float64(calm.All.P99.Microseconds())/1000, 0)
 		s.put("served in time, part, all well", float64(calm.All.InTime)/float64(max(calm.All.Asked, 1)), 0)
--- a/tools/measure/capacity_orders.go
+++ b/tools/measure/capacity_orders.go
@@ -18,7 +18,7 @@
 // capacityOrders has hollow gateways take the leader's rounds: with nothing ordered, and with one of them out.
 func capacityOrders(ctx context.Context, sizes []int, full bool) error {
 	s := newSeries("gateways")
-	defer func() { s.print(target) }()
+	defer func() { s.print(targetGateways) }()
 	beat := 300 * time.Millisecond
 	if full {
 		beat = time.Second
@@ -27,7 +27,7 @@
 	if full {
 		window *= 2
 	}
-	dir, binary, remove, err := program(ctx)
+	dir, binary, remove, err := buildProgram(ctx)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	if err := cluster.Await(ctx, "a leader", 30*time.Second, func() bool { return c.Leader() != nil }); err != nil {
 		return err
 	}
-	f, g, err := joined(ctx, c, n, beat, beat, 10*time.Second, "s")
+	f, g, err := joinHollowGateways(ctx, c, n, beat, beat, 10*time.Second, "s")
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	_, _, files := spent(c.Nodes[3:])
+	_, _, files := resourceUsage(c.Nodes[3:])
 	s.put("descriptors of a gateway that does not vote", float64(files), 0)
 	drained.put(s, "one out", beat)
 	if err := putObservationBytes(s, n); err != nil {
@@ -118,13 +118,13 @@
 
 // measureLeader measures the leader during a window.
 func measureLeader(ctx context.Context, c *cluster.Cluster, g *hollow.Gateways, window time.Duration) (leaderLoad, error) {
-	since, entriesBefore, began := fleet.Clock(), applied(c), time.Now()
+	since, entriesBefore, began := fleet.Clock(), appliedEntries(c), time.Now()
 	leader := c.Leader()
 	if leader == nil {
 		return leaderLoad{}, fmt.Errorf("no leader")
 	}
 	var sentBefore int64
-	cpuBefore, _, _ := spent([]*cluster.Node{leader})
+	cpuBefore, _, _ := resourceUsage([]*cluster.Node{leader})
 	if status, err := leader.Fleet(); err == nil {
 		sentBefore = status.SentBytes
 	}
@@ -133,7 +133,7 @@
 	}
 	intervals, calls := g.ReconcileIntervals(since)
 	seconds := time.Since(began).Seconds()
-	cpu, _, _ := spent([]*cluster.Node{leader})
+	cpu, _, _ := resourceUsage([]*cluster.Node{leader})
 	load := leaderLoad{calls: float64(calls) / seconds, cpu: 100 * (cpu - cpuBefore).Seconds() / seconds}
 	if status, err := leader.Fleet(); err == nil {
 		load.bytes = float64(status.SentBytes-sentBefore) / seconds
@@ -141,7 +141,7 @@
 	if len(intervals) > 0 {
 		load.p50, load.p99 = intervals[len(intervals)/2], intervals[len(intervals)*99/100]
 	}
-	load.entries = float64(applied(c)-entriesBefore) / seconds
+	load.entries = float64(appliedEntries(c)-entriesBefore) / seconds
 	return load, nil
 }
 
@@ -207,8 +207,8 @@
 	if leader == nil {
 		return fmt.Errorf("no leader")
 	}
-	cpu0, _, _ := spent([]*cluster.Node{leader})
-	b0, e0, began := spoken([]*cluster.Node{leader}), applied(c), time.Now()
+	cpu0, _, _ := resourceUsage([]*cluster.Node{leader})
+	b0, e0, began := sentBytes([]*cluster.Node{leader}), appliedEntries(c), time.Now()
 	if err := c.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
 		return err
 	}
@@ -233,11 +233,11 @@
 		return fmt.Errorf("%w; it stands at %s", err, why)
 	}
 	took := time.Since(began)
-	cpu1, _, _ := spent([]*cluster.Node{leader})
+	cpu1, _, _ := resourceUsage([]*cluster.Node{leader})
 	d := took.Seconds() / beat.Seconds() // told for a heartbeat of a second
-	s.put("a release: bytes the leader sends a second, with the log", float64(spoken([]*cluster.Node{leader})-b0)/d, 0)
+	s.put("a release: bytes the leader sends a second, with the log", float64(sentBytes([]*cluster.Node{leader})-b0)/d, 0)
 	s.put("a release: CPU of the leader, %", 100*(cpu1-cpu0).Seconds()/d, boundCPU)
-	s.put("a release: entries a second", float64(applied(c)-e0)/d, 0)
+	s.put("a release: entries a second", float64(appliedEntries(c)-e0)/d, 0)
 	fmt.Printf("%5d gateways: a release of a configuration in %d waves took %v, %v of them for soaks of %v\n", n, waves, took.Round(10*time.Millisecond), time.Duration(waves)*plan.Soak, plan.Soak)
 	return nil
 }
--- a/tools/measure/capacity_quorum.go
+++ b/tools/measure/capacity_quorum.go
@@ -18,7 +18,7 @@
 	if full {
 		voters, lease, window = []int{3, 5}, 10*time.Second, 20*time.Second
 	}
-	dir, binary, remove, err := program(ctx)
+	dir, binary, remove, err := buildProgram(ctx)
 	if err != nil {
 		return err
 	}
@@ -34,7 +34,7 @@
 
 func quorumSizes(ctx context.Context, dir, binary string, voters int, lease, window time.Duration, sizes []int) error {
 	s := newSeries(fmt.Sprintf("askers, %d voters", voters))
-	defer func() { s.print(target) }()
+	defer func() { s.print(targetGateways) }()
 	folder, err := os.MkdirTemp(dir, "capacity-")
 	if err != nil {
 		return err
@@ -78,16 +78,16 @@
 	if err := idleFor(ctx, lease); err != nil {
 		return err
 	}
-	cpu0, _, _ := spent(c.Nodes)
+	cpu0, _, _ := resourceUsage(c.Nodes)
 	asked0, failed0 := a.Commands()
-	e0, t0, v0, began := applied(c), a.Traffic(), spoken(c.Nodes), time.Now()
+	e0, t0, v0, began := appliedEntries(c), a.Traffic(), sentBytes(c.Nodes), time.Now()
 	if err := idleFor(ctx, window); err != nil {
 		return err
 	}
-	v1 := spoken(c.Nodes)
-	cpu1, resident, files := spent(c.Nodes)
+	v1 := sentBytes(c.Nodes)
+	cpu1, resident, files := resourceUsage(c.Nodes)
 	asked1, failed1 := a.Commands()
-	e1, t, d := applied(c), a.Traffic().Minus(t0), time.Since(began).Seconds()*10/lease.Seconds() // as with a lease of 10 s
+	e1, t, d := appliedEntries(c), a.Traffic().Minus(t0), time.Since(began).Seconds()*10/lease.Seconds() // as with a lease of 10 s
 	s.size(n)
 	s.put("asks a second, of all", float64(asked1-asked0)/d, 0)
 	s.put("entries agreed a second", float64(e1-e0)/d, 0)
--- a/tools/measure/capacity_subscription.go
+++ b/tools/measure/capacity_subscription.go
@@ -15,12 +15,12 @@
 // capacitySubscription has a site's one subscription's holder tell hollow gateways beside two processes.
 func capacitySubscription(ctx context.Context, sizes []int, full bool) error {
 	s := newSeries("gateways")
-	defer func() { s.print(target) }()
-	clusters, each, lease := 72, targetEach, time.Second
+	defer func() { s.print(targetGateways) }()
+	clusters, each, lease := 72, targetEndpointsPerCluster, time.Second
 	if full {
 		clusters, lease = targetClusters, 2*time.Second
 	}
-	dir, binary, remove, err := program(ctx)
+	dir, binary, remove, err := buildProgram(ctx)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 		return err
 	}
 	defer site.Close()
-	f, g, err := joined(ctx, site.Cluster, n, lease/4, lease/6, lease, "s")
+	f, g, err := joinHollowGateways(ctx, site.Cluster, n, lease/4, lease/6, lease, "s")
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 	news := func(set ...controlplane.Resource) (took []time.Duration, bytes float64, cpu time.Duration, err error) {
 		version++
 		_, _, _, p0, b0 := g.Updates(0)
-		cpu0, _, _ := spent(site.Nodes)
+		cpu0, _, _ := resourceUsage(site.Nodes)
 		at := fleet.Clock()
 		if _, err := site.ControlPlane.Push(strconv.Itoa(version), false, set...); err != nil {
 			return nil, 0, 0, err
@@ -85,7 +85,7 @@
 				before = last
 			}
 		}
-		cpu1, _, _ := spent(site.Nodes)
+		cpu1, _, _ := resourceUsage(site.Nodes)
 		_, _, _, p1, b1 := g.Updates(0)
 		const life = 180 // bytes of a sign of life, about
 		return took, float64(b1-b0-int64(life*(p1-p0-n))) / float64(n), cpu1 - cpu0, nil
--- a/tools/measure/capacity_test.go
+++ b/tools/measure/capacity_test.go
@@ -89,7 +89,7 @@
 
 // A child says what lives on its heap, and ends with its input.
 func TestChildTellsItsHeap(t *testing.T) {
-	p, err := start("robindrum-node", "127.0.0.1:9")
+	p, err := startProcess("robindrum-node", "127.0.0.1:9")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -153,7 +153,7 @@
 		return err
 	}
 	defer b.close()
-	machine()
+	printMachine()
 	for _, apart := range []bool{false, true} {
 		n := min(seeds, maxSchedules)
 		if apart {
--- a/tools/measure/flood.go
+++ b/tools/measure/flood.go
@@ -16,7 +16,7 @@
 
 // measureFlood pushes 200 updates a second for 10 s and prints what they cost and how soon the last one is in use.
 func measureFlood() error {
-	machine()
+	printMachine()
 	for _, each := range []int{10, 1000} {
 		if err := measureFloodOf(each); err != nil {
 			return err
@@ -33,7 +33,7 @@
 	}
 	defer plane.Stop()
 	configuration := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], node: {id: m}}\nclusters: [{name: c, xds: {}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n", plane.Addr)
-	p, err := start(childRobindrum, configuration)
+	p, err := startProcess(childRobindrum, configuration)
 	if err != nil {
 		return err
 	}
--- a/tools/measure/herd.go
+++ b/tools/measure/herd.go
@@ -22,7 +22,7 @@
 // newBuild builds the program in a folder of its own. The context ends with SIGTERM or an interrupt. The caller closes the build.
 func newBuild() (context.Context, *build, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	dir, binary, remove, err := program(ctx)
+	dir, binary, remove, err := buildProgram(ctx)
 	if err != nil {
 		stop()
 		return nil, nil, err
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer b.close()
-	machine()
+	printMachine()
 	fmt.Println("20 gateways, each asked 20 times a second; the control plane is away for 10 s and returns with a new version")
 	fmt.Println("subscription      streams in 1 s  in 3 s  requests  all have it after  asked  failed")
 	for _, shared := range []bool{false, true, false, true} {
--- a/tools/measure/path.go
+++ b/tools/measure/path.go
@@ -64,7 +64,7 @@
 	if err := cluster.Await(ctx, "a duty that runs", 30*time.Second, leads); err != nil {
 		return err
 	}
-	machine()
+	printMachine()
 	fmt.Printf("%d rounds of %d requests by %d clients, one process each\n", rounds, requests, pathClients)
 	fmt.Println("fleet   p50 us  p99 us  CPU us a request  memory MB  failed")
 	client := newPathClient()
--- a/tools/measure/process.go
+++ b/tools/measure/process.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// machine prints the version of Go and the kind of machine that the figures come from.
-func machine() {
+// printMachine prints the version of Go and the kind of machine that the figures come from.
+func printMachine() {
 	fmt.Printf("%s, %s/%s, %d processors\n", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
 }
 
@@ -26,8 +26,8 @@
 	addr   []string // where it listens: for requests, and for its admin pages if it has any
 }
 
-// start runs this program as a child of a kind and waits until it listens. The caller calls stop.
-func start(kind string, args ...string) (*process, error) {
+// startProcess runs this program as a child of a kind and waits until it listens. The caller calls stop.
+func startProcess(kind string, args ...string) (*process, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
--- a/tools/measure/proxy.go
+++ b/tools/measure/proxy.go
@@ -24,7 +24,7 @@
 
 // measureProxy compares the gateway, the platform's node and net/http/httputil's reverse proxy, in turn.
 func measureProxy(requests, rounds int) error {
-	machine()
+	printMachine()
 	var origins []string
 	for range 2 {
 		listener, err := startFixedResponder()
@@ -61,7 +61,7 @@
 
 // measureProxyRound starts a proxy, warms it up with a tenth of the requests and measures the others.
 func measureProxyRound(kind proxyKind, requests int) (proxyFigure, error) {
-	p, err := start(kind.name, kind.args...)
+	p, err := startProcess(kind.name, kind.args...)
 	if err != nil {
 		return proxyFigure{}, err
 	}
--- a/tools/measure/push.go
+++ b/tools/measure/push.go
@@ -21,7 +21,7 @@
 
 // measurePushes measures how long after a push a removed endpoint still gets requests, for both variants of xDS.
 func measurePushes(updates int) error {
-	machine()
+	printMachine()
 	plane, err := controlplane.Start("")
 	if err != nil {
 		return err
@@ -64,7 +64,7 @@
 func measureVariantPushes(plane *controlplane.Server, origins []*origin.Origin, variant string, updates int) error {
 	configuration := fmt.Sprintf("zone: a\nlisteners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: %s, node: {id: m}}\nclusters: [{name: c, xds: {}, warm_up: {time: 1ms}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n",
 		plane.Addr, variant)
-	p, err := start(childRobindrum, configuration)
+	p, err := startProcess(childRobindrum, configuration)
 	if err != nil {
 		return err
 	}
--- a/tools/measure/quorum.go
+++ b/tools/measure/quorum.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	defer b.close()
-	machine()
+	printMachine()
 	fmt.Println("three voters (processes), members as clients in one process, one lease of 10 s held for 30 s; then its holder dies, 10 times with a lease of 2 s")
 	fmt.Println("members  asks a second  entries a second  bytes a second  voters' CPU  hand-over: p50    max")
 	for _, members := range []int{10, 50, 200} {
@@ -162,15 +162,15 @@
 	case <-c.starts:
 	case <-ctx.Done():
 	}
-	entriesBefore := applied(voters)
-	cpuBefore, _, _ := spent(voters.Nodes)
+	entriesBefore := appliedEntries(voters)
+	cpuBefore, _, _ := resourceUsage(voters.Nodes)
 	requestsBefore, sentBefore, began := c.requests.Load(), c.node.Sent(), time.Now()
 	select {
 	case <-time.After(idleWindow):
 	case <-ctx.Done():
 	}
-	entries := applied(voters) - entriesBefore
-	cpu, _, _ := spent(voters.Nodes)
+	entries := appliedEntries(voters) - entriesBefore
+	cpu, _, _ := resourceUsage(voters.Nodes)
 	cpu -= cpuBefore
 	seconds := time.Since(began).Seconds()
 	requests := c.requests.Load() - requestsBefore
--- a/tools/measure/size.go
+++ b/tools/measure/size.go
@@ -18,7 +18,7 @@
 
 // measureSizes measures memory and CPU by the number of clusters and endpoints.
 func measureSizes() error {
-	machine()
+	printMachine()
 	fmt.Println("clusters  endpoints  resident MiB  CPU to take all  CPU a changed cluster  CPU a second idle")
 	for _, c := range []struct{ clusters, each int }{{10, 10}, {100, 10}, {1000, 10}, {1, 10000}} {
 		if err := measureSize(c.clusters, c.each); err != nil {
@@ -36,7 +36,7 @@
 	}
 	defer plane.Stop()
 	configuration := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: delta, node: {id: m}, clusters: true, message: 64MiB}\nclusters: []\nroutes: [{match: {prefix: /}, cluster: c0}]\n", plane.Addr)
-	p, err := start(childRobindrum, configuration)
+	p, err := startProcess(childRobindrum, configuration)
 	if err != nil {
 		return err
 	}
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	machine()
+	printMachine()
 	fmt.Printf("%d processes, %d requests a second at each; a loop's alarm: more than %.0f%% of %v failed\n", worthGateways, worthRate, 100*worthAlarm, worthWindow)
 	fmt.Println("version  way        end            took  stopped after  requests  failed  until stopped  most had it  p99 us")
 	for _, version := range []string{worthGood, worthBad} {
