--- a/tools/measure/capacity_test.go
+++ b/tools/measure/capacity_test.go
@@ -17,7 +17,7 @@
 	"robindrum/internal/testbed"
 )
 
-// TestMain is the program itself where it is started as a child, or to be interrupted.
+// TestMain runs the program itself where a test starts it as a child or in order to interrupt it.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "child" || os.Args[1] == "capacity") {
 		main()
@@ -26,7 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// An interrupt in the middle: what was measured is printed, all processes end, and so does every file.
+// TestCapacityIsInterrupted interrupts the command between two sizes: what was measured is printed, all processes end and every
+// file is removed.
 func TestCapacityIsInterrupted(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "capacity", "gateway", "-sizes", "1,2,90,100")
@@ -72,7 +73,7 @@
 	}
 }
 
-// children are the processes that were given a file below a folder.
+// children returns the ids of the processes that were given a file below a folder.
 func children(t *testing.T, dir string) (pids []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -87,8 +88,8 @@
 	return pids
 }
 
-// A child says what lives on its heap, and ends with its input.
-func TestChildTellsItsHeap(t *testing.T) {
+// TestChildReportsItsHeap asks a child for its live heap; the child ends with its input.
+func TestChildReportsItsHeap(t *testing.T) {
 	p, err := startProcess("robindrum-node", "127.0.0.1:9")
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +107,7 @@
 	}
 }
 
-// What cannot be meant is refused before anything starts, with what is wanted.
+// TestCapacityRefusesArguments expects invalid arguments to be rejected before anything starts, with what is expected instead.
 func TestCapacityRefusesArguments(t *testing.T) {
 	for text, want := range map[string]string{
 		"nothing":                  "want one of members",
@@ -124,7 +125,7 @@
 	}
 }
 
-// Every part that is named is there, with four sizes of its own or more, and the other way around.
+// TestCapacityParts expects each named part to exist with at least four sizes of its own, and each part to be named.
 func TestCapacityParts(t *testing.T) {
 	all := parts()
 	for _, name := range partNames {
@@ -142,7 +143,8 @@
 	}
 }
 
-// A derived figure follows the fits, and tells where it crosses its bound; what was not measured at every size has none.
+// TestDerivedFigures expects a derived figure to follow the fits and to cross its bound where the formula does; without a
+// measurement at every size there is none.
 func TestDerivedFigures(t *testing.T) {
 	s := newSeries("members")
 	s.derive("square", 100, func(n float64, fit func(string) float64) float64 { return n * fit("a") })
