--- a/cmd/robindrum/lab.go
+++ b/cmd/robindrum/lab.go
@@ -45,14 +45,14 @@
 				if err != nil {
 					return err
 				}
-				if over += x.Over; plain {
+				if over += x.BudgetViolations; plain {
 					if err := json.NewEncoder(c.OutOrStdout()).Encode(x); err != nil {
 						return err
 					}
 					continue
 				}
-				fmt.Fprintf(t, "%d\t%s\t%v\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", x.Seed, x.State, x.Took, x.Halt, x.Requests, x.Harmed, x.Had, x.Planned, x.Bound, x.Missing, x.Over,
-					x.Deaths, x.Why)
+				fmt.Fprintf(t, "%d\t%s\t%v\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", x.Seed, x.State, x.Duration, x.TimeToHalt, x.Requests, x.HarmedRequests, x.MaxUpdated, x.MaxPlannedUnavailable, x.UnavailableLimit, x.MaxUnavailable, x.BudgetViolations,
+					x.UnplannedFailures, x.Reason)
 			}
 			if err := t.Flush(); err != nil {
 				return err
@@ -62,23 +62,23 @@
 			}
 			return nil
 		}}
-	r.Fill()
+	r.SetDefaults()
 	f := c.Flags()
 	f.IntVar(&r.Gateways, "gateways", r.Gateways, "how many")
 	f.IntVar(&r.Sites, "sites", r.Sites, "how many")
 	f.IntVar(&r.Zones, "zones", r.Zones, "of each site")
 	f.Float64Var(&r.Rate, "rate", r.Rate, "requests a second, over all")
-	f.Float64Var(&r.Fails, "fails", 0, "part of the requests that the new version fails")
-	f.Float64Var(&r.Slow, "slow", 0, "what the new version takes longer, as a part")
-	f.DurationVar(&r.Crash, "crash", 0, "the new version ends by itself after so long; 0: it does not")
-	f.Float64Var(&r.Deaths, "deaths", 0, "part of the gateways that die by themselves in an hour")
-	f.DurationVar(&r.Down, "down", r.Down, "how long such a one is away")
-	f.DurationVar(&r.Restart, "restart", r.Restart, "from a gateway's end to its being in service")
-	f.DurationVar(&r.Drain, "drain", r.Drain, "until a gateway has nothing in hand")
-	f.Float64Var(&r.Part, "part", r.Part, "of each site's gateways that may be out")
-	f.DurationVar(&r.Soak, "soak", r.Soak, "of each wave")
+	f.Float64Var(&r.FailureRate, "fails", 0, "part of the requests that the new version fails")
+	f.Float64Var(&r.Slowdown, "slow", 0, "what the new version takes longer, as a part")
+	f.DurationVar(&r.CrashAfter, "crash", 0, "the new version ends by itself after so long; 0: it does not")
+	f.Float64Var(&r.UnplannedFailures, "deaths", 0, "part of the gateways that die by themselves in an hour")
+	f.DurationVar(&r.FailureDowntime, "down", r.FailureDowntime, "how long such a one is away")
+	f.DurationVar(&r.RestartTime, "restart", r.RestartTime, "from a gateway's end to its being in service")
+	f.DurationVar(&r.DrainTime, "drain", r.DrainTime, "until a gateway has nothing in hand")
+	f.Float64Var(&r.MaxUnavailable, "part", r.MaxUnavailable, "of each site's gateways that may be out")
+	f.DurationVar(&r.SoakTime, "soak", r.SoakTime, "of each wave")
 	f.StringVar(&r.Mode, "mode", r.Mode, "release, loop or at-once")
-	f.Float64Var(&r.Alarm, "alarm", r.Alarm, "share of failures in a minute that stops a loop")
+	f.Float64Var(&r.AlarmFailureRate, "alarm", r.AlarmFailureRate, "share of failures in a minute that stops a loop")
 	f.IntVar(&seeds, "seeds", 1, "how many")
 	f.BoolVar(&plain, "json", false, "print JSON, a line each")
 	return c
@@ -115,9 +115,9 @@
 	}
 	errs := c.ErrOrStderr()
 	redraw := errs == os.Stderr && terminal(os.Stderr)
-	r, err := experiment.Live(c.Context(), e, g.seeds, experiment.LiveOptions{Binary: self, Progress: func(p experiment.Progress) {
-		line := fmt.Sprintf("%s, seed %d: %v of %v, asked %d, in time %d, late %d, refused %d, failed %d", e.Name, p.Seed, p.At, p.Length, p.Asked, p.InTime, p.Late,
-			p.Refused, p.Failed)
+	r, err := experiment.RunLoopback(c.Context(), e, g.seeds, experiment.LoopbackOptions{Binary: self, Progress: func(p experiment.Progress) {
+		line := fmt.Sprintf("%s, seed %d: %v of %v, asked %d, in time %d, late %d, refused %d, failed %d", e.Name, p.Seed, p.Elapsed, p.Length, p.Requests, p.InTime, p.Late,
+			p.Rejected, p.Failed)
 		if redraw {
 			fmt.Fprintf(errs, "\r\x1b[K%s", line)
 		} else {
@@ -170,8 +170,8 @@
 			if err := errors.Join(show(c.OutOrStdout()), pictures(page, plots, r)); err != nil {
 				return err
 			}
-			if len(r.Broken) > 0 {
-				return errors.Join(errReported, fmt.Errorf("%d checks do not hold", len(r.Broken)))
+			if len(r.FailedChecks) > 0 {
+				return errors.Join(errReported, fmt.Errorf("%d checks do not hold", len(r.FailedChecks)))
 			}
 			return nil
 		}}
@@ -309,7 +309,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(t, "%s\t%s\n", n, e.About)
+				fmt.Fprintf(t, "%s\t%s\n", n, e.Description)
 			}
 			return t.Flush()
 		}}
--- a/cmd/robindrum/plan.go
+++ b/cmd/robindrum/plan.go
@@ -48,7 +48,7 @@
 				if err != nil {
 					return fmt.Errorf("this program's own file: %w", err)
 				}
-				confirmed = p.Confirm(c.Context(), experiment.LiveOptions{Binary: self})
+				confirmed = p.Confirm(c.Context(), experiment.LoopbackOptions{Binary: self})
 			}
 			show := p.Print
 			if asJSON {
--- a/internal/experiment/calibrate.go
+++ b/internal/experiment/calibrate.go
@@ -14,44 +14,44 @@
 	Loopback  *Report
 }
 
-// Figure is one row of a calibration.
-type Figure struct {
-	Name            string
-	Simulated, Live float64
-	// Error is that of the simulated one: relative, or, for parts and percentiles near 0, the difference.
-	Error float64
+// CalibrationMetric is one row of a calibration.
+type CalibrationMetric struct {
+	Name                string
+	Simulated, Loopback float64
+	// Deviation is that of the simulated one: relative, or, for parts and percentiles near 0, the difference.
+	Deviation float64
 	// Within is that throughput and service are within 10%. Other figures are shown and not judged.
-	Judged, Within bool
+	Checked, WithinTolerance bool
 }
 
 func (r *Report) all() (o Outcome) {
 	for i := range r.Phases {
 		o.merge(&r.Phases[i].All)
 	}
-	o.finish()
+	o.computePercentiles()
 	return o
 }
 
-// Figures are the rows.
-func (c *Calibration) Figures() []Figure {
+// Metrics are the rows.
+func (c *Calibration) Metrics() []CalibrationMetric {
 	s, l := c.Simulated.all(), c.Loopback.all()
 	per := func(r *Report, o *Outcome) float64 {
 		return float64(o.InTime) / r.Length.Seconds() / float64(max(r.Seeds, 1))
 	}
-	row := func(name string, sim, live float64, judged, relative bool) Figure {
-		f := Figure{Name: name, Simulated: sim, Live: live, Error: sim - live, Judged: judged}
+	row := func(name string, sim, live float64, judged, relative bool) CalibrationMetric {
+		f := CalibrationMetric{Name: name, Simulated: sim, Loopback: live, Deviation: sim - live, Checked: judged}
 		if relative && live != 0 {
-			f.Error = sim/live - 1
+			f.Deviation = sim/live - 1
 		}
-		f.Within = math.Abs(f.Error) <= 0.1
+		f.WithinTolerance = math.Abs(f.Deviation) <= 0.1
 		return f
 	}
-	return []Figure{
+	return []CalibrationMetric{
 		row("in time a second", per(c.Simulated, &s), per(c.Loopback, &l), true, true),
-		row("in time", s.part(s.InTime), l.part(l.InTime), true, false),
-		row("refused or failed", s.part(s.Refused+s.Failed+s.Lost), l.part(l.Refused+l.Failed+l.Lost), true, false),
-		row("p50 ms", ms(s.P50), ms(l.P50), false, true),
-		row("p99 ms", ms(s.P99), ms(l.P99), false, true),
+		row("in time", s.fraction(s.InTime), l.fraction(l.InTime), true, false),
+		row("refused or failed", s.fraction(s.Rejected+s.Failed+s.Lost), l.fraction(l.Rejected+l.Failed+l.Lost), true, false),
+		row("p50 ms", milliseconds(s.P50), milliseconds(l.P50), false, true),
+		row("p99 ms", milliseconds(s.P99), milliseconds(l.P99), false, true),
 		row("busiest server", c.Simulated.busiest(), c.Loopback.busiest(), false, true),
 	}
 }
@@ -63,16 +63,16 @@
 	fmt.Fprintln(t, " ---\t ---\t ---\t ---\t ---\t ---")
 	judged, within := 0, 0
 	for _, c := range l {
-		for _, f := range c.Figures() {
+		for _, f := range c.Metrics() {
 			note := ""
-			if f.Judged {
-				if judged++; f.Within {
+			if f.Checked {
+				if judged++; f.WithinTolerance {
 					within++
 				} else {
 					note = "beyond 10%"
 				}
 			}
-			fmt.Fprintf(t, " %s\t %s\t %.4g\t %.4g\t %+.1f%%\t %s\n", c.Name, f.Name, f.Simulated, f.Live, 100*f.Error, note)
+			fmt.Fprintf(t, " %s\t %s\t %.4g\t %.4g\t %+.1f%%\t %s\n", c.Name, f.Name, f.Simulated, f.Loopback, 100*f.Deviation, note)
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -80,8 +80,8 @@
 	}
 	fmt.Fprintf(out, "%d of %d figures of throughput and service within 10%%\n", within, judged)
 	for _, c := range l {
-		if g := c.Loopback.Generator; g.Bottleneck || c.Loopback.Ended != "" {
-			fmt.Fprintf(out, "%s: %s %s\n", c.Name, g, c.Loopback.Ended)
+		if g := c.Loopback.Generator; g.Bottleneck || c.Loopback.EndedEarly != "" {
+			fmt.Fprintf(out, "%s: %s %s\n", c.Name, g, c.Loopback.EndedEarly)
 		}
 	}
 	return nil
--- a/internal/experiment/child.go
+++ b/internal/experiment/child.go
@@ -13,33 +13,33 @@
 	"robindrum/internal/testbed/proc"
 )
 
-// child is a gateway: the real program as a process of its own.
-type child struct {
+// gatewayProcess is a gateway: the real program as a process of its own.
+type gatewayProcess struct {
 	*proc.Process
-	number int
-	zone   string
-	web    string // its listeners' addresses
-	admin  string
+	number       int
+	zone         string
+	address      string // its listeners' addresses
+	adminAddress string
 }
 
-// gatewayFile is what gateway i of an experiment is configured by.
-func (e *Experiment) gatewayFile(i int, plane string) string {
+// gatewayConfig is what gateway i of an experiment is configured by.
+func (e *Experiment) gatewayConfig(i int, plane string) string {
 	var b strings.Builder
 	f, g := &e.Fleet, &e.Gateways
 	zone := f.Zones[i%len(f.Zones)]
-	fmt.Fprintf(&b, "zone: %q\ngateway: {number: %d, of: %d}\nlog: {format: json}\n", zone, i, g.Number)
+	fmt.Fprintf(&b, "zone: %q\ngateway: {number: %d, of: %d}\nlog: {format: json}\n", zone, i, g.Count)
 	fmt.Fprintf(&b, "listeners: [{name: web, address: \"127.0.0.1:0\"}]\nadmin: {address: \"127.0.0.1:0\"}\nlimits: {descriptors: 16384, memory: 256MiB, requests: 65536, drain: 2s}\n")
 	fmt.Fprintf(&b, "xds: {servers: [%q], node: {id: \"gateway-%d\"}, backoff_base: 100ms, backoff_most: 500ms}\nclasses:\n", plane, i)
 	for _, c := range e.Classes {
 		effect, _ := c.Effect.MarshalText()
 		group, _ := c.Group.MarshalText()
-		fmt.Fprintf(&b, "  - {name: %q, wanted: %v, deadline: %v, worth: %v, effect: %s", c.Name, c.Wanted.D(), c.Deadline.D(), c.Worth, effect)
+		fmt.Fprintf(&b, "  - {name: %q, wanted: %v, deadline: %v, worth: %v, effect: %s", c.Name, c.LatencyObjective.D(), c.Deadline.D(), c.PriorityWeight, effect)
 		if c.Window > 0 {
 			fmt.Fprintf(&b, ", group: %s, window: %v", group, c.Window.D())
 		}
 		b.WriteString("}\n")
 	}
-	switch g.Zones {
+	switch g.ZoneMode {
 	case "tiers":
 		fmt.Fprintf(&b, "zones: {tiers: [[%q], ['*']]}\n", zone)
 	case "failover":
@@ -47,20 +47,20 @@
 			"probe: 100ms, step: 10ms, floor: 0}\n", zone)
 	}
 	fmt.Fprintf(&b, "clusters:\n  - {name: fleet, xds: {}, overload: {mode: %s, limit: %d}, warm_up: {time: %v, share: %v, most: %v}}\nroutes:\n",
-		g.Admission, g.Limit, f.WarmUp.D(), f.Share, f.Fall)
+		g.Admission, g.AdmissionLimit, f.WarmUp.D(), f.InitialSpeed, f.CollapseLoad)
 	for i, c := range e.Classes {
 		fmt.Fprintf(&b, "  - {name: %q, match: {path: /%d}, cluster: fleet, class: %q, key: {header: Idempotency-Key}, tenant: {header: X-Tenant}}\n", c.Name, i, c.Name)
 	}
 	return b.String()
 }
 
-// begin starts gateway i. Its files are in dir.
-func (e *Experiment) begin(ctx context.Context, binary, dir string, i int, plane string) (*child, error) {
+// startGateway starts gateway i. Its files are in dir.
+func (e *Experiment) startGateway(ctx context.Context, binary, dir string, i int, plane string) (*gatewayProcess, error) {
 	path := filepath.Join(dir, fmt.Sprintf("gateway-%d.yaml", i))
-	if err := os.WriteFile(path, []byte(e.gatewayFile(i, plane)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(e.gatewayConfig(i, plane)), 0o600); err != nil {
 		return nil, fmt.Errorf("gateway %d: %w", i, err)
 	}
-	c := &child{number: i, zone: e.Fleet.Zones[i%len(e.Fleet.Zones)]}
+	c := &gatewayProcess{number: i, zone: e.Fleet.Zones[i%len(e.Fleet.Zones)]}
 	addresses := make(chan struct{})
 	p, err := proc.Start(fmt.Sprintf("gateway %d", i), binary, func(text string) {
 		var l struct {
@@ -69,9 +69,9 @@
 		_ = json.Unmarshal([]byte(text), &l) // other lines are for people
 		switch l.Msg {
 		case "listening":
-			c.web = l.Address
+			c.address = l.Address
 		case "listening for operators":
-			c.admin = l.Address
+			c.adminAddress = l.Address
 			close(addresses)
 		}
 	}, "serve", "--with-parent", "-c", path)
@@ -87,15 +87,15 @@
 		c.stop()
 		return nil, ctx.Err()
 	}
-	return c, c.await(ctx)
+	return c, c.waitUntilReady(ctx)
 }
 
-// await waits until it is ready.
-func (c *child) await(ctx context.Context) error {
+// waitUntilReady waits until it is ready.
+func (c *gatewayProcess) waitUntilReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	for {
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.admin+"/health/ready", nil)
+		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.adminAddress+"/health/ready", nil)
 		if err != nil {
 			return err
 		}
@@ -118,4 +118,4 @@
 }
 
 // stop ends it: by its drain, or, where that takes too long, at once.
-func (c *child) stop() { c.Stop(5 * time.Second) }
+func (c *gatewayProcess) stop() { c.Stop(5 * time.Second) }
--- a/internal/experiment/collect.go
+++ b/internal/experiment/collect.go
@@ -12,45 +12,45 @@
 type outcome uint8
 
 const (
-	inTime  outcome = iota
-	late            // served, but later than its class wants
-	refused         // asking again is harmless
-	failed          // answered otherwise
-	lost            // no answer at all
-	outcomes
+	inTime     outcome = iota
+	servedLate         // served, but later than its class wants
+	rejected           // asking again is harmless
+	failed             // answered otherwise
+	lost               // no answer at all
+	outcomeCount
 )
 
-// points is how many parts of a run's length its curves have.
-const points = 100
+// maxPoints is how many parts of a run's length its curves have.
+const maxPoints = 100
 
 // collector takes what one run shows, from either engine. It is not safe for several goroutines at once.
 type collector struct {
-	e                  *Experiment
-	class              map[string]int
-	phases             []Phase
-	series             []Point
-	width              time.Duration
-	asked, lost, steps int
-	twice, afterDrain  int
-	back               time.Duration
+	experiment                       *Experiment
+	classIndex                       map[string]int
+	phases                           []Phase
+	series                           []Point
+	interval                         time.Duration
+	requests, lost, steps            int
+	duplicateEffects, sentAfterDrain int
+	restartTime                      time.Duration
 }
 
 // Point is a part of a run's length. Counts are of requests that were asked in it, over all seeds.
 type Point struct {
-	From    time.Duration  `json:"from_ns"`
-	InTime  int            `json:"in_time"`
-	Late    int            `json:"late"`
-	Refused int            `json:"refused"`
-	Failed  int            `json:"failed"` // and lost
-	P50     time.Duration  `json:"p50_ns"` // of those answered
-	P99     time.Duration  `json:"p99_ns"`
-	Sends   map[string]int `json:"attempts"` // by server
+	Start    time.Duration  `json:"from_ns"`
+	InTime   int            `json:"in_time"`
+	Late     int            `json:"late"`
+	Rejected int            `json:"refused"`
+	Failed   int            `json:"failed"` // and lost
+	P50      time.Duration  `json:"p50_ns"` // of those answered
+	P99      time.Duration  `json:"p99_ns"`
+	Attempts map[string]int `json:"attempts"` // by server
 
-	took *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
 func newCollector(e *Experiment) *collector {
-	c := &collector{e: e, class: map[string]int{}, width: max(e.Length.D()/points, 100*time.Millisecond)}
+	c := &collector{experiment: e, classIndex: map[string]int{}, interval: max(e.Length.D()/maxPoints, 100*time.Millisecond)}
 	from := time.Duration(0)
 	for i := range len(e.Phases) + 1 {
 		p := Phase{From: from, To: e.Length.D()}
@@ -59,18 +59,18 @@
 		}
 		for j, k := range e.Classes {
 			p.Classes = append(p.Classes, Outcome{Class: k.Name})
-			c.class[k.Name] = j
+			c.classIndex[k.Name] = j
 		}
 		c.phases = append(c.phases, p)
 		from = p.To
 	}
-	for at := time.Duration(0); at < e.Length.D(); at += c.width {
-		c.series = append(c.series, Point{From: at, Sends: map[string]int{}})
+	for at := time.Duration(0); at < e.Length.D(); at += c.interval {
+		c.series = append(c.series, Point{Start: at, Attempts: map[string]int{}})
 	}
 	return c
 }
 
-func (c *collector) phase(at time.Duration) *Phase {
+func (c *collector) phaseAt(at time.Duration) *Phase {
 	for i := range c.phases {
 		if at < c.phases[i].To {
 			return &c.phases[i]
@@ -79,46 +79,46 @@
 	return &c.phases[len(c.phases)-1]
 }
 
-func (c *collector) point(at time.Duration) *Point {
-	return &c.series[min(max(int(at/c.width), 0), len(c.series)-1)]
+func (c *collector) pointAt(at time.Duration) *Point {
+	return &c.series[min(max(int(at/c.interval), 0), len(c.series)-1)]
 }
 
-// answered takes a request that was asked at a time since the start.
-func (c *collector) answered(at, took time.Duration, class string, out outcome) {
-	c.asked++
-	p, s := c.phase(at), c.point(at)
-	p.Classes[c.class[class]].count(took, out)
+// recordOutcome takes a request that was asked at a time since the start.
+func (c *collector) recordOutcome(at, took time.Duration, class string, out outcome) {
+	c.requests++
+	p, s := c.phaseAt(at), c.pointAt(at)
+	p.Classes[c.classIndex[class]].count(took, out)
 	p.All.count(took, out)
 	switch out {
 	case inTime:
 		s.InTime++
-	case late:
+	case servedLate:
 		s.Late++
-	case refused:
-		s.Refused++
+	case rejected:
+		s.Rejected++
 	default:
 		s.Failed++
 	}
-	if out == inTime || out == late {
-		if s.took == nil {
-			s.took = histogram(2)
+	if out == inTime || out == servedLate {
+		if s.latencies == nil {
+			s.latencies = histogram(2)
 		}
-		record(s.took, took)
+		record(s.latencies, took)
 	}
 	if out == lost {
 		c.lost++
 	}
 }
 
-// sent takes an attempt to a server; one that came back under a new id counts as the one that it was.
-func (c *collector) sent(at time.Duration, server string) {
-	c.point(at).Sends[strings.TrimRight(server, "'")]++
+// recordAttempt takes an attempt to a server; one that came back under a new id counts as the one that it was.
+func (c *collector) recordAttempt(at time.Duration, server string) {
+	c.pointAt(at).Attempts[strings.TrimRight(server, "'")]++
 }
 
-// servers adds what servers saw in o.
-func (p *Phase) servers(o *Phase) {
-	p.Crossed, p.Sends, p.Connects, p.Fallen = p.Crossed+o.Crossed, p.Sends+o.Sends, p.Connects+o.Connects, p.Fallen+o.Fallen
-	p.WorstCold, p.Queue = max(p.WorstCold, o.WorstCold), max(p.Queue, o.Queue)
+// addServerCounts adds what servers saw in o.
+func (p *Phase) addServerCounts(o *Phase) {
+	p.CrossZoneAttempts, p.Attempts, p.NewConnections, p.CollapsedServers = p.CrossZoneAttempts+o.CrossZoneAttempts, p.Attempts+o.Attempts, p.NewConnections+o.NewConnections, p.CollapsedServers+o.CollapsedServers
+	p.MaxWarmingLoad, p.MaxServerRequests = max(p.MaxWarmingLoad, o.MaxWarmingLoad), max(p.MaxServerRequests, o.MaxServerRequests)
 }
 
 // histogram holds times of up to an hour in microseconds, with so many digits.
@@ -138,55 +138,55 @@
 }
 
 func (o *Outcome) count(took time.Duration, out outcome) {
-	o.Asked++
+	o.Requests++
 	switch out {
 	case inTime:
 		o.InTime++
-	case late:
+	case servedLate:
 		o.Late++
-	case refused:
-		o.Refused++
+	case rejected:
+		o.Rejected++
 	case failed:
 		o.Failed++
 	case lost:
 		o.Lost++
 	}
-	if out == inTime || out == late {
-		if o.took == nil {
-			o.took = histogram(3)
+	if out == inTime || out == servedLate {
+		if o.latencies == nil {
+			o.latencies = histogram(3)
 		}
-		record(o.took, took)
+		record(o.latencies, took)
 	}
 }
 
 func (o *Outcome) merge(x *Outcome) {
-	o.Asked, o.InTime, o.Late, o.Refused = o.Asked+x.Asked, o.InTime+x.InTime, o.Late+x.Late, o.Refused+x.Refused
+	o.Requests, o.InTime, o.Late, o.Rejected = o.Requests+x.Requests, o.InTime+x.InTime, o.Late+x.Late, o.Rejected+x.Rejected
 	o.Failed, o.Lost = o.Failed+x.Failed, o.Lost+x.Lost
-	if x.took != nil {
-		if o.took == nil {
-			o.took = histogram(3)
+	if x.latencies != nil {
+		if o.latencies == nil {
+			o.latencies = histogram(3)
 		}
-		o.took.Merge(x.took)
+		o.latencies.Merge(x.latencies)
 	}
 }
 
 func (p *Point) merge(x *Point) {
-	p.InTime, p.Late, p.Refused, p.Failed = p.InTime+x.InTime, p.Late+x.Late, p.Refused+x.Refused, p.Failed+x.Failed
-	for id, n := range x.Sends {
-		p.Sends[id] += n
+	p.InTime, p.Late, p.Rejected, p.Failed = p.InTime+x.InTime, p.Late+x.Late, p.Rejected+x.Rejected, p.Failed+x.Failed
+	for id, n := range x.Attempts {
+		p.Attempts[id] += n
 	}
-	if x.took != nil {
-		if p.took == nil {
-			p.took = histogram(2)
+	if x.latencies != nil {
+		if p.latencies == nil {
+			p.latencies = histogram(2)
 		}
-		p.took.Merge(x.took)
+		p.latencies.Merge(x.latencies)
 	}
 }
 
 // Servers are those that got attempts, sorted.
 func (r *Report) Servers() (l []string) {
 	for i := range r.Series {
-		for id := range r.Series[i].Sends {
+		for id := range r.Series[i].Attempts {
 			if at, ok := slices.BinarySearch(l, id); !ok {
 				l = slices.Insert(l, at, id)
 			}
@@ -199,7 +199,7 @@
 func (r *Report) busiest() float64 {
 	sum, all := map[string]int{}, 0
 	for i := range r.Series {
-		for id, n := range r.Series[i].Sends {
+		for id, n := range r.Series[i].Attempts {
 			sum[id] += n
 			all += n
 		}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -11,8 +11,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// resamples of a bootstrap.
-const resamples = 2000
+// bootstrapResamples of a bootstrap.
+const bootstrapResamples = 2000
 
 // Comparison is two experiments, or two ways of running one, held against each other.
 type Comparison struct {
@@ -43,7 +43,7 @@
 }{
 	{"in time", "a second", func(r *Run) float64 { return r.Goodput }},
 	{"in time", "% of what was asked", func(r *Run) float64 { return 100 * r.InTime }},
-	{"refused or failed", "% of what was asked", func(r *Run) float64 { return 100 * r.Refused }},
+	{"refused or failed", "% of what was asked", func(r *Run) float64 { return 100 * r.Rejected }},
 	{"p50", "ms", func(r *Run) float64 { return r.P50.Seconds() * 1000 }},
 	{"p99", "ms", func(r *Run) float64 { return r.P99.Seconds() * 1000 }},
 }
@@ -97,7 +97,7 @@
 		}
 		return l
 	}
-	all := make([]float64, resamples)
+	all := make([]float64, bootstrapResamples)
 	for i := range all {
 		if paired {
 			all[i] = median(draw(pairs))
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -18,60 +18,60 @@
 
 // Experiment is the whole file.
 type Experiment struct {
-	Name     string            `yaml:"name"`
-	About    string            `yaml:"about"` // what it shows, in a line
-	Seed     int               `yaml:"seed"`
-	Length   config.Duration   `yaml:"length"`
-	Fleet    Fleet             `yaml:"fleet"`
-	Gateways Gateways          `yaml:"gateways"`
-	Classes  []Class           `yaml:"classes"`
-	Load     Load              `yaml:"load"`
-	Phases   []config.Duration `yaml:"phases"` // where one ends and the next begins; the last one ends with the load
-	Events   []Event           `yaml:"events"`
-	Checks   []Check           `yaml:"checks"`
+	Name        string            `yaml:"name"`
+	Description string            `yaml:"about"` // what it shows, in a line
+	Seed        int               `yaml:"seed"`
+	Length      config.Duration   `yaml:"length"`
+	Fleet       Fleet             `yaml:"fleet"`
+	Gateways    Gateways          `yaml:"gateways"`
+	Classes     []Class           `yaml:"classes"`
+	Load        Load              `yaml:"load"`
+	Phases      []config.Duration `yaml:"phases"` // where one ends and the next begins; the last one ends with the load
+	Events      []Event           `yaml:"events"`
+	Checks      []Check           `yaml:"checks"`
 
 	trace *trace
 }
 
 // Fleet is the servers: alike in all zones, or in groups.
 type Fleet struct {
-	Zones   []string `yaml:"zones"`
-	Servers int      `yaml:"servers"` // in each zone
-	Groups  []Group  `yaml:"groups"`  // in place of servers; each of them in one zone
-	Workers int      `yaml:"workers"` // of a server
-	Queue   int      `yaml:"queue"`   // requests a server holds beside those its workers have, before it turns away
-	Time    `yaml:",inline"`
-	Link    Link            `yaml:"link"`
-	WarmUp  config.Duration `yaml:"warm_up"`
-	Share   float64         `yaml:"warm_share"` // of its speed that a cold server begins with
-	Fall    float64         `yaml:"fall"`       // multiple of its warm-up capacity over a second at which it falls over
-	Cross   config.Duration `yaml:"cross"`      // round trip to another zone; within one it is an eighth of that
-	Connect config.Duration `yaml:"connect"`    // a server's work for a new connection, over a request's
+	Zones        []string `yaml:"zones"`
+	Servers      int      `yaml:"servers"` // in each zone
+	Groups       []Group  `yaml:"groups"`  // in place of servers; each of them in one zone
+	Workers      int      `yaml:"workers"` // of a server
+	QueueLimit   int      `yaml:"queue"`   // requests a server holds beside those its workers have, before it turns away
+	ServiceTime  `yaml:",inline"`
+	Link         Link            `yaml:"link"`
+	WarmUp       config.Duration `yaml:"warm_up"`
+	InitialSpeed float64         `yaml:"warm_share"` // of its speed that a cold server begins with
+	CollapseLoad float64         `yaml:"fall"`       // multiple of its warm-up capacity over a second at which it falls over
+	CrossZoneRTT config.Duration `yaml:"cross"`      // round trip to another zone; within one it is an eighth of that
+	ConnectCost  config.Duration `yaml:"connect"`    // a server's work for a new connection, over a request's
 }
 
 // Group is servers that are alike.
 type Group struct {
-	Zone      string     `yaml:"zone"`
-	Servers   int        `yaml:"servers"`
-	Workers   int        `yaml:"workers"`
-	Queue     int        `yaml:"queue"`
-	Speed     float64    `yaml:"speed"` // 1 is the speed that service times are told for
-	Neighbour *Neighbour `yaml:"neighbour,omitempty"`
+	Zone       string          `yaml:"zone"`
+	Servers    int             `yaml:"servers"`
+	Workers    int             `yaml:"workers"`
+	QueueLimit int             `yaml:"queue"`
+	Speed      float64         `yaml:"speed"` // 1 is the speed that service times are told for
+	Neighbour  *NoisyNeighbour `yaml:"neighbour,omitempty"`
 }
 
-// Neighbour is another program on the same machines, which takes a part of their speed while it works.
-type Neighbour struct {
-	From  config.Duration `yaml:"from"`
-	Every config.Duration `yaml:"every"` // 0: it works from From on
-	Lasts config.Duration `yaml:"lasts"` // of each time
-	Takes float64         `yaml:"takes"` // part of the speed
+// NoisyNeighbour is another program on the same machines, which takes a part of their speed while it works.
+type NoisyNeighbour struct {
+	Start      config.Duration `yaml:"from"`
+	Period     config.Duration `yaml:"every"` // 0: it works from From on
+	Duration   config.Duration `yaml:"lasts"` // of each time
+	SpeedShare float64         `yaml:"takes"` // part of the speed
 }
 
-// Time is how long a server at its full speed takes for a request.
-type Time struct {
-	Service      config.Duration `yaml:"service"` // mean
-	Distribution string          `yaml:"distribution"`
-	Variation    float64         `yaml:"variation"` // of a lognormal one: standard deviation over mean
+// ServiceTime is how long a server at its full speed takes for a request.
+type ServiceTime struct {
+	MeanServiceTime config.Duration `yaml:"service"` // mean
+	Distribution    string          `yaml:"distribution"`
+	Variation       float64         `yaml:"variation"` // of a lognormal one: standard deviation over mean
 }
 
 // Link is between gateways and servers, beside the round trip to another zone.
@@ -84,54 +84,54 @@
 
 // Gateways are those before the fleet; they stand in the zones in turn and share nothing.
 type Gateways struct {
-	Number    int    `yaml:"number"`
-	Zones     string `yaml:"zones"`     // tiers, price or failover
-	Admission string `yaml:"admission"` // adaptive, fixed, off, or estimate: the decision module's own
-	Limit     int    `yaml:"limit"`     // of a fixed admission
-	Source    Source `yaml:"source"`
+	Count          int            `yaml:"number"`
+	ZoneMode       string         `yaml:"zones"`     // tiers, price or failover
+	Admission      string         `yaml:"admission"` // adaptive, fixed, off, or estimate: the decision module's own
+	AdmissionLimit int            `yaml:"limit"`     // of a fixed admission
+	Source         EndpointSource `yaml:"source"`
 }
 
-// Source is what tells the gateways the list: one that starts asks it, and is not ready before it has an answer.
-type Source struct {
-	Places   int             `yaml:"places"`   // calls that it works on at once; 0: any number
-	Takes    config.Duration `yaml:"takes"`    // of a call
-	Patience config.Duration `yaml:"patience"` // that a call waits for a place before it fails; 0: for ever
+// EndpointSource is what tells the gateways the list: one that starts asks it, and is not ready before it has an answer.
+type EndpointSource struct {
+	Concurrency  int             `yaml:"places"`   // calls that it works on at once; 0: any number
+	ResponseTime config.Duration `yaml:"takes"`    // of a call
+	QueueTimeout config.Duration `yaml:"patience"` // that a call waits for a place before it fails; 0: for ever
 }
 
 // Class is a kind of request.
 type Class struct {
-	Name     string           `yaml:"name"`
-	Part     float64          `yaml:"part"` // of the load
-	Wanted   config.Duration  `yaml:"wanted"`
-	Deadline config.Duration  `yaml:"deadline"`
-	Worth    float64          `yaml:"worth"`
-	Effect   config.Effect    `yaml:"effect"`
-	Group    config.Group     `yaml:"group"`
-	Window   config.Duration  `yaml:"window"`
-	Time     `yaml:",inline"` // where it is not the fleet's
-	Answer   config.Size      `yaml:"answer"` // bytes
+	Name             string           `yaml:"name"`
+	LoadShare        float64          `yaml:"part"` // of the load
+	LatencyObjective config.Duration  `yaml:"wanted"`
+	Deadline         config.Duration  `yaml:"deadline"`
+	PriorityWeight   float64          `yaml:"worth"`
+	Effect           config.Effect    `yaml:"effect"`
+	Group            config.Group     `yaml:"group"`
+	Window           config.Duration  `yaml:"window"`
+	ServiceTime      `yaml:",inline"` // where it is not the fleet's
+	ResponseSize     config.Size      `yaml:"answer"` // bytes
 }
 
 // Load is an open loop, in which arrivals do not wait for answers, and beside it clients who do.
 type Load struct {
-	Rate     float64         `yaml:"rate"`     // requests a second over all gateways
-	Arrivals string          `yaml:"arrivals"` // poisson or constant
-	Times    []Times         `yaml:"times"`    // spans in which it is a multiple of that
-	OnOff    *OnOff          `yaml:"on_off,omitempty"`
-	Bursts   []Burst         `yaml:"bursts"`
-	Clients  int             `yaml:"clients"` // that ask one request after the other
-	Think    config.Duration `yaml:"think"`   // mean pause of theirs
-	Keys     *Keys           `yaml:"keys,omitempty"`
-	Trace    *Trace          `yaml:"trace,omitempty"`
-	Again    string          `yaml:"again"` // what a client does that is refused: gives_up, at_once or heeds
+	Rate      float64         `yaml:"rate"`     // requests a second over all gateways
+	Arrivals  string          `yaml:"arrivals"` // poisson or constant
+	RateSpans []RateSpan      `yaml:"times"`    // spans in which it is a multiple of that
+	OnOff     *OnOff          `yaml:"on_off,omitempty"`
+	Bursts    []Burst         `yaml:"bursts"`
+	Clients   int             `yaml:"clients"` // that ask one request after the other
+	ThinkTime config.Duration `yaml:"think"`   // mean pause of theirs
+	Keys      *KeySpace       `yaml:"keys,omitempty"`
+	Trace     *Trace          `yaml:"trace,omitempty"`
+	RetryMode string          `yaml:"again"` // what a client does that is refused: gives_up, at_once or heeds
 }
 
-// Times multiplies the rate for a while; where spans overlap the last one counts.
-type Times struct {
-	From  config.Duration `yaml:"from"`
-	To    config.Duration `yaml:"to"`
-	By    float64         `yaml:"by"`
-	Until *float64        `yaml:"until,omitempty"` // a ramp: the multiple goes from By to it
+// RateSpan multiplies the rate for a while; where spans overlap the last one counts.
+type RateSpan struct {
+	Start           config.Duration `yaml:"from"`
+	End             config.Duration `yaml:"to"`
+	Multiplier      float64         `yaml:"by"`
+	FinalMultiplier *float64        `yaml:"until,omitempty"` // a ramp: the multiple goes from By to it
 }
 
 // OnOff has the rate come and go.
@@ -140,46 +140,46 @@
 	Off config.Duration `yaml:"off"`
 }
 
-// Keys are whose requests they are, with a Zipf spread: the first ones ask most.
-type Keys struct {
-	Number   int     `yaml:"number"`
-	Exponent float64 `yaml:"exponent"`
+// KeySpace are whose requests they are, with a Zipf spread: the first ones ask most.
+type KeySpace struct {
+	Count        int     `yaml:"number"`
+	ZipfExponent float64 `yaml:"exponent"`
 }
 
 // Burst is so many requests at the same moment.
 type Burst struct {
-	At    config.Duration `yaml:"at"`
-	Every config.Duration `yaml:"every"` // 0: once
-	Size  int             `yaml:"size"`
+	At     config.Duration `yaml:"at"`
+	Period config.Duration `yaml:"every"` // 0: once
+	Size   int             `yaml:"size"`
 }
 
 // Event is something that happens to a zone, or to the gateways.
 type Event struct {
-	At      config.Duration `yaml:"at"`
-	Do      string          `yaml:"do"` // kill, revive, slow, drain, undrain, flap, push, away, back, restart
-	Zone    string          `yaml:"zone"`
-	How     string          `yaml:"how"`     // kill: refuses, silent, says_503, resets or loses
-	Part    float64         `yaml:"part"`    // kill, drain: of the zone's servers; restart: of the gateways; 1
-	Renamed int             `yaml:"renamed"` // revive: so many come under new ids
-	Late    config.Duration `yaml:"late"`    // revive, drain, undrain: until the list tells of it
-	By      float64         `yaml:"by"`      // slow: everything takes so many times as long
-	Every   config.Duration `yaml:"every"`   // flap: from one kill to the next
-	Down    config.Duration `yaml:"down"`    // flap: until it is revived; restart: from the kill to the start
-	Count   int             `yaml:"count"`   // flap
+	At             config.Duration `yaml:"at"`
+	Action         string          `yaml:"do"` // kill, revive, slow, drain, undrain, flap, push, away, back, restart
+	Zone           string          `yaml:"zone"`
+	FailureMode    string          `yaml:"how"`     // kill: refuses, silent, says_503, resets or loses
+	Fraction       float64         `yaml:"part"`    // kill, drain: of the zone's servers; restart: of the gateways; 1
+	RenamedServers int             `yaml:"renamed"` // revive: so many come under new ids
+	NotifyDelay    config.Duration `yaml:"late"`    // revive, drain, undrain: until the list tells of it
+	SlowdownFactor float64         `yaml:"by"`      // slow: everything takes so many times as long
+	Period         config.Duration `yaml:"every"`   // flap: from one kill to the next
+	Downtime       config.Duration `yaml:"down"`    // flap: until it is revived; restart: from the kill to the start
+	Count          int             `yaml:"count"`   // flap
 }
 
 // Check is what is expected of a phase and a class, over all seeds. That no request is lost and no effect taken twice is
 // always checked.
 type Check struct {
-	Phase     *int            `yaml:"phase,omitempty"` // from 0; none: all together
-	Class     string          `yaml:"class"`           // none: all together
-	InTime    *float64        `yaml:"in_time,omitempty"`
-	Refused   *float64        `yaml:"refused,omitempty"`
-	Late      *float64        `yaml:"late,omitempty"`
-	P99       config.Duration `yaml:"p99"`
-	WorstCold float64         `yaml:"worst_cold"` // load of a cold server over what it can do
-	Connects  float64         `yaml:"connects"`   // new connections over attempts, where the fleet has a cost of connect
-	Back      config.Duration `yaml:"back"`       // of all phases: the longest from a gateway's start until it was ready
+	Phase           *int            `yaml:"phase,omitempty"` // from 0; none: all together
+	Class           string          `yaml:"class"`           // none: all together
+	MinInTime       *float64        `yaml:"in_time,omitempty"`
+	MaxRejected     *float64        `yaml:"refused,omitempty"`
+	MaxLate         *float64        `yaml:"late,omitempty"`
+	MaxP99          config.Duration `yaml:"p99"`
+	MaxWarmingLoad  float64         `yaml:"worst_cold"` // load of a cold server over what it can do
+	MaxConnectRatio float64         `yaml:"connects"`   // new connections over attempts, where the fleet has a cost of connect
+	MaxRestartTime  config.Duration `yaml:"back"`       // of all phases: the longest from a gateway's start until it was ready
 }
 
 // Bounds of an experiment. Danger: a slip of the pen in a file would run for a year, or take all memory.
@@ -228,10 +228,10 @@
 			return nil, s.Err()
 		}
 	}
-	e.fill()
-	e.check(s, load)
+	e.setDefaults()
+	e.validate(s, load)
 	if captured != nil && s.Err() == nil {
-		if err := e.replay(captured, e.Load.Trace); err != nil {
+		if err := e.setTrace(captured, e.Load.Trace); err != nil {
 			s.AddError("load.trace", "%v", err)
 		}
 	}
@@ -241,7 +241,7 @@
 	return e, nil
 }
 
-func (e *Experiment) fill() {
+func (e *Experiment) setDefaults() {
 	or := func(v *config.Duration, to time.Duration) {
 		if *v == 0 {
 			*v = config.Duration(to)
@@ -270,8 +270,8 @@
 	}
 	number(&f.Servers, 2)
 	number(&f.Workers, 4)
-	number(&f.Queue, 100)
-	or(&f.Service, 20*time.Millisecond)
+	number(&f.QueueLimit, 100)
+	or(&f.MeanServiceTime, 20*time.Millisecond)
 	text(&f.Distribution, "exponential")
 	real(&f.Variation, 1)
 	if len(f.Groups) == 0 {
@@ -284,58 +284,58 @@
 		text(&g.Zone, f.Zones[0])
 		number(&g.Servers, f.Servers)
 		number(&g.Workers, f.Workers)
-		number(&g.Queue, f.Queue)
+		number(&g.QueueLimit, f.QueueLimit)
 		real(&g.Speed, 1)
 	}
 	or(&f.WarmUp, 10*time.Second)
-	real(&f.Share, 0.2)
-	real(&f.Fall, 2.5)
-	or(&f.Cross, 8*time.Millisecond)
-	number(&g.Number, 1)
-	text(&g.Zones, "price")
+	real(&f.InitialSpeed, 0.2)
+	real(&f.CollapseLoad, 2.5)
+	or(&f.CrossZoneRTT, 8*time.Millisecond)
+	number(&g.Count, 1)
+	text(&g.ZoneMode, "price")
 	text(&g.Admission, "adaptive")
-	number(&g.Limit, 1024)
-	text(&e.Load.Again, "gives_up")
+	number(&g.AdmissionLimit, 1024)
+	text(&e.Load.RetryMode, "gives_up")
 	text(&e.Load.Arrivals, "poisson")
 	if e.Load.Clients > 0 {
-		or(&e.Load.Think, 100*time.Millisecond)
+		or(&e.Load.ThinkTime, 100*time.Millisecond)
 	}
 	if t := e.Load.Trace; t != nil {
 		real(&t.Speed, 1)
-		real(&t.By, 1)
-		text(&t.Unknown, "refuse")
+		real(&t.Multiplier, 1)
+		text(&t.UnknownClasses, "refuse")
 	}
 	if k := e.Load.Keys; k != nil {
-		number(&k.Number, 1000)
-		real(&k.Exponent, 1.1)
+		number(&k.Count, 1000)
+		real(&k.ZipfExponent, 1.1)
 	}
 	for i := range e.Classes {
 		c := &e.Classes[i]
-		or(&c.Wanted, time.Second)
+		or(&c.LatencyObjective, time.Second)
 		or(&c.Deadline, 15*time.Second)
-		real(&c.Worth, 1)
-		real(&c.Part, 1)
+		real(&c.PriorityWeight, 1)
+		real(&c.LoadShare, 1)
 	}
 	if len(e.Classes) == 0 {
-		e.Classes = []Class{{Name: config.DefaultSafeClass, Part: 1, Wanted: config.Duration(time.Second), Deadline: config.Duration(15 * time.Second), Worth: 1}}
+		e.Classes = []Class{{Name: config.DefaultSafeClass, LoadShare: 1, LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(15 * time.Second), PriorityWeight: 1}}
 	}
 	for i := range e.Classes {
 		c := &e.Classes[i]
-		or(&c.Service, f.Service.D())
+		or(&c.MeanServiceTime, f.MeanServiceTime.D())
 		text(&c.Distribution, f.Distribution)
 		real(&c.Variation, f.Variation)
 	}
 	for i := range e.Events {
 		v := &e.Events[i]
-		if real(&v.Part, 1); v.Do == "flap" {
-			or(&v.Every, 2*time.Second)
-			or(&v.Down, v.Every.D()/2)
+		if real(&v.Fraction, 1); v.Action == "flap" {
+			or(&v.Period, 2*time.Second)
+			or(&v.Downtime, v.Period.D()/2)
 			number(&v.Count, 1)
 		}
 	}
 }
 
-func (e *Experiment) check(s *config.StrictDecoder, load bool) {
+func (e *Experiment) validate(s *config.StrictDecoder, load bool) {
 	between := func(field string, v, least, most float64) {
 		if !(v >= least && v <= most) {
 			s.AddError(field, "want %v to %v, not %v", least, most, v)
@@ -364,26 +364,26 @@
 	}
 	between("fleet.servers", float64(f.Servers), 1, maxServers)
 	between("fleet.workers", float64(f.Workers), 1, 1e6)
-	between("fleet.queue", float64(f.Queue), 0, 1e6)
-	between("fleet.warm_share", f.Share, 0.01, 1)
-	between("fleet.fall", f.Fall, 1, 1e6)
-	between("gateways.number", float64(g.Number), 1, maxGateways)
-	between("gateways.limit", float64(g.Limit), 1, 1e6)
-	between("gateways.source.places", float64(g.Source.Places), 0, 1e6)
-	between("gateways.source.takes", g.Source.Takes.D().Seconds(), 0, 60)
-	between("fleet.connect", f.Connect.D().Seconds(), 0, 10)
-	oneOf("gateways.zones", g.Zones, zoneModes)
-	oneOf("gateways.admission", g.Admission, admissions)
-	e.checkFleet(s, between, oneOf)
+	between("fleet.queue", float64(f.QueueLimit), 0, 1e6)
+	between("fleet.warm_share", f.InitialSpeed, 0.01, 1)
+	between("fleet.fall", f.CollapseLoad, 1, 1e6)
+	between("gateways.number", float64(g.Count), 1, maxGateways)
+	between("gateways.limit", float64(g.AdmissionLimit), 1, 1e6)
+	between("gateways.source.places", float64(g.Source.Concurrency), 0, 1e6)
+	between("gateways.source.takes", g.Source.ResponseTime.D().Seconds(), 0, 60)
+	between("fleet.connect", f.ConnectCost.D().Seconds(), 0, 10)
+	oneOf("gateways.zones", g.ZoneMode, zoneModes)
+	oneOf("gateways.admission", g.Admission, admissionModes)
+	e.validateFleet(s, between, oneOf)
 	servers := 0.0
 	for _, g := range f.Groups {
 		servers += float64(g.Servers)
 	}
-	if servers > maxServers || servers*float64(g.Number) > maxViews {
-		s.AddError("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, g.Number, maxServers, maxViews)
+	if servers > maxServers || servers*float64(g.Count) > maxViews {
+		s.AddError("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, g.Count, maxServers, maxViews)
 	}
-	e.checkClasses(s, between)
-	e.checkLoad(s, load, between, oneOf)
+	e.validateClasses(s, between)
+	e.validateLoad(s, load, between, oneOf)
 	last := time.Duration(0)
 	for i, p := range e.Phases {
 		if p.D() <= last || p.D() >= e.Length.D() {
@@ -394,30 +394,30 @@
 	if len(e.Phases) > 100 {
 		s.AddError("phases", "%d, 100 at most", len(e.Phases))
 	}
-	e.checkEvents(s, between, oneOf)
-	e.checkChecks(s, between)
+	e.validateEvents(s, between, oneOf)
+	e.validateChecks(s, between)
 }
 
-func (t *Time) check(field string, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
-	between(field+"service", t.Service.D().Seconds(), 1e-5, 600)
+func (t *ServiceTime) validate(field string, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+	between(field+"service", t.MeanServiceTime.D().Seconds(), 1e-5, 600)
 	oneOf(field+"distribution", t.Distribution, distributions)
 	between(field+"variation", t.Variation, 0.01, 10)
 }
 
-func (e *Experiment) checkFleet(s *config.StrictDecoder, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+func (e *Experiment) validateFleet(s *config.StrictDecoder, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	f := &e.Fleet
-	f.check("fleet.", between, oneOf)
+	f.validate("fleet.", between, oneOf)
 	for i, g := range f.Groups {
 		at := fmt.Sprintf("fleet.groups[%d].", i)
 		oneOf(at+"zone", g.Zone, f.Zones)
 		between(at+"servers", float64(g.Servers), 1, maxServers)
 		between(at+"workers", float64(g.Workers), 1, 1e6)
-		between(at+"queue", float64(g.Queue), 0, 1e6)
+		between(at+"queue", float64(g.QueueLimit), 0, 1e6)
 		between(at+"speed", g.Speed, 0.01, 100)
 		if n := g.Neighbour; n != nil {
-			between(at+"neighbour.takes", n.Takes, 0, 0.99)
-			if n.Every > 0 && (n.Lasts == 0 || n.Lasts > n.Every) {
-				s.AddError(at+"neighbour.lasts", "want more than 0 and no more than every, %v, not %v", n.Every.D(), n.Lasts.D())
+			between(at+"neighbour.takes", n.SpeedShare, 0, 0.99)
+			if n.Period > 0 && (n.Duration == 0 || n.Duration > n.Period) {
+				s.AddError(at+"neighbour.lasts", "want more than 0 and no more than every, %v, not %v", n.Period.D(), n.Duration.D())
 			}
 		}
 	}
@@ -425,12 +425,12 @@
 	between("fleet.link.delay", f.Link.Delay.D().Seconds(), 0, 10)
 	between("fleet.link.jitter", f.Link.Jitter.D().Seconds(), 0, 10)
 	for i := range e.Classes {
-		e.Classes[i].check(fmt.Sprintf("classes[%d].", i), between, oneOf)
-		between(fmt.Sprintf("classes[%d].answer", i), float64(e.Classes[i].Answer), 0, 16<<20)
+		e.Classes[i].validate(fmt.Sprintf("classes[%d].", i), between, oneOf)
+		between(fmt.Sprintf("classes[%d].answer", i), float64(e.Classes[i].ResponseSize), 0, 16<<20)
 	}
 }
 
-func (e *Experiment) checkClasses(s *config.StrictDecoder, between func(string, float64, float64, float64)) {
+func (e *Experiment) validateClasses(s *config.StrictDecoder, between func(string, float64, float64, float64)) {
 	sum, names := 0.0, map[string]bool{}
 	for i, c := range e.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
@@ -438,11 +438,11 @@
 			s.AddError(field+".name", "%q is empty or stands twice", c.Name)
 		}
 		names[c.Name] = true
-		sum += c.Part
-		between(field+".part", c.Part, 0, 1)
-		between(field+".worth", c.Worth, 1e-6, 1e6)
-		if c.Wanted > c.Deadline {
-			s.AddError(field+".wanted", "%v is longer than the deadline, %v", c.Wanted.D(), c.Deadline.D())
+		sum += c.LoadShare
+		between(field+".part", c.LoadShare, 0, 1)
+		between(field+".worth", c.PriorityWeight, 1e-6, 1e6)
+		if c.LatencyObjective > c.Deadline {
+			s.AddError(field+".wanted", "%v is longer than the deadline, %v", c.LatencyObjective.D(), c.Deadline.D())
 		}
 		if balancer.Effect(c.Effect) == balancer.IdempotentWithKey && c.Window == 0 {
 			s.AddError(field+".window", "a keyed class needs it")
@@ -453,18 +453,18 @@
 	}
 }
 
-func (e *Experiment) checkLoad(s *config.StrictDecoder, load bool, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+func (e *Experiment) validateLoad(s *config.StrictDecoder, load bool, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	l := &e.Load
-	oneOf("load.again", l.Again, clientRetryModes)
+	oneOf("load.again", l.RetryMode, clientRetryModes)
 	between("load.rate", l.Rate, 0, 1e6)
-	for i, t := range l.Times {
+	for i, t := range l.RateSpans {
 		field := fmt.Sprintf("load.times[%d]", i)
-		if t.From >= t.To {
-			s.AddError(field, "from %v to %v", t.From.D(), t.To.D())
+		if t.Start >= t.End {
+			s.AddError(field, "from %v to %v", t.Start.D(), t.End.D())
 		}
-		between(field+".by", t.By, 0, 1e6)
-		if t.Until != nil {
-			between(field+".until", *t.Until, 0, 1e6)
+		between(field+".by", t.Multiplier, 0, 1e6)
+		if t.FinalMultiplier != nil {
+			between(field+".until", *t.FinalMultiplier, 0, 1e6)
 		}
 	}
 	oneOf("load.arrivals", l.Arrivals, []string{"poisson", "constant"})
@@ -474,32 +474,32 @@
 		return
 	}
 	if k := l.Keys; k != nil {
-		between("load.keys.number", float64(k.Number), 1, 1e6)
-		between("load.keys.exponent", k.Exponent, 1.001, 10)
+		between("load.keys.number", float64(k.Count), 1, 1e6)
+		between("load.keys.exponent", k.ZipfExponent, 1.001, 10)
 	}
-	if len(l.Times) > maxEvents || len(l.Bursts) > maxEvents {
+	if len(l.RateSpans) > maxEvents || len(l.Bursts) > maxEvents {
 		s.AddError("load", "%d at most of times and of bursts", maxEvents)
 		return
 	}
-	requests := float64(l.Clients) * e.Length.D().Seconds() / max((l.Think.D()+time.Millisecond).Seconds(), 1e-3)
+	requests := float64(l.Clients) * e.Length.D().Seconds() / max((l.ThinkTime.D()+time.Millisecond).Seconds(), 1e-3)
 	for i, b := range l.Bursts {
 		field := fmt.Sprintf("load.bursts[%d]", i)
 		between(field+".size", float64(b.Size), 1, 1e6)
-		if b.Every != 0 && b.Every < config.Duration(time.Millisecond) {
-			s.AddError(field+".every", "want 1ms at least, not %v", b.Every.D())
+		if b.Period != 0 && b.Period < config.Duration(time.Millisecond) {
+			s.AddError(field+".every", "want 1ms at least, not %v", b.Period.D())
 			continue
 		}
 		n := 1.0
-		if left := e.Length.D() - b.At.D(); b.Every > 0 && left > 0 {
-			n += float64(left / b.Every.D())
+		if left := e.Length.D() - b.At.D(); b.Period > 0 && left > 0 {
+			n += float64(left / b.Period.D())
 		}
 		requests += n * float64(b.Size)
 	}
 	const step = 100 * time.Millisecond
 	for at := time.Duration(0); at < e.Length.D(); at += step {
-		requests += e.rate(at) * step.Seconds()
+		requests += e.rateAt(at) * step.Seconds()
 	}
-	if p := e.peak(); p*e.Length.D().Seconds() > 20*maxRequests {
+	if p := e.peakRate(); p*e.Length.D().Seconds() > 20*maxRequests {
 		s.AddError("load.times", "a peak of %.0f requests a second over %v, %d requests at most", p, e.Length.D(), 20*maxRequests)
 		return
 	}
@@ -508,8 +508,8 @@
 	}
 	if t := l.Trace; t != nil {
 		between("load.trace.speed", t.Speed, 0.01, 100)
-		between("load.trace.by", t.By, 0.001, 1000)
-		oneOf("load.trace.unknown", t.Unknown, []string{"refuse", "drop"})
+		between("load.trace.by", t.Multiplier, 0.001, 1000)
+		oneOf("load.trace.unknown", t.UnknownClasses, []string{"refuse", "drop"})
 		if l.Rate > 0 || len(l.Bursts) > 0 {
 			s.AddError("load.trace", "takes the place of rate and bursts")
 		}
@@ -518,13 +518,13 @@
 	}
 }
 
-// rate is how many requests a second come at a time.
-func (e *Experiment) rate(at time.Duration) float64 {
+// rateAt is how many requests a second come at a time.
+func (e *Experiment) rateAt(at time.Duration) float64 {
 	by := 1.0
-	for _, t := range e.Load.Times {
-		if at >= t.From.D() && at < t.To.D() {
-			if by = t.By; t.Until != nil {
-				by += (*t.Until - t.By) * float64(at-t.From.D()) / float64(t.To-t.From)
+	for _, t := range e.Load.RateSpans {
+		if at >= t.Start.D() && at < t.End.D() {
+			if by = t.Multiplier; t.FinalMultiplier != nil {
+				by += (*t.FinalMultiplier - t.Multiplier) * float64(at-t.Start.D()) / float64(t.End-t.Start)
 			}
 		}
 	}
@@ -534,7 +534,7 @@
 	return e.Load.Rate * by
 }
 
-func (e *Experiment) checkEvents(s *config.StrictDecoder, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
+func (e *Experiment) validateEvents(s *config.StrictDecoder, between func(string, float64, float64, float64), oneOf func(string, string, []string)) {
 	if len(e.Events) > maxEvents {
 		s.AddError("events", "%d, %d at most", len(e.Events), maxEvents)
 		return
@@ -544,42 +544,42 @@
 		if v.At >= e.Length {
 			s.AddError(field+".at", "%v is not before the end, %v", v.At.D(), e.Length.D())
 		}
-		if oneOf(field+".do", v.Do, deeds); v.Do != "push" && v.Do != "away" && v.Do != "back" && v.Do != "restart" {
+		if oneOf(field+".do", v.Action, eventActions); v.Action != "push" && v.Action != "away" && v.Action != "back" && v.Action != "restart" {
 			oneOf(field+".zone", v.Zone, e.Fleet.Zones)
 		}
-		between(field+".part", v.Part, 0, 1)
+		between(field+".part", v.Fraction, 0, 1)
 		switch {
-		case v.Do == "kill", v.Do == "flap":
-			if _, ok := hows[v.How]; !ok {
-				s.AddError(field+".how", "want refuses, silent, says_503, resets or loses, not %q", v.How)
+		case v.Action == "kill", v.Action == "flap":
+			if _, ok := failureModes[v.FailureMode]; !ok {
+				s.AddError(field+".how", "want refuses, silent, says_503, resets or loses, not %q", v.FailureMode)
 			}
-		case v.How != "":
+		case v.FailureMode != "":
 			s.AddError(field+".how", "is for kill and flap")
 		}
-		if v.Do == "slow" {
-			between(field+".by", v.By, 0.001, 1000)
-		} else if v.By != 0 {
+		if v.Action == "slow" {
+			between(field+".by", v.SlowdownFactor, 0.001, 1000)
+		} else if v.SlowdownFactor != 0 {
 			s.AddError(field+".by", "is for slow")
 		}
-		if v.Renamed != 0 && v.Do != "revive" {
+		if v.RenamedServers != 0 && v.Action != "revive" {
 			s.AddError(field+".renamed", "is for revive")
 		}
-		if v.Late != 0 && v.Do != "revive" && v.Do != "drain" && v.Do != "undrain" {
+		if v.NotifyDelay != 0 && v.Action != "revive" && v.Action != "drain" && v.Action != "undrain" {
 			s.AddError(field+".late", "is for revive, drain and undrain")
 		}
-		between(field+".renamed", float64(v.Renamed), 0, maxServers)
-		if v.Do == "flap" {
+		between(field+".renamed", float64(v.RenamedServers), 0, maxServers)
+		if v.Action == "flap" {
 			between(field+".count", float64(v.Count), 1, maxEvents)
-			if v.Down >= v.Every {
-				s.AddError(field+".down", "want less than every, %v, not %v", v.Every.D(), v.Down.D())
+			if v.Downtime >= v.Period {
+				s.AddError(field+".down", "want less than every, %v, not %v", v.Period.D(), v.Downtime.D())
 			}
-		} else if v.Every != 0 || v.Down != 0 && v.Do != "restart" || v.Count != 0 {
+		} else if v.Period != 0 || v.Downtime != 0 && v.Action != "restart" || v.Count != 0 {
 			s.AddError(field, "every and count are for flap, down is for flap and restart")
 		}
 	}
 }
 
-func (e *Experiment) checkChecks(s *config.StrictDecoder, between func(string, float64, float64, float64)) {
+func (e *Experiment) validateChecks(s *config.StrictDecoder, between func(string, float64, float64, float64)) {
 	if len(e.Checks) > maxEvents {
 		s.AddError("checks", "%d, %d at most", len(e.Checks), maxEvents)
 		return
@@ -592,12 +592,12 @@
 		if c.Class != "" && !slices.ContainsFunc(e.Classes, func(k Class) bool { return k.Name == c.Class }) {
 			s.AddError(field+".class", "there is no class %q", c.Class)
 		}
-		for name, v := range map[string]*float64{"in_time": c.InTime, "refused": c.Refused, "late": c.Late} {
+		for name, v := range map[string]*float64{"in_time": c.MinInTime, "refused": c.MaxRejected, "late": c.MaxLate} {
 			if v != nil {
 				between(field+"."+name, *v, 0, 1)
 			}
 		}
-		if c.InTime == nil && c.Refused == nil && c.Late == nil && c.P99 == 0 && c.WorstCold == 0 && c.Connects == 0 && c.Back == 0 {
+		if c.MinInTime == nil && c.MaxRejected == nil && c.MaxLate == nil && c.MaxP99 == 0 && c.MaxWarmingLoad == 0 && c.MaxConnectRatio == 0 && c.MaxRestartTime == 0 {
 			s.AddError(field, "checks nothing: want in_time, refused, late, p99, worst_cold, connects or back")
 		}
 	}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -78,13 +78,13 @@
 		t.Errorf("%v: two runs differ", err)
 	}
 	other := play(t, text+"seed: 2\n", 1)
-	if reflect.DeepEqual(one.Phases[1].All.Asked, other.Phases[1].All.Asked) && one.Phases[0].All.Asked == other.Phases[0].All.Asked {
+	if reflect.DeepEqual(one.Phases[1].All.Requests, other.Phases[1].All.Requests) && one.Phases[0].All.Requests == other.Phases[0].All.Requests {
 		t.Error("another seed changes nothing")
 	}
 	both := play(t, text, 2)
 	for i, p := range both.Phases {
-		if o := p.All; o.Asked != o.InTime+o.Late+o.Refused+o.Failed || o.Asked != one.Phases[i].All.Asked+other.Phases[i].All.Asked {
-			t.Errorf("phase %d: %+v, of %d and %d asked", i, o, one.Phases[i].All.Asked, other.Phases[i].All.Asked)
+		if o := p.All; o.Requests != o.InTime+o.Late+o.Rejected+o.Failed || o.Requests != one.Phases[i].All.Requests+other.Phases[i].All.Requests {
+			t.Errorf("phase %d: %+v, of %d and %d asked", i, o, one.Phases[i].All.Requests, other.Phases[i].All.Requests)
 		}
 	}
 }
@@ -97,10 +97,10 @@
 	text = strings.Replace(text, "length: 3s\n", "", 1)
 	r := play(t, text, 2)
 	// 16 calls of 100ms each, one after the other.
-	if r.Back < 1600*time.Millisecond || len(r.Broken) != 2 || !strings.Contains(r.Broken[0], "a gateway was ready") {
-		t.Errorf("back after %v, %q", r.Back, r.Broken)
+	if r.RestartTime < 1600*time.Millisecond || len(r.FailedChecks) != 2 || !strings.Contains(r.FailedChecks[0], "a gateway was ready") {
+		t.Errorf("back after %v, %q", r.RestartTime, r.FailedChecks)
 	}
-	if o := r.Phases[0].All; o.Asked != o.InTime+o.Late+o.Refused+o.Failed || o.Failed == 0 || o.Failed > o.Asked/50 {
+	if o := r.Phases[0].All; o.Requests != o.InTime+o.Late+o.Rejected+o.Failed || o.Failed == 0 || o.Failed > o.Requests/50 {
 		t.Errorf("%+v: what the killed had in hand fails, and nothing else", o)
 	}
 }
@@ -110,12 +110,12 @@
 	text := small + "fleet: {service: 40ms}\ngateways: {admission: off}\nload: {rate: 400}\nclasses: [{name: map, wanted: 100ms, deadline: 1s}]\nchecks: [{in_time: 0.01}, {in_time: 0.9}, {class: map, refused: 0}, {late: 0}, {p99: 10ms}]\n"
 	text = strings.Replace(text, "load: {rate: 100}\n", "", 1)
 	r := play(t, text, 1)
-	if len(r.Broken) != 4 {
-		t.Errorf("%q", r.Broken)
+	if len(r.FailedChecks) != 4 {
+		t.Errorf("%q", r.FailedChecks)
 	}
 	for i, want := range []string{"checks[1], phase 0, all classes: 0.", "checks[2], phase 0, map: 0.", "checks[3]", "checks[4], phase 0, all classes: p99"} {
-		if i < len(r.Broken) && !strings.Contains(r.Broken[i], want) {
-			t.Errorf("%q, want %q", r.Broken[i], want)
+		if i < len(r.FailedChecks) && !strings.Contains(r.FailedChecks[i], want) {
+			t.Errorf("%q, want %q", r.FailedChecks[i], want)
 		}
 	}
 	var out bytes.Buffer
@@ -137,14 +137,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if e.Name != name || e.About == "" || len(e.Checks) == 0 {
+			if e.Name != name || e.Description == "" || len(e.Checks) == 0 {
 				t.Errorf("%+v", e)
 			}
 			r, err := Simulate(e, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Broken) > 0 {
+			if len(r.FailedChecks) > 0 {
 				var out bytes.Buffer
 				_ = r.Print(&out)
 				t.Error(out.String())
@@ -169,7 +169,7 @@
 			}
 			return
 		}
-		o := e.options(1)
+		o := e.simulationOptions(1)
 		if o.Duration != e.Length.D() || len(o.Classes) == 0 || o.Gateways < 1 {
 			t.Fatalf("%+v", o)
 		}
--- a/internal/experiment/host.go
+++ b/internal/experiment/host.go
@@ -14,52 +14,52 @@
 	"time"
 )
 
-// host is one server of the loopback engine. It does what a server of the simulated one does: workers, a queue, a speed
+// loopbackServer is one server of the loopback engine. It does what a server of the simulated one does: workers, a queue, a speed
 // that a neighbour takes a part of, a warm-up, and falling over where it is pushed too far while it is cold.
-type host struct {
-	id, zone string
-	group    *Group
-	run      *playing
+type loopbackServer struct {
+	id, zone    string
+	group       *Group
+	loopbackRun *loopbackRun
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	addr     string
-	server   *http.Server
-	done     chan struct{} // closed when server has ended
-	how      string        // "": it lives
-	epoch    context.Context
-	end      context.CancelFunc
-	workers  *workers
-	since    time.Duration // it started; 0: long ago
-	until    time.Duration // it has fallen over until then
-	slow     float64
-	draining bool
-	told     time.Duration   // since when the list says so
-	arrivals []time.Duration // of the last second
+	mu               sync.Mutex
+	rng              *rand.Rand
+	address          string
+	httpServer       *http.Server
+	served           chan struct{} // closed when server has ended
+	failureMode      string        // "": it lives
+	lifetime         context.Context
+	endLifetime      context.CancelFunc
+	workers          *workerPool
+	startedAt        time.Duration // it started; 0: long ago
+	collapsedUntil   time.Duration // it has fallen over until then
+	slowdown         float64
+	draining         bool
+	drainPublishedAt time.Duration   // since when the list says so
+	recentArrivals   []time.Duration // of the last second
 }
 
-func newHost(run *playing, id string, g *Group, seed uint64) (*host, error) {
-	h := &host{id: id, zone: g.Zone, group: g, run: run, rng: rand.New(rand.NewPCG(seed, 0x686f7374)), slow: 1}
+func newLoopbackServer(run *loopbackRun, id string, g *Group, seed uint64) (*loopbackServer, error) {
+	h := &loopbackServer{id: id, zone: g.Zone, group: g, loopbackRun: run, rng: rand.New(rand.NewPCG(seed, 0x686f7374)), slowdown: 1}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h, h.listen("127.0.0.1:0")
 }
 
 // listen starts it. The lock is held.
-func (h *host) listen(addr string) error {
+func (h *loopbackServer) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("server %s: %w", h.id, err)
 	}
-	h.addr = l.Addr().String()
-	h.epoch, h.end = context.WithCancel(context.Background())
-	h.workers = &workers{free: make([]time.Duration, h.group.Workers)}
-	h.how, h.until, h.arrivals, h.draining, h.told = "", 0, nil, false, 0
+	h.address = l.Addr().String()
+	h.lifetime, h.endLifetime = context.WithCancel(context.Background())
+	h.workers = &workerPool{idleSince: make([]time.Duration, h.group.Workers)}
+	h.failureMode, h.collapsedUntil, h.recentArrivals, h.draining, h.drainPublishedAt = "", 0, nil, false, 0
 	server, done := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}, make(chan struct{})
 	server.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, connection{}, &atomic.Bool{})
+		return context.WithValue(ctx, connectionUsedKey{}, &atomic.Bool{})
 	}
-	h.server, h.done = server, done
+	h.httpServer, h.served = server, done
 	go func() {
 		defer close(done)
 		_ = server.Serve(l) // ends with kill
@@ -67,21 +67,21 @@
 	return nil
 }
 
-// connection is the key of whether a request has come on a connection.
-type connection struct{}
+// connectionUsedKey is the key of whether a request has come on a connection.
+type connectionUsedKey struct{}
 
-// kill takes it down in a way; "" ends it for good.
-func (h *host) kill(how string) {
+// fail takes it down in a way; "" ends it for good.
+func (h *loopbackServer) fail(how string) {
 	h.mu.Lock()
-	h.how = how
+	h.failureMode = how
 	var server *http.Server
 	if how == "" || how == "refuses" {
-		server, h.server = h.server, nil
+		server, h.httpServer = h.httpServer, nil
 	}
 	if how != "silent" && how != "loses" {
-		h.end()
+		h.endLifetime()
 	}
-	done := h.done
+	done := h.served
 	h.mu.Unlock()
 	if server != nil {
 		_ = server.Close()
@@ -91,42 +91,42 @@
 
 // revive has it start again, cold; renamed at another address, as it does where its own is taken by now. addr is empty
 // where it was not down.
-func (h *host) revive(renamed bool, now time.Duration) (old string, err error) {
+func (h *loopbackServer) revive(renamed bool, now time.Duration) (old string, err error) {
 	h.mu.Lock()
-	how := h.how
+	how := h.failureMode
 	h.mu.Unlock()
 	if how == "" {
 		return "", nil
 	}
-	h.kill("refuses")
+	h.fail("refuses")
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old = h.addr
-	if h.since = max(now, 1); renamed {
+	old = h.address
+	if h.startedAt = max(now, 1); renamed {
 		h.id += "'"
 		return old, h.listen("127.0.0.1:0")
 	}
-	if h.listen(h.addr) == nil {
+	if h.listen(h.address) == nil {
 		return old, nil
 	}
 	return old, h.listen("127.0.0.1:0")
 }
 
-func (h *host) warmth(now time.Duration) float64 {
-	f := &h.run.e.Fleet
-	age := now - h.since
-	if h.since == 0 || age >= f.WarmUp.D() {
+func (h *loopbackServer) speedFactor(now time.Duration) float64 {
+	f := &h.loopbackRun.experiment.Fleet
+	age := now - h.startedAt
+	if h.startedAt == 0 || age >= f.WarmUp.D() {
 		return 1
 	}
-	return f.Share + (1-f.Share)*float64(age)/float64(f.WarmUp)
+	return f.InitialSpeed + (1-f.InitialSpeed)*float64(age)/float64(f.WarmUp)
 }
 
-// errGone has a connection break with no answer.
-var errGone = errors.New("gone")
+// errConnectionReset has a connection break with no answer.
+var errConnectionReset = errors.New("gone")
 
 // ServeHTTP runs a request of the class that its path names.
-func (h *host) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	class := h.run.class(r)
+func (h *loopbackServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	class := h.loopbackRun.classOf(r)
 	if class == nil {
 		http.Error(w, "no such class", http.StatusNotFound)
 		return
@@ -134,7 +134,7 @@
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20)); err != nil {
 		return // half a request does not run
 	}
-	answer, err := h.take(r, class)
+	answer, err := h.handle(r, class)
 	switch {
 	case err != nil:
 		panic(http.ErrAbortHandler)
@@ -142,56 +142,56 @@
 		w.WriteHeader(answer)
 	default:
 		w.Header().Set("X-Server", h.id)
-		_, _ = w.Write(h.run.bodies[class.Name])
+		_, _ = w.Write(h.loopbackRun.bodies[class.Name])
 	}
 }
 
-// take runs a request and says what becomes of it. Once it is back the answer is due.
-func (h *host) take(r *http.Request, class *Class) (status int, err error) {
-	run, link := h.run, &h.run.e.Fleet.Link
-	came := run.now()
+// handle runs a request and says what becomes of it. Once it is back the answer is due.
+func (h *loopbackServer) handle(r *http.Request, class *Class) (status int, err error) {
+	run, link := h.loopbackRun, &h.loopbackRun.experiment.Fleet.Link
+	came := run.elapsed()
 	crossed := r.Header.Get(zoneHeader) != h.zone
-	way := run.e.Fleet.Cross.D() / 16
+	way := run.experiment.Fleet.CrossZoneRTT.D() / 16
 	if crossed {
-		way = run.e.Fleet.Cross.D() / 2
+		way = run.experiment.Fleet.CrossZoneRTT.D() / 2
 	}
 	h.mu.Lock()
 	if way += link.Delay.D(); link.Jitter > 0 {
 		way += time.Duration(h.rng.ExpFloat64() * float64(link.Jitter))
 	}
 	took, lose, quiet := class.draw(h.rng), h.rng.Float64() < link.Loss, h.rng.IntN(5) != 0
-	late := h.told > 0 && came > h.told+time.Second
+	late := h.drainPublishedAt > 0 && came > h.drainPublishedAt+time.Second
 	id := h.id
 	h.mu.Unlock()
 	connected := false
-	if cost := run.e.Fleet.Connect.D(); cost > 0 {
-		if used, ok := r.Context().Value(connection{}).(*atomic.Bool); ok && !used.Swap(true) {
+	if cost := run.experiment.Fleet.ConnectCost.D(); cost > 0 {
+		if used, ok := r.Context().Value(connectionUsedKey{}).(*atomic.Bool); ok && !used.Swap(true) {
 			connected = true
 			took += cost
 		}
 	}
-	run.sent(came, id, crossed, late, connected)
-	if err := sleep(r.Context(), run.at(came+way)); err != nil {
+	run.recordAttempt(came, id, crossed, late, connected)
+	if err := sleep(r.Context(), run.timeAt(came+way)); err != nil {
 		return 0, err
 	}
 	h.mu.Lock()
-	status = h.arrive(came + way)
-	epoch, workers, how := h.epoch, h.workers, h.how
+	status = h.admit(came + way)
+	epoch, workers, how := h.lifetime, h.workers, h.failureMode
 	var mine chan time.Duration
 	if status == 0 && how != "silent" && how != "resets" {
-		mine = workers.ask()
+		mine = workers.acquire()
 	}
 	h.mu.Unlock()
 	switch {
-	case status == statusGone:
-		return 0, errGone
+	case status == statusReset:
+		return 0, errConnectionReset
 	case status != 0:
-		return status, sleep(r.Context(), run.at(came+2*way))
+		return status, sleep(r.Context(), run.timeAt(came+2*way))
 	case how == "silent":
-		return 0, h.hang(r.Context(), epoch)
+		return 0, h.waitForDisconnect(r.Context(), epoch)
 	case how == "resets":
-		run.ran(r, class, h.zone)
-		return 0, errGone
+		run.recordEffect(r, class, h.zone)
+		return 0, errConnectionReset
 	}
 	var free time.Duration
 	select {
@@ -199,114 +199,114 @@
 	case <-r.Context().Done(): // called off while it waited: it takes nobody's time
 		err = r.Context().Err()
 	case <-epoch.Done():
-		err = errGone
+		err = errConnectionReset
 	}
 	h.mu.Lock()
 	if err != nil {
-		workers.leave(mine)
+		workers.abandon(mine)
 	}
 	start := max(free, came+way)
-	end := start + time.Duration(float64(took)*h.slow/h.warmth(start)/h.group.at(start))
+	end := start + time.Duration(float64(took)*h.slowdown/h.speedFactor(start)/h.group.speedAt(start))
 	h.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
 	// Danger: what has begun runs to its end, whoever still waits for it.
-	err = sleep(epoch, run.at(end))
+	err = sleep(epoch, run.timeAt(end))
 	h.mu.Lock()
-	workers.done(end)
+	workers.release(end)
 	h.mu.Unlock()
 	if err != nil {
-		return 0, errGone
+		return 0, errConnectionReset
 	}
-	run.ran(r, class, h.zone)
+	run.recordEffect(r, class, h.zone)
 	h.mu.Lock()
-	how = h.how
+	how = h.failureMode
 	h.mu.Unlock()
 	switch {
 	case how == "silent", how == "loses" && quiet:
-		return 0, h.hang(r.Context(), epoch)
+		return 0, h.waitForDisconnect(r.Context(), epoch)
 	case how != "" && how != "loses", lose:
-		return 0, errGone
+		return 0, errConnectionReset
 	}
-	return http.StatusOK, sleep(r.Context(), run.at(end+way+link.takes(class.Answer)))
+	return http.StatusOK, sleep(r.Context(), run.timeAt(end+way+link.transferTime(class.ResponseSize)))
 }
 
-// workers are those of one start of a server, and the requests that wait for one. Who is at work and who waits changes in
+// workerPool are those of one start of a server, and the requests that wait for one. Who is at work and who waits changes in
 // one step, under the host's lock: a request that has come and not yet gone on holds no place in the queue if a worker is
 // free for it.
-type workers struct {
-	free []time.Duration      // when each idle one became free, so that late wake-ups cost no capacity
-	line []chan time.Duration // who waits, the longest first; each has room for its worker
+type workerPool struct {
+	idleSince []time.Duration      // when each idle one became free, so that late wake-ups cost no capacity
+	waiters   []chan time.Duration // who waits, the longest first; each has room for its worker
 }
 
-// ask gives where a worker comes to: at once if one is free, otherwise behind those that wait.
-func (w *workers) ask() chan time.Duration {
+// acquire gives where a worker comes to: at once if one is free, otherwise behind those that wait.
+func (w *workerPool) acquire() chan time.Duration {
 	mine := make(chan time.Duration, 1)
-	if len(w.free) == 0 {
-		w.line = append(w.line, mine)
+	if len(w.idleSince) == 0 {
+		w.waiters = append(w.waiters, mine)
 		return mine
 	}
-	mine <- w.free[0]
-	w.free = w.free[1:]
+	mine <- w.idleSince[0]
+	w.idleSince = w.idleSince[1:]
 	return mine
 }
 
-// done hands on a worker that is free since then.
-func (w *workers) done(since time.Duration) {
-	if len(w.line) == 0 {
-		w.free = append(w.free, since)
+// release hands on a worker that is free since then.
+func (w *workerPool) release(since time.Duration) {
+	if len(w.waiters) == 0 {
+		w.idleSince = append(w.idleSince, since)
 		return
 	}
-	w.line[0] <- since
-	w.line = w.line[1:]
+	w.waiters[0] <- since
+	w.waiters = w.waiters[1:]
 }
 
-// leave takes back what was asked for; a worker that came meanwhile goes to the next.
-func (w *workers) leave(mine chan time.Duration) {
-	if i := slices.Index(w.line, mine); i >= 0 {
-		w.line = slices.Delete(w.line, i, i+1)
+// abandon takes back what was asked for; a worker that came meanwhile goes to the next.
+func (w *workerPool) abandon(mine chan time.Duration) {
+	if i := slices.Index(w.waiters, mine); i >= 0 {
+		w.waiters = slices.Delete(w.waiters, i, i+1)
 		return
 	}
-	w.done(<-mine)
+	w.release(<-mine)
 }
 
-// statusGone is that the connection breaks.
-const statusGone = -1
+// statusReset is that the connection breaks.
+const statusReset = -1
 
-// arrive counts a request and gives what it is answered at once, 0: nothing. The lock is held.
-func (h *host) arrive(now time.Duration) int {
-	f := &h.run.e.Fleet
-	first, _ := slices.BinarySearch(h.arrivals, now-time.Second)
-	h.arrivals = append(h.arrivals[first:], now)
-	w := h.warmth(now)
-	load := float64(len(h.arrivals)) / (float64(h.group.Workers) / f.Service.D().Seconds() * w * h.group.at(now))
-	if w < 1 && h.how == "" && now >= h.until {
-		fell := load > f.Fall
+// admit counts a request and gives what it is answered at once, 0: nothing. The lock is held.
+func (h *loopbackServer) admit(now time.Duration) int {
+	f := &h.loopbackRun.experiment.Fleet
+	first, _ := slices.BinarySearch(h.recentArrivals, now-time.Second)
+	h.recentArrivals = append(h.recentArrivals[first:], now)
+	w := h.speedFactor(now)
+	load := float64(len(h.recentArrivals)) / (float64(h.group.Workers) / f.MeanServiceTime.D().Seconds() * w * h.group.speedAt(now))
+	if w < 1 && h.failureMode == "" && now >= h.collapsedUntil {
+		fell := load > f.CollapseLoad
 		if fell {
-			h.until = now + 2*time.Second
-			h.end()
-			h.epoch, h.end = context.WithCancel(context.Background())
+			h.collapsedUntil = now + 2*time.Second
+			h.endLifetime()
+			h.lifetime, h.endLifetime = context.WithCancel(context.Background())
 		}
-		h.run.cold(now, load, fell)
+		h.loopbackRun.recordWarmingLoad(now, load, fell)
 	}
-	h.run.queue(now, len(h.workers.line)+1+h.group.Workers-len(h.workers.free))
+	h.loopbackRun.recordServerRequests(now, len(h.workers.waiters)+1+h.group.Workers-len(h.workers.idleSince))
 	switch {
-	case now < h.until:
-		return statusGone
-	case h.how == "says_503", h.how == "" && len(h.workers.free) == 0 && len(h.workers.line) >= h.group.Queue:
+	case now < h.collapsedUntil:
+		return statusReset
+	case h.failureMode == "says_503", h.failureMode == "" && len(h.workers.idleSince) == 0 && len(h.workers.waiters) >= h.group.QueueLimit:
 		return http.StatusServiceUnavailable
 	}
 	return 0
 }
 
-// hang says nothing until the client or the server is gone.
-func (h *host) hang(client, epoch context.Context) error {
+// waitForDisconnect says nothing until the client or the server is gone.
+func (h *loopbackServer) waitForDisconnect(client, epoch context.Context) error {
 	select {
 	case <-client.Done():
 	case <-epoch.Done():
 	}
-	return errGone
+	return errConnectionReset
 }
 
 // sleep waits until a time, or gives the context's error.
--- a/internal/experiment/live_test.go
+++ b/internal/experiment/live_test.go
@@ -55,7 +55,7 @@
 	return e
 }
 
-func live(t *testing.T, ctx context.Context, text string, opt LiveOptions) *Report {
+func live(t *testing.T, ctx context.Context, text string, opt LoopbackOptions) *Report {
 	t.Helper()
 	path, err := binary()
 	if err != nil {
@@ -65,7 +65,7 @@
 	testbed.Leaks(t)
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	opt.Binary = path
-	r, err := Live(ctx, parsed(t, text), 1, opt)
+	r, err := RunLoopback(ctx, parsed(t, text), 1, opt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,20 +106,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range []*Report{sim, live(t, t.Context(), text, LiveOptions{})} {
-		if r.Back <= 0 || r.Back > 3*time.Second {
-			t.Errorf("%s: the gateway that was killed was back after %v", r.Engine, r.Back)
+	for _, r := range []*Report{sim, live(t, t.Context(), text, LoopbackOptions{})} {
+		if r.RestartTime <= 0 || r.RestartTime > 3*time.Second {
+			t.Errorf("%s: the gateway that was killed was back after %v", r.Engine, r.RestartTime)
 		}
 		o := r.all()
-		if o.Asked < want+20 || o.Asked > want+400 || o.Asked != o.InTime+o.Late+o.Refused+o.Failed+o.Lost {
+		if o.Requests < want+20 || o.Requests > want+400 || o.Requests != o.InTime+o.Late+o.Rejected+o.Failed+o.Lost {
 			t.Errorf("%s: %+v, want each of %d and those of three clients to end once", r.Engine, o, want)
 		}
-		if len(r.Broken) > 0 || o.part(o.InTime) < 0.9 {
-			t.Errorf("%s: %q, %.3f in time", r.Engine, r.Broken, o.part(o.InTime))
+		if len(r.FailedChecks) > 0 || o.fraction(o.InTime) < 0.9 {
+			t.Errorf("%s: %q, %.3f in time", r.Engine, r.FailedChecks, o.fraction(o.InTime))
 		}
 		sends := 0
 		for i := range r.Series {
-			for _, n := range r.Series[i].Sends {
+			for _, n := range r.Series[i].Attempts {
 				sends += n
 			}
 		}
@@ -133,23 +133,23 @@
 // and nothing of the run is left behind.
 func TestRunsThatEndEarly(t *testing.T) {
 	const text = "name: early\nlength: 60s\ngateways: {number: 2}\nload: {rate: 100}\n"
-	for want, how := range map[string]func(*playing, context.CancelFunc){
-		"gateway 1 ended by itself": func(p *playing, _ context.CancelFunc) { p.gates[1].Signal(syscall.SIGKILL) },
-		"context canceled":          func(_ *playing, cancel context.CancelFunc) { cancel() },
+	for want, how := range map[string]func(*loopbackRun, context.CancelFunc){
+		"gateway 1 ended by itself": func(p *loopbackRun, _ context.CancelFunc) { p.gateways[1].Signal(syscall.SIGKILL) },
+		"context canceled":          func(_ *loopbackRun, cancel context.CancelFunc) { cancel() },
 	} {
 		t.Run(want, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			began := time.Now()
-			var play *playing
-			r := live(t, ctx, text, LiveOptions{started: func(p *playing) { play = p }, Progress: func(Progress) { how(play, cancel) }})
-			if !strings.Contains(r.Ended, want) || len(r.Broken) == 0 || time.Since(began) > 30*time.Second {
-				t.Errorf("after %v: %q, %q", time.Since(began), r.Ended, r.Broken)
+			var play *loopbackRun
+			r := live(t, ctx, text, LoopbackOptions{started: func(p *loopbackRun) { play = p }, Progress: func(Progress) { how(play, cancel) }})
+			if !strings.Contains(r.EndedEarly, want) || len(r.FailedChecks) == 0 || time.Since(began) > 30*time.Second {
+				t.Errorf("after %v: %q, %q", time.Since(began), r.EndedEarly, r.FailedChecks)
 			}
 			if o := r.all(); o.InTime < 50 || o.InTime > 200 {
 				t.Errorf("%+v, after a second of 100 requests", o)
 			}
-			for _, c := range play.gates {
+			for _, c := range play.gateways {
 				select {
 				case <-c.Exited:
 				default:
@@ -163,23 +163,23 @@
 // A generator with too much in flight says that the figures are its own.
 func TestGeneratorSaysThatItIsTheBottleneck(t *testing.T) {
 	text := "name: slow\nlength: 1500ms\nfleet: {service: 1s, distribution: constant, workers: 100}\nload: {rate: 100}\nclasses: [{name: a, wanted: 1s, deadline: 3s}]\n"
-	r := live(t, t.Context(), text, LiveOptions{maxInFlight: 10})
-	if !r.Generator.Bottleneck || r.Generator.Dropped < 50 || !strings.Contains(strings.Join(r.Broken, "\n"), "generator was too slow") {
-		t.Errorf("%v, %q", r.Generator, r.Broken)
+	r := live(t, t.Context(), text, LoopbackOptions{maxInFlight: 10})
+	if !r.Generator.Bottleneck || r.Generator.Dropped < 50 || !strings.Contains(strings.Join(r.FailedChecks, "\n"), "generator was too slow") {
+		t.Errorf("%v, %q", r.Generator, r.FailedChecks)
 	}
-	if o := r.all(); o.Asked+r.Generator.Dropped != r.Generator.Asked {
-		t.Errorf("%d asked of the gateway, %v", o.Asked, r.Generator)
+	if o := r.all(); o.Requests+r.Generator.Dropped != r.Generator.Requests {
+		t.Errorf("%d asked of the gateway, %v", o.Requests, r.Generator)
 	}
 }
 
 // The gateway's own process cannot start: the report says what it said.
 func TestChildThatCannotStart(t *testing.T) {
 	e := parsed(t, small)
-	r, err := Live(t.Context(), e, 1, LiveOptions{Binary: "/bin/false"})
-	if err != nil || !strings.Contains(r.Ended, "gateway 0 ended by itself: exit status 1") {
+	r, err := RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/bin/false"})
+	if err != nil || !strings.Contains(r.EndedEarly, "gateway 0 ended by itself: exit status 1") {
 		t.Errorf("%v, %+v", err, r)
 	}
-	if r, err = Live(t.Context(), e, 1, LiveOptions{Binary: "/nowhere/robindrum"}); err != nil || !strings.Contains(r.Ended, "no such file") {
+	if r, err = RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/nowhere/robindrum"}); err != nil || !strings.Contains(r.EndedEarly, "no such file") {
 		t.Errorf("%v, %+v", err, r)
 	}
 }
@@ -194,7 +194,7 @@
 		small + "gateways: {admission: estimate}\n":          "a gateway has no estimate",
 		"name: a\nload: {rate: 1, clients: 6000, think: 1m}": "clients: 6000, 5000 at most",
 	} {
-		if _, err := Live(t.Context(), parsed(t, text), 1, LiveOptions{}); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := RunLoopback(t.Context(), parsed(t, text), 1, LoopbackOptions{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
@@ -203,17 +203,17 @@
 // A server of the loopback engine: each way to be down, its queue, a late send, and a port that somebody else has taken.
 func TestHost(t *testing.T) {
 	e := parsed(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms, distribution: constant, cross: 1ms}\nload: {rate: 1}\nclasses: [{name: a, effect: unsafe}]\n")
-	p := &playing{e: e, c: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{"a": nil}, began: time.Now()}
-	h, err := newHost(p, "a-0", &e.Fleet.Groups[0], 1)
+	p := &loopbackRun{experiment: e, collector: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{"a": nil}, startedAt: time.Now()}
+	h, err := newLoopbackServer(p, "a-0", &e.Fleet.Groups[0], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { h.kill("") })
+	t.Cleanup(func() { h.fail("") })
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	ask := func(id string) string {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.addr+"/0", nil)
+		r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.address+"/0", nil)
 		r.Header.Set("X-Request-Id", id)
 		resp, err := client.Do(r)
 		if err != nil {
@@ -234,7 +234,7 @@
 		t.Errorf("three at once, with one worker and room for one: %v", a)
 	}
 	for how, want := range map[string]string{"silent": "silence", "says_503": "503", "resets": "broken", "refuses": "broken"} {
-		h.kill(how)
+		h.fail(how)
 		if got := ask(how); got != want {
 			t.Errorf("%s: %s", how, got)
 		}
@@ -243,29 +243,29 @@
 			t.Errorf("what is reset after its last byte has run: %v", p.effects)
 		}
 		p.mu.Unlock()
-		if old, err := h.revive(false, p.now()); err != nil || old != h.addr {
-			t.Errorf("%s: it returns at %s, was at %s: %v", how, h.addr, old, err)
+		if old, err := h.revive(false, p.elapsed()); err != nil || old != h.address {
+			t.Errorf("%s: it returns at %s, was at %s: %v", how, h.address, old, err)
 		}
 	}
 	h.mu.Lock()
-	h.since, h.told = 0, 1 // the list said long ago that it drains
+	h.startedAt, h.drainPublishedAt = 0, 1 // the list said long ago that it drains
 	h.mu.Unlock()
-	time.Sleep(max(0, time.Until(p.at(1001*time.Millisecond)))) // the grace
+	time.Sleep(max(0, time.Until(p.timeAt(1001*time.Millisecond)))) // the grace
 	got200 := ask("late")
 	p.mu.Lock()
-	if got200 != "200" || p.c.afterDrain != 1 {
-		t.Errorf("%s, %d counted as sent after a drain", got200, p.c.afterDrain)
+	if got200 != "200" || p.collector.sentAfterDrain != 1 {
+		t.Errorf("%s, %d counted as sent after a drain", got200, p.collector.sentAfterDrain)
 	}
 	p.mu.Unlock()
-	h.kill("refuses")
+	h.fail("refuses")
 	e.Fleet.WarmUp = 0
-	l, err := net.Listen("tcp", h.addr)
+	l, err := net.Listen("tcp", h.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if old, err := h.revive(false, p.now()); err != nil || old == h.addr || old != l.Addr().String() {
-		t.Errorf("somebody has its port: it returns at %s, was at %s: %v", h.addr, old, err)
+	if old, err := h.revive(false, p.elapsed()); err != nil || old == h.address || old != l.Addr().String() {
+		t.Errorf("somebody has its port: it returns at %s, was at %s: %v", h.address, old, err)
 	}
 	if got := ask("elsewhere"); got != "200" {
 		t.Errorf("at another port: %s", got)
@@ -276,42 +276,42 @@
 // third finds no room. Who leaves while it waits makes room, and a worker that came to it meanwhile is the next one's.
 func TestHostCountsWhoCame(t *testing.T) {
 	e := parsed(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms}\nload: {rate: 1}\n")
-	p := &playing{e: e, c: newCollector(e), began: time.Now()}
-	h, err := newHost(p, "a-0", &e.Fleet.Groups[0], 1)
+	p := &loopbackRun{experiment: e, collector: newCollector(e), startedAt: time.Now()}
+	h, err := newLoopbackServer(p, "a-0", &e.Fleet.Groups[0], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { h.kill("") })
+	t.Cleanup(func() { h.fail("") })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	come := func(want int) chan time.Duration {
 		t.Helper()
-		status := h.arrive(time.Second)
+		status := h.admit(time.Second)
 		if status != want {
 			t.Errorf("it is answered %d at once, want %d", status, want)
 		}
 		if status != 0 {
 			return nil
 		}
-		return h.workers.ask()
+		return h.workers.acquire()
 	}
 	first, second := come(0), come(0)
 	come(http.StatusServiceUnavailable)
 	if len(first) != 1 || len(second) != 0 {
 		t.Errorf("the one worker has come to %d of the first and %d of the second", len(first), len(second))
 	}
-	h.workers.leave(second)
+	h.workers.abandon(second)
 	third := come(0)
 	come(http.StatusServiceUnavailable)
 	<-first
-	h.workers.done(7 * time.Second)
+	h.workers.release(7 * time.Second)
 	fourth := come(0)
-	h.workers.leave(third) // its worker was there already
+	h.workers.abandon(third) // its worker was there already
 	if len(fourth) != 1 || <-fourth != 7*time.Second {
 		t.Error("the worker of one that left did not come to the next")
 	}
-	if p.c.phases[0].Queue != 3 {
-		t.Errorf("%d at the server at most, want 3: one at work, one that waits, one turned away", p.c.phases[0].Queue)
+	if p.collector.phases[0].MaxServerRequests != 3 {
+		t.Errorf("%d at the server at most, want 3: one at work, one that waits, one turned away", p.collector.phases[0].MaxServerRequests)
 	}
 }
 
@@ -320,17 +320,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(50, 2000).Draw(t, "rate")
 		until := rapid.Float64Range(0, 4).Draw(t, "until")
-		l := Load{Rate: rate, Arrivals: rapid.SampledFrom([]string{"poisson", "constant"}).Draw(t, "arrivals"), Again: "gives_up",
-			Times:  []Times{{From: config.Duration(time.Second), To: config.Duration(3 * time.Second), By: rapid.Float64Range(0, 4).Draw(t, "by"), Until: &until}},
-			Bursts: []Burst{{At: config.Duration(500 * time.Millisecond), Size: rapid.IntRange(1, 50).Draw(t, "size")}}}
+		l := Load{Rate: rate, Arrivals: rapid.SampledFrom([]string{"poisson", "constant"}).Draw(t, "arrivals"), RetryMode: "gives_up",
+			RateSpans: []RateSpan{{Start: config.Duration(time.Second), End: config.Duration(3 * time.Second), Multiplier: rapid.Float64Range(0, 4).Draw(t, "by"), FinalMultiplier: &until}},
+			Bursts:    []Burst{{At: config.Duration(500 * time.Millisecond), Size: rapid.IntRange(1, 50).Draw(t, "size")}}}
 		if rapid.Bool().Draw(t, "on off") {
 			l.OnOff = &OnOff{config.Duration(200 * time.Millisecond), config.Duration(300 * time.Millisecond)}
 		}
 		e := &Experiment{Name: "a", Length: config.Duration(6 * time.Second), Load: l}
-		e.fill()
+		e.setDefaults()
 		want := float64(l.Bursts[0].Size)
 		for at := time.Duration(0); at < e.Length.D(); at += time.Millisecond {
-			want += e.rate(at) / 1000
+			want += e.rateAt(at) / 1000
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
 		a, b := e.arrivals(seed), e.arrivals(seed)
@@ -357,7 +357,7 @@
 // Service times have the mean and the variation that they are told.
 func TestDistributions(t *testing.T) {
 	for kind, want := range map[string]float64{"constant": 0, "exponential": 1, "lognormal": 0.5} {
-		d := Time{Service: config.Duration(20 * time.Millisecond), Distribution: kind, Variation: 0.5}
+		d := ServiceTime{MeanServiceTime: config.Duration(20 * time.Millisecond), Distribution: kind, Variation: 0.5}
 		rng := rand.New(rand.NewPCG(1, 2))
 		const n = 200_000
 		sum, squares := 0.0, 0.0
@@ -371,9 +371,9 @@
 			t.Errorf("%s: mean %v, variation %v, want 0.02 and %v", kind, mean, variation, want)
 		}
 	}
-	g := Group{Speed: 2, Neighbour: &Neighbour{From: config.Duration(10 * time.Second), Every: config.Duration(8 * time.Second), Lasts: config.Duration(3 * time.Second), Takes: 0.5}}
+	g := Group{Speed: 2, Neighbour: &NoisyNeighbour{Start: config.Duration(10 * time.Second), Period: config.Duration(8 * time.Second), Duration: config.Duration(3 * time.Second), SpeedShare: 0.5}}
 	for at, want := range map[time.Duration]float64{0: 2, 10 * time.Second: 1, 13 * time.Second: 2, 18 * time.Second: 1, 20999 * time.Millisecond: 1, 21 * time.Second: 2} {
-		if v := g.at(at); v != want {
+		if v := g.speedAt(at); v != want {
 			t.Errorf("a neighbour for 3 of 8 s from 10 s on: speed %v at %v, want %v", v, at, want)
 		}
 	}
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -27,78 +27,78 @@
 
 // Bounds of the loopback engine: all of it runs on one machine, in real time.
 const (
-	maxLiveLength   = 10 * time.Minute
-	maxLiveRequests = 1_000_000
-	maxLiveRate     = 20_000
-	maxLiveGateways = 8
-	maxLiveServers  = 64
-	maxInFlight     = 20_000 // of the generator
+	maxLoopbackLength   = 10 * time.Minute
+	maxLoopbackRequests = 1_000_000
+	maxLoopbackRate     = 20_000
+	maxLoopbackGateways = 8
+	maxLoopbackServers  = 64
+	maxInFlight         = 20_000 // of the generator
 )
 
 // The headers by which servers know where a request came from.
 const zoneHeader = "X-Lab-Zone"
 
-// LiveOptions are of the loopback engine.
-type LiveOptions struct {
+// LoopbackOptions are of the loopback engine.
+type LoopbackOptions struct {
 	Binary string // robindrum
 	// Progress is told how it goes, every second; nil: nobody is.
 	Progress func(Progress)
 
-	started     func(*playing) // for tests
-	maxInFlight int            // requests in flight of the generator; 0: mostInFlight
+	started     func(*loopbackRun) // for tests
+	maxInFlight int                // requests in flight of the generator; 0: mostInFlight
 }
 
 // Progress is how a run goes.
 type Progress struct {
-	Seed                                 uint64
-	At, Length                           time.Duration
-	Asked, InTime, Late, Refused, Failed int
+	Seed                                     uint64
+	Elapsed, Length                          time.Duration
+	Requests, InTime, Late, Rejected, Failed int
 }
 
 // Generator is how the load generator kept up.
 type Generator struct {
-	Asked   int           `json:"asked"` // by the open loop
-	Rate    float64       `json:"per_second"`
-	LateP99 time.Duration `json:"late_p99_ns"` // from when a request was due to when it was sent
-	LateMax time.Duration `json:"late_max_ns"`
-	Dropped int           `json:"dropped"` // not sent, as too many were in flight
+	Requests int           `json:"asked"` // by the open loop
+	Rate     float64       `json:"per_second"`
+	DelayP99 time.Duration `json:"late_p99_ns"` // from when a request was due to when it was sent
+	DelayMax time.Duration `json:"late_max_ns"`
+	Dropped  int           `json:"dropped"` // not sent, as too many were in flight
 	// Bottleneck is that the figures are of the generator, and not of what it asked.
 	Bottleneck bool `json:"bottleneck"`
 
-	late *hdrhistogram.Histogram
+	delays *hdrhistogram.Histogram
 }
 
 func (g *Generator) String() string {
-	s := fmt.Sprintf("generator: %d requests, %.0f a second; sent late by %v at the 99th percentile, %v at most", g.Asked, g.Rate, g.LateP99, g.LateMax)
+	s := fmt.Sprintf("generator: %d requests, %.0f a second; sent late by %v at the 99th percentile, %v at most", g.Requests, g.Rate, g.DelayP99, g.DelayMax)
 	if g.Bottleneck {
 		s += fmt.Sprintf("; IT WAS THE BOTTLENECK (%d not sent)", g.Dropped)
 	}
 	return s
 }
 
-// tooLate is how late the generator may be at the 99th percentile. Times count from when a request was due, so a late
+// maxGeneratorDelay is how late the generator may be at the 99th percentile. Times count from when a request was due, so a late
 // generator hides no wait; but later than this it says more of itself than of the gateways.
-const tooLate = 20 * time.Millisecond
+const maxGeneratorDelay = 20 * time.Millisecond
 
-// live says whether an experiment can run on the loopback engine.
-func (e *Experiment) live() error {
+// checkLoopbackLimits says whether an experiment can run on the loopback engine.
+func (e *Experiment) checkLoopbackLimits() error {
 	servers := 0
 	for _, g := range e.Fleet.Groups {
 		servers += g.Servers
 	}
 	requests := 0.0
 	for at := time.Duration(0); at < e.Length.D(); at += 100 * time.Millisecond {
-		requests += e.rate(at) / 10
+		requests += e.rateAt(at) / 10
 	}
-	peak := e.peak()
+	peak := e.peakRate()
 	if e.trace != nil {
-		requests, peak = float64(len(e.trace.records))*e.trace.copies, e.trace.peak
+		requests, peak = float64(len(e.trace.records))*e.trace.copies, e.trace.peakRate
 	}
 	bounds := []struct {
 		what     string
 		is, most float64
-	}{{"length in seconds", e.Length.D().Seconds(), maxLiveLength.Seconds()}, {"requests", requests, maxLiveRequests}, {"requests a second", peak, maxLiveRate},
-		{"gateways", float64(e.Gateways.Number), maxLiveGateways}, {"servers", float64(servers), maxLiveServers}, {"clients", float64(e.Load.Clients), 5000}}
+	}{{"length in seconds", e.Length.D().Seconds(), maxLoopbackLength.Seconds()}, {"requests", requests, maxLoopbackRequests}, {"requests a second", peak, maxLoopbackRate},
+		{"gateways", float64(e.Gateways.Count), maxLoopbackGateways}, {"servers", float64(servers), maxLoopbackServers}, {"clients", float64(e.Load.Clients), 5000}}
 	for _, b := range bounds {
 		if b.is > b.most {
 			return fmt.Errorf("%s: %s: %.0f, %.0f at most on the loopback engine", e.Name, b.what, b.is, b.most)
@@ -110,83 +110,83 @@
 	return nil
 }
 
-// playing is one run on loopback.
-type playing struct {
-	e       *Experiment
-	seed    uint64
-	opt     LiveOptions
-	plane   *controlplane.Server
-	version int
-	hosts   []*host
-	clients []*http.Client
-	dir     string // of the gateways' files
-	bodies  map[string][]byte
-	began   time.Time
-	ids     atomic.Uint64
-	work    sync.WaitGroup
-
-	mu       sync.Mutex
-	gates    []*child // nil: it is down
-	c        *collector
-	effects  map[string]map[string]int // runs by key and group
-	gen      Generator
-	inFlight int
-	troubles []string
+// loopbackRun is one run on loopback.
+type loopbackRun struct {
+	experiment       *Experiment
+	seed             uint64
+	options          LoopbackOptions
+	controlPlane     *controlplane.Server
+	endpointsVersion int
+	servers          []*loopbackServer
+	clients          []*http.Client
+	configDir        string // of the gateways' files
+	bodies           map[string][]byte
+	startedAt        time.Time
+	requestIDs       atomic.Uint64
+	background       sync.WaitGroup
+
+	mu          sync.Mutex
+	gateways    []*gatewayProcess // nil: it is down
+	collector   *collector
+	effects     map[string]map[string]int // runs by key and group
+	generator   Generator
+	inFlight    int
+	eventErrors []string
 }
 
-// Live runs an experiment over loopback, with its seed and those after it, so many in all. What was measured until ctx
+// RunLoopback runs an experiment over loopback, with its seed and those after it, so many in all. What was measured until ctx
 // ends or something breaks is in the report, which says so.
-func Live(ctx context.Context, e *Experiment, seeds int, opt LiveOptions) (*Report, error) {
+func RunLoopback(ctx context.Context, e *Experiment, seeds int, opt LoopbackOptions) (*Report, error) {
 	if seeds < 1 || seeds > maxSeeds {
 		return nil, fmt.Errorf("%d seeds, want 1 to %d", seeds, maxSeeds)
 	}
-	if err := e.live(); err != nil {
+	if err := e.checkLoopbackLimits(); err != nil {
 		return nil, err
 	}
 	r := newReport(e, "loopback")
-	r.Generator = &Generator{late: histogram(3)}
+	r.Generator = &Generator{delays: histogram(3)}
 	for i := range seeds {
-		p := &playing{e: e, seed: uint64(e.Seed + i), opt: opt, c: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{}, gen: Generator{late: histogram(3)}}
-		err := p.play(ctx)
-		r.add(p.c, p.seed)
-		r.Generator.add(&p.gen, e.Length.D()*time.Duration(r.Seeds))
-		r.Broken = append(r.Broken, p.troubles...)
+		p := &loopbackRun{experiment: e, seed: uint64(e.Seed + i), options: opt, collector: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{}, generator: Generator{delays: histogram(3)}}
+		err := p.run(ctx)
+		r.add(p.collector, p.seed)
+		r.Generator.add(&p.generator, e.Length.D()*time.Duration(r.Seeds))
+		r.FailedChecks = append(r.FailedChecks, p.eventErrors...)
 		if err != nil {
-			r.Ended = fmt.Sprintf("seed %d: %v", p.seed, err)
+			r.EndedEarly = fmt.Sprintf("seed %d: %v", p.seed, err)
 			break
 		}
 	}
 	r.finish(e)
 	if r.Generator.Bottleneck {
-		r.Broken = append(r.Broken, "the generator was too slow for the load: the figures are its own")
+		r.FailedChecks = append(r.FailedChecks, "the generator was too slow for the load: the figures are its own")
 	}
-	if r.Ended != "" {
-		r.Broken = append(r.Broken, "the run ended early: "+r.Ended)
+	if r.EndedEarly != "" {
+		r.FailedChecks = append(r.FailedChecks, "the run ended early: "+r.EndedEarly)
 	}
 	return r, nil
 }
 
 func (g *Generator) add(o *Generator, length time.Duration) {
-	g.Asked, g.Dropped = g.Asked+o.Asked, g.Dropped+o.Dropped
-	g.late.Merge(o.late)
-	g.Rate = float64(g.Asked) / length.Seconds()
-	g.LateP99, g.LateMax = quantile(g.late, 0.99), time.Duration(g.late.Max())*time.Microsecond
-	g.Bottleneck = g.Dropped > 0 || g.LateP99 > tooLate
+	g.Requests, g.Dropped = g.Requests+o.Requests, g.Dropped+o.Dropped
+	g.delays.Merge(o.delays)
+	g.Rate = float64(g.Requests) / length.Seconds()
+	g.DelayP99, g.DelayMax = quantile(g.delays, 0.99), time.Duration(g.delays.Max())*time.Microsecond
+	g.Bottleneck = g.Dropped > 0 || g.DelayP99 > maxGeneratorDelay
 }
 
-func (p *playing) now() time.Duration           { return time.Since(p.began) }
-func (p *playing) at(d time.Duration) time.Time { return p.began.Add(d) }
-func (p *playing) class(r *http.Request) *Class {
+func (p *loopbackRun) elapsed() time.Duration           { return time.Since(p.startedAt) }
+func (p *loopbackRun) timeAt(d time.Duration) time.Time { return p.startedAt.Add(d) }
+func (p *loopbackRun) classOf(r *http.Request) *Class {
 	i, err := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/"))
-	if err != nil || i < 0 || i >= len(p.e.Classes) {
+	if err != nil || i < 0 || i >= len(p.experiment.Classes) {
 		return nil
 	}
-	return &p.e.Classes[i]
+	return &p.experiment.Classes[i]
 }
 
-func (p *playing) play(ctx context.Context) (err error) {
+func (p *loopbackRun) run(ctx context.Context) (err error) {
 	defer func() {
-		p.end()
+		p.stop()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, groups := range p.effects {
@@ -195,30 +195,30 @@
 				n += k
 			}
 			if n > 1 {
-				p.c.twice++
+				p.collector.duplicateEffects++
 			}
 		}
 	}()
-	for _, c := range p.e.Classes {
-		p.bodies[c.Name] = make([]byte, c.Answer)
+	for _, c := range p.experiment.Classes {
+		p.bodies[c.Name] = make([]byte, c.ResponseSize)
 	}
-	p.began = time.Now()
-	if p.plane, err = controlplane.Start(""); err != nil {
+	p.startedAt = time.Now()
+	if p.controlPlane, err = controlplane.Start(""); err != nil {
 		return err
 	}
 	n := map[string]int{}
-	for i := range p.e.Fleet.Groups {
-		g := &p.e.Fleet.Groups[i]
+	for i := range p.experiment.Fleet.Groups {
+		g := &p.experiment.Fleet.Groups[i]
 		for range g.Servers {
-			h, err := newHost(p, fmt.Sprintf("%s-%d", g.Zone, n[g.Zone]), g, p.seed*1000+uint64(len(p.hosts)))
+			h, err := newLoopbackServer(p, fmt.Sprintf("%s-%d", g.Zone, n[g.Zone]), g, p.seed*1000+uint64(len(p.servers)))
 			if err != nil {
 				return err
 			}
 			n[g.Zone]++
-			p.hosts = append(p.hosts, h)
+			p.servers = append(p.servers, h)
 		}
 	}
-	if err := p.push(nil); err != nil {
+	if err := p.publishEndpoints(nil); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "robindrum-lab-")
@@ -226,54 +226,54 @@
 		return fmt.Errorf("a folder for the gateways: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	p.dir = dir
-	for i := range p.e.Gateways.Number {
-		c, err := p.e.begin(ctx, p.opt.Binary, dir, i, p.plane.Addr)
+	p.configDir = dir
+	for i := range p.experiment.Gateways.Count {
+		c, err := p.experiment.startGateway(ctx, p.options.Binary, dir, i, p.controlPlane.Addr)
 		if err != nil {
 			return err
 		}
-		p.gates = append(p.gates, c)
+		p.gateways = append(p.gateways, c)
 		p.clients = append(p.clients, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true,
 			DialContext: (&net.Dialer{Timeout: 5 * time.Second}).DialContext}})
 	}
-	source := p.e.Gateways.Source
-	p.plane.SetCapacity(source.Places, source.Takes.D(), source.Patience.D())
-	if p.opt.started != nil {
-		p.opt.started(p)
+	source := p.experiment.Gateways.Source
+	p.controlPlane.SetCapacity(source.Concurrency, source.ResponseTime.D(), source.QueueTimeout.D())
+	if p.options.started != nil {
+		p.options.started(p)
 	}
-	return p.direct(ctx)
+	return p.drive(ctx)
 }
 
-// end stops all that was started.
-func (p *playing) end() {
-	p.work.Wait()
+// stop stops all that was started.
+func (p *loopbackRun) stop() {
+	p.background.Wait()
 	for _, c := range p.clients {
 		c.CloseIdleConnections()
 	}
 	var all sync.WaitGroup
-	for _, c := range p.gates {
+	for _, c := range p.gateways {
 		if c != nil {
 			all.Go(c.stop)
 		}
 	}
 	all.Wait()
-	for _, h := range p.hosts {
-		if h.done != nil {
-			h.kill("")
+	for _, h := range p.servers {
+		if h.served != nil {
+			h.fail("")
 		}
 	}
-	if p.plane != nil {
-		p.plane.Stop()
+	if p.controlPlane != nil {
+		p.controlPlane.Stop()
 	}
 }
 
-// direct has the load come, the events happen and the gateways watched.
-func (p *playing) direct(ctx context.Context) error {
+// drive has the load come, the events happen and the gateways watched.
+func (p *loopbackRun) drive(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	p.began = time.Now()
-	watch := func(c *child) {
-		p.work.Go(func() {
+	p.startedAt = time.Now()
+	watch := func(c *gatewayProcess) {
+		p.background.Go(func() {
 			select {
 			case <-c.Exited:
 				if !c.Killed() {
@@ -283,21 +283,21 @@
 			}
 		})
 	}
-	for _, c := range p.gates {
+	for _, c := range p.gateways {
 		watch(c)
 	}
-	p.work.Go(func() { p.events(ctx, watch) })
-	if p.opt.Progress != nil {
-		p.work.Go(func() { p.progress(ctx) })
+	p.background.Go(func() { p.runEvents(ctx, watch) })
+	if p.options.Progress != nil {
+		p.background.Go(func() { p.reportProgress(ctx) })
 	}
 	// Requests in flight outlive an interrupt by a moment; what has no answer then is not counted.
 	requests, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var all sync.WaitGroup
-	for i := range p.e.Load.Clients {
-		all.Go(func() { p.client(ctx, requests, i) })
+	for i := range p.experiment.Load.Clients {
+		all.Go(func() { p.runClient(ctx, requests, i) })
 	}
-	p.load(ctx, requests, &all)
+	p.runOpenLoop(ctx, requests, &all)
 	answered := make(chan struct{})
 	go func() {
 		all.Wait()
@@ -316,19 +316,19 @@
 	return context.Cause(ctx)
 }
 
-// load sends the open loop. It waits for no answer.
-func (p *playing) load(ctx, requests context.Context, all *sync.WaitGroup) {
-	for a := p.e.arrivals(p.seed); ; {
+// runOpenLoop sends the open loop. It waits for no answer.
+func (p *loopbackRun) runOpenLoop(ctx, requests context.Context, all *sync.WaitGroup) {
+	for a := p.experiment.arrivals(p.seed); ; {
 		x, ok := a.take()
-		if !ok || sleep(ctx, p.at(x.at)) != nil {
+		if !ok || sleep(ctx, p.timeAt(x.at)) != nil {
 			return
 		}
 		p.mu.Lock()
-		p.gen.Asked++
-		record(p.gen.late, p.now()-x.at)
-		full := p.inFlight >= cmp.Or(p.opt.maxInFlight, maxInFlight)
+		p.generator.Requests++
+		record(p.generator.delays, p.elapsed()-x.at)
+		full := p.inFlight >= cmp.Or(p.options.maxInFlight, maxInFlight)
 		if full {
-			p.gen.Dropped++
+			p.generator.Dropped++
 		} else {
 			p.inFlight++
 		}
@@ -337,7 +337,7 @@
 			continue
 		}
 		all.Go(func() {
-			p.ask(requests, x)
+			p.send(requests, x)
 			p.mu.Lock()
 			p.inFlight--
 			p.mu.Unlock()
@@ -345,63 +345,63 @@
 	}
 }
 
-// client asks one request after the other.
-func (p *playing) client(ctx, requests context.Context, i int) {
+// runClient asks one request after the other.
+func (p *loopbackRun) runClient(ctx, requests context.Context, i int) {
 	rng := rand.New(rand.NewPCG(p.seed, uint64(i)))
 	for {
-		think := time.Duration(rng.ExpFloat64() * float64(p.e.Load.Think))
-		if sleep(ctx, time.Now().Add(think)) != nil || p.now() >= p.e.Length.D() {
+		think := time.Duration(rng.ExpFloat64() * float64(p.experiment.Load.ThinkTime))
+		if sleep(ctx, time.Now().Add(think)) != nil || p.elapsed() >= p.experiment.Length.D() {
 			return
 		}
-		x := arrival{at: p.now(), gateway: i % p.e.Gateways.Number, key: strconv.Itoa(i)}
-		for u := rng.Float64(); x.class < len(p.e.Classes)-1 && u >= p.e.Classes[x.class].Part; x.class++ {
-			u -= p.e.Classes[x.class].Part
+		x := arrival{at: p.elapsed(), gateway: i % p.experiment.Gateways.Count, key: strconv.Itoa(i)}
+		for u := rng.Float64(); x.class < len(p.experiment.Classes)-1 && u >= p.experiment.Classes[x.class].LoadShare; x.class++ {
+			u -= p.experiment.Classes[x.class].LoadShare
 		}
-		p.ask(requests, x)
+		p.send(requests, x)
 	}
 }
 
-// ask sends a request, again where the experiment's clients do, and counts how it ended, from when it was due last.
-func (p *playing) ask(ctx context.Context, x arrival) {
-	c, due := &p.e.Classes[x.class], x.at
+// send sends a request, again where the experiment's clients do, and counts how it ended, from when it was due last.
+func (p *loopbackRun) send(ctx context.Context, x arrival) {
+	c, due := &p.experiment.Classes[x.class], x.at
 	for {
-		out, after := p.once(ctx, x, c, due)
+		out, after := p.attempt(ctx, x, c, due)
 		if ctx.Err() != nil && out == lost {
 			return // the run has ended
 		}
-		if p.e.Load.Again == "at_once" || after <= 0 {
-			after = p.e.Fleet.Cross.D()
+		if p.experiment.Load.RetryMode == "at_once" || after <= 0 {
+			after = p.experiment.Fleet.CrossZoneRTT.D()
 		}
-		now := p.now()
-		if out != refused || p.e.Load.Again == "gives_up" || now+after >= x.at+c.Wanted.D() {
+		now := p.elapsed()
+		if out != rejected || p.experiment.Load.RetryMode == "gives_up" || now+after >= x.at+c.LatencyObjective.D() {
 			took := now - due
-			if out == inTime && took > c.Wanted.D() {
-				out = late
+			if out == inTime && took > c.LatencyObjective.D() {
+				out = servedLate
 			}
 			p.mu.Lock()
-			p.c.answered(x.at, took, c.Name, out)
+			p.collector.recordOutcome(x.at, took, c.Name, out)
 			p.mu.Unlock()
 			return
 		}
-		if due = now + after; sleep(ctx, p.at(due)) != nil {
+		if due = now + after; sleep(ctx, p.timeAt(due)) != nil {
 			return
 		}
 	}
 }
 
-// once sends it one time.
-func (p *playing) once(ctx context.Context, x arrival, c *Class, due time.Duration) (out outcome, after time.Duration) {
-	ctx, cancel := context.WithDeadline(ctx, p.at(due+c.Deadline.D()+2*time.Second))
+// attempt sends it one time.
+func (p *loopbackRun) attempt(ctx context.Context, x arrival, c *Class, due time.Duration) (out outcome, after time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, p.timeAt(due+c.Deadline.D()+2*time.Second))
 	defer cancel()
-	method, id := http.MethodGet, strconv.FormatUint(p.ids.Add(1), 10)
+	method, id := http.MethodGet, strconv.FormatUint(p.requestIDs.Add(1), 10)
 	if balancer.Effect(c.Effect) != balancer.Idempotent {
 		method = http.MethodPost
 	}
-	i, gate := p.front(x.gateway)
+	i, gate := p.gatewayFor(x.gateway)
 	if gate == nil {
 		return failed, 0 // nobody takes its connection
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+gate.web+"/"+strconv.Itoa(x.class), nil)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+gate.address+"/"+strconv.Itoa(x.class), nil)
 	if err != nil {
 		return lost, 0
 	}
@@ -432,20 +432,20 @@
 		return inTime, 0
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		s, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-		return refused, time.Duration(s) * time.Second
+		return rejected, time.Duration(s) * time.Second
 	}
 	return failed, 0
 }
 
-// front gives the gateway that a client of gateway i is led to, and its number: i, or, while it is down, any that is not.
-func (p *playing) front(i int) (int, *child) {
+// gatewayFor gives the gateway that a client of gateway i is led to, and its number: i, or, while it is down, any that is not.
+func (p *loopbackRun) gatewayFor(i int) (int, *gatewayProcess) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.gates[i]; c != nil {
+	if c := p.gateways[i]; c != nil {
 		return i, c
 	}
 	var up []int
-	for j, c := range p.gates {
+	for j, c := range p.gateways {
 		if c != nil {
 			up = append(up, j)
 		}
@@ -454,16 +454,16 @@
 		return 0, nil
 	}
 	i = up[rand.IntN(len(up))]
-	return i, p.gates[i]
+	return i, p.gateways[i]
 }
 
-// restart kills part of the gateways at once, the first ones, and has them start again after a while. It is done when
+// restartGateways kills part of the gateways at once, the first ones, and has them start again after a while. It is done when
 // the last of them is ready, or one cannot be.
-func (p *playing) restart(ctx context.Context, part float64, down time.Duration, watch func(*child)) error {
-	n := int(part*float64(len(p.gates)) + 0.5)
+func (p *loopbackRun) restartGateways(ctx context.Context, part float64, down time.Duration, watch func(*gatewayProcess)) error {
+	n := int(part*float64(len(p.gateways)) + 0.5)
 	p.mu.Lock()
-	old := slices.Clone(p.gates[:n])
-	clear(p.gates[:n])
+	old := slices.Clone(p.gateways[:n])
+	clear(p.gateways[:n])
 	p.mu.Unlock()
 	var all sync.WaitGroup
 	for _, c := range old {
@@ -479,7 +479,7 @@
 	errs := make([]error, n)
 	for i := range n {
 		all.Go(func() {
-			c, err := p.e.begin(ctx, p.opt.Binary, p.dir, i, p.plane.Addr)
+			c, err := p.experiment.startGateway(ctx, p.options.Binary, p.configDir, i, p.controlPlane.Addr)
 			if errs[i] = err; err != nil {
 				return
 			}
@@ -487,8 +487,8 @@
 			watch(c)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.gates[i] = c
-			p.c.back = max(p.c.back, time.Since(began))
+			p.gateways[i] = c
+			p.collector.restartTime = max(p.collector.restartTime, time.Since(began))
 		})
 	}
 	all.Wait()
@@ -497,40 +497,40 @@
 
 // ---- what servers tell ----
 
-func (p *playing) sent(at time.Duration, id string, crossed, late, connected bool) {
+func (p *loopbackRun) recordAttempt(at time.Duration, id string, crossed, late, connected bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.c.sent(at, id)
-	n := p.c.phase(at)
+	p.collector.recordAttempt(at, id)
+	n := p.collector.phaseAt(at)
 	if connected {
-		n.Connects++
+		n.NewConnections++
 	}
-	if n.Sends++; crossed {
-		n.Crossed++
+	if n.Attempts++; crossed {
+		n.CrossZoneAttempts++
 	}
 	if late {
-		p.c.afterDrain++
+		p.collector.sentAfterDrain++
 	}
 }
 
-func (p *playing) cold(at time.Duration, load float64, fell bool) {
+func (p *loopbackRun) recordWarmingLoad(at time.Duration, load float64, fell bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := p.c.phase(at)
-	if n.WorstCold = max(n.WorstCold, load); fell {
-		n.Fallen++
+	n := p.collector.phaseAt(at)
+	if n.MaxWarmingLoad = max(n.MaxWarmingLoad, load); fell {
+		n.CollapsedServers++
 	}
 }
 
-func (p *playing) queue(at time.Duration, n int) {
+func (p *loopbackRun) recordServerRequests(at time.Duration, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	q := &p.c.phase(at).Queue
+	q := &p.collector.phaseAt(at).MaxServerRequests
 	*q = max(*q, n)
 }
 
-// ran takes an effect; a repeat of a key is dropped within its group.
-func (p *playing) ran(r *http.Request, c *Class, zone string) {
+// recordEffect takes an effect; a repeat of a key is dropped within its group.
+func (p *loopbackRun) recordEffect(r *http.Request, c *Class, zone string) {
 	if balancer.Effect(c.Effect) == balancer.Idempotent {
 		return
 	}
@@ -553,31 +553,31 @@
 
 // ---- events ----
 
-func (p *playing) events(ctx context.Context, watch func(*child)) {
-	for _, v := range p.e.timeline() {
-		if sleep(ctx, p.at(v.At.D())) != nil {
+func (p *loopbackRun) runEvents(ctx context.Context, watch func(*gatewayProcess)) {
+	for _, v := range p.experiment.timeline() {
+		if sleep(ctx, p.timeAt(v.At.D())) != nil {
 			return
 		}
-		if v.Do == "restart" { // what comes after it does not wait for the last one to be ready
-			p.work.Go(func() { p.trouble(&v, p.restart(ctx, v.Part, v.Down.D(), watch)) })
+		if v.Action == "restart" { // what comes after it does not wait for the last one to be ready
+			p.background.Go(func() { p.recordEventError(&v, p.restartGateways(ctx, v.Fraction, v.Downtime.D(), watch)) })
 			continue
 		}
-		p.trouble(&v, p.event(ctx, &v))
+		p.recordEventError(&v, p.inject(ctx, &v))
 	}
 }
 
-// trouble notes that an event could not be.
-func (p *playing) trouble(v *Event, err error) {
+// recordEventError notes that an event could not be.
+func (p *loopbackRun) recordEventError(v *Event, err error) {
 	if err != nil && !errors.Is(err, context.Canceled) {
 		p.mu.Lock()
-		p.troubles = append(p.troubles, fmt.Sprintf("%s %s at %v: %v", v.Do, v.Zone, v.At.D(), err))
+		p.eventErrors = append(p.eventErrors, fmt.Sprintf("%s %s at %v: %v", v.Action, v.Zone, v.At.D(), err))
 		p.mu.Unlock()
 	}
 }
 
-// of gives part of a zone's servers, the first ones.
-func (p *playing) of(zone string, part float64) (l []*host) {
-	for _, h := range p.hosts {
+// serversIn gives part of a zone's servers, the first ones.
+func (p *loopbackRun) serversIn(zone string, part float64) (l []*loopbackServer) {
+	for _, h := range p.servers {
 		if h.zone == zone {
 			l = append(l, h)
 		}
@@ -585,17 +585,17 @@
 	return l[:int(part*float64(len(l))+0.5)]
 }
 
-func (p *playing) event(ctx context.Context, v *Event) error {
-	switch v.Do {
+func (p *loopbackRun) inject(ctx context.Context, v *Event) error {
+	switch v.Action {
 	case "kill":
-		for _, h := range p.of(v.Zone, v.Part) {
-			h.kill(v.How)
+		for _, h := range p.serversIn(v.Zone, v.Fraction) {
+			h.fail(v.FailureMode)
 		}
 	case "revive":
-		left := v.Renamed
+		left := v.RenamedServers
 		cold := map[string]bool{}
-		for _, h := range p.of(v.Zone, 1) {
-			old, err := h.revive(left > 0, p.now())
+		for _, h := range p.serversIn(v.Zone, 1) {
+			old, err := h.revive(left > 0, p.elapsed())
 			if err != nil {
 				return err
 			}
@@ -604,47 +604,47 @@
 				cold[old] = true
 			}
 		}
-		if err := sleep(ctx, p.at(v.At.D()+v.Late.D())); err != nil {
+		if err := sleep(ctx, p.timeAt(v.At.D()+v.NotifyDelay.D())); err != nil {
 			return err
 		}
 		// A list without them, and one with them: they have started anew.
-		return errors.Join(p.push(cold), p.push(nil))
+		return errors.Join(p.publishEndpoints(cold), p.publishEndpoints(nil))
 	case "slow":
-		for _, h := range p.of(v.Zone, 1) {
+		for _, h := range p.serversIn(v.Zone, 1) {
 			h.mu.Lock()
-			h.slow *= v.By
+			h.slowdown *= v.SlowdownFactor
 			h.mu.Unlock()
 		}
 	case "drain", "undrain":
-		for _, h := range p.of(v.Zone, v.Part) {
+		for _, h := range p.serversIn(v.Zone, v.Fraction) {
 			h.mu.Lock()
-			h.draining, h.told = v.Do == "drain", 0
+			h.draining, h.drainPublishedAt = v.Action == "drain", 0
 			h.mu.Unlock()
 		}
-		if err := sleep(ctx, p.at(v.At.D()+v.Late.D())); err != nil {
+		if err := sleep(ctx, p.timeAt(v.At.D()+v.NotifyDelay.D())); err != nil {
 			return err
 		}
-		return p.push(nil)
+		return p.publishEndpoints(nil)
 	case "push":
-		return p.push(nil)
+		return p.publishEndpoints(nil)
 	case "away":
-		p.plane.Stop()
+		p.controlPlane.Stop()
 	case "back":
-		return errors.Join(p.push(nil), p.plane.Restart())
+		return errors.Join(p.publishEndpoints(nil), p.controlPlane.Restart())
 	}
 	return nil
 }
 
-// push tells the list as it stands now, without some addresses.
-func (p *playing) push(without map[string]bool) error {
+// publishEndpoints tells the list as it stands now, without some addresses.
+func (p *loopbackRun) publishEndpoints(without map[string]bool) error {
 	var l []controlplane.Endpoint
-	now := p.now()
-	for _, h := range p.hosts {
+	now := p.elapsed()
+	for _, h := range p.servers {
 		h.mu.Lock()
-		e := controlplane.Endpoint{Addr: h.addr, Zone: h.zone, Health: corev3.HealthStatus_HEALTHY}
+		e := controlplane.Endpoint{Addr: h.address, Zone: h.zone, Health: corev3.HealthStatus_HEALTHY}
 		if h.draining {
-			if e.Health = corev3.HealthStatus_DRAINING; h.told == 0 {
-				h.told = now
+			if e.Health = corev3.HealthStatus_DRAINING; h.drainPublishedAt == 0 {
+				h.drainPublishedAt = now
 			}
 		}
 		h.mu.Unlock()
@@ -652,24 +652,24 @@
 			l = append(l, e)
 		}
 	}
-	p.version++
-	_, err := p.plane.Push(strconv.Itoa(p.version), false, controlplane.Resource{Name: "fleet", Body: controlplane.Assignment("fleet", l...)})
+	p.endpointsVersion++
+	_, err := p.controlPlane.Push(strconv.Itoa(p.endpointsVersion), false, controlplane.Resource{Name: "fleet", Body: controlplane.Assignment("fleet", l...)})
 	return err
 }
 
-// progress tells how it goes, every second.
-func (p *playing) progress(ctx context.Context) {
-	for at := time.Second; at < p.e.Length.D(); at += time.Second {
-		if sleep(ctx, p.at(at)) != nil {
+// reportProgress tells how it goes, every second.
+func (p *loopbackRun) reportProgress(ctx context.Context) {
+	for at := time.Second; at < p.experiment.Length.D(); at += time.Second {
+		if sleep(ctx, p.timeAt(at)) != nil {
 			return
 		}
-		g := Progress{Seed: p.seed, At: at, Length: p.e.Length.D()}
+		g := Progress{Seed: p.seed, Elapsed: at, Length: p.experiment.Length.D()}
 		p.mu.Lock()
-		for i := range p.c.phases {
-			o := &p.c.phases[i].All
-			g.Asked, g.InTime, g.Late, g.Refused, g.Failed = g.Asked+o.Asked, g.InTime+o.InTime, g.Late+o.Late, g.Refused+o.Refused, g.Failed+o.Failed+o.Lost
+		for i := range p.collector.phases {
+			o := &p.collector.phases[i].All
+			g.Requests, g.InTime, g.Late, g.Rejected, g.Failed = g.Requests+o.Requests, g.InTime+o.InTime, g.Late+o.Late, g.Rejected+o.Rejected, g.Failed+o.Failed+o.Lost
 		}
 		p.mu.Unlock()
-		p.opt.Progress(g)
+		p.options.Progress(g)
 	}
 }
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -18,8 +18,8 @@
 var distributions = []string{"exponential", "constant", "lognormal"}
 
 // draw gives one service time at full speed.
-func (t *Time) draw(rng *rand.Rand) time.Duration {
-	mean := float64(t.Service)
+func (t *ServiceTime) draw(rng *rand.Rand) time.Duration {
+	mean := float64(t.MeanServiceTime)
 	switch t.Distribution {
 	case "constant":
 		return time.Duration(mean)
@@ -31,20 +31,20 @@
 	return time.Duration(distuv.Exponential{Rate: 1, Src: rng}.Rand() * mean)
 }
 
-// at is the part of its full speed that a group has, its neighbour's work taken off.
-func (g *Group) at(now time.Duration) float64 {
+// speedAt is the part of its full speed that a group has, its neighbour's work taken off.
+func (g *Group) speedAt(now time.Duration) float64 {
 	n := g.Neighbour
-	if n == nil || now < n.From.D() || n.Every > 0 && (now-n.From.D())%n.Every.D() >= n.Lasts.D() {
+	if n == nil || now < n.Start.D() || n.Period > 0 && (now-n.Start.D())%n.Period.D() >= n.Duration.D() {
 		return g.Speed
 	}
-	return g.Speed * (1 - n.Takes)
+	return g.Speed * (1 - n.SpeedShare)
 }
 
 // capacity is how many requests a second the fleet does at full speed, for the mix of classes.
 func (e *Experiment) capacity() float64 {
 	mean, workers := 0.0, 0.0
 	for _, c := range e.Classes {
-		mean += c.Part * c.Service.D().Seconds()
+		mean += c.LoadShare * c.MeanServiceTime.D().Seconds()
 	}
 	for _, g := range e.Fleet.Groups {
 		workers += float64(g.Servers*g.Workers) * g.Speed
@@ -61,44 +61,44 @@
 
 // arrivals gives an experiment's open loop in the order of time. It is not safe for several goroutines at once.
 type arrivals struct {
-	e       *Experiment
-	rng     *rand.Rand
-	zipf    *rand.Zipf
-	next    time.Duration // of the process; beyond the length: none
-	maximum float64       // the highest rate
-	sum     float64       // of a constant one, since the last arrival
-	held    []burstLeft
-	from    *replaying // where the load is a trace
+	experiment *Experiment
+	rng        *rand.Rand
+	zipf       *rand.Zipf
+	next       time.Duration // of the process; beyond the length: none
+	peakRate   float64       // the highest rate
+	expected   float64       // of a constant one, since the last arrival
+	bursts     []pendingBurst
+	replay     *traceReplay // where the load is a trace
 }
 
-// burstLeft is a burst that is still to come, or under way.
-type burstLeft struct {
-	at, every time.Duration
-	size, n   int
+// pendingBurst is a burst that is still to come, or under way.
+type pendingBurst struct {
+	at, period      time.Duration
+	size, remaining int
 }
 
 func (e *Experiment) arrivals(seed uint64) *arrivals {
-	a := &arrivals{e: e, rng: rand.New(rand.NewPCG(seed, 0x61727269))}
+	a := &arrivals{experiment: e, rng: rand.New(rand.NewPCG(seed, 0x61727269))}
 	if e.trace != nil {
-		a.from = &replaying{trace: e.trace}
+		a.replay = &traceReplay{trace: e.trace}
 	}
 	if k := e.Load.Keys; k != nil {
-		a.zipf = rand.NewZipf(a.rng, k.Exponent, 1, uint64(k.Number-1))
+		a.zipf = rand.NewZipf(a.rng, k.ZipfExponent, 1, uint64(k.Count-1))
 	}
-	a.maximum = e.peak()
+	a.peakRate = e.peakRate()
 	for _, b := range e.Load.Bursts {
-		a.held = append(a.held, burstLeft{b.At.D(), b.Every.D(), b.Size, b.Size})
+		a.bursts = append(a.bursts, pendingBurst{b.At.D(), b.Period.D(), b.Size, b.Size})
 	}
 	a.advance()
 	return a
 }
 
-// peak is the highest rate, in requests a second.
-func (e *Experiment) peak() float64 {
+// peakRate is the highest rate, in requests a second.
+func (e *Experiment) peakRate() float64 {
 	by := 1.0
-	for _, t := range e.Load.Times {
-		if by = max(by, t.By); t.Until != nil {
-			by = max(by, *t.Until)
+	for _, t := range e.Load.RateSpans {
+		if by = max(by, t.Multiplier); t.FinalMultiplier != nil {
+			by = max(by, *t.FinalMultiplier)
 		}
 	}
 	return e.Load.Rate * by
@@ -106,58 +106,58 @@
 
 // advance finds the process's next arrival: by thinning one of the highest rate, or by the gap that the rate gives.
 func (a *arrivals) advance() {
-	end := a.e.Length.D()
-	if a.maximum == 0 {
+	end := a.experiment.Length.D()
+	if a.peakRate == 0 {
 		a.next = end
 	}
 	for a.next < end {
-		if a.e.Load.Arrivals == "constant" { // the next one comes where the rate, summed up since the last one, is 1
-			rate := a.e.rate(a.next)
-			if left := a.gap((1 - a.sum) / max(rate, 1e-9)); left <= time.Millisecond {
-				a.next, a.sum = a.next+max(left, 1), 0
+		if a.experiment.Load.Arrivals == "constant" { // the next one comes where the rate, summed up since the last one, is 1
+			rate := a.experiment.rateAt(a.next)
+			if left := a.boundedGap((1 - a.expected) / max(rate, 1e-9)); left <= time.Millisecond {
+				a.next, a.expected = a.next+max(left, 1), 0
 				return
 			}
-			a.next, a.sum = a.next+time.Millisecond, a.sum+rate/1000
+			a.next, a.expected = a.next+time.Millisecond, a.expected+rate/1000
 			continue
 		}
-		a.next += a.gap(a.rng.ExpFloat64() / a.maximum)
-		if a.rng.Float64()*a.maximum < a.e.rate(a.next) {
+		a.next += a.boundedGap(a.rng.ExpFloat64() / a.peakRate)
+		if a.rng.Float64()*a.peakRate < a.experiment.rateAt(a.next) {
 			return
 		}
 	}
 }
 
-// gap is so many seconds, cut where they would lead far beyond the end.
-func (a *arrivals) gap(seconds float64) time.Duration {
-	return time.Duration(min(seconds*float64(time.Second), 2*float64(a.e.Length)))
+// boundedGap is so many seconds, cut where they would lead far beyond the end.
+func (a *arrivals) boundedGap(seconds float64) time.Duration {
+	return time.Duration(min(seconds*float64(time.Second), 2*float64(a.experiment.Length)))
 }
 
 // take gives the next arrival; false: there is none.
 func (a *arrivals) take() (arrival, bool) {
-	if a.from != nil {
-		return a.from.take(a.e, a.rng)
+	if a.replay != nil {
+		return a.replay.take(a.experiment, a.rng)
 	}
 	first := -1
-	for i, b := range a.held {
-		if b.n > 0 && b.at < a.e.Length.D() && (first < 0 || b.at < a.held[first].at) {
+	for i, b := range a.bursts {
+		if b.remaining > 0 && b.at < a.experiment.Length.D() && (first < 0 || b.at < a.bursts[first].at) {
 			first = i
 		}
 	}
 	at := a.next
-	if first >= 0 && a.held[first].at <= a.next {
-		b := &a.held[first]
+	if first >= 0 && a.bursts[first].at <= a.next {
+		b := &a.bursts[first]
 		at = b.at
-		if b.n--; b.n == 0 && b.every > 0 {
-			b.at, b.n = b.at+b.every, b.size
+		if b.remaining--; b.remaining == 0 && b.period > 0 {
+			b.at, b.remaining = b.at+b.period, b.size
 		}
-	} else if a.next < a.e.Length.D() {
+	} else if a.next < a.experiment.Length.D() {
 		a.advance()
 	} else {
 		return arrival{}, false
 	}
-	x := arrival{at: at, gateway: a.rng.IntN(a.e.Gateways.Number)}
-	for u := a.rng.Float64(); x.class < len(a.e.Classes)-1 && u >= a.e.Classes[x.class].Part; x.class++ {
-		u -= a.e.Classes[x.class].Part
+	x := arrival{at: at, gateway: a.rng.IntN(a.experiment.Gateways.Count)}
+	for u := a.rng.Float64(); x.class < len(a.experiment.Classes)-1 && u >= a.experiment.Classes[x.class].LoadShare; x.class++ {
+		u -= a.experiment.Classes[x.class].LoadShare
 	}
 	if a.zipf != nil {
 		x.key = "k" + strconv.FormatUint(a.zipf.Uint64(), 10)
@@ -169,15 +169,15 @@
 func (e *Experiment) timeline() []Event {
 	var l []Event
 	for _, v := range e.Events {
-		if v.Do != "flap" {
+		if v.Action != "flap" {
 			l = append(l, v)
 			continue
 		}
 		for i := range v.Count {
-			kill, revive := v, Event{Do: "revive", Zone: v.Zone}
-			kill.Do = "kill"
-			kill.At += config.Duration(i) * v.Every
-			revive.At = kill.At + v.Down
+			kill, revive := v, Event{Action: "revive", Zone: v.Zone}
+			kill.Action = "kill"
+			kill.At += config.Duration(i) * v.Period
+			revive.At = kill.At + v.Downtime
 			l = append(l, kill, revive)
 		}
 	}
@@ -185,8 +185,8 @@
 	return slices.DeleteFunc(l, func(v Event) bool { return v.At >= e.Length })
 }
 
-// takes is how long an answer is on its way, over the delay.
-func (l *Link) takes(answer config.Size) time.Duration {
+// transferTime is how long an answer is on its way, over the delay.
+func (l *Link) transferTime(answer config.Size) time.Duration {
 	if l.Bandwidth == 0 {
 		return 0
 	}
--- a/internal/experiment/override.go
+++ b/internal/experiment/override.go
@@ -30,7 +30,7 @@
 		if err := yaml.Unmarshal([]byte(value), &v); err != nil || len(v.Content) == 0 {
 			return nil, fmt.Errorf("%s: %q is no value", path, value)
 		}
-		if err := put(doc.Content[0], strings.Split(path, "."), v.Content[0]); err != nil {
+		if err := setField(doc.Content[0], strings.Split(path, "."), v.Content[0]); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -41,7 +41,7 @@
 	return out, nil
 }
 
-func put(n *yaml.Node, path []string, v *yaml.Node) error {
+func setField(n *yaml.Node, path []string, v *yaml.Node) error {
 	if n.Kind != yaml.MappingNode {
 		return fmt.Errorf("what %s is in has no fields", path[0])
 	}
@@ -53,7 +53,7 @@
 			n.Content[i+1] = v
 			return nil
 		}
-		return put(n.Content[i+1], path[1:], v)
+		return setField(n.Content[i+1], path[1:], v)
 	}
 	key := &yaml.Node{Kind: yaml.ScalarNode, Value: path[0]}
 	if len(path) == 1 {
@@ -62,5 +62,5 @@
 	}
 	m := &yaml.Node{Kind: yaml.MappingNode}
 	n.Content = append(n.Content, key, m)
-	return put(m, path[1:], v)
+	return setField(m, path[1:], v)
 }
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -28,7 +28,7 @@
 }
 
 func page(l []*Report) ([]byte, error) {
-	pictures, err := drawAll(l)
+	pictures, err := drawPictures(l)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 		Compared *Comparison
 	}{Reports: l}
 	for _, p := range pictures {
-		svg, err := p.write("svg")
+		svg, err := p.render("svg")
 		if err != nil {
 			return nil, err
 		}
@@ -58,14 +58,14 @@
 		}
 	}
 	t, err := template.New("page").Funcs(template.FuncMap{
-		"percent": func(o Outcome, n int) string { return fmt.Sprintf("%.1f%%", 100*o.part(n)) },
+		"percent": func(o Outcome, n int) string { return fmt.Sprintf("%.1f%%", 100*o.fraction(n)) },
 		"sum": func(n ...int) (s int) {
 			for _, x := range n {
 				s += x
 			}
 			return s
 		},
-		"ms":      func(d time.Duration) string { return fmt.Sprintf("%.0f ms", ms(d)) },
+		"ms":      func(d time.Duration) string { return fmt.Sprintf("%.0f ms", milliseconds(d)) },
 		"letter":  func(i int) string { return string(rune('A' + i)) },
 		"number":  func(i int) int { return i + 1 },
 		"short":   func(f float64) string { return fmt.Sprintf("%.3g", f) },
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -48,21 +48,21 @@
 
 // Plan is what came of it. Rates are in requests a second.
 type Plan struct {
-	Fleet       string       `json:"fleet"`
-	Goals       []Goal       `json:"goals"`
-	Rate        float64      `json:"rate"`
-	Servers     int          `json:"servers"`
-	Capacity    float64      `json:"capacity"`        // what the fleet's workers can do, by their service times
-	ByWork      int          `json:"servers_by_work"` // that the work alone needs at the rate
-	Breaks      Estimate     `json:"breaks_at"`       // the rate beyond which a goal is not met
-	BreaksFirst string       `json:"breaks_first"`    // that goal, and what was seen
-	Needed      Estimate     `json:"servers_needed"`  // for the goals at the rate
-	Losses      []Loss       `json:"losses"`
-	Assumptions []string     `json:"assumptions"`
-	Confirmed   []Confirming `json:"confirmed,omitempty"`
+	Fleet            string         `json:"fleet"`
+	Goals            []Goal         `json:"goals"`
+	Rate             float64        `json:"rate"`
+	Servers          int            `json:"servers"`
+	Capacity         float64        `json:"capacity"`        // what the fleet's workers can do, by their service times
+	MinServersByWork int            `json:"servers_by_work"` // that the work alone needs at the rate
+	BreakingRate     Estimate       `json:"breaks_at"`       // the rate beyond which a goal is not met
+	BreakingGoal     string         `json:"breaks_first"`    // that goal, and what was seen
+	ServersNeeded    Estimate       `json:"servers_needed"`  // for the goals at the rate
+	ZoneLosses       []ZoneLoss     `json:"losses"`
+	Assumptions      []string       `json:"assumptions"`
+	Confirmations    []Confirmation `json:"confirmed,omitempty"`
 
-	e *Experiment
-	c *capture.Capture
+	experiment *Experiment
+	capture    *capture.Capture
 }
 
 // Estimate is a figure of several seeds.
@@ -70,12 +70,12 @@
 	Median float64 `json:"median"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
-	// Beyond is that it is above what was looked at.
-	Beyond bool `json:"beyond,omitempty"`
+	// ExceedsRange is that it is above what was looked at.
+	ExceedsRange bool `json:"beyond,omitempty"`
 }
 
 func (e Estimate) String() string {
-	if e.Beyond {
+	if e.ExceedsRange {
 		return fmt.Sprintf("above %.4g", e.High)
 	}
 	if e.Low == e.High {
@@ -84,31 +84,31 @@
 	return fmt.Sprintf("%.4g (%.4g to %.4g)", e.Median, e.Low, e.High)
 }
 
-// Loss is what becomes of the load when a zone goes, from 3 s after it on.
-type Loss struct {
-	Zone   string   `json:"zone"`
-	InTime Estimate `json:"in_time"` // of all requests
-	Holds  bool     `json:"holds"`   // the goals, with every seed
-	Missed string   `json:"missed,omitempty"`
+// ZoneLoss is what becomes of the load when a zone goes, from 3 s after it on.
+type ZoneLoss struct {
+	Zone       string   `json:"zone"`
+	InTime     Estimate `json:"in_time"` // of all requests
+	GoalsMet   bool     `json:"holds"`   // the goals, with every seed
+	MissedGoal string   `json:"missed,omitempty"`
 }
 
-// Confirming is a prediction held against a run over loopback.
-type Confirming struct {
-	Rate        float64 `json:"rate"`
-	Predicted   float64 `json:"predicted"` // requests in time a second
-	Measured    float64 `json:"measured"`
-	PredictedIn float64 `json:"predicted_in_time"` // part of what was asked
-	MeasuredIn  float64 `json:"measured_in_time"`
-	Error       float64 `json:"error"` // of Predicted
-	Note        string  `json:"note,omitempty"`
+// Confirmation is a prediction held against a run over loopback.
+type Confirmation struct {
+	Rate            float64 `json:"rate"`
+	Predicted       float64 `json:"predicted"` // requests in time a second
+	Measured        float64 `json:"measured"`
+	PredictedInTime float64 `json:"predicted_in_time"` // part of what was asked
+	MeasuredInTime  float64 `json:"measured_in_time"`
+	RelativeError   float64 `json:"error"` // of Predicted
+	Note            string  `json:"note,omitempty"`
 }
 
 // What a capture must hold to plan from it.
 const (
-	minPlanned = 500
-	minToPlan  = 10 * time.Second
-	planLength = 40 * time.Second // of a simulation
-	planHead   = 5 * time.Second  // in which gateways learn; it does not count
+	minPlanRequests  = 500
+	minPlanCapture   = 10 * time.Second
+	planRunLength    = 40 * time.Second // of a simulation
+	planLearningTime = 5 * time.Second  // in which gateways learn; it does not count
 )
 
 // MakePlan answers what breaks first and at which rate, how many servers the goals need, and what the loss of each zone does.
@@ -117,7 +117,7 @@
 func MakePlan(fleet *Experiment, c *capture.Capture, o PlanOptions) (*Plan, error) {
 	o.Seeds = cmp.Or(o.Seeds, 3)
 	e := *fleet
-	e.Load = Load{Arrivals: "poisson", Again: fleet.Load.Again}
+	e.Load = Load{Arrivals: "poisson", RetryMode: fleet.Load.RetryMode}
 	e.Events, e.Checks, e.trace = nil, nil, nil
 	if len(o.Goals) == 0 {
 		o.Goals = []Goal{{InTime: 0.99}}
@@ -127,47 +127,47 @@
 			return nil, fmt.Errorf("goal %v: there is no class %q in %s", g, g.Class, e.Name)
 		}
 	}
-	if c.Length < minToPlan || len(c.Records) < minPlanned {
+	if c.Length < minPlanCapture || len(c.Records) < minPlanRequests {
 		return nil, fmt.Errorf("the capture is too short to tell: %d requests over %v; want %d over %v at least", len(c.Records), c.Length.Round(time.Millisecond),
-			minPlanned, minToPlan)
+			minPlanRequests, minPlanCapture)
 	}
-	p := &Plan{Fleet: e.Name, Goals: o.Goals, e: &e, c: busiest(c, planLength)}
-	window := Fit(p.c)
+	p := &Plan{Fleet: e.Name, Goals: o.Goals, experiment: &e, capture: busiestWindow(c, planRunLength)}
+	window := Fit(p.capture)
 	if p.Rate = o.Rate; p.Rate == 0 {
 		p.Rate = window.Rate
 	}
-	if err := p.mix(); err != nil {
+	if err := p.setClassMix(); err != nil {
 		return nil, err
 	}
-	if err := p.possible(); err != nil {
+	if err := p.checkAttainable(); err != nil {
 		return nil, err
 	}
 	for _, g := range e.Fleet.Groups {
 		p.Servers += g.Servers
 	}
 	p.Capacity = e.capacity()
-	p.ByWork = max(int(math.Ceil(p.Rate/(p.Capacity/float64(p.Servers)))), 1)
+	p.MinServersByWork = max(int(math.Ceil(p.Rate/(p.Capacity/float64(p.Servers)))), 1)
 	p.Assumptions = []string{
 		fmt.Sprintf("the load comes as in the busiest %v of the capture (burstiness %.2f, 1 is a Poisson load), its rate multiplied; the mix of classes stays",
-			p.c.Length.Round(time.Second), window.Burstiness),
+			p.capture.Length.Round(time.Second), window.Burstiness),
 		"service times, speeds and workers are those of the fleet's file; nothing else is the bottleneck (network, gateways' processors)",
 		"more servers are more of the same kinds, in the same proportions",
-		fmt.Sprintf("the first %v of each run do not count: gateways have learnt", planHead),
+		fmt.Sprintf("the first %v of each run do not count: gateways have learnt", planLearningTime),
 	}
 	if c.Missed > 0 {
 		p.Assumptions = append(p.Assumptions, fmt.Sprintf("the capture missed %d requests: the real load is higher", c.Missed))
 	}
-	if err := p.breaks(o.Seeds, window.Rate); err != nil {
+	if err := p.findBreakingRate(o.Seeds, window.Rate); err != nil {
 		return nil, err
 	}
-	if err := p.needs(o.Seeds, window.Rate); err != nil {
+	if err := p.findServersNeeded(o.Seeds, window.Rate); err != nil {
 		return nil, err
 	}
-	return p, p.losses(o.Seeds, window.Rate)
+	return p, p.simulateZoneLosses(o.Seeds, window.Rate)
 }
 
-// busiest is the part of a capture of that length with the most requests.
-func busiest(c *capture.Capture, length time.Duration) *capture.Capture {
+// busiestWindow is the part of a capture of that length with the most requests.
+func busiestWindow(c *capture.Capture, length time.Duration) *capture.Capture {
 	if c.Length <= length {
 		return c
 	}
@@ -189,44 +189,44 @@
 	return &w
 }
 
-// mix takes the classes' parts over from the capture.
-func (p *Plan) mix() error {
+// setClassMix takes the classes' parts over from the capture.
+func (p *Plan) setClassMix() error {
 	n, all := map[string]float64{}, 0.0
-	for _, r := range p.c.Records {
+	for _, r := range p.capture.Records {
 		n[r.Class]++
 		all++
 	}
-	p.e.Classes = slices.Clone(p.e.Classes)
-	for i := range p.e.Classes {
-		k := &p.e.Classes[i]
-		k.Part = n[k.Name] / all
+	p.experiment.Classes = slices.Clone(p.experiment.Classes)
+	for i := range p.experiment.Classes {
+		k := &p.experiment.Classes[i]
+		k.LoadShare = n[k.Name] / all
 		delete(n, k.Name)
 	}
 	for name, k := range n {
-		return fmt.Errorf("the capture has %.0f requests of class %q, which %s has not: add it, with its service time", k, name, p.e.Name)
+		return fmt.Errorf("the capture has %.0f requests of class %q, which %s has not: add it, with its service time", k, name, p.experiment.Name)
 	}
 	return nil
 }
 
-// possible says whether any number of servers meets the goals: a request alone at a server must be in time often enough.
-func (p *Plan) possible() error {
+// checkAttainable says whether any number of servers meets the goals: a request alone at a server must be in time often enough.
+func (p *Plan) checkAttainable() error {
 	rng := rand.New(rand.NewPCG(1, 0x706c616e))
 	fastest := 0.0
-	for _, g := range p.e.Fleet.Groups {
+	for _, g := range p.experiment.Fleet.Groups {
 		fastest = max(fastest, g.Speed)
 	}
 	const n = 20_000
 	for _, g := range p.Goals {
 		in, of := 0, 0
-		for i := range p.e.Classes {
-			c := &p.e.Classes[i]
+		for i := range p.experiment.Classes {
+			c := &p.experiment.Classes[i]
 			if g.Class != "" && g.Class != c.Name {
 				continue
 			}
-			l := &p.e.Fleet.Link
-			for range int(n * max(c.Part, 0.01)) {
+			l := &p.experiment.Fleet.Link
+			for range int(n * max(c.LoadShare, 0.01)) {
 				of++
-				if time.Duration(float64(c.draw(rng))/fastest)+2*l.Delay.D()+l.takes(c.Answer) <= c.Wanted.D() {
+				if time.Duration(float64(c.draw(rng))/fastest)+2*l.Delay.D()+l.transferTime(c.ResponseSize) <= c.LatencyObjective.D() {
 					in++
 				}
 			}
@@ -238,30 +238,30 @@
 	return nil
 }
 
-// try simulates so many times the window's load on so many servers, and says which goal is missed; "" where none is.
-func (p *Plan) try(by float64, servers int, seed uint64, kill string) (missed string, inTime float64, goodput float64, err error) {
-	e := p.sized(servers)
-	if err := e.replay(p.c, &Trace{File: "the capture", Speed: 1, By: by, Unknown: "refuse"}); err != nil {
+// simulate simulates so many times the window's load on so many servers, and says which goal is missed; "" where none is.
+func (p *Plan) simulate(by float64, servers int, seed uint64, kill string) (missed string, inTime float64, goodput float64, err error) {
+	e := p.fleetOf(servers)
+	if err := e.setTrace(p.capture, &Trace{File: "the capture", Speed: 1, Multiplier: by, UnknownClasses: "refuse"}); err != nil {
 		return "", 0, 0, err
 	}
 	e.Seed = int(seed)
-	e.Phases = []config.Duration{config.Duration(planHead)}
+	e.Phases = []config.Duration{config.Duration(planLearningTime)}
 	if kill != "" {
 		at := e.Length.D() / 3
-		e.Events = []Event{{At: config.Duration(at), Do: "kill", How: "refuses", Zone: kill, Part: 1}}
+		e.Events = []Event{{At: config.Duration(at), Action: "kill", FailureMode: "refuses", Zone: kill, Fraction: 1}}
 		e.Phases = []config.Duration{config.Duration(at + 3*time.Second)}
 	}
 	r, err := Simulate(e, 1)
 	if err != nil {
 		return "", 0, 0, err
 	}
-	missed, inTime = p.judge(r)
+	missed, inTime = p.missedGoal(r)
 	last := &r.Phases[len(r.Phases)-1]
 	return missed, inTime, float64(last.All.InTime) / (last.To - last.From).Seconds(), nil
 }
 
-// judge looks at a report's last phase.
-func (p *Plan) judge(r *Report) (missed string, inTime float64) {
+// missedGoal looks at a report's last phase.
+func (p *Plan) missedGoal(r *Report) (missed string, inTime float64) {
 	last := &r.Phases[len(r.Phases)-1]
 	worst := 0.0
 	for _, g := range p.Goals {
@@ -273,19 +273,19 @@
 				}
 			}
 		}
-		v := o.part(o.InTime)
-		if short := g.InTime - v; o.Asked > 0 && short > worst {
+		v := o.fraction(o.InTime)
+		if short := g.InTime - v; o.Requests > 0 && short > worst {
 			worst = short
-			missed = fmt.Sprintf("%v: %.4g in time, %.4g late, %.4g refused, p99 %v", g, v, o.part(o.Late), o.part(o.Refused+o.Failed), o.P99.Round(time.Millisecond))
+			missed = fmt.Sprintf("%v: %.4g in time, %.4g late, %.4g refused, p99 %v", g, v, o.fraction(o.Late), o.fraction(o.Rejected+o.Failed), o.P99.Round(time.Millisecond))
 		}
 	}
-	return missed, last.All.part(last.All.InTime)
+	return missed, last.All.fraction(last.All.InTime)
 }
 
-// sized is the fleet with so many servers, of its kinds in their proportions; 0: as it is.
-func (p *Plan) sized(servers int) *Experiment {
-	e := *p.e
-	e.Length = config.Duration(min(p.c.Length, planLength))
+// fleetOf is the fleet with so many servers, of its kinds in their proportions; 0: as it is.
+func (p *Plan) fleetOf(servers int) *Experiment {
+	e := *p.experiment
+	e.Length = config.Duration(min(p.capture.Length, planRunLength))
 	e.Events = nil
 	if servers == 0 || servers == p.Servers {
 		return &e
@@ -302,23 +302,23 @@
 	return &e
 }
 
-// breaks finds for each seed the highest multiple of the load that meets the goals.
-func (p *Plan) breaks(seeds int, rate float64) error {
+// findBreakingRate finds for each seed the highest multiple of the load that meets the goals.
+func (p *Plan) findBreakingRate(seeds int, rate float64) error {
 	bound := p.Capacity / rate
 	var l []float64
 	for seed := range uint64(seeds) {
 		low, high := 0.0, 1.6*bound
-		missed, _, _, err := p.try(high, 0, seed+1, "")
+		missed, _, _, err := p.simulate(high, 0, seed+1, "")
 		if err != nil {
 			return err
 		}
 		if missed == "" {
-			p.Breaks.Beyond, low = true, high
+			p.BreakingRate.ExceedsRange, low = true, high
 		}
 		why := missed
-		for !p.Breaks.Beyond && high-low > 0.01*bound {
+		for !p.BreakingRate.ExceedsRange && high-low > 0.01*bound {
 			middle := (low + high) / 2
-			missed, _, _, err := p.try(middle, 0, seed+1, "")
+			missed, _, _, err := p.simulate(middle, 0, seed+1, "")
 			if err != nil {
 				return err
 			}
@@ -329,26 +329,26 @@
 			}
 		}
 		if l = append(l, low*rate); seed == 0 {
-			p.BreaksFirst = why
+			p.BreakingGoal = why
 		}
 	}
-	p.Breaks = estimate(l, p.Breaks.Beyond)
+	p.BreakingRate = estimate(l, p.BreakingRate.ExceedsRange)
 	return nil
 }
 
 func estimate(l []float64, beyond bool) Estimate {
-	return Estimate{Median: median(l), Low: slices.Min(l), High: slices.Max(l), Beyond: beyond}
+	return Estimate{Median: median(l), Low: slices.Min(l), High: slices.Max(l), ExceedsRange: beyond}
 }
 
-// needs finds for each seed the fewest servers that meet the goals at the rate, from what the work alone needs on.
-func (p *Plan) needs(seeds int, rate float64) error {
+// findServersNeeded finds for each seed the fewest servers that meet the goals at the rate, from what the work alone needs on.
+func (p *Plan) findServersNeeded(seeds int, rate float64) error {
 	var l []float64
 	for seed := range uint64(seeds) {
 		holds := func(n int) (bool, error) {
-			missed, _, _, err := p.try(p.Rate/rate, n, seed+1, "")
+			missed, _, _, err := p.simulate(p.Rate/rate, n, seed+1, "")
 			return missed == "", err
 		}
-		low, high := max(p.ByWork, len(p.e.Fleet.Groups))-1, max(p.ByWork, len(p.e.Fleet.Groups))
+		low, high := max(p.MinServersByWork, len(p.experiment.Fleet.Groups))-1, max(p.MinServersByWork, len(p.experiment.Fleet.Groups))
 		for {
 			ok, err := holds(high)
 			if err != nil {
@@ -357,8 +357,8 @@
 			if ok {
 				break
 			}
-			if low = high; high > 4*p.ByWork+8 || high >= maxServers {
-				p.Needed = Estimate{Median: float64(high), Low: float64(high), High: float64(high), Beyond: true}
+			if low = high; high > 4*p.MinServersByWork+8 || high >= maxServers {
+				p.ServersNeeded = Estimate{Median: float64(high), Low: float64(high), High: float64(high), ExceedsRange: true}
 				return nil
 			}
 			high = high + max(high/5, 1)
@@ -377,66 +377,66 @@
 		}
 		l = append(l, float64(high))
 	}
-	p.Needed = estimate(l, false)
+	p.ServersNeeded = estimate(l, false)
 	return nil
 }
 
-// losses takes each zone away at the rate, with the fleet as it is.
-func (p *Plan) losses(seeds int, rate float64) error {
-	if len(p.e.Fleet.Zones) < 2 {
+// simulateZoneLosses takes each zone away at the rate, with the fleet as it is.
+func (p *Plan) simulateZoneLosses(seeds int, rate float64) error {
+	if len(p.experiment.Fleet.Zones) < 2 {
 		return nil
 	}
-	for _, z := range p.e.Fleet.Zones {
-		l, x := []float64(nil), Loss{Zone: z, Holds: true}
+	for _, z := range p.experiment.Fleet.Zones {
+		l, x := []float64(nil), ZoneLoss{Zone: z, GoalsMet: true}
 		for seed := range uint64(seeds) {
-			missed, in, _, err := p.try(p.Rate/rate, 0, seed+1, z)
+			missed, in, _, err := p.simulate(p.Rate/rate, 0, seed+1, z)
 			if err != nil {
 				return err
 			}
 			if l = append(l, in); missed != "" {
-				x.Holds, x.Missed = false, missed
+				x.GoalsMet, x.MissedGoal = false, missed
 			}
 		}
 		x.InTime = estimate(l, false)
-		p.Losses = append(p.Losses, x)
+		p.ZoneLosses = append(p.ZoneLosses, x)
 	}
 	return nil
 }
 
 // Confirm runs the load over loopback at the rate that was planned for and at nine tenths of the one at which it breaks, and
 // notes prediction and measurement.
-func (p *Plan) Confirm(ctx context.Context, opt LiveOptions) error {
-	window := Fit(p.c).Rate
+func (p *Plan) Confirm(ctx context.Context, opt LoopbackOptions) error {
+	window := Fit(p.capture).Rate
 	rates := []float64{p.Rate}
-	if !p.Breaks.Beyond && p.Breaks.Median > 0 {
-		rates = append(rates, 0.9*p.Breaks.Median)
+	if !p.BreakingRate.ExceedsRange && p.BreakingRate.Median > 0 {
+		rates = append(rates, 0.9*p.BreakingRate.Median)
 	}
 	for _, rate := range rates {
-		k := Confirming{Rate: rate}
+		k := Confirmation{Rate: rate}
 		var err error
-		if _, k.PredictedIn, k.Predicted, err = p.try(rate/window, 0, 1, ""); err != nil {
+		if _, k.PredictedInTime, k.Predicted, err = p.simulate(rate/window, 0, 1, ""); err != nil {
 			return err
 		}
-		e := p.sized(0)
-		if err := e.replay(p.c, &Trace{File: "the capture", Speed: 1, By: rate / window, Unknown: "refuse"}); err != nil {
+		e := p.fleetOf(0)
+		if err := e.setTrace(p.capture, &Trace{File: "the capture", Speed: 1, Multiplier: rate / window, UnknownClasses: "refuse"}); err != nil {
 			return err
 		}
-		e.Seed, e.Phases = 1, []config.Duration{config.Duration(planHead)}
-		r, err := Live(ctx, e, 1, opt)
+		e.Seed, e.Phases = 1, []config.Duration{config.Duration(planLearningTime)}
+		r, err := RunLoopback(ctx, e, 1, opt)
 		if err != nil {
 			return err
 		}
 		last := &r.Phases[len(r.Phases)-1]
-		k.Measured, k.MeasuredIn = float64(last.All.InTime)/(last.To-last.From).Seconds(), last.All.part(last.All.InTime)
-		k.Error = k.Predicted/max(k.Measured, 1e-9) - 1
+		k.Measured, k.MeasuredInTime = float64(last.All.InTime)/(last.To-last.From).Seconds(), last.All.fraction(last.All.InTime)
+		k.RelativeError = k.Predicted/max(k.Measured, 1e-9) - 1
 		switch {
-		case r.Ended != "":
-			k.Note = r.Ended
+		case r.EndedEarly != "":
+			k.Note = r.EndedEarly
 		case r.Generator.Bottleneck:
 			k.Note = "the generator was the bottleneck"
 		}
-		if p.Confirmed = append(p.Confirmed, k); r.Ended != "" {
-			return fmt.Errorf("the replay ended early: %s", r.Ended)
+		if p.Confirmations = append(p.Confirmations, k); r.EndedEarly != "" {
+			return fmt.Errorf("the replay ended early: %s", r.EndedEarly)
 		}
 	}
 	return nil
@@ -450,21 +450,21 @@
 	}
 	fmt.Fprintf(out, "%s, %d servers; goal: %s\n\n", p.Fleet, p.Servers, strings.Join(goals, ", "))
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "breaks at\t%v requests a second\t(its workers can do %.4g)\n", p.Breaks, p.Capacity)
-	if p.BreaksFirst != "" {
-		fmt.Fprintf(t, "breaks first\t%s\t\n", p.BreaksFirst)
+	fmt.Fprintf(t, "breaks at\t%v requests a second\t(its workers can do %.4g)\n", p.BreakingRate, p.Capacity)
+	if p.BreakingGoal != "" {
+		fmt.Fprintf(t, "breaks first\t%s\t\n", p.BreakingGoal)
 	}
-	fmt.Fprintf(t, "needs at %.4g a second\t%v servers\t(the work alone needs %d)\n", p.Rate, p.Needed, p.ByWork)
-	for _, l := range p.Losses {
+	fmt.Fprintf(t, "needs at %.4g a second\t%v servers\t(the work alone needs %d)\n", p.Rate, p.ServersNeeded, p.MinServersByWork)
+	for _, l := range p.ZoneLosses {
 		says := "the goal holds"
-		if !l.Holds {
-			says = "DOES NOT HOLD: " + l.Missed
+		if !l.GoalsMet {
+			says = "DOES NOT HOLD: " + l.MissedGoal
 		}
 		fmt.Fprintf(t, "without zone %s\t%v in time\t%s\n", l.Zone, l.InTime, says)
 	}
-	for _, k := range p.Confirmed {
+	for _, k := range p.Confirmations {
 		fmt.Fprintf(t, "replayed at %.4g a second\t%.4g in time a second predicted, %.4g measured\terror %+.1f%%; part in time %.4g and %.4g %s\n", k.Rate, k.Predicted,
-			k.Measured, 100*k.Error, k.PredictedIn, k.MeasuredIn, k.Note)
+			k.Measured, 100*k.RelativeError, k.PredictedInTime, k.MeasuredInTime, k.Note)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("writing the plan: %w", err)
--- a/internal/experiment/plan_test.go
+++ b/internal/experiment/plan_test.go
@@ -60,7 +60,7 @@
 			from = captured(200, 20*time.Second, k.sample)
 		}
 		e := parsed(t, "name: a\nlength: 20s\nload: {rate: 1}\n"+twoClasses)
-		if err := e.replay(from, &Trace{Speed: k.speed, By: k.by, Unknown: "refuse"}); err != nil {
+		if err := e.setTrace(from, &Trace{Speed: k.speed, Multiplier: k.by, UnknownClasses: "refuse"}); err != nil {
 			t.Fatal(err)
 		}
 		n, last, hold := 0, time.Duration(0), 0
@@ -77,7 +77,7 @@
 			}
 		}
 		want := 200 * 20 * k.by
-		if math.Abs(float64(n)/want-1) > 0.08 || math.Abs(float64(hold)/float64(n)-0.25) > 0.03 || last > time.Duration(20/k.speed*1.1*float64(time.Second))+smear {
+		if math.Abs(float64(n)/want-1) > 0.08 || math.Abs(float64(hold)/float64(n)-0.25) > 0.03 || last > time.Duration(20/k.speed*1.1*float64(time.Second))+copySpread {
 			t.Errorf("%+v: %d requests, want %.0f; %d of the second class; the last at %v", k, n, want, hold, last)
 		}
 		if k.sample == 1 && k.by == 1 && n != len(c.Records) {
@@ -125,11 +125,11 @@
 		}
 		c.Length += 5 * time.Second
 		f := Fit(c)
-		if math.Abs(f.Rate/(300*60.0/65)-1) > 0.05 || len(f.Classes) != 2 || f.Classes[0].Name != "map" || math.Abs(f.Classes[0].Part-0.75) > 0.02 ||
-			f.Classes[0].Mean != 20*time.Millisecond || f.Keys < 300 || f.Exponent < 0.8 || f.Exponent > 2 {
+		if math.Abs(f.Rate/(300*60.0/65)-1) > 0.05 || len(f.Classes) != 2 || f.Classes[0].Name != "map" || math.Abs(f.Classes[0].LoadShare-0.75) > 0.02 ||
+			f.Classes[0].MeanLatency != 20*time.Millisecond || f.Keys < 300 || f.ZipfExponent < 0.8 || f.ZipfExponent > 2 {
 			t.Errorf("sample %v: %+v", sample, f)
 		}
-		if len(f.Gaps) != 1 || f.Gaps[0].For < 4900*time.Millisecond || f.Gaps[0].For > 5200*time.Millisecond {
+		if len(f.Gaps) != 1 || f.Gaps[0].Duration < 4900*time.Millisecond || f.Gaps[0].Duration > 5200*time.Millisecond {
 			t.Errorf("sample %v: gaps %v", sample, f.Gaps)
 		}
 	}
@@ -169,15 +169,15 @@
 		t.Fatal(err)
 	}
 	// 6 workers, 25 ms on average: 240 a second.
-	if math.Abs(p.Capacity-240) > 10 || p.Breaks.Median < 0.4*p.Capacity || p.Breaks.Median > p.Capacity || p.Breaks.Beyond || p.BreaksFirst == "" {
-		t.Errorf("capacity %v, breaks at %+v, %q", p.Capacity, p.Breaks, p.BreaksFirst)
+	if math.Abs(p.Capacity-240) > 10 || p.BreakingRate.Median < 0.4*p.Capacity || p.BreakingRate.Median > p.Capacity || p.BreakingRate.ExceedsRange || p.BreakingGoal == "" {
+		t.Errorf("capacity %v, breaks at %+v, %q", p.Capacity, p.BreakingRate, p.BreakingGoal)
 	}
-	if p.ByWork != 3 || p.Needed.Median < 3 || p.Needed.Median > 6 || len(p.Losses) != 2 {
-		t.Errorf("%d by work, needed %+v, losses %+v", p.ByWork, p.Needed, p.Losses)
+	if p.MinServersByWork != 3 || p.ServersNeeded.Median < 3 || p.ServersNeeded.Median > 6 || len(p.ZoneLosses) != 2 {
+		t.Errorf("%d by work, needed %+v, losses %+v", p.MinServersByWork, p.ServersNeeded, p.ZoneLosses)
 	}
 	more, err := MakePlan(e, c, PlanOptions{Goals: []Goal{{Class: "map", InTime: 0.99}}, Seeds: 1, Rate: 200})
-	if err != nil || more.Needed.Low <= p.Needed.High || more.Losses[0].Holds || more.Losses[0].InTime.High > 0.9 {
-		t.Errorf("%v: at twice the rate %+v servers, losses %+v", err, more.Needed, more.Losses)
+	if err != nil || more.ServersNeeded.Low <= p.ServersNeeded.High || more.ZoneLosses[0].GoalsMet || more.ZoneLosses[0].InTime.High > 0.9 {
+		t.Errorf("%v: at twice the rate %+v servers, losses %+v", err, more.ServersNeeded, more.ZoneLosses)
 	}
 	var out bytes.Buffer
 	if err := p.Print(&out); err != nil || !strings.Contains(out.String(), "breaks at") || !strings.Contains(out.String(), "without zone b") || !strings.Contains(out.String(), "It rests on this") {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -27,7 +27,7 @@
 const maxServerLines = 12 // more are drawn as their least, mean and most
 
 // draw makes the pictures of a report, or of two laid over each other, the second one dashed.
-func drawAll(l []*Report) ([]picture, error) {
+func drawPictures(l []*Report) ([]picture, error) {
 	made := []picture{
 		{name: "goodput", title: "Answered in time, late, refused"},
 		{name: "latency", title: "Latency of what was answered"},
@@ -45,7 +45,7 @@
 		if len(l) > 1 {
 			prefix = string(rune('A'+i)) + ": "
 		}
-		per := r.Width.Seconds() * float64(max(r.Seeds, 1))
+		per := r.SeriesInterval.Seconds() * float64(max(r.Seeds, 1))
 		rate := func(n func(*Point) int) func(*Point) float64 {
 			return func(p *Point) float64 { return float64(n(p)) / per }
 		}
@@ -54,9 +54,9 @@
 		for j, c := range []curve{
 			{goodput, "in time", rate(func(p *Point) int { return p.InTime })},
 			{goodput, "late", rate(func(p *Point) int { return p.Late })},
-			{goodput, "refused or failed", rate(func(p *Point) int { return p.Refused + p.Failed })},
-			{latency, "p50", func(p *Point) float64 { return ms(p.P50) }},
-			{latency, "p99", func(p *Point) float64 { return ms(p.P99) }},
+			{goodput, "refused or failed", rate(func(p *Point) int { return p.Rejected + p.Failed })},
+			{latency, "p50", func(p *Point) float64 { return milliseconds(p.P50) }},
+			{latency, "p99", func(p *Point) float64 { return milliseconds(p.P99) }},
 		} {
 			if err := c.add(r, prefix, j%3, i == 1); err != nil {
 				return nil, err
@@ -70,7 +70,7 @@
 	}
 	for _, m := range made {
 		m.plot.Y.Max = max(m.plot.Y.Max*1.25, 1) // room for the legend
-		if err := marks(m.plot, l[0]); err != nil {
+		if err := drawEvents(m.plot, l[0]); err != nil {
 			return nil, err
 		}
 	}
@@ -79,15 +79,15 @@
 
 // curve is one line.
 type curve struct {
-	p    *plot.Plot
-	name string
-	of   func(*Point) float64
+	plot  *plot.Plot
+	name  string
+	value func(*Point) float64
 }
 
 func (c *curve) add(r *Report, prefix string, colour int, dashed bool) error {
 	xy := make(plotter.XYs, len(r.Series))
 	for i := range r.Series {
-		xy[i] = plotter.XY{X: (r.Series[i].From + r.Width/2).Seconds(), Y: c.of(&r.Series[i])}
+		xy[i] = plotter.XY{X: (r.Series[i].Start + r.SeriesInterval/2).Seconds(), Y: c.value(&r.Series[i])}
 	}
 	line, err := plotter.NewLine(xy)
 	if err != nil {
@@ -97,8 +97,8 @@
 	if dashed {
 		line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 	}
-	c.p.Add(line)
-	c.p.Legend.Add(prefix+c.name, line)
+	c.plot.Add(line)
+	c.plot.Legend.Add(prefix+c.name, line)
 	return nil
 }
 
@@ -106,7 +106,7 @@
 	ids := r.Servers()
 	if len(ids) <= maxServerLines {
 		for _, id := range ids {
-			l = append(l, curve{p, id, func(x *Point) float64 { return float64(x.Sends[id]) / per }})
+			l = append(l, curve{p, id, func(x *Point) float64 { return float64(x.Attempts[id]) / per }})
 		}
 		return l
 	}
@@ -114,7 +114,7 @@
 		return func(x *Point) float64 {
 			least, sum, most := math.Inf(1), 0.0, 0.0
 			for _, id := range ids {
-				v := float64(x.Sends[id]) / per
+				v := float64(x.Attempts[id]) / per
 				least, sum, most = min(least, v), sum+v, max(most, v)
 			}
 			return pick(least, sum, most)
@@ -125,9 +125,9 @@
 		{p, "least busy", over(func(least, _, _ float64) float64 { return least })}}
 }
 
-// marks draws the events as lines from the bottom to the top, numbered as in the table behind.
-func marks(p *plot.Plot, r *Report) error {
-	for i, m := range r.Marks {
+// drawEvents draws the events as lines from the bottom to the top, numbered as in the table behind.
+func drawEvents(p *plot.Plot, r *Report) error {
+	for i, m := range r.Events {
 		x := m.At.Seconds()
 		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: p.Y.Max}})
 		if err != nil {
@@ -135,7 +135,7 @@
 		}
 		line.Color, line.Width, line.Dashes = color.Gray{150}, vg.Points(0.75), []vg.Length{vg.Points(1), vg.Points(2)}
 		p.Add(line)
-		if len(r.Marks) > 24 {
+		if len(r.Events) > 24 {
 			continue // their numbers would stand on each other
 		}
 		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: p.Y.Max * 0.02}}, Labels: []string{fmt.Sprint(i + 1)}})
@@ -148,11 +148,11 @@
 	return nil
 }
 
-func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
+func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
 const pictureWidth, pictureHeight = 9 * vg.Inch, 3.2 * vg.Inch
 
-func (p *picture) write(format string) ([]byte, error) {
+func (p *picture) render(format string) ([]byte, error) {
 	w, err := p.plot.WriterTo(pictureWidth, pictureHeight, format)
 	if err != nil {
 		return nil, fmt.Errorf("drawing %s: %w", p.name, err)
@@ -166,7 +166,7 @@
 
 // WritePlots writes the pictures of a report, or of two laid over each other, into a folder, as PNG and SVG.
 func WritePlots(dir string, l ...*Report) error {
-	all, err := drawAll(l)
+	all, err := drawPictures(l)
 	if err != nil {
 		return err
 	}
@@ -175,7 +175,7 @@
 	}
 	for _, p := range all {
 		for _, format := range []string{"png", "svg"} {
-			b, err := p.write(format)
+			b, err := p.render(format)
 			if err != nil {
 				return err
 			}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -17,88 +17,88 @@
 
 // Report is what came of an experiment, over all its seeds.
 type Report struct {
-	Experiment string        `json:"experiment"`
-	About      string        `json:"about"`
-	Engine     string        `json:"engine"`
-	Seeds      int           `json:"seeds"`
-	Length     time.Duration `json:"length_ns"`
-	Runs       []Run         `json:"runs"` // one for each seed
-	Phases     []Phase       `json:"phases"`
-	Width      time.Duration `json:"series_width_ns"`
-	Series     []Point       `json:"series"`
-	Marks      []Mark        `json:"events"`
-	Twice      int           `json:"effects_taken_twice"`
-	Lost       int           `json:"lost"`
-	AfterDrain int           `json:"sent_after_drain"`
-	// Back is the longest from a gateway's start until it was ready, of all runs; 0 where none was restarted.
-	Back  time.Duration `json:"back_ns"`
-	Steps int           `json:"simulation_steps,omitempty"`
+	Experiment       string        `json:"experiment"`
+	Description      string        `json:"about"`
+	Engine           string        `json:"engine"`
+	Seeds            int           `json:"seeds"`
+	Length           time.Duration `json:"length_ns"`
+	Runs             []Run         `json:"runs"` // one for each seed
+	Phases           []Phase       `json:"phases"`
+	SeriesInterval   time.Duration `json:"series_width_ns"`
+	Series           []Point       `json:"series"`
+	Events           []EventMark   `json:"events"`
+	DuplicateEffects int           `json:"effects_taken_twice"`
+	Lost             int           `json:"lost"`
+	SentAfterDrain   int           `json:"sent_after_drain"`
+	// RestartTime is the longest from a gateway's start until it was ready, of all runs; 0 where none was restarted.
+	RestartTime     time.Duration `json:"back_ns"`
+	SimulationSteps int           `json:"simulation_steps,omitempty"`
 	// Generator is how the load generator of the loopback engine kept up; nil: it was simulated.
 	Generator *Generator `json:"generator,omitempty"`
-	// Ended says why a run ended early; what was measured until then is in the report. Empty: it did not.
-	Ended string `json:"ended_early,omitempty"`
-	// Broken are the checks that do not hold, each in a line.
-	Broken []string `json:"broken"`
+	// EndedEarly says why a run ended early; what was measured until then is in the report. Empty: it did not.
+	EndedEarly string `json:"ended_early,omitempty"`
+	// FailedChecks are the checks that do not hold, each in a line.
+	FailedChecks []string `json:"broken"`
 }
 
 // Run is what came of one seed.
 type Run struct {
-	Seed    uint64        `json:"seed"`
-	Asked   int           `json:"asked"`
-	Goodput float64       `json:"in_time_per_second"`
-	InTime  float64       `json:"in_time"` // part of what was asked
-	Refused float64       `json:"refused"` // failed or lost: the same
-	P50     time.Duration `json:"p50_ns"`
-	P99     time.Duration `json:"p99_ns"`
+	Seed     uint64        `json:"seed"`
+	Requests int           `json:"asked"`
+	Goodput  float64       `json:"in_time_per_second"`
+	InTime   float64       `json:"in_time"` // part of what was asked
+	Rejected float64       `json:"refused"` // failed or lost: the same
+	P50      time.Duration `json:"p50_ns"`
+	P99      time.Duration `json:"p99_ns"`
 }
 
-// Mark is an event on the way.
-type Mark struct {
+// EventMark is an event on the way.
+type EventMark struct {
 	At   time.Duration `json:"at_ns"`
 	Text string        `json:"text"`
 }
 
 // Phase is what came of the requests that began in one.
 type Phase struct {
-	From      time.Duration `json:"from_ns"`
-	To        time.Duration `json:"to_ns"`
-	Classes   []Outcome     `json:"classes"`
-	All       Outcome       `json:"all"`
-	Crossed   int           `json:"attempts_crossed"`
-	Sends     int           `json:"attempts"`
-	Connects  int           `json:"new_connections"` // of them, on one of those; 0 where connecting has no cost
-	Fallen    int           `json:"cold_servers_fallen"`
-	WorstCold float64       `json:"worst_cold_server"` // load over what it can do, the most of all seeds
-	Queue     int           `json:"most_at_a_server"`
+	From              time.Duration `json:"from_ns"`
+	To                time.Duration `json:"to_ns"`
+	Classes           []Outcome     `json:"classes"`
+	All               Outcome       `json:"all"`
+	CrossZoneAttempts int           `json:"attempts_crossed"`
+	Attempts          int           `json:"attempts"`
+	NewConnections    int           `json:"new_connections"` // of them, on one of those; 0 where connecting has no cost
+	CollapsedServers  int           `json:"cold_servers_fallen"`
+	MaxWarmingLoad    float64       `json:"worst_cold_server"` // load over what it can do, the most of all seeds
+	MaxServerRequests int           `json:"most_at_a_server"`
 }
 
 // Outcome counts requests; times are of the answered ones.
 type Outcome struct {
-	Class   string        `json:"class,omitempty"`
-	Asked   int           `json:"asked"`
-	InTime  int           `json:"in_time"`
-	Late    int           `json:"late"`
-	Refused int           `json:"refused"`
-	Failed  int           `json:"failed"`
-	Lost    int           `json:"lost"`
-	P50     time.Duration `json:"p50_ns"`
-	P99     time.Duration `json:"p99_ns"`
-	P999    time.Duration `json:"p999_ns"`
+	Class    string        `json:"class,omitempty"`
+	Requests int           `json:"asked"`
+	InTime   int           `json:"in_time"`
+	Late     int           `json:"late"`
+	Rejected int           `json:"refused"`
+	Failed   int           `json:"failed"`
+	Lost     int           `json:"lost"`
+	P50      time.Duration `json:"p50_ns"`
+	P99      time.Duration `json:"p99_ns"`
+	P999     time.Duration `json:"p999_ns"`
 
-	took *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
-func (o *Outcome) finish() {
-	o.P50, o.P99, o.P999 = quantile(o.took, 0.5), quantile(o.took, 0.99), quantile(o.took, 0.999)
+func (o *Outcome) computePercentiles() {
+	o.P50, o.P99, o.P999 = quantile(o.latencies, 0.5), quantile(o.latencies, 0.99), quantile(o.latencies, 0.999)
 }
 
-func (o *Outcome) part(n int) float64 { return float64(n) / float64(max(o.Asked, 1)) }
+func (o *Outcome) fraction(n int) float64 { return float64(n) / float64(max(o.Requests, 1)) }
 
 func newReport(e *Experiment, engine string) *Report {
 	c := newCollector(e)
-	r := &Report{Experiment: e.Name, About: e.About, Engine: engine, Length: e.Length.D(), Phases: c.phases, Series: c.series, Width: c.width, Broken: []string{}}
+	r := &Report{Experiment: e.Name, Description: e.Description, Engine: engine, Length: e.Length.D(), Phases: c.phases, Series: c.series, SeriesInterval: c.interval, FailedChecks: []string{}}
 	for _, v := range e.timeline() {
-		r.Marks = append(r.Marks, Mark{v.At.D(), strings.TrimSpace(v.Do + " " + v.Zone)})
+		r.Events = append(r.Events, EventMark{v.At.D(), strings.TrimSpace(v.Action + " " + v.Zone)})
 	}
 	return r
 }
@@ -106,8 +106,8 @@
 // add takes one run.
 func (r *Report) add(c *collector, seed uint64) {
 	r.Seeds++
-	r.Twice, r.Lost, r.AfterDrain, r.Steps = r.Twice+c.twice, r.Lost+c.lost, r.AfterDrain+c.afterDrain, r.Steps+c.steps
-	r.Back = max(r.Back, c.back)
+	r.DuplicateEffects, r.Lost, r.SentAfterDrain, r.SimulationSteps = r.DuplicateEffects+c.duplicateEffects, r.Lost+c.lost, r.SentAfterDrain+c.sentAfterDrain, r.SimulationSteps+c.steps
+	r.RestartTime = max(r.RestartTime, c.restartTime)
 	var all Outcome
 	for i := range c.phases {
 		p, n := &c.phases[i], &r.Phases[i]
@@ -116,40 +116,40 @@
 		}
 		n.All.merge(&p.All)
 		all.merge(&p.All)
-		n.servers(p)
+		n.addServerCounts(p)
 	}
 	for i := range c.series {
 		r.Series[i].merge(&c.series[i])
 	}
-	all.finish()
-	r.Runs = append(r.Runs, Run{Seed: seed, Asked: all.Asked, Goodput: float64(all.InTime) / r.Length.Seconds(), InTime: all.part(all.InTime),
-		Refused: all.part(all.Refused + all.Failed + all.Lost), P50: all.P50, P99: all.P99})
+	all.computePercentiles()
+	r.Runs = append(r.Runs, Run{Seed: seed, Requests: all.Requests, Goodput: float64(all.InTime) / r.Length.Seconds(), InTime: all.fraction(all.InTime),
+		Rejected: all.fraction(all.Rejected + all.Failed + all.Lost), P50: all.P50, P99: all.P99})
 }
 
 func (r *Report) finish(e *Experiment) {
 	for i := range r.Phases {
 		p := &r.Phases[i]
-		p.All.finish()
+		p.All.computePercentiles()
 		for j := range p.Classes {
-			p.Classes[j].finish()
+			p.Classes[j].computePercentiles()
 		}
 	}
 	for i := range r.Series {
 		p := &r.Series[i]
-		p.P50, p.P99 = quantile(p.took, 0.5), quantile(p.took, 0.99)
+		p.P50, p.P99 = quantile(p.latencies, 0.5), quantile(p.latencies, 0.99)
 	}
-	if r.AfterDrain > 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d attempts were sent to servers more than a second after they began to drain", r.AfterDrain))
+	if r.SentAfterDrain > 0 {
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d attempts were sent to servers more than a second after they began to drain", r.SentAfterDrain))
 	}
-	if r.Twice > 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d effects were taken twice", r.Twice))
+	if r.DuplicateEffects > 0 {
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d effects were taken twice", r.DuplicateEffects))
 	}
 	if r.Lost > 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d requests have no answer, or two", r.Lost))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d requests have no answer, or two", r.Lost))
 	}
 	for i, c := range e.Checks {
-		if c.Back > 0 && r.Back > c.Back.D() {
-			r.Broken = append(r.Broken, fmt.Sprintf("checks[%d]: a gateway was ready %v after its start, want %v at most", i, r.Back, c.Back.D()))
+		if c.MaxRestartTime > 0 && r.RestartTime > c.MaxRestartTime.D() {
+			r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("checks[%d]: a gateway was ready %v after its start, want %v at most", i, r.RestartTime, c.MaxRestartTime.D()))
 		}
 		for j := range r.Phases {
 			if c.Phase == nil || *c.Phase == j {
@@ -167,29 +167,29 @@
 		of = c.Class
 	}
 	bad := func(text string, args ...any) {
-		r.Broken = append(r.Broken, fmt.Sprintf("checks[%d], phase %d, %s: %s", n, phase, of, fmt.Sprintf(text, args...)))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("checks[%d], phase %d, %s: %s", n, phase, of, fmt.Sprintf(text, args...)))
 	}
-	if o.Asked == 0 {
+	if o.Requests == 0 {
 		bad("nothing was asked")
 		return
 	}
-	if v := o.part(o.InTime); c.InTime != nil && v < *c.InTime {
-		bad("%.4f in time, want %v at least", v, *c.InTime)
+	if v := o.fraction(o.InTime); c.MinInTime != nil && v < *c.MinInTime {
+		bad("%.4f in time, want %v at least", v, *c.MinInTime)
 	}
-	if v := o.part(o.Refused + o.Failed + o.Lost); c.Refused != nil && v > *c.Refused {
-		bad("%.4f refused or failed, want %v at most", v, *c.Refused)
+	if v := o.fraction(o.Rejected + o.Failed + o.Lost); c.MaxRejected != nil && v > *c.MaxRejected {
+		bad("%.4f refused or failed, want %v at most", v, *c.MaxRejected)
 	}
-	if v := o.part(o.Late); c.Late != nil && v > *c.Late {
-		bad("%.4f late, want %v at most", v, *c.Late)
+	if v := o.fraction(o.Late); c.MaxLate != nil && v > *c.MaxLate {
+		bad("%.4f late, want %v at most", v, *c.MaxLate)
 	}
-	if c.P99 > 0 && o.P99 > c.P99.D() {
-		bad("p99 %v, want %v at most", o.P99, c.P99.D())
+	if c.MaxP99 > 0 && o.P99 > c.MaxP99.D() {
+		bad("p99 %v, want %v at most", o.P99, c.MaxP99.D())
 	}
-	if v := float64(p.Connects) / float64(max(p.Sends, 1)); c.Connects > 0 && v > c.Connects {
-		bad("%.3f new connections an attempt, want %v at most", v, c.Connects)
+	if v := float64(p.NewConnections) / float64(max(p.Attempts, 1)); c.MaxConnectRatio > 0 && v > c.MaxConnectRatio {
+		bad("%.3f new connections an attempt, want %v at most", v, c.MaxConnectRatio)
 	}
-	if c.WorstCold > 0 && p.WorstCold > c.WorstCold {
-		bad("a cold server got %.2f times what it can do, want %v at most", p.WorstCold, c.WorstCold)
+	if c.MaxWarmingLoad > 0 && p.MaxWarmingLoad > c.MaxWarmingLoad {
+		bad("a cold server got %.2f times what it can do, want %v at most", p.MaxWarmingLoad, c.MaxWarmingLoad)
 	}
 }
 
@@ -212,7 +212,7 @@
 	if err := d.Decode(r); err != nil {
 		return nil, fmt.Errorf("%s: not a report of lab run --json: %w", path, err)
 	}
-	if r.Length <= 0 || r.Width <= 0 || len(r.Series) == 0 || len(r.Runs) == 0 {
+	if r.Length <= 0 || r.SeriesInterval <= 0 || len(r.Series) == 0 || len(r.Runs) == 0 {
 		return nil, fmt.Errorf("%s: not a report of lab run --json: it holds no run", path)
 	}
 	return r, nil
@@ -229,13 +229,13 @@
 	_ = w.Write(head) // Flush's error is that of all
 	for i := range r.Series {
 		p := &r.Series[i]
-		l := []string{fmt.Sprint(p.From.Seconds())}
-		for _, n := range []int{p.InTime, p.Late, p.Refused, p.Failed} {
+		l := []string{fmt.Sprint(p.Start.Seconds())}
+		for _, n := range []int{p.InTime, p.Late, p.Rejected, p.Failed} {
 			l = append(l, strconv.Itoa(n))
 		}
 		l = append(l, fmt.Sprint(p.P50.Seconds()*1000), fmt.Sprint(p.P99.Seconds()*1000))
 		for _, id := range servers {
-			l = append(l, strconv.Itoa(p.Sends[id]))
+			l = append(l, strconv.Itoa(p.Attempts[id]))
 		}
 		_ = w.Write(l)
 	}
@@ -253,31 +253,31 @@
 	fmt.Fprintln(t, "PHASE\tCLASS\tASKED\tIN TIME\tLATE\tREFUSED\tFAILED\tP50\tP99\tP99.9\tCROSSED\tMOST AT A SERVER\tWORST COLD")
 	for _, p := range r.Phases {
 		row := func(o *Outcome, name, rest string) {
-			pc := func(n int) string { return fmt.Sprintf("%.1f%%", 100*o.part(n)) }
+			pc := func(n int) string { return fmt.Sprintf("%.1f%%", 100*o.fraction(n)) }
 			ms := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
-			fmt.Fprintf(t, "%v to %v\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.From, p.To, name, o.Asked, pc(o.InTime), pc(o.Late), pc(o.Refused), pc(o.Failed+o.Lost),
+			fmt.Fprintf(t, "%v to %v\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.From, p.To, name, o.Requests, pc(o.InTime), pc(o.Late), pc(o.Rejected), pc(o.Failed+o.Lost),
 				ms(o.P50), ms(o.P99), ms(o.P999), rest)
 		}
 		for i := range p.Classes {
 			row(&p.Classes[i], p.Classes[i].Class, "\t\t")
 		}
-		row(&p.All, "all", fmt.Sprintf("%.0f%%\t%d\t%.2f", 100*float64(p.Crossed)/float64(max(p.Sends, 1)), p.Queue, p.WorstCold))
+		row(&p.All, "all", fmt.Sprintf("%.0f%%\t%d\t%.2f", 100*float64(p.CrossZoneAttempts)/float64(max(p.Attempts, 1)), p.MaxServerRequests, p.MaxWarmingLoad))
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("writing the report: %w", err)
 	}
-	fmt.Fprintf(out, "effects taken twice %d, requests lost %d, sent after a drain %d; the busiest server got %.1f%% of the attempts\n", r.Twice, r.Lost, r.AfterDrain,
+	fmt.Fprintf(out, "effects taken twice %d, requests lost %d, sent after a drain %d; the busiest server got %.1f%% of the attempts\n", r.DuplicateEffects, r.Lost, r.SentAfterDrain,
 		100*r.busiest())
 	if r.Generator != nil {
 		fmt.Fprintln(out, r.Generator)
 	}
-	if r.Ended != "" {
-		fmt.Fprintln(out, "ended early:", r.Ended)
+	if r.EndedEarly != "" {
+		fmt.Fprintln(out, "ended early:", r.EndedEarly)
 	}
-	for _, b := range r.Broken {
+	for _, b := range r.FailedChecks {
 		fmt.Fprintln(out, "does not hold:", b)
 	}
-	if len(r.Broken) == 0 {
+	if len(r.FailedChecks) == 0 {
 		fmt.Fprintln(out, "all checks hold")
 	}
 	return nil
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -18,63 +18,63 @@
 type Rollout struct {
 	Gateways, Sites, Zones int // zones of each site
 	Rate                   float64
-	// Fails is the part of the requests that the new version fails, Slow what it takes longer, as a part; both 0: it is good.
-	Fails, Slow float64
-	// Deaths is the part of the gateways that die by themselves in an hour, each for Down; Crash has the new version end after so long.
-	Deaths float64
-	Down   time.Duration
-	Crash  time.Duration
-	// Restart is how long a gateway takes from its end to serving, Drain until it has nothing in hand.
-	Restart, Drain time.Duration
-	Part           float64 // of each site's gateways that may be out
-	Soak           time.Duration
-	Mode           string // release, loop or at-once
-	// Alarm is the share of failed requests over a minute at which whoever looks at a loop stops it and goes back.
-	Alarm       float64
-	Beat        time.Duration
-	MaxDuration time.Duration // then it is given up
-	Seed        uint64
+	// FailureRate is the part of the requests that the new version fails, Slow what it takes longer, as a part; both 0: it is good.
+	FailureRate, Slowdown float64
+	// UnplannedFailures is the part of the gateways that die by themselves in an hour, each for Down; Crash has the new version end after so long.
+	UnplannedFailures float64
+	FailureDowntime   time.Duration
+	CrashAfter        time.Duration
+	// RestartTime is how long a gateway takes from its end to serving, Drain until it has nothing in hand.
+	RestartTime, DrainTime time.Duration
+	MaxUnavailable         float64 // of each site's gateways that may be out
+	SoakTime               time.Duration
+	Mode                   string // release, loop or at-once
+	// AlarmFailureRate is the share of failed requests over a minute at which whoever looks at a loop stops it and goes back.
+	AlarmFailureRate float64
+	Interval         time.Duration
+	MaxDuration      time.Duration // then it is given up
+	Seed             uint64
 }
 
-// Fill sets what was left out.
-func (r *Rollout) Fill() {
+// SetDefaults sets what was left out.
+func (r *Rollout) SetDefaults() {
 	r.Gateways, r.Sites, r.Zones = cmp.Or(r.Gateways, 200), cmp.Or(r.Sites, 2), cmp.Or(r.Zones, 3)
-	r.Rate, r.Down, r.Restart, r.Drain = cmp.Or(r.Rate, 2300), cmp.Or(r.Down, time.Minute), cmp.Or(r.Restart, 2*time.Second), cmp.Or(r.Drain, 2*time.Second)
-	r.Part, r.Soak, r.Mode, r.Alarm = cmp.Or(r.Part, 0.1), cmp.Or(r.Soak, 30*time.Second), cmp.Or(r.Mode, "release"), cmp.Or(r.Alarm, 0.01)
-	r.Beat, r.MaxDuration = cmp.Or(r.Beat, 500*time.Millisecond), cmp.Or(r.MaxDuration, 6*time.Hour)
+	r.Rate, r.FailureDowntime, r.RestartTime, r.DrainTime = cmp.Or(r.Rate, 2300), cmp.Or(r.FailureDowntime, time.Minute), cmp.Or(r.RestartTime, 2*time.Second), cmp.Or(r.DrainTime, 2*time.Second)
+	r.MaxUnavailable, r.SoakTime, r.Mode, r.AlarmFailureRate = cmp.Or(r.MaxUnavailable, 0.1), cmp.Or(r.SoakTime, 30*time.Second), cmp.Or(r.Mode, "release"), cmp.Or(r.AlarmFailureRate, 0.01)
+	r.Interval, r.MaxDuration = cmp.Or(r.Interval, 500*time.Millisecond), cmp.Or(r.MaxDuration, 6*time.Hour)
 }
 
 // RolloutResult is what came of one.
 type RolloutResult struct {
-	Seed     uint64        `json:"seed"`
-	State    string        `json:"state"` // done, back, halted, or that it never ended
-	Why      string        `json:"why,omitempty"`
-	Took     time.Duration `json:"took"`
-	Halt     time.Duration `json:"halt"` // from the first gateway with it until it went no further; 0: it did not stop
-	Requests int           `json:"requests"`
-	Harmed   int           `json:"harmed"`   // failed by the new version, or lost with a gateway that crashed by it
-	Had      int           `json:"had"`      // the most gateways that had it at once
-	Planned  int           `json:"planned"`  // the most of a site that were out by plan at once
-	Missing  int           `json:"missing"`  // with those that died by themselves
-	Over     int           `json:"over"`     // moments at which a slot was granted beyond the budget
-	Deaths   int           `json:"deaths"`   // by themselves
-	Bound    int           `json:"bound"`    // of a site's gateways that may be out
-	Restarts int           `json:"restarts"` // by plan
+	Seed                  uint64        `json:"seed"`
+	State                 string        `json:"state"` // done, back, halted, or that it never ended
+	Reason                string        `json:"why,omitempty"`
+	Duration              time.Duration `json:"took"`
+	TimeToHalt            time.Duration `json:"halt"` // from the first gateway with it until it went no further; 0: it did not stop
+	Requests              int           `json:"requests"`
+	HarmedRequests        int           `json:"harmed"`   // failed by the new version, or lost with a gateway that crashed by it
+	MaxUpdated            int           `json:"had"`      // the most gateways that had it at once
+	MaxPlannedUnavailable int           `json:"planned"`  // the most of a site that were out by plan at once
+	MaxUnavailable        int           `json:"missing"`  // with those that died by themselves
+	BudgetViolations      int           `json:"over"`     // moments at which a slot was granted beyond the budget
+	UnplannedFailures     int           `json:"deaths"`   // by themselves
+	UnavailableLimit      int           `json:"bound"`    // of a site's gateways that may be out
+	PlannedRestarts       int           `json:"restarts"` // by plan
 }
 
 type rolloutGateway struct {
 	release.Gateway
-	next  string        // it starts as
-	back  time.Duration // when it serves again; 0: it does
-	born  time.Duration
-	plan  bool // out by plan
-	since time.Duration
+	nextVersion   string        // it starts as
+	recoversAt    time.Duration // when it serves again; 0: it does
+	startedAt     time.Duration
+	planned       bool // out by plan
+	drainingSince time.Duration
 }
 
 // Run plays it.
 func (r Rollout) Run() (RolloutResult, error) {
-	r.Fill()
-	if r.Gateways < 1 || r.Gateways > 4096 || r.Sites < 1 || r.Zones < 1 || r.Beat <= 0 {
+	r.SetDefaults()
+	if r.Gateways < 1 || r.Gateways > 4096 || r.Sites < 1 || r.Zones < 1 || r.Interval <= 0 {
 		return RolloutResult{}, errors.New("want 1 to 4096 gateways, sites and zones")
 	}
 	rng := rand.New(rand.NewPCG(r.Seed, 0x3011))
@@ -85,7 +85,7 @@
 			Incarnation: 1, Responding: true, Serving: true, Version: "old", Figures: release.Figures{Memory: 64 << 20}}})
 	}
 	books, rel := drain.NewLedger(), release.NewLedger()
-	if err := books.SetBudgets(0, []drain.Budget{{Name: "site", Scope: drain.Scope{Gateways: true, EachSite: true}, Fraction: r.Part}}); err != nil {
+	if err := books.SetBudgets(0, []drain.Budget{{Name: "site", Scope: drain.Scope{Gateways: true, EachSite: true}, Fraction: r.MaxUnavailable}}); err != nil {
 		return res, err
 	}
 	bounds := map[string]int{}
@@ -93,24 +93,24 @@
 		bounds[g.Site]++
 	}
 	for site, n := range bounds {
-		bounds[site] = max(int(r.Part*float64(n)), min(n-1, 1))
-		res.Bound = max(res.Bound, bounds[site])
+		bounds[site] = max(int(r.MaxUnavailable*float64(n)), min(n-1, 1))
+		res.UnavailableLimit = max(res.UnavailableLimit, bounds[site])
 	}
 	var first, stopped time.Duration
 	var window []([2]float64) // requests and failures of the last minute, by beat
 	loop, turn, backwards := 0, time.Duration(0), false
 	begun := false
-	for now := r.Beat; now < r.MaxDuration; now += r.Beat {
+	for now := r.Interval; now < r.MaxDuration; now += r.Interval {
 		// What happens by itself.
 		serving := 0
 		for _, g := range all {
-			if g.back > 0 && now >= g.back {
-				g.back = 0
-				if g.Responding, g.born = true, now; r.Mode != "release" { // else the order has it serve
-					g.plan = false
+			if g.recoversAt > 0 && now >= g.recoversAt {
+				g.recoversAt = 0
+				if g.Responding, g.startedAt = true, now; r.Mode != "release" { // else the order has it serve
+					g.planned = false
 				}
-				g.Serving = !g.plan
-				g.Version, g.next = cmp.Or(g.next, g.Version), ""
+				g.Serving = !g.planned
+				g.Version, g.nextVersion = cmp.Or(g.nextVersion, g.Version), ""
 				g.Incarnation++
 				g.Figures = release.Figures{Memory: 64 << 20}
 			}
@@ -118,12 +118,12 @@
 				continue
 			}
 			switch {
-			case rng.Float64() < r.Deaths*r.Beat.Hours():
-				res.Deaths++
-				g.die(now + r.Down)
-			case r.Crash > 0 && g.Version == "new" && now-g.born >= r.Crash:
-				res.Harmed++ // what it had in hand
-				g.die(now + r.Restart)
+			case rng.Float64() < r.UnplannedFailures*r.Interval.Hours():
+				res.UnplannedFailures++
+				g.crash(now + r.FailureDowntime)
+			case r.CrashAfter > 0 && g.Version == "new" && now-g.startedAt >= r.CrashAfter:
+				res.HarmedRequests++ // what it had in hand
+				g.crash(now + r.RestartTime)
 			}
 			if g.Serving {
 				serving++
@@ -135,18 +135,18 @@
 			if !g.Serving || serving == 0 {
 				continue
 			}
-			n := poisson(rng, r.Rate/float64(serving)*r.Beat.Seconds())
+			n := poisson(rng, r.Rate/float64(serving)*r.Interval.Seconds())
 			bad, took := 0, 10*time.Millisecond
 			if g.Version == "new" {
-				bad, took = poisson(rng, r.Fails*float64(n)), time.Duration(float64(took)*(1+r.Slow))
+				bad, took = poisson(rng, r.FailureRate*float64(n)), time.Duration(float64(took)*(1+r.Slowdown))
 				bad = min(bad, n)
-				res.Harmed += bad
+				res.HarmedRequests += bad
 			}
-			g.serve(n, bad, took)
+			g.recordRequests(n, bad, took)
 			asked, failed = asked+float64(n), failed+float64(bad)
 		}
 		res.Requests += int(asked)
-		if window = append(window, [2]float64{asked, failed}); len(window) > int(time.Minute/r.Beat) {
+		if window = append(window, [2]float64{asked, failed}); len(window) > int(time.Minute/r.Interval) {
 			window = window[1:]
 		}
 		had, planned, missing := 0, map[string]int{}, map[string]int{}
@@ -154,46 +154,46 @@
 			if g.Version == "new" && g.Responding {
 				had++
 			}
-			if g.plan {
+			if g.planned {
 				planned[g.Site]++
 			}
 			if !g.Serving {
 				missing[g.Site]++
 			}
 		}
-		if res.Had = max(res.Had, had); had > 0 && first == 0 {
+		if res.MaxUpdated = max(res.MaxUpdated, had); had > 0 && first == 0 {
 			first = now
 		}
 		for site, n := range planned {
-			res.Planned = max(res.Planned, n)
+			res.MaxPlannedUnavailable = max(res.MaxPlannedUnavailable, n)
 			if n > bounds[site] {
-				res.Over++
+				res.BudgetViolations++
 			}
 		}
 		for _, n := range missing {
-			res.Missing = max(res.Missing, n)
+			res.MaxUnavailable = max(res.MaxUnavailable, n)
 		}
 		if now < 10*time.Second { // what was before
-			r.round(now, all, books, rel, &res)
+			r.reconcile(now, all, books, rel, &res)
 			continue
 		}
 		if r.Mode == "release" {
 			if !begun {
 				begun = true
-				if err := rel.Start(now, release.Plan{ID: "r", Target: "new", OfProgram: true, Soak: r.Soak, RollBackOnFailure: true, Grace: time.Minute, Notice: r.Drain}); err != nil {
+				if err := rel.Start(now, release.Plan{ID: "r", Target: "new", OfProgram: true, Soak: r.SoakTime, RollBackOnFailure: true, Grace: time.Minute, Notice: r.DrainTime}); err != nil {
 					return res, err
 				}
 			}
-			r.round(now, all, books, rel, &res)
+			r.reconcile(now, all, books, rel, &res)
 			if c := rel.Current; c != nil && c.State != release.Running && stopped == 0 {
 				stopped = now
 			}
 			if c := rel.Current; c == nil || c.State == release.Halted {
-				res.Took = now - 10*time.Second
+				res.Duration = now - 10*time.Second
 				if c == nil {
 					c = &rel.Ended[len(rel.Ended)-1]
 				}
-				res.State, res.Why = string(c.State), c.StateReason
+				res.State, res.Reason = string(c.State), c.StateReason
 				break
 			}
 			continue
@@ -203,9 +203,9 @@
 		for _, w := range window {
 			a, f = a+w[0], f+w[1]
 		}
-		if !backwards && a > 0 && f/a > r.Alarm {
+		if !backwards && a > 0 && f/a > r.AlarmFailureRate {
 			backwards, loop, stopped = true, 0, now
-			res.Why = fmt.Sprintf("%.1f%% of all requests failed in a minute", 100*f/a)
+			res.Reason = fmt.Sprintf("%.1f%% of all requests failed in a minute", 100*f/a)
 		}
 		to := "new"
 		if backwards {
@@ -215,26 +215,26 @@
 			g := all[loop]
 			loop++
 			if g.Version != to && g.Responding {
-				g.leave(now, to, r.Drain, r.Restart)
-				res.Restarts++
-				turn = now + r.Drain + r.Restart + 2*time.Second
+				g.restart(now, to, r.DrainTime, r.RestartTime)
+				res.PlannedRestarts++
+				turn = now + r.DrainTime + r.RestartTime + 2*time.Second
 			}
 		}
-		if loop == len(all) && !slices.ContainsFunc(all, func(g *rolloutGateway) bool { return g.plan }) && (backwards || had == len(all) || now > 2*time.Hour) &&
+		if loop == len(all) && !slices.ContainsFunc(all, func(g *rolloutGateway) bool { return g.planned }) && (backwards || had == len(all) || now > 2*time.Hour) &&
 			(backwards || now > turn+2*time.Minute) {
-			res.Took = now - 10*time.Second
+			res.Duration = now - 10*time.Second
 			res.State = map[bool]string{false: "done", true: "back"}[backwards]
 			break
 		}
 	}
 	if stopped > 0 && first > 0 {
-		res.Halt = max(stopped-first, 0)
+		res.TimeToHalt = max(stopped-first, 0)
 	}
 	return res, nil
 }
 
-// round is the leader's: what is seen is agreed, what is granted begins, who has nothing in hand starts anew.
-func (r *Rollout) round(now time.Duration, all []*rolloutGateway, books *drain.Ledger, rel *release.Ledger, res *RolloutResult) {
+// reconcile is the leader's: what is seen is agreed, what is granted begins, who has nothing in hand starts anew.
+func (r *Rollout) reconcile(now time.Duration, all []*rolloutGateway, books *drain.Ledger, rel *release.Ledger, res *RolloutResult) {
 	var seen []drain.Gateway
 	var stands []release.Gateway
 	for _, g := range all {
@@ -260,29 +260,29 @@
 		switch {
 		case o.State == drain.Granted:
 			if _, err := books.Begin(now, o.ID, o.Token); err == nil && g.Responding {
-				g.Serving, g.plan, g.since = false, true, now
+				g.Serving, g.planned, g.drainingSince = false, true, now
 			}
-		case o.State.Unavailable() && g.Responding && g.plan && now-g.since >= r.Drain:
+		case o.State.Unavailable() && g.Responding && g.planned && now-g.drainingSince >= r.DrainTime:
 			_, _ = books.Progress(now, o.ID, o.Token, 0)
 			if g.Version != o.Restart {
-				g.leave(now, o.Restart, 0, r.Restart)
-				res.Restarts++
+				g.restart(now, o.Restart, 0, r.RestartTime)
+				res.PlannedRestarts++
 			}
-		case o.State == drain.Cancelled && g.Responding && g.back == 0 && !g.Serving: // taken back before it left
-			g.Serving, g.plan = true, false
+		case o.State == drain.Cancelled && g.Responding && g.recoversAt == 0 && !g.Serving: // taken back before it left
+			g.Serving, g.planned = true, false
 		}
 	}
 }
 
-func (g *rolloutGateway) die(back time.Duration) {
-	g.Responding, g.Serving, g.back = false, false, back
+func (g *rolloutGateway) crash(back time.Duration) {
+	g.Responding, g.Serving, g.recoversAt = false, false, back
 }
 
-func (g *rolloutGateway) leave(now time.Duration, to string, drain, restart time.Duration) {
-	g.Responding, g.Serving, g.plan, g.next, g.back = false, false, true, to, now+drain+restart
+func (g *rolloutGateway) restart(now time.Duration, to string, drain, restart time.Duration) {
+	g.Responding, g.Serving, g.planned, g.nextVersion, g.recoversAt = false, false, true, to, now+drain+restart
 }
 
-func (g *rolloutGateway) serve(n, bad int, took time.Duration) {
+func (g *rolloutGateway) recordRequests(n, bad int, took time.Duration) {
 	f := g.Figures
 	good := uint64(n - bad)
 	f.Accepted, f.Failed, f.Served, f.LatencySeconds = f.Accepted+uint64(n), f.Failed+uint64(bad), f.Served+good, f.LatencySeconds+took.Seconds()*float64(good)
--- a/internal/experiment/rollout_test.go
+++ b/internal/experiment/rollout_test.go
@@ -10,27 +10,27 @@
 func TestRollout(t *testing.T) {
 	for i, deaths := range []float64{0.05, 0.3} {
 		seed := uint64(i)
-		good, err := Rollout{Deaths: deaths, Seed: seed}.Run()
+		good, err := Rollout{UnplannedFailures: deaths, Seed: seed}.Run()
 		if err != nil {
 			t.Fatal(err)
 		}
 		// At 0.3 a wave of a hundred loses one now and then: going back is right as well.
-		if good.Over > 0 || good.Planned > good.Bound || good.Harmed > 0 || good.State != "done" && (deaths < 0.3 || good.State != "back") {
+		if good.BudgetViolations > 0 || good.MaxPlannedUnavailable > good.UnavailableLimit || good.HarmedRequests > 0 || good.State != "done" && (deaths < 0.3 || good.State != "back") {
 			t.Errorf("deaths %v: %+v", deaths, good)
 		}
-		for what, r := range map[string]Rollout{"fails": {Fails: 0.05}, "slow": {Slow: 3}, "crash": {Crash: 20 * time.Second}} {
-			r.Deaths, r.Seed = deaths, seed
+		for what, r := range map[string]Rollout{"fails": {FailureRate: 0.05}, "slow": {Slowdown: 3}, "crash": {CrashAfter: 20 * time.Second}} {
+			r.UnplannedFailures, r.Seed = deaths, seed
 			bad, err := r.Run()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if bad.Over > 0 || bad.Had > 2 || bad.State != "back" || bad.Halt == 0 {
+			if bad.BudgetViolations > 0 || bad.MaxUpdated > 2 || bad.State != "back" || bad.TimeToHalt == 0 {
 				t.Errorf("%s, deaths %v: %+v", what, deaths, bad)
 			}
 		}
 	}
-	once, err := Rollout{Mode: "at-once", Fails: 0.05}.Run()
-	if err != nil || once.Over == 0 || once.Had != 200 {
+	once, err := Rollout{Mode: "at-once", FailureRate: 0.05}.Run()
+	if err != nil || once.BudgetViolations == 0 || once.MaxUpdated != 200 {
 		t.Errorf("all at once: %+v, %v", once, err)
 	}
 	if _, err := (Rollout{Gateways: 5000}).Run(); err == nil {
