--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -12,10 +12,10 @@
 // The words of the file, and what they are in the simulation.
 var (
 	zoneModes        = []string{"tiers", "price", "failover"}
-	admissions       = []string{"adaptive", "fixed", "off", "estimate"}
+	admissionModes   = []string{"adaptive", "fixed", "off", "estimate"}
 	clientRetryModes = []string{"gives_up", "at_once", "heeds"}
-	deeds            = []string{"kill", "revive", "slow", "drain", "undrain", "flap", "push", "away", "back", "restart"}
-	hows             = map[string]fleet.ServerState{"refuses": fleet.RefusesConnections, "silent": fleet.NeverResponds, "says_503": fleet.Responds503, "resets": fleet.ResetsAfterRequest, "loses": fleet.LosesResponses}
+	eventActions     = []string{"kill", "revive", "slow", "drain", "undrain", "flap", "push", "away", "back", "restart"}
+	failureModes     = map[string]fleet.ServerState{"refuses": fleet.RefusesConnections, "silent": fleet.NeverResponds, "says_503": fleet.Responds503, "resets": fleet.ResetsAfterRequest, "loses": fleet.LosesResponses}
 )
 
 func index(l []string, v string) int {
@@ -27,28 +27,28 @@
 	return 0
 }
 
-// options words the experiment for the simulation.
-func (e *Experiment) options(seed uint64) fleet.Options {
+// simulationOptions words the experiment for the simulation.
+func (e *Experiment) simulationOptions(seed uint64) fleet.Options {
 	f, g := &e.Fleet, &e.Gateways
 	a := e.arrivals(seed)
-	o := fleet.Options{Mode: fleet.Mode(index(zoneModes, g.Zones)), Seed: seed, Zones: f.Zones, Gateways: g.Number, Clients: e.Load.Clients, ThinkTime: e.Load.Think.D(),
+	o := fleet.Options{Mode: fleet.Mode(index(zoneModes, g.ZoneMode)), Seed: seed, Zones: f.Zones, Gateways: g.Count, Clients: e.Load.Clients, ThinkTime: e.Load.ThinkTime.D(),
 		Arrivals: func() (fleet.Arrival, bool) {
 			x, ok := a.take()
 			return fleet.Arrival{At: x.at, Class: x.class, Gateway: x.gateway, Tenant: x.key}, ok
 		},
 		Link:     fleet.Link{Delay: f.Link.Delay.D(), Jitter: f.Link.Jitter.D(), Loss: f.Link.Loss},
-		Duration: e.Length.D(), Workers: f.Workers, ServiceTime: f.Service.D(), QueueSize: f.Queue, WarmUp: f.WarmUp.D(), InitialSpeed: f.Share, OverloadMultiple: f.Fall,
-		CrossZoneDelay: f.Cross.D(), ConnectTime: f.Connect.D(), Source: fleet.Source{Slots: g.Source.Places, CallTime: g.Source.Takes.D(), MaxWait: g.Source.Patience.D()}, ClientRetry: fleet.ClientRetry(index(clientRetryModes, e.Load.Again))}
+		Duration: e.Length.D(), Workers: f.Workers, ServiceTime: f.MeanServiceTime.D(), QueueSize: f.QueueLimit, WarmUp: f.WarmUp.D(), InitialSpeed: f.InitialSpeed, OverloadMultiple: f.CollapseLoad,
+		CrossZoneDelay: f.CrossZoneRTT.D(), ConnectTime: f.ConnectCost.D(), Source: fleet.Source{Slots: g.Source.Concurrency, CallTime: g.Source.ResponseTime.D(), MaxWait: g.Source.QueueTimeout.D()}, ClientRetry: fleet.ClientRetry(index(clientRetryModes, e.Load.RetryMode))}
 	for _, g := range f.Groups {
-		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, QueueSize: g.Queue, Speed: g.at})
+		o.Groups = append(o.Groups, fleet.Group{Zone: g.Zone, Servers: g.Servers, Workers: g.Workers, QueueSize: g.QueueLimit, Speed: g.speedAt})
 	}
 	for _, c := range e.Classes {
-		o.Classes = append(o.Classes, fleet.Class{Fraction: c.Part, DrawServiceTime: c.draw, ResponseTime: f.Link.takes(c.Answer), Class: balancer.Class{Name: c.Name, LatencyObjective: c.Wanted.D(), Deadline: c.Deadline.D(), PriorityWeight: c.Worth,
+		o.Classes = append(o.Classes, fleet.Class{Fraction: c.LoadShare, DrawServiceTime: c.draw, ResponseTime: f.Link.transferTime(c.ResponseSize), Class: balancer.Class{Name: c.Name, LatencyObjective: c.LatencyObjective.D(), Deadline: c.Deadline.D(), PriorityWeight: c.PriorityWeight,
 			Effect: balancer.Effect(c.Effect), Group: balancer.Group(c.Group), Window: c.Window.D()}})
 	}
 	if g.Admission != "estimate" {
 		mode := map[string]admission.Mode{"adaptive": admission.Adaptive, "fixed": admission.Fixed, "off": admission.Off}[g.Admission]
-		o.Admission = fleet.NewAdmission(o, admission.Options{Mode: mode, Limit: g.Limit})
+		o.Admission = fleet.NewAdmission(o, admission.Options{Mode: mode, Limit: g.AdmissionLimit})
 		o.Zone.OwnFree = mode != admission.Off
 	}
 	for _, p := range e.Phases {
@@ -56,23 +56,23 @@
 	}
 	for _, v := range e.timeline() {
 		o.Events = append(o.Events, fleet.Event{At: v.At.D(), Do: func(f *fleet.Fleet) {
-			switch v.Do {
+			switch v.Action {
 			case "kill":
-				f.FailServers(v.Zone, hows[v.How], v.Part)
+				f.FailServers(v.Zone, failureModes[v.FailureMode], v.Fraction)
 			case "revive":
-				f.RestartServers(v.Zone, v.Renamed)
-				f.PublishEndpoints(v.Late.D())
+				f.RestartServers(v.Zone, v.RenamedServers)
+				f.PublishEndpoints(v.NotifyDelay.D())
 			case "slow":
-				f.SlowDown(v.Zone, v.By)
+				f.SlowDown(v.Zone, v.SlowdownFactor)
 			case "drain", "undrain":
-				f.SetDraining(v.Zone, v.Part, v.Do == "drain")
-				f.PublishEndpoints(v.Late.D())
+				f.SetDraining(v.Zone, v.Fraction, v.Action == "drain")
+				f.PublishEndpoints(v.NotifyDelay.D())
 			case "push":
 				f.PublishEndpoints(0)
 			case "away", "back":
-				f.SetControlPlaneDown(v.Do == "away")
+				f.SetControlPlaneDown(v.Action == "away")
 			case "restart":
-				f.RestartGateways(v.Part, v.Down.D())
+				f.RestartGateways(v.Fraction, v.Downtime.D())
 			}
 		}})
 	}
@@ -87,32 +87,32 @@
 	r := newReport(e, "simulated")
 	for i := range seeds {
 		seed := uint64(e.Seed + i)
-		o, c := e.options(seed), newCollector(e)
+		o, c := e.simulationOptions(seed), newCollector(e)
 		o.Observer = fleet.Observer{
-			AttemptSent: func(at time.Duration, _, server string) { c.sent(at, server) },
+			AttemptSent: func(at time.Duration, _, server string) { c.recordAttempt(at, server) },
 			ResponseReceived: func(a fleet.Response) {
-				out := refused
+				out := rejected
 				switch {
 				case a.InTime:
 					out = inTime
 				case a.Late:
-					out = late
+					out = servedLate
 				case a.Failed:
 					out = failed
 				}
-				c.answered(a.At, a.Took, a.Class, out)
+				c.recordOutcome(a.At, a.Took, a.Class, out)
 			}}
 		res, err := fleet.Run(o)
 		if err != nil {
 			return nil, fmt.Errorf("%s with seed %d: %w", e.Name, seed, err)
 		}
-		c.back = res.MaxTimeToReady
-		c.twice, c.afterDrain, c.steps = res.DuplicateEffects, res.AttemptsAfterDrain, res.Events
-		if c.lost = res.Lost; res.Lost == 0 && c.asked != asked(res) {
-			return nil, fmt.Errorf("%s with seed %d: %d answers were seen and %d were counted", e.Name, seed, c.asked, asked(res))
+		c.restartTime = res.MaxTimeToReady
+		c.duplicateEffects, c.sentAfterDrain, c.steps = res.DuplicateEffects, res.AttemptsAfterDrain, res.Events
+		if c.lost = res.Lost; res.Lost == 0 && c.requests != countRequests(res) {
+			return nil, fmt.Errorf("%s with seed %d: %d answers were seen and %d were counted", e.Name, seed, c.requests, countRequests(res))
 		}
 		for j, p := range res.Phases {
-			c.phases[j].servers(&Phase{Crossed: p.CrossZone, Sends: p.Attempts, Connects: p.NewConnections, Fallen: p.Overloads, WorstCold: p.MaxColdLoad, Queue: p.MaxQueue})
+			c.phases[j].addServerCounts(&Phase{CrossZoneAttempts: p.CrossZone, Attempts: p.Attempts, NewConnections: p.NewConnections, CollapsedServers: p.Overloads, MaxWarmingLoad: p.MaxColdLoad, MaxServerRequests: p.MaxQueue})
 		}
 		r.add(c, seed)
 	}
@@ -120,7 +120,7 @@
 	return r, nil
 }
 
-func asked(r fleet.Result) (n int) {
+func countRequests(r fleet.Result) (n int) {
 	for _, p := range r.Phases {
 		for _, c := range p.Classes {
 			n += c.InTime + c.Late + c.Rejected + c.Failed
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -17,19 +17,19 @@
 
 // Trace is a captured load as an open loop, in place of a rate.
 type Trace struct {
-	File    string  `yaml:"file"`    // of a capture; from the experiment's folder on where it is relative
-	Speed   float64 `yaml:"speed"`   // 2: in half the time
-	By      float64 `yaml:"by"`      // so many times the load; what was left out by sampling is made up for in any case
-	Unknown string  `yaml:"unknown"` // records of classes that the experiment has not: refuse (the file) or drop
+	File           string  `yaml:"file"`    // of a capture; from the experiment's folder on where it is relative
+	Speed          float64 `yaml:"speed"`   // 2: in half the time
+	Multiplier     float64 `yaml:"by"`      // so many times the load; what was left out by sampling is made up for in any case
+	UnknownClasses string  `yaml:"unknown"` // records of classes that the experiment has not: refuse (the file) or drop
 }
 
 // trace is a capture that is ready to be replayed.
 type trace struct {
 	*Trace
-	peak    float64          // requests a second in the busiest one
-	records []capture.Record // of known classes, in the order in which they came
-	class   []int            // of each record
-	copies  float64          // of each record, on average
+	peakRate float64          // requests a second in the busiest one
+	records  []capture.Record // of known classes, in the order in which they came
+	classes  []int            // of each record
+	copies   float64          // of each record, on average
 }
 
 // openTrace reads the capture of an experiment, whose length it is where that is not said; nil: it cannot be used.
@@ -53,22 +53,22 @@
 	return c
 }
 
-// replay takes a capture as the load.
-func (e *Experiment) replay(c *capture.Capture, t *Trace) error {
+// setTrace takes a capture as the load.
+func (e *Experiment) setTrace(c *capture.Capture, t *Trace) error {
 	index, unknown := map[string]int{}, map[string]int{}
 	for i, k := range e.Classes {
 		index[k.Name] = i
 	}
-	r := &trace{Trace: t, copies: t.By / c.Sample}
+	r := &trace{Trace: t, copies: t.Multiplier / c.Sample}
 	for _, x := range c.Records {
 		i, ok := index[x.Class]
 		if !ok {
 			unknown[x.Class]++
 			continue
 		}
-		r.records, r.class = append(r.records, x), append(r.class, i)
+		r.records, r.classes = append(r.records, x), append(r.classes, i)
 	}
-	if len(unknown) > 0 && t.Unknown != "drop" {
+	if len(unknown) > 0 && t.UnknownClasses != "drop" {
 		names := []string{}
 		for n, k := range unknown {
 			names = append(names, fmt.Sprintf("%s (%d records)", n, k))
@@ -92,102 +92,102 @@
 	for _, x := range r.records {
 		s := time.Duration(float64(x.Came())/t.Speed) / time.Second
 		seconds[s] += r.copies
-		r.peak = max(r.peak, seconds[s])
+		r.peakRate = max(r.peakRate, seconds[s])
 	}
 	e.trace = r
 	return nil
 }
 
-// replaying gives a trace's requests, in the order of time.
-type replaying struct {
+// traceReplay gives a trace's requests, in the order of time.
+type traceReplay struct {
 	*trace
-	at   int
-	held []arrival // copies that are moved to a little later
+	next    int
+	pending []arrival // copies that are moved to a little later
 }
 
-// smear is the time within which the copies of a record come: at its own moment they would be a burst that nobody sent.
-const smear = time.Second
+// copySpread is the time within which the copies of a record come: at its own moment they would be a burst that nobody sent.
+const copySpread = time.Second
 
 // take gives the next one.
-func (r *replaying) take(e *Experiment, rng *rand.Rand) (arrival, bool) {
+func (r *traceReplay) take(e *Experiment, rng *rand.Rand) (arrival, bool) {
 	end := e.Length.D()
 	for {
 		var at time.Duration
-		if more := r.at < len(r.records); more {
-			at = time.Duration(float64(r.records[r.at].Came()) / r.Speed)
+		if more := r.next < len(r.records); more {
+			at = time.Duration(float64(r.records[r.next].Came()) / r.Speed)
 		} else {
 			at = math.MaxInt64
 		}
-		if len(r.held) > 0 && r.held[0].at <= at {
-			x := r.held[0]
-			if r.held = r.held[1:]; x.at >= end {
+		if len(r.pending) > 0 && r.pending[0].at <= at {
+			x := r.pending[0]
+			if r.pending = r.pending[1:]; x.at >= end {
 				return arrival{}, false
 			}
 			return x, true
 		}
 		if at >= end {
-			if len(r.held) == 0 {
+			if len(r.pending) == 0 {
 				return arrival{}, false
 			}
-			r.at = len(r.records)
+			r.next = len(r.records)
 			continue
 		}
-		rec, class := &r.records[r.at], r.class[r.at]
-		r.at++
+		rec, class := &r.records[r.next], r.classes[r.next]
+		r.next++
 		n := int(r.copies)
 		if rng.Float64() < r.copies-float64(n) {
 			n++
 		}
 		for i := range n {
-			x := arrival{at: at, class: class, gateway: rng.IntN(e.Gateways.Number), key: rec.Key}
+			x := arrival{at: at, class: class, gateway: rng.IntN(e.Gateways.Count), key: rec.Key}
 			if i > 0 {
-				x.at += time.Duration(rng.Float64() * float64(smear))
+				x.at += time.Duration(rng.Float64() * float64(copySpread))
 			}
-			i, _ := slices.BinarySearchFunc(r.held, x.at, func(a arrival, at time.Duration) int {
+			i, _ := slices.BinarySearchFunc(r.pending, x.at, func(a arrival, at time.Duration) int {
 				if a.at <= at {
 					return -1
 				}
 				return 1
 			})
-			r.held = slices.Insert(r.held, i, x)
+			r.pending = slices.Insert(r.pending, i, x)
 		}
 	}
 }
 
-// Fitted is what a capture shows of its load.
-type Fitted struct {
+// LoadModel is what a capture shows of its load.
+type LoadModel struct {
 	Requests float64       `json:"requests"` // made up for sampling
 	Length   time.Duration `json:"length_ns"`
 	Rate     float64       `json:"per_second"`
 	Peak     float64       `json:"peak_per_second"` // of the busiest second
 	// Burstiness is the variance of requests a second over their mean: 1 for a Poisson load.
-	Burstiness float64       `json:"burstiness"`
-	Classes    []FittedClass `json:"classes"`
-	Keys       int           `json:"keys"`
-	Exponent   float64       `json:"keys_exponent"` // of a Zipf spread; 0: too few keys to tell
-	Gaps       []Gap         `json:"gaps"`
-	Notes      []string      `json:"notes"`
+	Burstiness   float64      `json:"burstiness"`
+	Classes      []ClassModel `json:"classes"`
+	Keys         int          `json:"keys"`
+	ZipfExponent float64      `json:"keys_exponent"` // of a Zipf spread; 0: too few keys to tell
+	Gaps         []Gap        `json:"gaps"`
+	Notes        []string     `json:"notes"`
 }
 
-// FittedClass is one class of it.
-type FittedClass struct {
-	Name      string        `json:"name"`
-	Part      float64       `json:"part"`
-	Mean      time.Duration `json:"mean_ns"` // of what was served, with the waits
-	Variation float64       `json:"variation"`
-	Served    float64       `json:"served"`
-	Refused   float64       `json:"refused"`
+// ClassModel is one class of it.
+type ClassModel struct {
+	Name        string        `json:"name"`
+	LoadShare   float64       `json:"part"`
+	MeanLatency time.Duration `json:"mean_ns"` // of what was served, with the waits
+	Variation   float64       `json:"variation"`
+	Served      float64       `json:"served"`
+	Rejected    float64       `json:"refused"`
 }
 
 // Gap is a time without requests that is too long to be chance.
 type Gap struct {
-	From time.Duration `json:"from_ns"`
-	For  time.Duration `json:"for_ns"`
+	Start    time.Duration `json:"from_ns"`
+	Duration time.Duration `json:"for_ns"`
 }
 
 // Fit reads a load model out of a capture.
-func Fit(c *capture.Capture) Fitted {
-	f := Fitted{Length: c.Length, Requests: float64(len(c.Records)) / c.Sample}
+func Fit(c *capture.Capture) LoadModel {
+	f := LoadModel{Length: c.Length, Requests: float64(len(c.Records)) / c.Sample}
 	if len(c.Records) == 0 || c.Length <= 0 {
 		return f
 	}
@@ -231,17 +231,17 @@
 		}
 	}
 	for name, k := range counts {
-		x := FittedClass{Name: name, Part: k[0] / float64(len(c.Records)), Served: k[1] / k[0], Refused: k[2] / k[0]}
+		x := ClassModel{Name: name, LoadShare: k[0] / float64(len(c.Records)), Served: k[1] / k[0], Rejected: k[2] / k[0]}
 		if t := times[name]; len(t) > 1 {
 			mean, deviation := stat.MeanStdDev(t, nil)
-			x.Mean, x.Variation = time.Duration(mean*float64(time.Second)).Round(time.Microsecond), deviation/max(mean, 1e-9)
+			x.MeanLatency, x.Variation = time.Duration(mean*float64(time.Second)).Round(time.Microsecond), deviation/max(mean, 1e-9)
 		}
 		f.Classes = append(f.Classes, x)
 	}
-	slices.SortFunc(f.Classes, func(a, b FittedClass) int {
-		return cmp.Or(cmp.Compare(b.Part, a.Part), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(f.Classes, func(a, b ClassModel) int {
+		return cmp.Or(cmp.Compare(b.LoadShare, a.LoadShare), cmp.Compare(a.Name, b.Name))
 	})
-	f.Keys, f.Exponent = len(keys), exponent(keys)
+	f.Keys, f.ZipfExponent = len(keys), zipfExponent(keys)
 	if c.Cut {
 		f.Notes = append(f.Notes, "the last line is not whole and was left out")
 	}
@@ -252,13 +252,13 @@
 		f.Notes = append(f.Notes, fmt.Sprintf("%d requests were missed: the load was higher than what is shown", c.Missed))
 	}
 	for _, g := range f.Gaps {
-		f.Notes = append(f.Notes, fmt.Sprintf("no request for %v from %v on", g.For.Round(time.Millisecond), g.From.Round(time.Millisecond)))
+		f.Notes = append(f.Notes, fmt.Sprintf("no request for %v from %v on", g.Duration.Round(time.Millisecond), g.Start.Round(time.Millisecond)))
 	}
 	return f
 }
 
-// exponent is that of a Zipf spread: the slope of counts over ranks, both as logarithms, over the keys that were seen often.
-func exponent(keys map[string]float64) float64 {
+// zipfExponent is that of a Zipf spread: the slope of counts over ranks, both as logarithms, over the keys that were seen often.
+func zipfExponent(keys map[string]float64) float64 {
 	var n []float64
 	for _, k := range keys {
 		n = append(n, k)
--- a/tools/measure/capacity_node.go
+++ b/tools/measure/capacity_node.go
@@ -382,15 +382,15 @@
 		s.size(n)
 		s.put("own requests in flight, of a node", rate/float64(n)*service, 0)
 		s.put("servers that a node draws from", targetEndpointsPerCluster, 0)
-		s.put("new connections an attempt", float64(calm.Connects)/float64(max(calm.Sends, 1)), 0)
+		s.put("new connections an attempt", float64(calm.NewConnections)/float64(max(calm.Attempts, 1)), 0)
 		s.put("the same, by the rate at a pair alone", math.Exp(-rate/float64(n)/targetEndpointsPerCluster*idle), 0)
-		s.put("most at one server, over the mean", float64(calm.Queue)/(rate*service/targetEndpointsPerCluster), 0)
+		s.put("most at one server, over the mean", float64(calm.MaxServerRequests)/(rate*service/targetEndpointsPerCluster), 0)
 		s.put("p50 of a request, ms", float64(calm.All.P50.Microseconds())/1000, 0)
 		s.put("p99 of a request, ms", float64(calm.All.P99.Microseconds())/1000, 0)
-		s.put("served in time, part, all well", float64(calm.All.InTime)/float64(max(calm.All.Asked, 1)), 0)
-		s.put("served in time, part, servers cold", float64(back.All.InTime)/float64(max(back.All.Asked, 1)), 0)
-		s.put("worst cold server, over what it can do", back.WorstCold, 0)
-		s.put("cold servers pushed over", float64(back.Fallen), 0)
+		s.put("served in time, part, all well", float64(calm.All.InTime)/float64(max(calm.All.Requests, 1)), 0)
+		s.put("served in time, part, servers cold", float64(back.All.InTime)/float64(max(back.All.Requests, 1)), 0)
+		s.put("worst cold server, over what it can do", back.MaxWarmingLoad, 0)
+		s.put("cold servers pushed over", float64(back.CollapsedServers), 0)
 	}
 	return nil
 }
