--- /dev/null
+++ b/internal/experiment/defaults.go
@@ -0,0 +1,112 @@
+package experiment
+
+import (
+	"cmp"
+	"time"
+
+	"robindrum/internal/config"
+)
+
+const (
+	defaultLatencyObjective = time.Second
+	defaultDeadline         = 15 * time.Second
+)
+
+// setDefault sets a field that still has its zero value.
+func setDefault[T comparable](field *T, value T) { *field = cmp.Or(*field, value) }
+
+func setDefaultDuration(field *config.Duration, value time.Duration) {
+	setDefault(field, config.Duration(value))
+}
+
+// setDefaults sets the fields that the file leaves out.
+func (e *Experiment) setDefaults() {
+	setDefault(&e.Seed, 1)
+	setDefaultDuration(&e.Length, 30*time.Second)
+	e.Fleet.setDefaults()
+	e.Gateways.setDefaults()
+	e.Load.setDefaults()
+	e.setClassDefaults()
+	for i := range e.Events {
+		e.Events[i].setDefaults()
+	}
+}
+
+func (f *Fleet) setDefaults() {
+	if len(f.Zones) == 0 {
+		f.Zones = []string{"a"}
+	}
+	setDefault(&f.Servers, 2)
+	setDefault(&f.Workers, 4)
+	setDefault(&f.QueueLimit, 100)
+	setDefaultDuration(&f.MeanServiceTime, 20*time.Millisecond)
+	setDefault(&f.Distribution, "exponential")
+	setDefault(&f.Variation, 1)
+	if len(f.Groups) == 0 {
+		for _, zone := range f.Zones {
+			f.Groups = append(f.Groups, Group{Zone: zone, Servers: f.Servers})
+		}
+	}
+	for i := range f.Groups {
+		g := &f.Groups[i]
+		setDefault(&g.Zone, f.Zones[0])
+		setDefault(&g.Servers, f.Servers)
+		setDefault(&g.Workers, f.Workers)
+		setDefault(&g.QueueLimit, f.QueueLimit)
+		setDefault(&g.Speed, 1)
+	}
+	setDefaultDuration(&f.WarmUp, 10*time.Second)
+	setDefault(&f.InitialSpeed, 0.2)
+	setDefault(&f.CollapseLoad, 2.5)
+	setDefaultDuration(&f.CrossZoneRTT, 8*time.Millisecond)
+}
+
+func (g *Gateways) setDefaults() {
+	setDefault(&g.Count, 1)
+	setDefault(&g.ZoneMode, "price")
+	setDefault(&g.Admission, "adaptive")
+	setDefault(&g.AdmissionLimit, 1024)
+}
+
+func (l *Load) setDefaults() {
+	setDefault(&l.RetryMode, "gives_up")
+	setDefault(&l.Arrivals, "poisson")
+	if l.Clients > 0 {
+		setDefaultDuration(&l.ThinkTime, 100*time.Millisecond)
+	}
+	if t := l.Trace; t != nil {
+		setDefault(&t.Speed, 1)
+		setDefault(&t.Multiplier, 1)
+		setDefault(&t.UnknownClasses, "refuse")
+	}
+	if k := l.Keys; k != nil {
+		setDefault(&k.Count, 1000)
+		setDefault(&k.ZipfExponent, 1.1)
+	}
+}
+
+func (e *Experiment) setClassDefaults() {
+	if len(e.Classes) == 0 {
+		e.Classes = []Class{{Name: config.DefaultSafeClass}}
+	}
+	for i := range e.Classes {
+		c := &e.Classes[i]
+		setDefaultDuration(&c.LatencyObjective, defaultLatencyObjective)
+		setDefaultDuration(&c.Deadline, defaultDeadline)
+		setDefault(&c.PriorityWeight, 1)
+		setDefault(&c.LoadShare, 1)
+		setDefault(&c.MeanServiceTime, e.Fleet.MeanServiceTime)
+		setDefault(&c.Distribution, e.Fleet.Distribution)
+		setDefault(&c.Variation, e.Fleet.Variation)
+	}
+}
+
+func (v *Event) setDefaults() {
+	setDefault(&v.Fraction, 1)
+	if v.Action != "flap" {
+		return
+	}
+	setDefaultDuration(&v.Period, 2*time.Second)
+	setDefaultDuration(&v.Downtime, v.Period.D()/2)
+	setDefault(&v.Count, 1)
+}
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -86,10 +86,7 @@
 	for _, g := range e.Fleet.Groups {
 		servers += g.Servers
 	}
-	requests := 0.0
-	for at := time.Duration(0); at < e.Length.D(); at += 100 * time.Millisecond {
-		requests += e.rateAt(at) / 10
-	}
+	requests := e.openLoopRequests()
 	peak := e.peakRate()
 	if e.trace != nil {
 		requests, peak = float64(len(e.trace.records))*e.trace.copies, e.trace.peakRate
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -93,6 +93,24 @@
 	return a
 }
 
+// rateAt returns the rate of the open loop in requests a second, without its bursts.
+func (e *Experiment) rateAt(at time.Duration) float64 {
+	multiplier := 1.0
+	for _, span := range e.Load.RateSpans {
+		if at < span.Start.D() || at >= span.End.D() {
+			continue
+		}
+		multiplier = span.Multiplier
+		if span.FinalMultiplier != nil {
+			multiplier += (*span.FinalMultiplier - span.Multiplier) * float64(at-span.Start.D()) / float64(span.End-span.Start)
+		}
+	}
+	if o := e.Load.OnOff; o != nil && at%(o.On.D()+o.Off.D()) >= o.On.D() {
+		return 0
+	}
+	return e.Load.Rate * multiplier
+}
+
 // peakRate is the highest rate, in requests a second.
 func (e *Experiment) peakRate() float64 {
 	by := 1.0
