--- a/internal/experiment/loopback_server.go
+++ b/internal/experiment/loopback_server.go
@@ -14,106 +14,133 @@
 	"time"
 )
 
-// loopbackServer is one server of the loopback engine. It does what a server of the simulated one does: workers, a queue, a speed
-// that a neighbour takes a part of, a warm-up, and falling over where it is pushed too far while it is cold.
+const (
+	anyLoopbackPort   = "127.0.0.1:0"
+	maxRequestBody    = 1 << 20 // bytes that a loopback server reads
+	readHeaderTimeout = 10 * time.Second
+	collapseTime      = 2 * time.Second // that a collapsed server resets all connections
+	drainNoticeTime   = time.Second     // in which gateways may still send to a draining server
+)
+
+// loopbackServer is a server of the loopback engine. It behaves as a server of the simulated engine: it has workers, a queue, a
+// speed that a noisy neighbour reduces, a warm-up, and it collapses when it is overloaded during the warm-up.
 type loopbackServer struct {
-	id, zone    string
-	group       *Group
-	loopbackRun *loopbackRun
+	id    string
+	zone  string
+	group *Group
+	run   *loopbackRun
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards what follows, and id
 	rng              *rand.Rand
 	address          string
 	httpServer       *http.Server
-	served           chan struct{} // closed when server has ended
-	failureMode      string        // "": it lives
-	lifetime         context.Context
+	served           chan struct{}   // closed when httpServer has ended
+	failureMode      string          // empty: the server works
+	lifetime         context.Context // ends with a failure that breaks the requests in flight
 	endLifetime      context.CancelFunc
 	workers          *workerPool
-	startedAt        time.Duration // it started; 0: long ago
-	collapsedUntil   time.Duration // it has fallen over until then
+	startedAt        time.Duration // 0: before the run
+	collapsedUntil   time.Duration
 	slowdown         float64
 	draining         bool
-	drainPublishedAt time.Duration   // since when the list says so
+	drainPublishedAt time.Duration   // when the endpoint list first showed the drain; 0: it has not
 	recentArrivals   []time.Duration // of the last second
 }
 
+// newLoopbackServer starts a server. The caller ends it with fail("").
 func newLoopbackServer(run *loopbackRun, id string, g *Group, seed uint64) (*loopbackServer, error) {
-	h := &loopbackServer{id: id, zone: g.Zone, group: g, loopbackRun: run, rng: rand.New(rand.NewPCG(seed, 0x686f7374)), slowdown: 1}
+	h := &loopbackServer{
+		id:       id,
+		zone:     g.Zone,
+		group:    g,
+		run:      run,
+		rng:      rand.New(rand.NewPCG(seed, 0x686f7374)),
+		slowdown: 1,
+	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h, h.listen("127.0.0.1:0")
+	return h, h.listen(anyLoopbackPort)
 }
 
-// listen starts it. The lock is held.
-func (h *loopbackServer) listen(addr string) error {
-	l, err := net.Listen("tcp", addr)
+// listen starts the server at an address. The caller holds the lock.
+func (h *loopbackServer) listen(address string) error {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("server %s: %w", h.id, err)
 	}
-	h.address = l.Addr().String()
+	h.address = listener.Addr().String()
 	h.lifetime, h.endLifetime = context.WithCancel(context.Background())
 	h.workers = &workerPool{idleSince: make([]time.Duration, h.group.Workers)}
-	h.failureMode, h.collapsedUntil, h.recentArrivals, h.draining, h.drainPublishedAt = "", 0, nil, false, 0
-	server, done := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}, make(chan struct{})
-	server.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, connectionUsedKey{}, &atomic.Bool{})
+	h.failureMode = ""
+	h.collapsedUntil = 0
+	h.recentArrivals = nil
+	h.draining = false
+	h.drainPublishedAt = 0
+	server := &http.Server{
+		Handler:           h,
+		ReadHeaderTimeout: readHeaderTimeout,
+		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
+			return context.WithValue(ctx, connectionUsedKey{}, &atomic.Bool{})
+		},
 	}
-	h.httpServer, h.served = server, done
+	served := make(chan struct{})
+	h.httpServer, h.served = server, served
 	go func() {
-		defer close(done)
-		_ = server.Serve(l) // ends with kill
+		defer close(served)
+		_ = server.Serve(listener) // ends when fail closes the server
 	}()
 	return nil
 }
 
-// connectionUsedKey is the key of whether a request has come on a connection.
+// connectionUsedKey is the context key of whether a request has used the connection, an *atomic.Bool.
 type connectionUsedKey struct{}
 
-// fail takes it down in a way; "" ends it for good.
-func (h *loopbackServer) fail(how string) {
+// fail injects a failure mode. The empty mode ends the server for good.
+func (h *loopbackServer) fail(mode string) {
 	h.mu.Lock()
-	h.failureMode = how
-	var server *http.Server
-	if how == "" || how == "refuses" {
-		server, h.httpServer = h.httpServer, nil
+	h.failureMode = mode
+	var closing *http.Server
+	if mode == "" || mode == "refuses" {
+		closing, h.httpServer = h.httpServer, nil
 	}
-	if how != "silent" && how != "loses" {
+	if mode != "silent" && mode != "loses" {
 		h.endLifetime()
 	}
-	done := h.served
+	served := h.served
 	h.mu.Unlock()
-	if server != nil {
-		_ = server.Close()
-		<-done
+	if closing != nil {
+		_ = closing.Close()
+		<-served
 	}
 }
 
-// revive has it start again, cold; renamed at another address, as it does where its own is taken by now. addr is empty
-// where it was not down.
-func (h *loopbackServer) revive(renamed bool, now time.Duration) (old string, err error) {
+// revive restarts a failed server, which then warms up. It listens at another address where it is renamed or its own address is
+// taken. The previous address is empty if the server had not failed.
+func (h *loopbackServer) revive(renamed bool, now time.Duration) (previous string, err error) {
 	h.mu.Lock()
-	how := h.failureMode
+	mode := h.failureMode
 	h.mu.Unlock()
-	if how == "" {
+	if mode == "" {
 		return "", nil
 	}
 	h.fail("refuses")
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old = h.address
-	if h.startedAt = max(now, 1); renamed {
+	previous = h.address
+	h.startedAt = max(now, 1)
+	if renamed {
 		h.id += "'"
-		return old, h.listen("127.0.0.1:0")
+		return previous, h.listen(anyLoopbackPort)
 	}
 	if h.listen(h.address) == nil {
-		return old, nil
+		return previous, nil
 	}
-	return old, h.listen("127.0.0.1:0")
+	return previous, h.listen(anyLoopbackPort)
 }
 
+// speedFactor returns the fraction of its speed that the server has reached in its warm-up.
 func (h *loopbackServer) speedFactor(now time.Duration) float64 {
-	f := &h.loopbackRun.experiment.Fleet
+	f := &h.run.experiment.Fleet
 	age := now - h.startedAt
 	if h.startedAt == 0 || age >= f.WarmUp.D() {
 		return 1
@@ -121,204 +148,211 @@
 	return f.InitialSpeed + (1-f.InitialSpeed)*float64(age)/float64(f.WarmUp)
 }
 
-// errConnectionReset has a connection break with no answer.
-var errConnectionReset = errors.New("gone")
+// errConnectionReset makes ServeHTTP break the connection without a response.
+var errConnectionReset = errors.New("connection reset")
 
-// ServeHTTP runs a request of the class that its path names.
+// ServeHTTP serves a request of the class that its path names.
 func (h *loopbackServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	class := h.loopbackRun.classOf(r)
+	class := h.run.classOf(r)
 	if class == nil {
 		http.Error(w, "no such class", http.StatusNotFound)
 		return
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, 1<<20)); err != nil {
-		return // half a request does not run
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxRequestBody)); err != nil {
+		return // an incomplete request has no effect
 	}
-	answer, err := h.handle(r, class)
+	status, err := h.handle(r, class)
 	switch {
 	case err != nil:
 		panic(http.ErrAbortHandler)
-	case answer != http.StatusOK:
-		w.WriteHeader(answer)
+	case status != http.StatusOK:
+		w.WriteHeader(status)
 	default:
 		w.Header().Set("X-Server", h.id)
-		_, _ = w.Write(h.loopbackRun.bodies[class.Name])
+		_, _ = w.Write(h.run.bodies[class.Name])
 	}
 }
 
-// handle runs a request and says what becomes of it. Once it is back the answer is due.
+// serverRequest is a request at a loopback server, with what was drawn for it.
+type serverRequest struct {
+	*http.Request
+	class       *Class
+	oneWay      time.Duration // network delay
+	arrivedAt   time.Duration // after the network delay
+	serviceTime time.Duration // at full speed
+	lost        bool          // the link loses the response
+	swallowed   bool          // failure mode loses: there is no response
+}
+
+// handle runs a request and returns the status, or an error if the connection breaks. It returns when the response is due.
 func (h *loopbackServer) handle(r *http.Request, class *Class) (status int, err error) {
-	run, link := h.loopbackRun, &h.loopbackRun.experiment.Fleet.Link
-	came := run.elapsed()
-	crossed := r.Header.Get(zoneHeader) != h.zone
-	way := run.experiment.Fleet.CrossZoneRTT.D() / 16
-	if crossed {
-		way = run.experiment.Fleet.CrossZoneRTT.D() / 2
-	}
-	h.mu.Lock()
-	if way += link.Delay.D(); link.Jitter > 0 {
-		way += time.Duration(h.rng.ExpFloat64() * float64(link.Jitter))
-	}
-	took, lose, quiet := class.draw(h.rng), h.rng.Float64() < link.Loss, h.rng.IntN(5) != 0
-	late := h.drainPublishedAt > 0 && came > h.drainPublishedAt+time.Second
-	id := h.id
-	h.mu.Unlock()
-	connected := false
-	if cost := run.experiment.Fleet.ConnectCost.D(); cost > 0 {
-		if used, ok := r.Context().Value(connectionUsedKey{}).(*atomic.Bool); ok && !used.Swap(true) {
-			connected = true
-			took += cost
-		}
-	}
-	run.recordAttempt(came, id, crossed, late, connected)
-	if err := sleep(r.Context(), run.timeAt(came+way)); err != nil {
+	request := h.receive(r, class)
+	if err := sleep(r.Context(), h.run.timeAt(request.arrivedAt)); err != nil {
 		return 0, err
 	}
 	h.mu.Lock()
-	status = h.admit(came + way)
-	epoch, workers, how := h.lifetime, h.workers, h.failureMode
-	var mine chan time.Duration
-	if status == 0 && how != "silent" && how != "resets" {
-		mine = workers.acquire()
+	status = h.admit(request.arrivedAt)
+	lifetime, workers, mode := h.lifetime, h.workers, h.failureMode
+	var worker chan time.Duration
+	if status == 0 && mode != "silent" && mode != "resets" {
+		worker = workers.acquire()
 	}
 	h.mu.Unlock()
 	switch {
 	case status == statusReset:
 		return 0, errConnectionReset
 	case status != 0:
-		return status, sleep(r.Context(), run.timeAt(came+2*way))
-	case how == "silent":
-		return 0, h.waitForDisconnect(r.Context(), epoch)
-	case how == "resets":
-		run.recordEffect(r, class, h.zone)
+		return status, sleep(r.Context(), h.run.timeAt(request.arrivedAt+request.oneWay))
+	case mode == "silent":
+		return 0, waitForDisconnect(r.Context(), lifetime)
+	case mode == "resets":
+		h.run.recordEffect(r, class, h.zone)
 		return 0, errConnectionReset
 	}
-	var free time.Duration
-	select {
-	case free = <-mine:
-	case <-r.Context().Done(): // called off while it waited: it takes nobody's time
-		err = r.Context().Err()
-	case <-epoch.Done():
-		err = errConnectionReset
+	finishedAt, err := h.work(request, lifetime, workers, worker)
+	if err != nil {
+		return 0, err
+	}
+	h.run.recordEffect(r, class, h.zone)
+	return h.respond(request, lifetime, finishedAt)
+}
+
+// receive draws what is random about a request and records the attempt.
+func (h *loopbackServer) receive(r *http.Request, class *Class) serverRequest {
+	fleet := &h.run.experiment.Fleet
+	sentAt := h.run.elapsed()
+	crossZone := r.Header.Get(zoneHeader) != h.zone
+	oneWay := fleet.CrossZoneRTT.D() / 16
+	if crossZone {
+		oneWay = fleet.CrossZoneRTT.D() / 2
 	}
+	oneWay += fleet.Link.Delay.D()
 	h.mu.Lock()
-	if err != nil {
-		workers.abandon(mine)
+	if fleet.Link.Jitter > 0 {
+		oneWay += time.Duration(h.rng.ExpFloat64() * float64(fleet.Link.Jitter))
 	}
-	start := max(free, came+way)
-	end := start + time.Duration(float64(took)*h.slowdown/h.speedFactor(start)/h.group.speedAt(start))
+	request := serverRequest{Request: r, class: class, oneWay: oneWay, arrivedAt: sentAt + oneWay}
+	request.serviceTime = class.draw(h.rng)
+	request.lost = h.rng.Float64() < fleet.Link.Loss
+	request.swallowed = h.rng.IntN(5) != 0
+	afterDrain := h.drainPublishedAt > 0 && sentAt > h.drainPublishedAt+drainNoticeTime
+	id := h.id
 	h.mu.Unlock()
+	connected := fleet.ConnectCost > 0 && isFirstOnConnection(r.Context())
+	if connected {
+		request.serviceTime += fleet.ConnectCost.D()
+	}
+	h.run.recordAttempt(sentAt, id, crossZone, afterDrain, connected)
+	return request
+}
+
+// isFirstOnConnection reports whether no earlier request has used the connection, and marks it as used.
+func isFirstOnConnection(ctx context.Context) bool {
+	used, ok := ctx.Value(connectionUsedKey{}).(*atomic.Bool)
+	return ok && !used.Swap(true)
+}
+
+// work waits for a worker and has it run the request. A request that has begun runs to its end even if the client leaves.
+func (h *loopbackServer) work(request serverRequest, lifetime context.Context, workers *workerPool, worker chan time.Duration) (finishedAt time.Duration, err error) {
+	var idleSince time.Duration
+	select {
+	case idleSince = <-worker:
+	case <-request.Context().Done():
+		err = request.Context().Err()
+	case <-lifetime.Done():
+		err = errConnectionReset
+	}
+	h.mu.Lock()
 	if err != nil {
+		workers.abandon(worker)
+		h.mu.Unlock()
 		return 0, err
 	}
-	// Danger: what has begun runs to its end, whoever still waits for it.
-	err = sleep(epoch, run.timeAt(end))
+	startedAt := max(idleSince, request.arrivedAt)
+	finishedAt = startedAt + time.Duration(float64(request.serviceTime)*h.slowdown/h.speedFactor(startedAt)/h.group.speedAt(startedAt))
+	h.mu.Unlock()
+	err = sleep(lifetime, h.run.timeAt(finishedAt))
 	h.mu.Lock()
-	workers.release(end)
+	workers.release(finishedAt)
 	h.mu.Unlock()
 	if err != nil {
 		return 0, errConnectionReset
 	}
-	run.recordEffect(r, class, h.zone)
+	return finishedAt, nil
+}
+
+// respond waits until the response is due, or breaks the connection as the failure mode and the link have it.
+func (h *loopbackServer) respond(request serverRequest, lifetime context.Context, finishedAt time.Duration) (status int, err error) {
 	h.mu.Lock()
-	how = h.failureMode
+	mode := h.failureMode
 	h.mu.Unlock()
 	switch {
-	case how == "silent", how == "loses" && quiet:
-		return 0, h.waitForDisconnect(r.Context(), epoch)
-	case how != "" && how != "loses", lose:
+	case mode == "silent", mode == "loses" && request.swallowed:
+		return 0, waitForDisconnect(request.Context(), lifetime)
+	case mode != "" && mode != "loses", request.lost:
 		return 0, errConnectionReset
 	}
-	return http.StatusOK, sleep(r.Context(), run.timeAt(end+way+link.transferTime(class.ResponseSize)))
-}
-
-// workerPool are those of one start of a server, and the requests that wait for one. Who is at work and who waits changes in
-// one step, under the host's lock: a request that has come and not yet gone on holds no place in the queue if a worker is
-// free for it.
-type workerPool struct {
-	idleSince []time.Duration      // when each idle one became free, so that late wake-ups cost no capacity
-	waiters   []chan time.Duration // who waits, the longest first; each has room for its worker
-}
-
-// acquire gives where a worker comes to: at once if one is free, otherwise behind those that wait.
-func (w *workerPool) acquire() chan time.Duration {
-	mine := make(chan time.Duration, 1)
-	if len(w.idleSince) == 0 {
-		w.waiters = append(w.waiters, mine)
-		return mine
-	}
-	mine <- w.idleSince[0]
-	w.idleSince = w.idleSince[1:]
-	return mine
-}
-
-// release hands on a worker that is free since then.
-func (w *workerPool) release(since time.Duration) {
-	if len(w.waiters) == 0 {
-		w.idleSince = append(w.idleSince, since)
-		return
-	}
-	w.waiters[0] <- since
-	w.waiters = w.waiters[1:]
-}
-
-// abandon takes back what was asked for; a worker that came meanwhile goes to the next.
-func (w *workerPool) abandon(mine chan time.Duration) {
-	if i := slices.Index(w.waiters, mine); i >= 0 {
-		w.waiters = slices.Delete(w.waiters, i, i+1)
-		return
-	}
-	w.release(<-mine)
+	transfer := h.run.experiment.Fleet.Link.transferTime(request.class.ResponseSize)
+	return http.StatusOK, sleep(request.Context(), h.run.timeAt(finishedAt+request.oneWay+transfer))
 }
 
-// statusReset is that the connection breaks.
+// statusReset is the result of admit for a connection that breaks.
 const statusReset = -1
 
-// admit counts a request and gives what it is answered at once, 0: nothing. The lock is held.
+// admit counts a request and returns the status of an immediate response, statusReset, or 0 to run it. The caller holds the lock.
 func (h *loopbackServer) admit(now time.Duration) int {
-	f := &h.loopbackRun.experiment.Fleet
-	first, _ := slices.BinarySearch(h.recentArrivals, now-time.Second)
-	h.recentArrivals = append(h.recentArrivals[first:], now)
-	w := h.speedFactor(now)
-	load := float64(len(h.recentArrivals)) / (float64(h.group.Workers) / f.MeanServiceTime.D().Seconds() * w * h.group.speedAt(now))
-	if w < 1 && h.failureMode == "" && now >= h.collapsedUntil {
-		fell := load > f.CollapseLoad
-		if fell {
-			h.collapsedUntil = now + 2*time.Second
-			h.endLifetime()
-			h.lifetime, h.endLifetime = context.WithCancel(context.Background())
-		}
-		h.loopbackRun.recordWarmingLoad(now, load, fell)
-	}
-	h.loopbackRun.recordServerRequests(now, len(h.workers.waiters)+1+h.group.Workers-len(h.workers.idleSince))
+	h.countArrival(now)
+	busy := h.group.Workers - len(h.workers.idleSince)
+	h.run.recordServerRequests(now, len(h.workers.waiters)+1+busy)
+	full := len(h.workers.idleSince) == 0 && len(h.workers.waiters) >= h.group.QueueLimit
 	switch {
 	case now < h.collapsedUntil:
 		return statusReset
-	case h.failureMode == "says_503", h.failureMode == "" && len(h.workers.idleSince) == 0 && len(h.workers.waiters) >= h.group.QueueLimit:
+	case h.failureMode == "says_503", h.failureMode == "" && full:
 		return http.StatusServiceUnavailable
 	}
 	return 0
 }
 
-// waitForDisconnect says nothing until the client or the server is gone.
-func (h *loopbackServer) waitForDisconnect(client, epoch context.Context) error {
+// countArrival adds an arrival to the load of the last second, under which a warming server may collapse. The caller holds the lock.
+func (h *loopbackServer) countArrival(now time.Duration) {
+	fleet := &h.run.experiment.Fleet
+	first, _ := slices.BinarySearch(h.recentArrivals, now-time.Second)
+	h.recentArrivals = append(h.recentArrivals[first:], now)
+	speed := h.speedFactor(now)
+	if speed >= 1 || h.failureMode != "" || now < h.collapsedUntil {
+		return
+	}
+	capacity := float64(h.group.Workers) / fleet.MeanServiceTime.D().Seconds() * speed * h.group.speedAt(now)
+	load := float64(len(h.recentArrivals)) / capacity
+	collapsed := load > fleet.CollapseLoad
+	if collapsed {
+		h.collapsedUntil = now + collapseTime
+		h.endLifetime()
+		h.lifetime, h.endLifetime = context.WithCancel(context.Background())
+	}
+	h.run.recordWarmingLoad(now, load, collapsed)
+}
+
+// waitForDisconnect blocks until the client leaves or the server's lifetime ends.
+func waitForDisconnect(client, lifetime context.Context) error {
 	select {
 	case <-client.Done():
-	case <-epoch.Done():
+	case <-lifetime.Done():
 	}
 	return errConnectionReset
 }
 
-// sleep waits until a time, or gives the context's error.
+// sleep blocks until a time, or returns the error of a context that ends before.
 func sleep(ctx context.Context, until time.Time) error {
-	d := time.Until(until)
-	if d <= 0 {
+	remaining := time.Until(until)
+	if remaining <= 0 {
 		return ctx.Err()
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(remaining)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
