--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -52,6 +52,16 @@
 	return workers / mean
 }
 
+// classAt returns the index of the class at a point of the classes' cumulative load shares, from 0 to 1.
+func (e *Experiment) classAt(point float64) int {
+	class := 0
+	for class < len(e.Classes)-1 && point >= e.Classes[class].LoadShare {
+		point -= e.Classes[class].LoadShare
+		class++
+	}
+	return class
+}
+
 // arrival is a request that comes, whatever becomes of those before.
 type arrival struct {
 	at             time.Duration
@@ -174,9 +184,7 @@
 		return arrival{}, false
 	}
 	x := arrival{at: at, gateway: a.rng.IntN(a.experiment.Gateways.Count)}
-	for u := a.rng.Float64(); x.class < len(a.experiment.Classes)-1 && u >= a.experiment.Classes[x.class].LoadShare; x.class++ {
-		u -= a.experiment.Classes[x.class].LoadShare
-	}
+	x.class = a.experiment.classAt(a.rng.Float64())
 	if a.zipf != nil {
 		x.key = "k" + strconv.FormatUint(a.zipf.Uint64(), 10)
 	}
--- a/internal/experiment/simulate.go
+++ b/internal/experiment/simulate.go
@@ -81,8 +81,8 @@
 
 // Simulate runs an experiment with its seed and those after it, so many in all, on simulated time.
 func Simulate(e *Experiment, seeds int) (*Report, error) {
-	if seeds < 1 || seeds > maxSeeds {
-		return nil, fmt.Errorf("%d seeds, want 1 to %d", seeds, maxSeeds)
+	if err := checkSeeds(seeds); err != nil {
+		return nil, err
 	}
 	r := newReport(e, "simulated")
 	for i := range seeds {
