--- a/internal/experiment/calibrate.go
+++ b/internal/experiment/calibrate.go
@@ -7,23 +7,24 @@
 	"text/tabwriter"
 )
 
-// Calibration holds the simulated engine against the loopback one on the same experiment and seeds.
+// Calibration compares the engines on the same experiment and seeds.
 type Calibration struct {
 	Name      string
 	Simulated *Report
 	Loopback  *Report
 }
 
-// CalibrationMetric is one row of a calibration.
+// CalibrationMetric compares a metric of both engines.
 type CalibrationMetric struct {
 	Name                string
 	Simulated, Loopback float64
-	// Deviation is that of the simulated one: relative, or, for parts and percentiles near 0, the difference.
+	// Deviation of the simulated engine is relative, or the difference for fractions and where the loopback value is 0.
 	Deviation float64
-	// Within is that throughput and service are within 10%. Other figures are shown and not judged.
+	// WithinTolerance means a deviation of at most 10%. Only the Checked metrics are to be within it.
 	Checked, WithinTolerance bool
 }
 
+// all returns the outcomes of all phases and classes together.
 func (r *Report) all() (o Outcome) {
 	for i := range r.Phases {
 		o.merge(&r.Phases[i].All)
@@ -32,7 +33,7 @@
 	return o
 }
 
-// Metrics are the rows.
+// Metrics returns the metrics of the calibration.
 func (c *Calibration) Metrics() []CalibrationMetric {
 	s, l := c.Simulated.all(), c.Loopback.all()
 	per := func(r *Report, o *Outcome) float64 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// PrintCalibrations writes calibrations as a table of Markdown, and says how many of the judged figures are within 10%.
+// PrintCalibrations writes calibrations as a Markdown table, with the number of checked metrics within the tolerance.
 func PrintCalibrations(out io.Writer, l []Calibration) error {
 	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.Debug)
 	fmt.Fprintln(t, " experiment\t figure\t simulated\t loopback\t error\t ")
--- a/internal/experiment/collector.go
+++ b/internal/experiment/collector.go
@@ -8,22 +8,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// outcome is how a client's request ended.
+// outcome is the outcome of a client's request.
 type outcome uint8
 
 const (
 	inTime     outcome = iota
-	servedLate         // served, but later than its class wants
-	rejected           // asking again is harmless
-	failed             // answered otherwise
-	lost               // no answer at all
-	outcomeCount
+	servedLate         // served, but later than the latency objective
+	rejected           // by load or rate limit; a retry is harmless
+	failed             // any other response
+	lost               // no response
 )
 
-// maxPoints is how many parts of a run's length its curves have.
+// maxPoints is the number of points of a time series.
 const maxPoints = 100
 
-// collector takes what one run shows, from either engine. It is not safe for several goroutines at once.
+// collector collects the results of a run of either engine. It is not safe for concurrent use.
 type collector struct {
 	experiment                       *Experiment
 	classIndex                       map[string]int
@@ -35,14 +34,14 @@
 	restartTime                      time.Duration
 }
 
-// Point is a part of a run's length. Counts are of requests that were asked in it, over all seeds.
+// Point is a point of the time series. It counts the requests that began in its interval, over all seeds.
 type Point struct {
 	Start    time.Duration  `json:"from_ns"`
 	InTime   int            `json:"in_time"`
 	Late     int            `json:"late"`
 	Rejected int            `json:"refused"`
-	Failed   int            `json:"failed"` // and lost
-	P50      time.Duration  `json:"p50_ns"` // of those answered
+	Failed   int            `json:"failed"` // failed or lost
+	P50      time.Duration  `json:"p50_ns"` // of served requests
 	P99      time.Duration  `json:"p99_ns"`
 	Attempts map[string]int `json:"attempts"` // by server
 
@@ -83,7 +82,7 @@
 	return &c.series[min(max(int(at/c.interval), 0), len(c.series)-1)]
 }
 
-// recordOutcome takes a request that was asked at a time since the start.
+// recordOutcome counts a request that began at an offset from the start of the run.
 func (c *collector) recordOutcome(at, took time.Duration, class string, out outcome) {
 	c.requests++
 	p, s := c.phaseAt(at), c.pointAt(at)
@@ -110,18 +109,18 @@
 	}
 }
 
-// recordAttempt takes an attempt to a server; one that came back under a new id counts as the one that it was.
+// recordAttempt counts an attempt at a server. A restarted server with a new ID counts under its first one.
 func (c *collector) recordAttempt(at time.Duration, server string) {
 	c.pointAt(at).Attempts[strings.TrimRight(server, "'")]++
 }
 
-// addServerCounts adds what servers saw in o.
+// addServerCounts adds the counts that servers have made in o.
 func (p *Phase) addServerCounts(o *Phase) {
 	p.CrossZoneAttempts, p.Attempts, p.NewConnections, p.CollapsedServers = p.CrossZoneAttempts+o.CrossZoneAttempts, p.Attempts+o.Attempts, p.NewConnections+o.NewConnections, p.CollapsedServers+o.CollapsedServers
 	p.MaxWarmingLoad, p.MaxServerRequests = max(p.MaxWarmingLoad, o.MaxWarmingLoad), max(p.MaxServerRequests, o.MaxServerRequests)
 }
 
-// histogram holds times of up to an hour in microseconds, with so many digits.
+// histogram returns a histogram of durations up to an hour, in microseconds, with a number of significant digits.
 func histogram(digits int) *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Hour/time.Microsecond), digits)
 }
@@ -183,7 +182,7 @@
 	}
 }
 
-// Servers are those that got attempts, sorted.
+// Servers returns the sorted IDs of the servers that received attempts.
 func (r *Report) Servers() (l []string) {
 	for i := range r.Series {
 		for id := range r.Series[i].Attempts {
@@ -195,7 +194,7 @@
 	return l
 }
 
-// busiest is the part of all attempts that the busiest server got.
+// busiest returns the fraction of all attempts that the busiest server received.
 func (r *Report) busiest() float64 {
 	sum, all := map[string]int{}, 0
 	for i := range r.Series {
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -11,29 +11,30 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// bootstrapResamples of a bootstrap.
+// bootstrapResamples is the number of resamples of a bootstrap.
 const bootstrapResamples = 2000
 
-// Comparison is two experiments, or two ways of running one, held against each other.
+// Comparison compares two reports.
 type Comparison struct {
 	A       string       `json:"a"`
 	B       string       `json:"b"`
-	Runs    int          `json:"runs"` // of each
+	Runs    int          `json:"runs"` // of each report
 	Paired  bool         `json:"paired"`
 	Metrics []Difference `json:"metrics"`
 }
 
-// Difference is about one figure.
+// Difference compares a metric of two reports.
 type Difference struct {
 	Name string  `json:"name"`
 	Unit string  `json:"unit"`
 	A    float64 `json:"a"` // medians
 	B    float64 `json:"b"`
-	// Change is the median of B less A, over pairs where both have the same seeds; Low and High bound it with 95% confidence.
+	// Change is the difference of the medians, B less A, or the median difference of pairs of runs with the same seed. Low and High
+	// bound it with 95% confidence.
 	Change float64 `json:"change"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
-	// Differs is that the interval does not hold 0.
+	// Differs means that the interval does not contain 0.
 	Differs bool `json:"differs"`
 }
 
@@ -48,10 +49,10 @@
 	{"p99", "ms", func(r *Run) float64 { return r.P99.Seconds() * 1000 }},
 }
 
-// minRuns is what a comparison needs at the least: of fewer, resampling makes intervals that mean nothing.
+// minRuns is the number of runs below which the intervals of a bootstrap mean nothing.
 const minRuns = 5
 
-// Compare tells how B differs from A. The same reports give the same figures.
+// Compare compares report B with report A. The same reports give the same comparison.
 func Compare(a, b *Report) (*Comparison, error) {
 	if len(a.Runs) < minRuns || len(b.Runs) < minRuns {
 		return nil, fmt.Errorf("%d and %d runs: want %d at least of each to tell a difference from chance", len(a.Runs), len(b.Runs), minRuns)
@@ -82,7 +83,7 @@
 	return stat.Quantile(0.5, stat.LinInterp, l, nil)
 }
 
-// bootstrap gives the difference of the medians, or of pairs their median difference, with a 95% percentile interval.
+// bootstrap returns the difference of the medians, or the median difference of pairs, with its 95% percentile interval.
 func bootstrap(rng *rand.Rand, x, y []float64, paired bool) (change, low, high float64) {
 	var pairs []float64
 	if paired {
@@ -112,7 +113,7 @@
 	return change, stat.Quantile(0.025, stat.Empirical, all, nil), stat.Quantile(0.975, stat.Empirical, all, nil)
 }
 
-// Print writes it as a table.
+// Print writes the comparison as a table.
 func (c *Comparison) Print(out io.Writer) error {
 	fmt.Fprintf(out, "A: %s\nB: %s\n%d runs of each; medians, and the difference with its 95%% confidence interval\n", c.A, c.B, c.Runs)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// JSON writes it for machines.
+// JSON writes the comparison as JSON.
 func (c *Comparison) JSON(out io.Writer) error { return writeJSON(out, c) }
 
 func writeJSON(out io.Writer, v any) error {
--- a/internal/experiment/defaults.go
+++ b/internal/experiment/defaults.go
@@ -101,12 +101,12 @@
 	}
 }
 
-func (v *Event) setDefaults() {
-	setDefault(&v.Fraction, 1)
-	if v.Action != "flap" {
+func (event *Event) setDefaults() {
+	setDefault(&event.Fraction, 1)
+	if event.Action != "flap" {
 		return
 	}
-	setDefaultDuration(&v.Period, 2*time.Second)
-	setDefaultDuration(&v.Downtime, v.Period.D()/2)
-	setDefault(&v.Count, 1)
+	setDefaultDuration(&event.Period, 2*time.Second)
+	setDefaultDuration(&event.Downtime, event.Period.D()/2)
+	setDefault(&event.Count, 1)
 }
--- a/internal/experiment/gateway_process.go
+++ b/internal/experiment/gateway_process.go
@@ -13,16 +13,16 @@
 	"robindrum/internal/testbed/proc"
 )
 
-// gatewayProcess is a gateway: the real program as a process of its own.
+// gatewayProcess is a gateway that runs as a child process.
 type gatewayProcess struct {
 	*proc.Process
 	number       int
 	zone         string
-	address      string // its listeners' addresses
+	address      string // of its listener for requests
 	adminAddress string
 }
 
-// gatewayConfig is what gateway i of an experiment is configured by.
+// gatewayConfig returns the configuration file of gateway i.
 func (e *Experiment) gatewayConfig(i int, plane string) string {
 	var b strings.Builder
 	f, g := &e.Fleet, &e.Gateways
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-// startGateway starts gateway i. Its files are in dir.
+// startGateway starts gateway i with its configuration file in dir, and blocks until it is ready.
 func (e *Experiment) startGateway(ctx context.Context, binary, dir string, i int, plane string) (*gatewayProcess, error) {
 	path := filepath.Join(dir, fmt.Sprintf("gateway-%d.yaml", i))
 	if err := os.WriteFile(path, []byte(e.gatewayConfig(i, plane)), 0o600); err != nil {
@@ -66,7 +66,7 @@
 		var l struct {
 			Msg, Address string
 		}
-		_ = json.Unmarshal([]byte(text), &l) // other lines are for people
+		_ = json.Unmarshal([]byte(text), &l) // other lines are not JSON
 		switch l.Msg {
 		case "listening":
 			c.address = l.Address
@@ -90,7 +90,7 @@
 	return c, c.waitUntilReady(ctx)
 }
 
-// waitUntilReady waits until it is ready.
+// waitUntilReady blocks until the gateway reports that it is ready. It stops the gateway if that takes too long.
 func (c *gatewayProcess) waitUntilReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
@@ -117,5 +117,5 @@
 	}
 }
 
-// stop ends it: by its drain, or, where that takes too long, at once.
+// stop drains the gateway, and kills it if that takes too long.
 func (c *gatewayProcess) stop() { c.Stop(5 * time.Second) }
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -13,25 +13,24 @@
 	"robindrum/internal/config"
 )
 
-// What both engines share: service times, speeds, arrivals and the timeline. The same seed gives both the same arrivals.
-
+// distributions are the values of ServiceTime.Distribution.
 var distributions = []string{"exponential", "constant", "lognormal"}
 
-// draw gives one service time at full speed.
+// draw returns a random service time at full speed.
 func (t *ServiceTime) draw(rng *rand.Rand) time.Duration {
 	mean := float64(t.MeanServiceTime)
 	switch t.Distribution {
 	case "constant":
 		return time.Duration(mean)
 	case "lognormal":
-		// Its mean is exp(mu + sigma^2/2), its variance exp(sigma^2)-1 times the mean squared.
+		// The mean is exp(mu + sigma^2/2), the variance exp(sigma^2)-1 times the mean squared.
 		sigma2 := math.Log1p(t.Variation * t.Variation)
 		return time.Duration(distuv.LogNormal{Mu: math.Log(mean) - sigma2/2, Sigma: math.Sqrt(sigma2), Src: rng}.Rand())
 	}
 	return time.Duration(distuv.Exponential{Rate: 1, Src: rng}.Rand() * mean)
 }
 
-// speedAt is the part of its full speed that a group has, its neighbour's work taken off.
+// speedAt returns the speed of the group's servers, without the share that a noisy neighbour takes.
 func (g *Group) speedAt(now time.Duration) float64 {
 	n := g.Neighbour
 	if n == nil || now < n.Start.D() || n.Period > 0 && (now-n.Start.D())%n.Period.D() >= n.Duration.D() {
@@ -40,7 +39,7 @@
 	return g.Speed * (1 - n.SpeedShare)
 }
 
-// capacity is how many requests a second the fleet does at full speed, for the mix of classes.
+// capacity returns the requests a second that the fleet can serve at full speed, for the mix of classes.
 func (e *Experiment) capacity() float64 {
 	mean, workers := 0.0, 0.0
 	for _, c := range e.Classes {
@@ -62,26 +61,27 @@
 	return class
 }
 
-// arrival is a request that comes, whatever becomes of those before.
+// arrival is a request of the load.
 type arrival struct {
 	at             time.Duration
 	class, gateway int
 	key            string
 }
 
-// arrivals gives an experiment's open loop in the order of time. It is not safe for several goroutines at once.
+// arrivals yields the requests of the open loop in order of time. The same seed gives both engines the same arrivals. It is not safe
+// for concurrent use.
 type arrivals struct {
 	experiment *Experiment
 	rng        *rand.Rand
 	zipf       *rand.Zipf
-	next       time.Duration // of the process; beyond the length: none
-	peakRate   float64       // the highest rate
-	expected   float64       // of a constant one, since the last arrival
+	next       time.Duration // arrival of the rate; beyond the length: none
+	peakRate   float64       // requests a second
+	expected   float64       // constant arrivals: the rate integrated since the last one
 	bursts     []pendingBurst
-	replay     *traceReplay // where the load is a trace
+	replay     *traceReplay // nil unless the load is a trace
 }
 
-// pendingBurst is a burst that is still to come, or under way.
+// pendingBurst is a burst of which requests remain.
 type pendingBurst struct {
 	at, period      time.Duration
 	size, remaining int
@@ -121,7 +121,7 @@
 	return e.Load.Rate * multiplier
 }
 
-// peakRate is the highest rate, in requests a second.
+// peakRate returns the highest rate of the open loop in requests a second, without its bursts.
 func (e *Experiment) peakRate() float64 {
 	by := 1.0
 	for _, t := range e.Load.RateSpans {
@@ -132,14 +132,15 @@
 	return e.Load.Rate * by
 }
 
-// advance finds the process's next arrival: by thinning one of the highest rate, or by the gap that the rate gives.
+// advance finds the next arrival of the rate: a Poisson one by thinning arrivals of the peak rate, a constant one where the integrated
+// rate reaches 1.
 func (a *arrivals) advance() {
 	end := a.experiment.Length.D()
 	if a.peakRate == 0 {
 		a.next = end
 	}
 	for a.next < end {
-		if a.experiment.Load.Arrivals == "constant" { // the next one comes where the rate, summed up since the last one, is 1
+		if a.experiment.Load.Arrivals == "constant" {
 			rate := a.experiment.rateAt(a.next)
 			if left := a.boundedGap((1 - a.expected) / max(rate, 1e-9)); left <= time.Millisecond {
 				a.next, a.expected = a.next+max(left, 1), 0
@@ -155,12 +156,12 @@
 	}
 }
 
-// boundedGap is so many seconds, cut where they would lead far beyond the end.
+// boundedGap converts seconds to a duration, at most twice the length of the experiment.
 func (a *arrivals) boundedGap(seconds float64) time.Duration {
 	return time.Duration(min(seconds*float64(time.Second), 2*float64(a.experiment.Length)))
 }
 
-// take gives the next arrival; false: there is none.
+// take returns the next arrival; false: there is none.
 func (a *arrivals) take() (arrival, bool) {
 	if a.replay != nil {
 		return a.replay.take(a.experiment, a.rng)
@@ -191,7 +192,7 @@
 	return x, true
 }
 
-// timeline is the events in the order of time, a flap as what it consists of.
+// timeline returns the events in order of time, with a flap as its kills and revivals.
 func (e *Experiment) timeline() []Event {
 	var l []Event
 	for _, v := range e.Events {
@@ -211,7 +212,7 @@
 	return slices.DeleteFunc(l, func(v Event) bool { return v.At >= e.Length })
 }
 
-// transferTime is how long an answer is on its way, over the delay.
+// transferTime returns the time that the bandwidth adds to the delay of a response.
 func (l *Link) transferTime(answer config.Size) time.Duration {
 	if l.Bandwidth == 0 {
 		return 0
--- a/internal/experiment/override.go
+++ b/internal/experiment/override.go
@@ -7,9 +7,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Override changes fields of an experiment's text, each said as "gateways.admission=off"; the value is YAML. Fields are named
-// by their path through mappings; elements of lists cannot be. What it gives is checked as any other text, but its errors'
-// lines are of the changed text.
+// Override sets fields in the text of an experiment and returns the changed text. Each set has the form "gateways.admission=off", with
+// a path through mappings (not lists) and a YAML value. Lines in later errors are those of the changed text.
 func Override(text []byte, sets ...string) ([]byte, error) {
 	if len(sets) == 0 {
 		return text, nil
@@ -41,6 +40,7 @@
 	return out, nil
 }
 
+// setField sets the field at a path of a mapping, and adds the mappings that are missing on the way.
 func setField(n *yaml.Node, path []string, v *yaml.Node) error {
 	if n.Kind != yaml.MappingNode {
 		return fmt.Errorf("what %s is in has no fields", path[0])
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -12,7 +12,7 @@
 //go:embed page.html
 var pageText string
 
-// WritePage writes a report, or two laid over each other, as one file of HTML that needs nothing from elsewhere.
+// WritePage writes one or two reports as a self-contained HTML file, two of them in the same plots.
 func WritePage(path string, l ...*Report) error {
 	if len(l) == 0 || len(l) > 2 {
 		return fmt.Errorf("a page of %d reports: want one or two", len(l))
@@ -47,14 +47,14 @@
 			return nil, err
 		}
 		if i := bytes.Index(svg, []byte("<svg")); i > 0 {
-			svg = svg[i:] // without the XML declaration, which is no HTML
+			svg = svg[i:] // the XML declaration is not valid in HTML
 		}
 		// gonum/plot escapes the text that it draws.
 		v.Pictures = append(v.Pictures, drawn{p.title, template.HTML(svg)})
 	}
 	if len(l) == 2 {
 		if v.Compared, err = Compare(l[0], l[1]); err != nil {
-			v.Compared = nil // too few runs to tell: the page shows both all the same
+			v.Compared = nil // too few runs for a comparison
 		}
 	}
 	t, err := template.New("page").Funcs(template.FuncMap{
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -16,13 +16,13 @@
 	"robindrum/internal/config"
 )
 
-// Goal is what a class is to get: this part of its requests served in time.
+// Goal is the fraction of a class's requests that is to be served in time.
 type Goal struct {
-	Class  string  `json:"class"` // empty: all together
+	Class  string  `json:"class"` // empty: all classes together
 	InTime float64 `json:"in_time"`
 }
 
-// ParseGoal reads "seat-hold=0.99", or "0.99" for all classes together.
+// ParseGoal parses "seat-hold=0.99", or "0.99" for all classes together.
 func ParseGoal(text string) (g Goal, err error) {
 	name, number, ok := strings.Cut(text, "=")
 	if !ok {
@@ -35,28 +35,29 @@
 	return g, nil
 }
 
+// String describes the goal.
 func (g Goal) String() string {
 	return fmt.Sprintf("%s %.4g in time", cmp.Or(g.Class, "all classes"), g.InTime)
 }
 
-// PlanOptions are what a plan is asked for.
+// PlanOptions configures a capacity plan.
 type PlanOptions struct {
 	Goals []Goal
-	Rate  float64 // requests a second to plan for; 0: the capture's
+	Rate  float64 // requests a second; 0: those of the capture
 	Seeds int     // of each simulation; 0: 3
 }
 
-// Plan is what came of it. Rates are in requests a second.
+// Plan is a capacity plan. Rates are in requests a second.
 type Plan struct {
 	Fleet            string         `json:"fleet"`
 	Goals            []Goal         `json:"goals"`
 	Rate             float64        `json:"rate"`
 	Servers          int            `json:"servers"`
-	Capacity         float64        `json:"capacity"`        // what the fleet's workers can do, by their service times
-	MinServersByWork int            `json:"servers_by_work"` // that the work alone needs at the rate
-	BreakingRate     Estimate       `json:"breaks_at"`       // the rate beyond which a goal is not met
-	BreakingGoal     string         `json:"breaks_first"`    // that goal, and what was seen
-	ServersNeeded    Estimate       `json:"servers_needed"`  // for the goals at the rate
+	Capacity         float64        `json:"capacity"`        // of the workers, by their service times
+	MinServersByWork int            `json:"servers_by_work"` // lower bound for the rate, from the service times
+	BreakingRate     Estimate       `json:"breaks_at"`       // above which a goal is missed
+	BreakingGoal     string         `json:"breaks_first"`    // the goal that is missed first, with the results
+	ServersNeeded    Estimate       `json:"servers_needed"`  // to meet the goals at the rate
 	ZoneLosses       []ZoneLoss     `json:"losses"`
 	Assumptions      []string       `json:"assumptions"`
 	Confirmations    []Confirmation `json:"confirmed,omitempty"`
@@ -65,15 +66,16 @@
 	capture    *capture.Capture
 }
 
-// Estimate is a figure of several seeds.
+// Estimate is a value over several seeds.
 type Estimate struct {
 	Median float64 `json:"median"`
 	Low    float64 `json:"low"`
 	High   float64 `json:"high"`
-	// ExceedsRange is that it is above what was looked at.
+	// ExceedsRange means that the value is above the range that was searched.
 	ExceedsRange bool `json:"beyond,omitempty"`
 }
 
+// String describes the estimate.
 func (e Estimate) String() string {
 	if e.ExceedsRange {
 		return fmt.Sprintf("above %.4g", e.High)
@@ -84,36 +86,37 @@
 	return fmt.Sprintf("%.4g (%.4g to %.4g)", e.Median, e.Low, e.High)
 }
 
-// ZoneLoss is what becomes of the load when a zone goes, from 3 s after it on.
+// ZoneLoss is the effect of the loss of a zone, from zoneLossSettleTime after it on.
 type ZoneLoss struct {
 	Zone       string   `json:"zone"`
-	InTime     Estimate `json:"in_time"` // of all requests
-	GoalsMet   bool     `json:"holds"`   // the goals, with every seed
+	InTime     Estimate `json:"in_time"` // fraction of all requests
+	GoalsMet   bool     `json:"holds"`   // with every seed
 	MissedGoal string   `json:"missed,omitempty"`
 }
 
-// Confirmation is a prediction held against a run over loopback.
+// Confirmation compares a prediction with a run of the loopback engine.
 type Confirmation struct {
 	Rate            float64 `json:"rate"`
-	Predicted       float64 `json:"predicted"` // requests in time a second
+	Predicted       float64 `json:"predicted"` // requests served in time a second
 	Measured        float64 `json:"measured"`
-	PredictedInTime float64 `json:"predicted_in_time"` // part of what was asked
+	PredictedInTime float64 `json:"predicted_in_time"` // fraction of the requests
 	MeasuredInTime  float64 `json:"measured_in_time"`
-	RelativeError   float64 `json:"error"` // of Predicted
+	RelativeError   float64 `json:"error"` // of the prediction
 	Note            string  `json:"note,omitempty"`
 }
 
-// What a capture must hold to plan from it.
+// Requirements on a capture, and the length of simulations.
 const (
-	minPlanRequests  = 500
-	minPlanCapture   = 10 * time.Second
-	planRunLength    = 40 * time.Second // of a simulation
-	planLearningTime = 5 * time.Second  // in which gateways learn; it does not count
+	minPlanRequests    = 500
+	minPlanCapture     = 10 * time.Second
+	planRunLength      = 40 * time.Second // maximum length of a simulation
+	planLearningTime   = 5 * time.Second  // excluded from the results, as gateways still adapt
+	zoneLossSettleTime = 3 * time.Second
 )
 
-// MakePlan answers what breaks first and at which rate, how many servers the goals need, and what the loss of each zone does.
-// fleet is an experiment, whose load does not count. An error says why there is no answer: a capture too short to tell, or
-// goals that no number of servers meets.
+// MakePlan simulates the captured load on a fleet. It finds the rate at which a goal is missed, the number of servers that the goals
+// need, and the effect of the loss of each zone. The load of the fleet's experiment is ignored. It returns an error if the capture is
+// too short or no number of servers meets the goals.
 func MakePlan(fleet *Experiment, c *capture.Capture, o PlanOptions) (*Plan, error) {
 	o.Seeds = cmp.Or(o.Seeds, 3)
 	e := *fleet
@@ -166,7 +169,7 @@
 	return p, p.simulateZoneLosses(o.Seeds, window.Rate)
 }
 
-// busiestWindow is the part of a capture of that length with the most requests.
+// busiestWindow returns the part of a capture, of a length, that has the most requests.
 func busiestWindow(c *capture.Capture, length time.Duration) *capture.Capture {
 	if c.Length <= length {
 		return c
@@ -189,7 +192,7 @@
 	return &w
 }
 
-// setClassMix takes the classes' parts over from the capture.
+// setClassMix sets the load shares of the classes to those of the capture.
 func (p *Plan) setClassMix() error {
 	n, all := map[string]float64{}, 0.0
 	for _, r := range p.capture.Records {
@@ -208,7 +211,7 @@
 	return nil
 }
 
-// checkAttainable says whether any number of servers meets the goals: a request alone at a server must be in time often enough.
+// checkAttainable returns an error if no number of servers can meet the goals, as requests alone at a server are in time too rarely.
 func (p *Plan) checkAttainable() error {
 	rng := rand.New(rand.NewPCG(1, 0x706c616e))
 	fastest := 0.0
@@ -238,7 +241,8 @@
 	return nil
 }
 
-// simulate simulates so many times the window's load on so many servers, and says which goal is missed; "" where none is.
+// simulate runs a multiple of the window's load on a number of servers, optionally with a zone killed. It returns the missed goal (empty
+// if all are met), the fraction of requests in time and their number a second.
 func (p *Plan) simulate(by float64, servers int, seed uint64, kill string) (missed string, inTime float64, goodput float64, err error) {
 	e := p.fleetOf(servers)
 	if err := e.setTrace(p.capture, &Trace{File: "the capture", Speed: 1, Multiplier: by, UnknownClasses: "refuse"}); err != nil {
@@ -249,7 +253,7 @@
 	if kill != "" {
 		at := e.Length.D() / 3
 		e.Events = []Event{{At: config.Duration(at), Action: "kill", FailureMode: "refuses", Zone: kill, Fraction: 1}}
-		e.Phases = []config.Duration{config.Duration(at + 3*time.Second)}
+		e.Phases = []config.Duration{config.Duration(at + zoneLossSettleTime)}
 	}
 	r, err := Simulate(e, 1)
 	if err != nil {
@@ -260,7 +264,7 @@
 	return missed, inTime, float64(last.All.InTime) / (last.To - last.From).Seconds(), nil
 }
 
-// missedGoal looks at a report's last phase.
+// missedGoal returns the goal that the last phase of a report misses most, with its results, and the fraction of requests in time.
 func (p *Plan) missedGoal(r *Report) (missed string, inTime float64) {
 	last := &r.Phases[len(r.Phases)-1]
 	worst := 0.0
@@ -282,7 +286,7 @@
 	return missed, last.All.fraction(last.All.InTime)
 }
 
-// fleetOf is the fleet with so many servers, of its kinds in their proportions; 0: as it is.
+// fleetOf returns the fleet scaled to a number of servers, with its groups in proportion; 0: unchanged.
 func (p *Plan) fleetOf(servers int) *Experiment {
 	e := *p.experiment
 	e.Length = config.Duration(min(p.capture.Length, planRunLength))
@@ -302,7 +306,7 @@
 	return &e
 }
 
-// findBreakingRate finds for each seed the highest multiple of the load that meets the goals.
+// findBreakingRate finds the highest rate that meets the goals, by bisection for each seed.
 func (p *Plan) findBreakingRate(seeds int, rate float64) error {
 	bound := p.Capacity / rate
 	var l []float64
@@ -336,11 +340,12 @@
 	return nil
 }
 
+// estimate summarizes the values of several seeds.
 func estimate(l []float64, beyond bool) Estimate {
 	return Estimate{Median: median(l), Low: slices.Min(l), High: slices.Max(l), ExceedsRange: beyond}
 }
 
-// findServersNeeded finds for each seed the fewest servers that meet the goals at the rate, from what the work alone needs on.
+// findServersNeeded finds the fewest servers that meet the goals at the rate, for each seed, from the lower bound on.
 func (p *Plan) findServersNeeded(seeds int, rate float64) error {
 	var l []float64
 	for seed := range uint64(seeds) {
@@ -381,7 +386,7 @@
 	return nil
 }
 
-// simulateZoneLosses takes each zone away at the rate, with the fleet as it is.
+// simulateZoneLosses simulates the loss of each zone at the rate.
 func (p *Plan) simulateZoneLosses(seeds int, rate float64) error {
 	if len(p.experiment.Fleet.Zones) < 2 {
 		return nil
@@ -403,8 +408,8 @@
 	return nil
 }
 
-// Confirm runs the load over loopback at the rate that was planned for and at nine tenths of the one at which it breaks, and
-// notes prediction and measurement.
+// Confirm runs the load on the loopback engine, at the planned rate and at nine tenths of the breaking rate, and adds a Confirmation of
+// each. It blocks for the length of the runs.
 func (p *Plan) Confirm(ctx context.Context, opt LoopbackOptions) error {
 	window := Fit(p.capture).Rate
 	rates := []float64{p.Rate}
@@ -442,7 +447,7 @@
 	return nil
 }
 
-// Print writes it, the answer first.
+// Print writes the plan as text.
 func (p *Plan) Print(out io.Writer) error {
 	var goals []string
 	for _, g := range p.Goals {
@@ -476,5 +481,5 @@
 	return nil
 }
 
-// JSON writes it for machines.
+// JSON writes the plan as JSON.
 func (p *Plan) JSON(out io.Writer) error { return writeJSON(out, p) }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,18 +15,19 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// picture is one plot of one or two reports.
+// picture is a plot of one or two reports.
 type picture struct {
 	name, title string
 	plot        *plot.Plot
 }
 
-// Colours that are told apart also without red and green.
+// palette has colours that the colour-blind can distinguish.
 var palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255}, {86, 180, 233, 255}, {0, 0, 0, 255}}
 
-const maxServerLines = 12 // more are drawn as their least, mean and most
+// maxServerLines is the number of servers above which a plot shows their minimum, mean and maximum instead.
+const maxServerLines = 12
 
-// draw makes the pictures of a report, or of two laid over each other, the second one dashed.
+// drawPictures returns the plots of a report, or of two in the same plots, the second one dashed.
 func drawPictures(l []*Report) ([]picture, error) {
 	made := []picture{
 		{name: "goodput", title: "Answered in time, late, refused"},
@@ -77,7 +78,7 @@
 	return made, nil
 }
 
-// curve is one line.
+// curve is a line of a plot.
 type curve struct {
 	plot  *plot.Plot
 	name  string
@@ -125,7 +126,7 @@
 		{p, "least busy", over(func(least, _, _ float64) float64 { return least })}}
 }
 
-// drawEvents draws the events as lines from the bottom to the top, numbered as in the table behind.
+// drawEvents draws the events as vertical lines, numbered as in the table of the page.
 func drawEvents(p *plot.Plot, r *Report) error {
 	for i, m := range r.Events {
 		x := m.At.Seconds()
@@ -136,7 +137,7 @@
 		line.Color, line.Width, line.Dashes = color.Gray{150}, vg.Points(0.75), []vg.Length{vg.Points(1), vg.Points(2)}
 		p.Add(line)
 		if len(r.Events) > 24 {
-			continue // their numbers would stand on each other
+			continue // the numbers would overlap
 		}
 		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: p.Y.Max * 0.02}}, Labels: []string{fmt.Sprint(i + 1)}})
 		if err != nil {
@@ -164,7 +165,7 @@
 	return b.Bytes(), nil
 }
 
-// WritePlots writes the pictures of a report, or of two laid over each other, into a folder, as PNG and SVG.
+// WritePlots writes the plots of one or two reports into a directory, as PNG and SVG.
 func WritePlots(dir string, l ...*Report) error {
 	all, err := drawPictures(l)
 	if err != nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what came of an experiment, over all its seeds.
+// Report is the result of an experiment over all its seeds.
 type Report struct {
 	Experiment       string        `json:"experiment"`
 	Description      string        `json:"about"`
@@ -30,35 +30,35 @@
 	DuplicateEffects int           `json:"effects_taken_twice"`
 	Lost             int           `json:"lost"`
 	SentAfterDrain   int           `json:"sent_after_drain"`
-	// RestartTime is the longest from a gateway's start until it was ready, of all runs; 0 where none was restarted.
+	// RestartTime is the longest time from a gateway's start until it was ready; 0: none was restarted.
 	RestartTime     time.Duration `json:"back_ns"`
 	SimulationSteps int           `json:"simulation_steps,omitempty"`
-	// Generator is how the load generator of the loopback engine kept up; nil: it was simulated.
+	// Generator is nil unless the engine is the loopback one.
 	Generator *Generator `json:"generator,omitempty"`
-	// EndedEarly says why a run ended early; what was measured until then is in the report. Empty: it did not.
+	// EndedEarly is the reason why a run ended early; the report has what was measured until then. Empty: none did.
 	EndedEarly string `json:"ended_early,omitempty"`
-	// FailedChecks are the checks that do not hold, each in a line.
+	// FailedChecks describes each failed check in a line.
 	FailedChecks []string `json:"broken"`
 }
 
-// Run is what came of one seed.
+// Run is the result of a seed.
 type Run struct {
 	Seed     uint64        `json:"seed"`
 	Requests int           `json:"asked"`
 	Goodput  float64       `json:"in_time_per_second"`
-	InTime   float64       `json:"in_time"` // part of what was asked
-	Rejected float64       `json:"refused"` // failed or lost: the same
+	InTime   float64       `json:"in_time"` // fraction of the requests
+	Rejected float64       `json:"refused"` // rejected, failed or lost; fraction of the requests
 	P50      time.Duration `json:"p50_ns"`
 	P99      time.Duration `json:"p99_ns"`
 }
 
-// EventMark is an event on the way.
+// EventMark is an event of the experiment.
 type EventMark struct {
 	At   time.Duration `json:"at_ns"`
 	Text string        `json:"text"`
 }
 
-// Phase is what came of the requests that began in one.
+// Phase has the results of the requests that began in a phase.
 type Phase struct {
 	From              time.Duration `json:"from_ns"`
 	To                time.Duration `json:"to_ns"`
@@ -66,13 +66,13 @@
 	All               Outcome       `json:"all"`
 	CrossZoneAttempts int           `json:"attempts_crossed"`
 	Attempts          int           `json:"attempts"`
-	NewConnections    int           `json:"new_connections"` // of them, on one of those; 0 where connecting has no cost
+	NewConnections    int           `json:"new_connections"` // attempts on a new connection; 0 if there is no ConnectCost
 	CollapsedServers  int           `json:"cold_servers_fallen"`
-	MaxWarmingLoad    float64       `json:"worst_cold_server"` // load over what it can do, the most of all seeds
+	MaxWarmingLoad    float64       `json:"worst_cold_server"` // load over capacity, the maximum of all seeds
 	MaxServerRequests int           `json:"most_at_a_server"`
 }
 
-// Outcome counts requests; times are of the answered ones.
+// Outcome counts requests by outcome. Its latencies are those of served requests.
 type Outcome struct {
 	Class    string        `json:"class,omitempty"`
 	Requests int           `json:"asked"`
@@ -103,7 +103,7 @@
 	return r
 }
 
-// add takes one run.
+// add adds the results of a run.
 func (r *Report) add(c *collector, seed uint64) {
 	r.Seeds++
 	r.DuplicateEffects, r.Lost, r.SentAfterDrain, r.SimulationSteps = r.DuplicateEffects+c.duplicateEffects, r.Lost+c.lost, r.SentAfterDrain+c.sentAfterDrain, r.SimulationSteps+c.steps
@@ -193,13 +193,13 @@
 	}
 }
 
-// JSON writes it for machines.
+// JSON writes the report as JSON, for ReadReport.
 func (r *Report) JSON(out io.Writer) error { return writeJSON(out, r) }
 
-// maxReport bounds a report's file.
+// maxReport is the size of a report file in bytes, beyond which it is not read.
 const maxReport = 64 << 20
 
-// ReadReport reads what JSON wrote.
+// ReadReport reads a file that Report.JSON has written.
 func ReadReport(path string) (*Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -218,7 +218,7 @@
 	return r, nil
 }
 
-// CSV writes the curves over time, one line for each part of the length.
+// CSV writes the time series, with a line for each point.
 func (r *Report) CSV(out io.Writer) error {
 	w := csv.NewWriter(out)
 	servers := r.Servers()
@@ -226,7 +226,7 @@
 	for _, id := range servers {
 		head = append(head, "attempts_"+id)
 	}
-	_ = w.Write(head) // Flush's error is that of all
+	_ = w.Write(head) // an error is returned by Error below
 	for i := range r.Series {
 		p := &r.Series[i]
 		l := []string{fmt.Sprint(p.Start.Seconds())}
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// Print writes it as a table.
+// Print writes the report as text.
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%s, %s, %d seeds\n", r.Experiment, r.Engine, r.Seeds)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
