--- a/cmd/robindrum/serve.go
+++ b/cmd/robindrum/serve.go
@@ -140,7 +140,7 @@
 			}
 			if !show {
 				if p := f.SitePlan(); p != nil {
-					for _, lost := range append(p.Single(), p.Pairs()...) {
+					for _, lost := range append(p.SingleLosses(), p.PairLosses()...) {
 						o := p.Lose(lost, nil)
 						fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", path, &o)
 					}
--- a/cmd/robindrum/sites.go
+++ b/cmd/robindrum/sites.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: %w", err, errUsage)
 			}
-			cases := append(append([][]string{nil}, p.Single()...), p.Pairs()...)
+			cases := append(append([][]string{nil}, p.SingleLosses()...), p.PairLosses()...)
 			if len(lost) > 0 {
 				for _, name := range lost {
 					if !known(p, name) {
@@ -111,15 +111,15 @@
 	fmt.Fprintln(out, o)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "  AT\tFROM\tCLASS\tASKED\tSERVED\tREFUSED\tPART")
-	for _, s := range o.Shares {
+	for _, s := range o.Allocations {
 		at, part := s.At, "-"
 		if at == "" {
 			at = "nowhere"
 		}
-		if s.Asked > 0 {
-			part = fmt.Sprintf("%.0f%%", 100*s.Served/s.Asked)
+		if s.Requested > 0 {
+			part = fmt.Sprintf("%.0f%%", 100*s.Served/s.Requested)
 		}
-		fmt.Fprintf(t, "  %s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%s\n", at, s.From, s.Class, s.Asked, s.Served, s.Refused(), part)
+		fmt.Fprintf(t, "  %s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%s\n", at, s.From, s.Class, s.Requested, s.Served, s.Rejected(), part)
 	}
 	return t.Flush()
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -373,7 +373,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p := f.SitePlan(); len(p.Sites) != 2 || p.Sites[0].Capacity["pay"] != 300 || p.Sites[1].To[0].Site != "sapporo" || p.Sites[1].MaxCrossed != 0.4 {
+	if p := f.SitePlan(); len(p.Sites) != 2 || p.Sites[0].Capacity["pay"] != 300 || p.Sites[1].Targets[0].Site != "sapporo" || p.Sites[1].MaxSpillover != 0.4 {
 		t.Errorf("%+v", p)
 	}
 	for _, x := range [][3]string{
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -48,12 +48,12 @@
 	plan := &failoverplan.Plan{}
 	for i := range f.Classes {
 		c := &f.Classes[i]
-		plan.Classes = append(plan.Classes, failoverplan.Class{Name: c.Name, Worth: c.PriorityWeight, Floor: f.Sites.Floors[c.Name]})
+		plan.Classes = append(plan.Classes, failoverplan.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, Floor: f.Sites.Floors[c.Name]})
 	}
 	for _, s := range f.Sites.List {
-		site := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxCrossed: *s.MaxCrossed}
+		site := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxSpillover: *s.MaxCrossed}
 		for _, target := range s.To {
-			site.To = append(site.To, failoverplan.Way(target))
+			site.Targets = append(site.Targets, failoverplan.FailoverTarget{Site: target.Site, Fraction: target.Part})
 		}
 		plan.Sites = append(plan.Sites, site)
 	}
@@ -70,8 +70,8 @@
 	if f.Fleet != nil && f.Fleet.Site != "" && !f.Sites.contains(f.Fleet.Site) {
 		d.errorAt("sites.list", "this gateway's site %q is not in it", f.Fleet.Site)
 	}
-	for _, err := range joinedErrors(f.SitePlan().Check()) {
-		var planErr *failoverplan.Error
+	for _, err := range joinedErrors(f.SitePlan().Validate()) {
+		var planErr *failoverplan.FieldError
 		if !errors.As(err, &planErr) {
 			d.errorAt("sites", "%v", err)
 			continue
--- a/internal/failoverplan/failoverplan.go
+++ b/internal/failoverplan/failoverplan.go
@@ -1,191 +1,79 @@
-// Package failoverplan says, before it happens, where the load of a site goes that is lost whole: what the other sites take of it, what is
-// refused and of which class, and what their own users keep. It is pure: values in, a plan out.
+// Package failoverplan computes where the load of a site goes when the site fails: what the other sites serve of it, what is rejected
+// and of which class, and what their own users keep. Its functions are pure.
 //
 // A site's capacity is given by class, as the requests a second that it could serve of that class alone. A load uses the sum of its
-// rates over these; one is all there is.
+// rates over these capacities; the full capacity is 1.
 package failoverplan
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"maps"
-	"math"
 	"slices"
 	"strings"
 )
 
-// Bounds of a plan.
 const (
+	// MaxSites is the number of sites that a plan may have.
 	MaxSites   = 16
 	maxClasses = 64
+	maxRate    = 1e9  // requests a second
+	tolerance  = 1e-9 // of sums of fractions, for rounding
 )
 
 // Rates are requests a second by class.
 type Rates map[string]float64
 
-// Class is what requests are told apart by.
+// Class is a request class.
 type Class struct {
-	Name  string
-	Worth float64 // what is worth less is refused first
-	// Floor is the part of the load that is kept before any class gets more than its floor.
+	Name           string
+	PriorityWeight float64 // classes of a lower weight are rejected first
+	// Floor is the fraction of the class's load that is served before any class gets more than its floor.
 	Floor float64
 }
 
-// Way is where a lost site's load may go, and how much of it.
-type Way struct {
-	Site string
-	Part float64 // of each class's load
+// FailoverTarget is a site that takes over load of a failed site.
+type FailoverTarget struct {
+	Site     string
+	Fraction float64 // of the load of each class
 }
 
-// Site is one.
+// Site is a site of a plan.
 type Site struct {
 	Name     string
 	Capacity Rates
-	Load     Rates // that is expected; nil: it is not said
-	To       []Way // in this order
-	// MaxCrossed is the part of the site's capacity that other sites' load may use.
-	MaxCrossed float64
+	Load     Rates            // expected; nil: unknown
+	Targets  []FailoverTarget // in order of preference
+	// MaxSpillover is the fraction of the site's capacity that load of other sites may use.
+	MaxSpillover float64
 }
 
-// Plan is all sites.
+// Plan is the input of the package. Lose may be called only after Validate returned nil.
 type Plan struct {
 	Classes []Class
 	Sites   []Site
 }
 
-// Share is what becomes of one class's load from one site at one that serves it.
-type Share struct {
-	From   string  `json:"from"`
-	At     string  `json:"at,omitempty"`
-	Class  string  `json:"class"`
-	Asked  float64 `json:"asked"` // requests a second
-	Served float64 `json:"served"`
+// Allocation is the part of a class's load of one site that is sent to one site.
+type Allocation struct {
+	From      string  `json:"from"`
+	At        string  `json:"at,omitempty"` // empty: no site takes it
+	Class     string  `json:"class"`
+	Requested float64 `json:"asked"` // requests a second
+	Served    float64 `json:"served"`
 }
 
-// Outcome is what a loss comes to.
+// Outcome is the result of the loss of sites.
 type Outcome struct {
 	Lost []string `json:"lost"`
-	// Shares are by where they are served, from where, and class; what is lost and may go nowhere is at "".
-	Shares []Share `json:"shares"`
-	// Used is what the sites that are left use of their capacity.
-	Used map[string]float64 `json:"used"`
+	// Allocations are sorted by serving site, origin and class of descending weight.
+	Allocations []Allocation `json:"shares"`
+	// Utilization is the used fraction of the capacity of each remaining site that receives load.
+	Utilization map[string]float64 `json:"used"`
 }
 
-// Refused is what is asked and not served.
-func (s *Share) Refused() float64 { return max(s.Asked-s.Served, 0) }
-
-// Check gives all that is wrong with a plan, each with the path of its field as in "sites[1].to[0].part".
-func (p *Plan) Check() error {
-	var errs []error
-	bad := func(field, format string, args ...any) {
-		errs = append(errs, &Error{field, fmt.Sprintf(format, args...)})
-	}
-	if len(p.Sites) < 2 || len(p.Sites) > MaxSites {
-		bad("sites", "%d sites, want 2 to %d", len(p.Sites), MaxSites)
-	}
-	if len(p.Classes) > maxClasses {
-		bad("classes", "%d, %d at most", len(p.Classes), maxClasses)
-	}
-	known := map[string]bool{}
-	for _, c := range p.Classes {
-		known[c.Name] = true
-		if !(c.Floor >= 0 && c.Floor <= 1) {
-			bad("floors."+c.Name, "%v, want 0 to 1", c.Floor)
-		}
-	}
-	names := map[string]int{}
-	for i, s := range p.Sites {
-		at := fmt.Sprintf("sites[%d]", i)
-		switch _, twice := names[s.Name]; {
-		case s.Name == "":
-			bad(at+".name", "is missing")
-		case twice:
-			bad(at+".name", "%q stands twice", s.Name)
-		}
-		names[s.Name] = i
-		for _, r := range []struct {
-			field string
-			rates Rates
-			least float64
-		}{{"capacity", s.Capacity, math.SmallestNonzeroFloat64}, {"load", s.Load, 0}} {
-			for _, c := range slices.Sorted(maps.Keys(r.rates)) {
-				if v := r.rates[c]; !(v >= r.least && v <= 1e9) {
-					bad(at+"."+r.field+"."+c, "%v, want requests a second", v)
-				}
-				if !known[c] {
-					bad(at+"."+r.field+"."+c, "there is no class %q", c)
-				}
-			}
-		}
-		if len(s.Capacity) == 0 {
-			bad(at+".capacity", "is missing")
-		}
-		for c := range s.Load {
-			if known[c] && s.Capacity[c] == 0 {
-				bad(at+".capacity", "says nothing of class %q, which the site has load of", c)
-			}
-		}
-		if !(s.MaxCrossed >= 0 && s.MaxCrossed <= 1) {
-			bad(at+".most_crossed", "%v, want 0 to 1", s.MaxCrossed)
-		}
-	}
-	for i, s := range p.Sites {
-		sum, seen := 0.0, map[string]bool{}
-		for j, w := range s.To {
-			at := fmt.Sprintf("sites[%d].to[%d]", i, j)
-			switch _, ok := names[w.Site]; {
-			case !ok:
-				bad(at+".site", "there is no site %q", w.Site)
-			case w.Site == s.Name:
-				bad(at+".site", "a site's load cannot go to itself")
-			case seen[w.Site]:
-				bad(at+".site", "%q stands twice", w.Site)
-			}
-			seen[w.Site] = true
-			if !(w.Part > 0 && w.Part <= 1) {
-				bad(at+".part", "%v, want more than 0 and up to 1", w.Part)
-			}
-			sum += w.Part
-		}
-		if sum > 1+1e-9 {
-			bad(fmt.Sprintf("sites[%d].to", i), "the parts come to %.2f, 1 at most", sum)
-		}
-	}
-	if len(errs) > 0 {
-		return errors.Join(errs...)
-	}
-	return p.promises()
-}
-
-// Error is one that is wrong with a field.
-type Error struct{ Field, Reason string }
-
-func (e *Error) Error() string { return e.Field + ": " + e.Reason }
-
-// promises holds the floors against the capacities, at the loads that are expected: whole, and with each site lost.
-func (p *Plan) promises() error {
-	var errs []error
-	for _, lost := range append([][]string{nil}, p.Single()...) {
-		o := p.Lose(lost, nil)
-		need := map[string]float64{}
-		for _, s := range o.Shares {
-			if s.At != "" {
-				need[s.At] += s.Asked * p.class(s.Class).Floor / p.Sites[p.site(s.At)].Capacity[s.Class]
-			}
-		}
-		for _, name := range slices.Sorted(maps.Keys(need)) {
-			if need[name] > 1+1e-9 {
-				when := "with all sites there"
-				if len(lost) > 0 {
-					when = "with " + lost[0] + " lost"
-				}
-				errs = append(errs, &Error{fmt.Sprintf("sites[%d]", p.site(name)), fmt.Sprintf("%s the floors promise %.0f%% of the capacity of %s", when, 100*need[name], name)})
-			}
-		}
-	}
-	return errors.Join(errs...)
-}
+// Rejected returns the requests a second that are not served.
+func (s *Allocation) Rejected() float64 { return max(s.Requested-s.Served, 0) }
 
 func (p *Plan) site(name string) int {
 	return slices.IndexFunc(p.Sites, func(s Site) bool { return s.Name == name })
@@ -198,124 +86,142 @@
 	return Class{Name: name}
 }
 
-// Single are the losses of one site, Pairs of two.
-func (p *Plan) Single() (l [][]string) {
+// SingleLosses returns the losses of each site alone.
+func (p *Plan) SingleLosses() (losses [][]string) {
 	for _, s := range p.Sites {
-		l = append(l, []string{s.Name})
+		losses = append(losses, []string{s.Name})
 	}
-	return l
+	return losses
 }
 
-// Pairs are the losses of two sites, where one is left.
-func (p *Plan) Pairs() (l [][]string) {
+// PairLosses returns the losses of each pair of sites, if there are three sites or more.
+func (p *Plan) PairLosses() (losses [][]string) {
 	if len(p.Sites) < 3 {
 		return nil
 	}
 	for i, a := range p.Sites {
 		for _, b := range p.Sites[i+1:] {
-			l = append(l, []string{a.Name, b.Name})
+			losses = append(losses, []string{a.Name, b.Name})
 		}
 	}
-	return l
+	return losses
 }
 
-// Lose says what comes of the loss of some sites at a load by site; nil: the one that is expected. What one site may take and has no
-// room for is not sent to the next one: it is refused there, as a request crosses once at the most.
+// Lose computes the outcome of the loss of sites. The load by site replaces the expected load of the sites it has. Load for which a
+// target has no capacity is rejected there rather than sent to the next target, as a request crosses sites at most once.
 func (p *Plan) Lose(lost []string, load map[string]Rates) Outcome {
-	o := Outcome{Lost: slices.Sorted(slices.Values(lost)), Used: map[string]float64{}}
-	rates := func(s *Site) Rates {
-		if r, ok := load[s.Name]; ok {
-			return r
-		}
-		return s.Load
-	}
-	gone := func(name string) bool { return slices.Contains(lost, name) }
-	ask := map[string][]Share{}
+	outcome := Outcome{Lost: slices.Sorted(slices.Values(lost)), Utilization: map[string]float64{}}
+	bySite := map[string][]Allocation{} // by serving site
 	for i := range p.Sites {
 		s := &p.Sites[i]
-		for _, c := range slices.Sorted(maps.Keys(rates(s))) {
-			all := rates(s)[c]
-			if !gone(s.Name) {
-				ask[s.Name] = append(ask[s.Name], Share{From: s.Name, At: s.Name, Class: c, Asked: all})
-				continue
-			}
-			// The parts of ways that lead to a site that is lost as well go to those that are left, as far as these may take more.
-			left := all
-			for _, w := range s.To {
-				if t := p.site(w.Site); !gone(w.Site) && p.Sites[t].Capacity[c] > 0 {
-					n := min(w.Part*all, left)
-					ask[w.Site] = append(ask[w.Site], Share{From: s.Name, At: w.Site, Class: c, Asked: n})
-					left -= n
-				}
-			}
-			if left > 1e-9*all {
-				o.Shares = append(o.Shares, Share{From: s.Name, Class: c, Asked: left})
+		rates, given := load[s.Name]
+		if !given {
+			rates = s.Load
+		}
+		for _, class := range slices.Sorted(maps.Keys(rates)) {
+			for _, a := range p.route(s, class, rates[class], lost) {
+				bySite[a.At] = append(bySite[a.At], a)
 			}
 		}
 	}
-	for _, at := range slices.Sorted(maps.Keys(ask)) {
-		l := ask[at]
-		o.Used[at] = p.serve(&p.Sites[p.site(at)], l)
-		o.Shares = append(o.Shares, l...)
+	outcome.Allocations = bySite[""]
+	delete(bySite, "")
+	for _, name := range slices.Sorted(maps.Keys(bySite)) {
+		allocations := bySite[name]
+		outcome.Utilization[name] = p.allocate(&p.Sites[p.site(name)], allocations)
+		outcome.Allocations = append(outcome.Allocations, allocations...)
 	}
-	slices.SortStableFunc(o.Shares, func(a, b Share) int {
-		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.From, b.From), cmp.Compare(p.class(b.Class).Worth, p.class(a.Class).Worth), cmp.Compare(a.Class, b.Class))
+	slices.SortStableFunc(outcome.Allocations, func(a, b Allocation) int {
+		return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.From, b.From), p.compareWeight(a.Class, b.Class), cmp.Compare(a.Class, b.Class))
 	})
-	return o
+	return outcome
+}
+
+// compareWeight orders classes by descending priority weight.
+func (p *Plan) compareWeight(a, b string) int {
+	return cmp.Compare(p.class(b).PriorityWeight, p.class(a).PriorityWeight)
 }
 
-// serve shares a site's capacity: first the floors, then what is worth more, and of one worth the site's own users before the others',
-// who never get more than the site lets cross. It gives what is used.
-func (p *Plan) serve(s *Site, l []Share) float64 {
-	order := make([]int, len(l))
-	for i := range l {
-		order[i] = i
+// route divides a site's load of a class among the sites that are to serve it. The fractions of targets that are lost as well go to the
+// remaining ones as far as these may take more; what no site takes is allocated at "".
+func (p *Plan) route(s *Site, class string, rate float64, lost []string) []Allocation {
+	if !slices.Contains(lost, s.Name) {
+		return []Allocation{{From: s.Name, At: s.Name, Class: class, Requested: rate}}
 	}
-	slices.SortStableFunc(order, func(a, b int) int {
-		x, y := &l[a], &l[b]
-		own := func(z *Share) int {
-			if z.From == s.Name {
-				return 0
-			}
-			return 1
+	var allocations []Allocation
+	left := rate
+	for _, target := range s.Targets {
+		if slices.Contains(lost, target.Site) || p.Sites[p.site(target.Site)].Capacity[class] <= 0 {
+			continue
 		}
-		return cmp.Or(cmp.Compare(p.class(y.Class).Worth, p.class(x.Class).Worth), cmp.Compare(own(x), own(y)), cmp.Compare(x.Class, y.Class), cmp.Compare(x.From, y.From))
-	})
-	left, crossing := 1.0, s.MaxCrossed
-	give := func(x *Share, want float64) {
-		capacity := s.Capacity[x.Class]
-		if capacity <= 0 || want <= 0 {
+		requested := min(target.Fraction*rate, left)
+		allocations = append(allocations, Allocation{From: s.Name, At: target.Site, Class: class, Requested: requested})
+		left -= requested
+	}
+	if left > tolerance*rate {
+		allocations = append(allocations, Allocation{From: s.Name, Class: class, Requested: left})
+	}
+	return allocations
+}
+
+// allocate divides a site's capacity among allocations and sets what is served: first the floors, then by descending weight and, at
+// equal weight, the site's own load before that of others, which is bounded by MaxSpillover. It returns the utilization.
+func (p *Plan) allocate(s *Site, allocations []Allocation) float64 {
+	left, spillover := 1.0, s.MaxSpillover
+	serve := func(a *Allocation, rate float64) {
+		capacity := s.Capacity[a.Class]
+		if capacity <= 0 || rate <= 0 {
 			return
 		}
-		use := min(want/capacity, left)
-		if x.From != s.Name {
-			use = min(use, crossing)
-			crossing -= use
+		used := min(rate/capacity, left)
+		if a.From != s.Name {
+			used = min(used, spillover)
+			spillover -= used
 		}
-		left -= use
-		x.Served += use * capacity
+		left -= used
+		a.Served += used * capacity
 	}
-	for _, i := range order {
-		give(&l[i], l[i].Asked*p.class(l[i].Class).Floor)
+	order := p.serviceOrder(s, allocations)
+	for _, a := range order {
+		serve(a, a.Requested*p.class(a.Class).Floor)
 	}
-	for _, i := range order {
-		give(&l[i], l[i].Asked-l[i].Served)
+	for _, a := range order {
+		serve(a, a.Requested-a.Served)
 	}
 	return 1 - max(left, 0)
 }
 
-// String says in a line what is lost and what that comes to.
+// serviceOrder returns the allocations at a site in the order in which they are served.
+func (p *Plan) serviceOrder(s *Site, allocations []Allocation) []*Allocation {
+	order := make([]*Allocation, len(allocations))
+	for i := range allocations {
+		order[i] = &allocations[i]
+	}
+	foreign := func(a *Allocation) int {
+		if a.From == s.Name {
+			return 0
+		}
+		return 1
+	}
+	slices.SortStableFunc(order, func(a, b *Allocation) int {
+		return cmp.Or(p.compareWeight(a.Class, b.Class), cmp.Compare(foreign(a), foreign(b)), cmp.Compare(a.Class, b.Class), cmp.Compare(a.From, b.From))
+	})
+	return order
+}
+
+// String describes the outcome in a line.
 func (o *Outcome) String() string {
-	var asked, served, crossed float64
-	for _, s := range o.Shares {
-		asked, served = asked+s.Asked, served+s.Served
-		if s.From != s.At {
-			crossed += s.Served
+	var requested, served, crossed float64
+	for _, a := range o.Allocations {
+		requested += a.Requested
+		served += a.Served
+		if a.From != a.At {
+			crossed += a.Served
 		}
 	}
-	what := "all sites there"
+	lost := "all sites there"
 	if len(o.Lost) > 0 {
-		what = strings.Join(o.Lost, " and ") + " lost"
+		lost = strings.Join(o.Lost, " and ") + " lost"
 	}
-	return fmt.Sprintf("%s: of %.0f requests a second %.0f are served, %.0f of them cross, %.0f are refused", what, asked, served, crossed, asked-served)
+	return fmt.Sprintf("%s: of %.0f requests a second %.0f are served, %.0f of them cross, %.0f are refused", lost, requested, served, crossed, requested-served)
 }
--- a/internal/failoverplan/failoverplan_test.go
+++ b/internal/failoverplan/failoverplan_test.go
@@ -10,14 +10,14 @@
 )
 
 func two() *Plan {
-	return &Plan{Classes: []Class{{Name: "maps", Worth: 1, Floor: 0.1}, {Name: "pay", Worth: 20, Floor: 0.9}}, Sites: []Site{
-		{Name: "sapporo", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 400, "pay": 40}, To: []Way{{"ishikari", 1}}, MaxCrossed: 0.5},
-		{Name: "ishikari", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 500, "pay": 60}, To: []Way{{"sapporo", 0.8}}, MaxCrossed: 0.5},
+	return &Plan{Classes: []Class{{Name: "maps", PriorityWeight: 1, Floor: 0.1}, {Name: "pay", PriorityWeight: 20, Floor: 0.9}}, Sites: []Site{
+		{Name: "sapporo", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 400, "pay": 40}, Targets: []FailoverTarget{{"ishikari", 1}}, MaxSpillover: 0.5},
+		{Name: "ishikari", Capacity: Rates{"maps": 1000, "pay": 200}, Load: Rates{"maps": 500, "pay": 60}, Targets: []FailoverTarget{{"sapporo", 0.8}}, MaxSpillover: 0.5},
 	}}
 }
 
-func (o *Outcome) get(from, at, class string) (s Share) {
-	for _, x := range o.Shares {
+func (o *Outcome) get(from, at, class string) (s Allocation) {
+	for _, x := range o.Allocations {
 		if x.From == from && x.At == at && x.Class == class {
 			s = x
 		}
@@ -31,7 +31,7 @@
 // what is left of the maps that cross.
 func TestLoseOne(t *testing.T) {
 	p := two()
-	if err := p.Check(); err != nil {
+	if err := p.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	o := p.Lose([]string{"sapporo"}, nil)
@@ -43,18 +43,18 @@
 			t.Errorf("%s of %s: %.1f, want %.1f", x.class, x.from, got, x.want)
 		}
 	}
-	if !near(o.Used["ishikari"], 1) || !strings.Contains(o.String(), "sapporo lost: of 1000 requests a second 600 are served, 80 of them cross, 400 are refused") {
-		t.Errorf("%v, %v", o.Used, &o)
+	if !near(o.Utilization["ishikari"], 1) || !strings.Contains(o.String(), "sapporo lost: of 1000 requests a second 600 are served, 80 of them cross, 400 are refused") {
+		t.Errorf("%v, %v", o.Utilization, &o)
 	}
 	// The other way a fifth goes nowhere.
 	o = p.Lose([]string{"ishikari"}, nil)
-	if s := o.get("ishikari", "", "pay"); !near(s.Asked, 12) || s.Served != 0 {
+	if s := o.get("ishikari", "", "pay"); !near(s.Requested, 12) || s.Served != 0 {
 		t.Errorf("%+v", s)
 	}
-	if o = p.Lose(nil, nil); !near(o.Used["sapporo"], 0.6) || len(o.Shares) != 4 {
+	if o = p.Lose(nil, nil); !near(o.Utilization["sapporo"], 0.6) || len(o.Allocations) != 4 {
 		t.Errorf("%+v", o)
 	}
-	if o = p.Lose([]string{"sapporo", "ishikari"}, nil); len(o.Used) != 0 || !strings.Contains(o.String(), "1000 are refused") {
+	if o = p.Lose([]string{"sapporo", "ishikari"}, nil); len(o.Utilization) != 0 || !strings.Contains(o.String(), "1000 are refused") {
 		t.Errorf("%v", &o)
 	}
 }
@@ -63,20 +63,20 @@
 	for want, spoil := range map[string]func(p *Plan){
 		"sites: 1 sites":                         func(p *Plan) { p.Sites = p.Sites[:1] },
 		"sites[1].name: \"sapporo\" stands":      func(p *Plan) { p.Sites[1].Name = "sapporo" },
-		"sites[0].to[0].site: there is no site":  func(p *Plan) { p.Sites[0].To[0].Site = "otaru" },
-		"sites[0].to[0].site: a site's load":     func(p *Plan) { p.Sites[0].To[0].Site = "sapporo" },
-		"sites[0].to: the parts come to 2":       func(p *Plan) { p.Sites[0].To = []Way{{"ishikari", 1}, {"otaru", 1}} },
-		"sites[0].to[0].part: NaN":               func(p *Plan) { p.Sites[0].To[0].Part = math.NaN() },
+		"sites[0].to[0].site: there is no site":  func(p *Plan) { p.Sites[0].Targets[0].Site = "otaru" },
+		"sites[0].to[0].site: a site's load":     func(p *Plan) { p.Sites[0].Targets[0].Site = "sapporo" },
+		"sites[0].to: the parts come to 2":       func(p *Plan) { p.Sites[0].Targets = []FailoverTarget{{"ishikari", 1}, {"otaru", 1}} },
+		"sites[0].to[0].part: NaN":               func(p *Plan) { p.Sites[0].Targets[0].Fraction = math.NaN() },
 		"sites[0].capacity.maps: 0":              func(p *Plan) { p.Sites[0].Capacity["maps"] = 0 },
 		"sites[0].capacity: says nothing of":     func(p *Plan) { delete(p.Sites[0].Capacity, "pay") },
 		"sites[0].load.cake: there is no class":  func(p *Plan) { p.Sites[0].Load["cake"] = 1 },
-		"sites[0].most_crossed: 2":               func(p *Plan) { p.Sites[0].MaxCrossed = 2 },
+		"sites[0].most_crossed: 2":               func(p *Plan) { p.Sites[0].MaxSpillover = 2 },
 		"floors.pay: -1":                         func(p *Plan) { p.Classes[1].Floor = -1 },
 		"with sapporo lost the floors promise 1": func(p *Plan) { p.Classes[0].Floor = 1 },
 	} {
 		p := two()
 		spoil(p)
-		if err := p.Check(); err == nil || !strings.Contains(err.Error(), want) {
+		if err := p.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
 		}
 	}
@@ -91,10 +91,10 @@
 		n, k := rapid.IntRange(2, 5).Draw(t, "sites"), rapid.IntRange(1, 4).Draw(t, "classes")
 		p := &Plan{}
 		for i := range k {
-			p.Classes = append(p.Classes, Class{Name: fmt.Sprint("c", i), Worth: float64(rapid.IntRange(1, 5).Draw(t, "worth")), Floor: rapid.Float64Range(0, 0.3).Draw(t, "floor")})
+			p.Classes = append(p.Classes, Class{Name: fmt.Sprint("c", i), PriorityWeight: float64(rapid.IntRange(1, 5).Draw(t, "worth")), Floor: rapid.Float64Range(0, 0.3).Draw(t, "floor")})
 		}
 		for i := range n {
-			s := Site{Name: fmt.Sprint("s", i), Capacity: Rates{}, Load: Rates{}, MaxCrossed: rapid.Float64Range(0, 1).Draw(t, "crossed")}
+			s := Site{Name: fmt.Sprint("s", i), Capacity: Rates{}, Load: Rates{}, MaxSpillover: rapid.Float64Range(0, 1).Draw(t, "crossed")}
 			for _, c := range p.Classes {
 				s.Capacity[c.Name] = rapid.Float64Range(1, 1000).Draw(t, "capacity")
 				s.Load[c.Name] = rapid.Float64Range(0, 800).Draw(t, "load")
@@ -102,10 +102,10 @@
 			left := 1.0
 			for j := range n {
 				if j != i && rapid.Bool().Draw(t, "way") {
-					w := Way{fmt.Sprint("s", j), rapid.Float64Range(0.01, 1).Draw(t, "part")}
-					if w.Part = min(w.Part, left); w.Part > 0.001 {
-						s.To = append(s.To, w)
-						left -= w.Part
+					w := FailoverTarget{fmt.Sprint("s", j), rapid.Float64Range(0.01, 1).Draw(t, "part")}
+					if w.Fraction = min(w.Fraction, left); w.Fraction > 0.001 {
+						s.Targets = append(s.Targets, w)
+						left -= w.Fraction
 					}
 				}
 			}
@@ -121,9 +121,9 @@
 		}
 		o := p.Lose(names, nil)
 		used, crossed, asked, floors := map[string]float64{}, map[string]float64{}, map[[2]string]float64{}, map[string]float64{}
-		for _, s := range o.Shares {
-			asked[[2]string{s.From, s.Class}] += s.Asked
-			if s.Served > s.Asked*(1+1e-9)+1e-9 || s.Served < 0 {
+		for _, s := range o.Allocations {
+			asked[[2]string{s.From, s.Class}] += s.Requested
+			if s.Served > s.Requested*(1+1e-9)+1e-9 || s.Served < 0 {
 				t.Fatalf("%+v", s)
 			}
 			if s.At == "" {
@@ -138,20 +138,20 @@
 			site := &p.Sites[p.site(s.At)]
 			use := s.Served / site.Capacity[s.Class]
 			used[s.At] += use
-			floors[s.At] += s.Asked * p.class(s.Class).Floor / site.Capacity[s.Class]
+			floors[s.At] += s.Requested * p.class(s.Class).Floor / site.Capacity[s.Class]
 			if s.From != s.At {
 				crossed[s.At] += use
 			}
-			for _, x := range o.Shares {
-				if x.At == s.At && x.From == s.From && p.class(x.Class).Worth > p.class(s.Class).Worth && x.Refused() > 1e-6*x.Asked+1e-6 &&
-					s.Served > s.Asked*p.class(s.Class).Floor+1e-6*s.Asked+1e-6 {
+			for _, x := range o.Allocations {
+				if x.At == s.At && x.From == s.From && p.class(x.Class).PriorityWeight > p.class(s.Class).PriorityWeight && x.Rejected() > 1e-6*x.Requested+1e-6 &&
+					s.Served > s.Requested*p.class(s.Class).Floor+1e-6*s.Requested+1e-6 {
 					t.Fatalf("%+v is served beyond its floor while %+v is refused", s, x)
 				}
 			}
 		}
 		for _, s := range p.Sites {
-			if used[s.Name] > 1+1e-6 || crossed[s.Name] > s.MaxCrossed+1e-6 || !near(used[s.Name], o.Used[s.Name]) {
-				t.Fatalf("%s uses %v (it says %v), crossed %v of %v", s.Name, used[s.Name], o.Used[s.Name], crossed[s.Name], s.MaxCrossed)
+			if used[s.Name] > 1+1e-6 || crossed[s.Name] > s.MaxSpillover+1e-6 || !near(used[s.Name], o.Utilization[s.Name]) {
+				t.Fatalf("%s uses %v (it says %v), crossed %v of %v", s.Name, used[s.Name], o.Utilization[s.Name], crossed[s.Name], s.MaxSpillover)
 			}
 			for c, want := range s.Load {
 				if got := asked[[2]string{s.Name, c}]; !near(got, want) {
@@ -159,8 +159,8 @@
 				}
 			}
 			if floors[s.Name] <= 1 {
-				for _, x := range o.Shares {
-					if x.At == s.Name && x.From == s.Name && x.Served < x.Asked*p.class(x.Class).Floor*(1-1e-6)-1e-6 {
+				for _, x := range o.Allocations {
+					if x.At == s.Name && x.From == s.Name && x.Served < x.Requested*p.class(x.Class).Floor*(1-1e-6)-1e-6 {
 						t.Fatalf("a floor is not kept: %+v", x)
 					}
 				}
