--- a/cmd/robindrum/capture.go
+++ b/cmd/robindrum/capture.go
@@ -24,8 +24,8 @@
 		Long: "Record when requests come, their class, hashed key, method, size, time taken and outcome; never bodies, paths, addresses\n" +
 			"or keys as they are. The file appears once it is whole.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			o := capture.Options{For: length, Sample: sample, Records: records}
-			if err := o.Check(); err != nil {
+			o := capture.Options{Duration: length, SampleRate: sample, MaxRecords: records}
+			if err := o.Validate(); err != nil {
 				return fmt.Errorf("%w: %w", err, errUsage)
 			}
 			q := url.Values{"seconds": {fmt.Sprint(length.Seconds())}, "sample": {fmt.Sprint(sample)}, "records": {fmt.Sprint(records)}}
@@ -52,7 +52,7 @@
 				return fmt.Errorf("what has come is in %s: %w", part, err)
 			}
 			k, err := capture.Open(part)
-			if err != nil || !k.Whole {
+			if err != nil || !k.Complete {
 				return errors.Join(fmt.Errorf("the capture is not whole, what has come is in %s", part), err)
 			}
 			if err := os.Rename(part, path); err != nil {
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -34,7 +34,7 @@
 		head + `{"t":1,"c":"map","d":1,"o":"served","cookie":"x"}` + "\n":           "f:2: not a line",
 		head + line(1, 1) + line(60_000_000, 1) + line(50_000_000, 1):               "f:4: time goes back by 10s",
 		head + `{"t":9e18,"c":"map","d":1,"o":"served"}` + "\n":                     "f:2:",
-		head + `{"t":` + strings.Repeat("1", maxLine) + "\n":                        "f:2: longer than",
+		head + `{"t":` + strings.Repeat("1", maxLineBytes) + "\n":                   "f:2: longer than",
 		head + line(1, 1) + `{"end":true,"length":5,"records":2,"missed":0}` + "\n": "f:3: the end says 2 records over 5 us, and there are 1",
 		head + `{"end":true,"length":5,"records":0,"missed":0}` + "\n" + line(1, 1): "f:3: something stands behind the end",
 	} {
@@ -45,12 +45,12 @@
 	// Records end in another order than they came, within what is usual; a gap is nothing wrong.
 	whole := head + line(2_000_000, 10) + line(1_000_000, 1_500_000) + line(90_000_000, 5) + `{"end":true,"length":95000000,"records":3,"missed":7}` + "\n"
 	c, err := Read("f", strings.NewReader(whole))
-	if err != nil || !c.Whole || c.Cut || c.Missed != 7 || c.Length != 95*time.Second || len(c.Records) != 3 || c.Records[0].At != 1_000_000 {
+	if err != nil || !c.Complete || c.Truncated || c.Missed != 7 || c.Length != 95*time.Second || len(c.Records) != 3 || c.Records[0].ArrivalMicros != 1_000_000 {
 		t.Errorf("%+v, %v", c, err)
 	}
 	for cut := len(head); cut < len(whole); cut++ {
 		c, err := Read("f", strings.NewReader(whole[:cut]))
-		if err != nil || c.Whole || c.Cut != (whole[cut-1] != '\n') || len(c.Records) != strings.Count(whole[len(head):cut], "\n") {
+		if err != nil || c.Complete || c.Truncated != (whole[cut-1] != '\n') || len(c.Records) != strings.Count(whole[len(head):cut], "\n") {
 			t.Fatalf("cut at %d: %+v, %v", cut, c, err)
 		}
 	}
@@ -59,7 +59,7 @@
 // What is recorded comes back: bounded, sampled, with keys that nobody can tell, and alike for the same key.
 func TestRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, err := NewRecorder(Options{For: time.Minute, Sample: 1, Records: 100, Gateway: "sapporo"})
+		r, err := NewRecorder(Options{Duration: time.Minute, SampleRate: 1, MaxRecords: 100, Gateway: "sapporo"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,17 +69,17 @@
 		time.Sleep(time.Second)
 		r.Add("map", "", "GET", 0, 2*time.Second, Served) // it came before the recording began
 		r.Add("hold", "customer-4711", "POST", 12, 20*time.Millisecond, Served)
-		r.Add("hold", "customer-4711", "POST", 12, 30*time.Millisecond, Refused)
+		r.Add("hold", "customer-4711", "POST", 12, 30*time.Millisecond, Rejected)
 		time.Sleep(time.Minute)
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 		c, err := Read("f", bytes.NewReader(out.Bytes()))
-		if err != nil || !c.Whole || len(c.Records) != 2 || c.Gateway != "sapporo" || c.Length != time.Minute {
+		if err != nil || !c.Complete || len(c.Records) != 2 || c.Gateway != "sapporo" || c.Length != time.Minute {
 			t.Fatalf("%+v, %v\n%s", c, err, out.String())
 		}
 		a, b := c.Records[0], c.Records[1]
-		if a.Key != b.Key || len(a.Key) != 16 || strings.Contains(out.String(), "4711") || a.At != 970_000 || a.Took != 30_000 || a.Outcome != Refused || b.Size != 12 {
+		if a.Key != b.Key || len(a.Key) != 16 || strings.Contains(out.String(), "4711") || a.ArrivalMicros != 970_000 || a.LatencyMicros != 30_000 || a.Outcome != Rejected || b.BodyBytes != 12 {
 			t.Errorf("%+v, %+v", a, b)
 		}
 	})
@@ -88,14 +88,14 @@
 // More than may be recorded, all at once and from many: what is written is bounded, and what is missed is counted.
 func TestRecorderIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, err := NewRecorder(Options{For: time.Second, Sample: 1, Records: 1000})
+		r, err := NewRecorder(Options{Duration: time.Second, SampleRate: 1, MaxRecords: 1000})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var all sync.WaitGroup
 		for range 10 {
 			all.Go(func() {
-				for range queued / 5 {
+				for range queueSize / 5 {
 					r.Add("map", "k", "GET", 0, 0, Served)
 				}
 			})
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 		c, err := Read("f", &out)
-		if err != nil || len(c.Records) != 1000 || c.Missed != uint64(10*(queued/5)-1000) {
+		if err != nil || len(c.Records) != 1000 || c.Missed != uint64(10*(queueSize/5)-1000) {
 			t.Errorf("%d records, %d missed, %v", len(c.Records), c.Missed, err)
 		}
 	})
@@ -124,7 +124,7 @@
 // Who reads it goes away: the recording ends with an error, and without a trailer.
 func TestRecorderThatNobodyReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := NewRecorder(Options{For: time.Hour, Sample: 1})
+		r, _ := NewRecorder(Options{Duration: time.Hour, SampleRate: 1})
 		r.Add("map", "", "GET", 0, 0, Served)
 		if err := r.Write(t.Context(), &broken{after: 1}); err == nil || !strings.Contains(err.Error(), "no space") {
 			t.Error(err)
@@ -136,7 +136,7 @@
 			t.Errorf("called off: %v\n%s", err, out.String())
 		}
 	})
-	for _, o := range []Options{{}, {For: 2 * time.Hour, Sample: 1}, {For: time.Second, Sample: 2}, {For: time.Second}, {For: time.Second, Sample: 1, Records: -1}} {
+	for _, o := range []Options{{}, {Duration: 2 * time.Hour, SampleRate: 1}, {Duration: time.Second, SampleRate: 2}, {Duration: time.Second}, {Duration: time.Second, SampleRate: 1, MaxRecords: -1}} {
 		if _, err := NewRecorder(o); err == nil {
 			t.Errorf("%+v: taken", o)
 		}
@@ -157,7 +157,7 @@
 			return
 		}
 		for i, r := range c.Records {
-			if r.At < 0 || r.Came() > c.Length || i > 0 && r.At < c.Records[i-1].At || r.Class == "" {
+			if r.ArrivalMicros < 0 || r.Arrival() > c.Length || i > 0 && r.ArrivalMicros < c.Records[i-1].ArrivalMicros || r.Class == "" {
 				t.Fatalf("%d: %+v of %v", i, r, c.Length)
 			}
 		}
--- a/internal/capture/former_test.go
+++ b/internal/capture/former_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Version != 1 || c.Sample != 1 || c.Gateway != "g1" || c.Began.Year() != 2026 || !c.Whole || c.Cut || c.Missed != 0 || c.Length < 100*time.Millisecond {
+	if c.Version != 1 || c.SampleRate != 1 || c.Gateway != "g1" || c.StartedAt.Year() != 2026 || !c.Complete || c.Truncated || c.Missed != 0 || c.Length < 100*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 	want := []struct {
@@ -23,16 +23,16 @@
 		outcome       Outcome
 	}{
 		{"order", "POST", true, 512, 9 * time.Millisecond, Failed},
-		{"order", "POST", true, 512, 7 * time.Millisecond, Refused},
+		{"order", "POST", true, 512, 7 * time.Millisecond, Rejected},
 		{"page", "GET", false, 0, 3 * time.Millisecond, Served},
-		{"page", "", false, 0, 2 * time.Millisecond, Left},
+		{"page", "", false, 0, 2 * time.Millisecond, Abandoned},
 	}
 	if len(c.Records) != len(want) {
 		t.Fatalf("%d records, want %d", len(c.Records), len(want))
 	}
 	for i, w := range want {
 		r := c.Records[i]
-		if r.Class != w.class || r.Method != w.method || (r.Key != "") != w.keyed || r.Size != w.size || r.Took != w.took.Microseconds() || r.Outcome != w.outcome {
+		if r.Class != w.class || r.Method != w.method || (r.Key != "") != w.keyed || r.BodyBytes != w.size || r.LatencyMicros != w.took.Microseconds() || r.Outcome != w.outcome {
 			t.Errorf("record %d: %+v, want %+v", i, r, w)
 		}
 	}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -16,121 +16,163 @@
 	"time"
 )
 
-// Options bound a recording.
+// Options configures a recording.
 type Options struct {
-	For     time.Duration // above 0 to an hour
-	Sample  float64       // part of requests, above 0 to 1
-	Records int           // at most; 0: 1,000,000
-	Gateway string        // its name, for the header
+	Duration   time.Duration // above 0, an hour at most
+	SampleRate float64       // fraction of requests, above 0 to 1
+	MaxRecords int           // 0: defaultMaxRecords
+	Gateway    string        // name for the header
 }
 
-// Check says what cannot be used.
-func (o *Options) Check() error {
+// Validate returns an error that names the first invalid option.
+func (o *Options) Validate() error {
 	switch {
-	case o.For <= 0 || o.For > time.Hour:
-		return fmt.Errorf("for: want more than 0 and an hour at most, not %v", o.For)
-	case !(o.Sample > 0 && o.Sample <= 1):
-		return fmt.Errorf("sample: want more than 0 and 1 at most, not %v", o.Sample)
-	case o.Records < 0 || o.Records > MaxRecords:
-		return fmt.Errorf("records: want 0 to %d, not %d", MaxRecords, o.Records)
+	case o.Duration <= 0 || o.Duration > time.Hour:
+		return fmt.Errorf("for: want more than 0 and an hour at most, not %v", o.Duration)
+	case !(o.SampleRate > 0 && o.SampleRate <= 1):
+		return fmt.Errorf("sample: want more than 0 and 1 at most, not %v", o.SampleRate)
+	case o.MaxRecords < 0 || o.MaxRecords > MaxRecords:
+		return fmt.Errorf("records: want 0 to %d, not %d", MaxRecords, o.MaxRecords)
 	}
 	return nil
 }
 
-// Recorder takes requests as they end. Add may be called by several goroutines at once and never waits: what the writer has
-// no room for is counted as missed.
+// Recorder records requests as they end. Add is safe for concurrent use and does not block: requests for which the queue has no space
+// are counted as missed. Write may be called once.
 type Recorder struct {
-	opt    Options
-	began  time.Time
-	queue  chan entry
-	missed atomic.Uint64
+	options   Options
+	startedAt time.Time
+	queue     chan entry
+	missed    atomic.Uint64
 }
 
 type entry struct {
 	Record
-	key string // as it was: it never leaves this process
+	plainKey string // hashed before it is written
 }
 
-const queued = 16 << 10 // records
+const (
+	queueSize         = 16 << 10 // records
+	defaultMaxRecords = 1_000_000
+	secretBytes       = 32
+	keyHashBytes      = 8
+	writeBufferBytes  = 64 << 10
+	flushInterval     = time.Second
+)
 
-// NewRecorder makes one. It records nothing until Write runs.
+// NewRecorder returns a recorder whose time begins now. Up to queueSize requests wait for Write.
 func NewRecorder(o Options) (*Recorder, error) {
-	if o.Records == 0 {
-		o.Records = 1_000_000
+	if o.MaxRecords == 0 {
+		o.MaxRecords = defaultMaxRecords
 	}
-	if err := o.Check(); err != nil {
+	if err := o.Validate(); err != nil {
 		return nil, err
 	}
-	return &Recorder{opt: o, began: time.Now(), queue: make(chan entry, queued)}, nil
+	return &Recorder{options: o, startedAt: time.Now(), queue: make(chan entry, queueSize)}, nil
 }
 
-// Add takes a request that ends now. Its key is hashed before it is written.
+// Add records a request that ends now and took a duration. Its key is hashed before it is written.
 func (r *Recorder) Add(class, key, method string, size int64, took time.Duration, out Outcome) {
-	if r.opt.Sample < 1 && mathrand.Float64() >= r.opt.Sample {
+	if r.options.SampleRate < 1 && mathrand.Float64() >= r.options.SampleRate {
 		return
 	}
-	at := time.Since(r.began) - took
+	at := time.Since(r.startedAt) - took
 	if at < 0 {
-		return // it came before the recording began
+		return // it arrived before the recording began
+	}
+	record := Record{
+		ArrivalMicros: at.Microseconds(),
+		Class:         class,
+		Method:        method,
+		BodyBytes:     size,
+		LatencyMicros: took.Microseconds(),
+		Outcome:       out,
 	}
 	select {
-	case r.queue <- entry{Record{At: at.Microseconds(), Class: class, Method: method, Size: size, Took: took.Microseconds(), Outcome: out}, key}:
+	case r.queue <- entry{record, key}:
 	default:
 		r.missed.Add(1)
 	}
 }
 
-// Write writes what is added, until the time is over, ctx ends, or as many records are written as may be. A capture whose
-// writing broke off has no trailer.
+// Write writes the recorded requests to out. It blocks until the duration is over, ctx ends, or the maximum of records is reached, and
+// then writes the trailer. A capture whose writing failed has no trailer.
 func (r *Recorder) Write(ctx context.Context, out io.Writer) error {
-	secret := make([]byte, 32)
+	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
 		return fmt.Errorf("a secret for the capture: %w", err)
 	}
-	w := bufio.NewWriterSize(out, 64<<10)
-	enc := json.NewEncoder(w)
-	if err := errors.Join(enc.Encode(Header{Version: Version, Began: r.began.UTC(), Sample: r.opt.Sample, Gateway: r.opt.Gateway}), w.Flush()); err != nil {
+	buffer := bufio.NewWriterSize(out, writeBufferBytes)
+	w := &entryWriter{buffer: buffer, encoder: json.NewEncoder(buffer), secret: secret}
+	if err := r.write(ctx, w); err != nil {
 		return fmt.Errorf("writing the capture: %w", err)
 	}
-	ctx, cancel := context.WithDeadline(ctx, r.began.Add(r.opt.For))
+	return nil
+}
+
+func (r *Recorder) write(ctx context.Context, w *entryWriter) error {
+	header := Header{Version: Version, StartedAt: r.startedAt.UTC(), SampleRate: r.options.SampleRate, Gateway: r.options.Gateway}
+	if err := w.writeAndFlush(header); err != nil {
+		return err
+	}
+	ctx, cancel := context.WithDeadline(ctx, r.startedAt.Add(r.options.Duration))
 	defer cancel()
-	flush := time.NewTicker(time.Second)
+	if err := r.writeUntilDone(ctx, w); err != nil {
+		return err
+	}
+	for len(r.queue) > 0 && w.records < r.options.MaxRecords {
+		if err := w.write(<-r.queue); err != nil {
+			return err
+		}
+	}
+	return w.writeAndFlush(Trailer{
+		End:          true,
+		LengthMicros: time.Since(r.startedAt).Microseconds(),
+		Records:      w.records,
+		Missed:       r.missed.Load() + uint64(len(r.queue)),
+	})
+}
+
+// writeUntilDone writes entries until ctx ends or the maximum of records is reached.
+func (r *Recorder) writeUntilDone(ctx context.Context, w *entryWriter) error {
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
-	n := 0
-	for more := true; more && n < r.opt.Records; {
+	for w.records < r.options.MaxRecords {
 		var err error
 		select {
 		case e := <-r.queue:
-			n++
-			err = r.one(enc, &e, secret)
+			err = w.write(e)
 		case <-flush.C:
-			err = w.Flush()
+			err = w.buffer.Flush()
 		case <-ctx.Done():
-			more = false
+			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("writing the capture: %w", err)
-		}
-	}
-	for len(r.queue) > 0 && n < r.opt.Records {
-		e := <-r.queue
-		n++
-		if err := r.one(enc, &e, secret); err != nil {
-			return fmt.Errorf("writing the capture: %w", err)
+			return err
 		}
 	}
-	t := Trailer{End: true, Length: time.Since(r.began).Microseconds(), Records: n, Missed: r.missed.Load() + uint64(len(r.queue))}
-	if err := errors.Join(enc.Encode(t), w.Flush()); err != nil {
-		return fmt.Errorf("writing the capture: %w", err)
-	}
 	return nil
 }
 
-func (r *Recorder) one(enc *json.Encoder, e *entry, secret []byte) error {
-	if e.key != "" {
-		h := hmac.New(sha256.New, secret)
-		h.Write([]byte(e.key))
-		e.Key = hex.EncodeToString(h.Sum(nil)[:8])
+// entryWriter writes the lines of a capture.
+type entryWriter struct {
+	buffer  *bufio.Writer
+	encoder *json.Encoder // into buffer
+	secret  []byte        // for the hashes of keys
+	records int           // written
+}
+
+// write writes a record with the hash of its key.
+func (w *entryWriter) write(e entry) error {
+	w.records++
+	if e.plainKey != "" {
+		h := hmac.New(sha256.New, w.secret)
+		h.Write([]byte(e.plainKey))
+		e.Key = hex.EncodeToString(h.Sum(nil)[:keyHashBytes])
 	}
-	return enc.Encode(e.Record)
+	return w.encoder.Encode(e.Record)
+}
+
+func (w *entryWriter) writeAndFlush(line any) error {
+	return errors.Join(w.encoder.Encode(line), w.buffer.Flush())
 }
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -49,14 +49,14 @@
 
 // Fit estimates a load model from a capture.
 func Fit(c *capture.Capture) LoadModel {
-	model := LoadModel{Length: c.Length, Requests: float64(len(c.Records)) / c.Sample}
+	model := LoadModel{Length: c.Length, Requests: float64(len(c.Records)) / c.SampleRate}
 	if len(c.Records) == 0 || c.Length <= 0 {
 		return model
 	}
 	model.Rate = model.Requests / c.Length.Seconds()
 	perSecond := requestsPerSecond(c)
 	model.Peak = slices.Max(perSecond)
-	model.Burstiness = burstiness(perSecond[:len(perSecond)-1], c.Sample) // without the last second, which is incomplete
+	model.Burstiness = burstiness(perSecond[:len(perSecond)-1], c.SampleRate) // without the last second, which is incomplete
 	model.Classes = fitClasses(c)
 	keys := requestsByKey(c)
 	model.Keys = len(keys)
@@ -70,7 +70,7 @@
 func requestsPerSecond(c *capture.Capture) []float64 {
 	perSecond := make([]float64, int(c.Length/time.Second)+1)
 	for i := range c.Records {
-		perSecond[int(c.Records[i].Came()/time.Second)] += 1 / c.Sample
+		perSecond[int(c.Records[i].Arrival()/time.Second)] += 1 / c.SampleRate
 	}
 	return perSecond
 }
@@ -105,7 +105,7 @@
 	var gaps []Gap
 	last := time.Duration(0)
 	for i := range c.Records {
-		at := c.Records[i].Came()
+		at := c.Records[i].Arrival()
 		if at-last > minGap {
 			gaps = append(gaps, Gap{last, at - last})
 		}
@@ -136,8 +136,8 @@
 		switch record.Outcome {
 		case capture.Served:
 			class.served++
-			class.latencies = append(class.latencies, float64(record.Took)/1e6)
-		case capture.Refused:
+			class.latencies = append(class.latencies, float64(record.LatencyMicros)/1e6)
+		case capture.Rejected:
 			class.rejected++
 		}
 	}
@@ -160,10 +160,10 @@
 // captureNotes returns what a reader of the model should know about its capture.
 func captureNotes(c *capture.Capture, gaps []Gap) []string {
 	var notes []string
-	if c.Cut {
+	if c.Truncated {
 		notes = append(notes, "the last line is not whole and was left out")
 	}
-	if !c.Whole {
+	if !c.Complete {
 		notes = append(notes, "the capture broke off: it has no end")
 	}
 	if c.Missed > 0 {
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -176,7 +176,7 @@
 	}
 	best, n, from := 0, 0, 0
 	for to := range c.Records {
-		for c.Records[to].Came()-c.Records[from].Came() >= length {
+		for c.Records[to].Arrival()-c.Records[from].Arrival() >= length {
 			from++
 		}
 		if to-from+1 > n {
@@ -185,9 +185,9 @@
 	}
 	w := *c
 	w.Records, w.Length = slices.Clone(c.Records[best:best+n]), length
-	first := w.Records[0].At
+	first := w.Records[0].ArrivalMicros
 	for i := range w.Records {
-		w.Records[i].At -= first
+		w.Records[i].ArrivalMicros -= first
 	}
 	return &w
 }
--- a/internal/experiment/plan_test.go
+++ b/internal/experiment/plan_test.go
@@ -18,14 +18,14 @@
 func captured(rate float64, length time.Duration, sample float64) *capture.Capture {
 	rng := rand.New(rand.NewPCG(3, 4))
 	zipf := rand.NewZipf(rng, 1.5, 1, 999)
-	c := &capture.Capture{Header: capture.Header{Version: 1, Sample: sample}, Length: length, Whole: true}
+	c := &capture.Capture{Header: capture.Header{Version: 1, SampleRate: sample}, Length: length, Complete: true}
 	for at := time.Duration(0); ; {
 		if at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)); at >= length {
 			return c
 		}
-		r := capture.Record{At: at.Microseconds(), Class: "map", Key: fmt.Sprint("k", zipf.Uint64()), Took: 20_000, Outcome: capture.Served}
+		r := capture.Record{ArrivalMicros: at.Microseconds(), Class: "map", Key: fmt.Sprint("k", zipf.Uint64()), LatencyMicros: 20_000, Outcome: capture.Served}
 		if rng.IntN(4) == 0 {
-			r.Class, r.Took = "hold", 40_000
+			r.Class, r.LatencyMicros = "hold", 40_000
 		}
 		if rng.Float64() < sample {
 			c.Records = append(c.Records, r)
@@ -36,9 +36,9 @@
 func save(t *testing.T, c *capture.Capture, with func(string) string) string {
 	t.Helper()
 	var b strings.Builder
-	fmt.Fprintf(&b, "{\"robindrum_capture\":1,\"began\":\"2026-12-01T09:00:00Z\",\"sample\":%v}\n", c.Sample)
+	fmt.Fprintf(&b, "{\"robindrum_capture\":1,\"began\":\"2026-12-01T09:00:00Z\",\"sample\":%v}\n", c.SampleRate)
 	for _, r := range c.Records {
-		fmt.Fprintf(&b, "{\"t\":%d,\"c\":%q,\"k\":%q,\"d\":%d,\"o\":%q}\n", r.At, r.Class, r.Key, r.Took, r.Outcome)
+		fmt.Fprintf(&b, "{\"t\":%d,\"c\":%q,\"k\":%q,\"d\":%d,\"o\":%q}\n", r.ArrivalMicros, r.Class, r.Key, r.LatencyMicros, r.Outcome)
 	}
 	path := filepath.Join(t.TempDir(), "c.capture")
 	if err := os.WriteFile(path, []byte(with(b.String())), 0o600); err != nil {
@@ -119,8 +119,8 @@
 	for _, sample := range []float64{1, 0.3} {
 		c := captured(300, time.Minute, sample)
 		for i := range c.Records {
-			if c.Records[i].At > 30_000_000 {
-				c.Records[i].At += 5_000_000
+			if c.Records[i].ArrivalMicros > 30_000_000 {
+				c.Records[i].ArrivalMicros += 5_000_000
 			}
 		}
 		c.Length += 5 * time.Second
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -56,7 +56,7 @@
 
 // setTrace makes a capture the load of the experiment.
 func (e *Experiment) setTrace(c *capture.Capture, t *Trace) error {
-	r := &trace{Trace: t, copies: t.Multiplier / c.Sample}
+	r := &trace{Trace: t, copies: t.Multiplier / c.SampleRate}
 	unknown := r.addRecords(e.Classes, c.Records)
 	if len(unknown) > 0 && t.UnknownClasses != "drop" {
 		names := []string{}
@@ -101,7 +101,7 @@
 	capturedEnd := time.Duration(float64(end) * r.Speed)
 	records := 0
 	for i := range r.records {
-		if r.records[i].Came() < capturedEnd {
+		if r.records[i].Arrival() < capturedEnd {
 			records++
 		}
 	}
@@ -119,7 +119,7 @@
 
 // replayTime returns when a record is replayed.
 func (r *trace) replayTime(record int) time.Duration {
-	return time.Duration(float64(r.records[record].Came()) / r.Speed)
+	return time.Duration(float64(r.records[record].Arrival()) / r.Speed)
 }
 
 // traceReplay yields the requests of a trace in order of time.
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -25,8 +25,8 @@
 // captureOutcomes are the outcomes of requests in the form of a capture.
 var captureOutcomes = map[proxy.RequestOutcome]capture.Outcome{
 	proxy.OutcomeServed:     capture.Served,
-	proxy.OutcomeRejected:   capture.Refused,
-	proxy.OutcomeClientLeft: capture.Left,
+	proxy.OutcomeRejected:   capture.Rejected,
+	proxy.OutcomeClientLeft: capture.Abandoned,
 }
 
 // recordCompleted counts a completed request and adds it to the capture, if one is running. It is called with a core's
@@ -79,7 +79,7 @@
 
 // captureOptions reads the options of a capture. Numbers out of range are clamped.
 func captureOptions(query url.Values) (capture.Options, error) {
-	options := capture.Options{For: defaultCaptureTime, Sample: 1}
+	options := capture.Options{Duration: defaultCaptureTime, SampleRate: 1}
 	var errs []error
 	parse := func(name string, apply func(float64)) {
 		text := query.Get(name)
@@ -94,10 +94,10 @@
 		apply(value)
 	}
 	parse("seconds", func(value float64) {
-		options.For = time.Duration(min(max(value, 0), maxCaptureSeconds) * float64(time.Second))
+		options.Duration = time.Duration(min(max(value, 0), maxCaptureSeconds) * float64(time.Second))
 	})
-	parse("sample", func(value float64) { options.Sample = value })
-	parse("records", func(value float64) { options.Records = int(min(max(value, -1), maxCaptureRecords)) })
+	parse("sample", func(value float64) { options.SampleRate = value })
+	parse("records", func(value float64) { options.MaxRecords = int(min(max(value, -1), maxCaptureRecords)) })
 	return options, errors.Join(errs...)
 }
 
--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -75,13 +75,13 @@
 		t.Fatal(err)
 	}
 	c, err := capture.Read("capture", bytes.NewReader(text))
-	if err != nil || !c.Whole || len(c.Records) != 4 {
+	if err != nil || !c.Complete || len(c.Records) != 4 {
 		t.Fatalf("%v\n%s", err, text)
 	}
 	for i, want := range []capture.Record{{Class: "default-safe", Method: "GET", Outcome: capture.Served}, {Class: "default-safe", Method: "GET", Outcome: capture.Served},
-		{Class: "default-safe", Method: "GET", Outcome: capture.Failed}, {Class: "default-unsafe", Method: "POST", Outcome: capture.Served, Size: 5}} {
+		{Class: "default-safe", Method: "GET", Outcome: capture.Failed}, {Class: "default-unsafe", Method: "POST", Outcome: capture.Served, BodyBytes: 5}} {
 		got := c.Records[i]
-		if got.Class != want.Class || got.Method != want.Method || got.Outcome != want.Outcome || got.Size != want.Size || got.Took <= 0 || (got.Key != "") != (i == 3) {
+		if got.Class != want.Class || got.Method != want.Method || got.Outcome != want.Outcome || got.BodyBytes != want.BodyBytes || got.LatencyMicros <= 0 || (got.Key != "") != (i == 3) {
 			t.Errorf("%d: %+v", i, got)
 		}
 	}
