--- a/internal/experiment/rollout_run.go
+++ b/internal/experiment/rollout_run.go
@@ -219,8 +219,8 @@
 
 // stepLoop restarts gateways without a release, watches the failures, and reports whether the loop has ended.
 func (s *rolloutRun) stepLoop(updated int) (done bool) {
-	failureRate := s.windowFailureRate()
-	if !s.loop.rollingBack && failureRate > s.AlarmFailureRate {
+	failureRate, measured := s.windowFailureRate()
+	if !s.loop.rollingBack && measured && failureRate > s.AlarmFailureRate {
 		s.loop.rollingBack = true
 		s.loop.next = 0
 		s.stoppedAt = s.now
@@ -238,16 +238,17 @@
 	return true
 }
 
-func (s *rolloutRun) windowFailureRate() float64 {
+// windowFailureRate returns the fraction of failed requests in the window; false: there were no requests.
+func (s *rolloutRun) windowFailureRate() (rate float64, measured bool) {
 	var sum stepLoad
 	for _, load := range s.window {
 		sum.requests += load.requests
 		sum.failed += load.failed
 	}
 	if sum.requests == 0 {
-		return 0
+		return 0, false
 	}
-	return sum.failed / sum.requests
+	return sum.failed / sum.requests, true
 }
 
 // restartNext restarts the gateways whose turn it is in the modes loop and at-once.
