--- a/cmd/robindrum/capture.go
+++ b/cmd/robindrum/capture.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -15,6 +16,7 @@
 	"robindrum/internal/capture"
 )
 
+// captureCommand returns the command that records the load of a running gateway.
 func captureCommand() *cobra.Command {
 	var addr, path string
 	var length time.Duration
@@ -28,37 +30,11 @@
 			if err := o.Validate(); err != nil {
 				return fmt.Errorf("%w: %w", err, errUsage)
 			}
-			q := url.Values{"seconds": {fmt.Sprint(length.Seconds())}, "sample": {fmt.Sprint(sample)}, "records": {fmt.Sprint(records)}}
-			r, err := http.NewRequestWithContext(c.Context(), http.MethodPost, "http://"+addr+"/capture?"+q.Encode(), nil)
-			if err != nil {
-				return fmt.Errorf("%w: %w", err, errUsage)
-			}
-			resp, err := http.DefaultClient.Do(r)
+			captured, err := saveCapture(c.Context(), addr, path, &o)
 			if err != nil {
 				return err
 			}
-			defer resp.Body.Close()
-			if resp.StatusCode != http.StatusOK {
-				text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
-				return fmt.Errorf("%s answered %s: %s", addr, resp.Status, strings.TrimSpace(string(text)))
-			}
-			part := path + ".part"
-			f, err := os.OpenFile(part, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
-			if err != nil {
-				return fmt.Errorf("the file of the capture: %w", err)
-			}
-			_, copied := io.Copy(f, io.LimitReader(resp.Body, 4<<30))
-			if err := errors.Join(copied, f.Sync(), f.Close()); err != nil {
-				return fmt.Errorf("what has come is in %s: %w", part, err)
-			}
-			k, err := capture.Open(part)
-			if err != nil || !k.Complete {
-				return errors.Join(fmt.Errorf("the capture is not whole, what has come is in %s", part), err)
-			}
-			if err := os.Rename(part, path); err != nil {
-				return fmt.Errorf("the file of the capture: %w", err)
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: %d requests over %v, %d missed\n", path, len(k.Records), k.Length.Round(time.Millisecond), k.Missed)
+			fmt.Fprintf(c.OutOrStdout(), "%s: %d requests over %v, %d missed\n", path, len(captured.Records), captured.Length.Round(time.Millisecond), captured.Missed)
 			return nil
 		}}
 	c.Flags().StringVarP(&addr, "admin", "a", "127.0.0.1:9901", "the gateway's admin `address`")
@@ -69,3 +45,53 @@
 	must(c.MarkFlagRequired("output"))
 	return c
 }
+
+// maxCaptureBytes is the size beyond which a capture is cut off.
+const maxCaptureBytes = 4 << 30
+
+// saveCapture records the load of a gateway into a file. The file has a temporary name until the capture is complete.
+func saveCapture(ctx context.Context, addr, path string, o *capture.Options) (*capture.Capture, error) {
+	part := path + ".part"
+	if err := downloadCapture(ctx, addr, part, o); err != nil {
+		return nil, err
+	}
+	captured, err := capture.Open(part)
+	if err != nil || !captured.Complete {
+		return nil, errors.Join(fmt.Errorf("the capture is not whole, what has come is in %s", part), err)
+	}
+	if err := os.Rename(part, path); err != nil {
+		return nil, fmt.Errorf("the file of the capture: %w", err)
+	}
+	return captured, nil
+}
+
+// downloadCapture copies the response of the gateway into a file.
+func downloadCapture(ctx context.Context, addr, path string, o *capture.Options) error {
+	query := url.Values{
+		"seconds": {fmt.Sprint(o.Duration.Seconds())},
+		"sample":  {fmt.Sprint(o.SampleRate)},
+		"records": {fmt.Sprint(o.MaxRecords)},
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/capture?"+query.Encode(), nil)
+	if err != nil {
+		return fmt.Errorf("%w: %w", err, errUsage)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		text, _ := io.ReadAll(io.LimitReader(response.Body, 1<<10))
+		return fmt.Errorf("%s answered %s: %s", addr, response.Status, strings.TrimSpace(string(text)))
+	}
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	if err != nil {
+		return fmt.Errorf("the file of the capture: %w", err)
+	}
+	_, copied := io.Copy(f, io.LimitReader(response.Body, maxCaptureBytes))
+	if err := errors.Join(copied, f.Sync(), f.Close()); err != nil {
+		return fmt.Errorf("what has come is in %s: %w", path, err)
+	}
+	return nil
+}
--- a/cmd/robindrum/lab.go
+++ b/cmd/robindrum/lab.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"strings"
 	"text/tabwriter"
@@ -14,6 +15,7 @@
 	experiments "robindrum/lab"
 )
 
+// labCommand returns the command lab with its subcommands.
 func labCommand() *cobra.Command {
 	c := &cobra.Command{Use: "lab", Short: "Run experiments", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 		Long: "Run experiments: a fleet, gateways, a load and what happens, from a file, with checks that decide the exit code.\n" +
@@ -23,6 +25,7 @@
 	return c
 }
 
+// labRelease returns the command that simulates a rollout.
 func labRelease() *cobra.Command {
 	var r experiment.Rollout
 	var seeds int
@@ -31,34 +34,15 @@
 		Long: "Simulate a release of a version of the program: the quorum's own books decide, gateways drain and start anew, some die by themselves.\n" +
 			"--mode loop restarts one after the other until somebody sees the share of failures, --mode at-once all together.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if seeds < 1 || seeds > 1000 {
+			if seeds < 1 || seeds > maxCommandSeeds {
 				return fmt.Errorf("--seeds wants 1 to 1000, not %d: %w", seeds, errUsage)
 			}
-			t := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			if !plain {
-				fmt.Fprintln(t, "SEED\tEND\tTOOK\tSTOPPED AFTER\tREQUESTS\tHARMED\tHAD IT\tOUT BY PLAN\tMAY BE\tMISSING\tOVER\tDIED\tWHY")
-			}
-			over := 0
-			for i := range seeds {
-				r.Seed = uint64(i + 1)
-				x, err := r.Run()
-				if err != nil {
-					return err
-				}
-				if over += x.BudgetViolations; plain {
-					if err := json.NewEncoder(c.OutOrStdout()).Encode(x); err != nil {
-						return err
-					}
-					continue
-				}
-				fmt.Fprintf(t, "%d\t%s\t%v\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", x.Seed, x.State, x.Duration, x.TimeToHalt, x.Requests, x.HarmedRequests, x.MaxUpdated, x.MaxPlannedUnavailable, x.UnavailableLimit, x.MaxUnavailable, x.BudgetViolations,
-					x.UnplannedFailures, x.Reason)
-			}
-			if err := t.Flush(); err != nil {
+			violations, err := runRollouts(c.OutOrStdout(), r, seeds, plain)
+			if err != nil {
 				return err
 			}
-			if over > 0 && r.Mode == "release" {
-				return fmt.Errorf("more were out than may be")
+			if violations > 0 && r.Mode == "release" {
+				return errors.New("more were out than may be")
 			}
 			return nil
 		}}
@@ -84,19 +68,54 @@
 	return c
 }
 
-// engine is how experiments are run.
+// runRollouts simulates a rollout with seeds from 1 on and prints the results, as a table or as JSON. It returns the number of budget
+// violations.
+func runRollouts(out io.Writer, r experiment.Rollout, seeds int, asJSON bool) (violations int, err error) {
+	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if !asJSON {
+		fmt.Fprintln(t, "SEED\tEND\tTOOK\tSTOPPED AFTER\tREQUESTS\tHARMED\tHAD IT\tOUT BY PLAN\tMAY BE\tMISSING\tOVER\tDIED\tWHY")
+	}
+	for i := range seeds {
+		r.Seed = uint64(i + 1)
+		result, err := r.Run()
+		if err != nil {
+			return violations, err
+		}
+		violations += result.BudgetViolations
+		if !asJSON {
+			printRollout(t, &result)
+			continue
+		}
+		if err := json.NewEncoder(out).Encode(result); err != nil {
+			return violations, err
+		}
+	}
+	return violations, t.Flush()
+}
+
+func printRollout(out io.Writer, r *experiment.RolloutResult) {
+	fmt.Fprintf(out, "%d\t%s\t%v\t%v\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Seed, r.State, r.Duration, r.TimeToHalt, r.Requests, r.HarmedRequests,
+		r.MaxUpdated, r.MaxPlannedUnavailable, r.UnavailableLimit, r.MaxUnavailable, r.BudgetViolations, r.UnplannedFailures, r.Reason)
+}
+
+// maxCommandSeeds is the number of seeds that a command runs at most.
+const maxCommandSeeds = 1000
+
+// engine selects how experiments are run.
 type engine struct {
 	name  string
 	seeds int
 }
 
+// flags adds the flags of the engine to a command.
 func (g *engine) flags(c *cobra.Command, seeds int) {
 	c.Flags().StringVar(&g.name, "engine", "sim", "sim or loopback")
 	c.Flags().IntVar(&g.seeds, "seeds", seeds, "how many seeds, from the experiment's own on")
 }
 
+// check returns errUsage for invalid flags.
 func (g *engine) check() error {
-	if g.seeds < 1 || g.seeds > 1000 {
+	if g.seeds < 1 || g.seeds > maxCommandSeeds {
 		return fmt.Errorf("--seeds wants 1 to 1000, not %d: %w", g.seeds, errUsage)
 	}
 	if g.name != "sim" && g.name != "loopback" {
@@ -105,6 +124,7 @@
 	return nil
 }
 
+// run runs an experiment, and prints the progress of a loopback run.
 func (g *engine) run(c *cobra.Command, e *experiment.Experiment) (*experiment.Report, error) {
 	if g.name == "sim" {
 		return experiment.Simulate(e, g.seeds)
@@ -130,7 +150,7 @@
 	return r, err
 }
 
-// exactly is cobra.ExactArgs for this program's exit codes.
+// exactly requires n arguments, and returns errUsage otherwise.
 func exactly(n int) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(n)(c, args); err != nil {
@@ -140,6 +160,7 @@
 	}
 }
 
+// labRun returns the command that runs an experiment.
 func labRun() *cobra.Command {
 	var g engine
 	var sets []string
@@ -184,6 +205,7 @@
 	return c
 }
 
+// pictures writes the HTML page and the plots that are wanted.
 func pictures(page, plots string, l ...*experiment.Report) error {
 	if page != "" {
 		if err := experiment.WritePage(page, l...); err != nil {
@@ -196,6 +218,7 @@
 	return nil
 }
 
+// labCompare returns the command that compares two experiments or reports.
 func labCompare() *cobra.Command {
 	var g engine
 	var sets [2][]string
@@ -235,6 +258,7 @@
 	return c
 }
 
+// labCalibrate returns the command that compares the engines.
 func labCalibrate() *cobra.Command {
 	var seeds int
 	c := &cobra.Command{Use: "calibrate [FILE|NAME ...]", Short: "Hold the simulated engine against the loopback one; none named: all that come with the program",
@@ -271,7 +295,7 @@
 	return c
 }
 
-// report reads a report, or runs an experiment.
+// report reads a report file, or runs the experiment of that name.
 func report(c *cobra.Command, g *engine, name string, sets []string) (*experiment.Report, error) {
 	if strings.HasSuffix(name, ".json") {
 		return experiment.ReadReport(name)
@@ -283,7 +307,7 @@
 	return g.run(c, e)
 }
 
-// experiment reads a file, or one of those that come with the program where there is no such file, with some fields changed.
+// openExperiment reads an experiment file or, if there is none of that name, an experiment of the program, with some fields changed.
 func openExperiment(name string, sets ...string) (*experiment.Experiment, error) {
 	text, shipped := experiments.Read(name)
 	path := name + ".yaml"
@@ -300,6 +324,7 @@
 	return experiment.Parse(path, text)
 }
 
+// labList returns the command that lists the experiments in the program.
 func labList() *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "List the experiments that come with the program", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/cmd/robindrum/main.go
+++ b/cmd/robindrum/main.go
@@ -22,15 +22,19 @@
 // errUsage marks errors of the command line.
 var errUsage = errors.New("see -h")
 
+// root returns the program's command with all subcommands.
 func root() *cobra.Command {
 	c := &cobra.Command{Use: "robindrum", Short: "A load-balancing gateway", SilenceUsage: true, SilenceErrors: true,
 		Args: noArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", err, errUsage) })
-	c.AddCommand(serveCommand(), checkCommand(), statusCommand(), tryCommand(), labCommand(), captureCommand(), planCommand(), fleetCommand(), witnessCommand(), drainCommand(), undrainCommand(), ordersCommand(), releaseCommand(), superviseCommand(), sitesCommand(), versionCommand())
+	c.AddCommand(serveCommand(), checkCommand(), statusCommand(), superviseCommand())
+	c.AddCommand(fleetCommand(), witnessCommand(), drainCommand(), undrainCommand(), ordersCommand(), releaseCommand(), sitesCommand())
+	c.AddCommand(tryCommand(), labCommand(), captureCommand(), planCommand(), versionCommand())
 	return c
 }
 
+// noArgs is cobra.NoArgs with errUsage.
 func noArgs(c *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(c, args); err != nil {
 		return fmt.Errorf("%w: %w", err, errUsage)
@@ -38,6 +42,7 @@
 	return nil
 }
 
+// versionCommand returns the command that prints the build.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -50,7 +55,7 @@
 		}}
 }
 
-// run is main without the process: it gives the exit code.
+// run runs the program with arguments and returns its exit code.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
 	c := root()
 	c.SetArgs(args)
@@ -73,7 +78,7 @@
 	return 1
 }
 
-// errReported marks errors whose words the user has had already.
+// errReported marks errors that were printed already.
 var errReported = errors.New("reported")
 
 func main() {
--- a/cmd/robindrum/plan.go
+++ b/cmd/robindrum/plan.go
@@ -11,6 +11,7 @@
 	"robindrum/internal/experiment"
 )
 
+// planCommand returns the command that plans capacity from a capture.
 func planCommand() *cobra.Command {
 	var fleet, from string
 	var goals []string
--- a/cmd/robindrum/sites.go
+++ b/cmd/robindrum/sites.go
@@ -14,6 +14,7 @@
 	"robindrum/internal/failoverplan"
 )
 
+// sitesCommand returns the command sites with its subcommand.
 func sitesCommand() *cobra.Command {
 	c := &cobra.Command{Use: "sites", Short: "What becomes of a site's load when it is lost whole", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	var path string
@@ -71,6 +72,7 @@
 	return c
 }
 
+// known reports whether a plan has a site.
 func known(p *failoverplan.Plan, name string) bool {
 	for _, s := range p.Sites {
 		if s.Name == name {
@@ -80,7 +82,7 @@
 	return false
 }
 
-// ratesOf gives the plan's loads with others in their place.
+// ratesOf returns the load by site of a plan, with the given SITE/CLASS=RATE in place of its own.
 func ratesOf(p *failoverplan.Plan, given []string) (map[string]failoverplan.Rates, error) {
 	load := map[string]failoverplan.Rates{}
 	capacity := map[string]failoverplan.Rates{}
@@ -107,6 +109,7 @@
 	return load, nil
 }
 
+// showOutcome prints an outcome with a table of its allocations.
 func showOutcome(out io.Writer, o *failoverplan.Outcome) error {
 	fmt.Fprintln(out, o)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/cmd/robindrum/try.go
+++ b/cmd/robindrum/try.go
@@ -15,6 +15,7 @@
 	"robindrum/internal/demo"
 )
 
+// tryCommand returns the command that runs a demonstration on loopback.
 func tryCommand() *cobra.Command {
 	var length time.Duration
 	var rate int
@@ -33,10 +34,10 @@
 				return fmt.Errorf("--scene wants %s, not %q: %w", strings.Join(scenes, " or "), scene, errUsage)
 			}
 			if scene == "zone-loss" && !c.Flags().Changed("length") {
-				length = 30 * time.Second // the way back takes its time
+				length = 30 * time.Second // the recovery ramp takes longer than the default
 			}
 			if play := map[string]func(context.Context, string, io.Writer) error{"lease-loss": demo.LeaseLoss, "release": demo.Release}[scene]; play != nil {
-				self, err := os.Executable() // several processes of it
+				self, err := os.Executable() // the scene starts several processes of it
 				if err != nil {
 					return err
 				}
@@ -65,7 +66,7 @@
 	return c
 }
 
-// terminal tells whether somebody looks at f.
+// terminal reports whether f is a terminal that can redraw a line.
 func terminal(f *os.File) bool {
 	i, err := f.Stat()
 	return err == nil && i.Mode()&os.ModeCharDevice != 0 && os.Getenv("TERM") != "dumb"
