--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -19,7 +19,7 @@
 }
 
 // What cannot be used is refused with its line; what was cut off is not.
-func TestRead(t *testing.T) {
+func TestReadRejectsInvalidLines(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                     "f:1: the file is empty",
 		"GET / HTTP/1.1\n":                     "f:1: not a capture",
@@ -57,7 +57,7 @@
 }
 
 // What is recorded comes back: bounded, sampled, with keys that nobody can tell, and alike for the same key.
-func TestRecorder(t *testing.T) {
+func TestRecordedRequestsAreReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, err := NewRecorder(Options{Duration: time.Minute, SampleRate: 1, MaxRecords: 100, Gateway: "sapporo"})
 		if err != nil {
@@ -122,7 +122,7 @@
 }
 
 // Who reads it goes away: the recording ends with an error, and without a trailer.
-func TestRecorderThatNobodyReads(t *testing.T) {
+func TestRecorderWhoseReaderLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := NewRecorder(Options{Duration: time.Hour, SampleRate: 1})
 		r.Add("map", "", "GET", 0, 0, Served)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 const small = "name: small\nlength: 3s\nload: {rate: 100}\n"
 
 // What is wrong with an experiment is told with its place, and one that would run for a year is not begun.
-func TestExperimentsThatCannotBe(t *testing.T) {
+func TestInvalidExperimentsAreRejectedWithTheirField(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                              "the file is empty",
 		"length: 3s\nload: {rate: 1}\n": "x.yaml:1:1: name: is missing",
@@ -70,7 +70,7 @@
 }
 
 // The same seed gives the same report, another one another; requests are conserved; several seeds are those runs together.
-func TestSameSeedSameFigures(t *testing.T) {
+func TestSameSeedGivesSameReport(t *testing.T) {
 	text := small + "gateways: {number: 3}\nphases: [1s]\nevents: [{at: 1s, do: kill, zone: a, how: silent, part: 0.5}]\n"
 	one, again := play(t, text, 1), play(t, text, 1)
 	var a, b bytes.Buffer
@@ -91,7 +91,7 @@
 
 // Gateways that are killed at once come back through a source with few places, each request ends once, and what a herd
 // costs is measured: without the places' limit they are back at once.
-func TestGatewaysRestart(t *testing.T) {
+func TestRestartedGatewaysWaitForEndpointSource(t *testing.T) {
 	text := small + "length: 8s\nfleet: {connect: 5ms}\ngateways: {number: 20, source: {places: 1, takes: 100ms, patience: 300ms}}\n" +
 		"classes: [{name: buy, effect: keyed, window: 4s}]\nevents: [{at: 1s, do: restart, part: 0.8, down: 200ms}]\nchecks: [{back: 1s}, {connects: 0.001}]\n"
 	text = strings.Replace(text, "length: 3s\n", "", 1)
@@ -106,7 +106,7 @@
 }
 
 // Checks that do not hold are named; those that do are not.
-func TestChecksDecide(t *testing.T) {
+func TestFailedChecksAreReported(t *testing.T) {
 	text := small + "fleet: {service: 40ms}\ngateways: {admission: off}\nload: {rate: 400}\nclasses: [{name: map, wanted: 100ms, deadline: 1s}]\nchecks: [{in_time: 0.01}, {in_time: 0.9}, {class: map, refused: 0}, {late: 0}, {p99: 10ms}]\n"
 	text = strings.Replace(text, "load: {rate: 100}\n", "", 1)
 	r := play(t, text, 1)
@@ -125,7 +125,7 @@
 }
 
 // The experiments that come with the program hold.
-func TestShippedExperiments(t *testing.T) {
+func TestShippedExperimentsPassTheirChecks(t *testing.T) {
 	if n := len(experiments.Names()); n < 8 {
 		t.Errorf("%d experiments", n)
 	}
--- a/internal/experiment/live_test.go
+++ b/internal/experiment/loopback_test.go
@@ -74,7 +74,7 @@
 
 // Both engines get the same requests, and each request ends once in both, also while half of the servers die, drain and
 // return and the control plane is away.
-func TestBothEnginesRunTheSame(t *testing.T) {
+func TestBothEnginesRunTheSameRequests(t *testing.T) {
 	text := `name: both
 length: 4s
 fleet: {zones: [a, b], servers: 2, warm_up: 500ms, link: {delay: 1ms, jitter: 1ms, loss: 0.02, bandwidth: 1MiB}}
@@ -131,7 +131,7 @@
 
 // A gateway that dies, and an interrupt in the middle: what was measured is in the report, which says why it ended early,
 // and nothing of the run is left behind.
-func TestRunsThatEndEarly(t *testing.T) {
+func TestRunThatEndsEarlyReportsWhatItMeasured(t *testing.T) {
 	const text = "name: early\nlength: 60s\ngateways: {number: 2}\nload: {rate: 100}\n"
 	for want, how := range map[string]func(*loopbackRun, context.CancelFunc){
 		"gateway 1 ended by itself": func(p *loopbackRun, _ context.CancelFunc) { p.gateways[1].Signal(syscall.SIGKILL) },
@@ -161,7 +161,7 @@
 }
 
 // A generator with too much in flight says that the figures are its own.
-func TestGeneratorSaysThatItIsTheBottleneck(t *testing.T) {
+func TestGeneratorReportsThatItIsTheBottleneck(t *testing.T) {
 	text := "name: slow\nlength: 1500ms\nfleet: {service: 1s, distribution: constant, workers: 100}\nload: {rate: 100}\nclasses: [{name: a, wanted: 1s, deadline: 3s}]\n"
 	r := live(t, t.Context(), text, LoopbackOptions{maxInFlight: 10})
 	if !r.Generator.Bottleneck || r.Generator.Dropped < 50 || !strings.Contains(strings.Join(r.FailedChecks, "\n"), "generator was too slow") {
@@ -173,7 +173,7 @@
 }
 
 // The gateway's own process cannot start: the report says what it said.
-func TestChildThatCannotStart(t *testing.T) {
+func TestGatewayThatCannotStart(t *testing.T) {
 	e := parsed(t, small)
 	r, err := RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/bin/false"})
 	if err != nil || !strings.Contains(r.EndedEarly, "gateway 0 ended by itself: exit status 1") {
@@ -201,7 +201,7 @@
 }
 
 // A server of the loopback engine: each way to be down, its queue, a late send, and a port that somebody else has taken.
-func TestHost(t *testing.T) {
+func TestLoopbackServer(t *testing.T) {
 	e := parsed(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms, distribution: constant, cross: 1ms}\nload: {rate: 1}\nclasses: [{name: a, effect: unsafe}]\n")
 	p := &loopbackRun{experiment: e, collector: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{"a": nil}, startedAt: time.Now()}
 	h, err := newLoopbackServer(p, "a-0", &e.Fleet.Groups[0], 1)
@@ -274,7 +274,7 @@
 
 // Three requests come before any of them has gone on: the idle worker is the first one's, the second waits, and only the
 // third finds no room. Who leaves while it waits makes room, and a worker that came to it meanwhile is the next one's.
-func TestHostCountsWhoCame(t *testing.T) {
+func TestLoopbackServerCountsRequestsInOrder(t *testing.T) {
 	e := parsed(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms}\nload: {rate: 1}\n")
 	p := &loopbackRun{experiment: e, collector: newCollector(e), startedAt: time.Now()}
 	h, err := newLoopbackServer(p, "a-0", &e.Fleet.Groups[0], 1)
@@ -316,7 +316,7 @@
 }
 
 // Arrivals come in order, within the length, alike for the same seed, as many as the rate gives.
-func TestArrivals(t *testing.T) {
+func TestArrivalsFollowTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(50, 2000).Draw(t, "rate")
 		until := rapid.Float64Range(0, 4).Draw(t, "until")
@@ -355,7 +355,7 @@
 }
 
 // Service times have the mean and the variation that they are told.
-func TestDistributions(t *testing.T) {
+func TestServiceTimeDistributions(t *testing.T) {
 	for kind, want := range map[string]float64{"constant": 0, "exponential": 1, "lognormal": 0.5} {
 		d := ServiceTime{MeanServiceTime: config.Duration(20 * time.Millisecond), Distribution: kind, Variation: 0.5}
 		rng := rand.New(rand.NewPCG(1, 2))
@@ -380,7 +380,7 @@
 }
 
 // A comparison finds a difference that there is, and none where there is none.
-func TestCompare(t *testing.T) {
+func TestCompareFindsOnlyRealDifferences(t *testing.T) {
 	text := small + "fleet: {servers: 2, workers: 2}\nload: {rate: 150}\n"
 	text = strings.Replace(text, "load: {rate: 100}\n", "", 1)
 	a := play(t, text, 8)
@@ -409,7 +409,7 @@
 }
 
 // A report comes back from its JSON; its page needs nothing from elsewhere, and what names hold is not markup in it.
-func TestReportsAsFiles(t *testing.T) {
+func TestReportFiles(t *testing.T) {
 	dir := t.TempDir()
 	text := small + "about: a <script>alert(1)</script>\nevents: [{at: 1s, do: kill, zone: a, how: refuses, part: 0.5}]\n"
 	a, b := play(t, text, 5), play(t, text+"seed: 50\n", 5)
--- a/internal/experiment/plan_test.go
+++ b/internal/experiment/plan_test.go
@@ -50,7 +50,7 @@
 const twoClasses = "classes: [{name: map, part: 0.5, wanted: 200ms}, {name: hold, part: 0.5, wanted: 200ms, effect: keyed, window: 4s}]\n"
 
 // A capture replays as it was, at another speed and as a multiple; sampling is made up for.
-func TestReplay(t *testing.T) {
+func TestTraceReplay(t *testing.T) {
 	c := captured(200, 20*time.Second, 1)
 	for _, k := range []struct {
 		sample, speed, by float64
@@ -115,7 +115,7 @@
 }
 
 // What was put into a load is read out of its capture, sampled or not; a gap is named.
-func TestFit(t *testing.T) {
+func TestFitRecoversTheLoadModel(t *testing.T) {
 	for _, sample := range []float64{1, 0.3} {
 		c := captured(300, time.Minute, sample)
 		for i := range c.Records {
@@ -162,7 +162,7 @@
 
 // A plan holds together: the rate at which it breaks is below what the work allows, more is needed for more, and a zone's
 // loss is told apart from none.
-func TestPlan(t *testing.T) {
+func TestPlanIsConsistent(t *testing.T) {
 	e, c := fleetFile(t, planned), captured(100, 12*time.Second, 1)
 	p, err := MakePlan(e, c, PlanOptions{Goals: []Goal{{Class: "map", InTime: 0.99}}, Seeds: 1})
 	if err != nil {
@@ -186,7 +186,7 @@
 }
 
 // What cannot be had, or told, is said in place of a number.
-func TestPlansThatCannotBe(t *testing.T) {
+func TestImpossiblePlansAreRejected(t *testing.T) {
 	long := captured(400, 20*time.Second, 1)
 	for want, k := range map[string]struct {
 		fleet string
--- a/internal/experiment/rollout_test.go
+++ b/internal/experiment/rollout_test.go
@@ -7,7 +7,7 @@
 
 // A release over 200 simulated gateways, with deaths that nobody planned at up to a third of the fleet in an hour: never more out by
 // plan than may be, a bad version never beyond its canaries, a good one everywhere. All at once breaks the budget: it can be seen.
-func TestRollout(t *testing.T) {
+func TestRolloutStaysWithinTheBudget(t *testing.T) {
 	for i, deaths := range []float64{0.05, 0.3} {
 		seed := uint64(i)
 		good, err := Rollout{UnplannedFailures: deaths, Seed: seed}.Run()
--- a/internal/failoverplan/failoverplan_test.go
+++ b/internal/failoverplan/failoverplan_test.go
@@ -29,7 +29,7 @@
 
 // Sapporo's load, 0.6 of a site, comes to Ishikari, which uses 0.8: own payments and those that cross are served, then own maps, and
 // what is left of the maps that cross.
-func TestLoseOne(t *testing.T) {
+func TestLossOfOneSite(t *testing.T) {
 	p := two()
 	if err := p.Validate(); err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidateNamesTheField(t *testing.T) {
 	for want, spoil := range map[string]func(p *Plan){
 		"sites: 1 sites":                         func(p *Plan) { p.Sites = p.Sites[:1] },
 		"sites[1].name: \"sapporo\" stands":      func(p *Plan) { p.Sites[1].Name = "sapporo" },
@@ -86,7 +86,7 @@
 // cross; all that is asked is somewhere; a lost site serves nothing and nothing crosses twice; what is worth less is not served
 // beyond its floor while the same users' worth more is refused; floors that fit are kept; and a site that is there alone serves its own as
 // if the others were not.
-func TestAnyPlan(t *testing.T) {
+func TestOutcomeInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, k := rapid.IntRange(2, 5).Draw(t, "sites"), rapid.IntRange(1, 4).Draw(t, "classes")
 		p := &Plan{}
