--- a/internal/experiment/collector.go
+++ b/internal/experiment/collector.go
@@ -116,8 +116,12 @@
 
 // addServerCounts adds the counts that servers have made in o.
 func (p *Phase) addServerCounts(o *Phase) {
-	p.CrossZoneAttempts, p.Attempts, p.NewConnections, p.CollapsedServers = p.CrossZoneAttempts+o.CrossZoneAttempts, p.Attempts+o.Attempts, p.NewConnections+o.NewConnections, p.CollapsedServers+o.CollapsedServers
-	p.MaxWarmingLoad, p.MaxServerRequests = max(p.MaxWarmingLoad, o.MaxWarmingLoad), max(p.MaxServerRequests, o.MaxServerRequests)
+	p.CrossZoneAttempts += o.CrossZoneAttempts
+	p.Attempts += o.Attempts
+	p.NewConnections += o.NewConnections
+	p.CollapsedServers += o.CollapsedServers
+	p.MaxWarmingLoad = max(p.MaxWarmingLoad, o.MaxWarmingLoad)
+	p.MaxServerRequests = max(p.MaxServerRequests, o.MaxServerRequests)
 }
 
 // histogram returns a histogram of durations up to an hour, in microseconds, with a number of significant digits.
@@ -159,8 +163,12 @@
 }
 
 func (o *Outcome) merge(x *Outcome) {
-	o.Requests, o.InTime, o.Late, o.Rejected = o.Requests+x.Requests, o.InTime+x.InTime, o.Late+x.Late, o.Rejected+x.Rejected
-	o.Failed, o.Lost = o.Failed+x.Failed, o.Lost+x.Lost
+	o.Requests += x.Requests
+	o.InTime += x.InTime
+	o.Late += x.Late
+	o.Rejected += x.Rejected
+	o.Failed += x.Failed
+	o.Lost += x.Lost
 	if x.latencies != nil {
 		if o.latencies == nil {
 			o.latencies = histogram(3)
@@ -170,7 +178,10 @@
 }
 
 func (p *Point) merge(x *Point) {
-	p.InTime, p.Late, p.Rejected, p.Failed = p.InTime+x.InTime, p.Late+x.Late, p.Rejected+x.Rejected, p.Failed+x.Failed
+	p.InTime += x.InTime
+	p.Late += x.Late
+	p.Rejected += x.Rejected
+	p.Failed += x.Failed
 	for id, n := range x.Attempts {
 		p.Attempts[id] += n
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -106,7 +106,10 @@
 // add adds the results of a run.
 func (r *Report) add(c *collector, seed uint64) {
 	r.Seeds++
-	r.DuplicateEffects, r.Lost, r.SentAfterDrain, r.SimulationSteps = r.DuplicateEffects+c.duplicateEffects, r.Lost+c.lost, r.SentAfterDrain+c.sentAfterDrain, r.SimulationSteps+c.steps
+	r.DuplicateEffects += c.duplicateEffects
+	r.Lost += c.lost
+	r.SentAfterDrain += c.sentAfterDrain
+	r.SimulationSteps += c.steps
 	r.RestartTime = max(r.RestartTime, c.restartTime)
 	var all Outcome
 	for i := range c.phases {
