--- a/internal/testbed/hollow/gateways.go
+++ b/internal/testbed/hollow/gateways.go
@@ -181,25 +181,37 @@
 	return at, t.bytes
 }
 
-// Updates returns when each gateway accepted its last update since a reading of fleet.Clock, sorted, and how many accepted none.
-// Snapshots, pushes and their bytes are counted from the start.
-func (g *Gateways) Updates(since time.Duration) (took []time.Duration, none, wholes, pushes int, bytes int64) {
+// UpdateCounts is what gateways received from the subscription of their site.
+type UpdateCounts struct {
+	Delays    []time.Duration // until each gateway accepted its last update, sorted
+	Without   int             // gateways that accepted none
+	Snapshots int             // received since the start
+	Pushes    int             // received since the start, snapshots included
+	Bytes     int64           // of all pushes
+}
+
+// Updates returns what the gateways received. The delays are from a reading of fleet.Clock, and updates before it do not count for
+// them.
+func (g *Gateways) Updates(since time.Duration) UpdateCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, t := range g.agents {
+	var counts UpdateCounts
+	for _, agent := range g.agents {
 		last := time.Duration(0)
-		for _, at := range t.accepted {
+		for _, at := range agent.accepted {
 			if at >= since {
 				last = max(last, at)
 			}
 		}
 		if last == 0 {
-			none++
+			counts.Without++
 		} else {
-			took = append(took, last-since)
+			counts.Delays = append(counts.Delays, last-since)
 		}
-		wholes, pushes, bytes = wholes+t.snapshots, pushes+t.pushes, bytes+t.bytes
+		counts.Snapshots += agent.snapshots
+		counts.Pushes += agent.pushes
+		counts.Bytes += agent.bytes
 	}
-	slices.Sort(took)
-	return took, none, wholes, pushes, bytes
+	slices.Sort(counts.Delays)
+	return counts
 }
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -255,8 +255,8 @@
 			t.Errorf("%+v: %s, want %s", c.p, v, c.want)
 		}
 	}
-	if took, none, wholes, pushes, _ := g.Updates(0); len(took) != 1 || none != 1 || wholes != 1 || pushes != 5 {
-		t.Errorf("%v took, %d none, %d wholes, %d pushes", took, none, wholes, pushes)
+	if counts := g.Updates(0); len(counts.Delays) != 1 || counts.Without != 1 || counts.Snapshots != 1 || counts.Pushes != 5 {
+		t.Errorf("%+v", counts)
 	}
 	if at, bytes := g.FirstUpdate(to.Name); at == 0 || bytes == 0 {
 		t.Errorf("its first at %v, %d bytes", at, bytes)
