--- /dev/null
+++ b/internal/backend/response.go
@@ -0,0 +1,197 @@
+package backend
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"strconv"
+	"sync"
+	"time"
+
+	"robindrum/balancer"
+)
+
+// Reply is the result of an attempt.
+type Reply struct {
+	Result      balancer.Result
+	Status      int // 0 if there is no complete response to forward
+	Header      http.Header
+	Body        []byte
+	Length      int64 // Content-Length of a response to HEAD; -1 if not given
+	Streamed    bool
+	Unwanted    bool          // nothing was written, since the client has left
+	RetryAfter  time.Duration // of a 503; 0 if not given
+	FirstByteAt time.Time     // of a streamed response
+	LoadReport  string
+}
+
+// Begin commits a request to the attempt whose response is to be streamed. It returns the client's writer, or nil if the
+// request has its final answer already.
+type Begin func(status int, header http.Header, length int64) io.Writer
+
+// readError fills in the reply to an error response. It returns true if the connection can be reused.
+func (a *Attempt) readError(c *conn, resp *http.Response, join func() error, reply *Reply) (clean bool) {
+	reply.Result = balancer.ServerError
+	mayPromise := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	if mayPromise && resp.Header.Get("X-Never-Ran") == "1" {
+		reply.Result = balancer.Rejected
+	}
+	if resp.StatusCode == http.StatusServiceUnavailable {
+		reply.RetryAfter = parseRetryAfter(resp.Header.Get("Retry-After"), time.Now())
+	}
+	if join() != nil || resp.Close || !delimited(resp) {
+		return false
+	}
+	c.attempt = nil
+	a.extendDeadline(c, time.Now().Add(errorBodyTimeout))
+	body := io.LimitReader(resp.Body, maxErrorBodyBytes)
+	if a.upstream.pool.opt.IsAnswer == nil {
+		n, err := io.Copy(io.Discard, body)
+		return err == nil && n < maxErrorBodyBytes && c.br.Buffered() == 0
+	}
+	text, err := io.ReadAll(body)
+	if err != nil || len(text) == maxErrorBodyBytes {
+		return false
+	}
+	reply.Status, reply.Header, reply.Body = resp.StatusCode, resp.Header, text
+	return c.br.Buffered() == 0
+}
+
+// parseRetryAfter parses a Retry-After in seconds or as a date (RFC 9110, 10.2.3). It returns 0 for anything else.
+func parseRetryAfter(text string, now time.Time) time.Duration {
+	if n, err := strconv.ParseUint(text, 10, 31); err == nil {
+		return time.Duration(n) * time.Second
+	}
+	if at, err := http.ParseTime(text); err == nil {
+		return max(at.Sub(now), 0)
+	}
+	return 0
+}
+
+// delimited reports whether the response is framed by a length or by chunks.
+func delimited(r *http.Response) bool {
+	return r.ContentLength >= 0 || len(r.TransferEncoding) == 1 && r.TransferEncoding[0] == "chunked"
+}
+
+// readHead reads the head of the final response and skips informational ones.
+func (a *Attempt) readHead(c *conn) (*http.Response, error) {
+	c.headBytesLeft = maxHeadBytes
+	defer func() { c.headBytesLeft = -1 }()
+	for range 8 {
+		if err := c.awaitVersion(); err != nil {
+			return nil, err
+		}
+		resp, err := http.ReadResponse(c.br, &http.Request{Method: a.req.Method})
+		if err != nil {
+			return nil, err
+		}
+		if resp.StatusCode >= 200 {
+			return resp, nil
+		}
+		if resp.StatusCode == http.StatusSwitchingProtocols {
+			break
+		}
+	}
+	return nil, errors.New("no final answer")
+}
+
+// awaitVersion waits for the HTTP version that begins a response. net/http's parser waits for the end of the line, which
+// garbage may not have, while another endpoint could still serve the request.
+func (c *conn) awaitVersion() error {
+	const version = "HTTP/1."
+	for n := range len(version) {
+		b, err := c.br.Peek(n + 1)
+		if err != nil {
+			return err
+		}
+		if b[n] != version[n] {
+			return errors.New("not an answer of HTTP/1")
+		}
+	}
+	return nil
+}
+
+// classifyFailure returns the result of a round trip without a response, by the errors of reading and writing.
+func (a *Attempt) classifyFailure(read, wrote error) balancer.Result {
+	switch {
+	case a.isCancelled():
+		return balancer.Cancelled
+	case wrote != nil && a.isOver():
+		return balancer.NotSent
+	case !time.Now().Before(a.deadline) && errors.Is(read, os.ErrDeadlineExceeded):
+		return balancer.TimedOut
+	case wrote != nil:
+		return balancer.NotConnected
+	case errors.Is(read, os.ErrDeadlineExceeded): // the response stalled
+		return balancer.TimedOut
+	}
+	return balancer.ConnectionLost
+}
+
+func (a *Attempt) readBody(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
+	size := int64(CompleteAnswerBytes)
+	if n := resp.ContentLength; n >= 0 && n <= size {
+		size = n
+	} else if n > size {
+		size = 4 << 10 // it is streamed from its first bytes on
+	}
+	buf := make([]byte, 0, min(size+1, 1<<10))
+	atOnce := a.upstream.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.upstream.pool.opt.StreamResponse(resp.Header)
+	for {
+		if len(buf) == cap(buf) {
+			buf = append(buf, 0)[:len(buf)]
+		}
+		n, err := resp.Body.Read(buf[len(buf):min(cap(buf), int(size)+1)])
+		buf = buf[:len(buf)+n]
+		if errors.Is(err, io.EOF) {
+			reply.Result, reply.Body = balancer.Served, buf
+			return true
+		}
+		if err != nil {
+			reply.Result = a.classifyFailure(err, nil)
+			return false
+		}
+		if atOnce && len(buf) > 0 || int64(len(buf)) > CompleteAnswerBytes || resp.ContentLength > CompleteAnswerBytes && len(buf) > 0 {
+			break
+		}
+	}
+	reply.FirstByteAt = time.Now()
+	w := begin(resp.StatusCode, resp.Header, resp.ContentLength)
+	if w == nil {
+		reply.Result = balancer.Cancelled
+		return false
+	}
+	reply.Streamed = true
+	return a.stream(c, resp, buf, w, reply)
+}
+
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
+
+// stream forwards the rest of the body. The deadline no longer applies, only the stall timeouts of both sides.
+func (a *Attempt) stream(c *conn, resp *http.Response, first []byte, w io.Writer, reply *Reply) bool {
+	p := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(p)
+	c.attempt = nil
+	part, end := first, error(nil)
+	for {
+		if len(part) > 0 {
+			if _, err := w.Write(part); err != nil {
+				reply.Result = balancer.Cancelled // by the client
+				return false
+			}
+		}
+		if errors.Is(end, io.EOF) {
+			reply.Result = balancer.Served
+			return true
+		}
+		if end != nil {
+			reply.Result = balancer.ConnectionLost
+			return false
+		}
+		a.extendDeadline(c, time.Now().Add(a.upstream.pool.stallTimeout()))
+		var n int
+		n, end = resp.Body.Read(*p)
+		part = (*p)[:n]
+	}
+}
