--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -102,8 +102,8 @@
 // Rejections in proportion to the excess would need latency near the objective to reject a large one.
 func TestLatencyAtObjectiveRejectsMost(t *testing.T) {
 	for _, c := range []struct {
-		latency     time.Duration
-		least, most float64 // fraction rejected
+		latency                  time.Duration
+		minFraction, maxFraction float64 // fraction rejected
 	}{{20 * ms, 0, 0.05}, {50 * ms, 0, 0.1}, {99 * ms, 0.3, 0.9}} {
 		set := settings()
 		b, h := start(t, set, oneZone(8))
@@ -137,8 +137,8 @@
 				arrived++
 			}
 		}
-		if part := float64(rejected) / float64(arrived); part < c.least || part > c.most {
-			t.Errorf("latency %v of an objective of 100ms: %.2f rejected, want %v to %v", c.latency, part, c.least, c.most)
+		if part := float64(rejected) / float64(arrived); part < c.minFraction || part > c.maxFraction {
+			t.Errorf("latency %v of an objective of 100ms: %.2f rejected, want %v to %v", c.latency, part, c.minFraction, c.maxFraction)
 		}
 	}
 }
@@ -147,8 +147,8 @@
 // valuable ones late; without such classes it may wait.
 func TestLowValueClassIsRejectedFirst(t *testing.T) {
 	for _, c := range []struct {
-		otherClass  bool
-		least, most float64 // fraction of the maps rejected
+		otherClass               bool
+		minFraction, maxFraction float64 // fraction of the maps rejected
 	}{{true, 0.5, 0.95}, {false, 0, 0.05}} {
 		set := settings()
 		set.Classes = []Class{{Name: "map", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
@@ -170,8 +170,8 @@
 				part += 0.001
 			}
 		}
-		if part < c.least || part > c.most {
-			t.Errorf("other class %v: %.2f of the maps are rejected, want %v to %v", c.otherClass, part, c.least, c.most)
+		if part < c.minFraction || part > c.maxFraction {
+			t.Errorf("other class %v: %.2f of the maps are rejected, want %v to %v", c.otherClass, part, c.minFraction, c.maxFraction)
 		}
 	}
 }
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -96,20 +96,20 @@
 	evictors        []*func() bool
 }
 
-// Share reserves own descriptors for one user until Close. The user may acquire up to most; 0 means no bound of its own.
-func (b *Budget) Share(own, most int) *Share {
+// Share reserves descriptors for one user until Close. The user may acquire up to limit; 0 means no limit of its own.
+func (b *Budget) Share(reserved, limit int) *Share {
 	s := &Share{budget: b}
-	s.Resize(own, most)
+	s.Resize(reserved, limit)
 	return s
 }
 
 // Resize changes the reservation and the limit. Descriptors in use stay so.
-func (s *Share) Resize(own, most int) {
+func (s *Share) Resize(reserved, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	booked := func(own int64) int64 { return own + max(s.used-own, 0) }
-	s.budget.used.Add(booked(int64(own)) - booked(s.reserved))
-	s.reserved, s.limit = int64(own), int64(most)
+	booked := func(reserved int64) int64 { return reserved + max(s.used-reserved, 0) }
+	s.budget.used.Add(booked(int64(reserved)) - booked(s.reserved))
+	s.reserved, s.limit = int64(reserved), int64(limit)
 }
 
 // Close ends the reservation. Descriptors in use are returned by Release.
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -111,19 +111,19 @@
 		}
 		return l
 	}
-	over := func(pick func(least, sum, most float64) float64) func(*Point) float64 {
+	over := func(pick func(lowest, sum, highest float64) float64) func(*Point) float64 {
 		return func(x *Point) float64 {
-			least, sum, most := math.Inf(1), 0.0, 0.0
+			lowest, sum, highest := math.Inf(1), 0.0, 0.0
 			for _, id := range ids {
 				v := float64(x.Attempts[id]) / per
-				least, sum, most = min(least, v), sum+v, max(most, v)
+				lowest, sum, highest = min(lowest, v), sum+v, max(highest, v)
 			}
-			return pick(least, sum, most)
+			return pick(lowest, sum, highest)
 		}
 	}
-	return []curve{{p, "busiest server", over(func(_, _, most float64) float64 { return most })},
+	return []curve{{p, "busiest server", over(func(_, _, highest float64) float64 { return highest })},
 		{p, "mean", over(func(_, sum, _ float64) float64 { return sum / float64(len(ids)) })},
-		{p, "least busy", over(func(least, _, _ float64) float64 { return least })}}
+		{p, "least busy", over(func(lowest, _, _ float64) float64 { return lowest })}}
 }
 
 // drawEvents draws the events as vertical lines, numbered as in the table of the page.
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -66,7 +66,7 @@
 	mu         sync.Mutex
 	balancer   *balancer.Balancer
 	requests   map[string]*request // unanswered, or with attempts running
-	unanswered int                 // unanswered
+	unanswered int                 // requests without a final answer
 	upstreams  map[string]*backend.Upstream
 	lastLogged time.Time
 	toAnswer   []*request // to be answered once the lock is released
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// In any window a key gets no more than its burst and what its rate gives in it, and who comes when told is let through.
+// In any window a key gets no more than its burst and its rate times the window, and a client that returns after its Retry-After is
+// accepted.
 func TestRateHoldsInAnyWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.1, 1000).Draw(t, "rate"), rapid.IntRange(1, 50).Draw(t, "burst")
@@ -135,9 +136,9 @@
 func TestRateSplitOverGateways(t *testing.T) {
 	const gateways, rate, seconds = 4, 100.0, 20
 	for _, c := range []struct {
-		name        string
-		load        [gateways]float64 // parts of 400 requests a second
-		least, most float64           // allowed of the whole rate
+		name                     string
+		load                     [gateways]float64 // parts of 400 requests a second
+		minFraction, maxFraction float64           // allowed, of the whole rate
 	}{
 		{"even", [gateways]float64{0.25, 0.25, 0.25, 0.25}, 0.98, 1.06},
 		{"one has half of it", [gateways]float64{0.5, 0.2, 0.2, 0.1}, 0.98, 1.06},
@@ -156,8 +157,8 @@
 				}
 			}
 		}
-		if got := float64(allowed) / (rate * seconds); got < c.least || got > c.most {
-			t.Errorf("%s: %.2f of the rate is allowed, want %.2f to %.2f", c.name, got, c.least, c.most)
+		if got := float64(allowed) / (rate * seconds); got < c.minFraction || got > c.maxFraction {
+			t.Errorf("%s: %.2f of the rate is allowed, want %.2f to %.2f", c.name, got, c.minFraction, c.maxFraction)
 		} else {
 			t.Logf("%s: %.2f of the rate is allowed", c.name, got)
 		}
