--- a/cmd/robindrum-node/idleclients_test.go
+++ b/cmd/robindrum-node/idleclients_test.go
@@ -18,7 +18,7 @@
 	"robindrum/internal/testbed"
 )
 
-// idleClients connect without end and say nothing, so many at a time, until they are ended. What is shut on them they open anew.
+// idleClients keep a number of silent connections open until they are ended, and reconnect when one is closed.
 func idleClients(t *testing.T, addr string, many int) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -53,7 +53,7 @@
 }
 
 // Idle clients fill every descriptor that the process is allowed while discovery is down. The health check is answered and
-// good clients are served, by dials to backends, all the while; discovery returns, and its list is had within 6 s.
+// other clients are served, by dials to backends, all the while; discovery returns, and its list is received within 6 s.
 func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 128
 	answer := func(name string) func(testbed.ReceivedRequest, int) string {
@@ -85,10 +85,10 @@
 	})
 	p.connect(t).Close()
 	end := idleClients(t, p.listen, 3*sockets)
-	time.Sleep(500 * time.Millisecond) // not waited for: what they fill they fill for as long as this test lasts
+	time.Sleep(500 * time.Millisecond) // they keep the descriptors full for as long as this test lasts
 
-	// ask gives what a request or health check on a connection of its own is answered with. One that is shut unread is sent once
-	// more, as clients do.
+	// ask returns the answer to a request or health check on a connection of its own. If that is closed before the request is read,
+	// it is sent once more, as clients do.
 	ask := func(text string) (body string, took time.Duration) {
 		began := time.Now()
 		for range 2 {
--- a/cmd/robindrum-node/ready_test.go
+++ b/cmd/robindrum-node/ready_test.go
@@ -15,7 +15,7 @@
 	"robindrum/internal/testbed"
 )
 
-var readyOfEach = flag.Int("ready", 5, "processes that TestReadyWhateverDiscoveryDoes starts before discovery of each kind, 100 at most")
+var readyOfEach = flag.Int("ready", 5, "processes that TestReadyWithoutDiscovery starts before discovery of each kind, 100 at most")
 
 // Processes start at once, each with a remembered list of 20,000 entries and a small part of a machine, while discovery refuses
 // connections, takes calls and says nothing, or turns them away: nine in ten are ready within 10 s, as the platform wants it.
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -254,7 +254,7 @@
 	}
 }
 
-// A connection that is refused, or never comes up, holds no descriptor afterwards.
+// A connection that is refused, or never established, holds no descriptor afterwards.
 func TestFailedDialReleasesItsDescriptor(t *testing.T) {
 	testbed.Leaks(t)
 	for name, addr := range map[string]string{"refused": testbed.RefusingAddress(t), "never up": testbed.FullBacklogAddress(t)} {
--- a/internal/backend/reuse_test.go
+++ b/internal/backend/reuse_test.go
@@ -13,7 +13,7 @@
 	"robindrum/internal/testbed"
 )
 
-// A backend sends an answer a second time, or noise, as the next request is on its way: it is no answer to that one.
+// A backend sends a second response, or noise, while the next request is on its way: it is not taken for that request's response.
 func TestSecondResponseIsNotTakenForTheNext(t *testing.T) {
 	testbed.Leaks(t)
 	for name, extra := range map[string]string{"a second answer": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n/1", "noise": "\x00\x01\x02"} {
@@ -23,7 +23,7 @@
 				if err != nil {
 					return
 				}
-				if n > 0 { // it stands on the connection that carried the one before
+				if n > 0 { // on the connection of the previous request
 					_, _ = io.WriteString(c, extra)
 				}
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.RequestURI), req.RequestURI)
@@ -39,7 +39,7 @@
 	}
 }
 
-// The connection that rested for long enough is the one to use, and the one used last of those.
+// Of the connections that have been idle for long enough, the most recently used one is reused.
 func TestRestedConnectionsAreReused(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -68,8 +68,8 @@
 	}
 }
 
-// A connection that an attempt took and did not use, as its client had left, is as old to the backend as before, and in its place
-// among the others. Danger: one that counted as used just now would be used again beyond the backend's idle time.
+// A connection that an attempt took and did not use, as its client had left, keeps its idle time and its place in the pool. If it
+// counted as just used, it would be reused after the backend's idle timeout.
 func TestUnusedConnectionsKeepTheirIdleTime(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -111,14 +111,14 @@
 	}
 }
 
-// A connection that is reused breaks at each point of the exchange. Only where the last byte was not written is it sure
-// that the request never ran.
+// A reused connection breaks at each point of the exchange. Only if the last byte was not written is it certain that the request
+// was never executed.
 func TestReusedConnectionBreaks(t *testing.T) {
 	testbed.Leaks(t)
-	big := post(8 << 20) // more than what the sockets of both sides hold
+	big := post(8 << 20) // more than the socket buffers of both sides
 	for name, c := range map[string]struct {
 		r    *Request
-		text string // of the answer, before the connection breaks
+		text string // of the response, before the connection breaks
 		read bool   // the request is read first
 		want balancer.Result
 	}{
@@ -157,7 +157,7 @@
 	}
 }
 
-// A backend closes an idle connection, and that has come by the time that the next request is sent: another one is opened.
+// A backend has closed an idle connection before the next request is sent: another connection is opened.
 func TestConnectionClosedBeforeReuse(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -351,7 +351,7 @@
 	if err != nil || len(n.Clusters) != 1 || n.Clusters[0].Name != "d" || n.Routes[0].Match.Path != "/new" || n.Classes[0].Name != "x" || n.Limits.Drain != Duration(7*time.Second) || n.Resolve("r") != "dir/r" {
 		t.Fatalf("%+v, %v", n, err)
 	}
-	// Behind one release another one stands in place of the file's own as well.
+	// After one release another one replaces the file's own configuration as well.
 	if m, err := n.With("classes: [{name: y}]\n"); err != nil || m.Clusters[0].Name != "c" {
 		t.Errorf("%+v, %v", m, err)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -136,7 +136,7 @@
 	c.begin()
 	c.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
 	w.expect(t, balancer.UpdateDelta, "s2")
-	text := line(9, false, entry("s3", "SERVING"), entry("s2", "DELETED")) + "\n" // in pieces, with others behind
+	text := line(9, false, entry("s3", "SERVING"), entry("s2", "DELETED")) + "\n" // in pieces, followed by others
 	c.chunk("\n" + text[:20])
 	c.chunk(text[20:])
 	w.expect(t, balancer.UpdateDelta, "s3", "s2")
@@ -240,7 +240,7 @@
 	}
 }
 
-// A client that is told another address leaves the old one at once and asks for the whole list at the new one.
+// A client that is moved to another address closes its connections to the old one at once and fetches a snapshot from the new one.
 func TestMove(t *testing.T) {
 	testbed.Leaks(t)
 	for _, pushed := range []bool{false, true} {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,7 +16,7 @@
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// A whole list that was asked for before a change and is read behind it does not undo the change.
+// A snapshot that was requested before a change and is read after it does not undo the change.
 func TestSnapshotOvertakenByADelta(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
@@ -29,11 +29,11 @@
 	w.expect(t, balancer.UpdateDelta, "s1")
 	fetch.whole(line(8, true, entry("s1", "SERVING")))
 	w.expect(t, balancer.UpdateFailed)
-	watch.chunk(line(10, false) + "\n") // the watch goes on
+	watch.chunk(line(10, false) + "\n") // the watch continues
 	w.expect(t, balancer.UpdateDelta)
 }
 
-// Two whole lists are asked for, and the one that was made first is read last.
+// Two snapshots are requested, and the older one is read last.
 func TestSnapshotOvertakenByASnapshot(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, "", nil)
@@ -46,7 +46,7 @@
 	w.expect(t, balancer.UpdateFailed)
 }
 
-// A service that has lost its versions begins anew: what it tells then is the list.
+// A service that has lost its revisions starts them anew: its next snapshot replaces the list.
 func TestRevisionsStartAnew(t *testing.T) {
 	testbed.Leaks(t)
 	for _, pushed := range []bool{false, true} {
@@ -56,17 +56,17 @@
 		c.begin()
 		c.chunk(line(2, true, entry("s2", "SERVING")) + "\n")
 		w.expect(t, balancer.UpdateSnapshot, "s2")
-		c.chunk(line(1, true, entry("s3", "SERVING")) + "\n") // and once more, on the same watch
+		c.chunk(line(1, true, entry("s3", "SERVING")) + "\n") // again, on the same watch
 		w.expect(t, balancer.UpdateSnapshot, "s3")
 	}
 }
 
-// A list that was asked for at the address before the move comes behind it: it tells nothing, not even that a call failed,
-// and leaves no version for the next watch.
+// A snapshot that was requested at the former address arrives after the move: it is dropped, is not reported as a failed call, and
+// leaves no revision for the next watch.
 func TestListOfTheFormerAddressIsDropped(t *testing.T) {
 	testbed.Leaks(t)
 	old := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
-	next := start(t, false, "", nil) // lends its listener
+	next := start(t, false, "", nil) // only its listener is used
 	old.Fetch()
 	fetch := testbed.Receive(t, "a call", old.calls)
 	old.Move(next.addr)
@@ -75,7 +75,7 @@
 		t.Errorf("called %s", c.uri)
 	}
 	fetch.whole(line(8, true, entry("late", "SERVING")))
-	_, _ = io.Copy(io.Discard, fetch.conn) // it has been read, or never will be
+	_, _ = io.Copy(io.Discard, fetch.conn) // the client has closed the connection
 	c.begin()
 	c.chunk(line(3, true, entry("s3", "SERVING")) + "\n")
 	old.expect(t, balancer.UpdateSnapshot, "s3")
@@ -87,7 +87,7 @@
 	}
 }
 
-// Bytes that make no line are no sign of life, nor are empty lines in the middle of a list.
+// Bytes that do not complete a line are no sign of life, nor are empty lines within a list.
 func TestBytesWithoutLinesAreNoSignOfLife(t *testing.T) {
 	testbed.Leaks(t)
 	for name, text := range map[string]string{"half a line": "x", "lines in half a list": "\n"} {
@@ -110,7 +110,7 @@
 	}
 }
 
-// A watch that is answered and says nothing from its first line on, or stops within a line, is given up.
+// A watch that is answered but sends no line, or stops within a line, is given up.
 func TestWatchWithoutLinesIsGivenUp(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
@@ -125,7 +125,7 @@
 	}
 }
 
-// A list may come indented, over several lines, in a watch and in answer to a single call.
+// A list may be indented over several lines, in a watch as well as in a fetched snapshot.
 func TestIndentedList(t *testing.T) {
 	testbed.Leaks(t)
 	indented := func(rev int, id, state string) string {
@@ -140,7 +140,7 @@
 	c := testbed.Receive(t, "a call", w.calls)
 	c.begin()
 	for i := range 3 {
-		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with what looks like the end of it in a name
+		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with a name that looks like the end of the list
 		c.chunk("\n" + text[:30])
 		c.chunk(text[30:] + "\n")
 		w.expect(t, balancer.UpdateSnapshot, fmt.Sprintf(`s{%d}"\`, i))
@@ -150,8 +150,8 @@
 	w.expect(t, balancer.UpdateSnapshot, "s9")
 }
 
-// However often a pushed list's calls hang, are refused or end, it is asked for again, and between two calls there is less
-// time than sends to a draining server may go on.
+// However often the watches of a pushed list hang, are refused or end, another one begins, and the time between two is shorter
+// than the time in which requests may still go to a draining server.
 func TestPushedListIsWatchedAgain(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, true, line(7, true), func(c *Client) { c.firstLineTimeout, c.minRetryPause = 20*time.Millisecond, time.Millisecond })
@@ -174,8 +174,8 @@
 	}
 }
 
-// A call that hangs, or is answered by half, is told as refused in time, once, and goes on beside the next one. Which of the two
-// tells something first is followed, and the other one ended.
+// A call that hangs, or is answered in part, is reported as refused in time, once, and continues beside the next one. The one that
+// sends a line first is followed, and the other one is ended.
 func TestOverdueWatchBesideTheNext(t *testing.T) {
 	for name, half := range map[string]string{"hangs": "", "head alone": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"half a line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"rev\":1,\r\n"} {
@@ -187,7 +187,7 @@
 				late := testbed.Receive(t, "a call", w.calls)
 				_, _ = io.WriteString(late.conn, half)
 				w.expect(t, balancer.UpdateFailed)
-				w.firstLineTimeout = testbed.WaitTimeout // from here on no time is to matter
+				w.firstLineTimeout = testbed.WaitTimeout // from here on no timeout expires
 				w.Watch(true)
 				next := testbed.Receive(t, "a call beside it", w.calls)
 				answers, ended := next, late
@@ -205,7 +205,7 @@
 				}
 				w.expect(t, balancer.UpdateSnapshot, "s1")
 				testbed.Eventually(t, "the other one to be ended", func() bool { _, err := ended.conn.Write([]byte("\n")); return err != nil })
-				if lateAnswers { // the module may have planned to ask before it heard: the one that is on goes on
+				if lateAnswers { // the balancer may have planned a call before it was notified: the current one continues
 					w.Watch(true)
 				}
 				answers.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
@@ -220,7 +220,7 @@
 	}
 }
 
-// However many calls in a row hang, each is told as refused in its time, and no more than two are on at once.
+// However many calls in a row hang, each is reported as refused in time, and no more than two are open at once.
 func TestConsecutiveHangingCalls(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, false, "", func(c *Client) { c.firstLineTimeout = 20 * time.Millisecond })
@@ -238,8 +238,9 @@
 	}
 }
 
-// What a change counts as told by, whatever came before it, on paper: a call that hung, or a watch that fell silent, in the
-// moment in which discovery can be reached. The next call begins within the module's span of the one before, or of the last line.
+// The time by which a change counts as notified, calculated from the timeouts for the worst cases: a call that hung, or a watch that
+// fell silent, at the moment in which discovery can be reached again. The next call begins within the balancer's maximum interval
+// after the one before, or after the last line.
 func TestNotifiedInTimeByCallSchedule(t *testing.T) {
 	const told, span = 6 * time.Second, balancer.MaxPollInterval
 	for name, at := range map[string]time.Duration{"an overdue call": defaultSilenceTimeout, "a silent watch": defaultSilenceTimeout, "a dial": dialTimeout} {
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -281,7 +281,7 @@
 		if want := fmt.Sprintf("data: %d\n\n", i); string(b[:n]) != want {
 			t.Errorf("%q, %v, want %q", b[:n], err, want)
 		}
-		// A stream that has begun is nothing that others stand behind: the one place is free.
+		// A stream that has begun takes no place in the queue: the only one is free.
 		if r := u.get(t, "/head"); r.status != 200 {
 			t.Errorf("beside a stream: %d", r.status)
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -98,7 +98,7 @@
 	if r, err := u.do(http.MethodHead, "/x"); err != nil || r.status != 200 || r.body != "" {
 		t.Errorf("HEAD: %+v %v", r, err)
 	}
-	// The failure last: the decision module may refuse some of what follows one.
+	// The failure comes last, as the balancer may reject some requests after one.
 	for _, c := range []struct {
 		path   string
 		status int
@@ -343,7 +343,7 @@
 			if _, err := s.Push(fmt.Sprint("v", i), false, eds("c", a, b), cds("c")); err != nil {
 				return
 			}
-			_ = g.Reload(parse(t, head+rest)) // refused once it is stopping
+			_ = g.Reload(parse(t, head+rest)) // rejected once it is stopping
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
--- a/internal/gateway/locality_test.go
+++ b/internal/gateway/locality_test.go
@@ -25,7 +25,7 @@
 // quick are zones whose way back takes a test's time.
 const quick = "zones: {tiers: [[a], [b]], hold: 100ms, most_hold: 400ms, probe: 50ms, step: 100ms, first_share: 0.25}\n"
 
-// lines keeps what is logged.
+// lines collects the log.
 type lines struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -66,7 +66,7 @@
 	memberEvents // their number
 )
 
-// Events that are of no member, behind those of the members.
+// Events of no member, numbered after those of the members.
 const (
 	eventShortPause = 3*2*memberEvents + iota
 	eventLongPause
--- a/internal/proxy/clientleft_test.go
+++ b/internal/proxy/clientleft_test.go
@@ -13,8 +13,8 @@
 	"robindrum/internal/testbed"
 )
 
-// holdReaders has nothing more read from the clients there are until it is ended: as on a node so busy that the goroutines
-// that would see them leave wait behind all others.
+// holdReaders blocks all reads from the current clients until it is ended, as on a node so busy that the goroutines that would see
+// clients leave are not scheduled.
 func (w *world) holdReaders(t *testing.T) (end func()) {
 	held := w.conns.list()
 	for _, k := range held {
@@ -35,10 +35,10 @@
 	"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 }
 
-// A client leaves, and nobody has read its end yet: wherever its request stands, no attempt begins any more, first or further.
+// A client leaves, and the end of its stream has not been read yet: in whichever state its request is, no further attempt begins.
 func TestNoAttemptAfterTheClientLeft(t *testing.T) {
 	turnedAway := "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
-	// Each gives a world in which the client's request stands somewhere, and what has it go on from there.
+	// Each returns a world with the client's request in one state, and a function that lets it continue from there.
 	places := map[string]func(t *testing.T, came chan string) (w *world, c *peer, goOn func()){
 		"held by the module": func(t *testing.T, came chan string) (*world, *peer, func()) {
 			w := start(t, nil) // no list yet
@@ -118,7 +118,7 @@
 	}
 }
 
-// Half a body is here, and its client leaves: nothing of it is sent on.
+// A client leaves in the middle of its request's body: nothing is forwarded.
 func TestClientLeavesWithinItsBody(t *testing.T) {
 	for how, leave := range leaves {
 		t.Run(how, func(t *testing.T) {
@@ -145,23 +145,24 @@
 	}
 }
 
-// stands tells that a request was read from the client and its last look at the client is over, so that all that is left is to hand it
-// to the module. Danger: served alone is set before that look, and who leaves in between is turned away without the module.
+// stands reports whether a request was read from the client and the last check that the client is connected is over, so that the
+// request goes to the balancer next. The flag served is not enough: it is set before that check, and a client that leaves in between
+// is answered without the balancer.
 func stands(k *client) bool {
 	k.reading.Lock()
 	defer k.reading.Unlock()
 	return k.served.Load() && !k.bytesRead
 }
 
-// 500 clients leave at once, and nobody has read their ends as their requests go on from where they stand: none of theirs is sent
-// on, and one that is still there is served.
+// 500 clients leave at once, and the ends of their streams are not read before their requests continue: none of these is forwarded,
+// and a client that is still connected is served.
 func TestManyClientsLeaveAtOnce(t *testing.T) {
 	const many = 500
-	// Each gives where the requests stand, as gone sends them: before they are sent, and what has them go on.
+	// Each is a state of the requests when their clients leave, and a function that lets them continue.
 	type place struct {
 		w      *world
 		before func(all []*peer)
-		stand  func() bool // they all stand there
+		stand  func() bool // all requests are in this state
 		goOn   func()
 	}
 	shape := func(o *Options) { o.Budget = backend.NewBudget(4 * many) }
@@ -205,8 +206,8 @@
 		"in their dials": func(t *testing.T, script func(net.Conn, int)) place {
 			l := testbed.NewDelayedPeer(t, script)
 			w := start(t, shape, slices.Repeat([]string{l.Addr}, 60)...)
-			// The module sends no more than some 60 to servers that have answered nothing yet; it refuses the others.
-			// A retry is a send too: that all are there is told by what was taken.
+			// The balancer sends no more than some 60 to servers that have answered nothing yet; it rejects the others.
+			// Retries are sent as well, so the accepted requests are counted.
 			return place{w, nil, func() bool {
 				s := w.Stats()
 				return s.Accepted == many && s.Sends+s.Rejected >= many && s.Sends >= 40
@@ -239,11 +240,11 @@
 				c.Close()
 			}
 			p.goOn()
-			if name == "in their dials" { // the kernel has them come up in the course of seconds: some before this, the rest behind it
+			if name == "in their dials" { // the kernel completes them over some seconds: some before this, the rest after it
 				testbed.Eventually(t, "an end to be seen", func() bool { return w.Stats().ClientLeft > 0 })
 				read()
 			}
-			for code, i := 0, 0; code != 200; i++ { // the module may refuse some, as it has served nothing yet
+			for code, i := 0, 0; code != 200; i++ { // the balancer may reject some, as it has served nothing yet
 				c := w.dial(t)
 				c.send(head("GET", "get", fmt.Sprint("X-Trace-Id: there", i)))
 				code, _, _ = c.answer(t)
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -11,9 +11,9 @@
 	"robindrum/internal/testbed"
 )
 
-// Clients that say nothing connect faster than any of them gets old: on a clock that all but stands still. One whose request is a
-// moment behind its connection is not shut for that, as the oldest of the silent ones make room, and neither is one whose request
-// waits; the descriptors are never more than there are.
+// Silent clients connect faster than any of them reaches the minimum idle time, on a clock that barely advances. The oldest silent
+// ones are evicted: neither a client whose request arrives a moment after its connection, nor one whose request waits. The number of
+// descriptors stays within the limit.
 func TestOldestSilentClientIsEvicted(t *testing.T) {
 	testbed.Leaks(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			if k.raw, err = k.SyscallConn(); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := io.WriteString(far, text); err != nil { // over loopback it is there when this returns
+			if _, err := io.WriteString(far, text); err != nil { // over loopback it has arrived when this returns
 				t.Fatal(err)
 			}
 			all = append(all, k)
@@ -86,7 +86,7 @@
 		if k.closed.Load() {
 			t.Error("it is shut over its request")
 		}
-		// Where all say something there is nobody to make room, but one that says nothing itself.
+		// Where all clients have sent something, only a silent one can be evicted.
 		for i := range silent {
 			if !silent[i].closed.Load() {
 				add("GET / HTTP/1.1\r\n")
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -1,151 +1,21 @@
 package proxy
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/url"
 	"strconv"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"robindrum/balancer"
-	"robindrum/internal/backend"
-	"robindrum/internal/discovery"
 	"robindrum/internal/testbed"
 )
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-
-type world struct {
-	*Node
-	addr   string
-	budget *backend.Budget
-	l      net.Listener
-	served chan struct{}
-}
-
-// start runs a node over backends at the addresses given, all of one zone and cell.
-func start(t *testing.T, shape func(*Options), addrs ...string) *world {
-	t.Helper()
-	s := balancer.Settings{Zone: "a", Zones: []string{"a"}, Proxies: 1, MaxAttempts: 3, MayCancel: true,
-		Classes: []balancer.Class{
-			{Name: "get", Deadline: testbed.WaitTimeout, Effect: balancer.Idempotent, PriorityWeight: 1},
-			{Name: "brief", Deadline: 50 * time.Millisecond, Effect: balancer.Idempotent, PriorityWeight: 1},
-			{Name: "put", Deadline: testbed.WaitTimeout, Effect: balancer.IdempotentWithKey, Group: balancer.GroupCell, Window: time.Minute, PriorityWeight: 1},
-			{Name: "post", Deadline: testbed.WaitTimeout, Effect: balancer.NonIdempotent, PriorityWeight: 1},
-		}}
-	w := &world{budget: backend.NewBudget(64), served: make(chan struct{})}
-	opt := Options{Settings: s, Seed: 1, BodyBytes: 64 << 20, Budget: w.budget}
-	if shape != nil {
-		shape(&opt)
-		w.budget = opt.Budget
-	}
-	pool := backend.NewPool(backend.Options{ConnectTimeout: testbed.WaitTimeout, IdleTimeout: time.Hour}, w.budget)
-	var err error
-	if w.Node, err = New(opt, pool); err != nil {
-		t.Fatal(err)
-	}
-	if w.l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		t.Fatal(err)
-	}
-	w.addr = w.l.Addr().String()
-	w.list(addrs...)
-	go func() {
-		w.Serve(w.l)
-		close(w.served)
-	}()
-	t.Cleanup(func() {
-		w.stopping.Store(true)
-		w.l.Close()
-		testbed.Receive(t, "the end of serving", w.served)
-		w.Close()
-		w.conns.awaitEmpty()
-	})
-	return w
-}
-
-func (w *world) list(addrs ...string) {
-	u := discovery.Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateSnapshot}, Endpoints: map[string]string{}}
-	if len(addrs) == 0 { // one that has yet to come: requests are held
-		u.Kind = balancer.UpdateCached
-	}
-	for i, a := range addrs {
-		id := fmt.Sprint("s", i)
-		u.Servers = append(u.Servers, balancer.Server{ID: id, Zone: "a", Weight: 1})
-		u.Endpoints[id] = a
-	}
-	w.UpdateEndpoints(u)
-}
-
-func (w *world) held() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.requests)
-}
-
-// peer is one connection of a client, seen from there.
-type peer struct {
-	net.Conn
-	r *bufio.Reader
-}
-
-func (w *world) dial(t *testing.T) *peer {
-	t.Helper()
-	c, err := net.Dial("tcp", w.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.SetDeadline(time.Now().Add(testbed.WaitTimeout))
-	t.Cleanup(func() { c.Close() })
-	return &peer{c, bufio.NewReader(c)}
-}
-
-var ids atomic.Int64
-
-// head words a request; a trace id is added unless one is given.
-func head(method, class string, fields ...string) string {
-	h := method + " /" + class + "/x?obj=7 HTTP/1.1\r\nHost: api.internal\r\nX-Qos: " + class + "\r\n"
-	if !strings.Contains(strings.Join(fields, "\n"), "X-Trace-Id") {
-		fields = append(fields, fmt.Sprint("X-Trace-Id: t", ids.Add(1)))
-	}
-	for _, f := range fields {
-		if f != "X-Trace-Id" {
-			h += f + "\r\n"
-		}
-	}
-	return h + "\r\n"
-}
-
-func (c *peer) send(text string) { _, _ = io.WriteString(c, text) }
-
-func (c *peer) answer(t *testing.T) (int, string, http.Header) {
-	t.Helper()
-	resp, err := http.ReadResponse(c.r, nil)
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	body, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatalf("half an answer: %v", err)
-	}
-	if resp.Close {
-		resp.Header.Set("Connection", "close") // net/http takes it out
-	}
-	return resp.StatusCode, string(body), resp.Header
-}
-
-func (c *peer) closed() bool {
-	_, err := c.r.ReadByte()
-	return err != nil
-}
-
 func TestServes(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string {
@@ -242,7 +112,7 @@
 	}
 }
 
-// What a client says of its time counts below the class's deadline; what is no positive number is turned away.
+// A client's own timeout counts if it is below the class's deadline; a value that is no positive number is rejected.
 func TestClientsTimeout(t *testing.T) {
 	n := &Node{Core: &Core{classDeadlines: map[string]time.Duration{"get": time.Second}}}
 	for text, want := range map[string]time.Duration{"x": 0, "0": 0, "-5": 0, "1.5": 0, "99999999999999999999": 0,
@@ -258,7 +128,7 @@
 	}
 }
 
-// A client that says nothing, or stops in the middle of a request, is not kept for long.
+// A client that sends nothing, or stops in the middle of a request, is disconnected soon.
 func TestSilentClientsAreClosed(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, nil)
@@ -283,8 +153,8 @@
 	}
 }
 
-// Day term 405155058601: a node that forgot the client's own time answered when the client had long left. What
-// the client says reaches the module, and the backend hears what is left of it.
+// Regression test for day term 405155058601, in which the node ignored the client's own timeout and answered long after the client
+// had left. The timeout reaches the balancer, and the backend receives what is left of it.
 func TestClientsDeadlineIsForwarded(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -299,13 +169,13 @@
 		t.Errorf("the backend was told %d ms (%v)", ms, err)
 	}
 	w.list(silent.Addr)
-	c.send(head("GET", "get", "X-Expires-In-Ms: 30")) // the class would allow as long as this test is patient
+	c.send(head("GET", "get", "X-Expires-In-Ms: 30")) // the class's deadline is as long as this test waits
 	if code, _, _ := c.answer(t); code != 503 {
 		t.Errorf("%d", code)
 	}
 }
 
-// An id that is still in hand is not sent again, also after its answer while an attempt is out.
+// A request with the ID of an open one is not forwarded, also after the answer while an attempt is in flight.
 func TestIDInUseIsRejected(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 1), make(chan struct{})
@@ -324,7 +194,7 @@
 	}
 }
 
-// A refusal carries the module's advice, in seconds with decimals.
+// A rejection carries the balancer's Retry-After, in seconds with decimals.
 func TestRetryAfter(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, nil)
@@ -359,7 +229,7 @@
 	}
 }
 
-// A backend's own refusal is not the client's: it promises what only the module can tell.
+// A backend's own rejection is not passed on: whether a request may be repeated only the balancer can tell.
 func TestEndpointsRejectionIsNotForwarded(t *testing.T) {
 	testbed.Leaks(t)
 	for _, reply := range []string{"429 Slow", "503 Full"} {
@@ -378,7 +248,7 @@
 	}
 }
 
-// An attempt ends at the client's deadline, and the client is told; the backend sees it given up.
+// An attempt ends at the client's deadline, and the client is answered; the backend sees the connection close.
 func TestDeadline(t *testing.T) {
 	testbed.Leaks(t)
 	ended := make(chan struct{}, 1)
@@ -413,7 +283,7 @@
 		testbed.Receive(t, "the request", came)
 		leave(c.Conn)
 		testbed.Receive(t, "the attempt to be given up", ended)
-		if name == "half closed" { // it may still read, and what it is told must promise nothing
+		if name == "half closed" { // it may still read, and the answer must not claim that nothing was executed
 			if code, _, _ := c.answer(t); code == 200 || code == 429 || code == 503 {
 				t.Errorf("%s: %d", name, code)
 			}
@@ -422,40 +292,7 @@
 	}
 }
 
-func TestLongAnswerIsStreamed(t *testing.T) {
-	testbed.Leaks(t)
-	long := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB
-	for name, reply := range map[string]string{
-		"sized":        fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long),
-		"chunked":      fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(long), long),
-		"sized, cut":   fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long)+1, long),
-		"chunked, cut": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(long), long),
-	} {
-		n := 0
-		b := testbed.NewPeer(t, func(c net.Conn, k int) {
-			n++
-			_, _ = http.ReadRequest(bufio.NewReader(c))
-			_, _ = io.WriteString(c, reply)
-		})
-		w := start(t, nil, b.Addr)
-		c := w.dial(t)
-		c.send(head("GET", "get"))
-		resp, err := http.ReadResponse(c.r, nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%s: %v", name, err)
-		}
-		body, err := io.ReadAll(resp.Body)
-		if cut := strings.Contains(name, "cut"); cut != (err != nil) || !cut && string(body) != long {
-			t.Errorf("%s: %d bytes, %v", name, len(body), err)
-		}
-		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
-		if b.Connections() != 1 {
-			t.Errorf("%s: sent %d times", name, b.Connections())
-		}
-	}
-}
-
-// Bodies together stay within the budget; one that finds no room is refused, as nothing of it was sent on.
+// All bodies together stay within the budget; a request whose body exceeds it is rejected, as nothing of it was forwarded.
 func TestBodiesStayWithinTheirBudget(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(s testbed.ReceivedRequest, n int) string { return ok })
@@ -475,7 +312,7 @@
 	testbed.Eventually(t, "the budget to be free", func() bool { return w.bodies.left.Load() == 64<<10 })
 }
 
-// A node that is stopped goes on accepting for as long as connections still come, then answers what it holds.
+// A node that is stopped accepts connections for some time more, then answers its open requests.
 func TestStop(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
@@ -522,13 +359,13 @@
 	testbed.Receive(t, "the end", stopped)
 }
 
-// The guard fails what the module leaves unanswered, and says nothing of whether it ran.
+// The guard answers requests that the balancer leaves unanswered, without a claim whether they were executed.
 func TestGuardFailsUnansweredRequests(t *testing.T) {
 	testbed.Leaks(t)
 	w := start(t, nil)
-	for _, early := range []string{"", "G"} { // with and without a next request that comes too early
+	for _, early := range []string{"", "G"} { // with and without the start of a pipelined request
 		c := w.dial(t)
-		w.mu.Lock() // the module cannot know of it
+		w.mu.Lock() // the balancer cannot be notified
 		c.send(head("GET", "brief"))
 		var q *request
 		w.mu.Unlock()
@@ -551,7 +388,7 @@
 	}
 }
 
-// Whatever a client sends, the node answers or closes, and goes on.
+// Whatever a client sends, the node answers or closes the connection, and keeps serving.
 func FuzzClient(f *testing.F) {
 	f.Add([]byte(head("GET", "get", "X-Trace-Id: 1")))
 	f.Add([]byte(head("POST", "put", "X-Trace-Id: 1", "Transfer-Encoding: chunked") + "1\r\nx\r\n0\r\n\r\n"))
@@ -572,127 +409,3 @@
 		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 	})
 }
-
-func mustURL(text string) *url.URL {
-	u, err := url.ParseRequestURI(text)
-	if err != nil {
-		panic(err)
-	}
-	return u
-}
-
-// Incident r69d8ed: answers that take long to send are no reason to refuse what idle backends could do.
-func TestStreamedAnswersDoNotCauseRejections(t *testing.T) {
-	testbed.Leaks(t)
-	over := make(chan struct{})
-	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
-		for r := bufio.NewReader(c); ; {
-			req, err := http.ReadRequest(r)
-			if err != nil {
-				return
-			}
-			if req.URL.Query().Get("obj") != "7" {
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\nbegun")
-				for { // a byte now and then, as it stays under way
-					select {
-					case <-over:
-						return
-					case <-time.After(100 * time.Millisecond):
-						if _, err := c.Write([]byte("x")); err != nil {
-							return
-						}
-					}
-				}
-			}
-			_, _ = io.WriteString(c, ok)
-		}
-	})
-	defer close(over)
-	w := start(t, nil, b.Addr)
-	for range 15 {
-		c := w.dial(t)
-		c.send(strings.Replace(head("GET", "get"), "obj=7", "obj=long", 1))
-		if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, "200") {
-			t.Fatalf("%q %v", line, err)
-		}
-	}
-	c := w.dial(t)
-	for range 20 {
-		c.send(head("GET", "get"))
-		if code, _, _ := c.answer(t); code != 200 {
-			t.Fatalf("%d with 15 answers on their way", code)
-		}
-	}
-}
-
-// Incident r69d8ed again: the copy that lost ends while the other's long answer is passed on. That is no reason
-// to cut it off.
-func TestLosingHedgeLeavesTheStreamedAnswer(t *testing.T) {
-	testbed.Leaks(t)
-	long := strings.Repeat("x", 100<<10)
-	var copies atomic.Int64
-	lost := make(chan struct{}, 2)
-	script := func(c net.Conn, _ int) {
-		for r := bufio.NewReader(c); ; {
-			req, err := http.ReadRequest(r)
-			switch {
-			case err != nil:
-				return
-			case req.URL.Query().Get("obj") == "7":
-				_, _ = io.WriteString(c, ok)
-			case copies.Add(1) == 1: // silent, until it is called off
-				_, _ = r.ReadByte()
-				lost <- struct{}{}
-				return
-			default:
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[1:])
-				<-lost
-				time.Sleep(50 * time.Millisecond) // the node hears of it
-				_, _ = io.WriteString(c, "x")
-				return
-			}
-		}
-	}
-	w := start(t, func(o *Options) {
-		o.Settings.ParallelAttempts = true
-		o.Settings.Classes[0].LatencyObjective = 20 * time.Millisecond
-	}, testbed.NewPeer(t, script).Addr, testbed.NewPeer(t, script).Addr)
-	c := w.dial(t)
-	for range 30 { // so that the module knows how long an answer takes
-		c.send(head("GET", "get"))
-		c.answer(t)
-	}
-	c.send(strings.Replace(head("GET", "get"), "obj=7", "obj=long", 1))
-	if code, body, _ := c.answer(t); code != 200 || body != long {
-		t.Errorf("%d, %d bytes", code, len(body))
-	}
-	if n := copies.Load(); n != 2 {
-		t.Errorf("%d copies", n)
-	}
-}
-
-// An answer whose body breaks off is none, whatever its head said.
-func TestBrokenAnswerIsNotServed(t *testing.T) {
-	testbed.Leaks(t)
-	for name, text := range map[string]string{
-		"short":        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-		"no body":      "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n",
-		"broken chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-		"spoilt chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
-		"without end":  "HTTP/1.1 200 OK\r\n\r\nhalf",
-	} {
-		b := testbed.NewPeer(t, func(c net.Conn, n int) {
-			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-				_, _ = io.WriteString(c, text)
-			}
-		})
-		w := start(t, nil, b.Addr)
-		for _, class := range []string{"get", "post"} {
-			c := w.dial(t)
-			c.send(head("GET", class))
-			if code, body, _ := c.answer(t); code != 502 && code != 503 || body != "" {
-				t.Errorf("%s, %s: %d %q", name, class, code, body)
-			}
-		}
-	}
-}
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -14,7 +14,7 @@
 	"robindrum/internal/testbed"
 )
 
-// A client has sent the first bytes of another request, and then leaves: that is seen, and what it waited for is not sent.
+// A client that has sent the first bytes of its next request closes the connection: its pending request is not forwarded.
 func TestClientLeavesAfterEarlyBytesOfANextRequest(t *testing.T) {
 	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
 		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
@@ -29,13 +29,13 @@
 			k := w.conns.list()[0]
 			testbed.Eventually(t, "the early bytes to be read", func() bool { waits, _ := k.peek(); return !waits })
 			leave(c.Conn)
-			// Else the module refuses it once it has waited for too long.
+			// Otherwise the balancer rejects it once it has waited for too long.
 			testbed.Eventually(t, "its end to be seen", func() bool { return w.held() == 0 })
 			if s := w.Stats(); s.ClientLeft != 1 || s.Rejected != 0 {
 				t.Errorf("left %d, refused %d", s.ClientLeft, s.Rejected)
 			}
 			w.list(b.Addr)
-			for code := 0; code != 200; { // the module may refuse some, as the first one was not served
+			for code := 0; code != 200; { // the balancer may reject some, as the first one was not served
 				o := w.dial(t)
 				o.send(head("GET", "get"))
 				code, _, _ = o.answer(t)
@@ -48,7 +48,7 @@
 	}
 }
 
-// The next request comes whole before the answer to the one in hand: it is served behind it, at once.
+// A pipelined request that arrives in full before the current answer is served right after that answer.
 func TestPipelinedRequestIsServedAfterTheAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan struct{}, 9), make(chan struct{})
@@ -71,7 +71,7 @@
 	}
 }
 
-// heldReads routes as the node does, and has nothing read from clients from then on.
+// heldReads routes as the node does, and blocks all reads from clients from then on.
 type heldReads struct {
 	*world
 	goOn chan struct{}
@@ -88,7 +88,8 @@
 	return h.Node.Route(r, from)
 }
 
-// A client left while its request waited in the kernel: it is not sent on, though its end is not read yet.
+// A client left while its request waited in the socket buffer: the request is not forwarded, though the end of the stream has not
+// been read yet.
 func TestClientLeavesBeforeItsRequestIsRead(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -109,7 +110,7 @@
 	served := make(chan struct{})
 	go func() { w.Serve(l); close(served) }() // only now is anything read
 	c.SetDeadline(time.Now().Add(testbed.WaitTimeout))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // it may read yet
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // the client has closed its sending side only
 	close(h.goOn)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(b.Requests()) != 0 {
 		t.Errorf("%v, %v, and %d requests were sent", resp, err, len(b.Requests()))
@@ -120,7 +121,7 @@
 	<-served
 }
 
-// What is in hand near the node's end has its one answer: a refusal only where no attempt can have run.
+// Each open request gets exactly one answer at shutdown, which is a rejection only if no attempt can have been executed.
 func TestOpenRequestsAreAnsweredAtShutdown(t *testing.T) {
 	testbed.Leaks(t)
 	came := make(chan string, 9)
@@ -142,7 +143,7 @@
 		testbed.Receive(t, "the request", came)
 	}
 	sentTo := w
-	w = start(t, nil) // one that has no list yet, and holds what comes
+	w = start(t, nil) // it has no endpoint list yet, so requests wait
 	held, half := w.dial(t), w.dial(t)
 	held.send(head("POST", "post", "Content-Length: 1") + "x")
 	text := head("POST", "put", "Idempotency-Key: k", "Content-Length: 4")
@@ -175,7 +176,7 @@
 			t.Errorf("%s: %d", name, code)
 		}
 	}
-	if code, _, _ := last.answer(t); code == http.StatusOK { // it came too late, or was half a head
+	if code, _, _ := last.answer(t); code == http.StatusOK { // it came too late, or its head was incomplete
 		t.Errorf("the last one: %d", code)
 	}
 	testbed.Receive(t, "the end", stopped)
@@ -185,7 +186,7 @@
 	}
 }
 
-// A long answer is being passed on as the node nears its end: it goes on, and is whole.
+// A long answer that is being streamed at shutdown is completed.
 func TestStreamedAnswerOutlastsShutdown(t *testing.T) {
 	testbed.Leaks(t)
 	goOn := make(chan struct{})
@@ -217,7 +218,7 @@
 	testbed.Receive(t, "the end", stopped)
 }
 
-// A request comes between the look at an idle connection and its end: it is served, and the connection kept.
+// A request arrives between the check of an idle connection and its closing: it is served, and the connection stays open.
 func TestRequestOnAConnectionThatIsBeingClosed(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -229,11 +230,11 @@
 	testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idleTime(k) > 0 })
 	shut := k.closeIdle(func() bool {
 		c.send(head("GET", "get"))
-		// However long this takes, its reader waits for the end of it. One that did not would have read by now.
+		// The reader must wait until this function returns. One that did not would have read the request by now.
 		for end := time.Now().Add(200 * time.Millisecond); w.conns.idleTime(k) > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		return true // what was seen before it came
+		return true // as seen before the request arrived
 	})
 	if shut {
 		t.Error("shut")
@@ -243,8 +244,8 @@
 	}
 }
 
-// Descriptors are short, and the client that has been idle for longest has just sent a request that nobody has read yet:
-// another one makes room.
+// Descriptors are short, and the client that has been idle for longest has just sent a request that is not read yet: another
+// client is evicted.
 func TestConnectionWithARequestIsNotEvicted(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -277,7 +278,7 @@
 	}
 }
 
-// heldListener accepts nothing until it is told that accepting ends.
+// heldListener accepts nothing until its deadline is set or it is closed.
 type heldListener struct {
 	*net.TCPListener
 	ends chan struct{}
@@ -303,7 +304,7 @@
 	return l.TCPListener.Close()
 }
 
-// Connections that the kernel took and the node had no time to accept are served before the listener closes.
+// Connections in the kernel's backlog that the node had no time to accept are served before the listener closes.
 func TestStopEmptiesTheBacklog(t *testing.T) {
 	testbed.Leaks(t)
 	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
@@ -333,7 +334,7 @@
 	testbed.Receive(t, "the end of serving", served)
 	for i, p := range c {
 		p.SetDeadline(time.Now().Add(testbed.WaitTimeout))
-		// A burst may be refused in part; none may end without an answer.
+		// Part of a burst may be rejected; no connection may end without an answer.
 		if text, err := io.ReadAll(p); !strings.HasPrefix(string(text), "HTTP/1.1 200") && !strings.HasPrefix(string(text), "HTTP/1.1 503") {
 			t.Errorf("connection %d: %q, %v", i, text, err)
 		}
--- a/internal/proxy/requestend_test.go
+++ b/internal/proxy/requestend_test.go
@@ -13,7 +13,7 @@
 	"robindrum/internal/testbed"
 )
 
-// wholes sends to came each request that came whole, and answers it.
+// wholes sends each request that arrived in full to came, and answers it.
 func wholes(came chan<- string) func(c net.Conn, n int) {
 	return func(c net.Conn, _ int) {
 		b := make([]byte, 4<<10)
@@ -31,8 +31,7 @@
 	}
 }
 
-// A request is over while the connection for its attempt still comes up, and the settings allow no cancel: what has not
-// been written is written nowhere.
+// A request ends while the connection for its attempt is being dialed, and the settings allow no cancel: the request is not written.
 func TestRequestEndsWhileDialing(t *testing.T) {
 	for _, name := range []string{"client gone", "expired", "answered by a copy"} {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +64,7 @@
 			}
 			testbed.Receive(t, "the request's end", q.Done())
 			l.Open()
-			// The dial ends, or the connection comes up after all: either way nothing may be written on it.
+			// Whether the dial fails or succeeds, nothing may be written on the connection.
 			testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
 			if len(late) != 0 {
 				t.Errorf("sent after its end: %q", <-late)
@@ -74,7 +73,7 @@
 	}
 }
 
-// A copy is granted in the moment of the answer, behind it: nothing goes out.
+// A hedge is decided just after the answer: nothing is sent.
 func TestHedgeAtTheMomentOfTheAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
@@ -102,7 +101,7 @@
 		t.Error("an attempt was made for a request that is over")
 	}
 	w.mu.Unlock()
-	w.withBalancer(func(time.Duration) {}) // tells the client
+	w.withBalancer(func(time.Duration) {}) // answers the client
 	if code, _, _ := c.answer(t); code != http.StatusBadGateway {
 		t.Errorf("%d", code)
 	}
@@ -113,7 +112,7 @@
 	}
 }
 
-// What one attempt leaves on a connection does not reach the next one: a cancel at each step of the exchange.
+// An attempt is cancelled at each step of the exchange: nothing that it leaves on a connection reaches the next attempt.
 func TestCancelAtEachStep(t *testing.T) {
 	testbed.Leaks(t)
 	budget := backend.NewBudget(8)
@@ -148,8 +147,8 @@
 	}
 }
 
-// A backend comes back under its id, at another address or newly started, while an attempt to the old one is out: that one
-// ends as it would have, new ones go to the new one, and each is counted once.
+// A backend returns under its ID, at another address or restarted, while an attempt to the old one is in flight: that attempt ends as
+// it would have, new ones go to the new backend, and each is counted once.
 func TestEndpointReturnsUnderItsID(t *testing.T) {
 	testbed.Leaks(t)
 	came, goOn := make(chan string, 9), make(chan struct{})
--- a/internal/proxy/settings_test.go
+++ b/internal/proxy/settings_test.go
@@ -23,7 +23,7 @@
 // The clocks of clients and backends, and how long a busy machine may take between two of their readings.
 const auditSlack = 250 * time.Millisecond
 
-// seen is an attempt as a backend saw it: when its last byte came, when it ended there, and whether it can have run.
+// seen is an attempt as a backend saw it: when its last byte arrived, when it ended there, and whether it can have been executed.
 type seen struct {
 	id, tenant, key string
 	server          balancer.Server
@@ -34,21 +34,21 @@
 // asked is a request as its client saw it.
 type asked struct {
 	id, class, tenant, key string
-	sent, left             time.Time // left: when the client went away; zero: it did not
+	sent, left             time.Time // left: when the client disconnected; zero: it did not
 	deadline               time.Duration
 	at                     time.Time
-	status                 int // 0: no whole answer
+	status                 int // 0: no complete answer
 	body                   string
 }
 
-// auditor holds what clients and backends saw against the four rules. It knows the settings and nothing of the node.
+// auditor checks what clients and backends saw against the four rules. It knows the settings and nothing of the node.
 type auditor struct {
 	classes  map[string]balancer.Class
 	parallel bool
 	most     int
 	asked    []asked
 	seen     []seen
-	drained  map[string]time.Time // when the node was told
+	drained  map[string]time.Time // when the node was notified
 }
 
 func (a *auditor) faults() (l []string) {
@@ -118,7 +118,7 @@
 	return l
 }
 
-// site is settings drawn whole, and backends that behave badly now and then.
+// site is random settings, and backends that misbehave now and then.
 type site struct {
 	set     balancer.Settings
 	servers []balancer.Server
@@ -155,7 +155,7 @@
 	return s
 }
 
-// serve reads requests and answers them well, badly, late or not at all.
+// serve reads requests and answers them correctly, wrongly, late or not at all.
 func (s *site) serve(server balancer.Server, seed uint64) func(net.Conn, int) {
 	return func(c net.Conn, n int) {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)))
@@ -180,11 +180,11 @@
 				out, ends = "nonsense\r\n\r\n", true
 			case 5:
 				out, ends = out[:len(out)-1], true
-			case 6: // says nothing
+			case 6: // no answer
 				c.SetReadDeadline(time.Now().Add(2 * time.Second))
 				_, _ = r.Peek(1)
 				out, ends = "", true
-			default: // or late, unless it is given up before
+			default: // or late, unless the attempt ends before
 				c.SetReadDeadline(time.Now().Add(time.Duration(rng.IntN(60)) * time.Millisecond))
 				if _, err := r.Peek(1); err == io.EOF {
 					out, ends = "", true
@@ -202,7 +202,7 @@
 	}
 }
 
-// ask has one client send a few requests, one after the other.
+// ask has one client send some requests, one after the other.
 func (s *site) ask(t *testing.T, addr string, rng *rand.Rand, who int) {
 	var c net.Conn
 	var r *bufio.Reader
@@ -239,7 +239,7 @@
 			text += "?obj=" + q.key
 		}
 		text += " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + q.id + "\r\n"
-		if rng.IntN(3) > 0 { // else it stands in the path
+		if rng.IntN(3) > 0 { // otherwise the class is part of the path
 			text += "X-Qos: " + q.class + "\r\n"
 		}
 		switch k := rng.IntN(4); {
@@ -264,7 +264,7 @@
 		}
 		q.sent = time.Now()
 		_, _ = io.WriteString(c, text)
-		if rng.IntN(8) == 0 { // leaves
+		if rng.IntN(8) == 0 { // the client disconnects
 			time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 			c.Close()
 			c, q.left = nil, time.Now()
@@ -296,7 +296,7 @@
 	s.audit.asked = append(s.audit.asked, q)
 }
 
-// play runs a node by the settings told over the site's backends, and gives the faults that the auditor finds.
+// play runs a node with the given settings in front of the site's backends, and returns the faults that the auditor finds.
 func (s *site) play(t *testing.T, rng *rand.Rand, told balancer.Settings) []string {
 	t.Helper()
 	budget := backend.NewBudget(200)
@@ -353,7 +353,7 @@
 
 func (n *Node) budget() int { return n.conns.budget.Used() }
 
-// Whatever the settings say, the node keeps the four rules by them, and no request takes over what is another's.
+// Whatever the settings, the node keeps the four rules, and no request gets another one's answer.
 func TestRulesHoldUnderAnySettings(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -370,7 +370,7 @@
 	}
 }
 
-// A node that goes by other settings than the auditor's is caught: another class's effect, group or window, more attempts.
+// The auditor detects a node whose settings differ from its own: a class's effect, group or window, or more attempts.
 func TestAuditorDetectsOtherSettings(t *testing.T) {
 	for name, plant := range map[string]func(*balancer.Settings){
 		"effect:": func(s *balancer.Settings) {
@@ -405,7 +405,7 @@
 	}
 }
 
-// Each rule of the auditor finds its own breach, and nothing in a clean history.
+// Each rule of the auditor detects its own violation, and finds none in a clean history.
 func TestAuditorDetectsEachViolation(t *testing.T) {
 	now := time.Now()
 	at := func(ms int) time.Time { return now.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/xds/machine_model_test.go
+++ b/internal/xds/machine_model_test.go
@@ -149,7 +149,7 @@
 				s := newModel(delta)
 				m := NewMachine(Options{Clusters: true, Delta: delta})
 				now := sec
-				inUse := map[Type]map[string]Resource{ClusterType: {}, EndpointType: {}} // by the changes told
+				inUse := map[Type]map[string]Resource{ClusterType: {}, EndpointType: {}} // as of the reported changes
 				note := func(out []Request, changes []Change) {
 					s.toServer = append(s.toServer, out...)
 					for _, c := range changes {
@@ -201,7 +201,7 @@
 							r.Nonce = fmt.Sprint("n", s.n)
 							s.nonce[Type(r.TypeUrl)] = r.Nonce
 							s.toClient = append(s.toClient, r)
-							s.tell(t, Type(r.TypeUrl)) // and what is true behind it
+							s.tell(t, Type(r.TypeUrl)) // followed by the current state
 						}
 					case 6, 7:
 						if len(s.toServer) > 0 {
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -58,7 +58,7 @@
 	if len(changes) != 2 || changes[0].Name != "a" || changes[0].State != Received {
 		t.Fatalf("%v", changes)
 	}
-	// One of them is refused, the rest is used, and the version before is named.
+	// One resource is rejected, the others are used, and the NACK names the previous version.
 	bad := clusters(t, "2", "n2", "a", "c")
 	c := controlplane.Cluster("b", "")
 	c.EdsClusterConfig = nil
@@ -82,7 +82,7 @@
 	if got := m.state(ClusterType); got != "a=3/received b=1/received c=2/received" {
 		t.Errorf("after garbage: %s", got)
 	}
-	// An older version is the control plane's word as well; what it leaves out is withdrawn, its endpoints with it.
+	// An older version is accepted as well; resources that it leaves out are removed together with their endpoints.
 	out, changes = m.HandleSotW(5*sec, clusters(t, "1", "n4", "b"))
 	if got := m.state(ClusterType); got != "b=1/received" || out[0].SotW.GetVersionInfo() != "1" {
 		t.Errorf("after an older version: %s", got)
@@ -93,7 +93,7 @@
 	if len(changes) != 3 || changes[0].State != Absent || len(out) != 2 || !slices.Equal(out[1].SotW.GetResourceNames(), []string{"b"}) {
 		t.Errorf("%v\n%v", changes, out)
 	}
-	// A type that nobody asked for, and one that is told as another.
+	// A type that is not subscribed to, and a resource of another type than its response.
 	if out, _ = m.HandleSotW(6*sec, &discoveryv3.DiscoveryResponse{TypeUrl: "x", Nonce: "n"}); out[0].SotW.GetErrorDetail() == nil {
 		t.Error("a type that was not asked for is accepted")
 	}
@@ -102,7 +102,7 @@
 	if out, _ = m.HandleSotW(7*sec, other); out[0].SotW.GetErrorDetail() == nil {
 		t.Error("one type is taken as another")
 	}
-	// The same again under a new nonce: accepted anew, nothing changes but the version.
+	// The same resources under a new nonce are accepted, and only the version changes.
 	out, _ = m.HandleSotW(8*sec, clusters(t, "1", "n6", "b", "b"))
 	if !strings.Contains(out[0].SotW.GetErrorDetail().GetMessage(), "stands twice") {
 		t.Error("one name twice is accepted")
@@ -282,7 +282,7 @@
 	})
 }
 
-// An hour of ever new names leaves nothing behind.
+// An hour of resources with ever new names leaves no state behind.
 func TestChangingNamesLeaveNothingBehind(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		m := NewMachine(Options{Clusters: true, Delta: delta})
