--- a/internal/quorum/client.go
+++ b/internal/quorum/client.go
@@ -13,30 +13,30 @@
 	"robindrum/internal/peer"
 )
 
-// ErrNoQuorum means that no leader answered in time. Whether the command was committed is not known.
+// ErrNoQuorum means that no leader answered in time. The command may or may not have been committed.
 var ErrNoQuorum = errors.New("no quorum")
 
 const (
-	// maxCommandTime bounds Client.Do. Operators' calls time out after 10 s, and must learn before that there is no quorum.
+	// maxCommandTime limits the time of Client.Do. Operator calls time out after 10 s, and have to get Do's error before that.
 	maxCommandTime = 8 * time.Second
-	// attemptsPerVoter is how often each voter could be asked in Client.Do's time if none answered.
+	// attemptsPerVoter sets the time limit of Client.Do: enough for this many attempts at each voter if every attempt times out.
 	attemptsPerVoter = 3
 )
 
-// Client asks the voters. Its methods may be called by several goroutines at once.
+// Client sends commands and queries to the voters. Its methods are safe for concurrent use.
 type Client struct {
 	node           *peer.Node
 	voters         []Voter
-	attemptTimeout time.Duration // of one voter
+	attemptTimeout time.Duration // time limit of one call to one voter
 	now            func() time.Duration
 
 	mu         sync.Mutex
-	leader     string        // address of the leader that answered last; empty after a failure
-	answeredAt time.Duration // when a leader answered last; 0: never
-	lastErr    error         // nil after an answer
+	leader     string        // address of the leader that answered last; empty after a failed Do
+	answeredAt time.Duration // reading of now when a leader last answered; 0 means never
+	lastErr    error         // error of the last Do; nil if it succeeded
 }
 
-// NewClient returns a client of the voters. attemptTimeout bounds one attempt at one voter; now is the caller's monotonic clock.
+// NewClient returns a client of the voters. attemptTimeout limits one call to one voter; now is the caller's monotonic clock.
 func NewClient(node *peer.Node, voters []Voter, attemptTimeout time.Duration, now func() time.Duration) *Client {
 	return &Client{node: node, voters: voters, attemptTimeout: attemptTimeout, now: now}
 }
@@ -47,11 +47,12 @@
 	return min(time.Duration(attempts)*c.attemptTimeout, maxCommandTime)
 }
 
-// Do has a command committed, within ctx and the client's time limit. sentAt is when the attempt that was answered was sent, by the
-// client's clock: a lease that is granted counts from then. The error wraps ErrNoQuorum.
+// Do sends a command to the leader until it is committed or ctx or the client's time limit ends. sentAt is the time, by the client's
+// clock, when the successful attempt was sent; the duration of a granted lease counts from then. The error wraps ErrNoQuorum.
 //
-// The limit is a time and not a number of attempts, since voters without a leader answer at once and an election takes longer. The
-// backoff between attempts grows, so that clients do not slow the election down.
+// Do limits the time rather than the number of attempts: while there is no leader, voters reject commands immediately, and a fixed
+// number of attempts would be used up before an election completes. The backoff between attempts grows, so that clients do not slow
+// the election down.
 func (c *Client) Do(ctx context.Context, command Command) (result Result, sentAt time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.commandTimeout())
 	defer cancel()
@@ -71,14 +72,14 @@
 			c.recordAnswer(voter)
 			return reply.Result, sentAt, nil
 		}
-		if lastErr == nil || ctx.Err() == nil { // an attempt that the time limit cut short says less than earlier ones
+		if lastErr == nil || ctx.Err() == nil { // prefer an earlier error over one caused by the time limit
 			lastErr = err
 		}
 		if reply.Leader == voter {
 			reply.Leader = ""
 		}
 		voter = reply.Leader
-		// One redirect is followed at once. Voters that name each other as the leader know as little as those that name nobody.
+		// Follow one redirect without backoff, but back off after two in a row: voters without a leader may redirect to each other.
 		redirected = voter != "" && !redirected
 		if redirected {
 			continue
@@ -94,8 +95,9 @@
 	return Result{}, 0, err
 }
 
-// DoOnce asks one voter once, within ctx and timeout. A nil error means that the command was committed. ErrNotLeader means that it was
-// not; after any other error it may still be. Either way the reply may name the leader to ask instead.
+// DoOnce sends a command to one voter once, within ctx and timeout. A nil error means that the command was committed. ErrNotLeader
+// means that it was not committed; after any other error it may have been or may still be. On an error, the reply may contain the
+// address of the leader.
 func DoOnce(ctx context.Context, node *peer.Node, voter string, timeout time.Duration, command Command) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -104,14 +106,15 @@
 		return Reply{}, err
 	}
 	if !reply.Committed {
-		return reply, fmt.Errorf("%s: %w", voter, errorOfReason(reply.Reason))
+		return reply, fmt.Errorf("%s: %w", voter, errorFromReason(reply.Reason))
 	}
 	return reply, nil
 }
 
-// errorOfReason returns the error that a reply's reason stands for. Reasons are the text of errors, as voters of earlier versions send
-// them: package raft's own for a voter that has just lost its leadership also means that the command was not committed.
-func errorOfReason(reason string) error {
+// errorFromReason returns the error for the reason in a reply. Reasons are error texts, and voters of earlier versions send the same
+// texts. The text of raft.ErrNotLeader comes from a voter that has just lost leadership; it also means that the command was not
+// committed.
+func errorFromReason(reason string) error {
 	switch reason {
 	case ErrNotLeader.Error():
 		return ErrNotLeader
@@ -142,14 +145,14 @@
 	c.lastErr = err
 }
 
-// Contact is the state of a client's contact with the voters.
+// Contact describes a client's last contact with the voters.
 type Contact struct {
 	Leader string        `json:"leader,omitempty"`
-	Age    time.Duration `json:"age"` // of the leader's last answer; negative: there was none
+	Age    time.Duration `json:"age"` // time since the leader's last answer; negative if there was none
 	Error  string        `json:"error,omitempty"`
 }
 
-// Contact returns the state of the contact with the voters.
+// Contact describes the client's last contact with the voters.
 func (c *Client) Contact() Contact {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,28 +166,28 @@
 	return contact
 }
 
-// Leases returns all leases: from the leader, or the latest that any voter knows where there is no leader. The error wraps ErrNoQuorum.
+// Leases returns all leases. Without a leader it returns the newest list that any voter has. The error wraps ErrNoQuorum.
 func (c *Client) Leases(ctx context.Context) (LeaseList, error) {
 	return fetchList(ctx, c, leasesPath,
 		func(list *LeaseList) bool { return list.Fresh },
 		func(list, other *LeaseList) bool { return list.Term > other.Term })
 }
 
-// Drains returns all drain requests, like Leases.
+// Drains returns all drain requests. Without a leader it returns the newest list that any voter has. The error wraps ErrNoQuorum.
 func (c *Client) Drains(ctx context.Context) (DrainList, error) {
 	return fetchList(ctx, c, drainsPath,
 		func(list *DrainList) bool { return list.Fresh },
 		func(list, other *DrainList) bool { return list.View.NewerThan(&other.View) })
 }
 
-// Releases returns the releases, like Leases.
+// Releases returns all releases. Without a leader it returns the newest list that any voter has. The error wraps ErrNoQuorum.
 func (c *Client) Releases(ctx context.Context) (ReleaseList, error) {
 	return fetchList(ctx, c, releasesPath,
 		func(list *ReleaseList) bool { return list.Fresh },
 		func(list, other *ReleaseList) bool { return list.Revision > other.Revision })
 }
 
-// Config returns a stored configuration by its digest, from the first voter that has it.
+// Config returns the stored configuration with a digest, from the first voter that has it.
 func (c *Client) Config(ctx context.Context, digest string) (string, error) {
 	var errs error
 	for _, voter := range c.voters {
@@ -198,14 +201,15 @@
 	return "", errs
 }
 
-// call asks one voter, within ctx and the time of one attempt.
+// call sends a query to one voter, within ctx and attemptTimeout.
 func (c *Client) call(ctx context.Context, voter Voter, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.attemptTimeout)
 	defer cancel()
 	return c.node.Call(ctx, voter.Address, path, in, out)
 }
 
-// fetchList asks each voter until one answers with a fresh list. Without one it returns the newest.
+// fetchList queries the voters in order until one returns a fresh list. If none does, it returns the newest list. The error wraps
+// ErrNoQuorum.
 func fetchList[T any](ctx context.Context, c *Client, path string, fresh func(list *T) bool, newer func(list, other *T) bool) (T, error) {
 	var newest *T
 	var errs error
@@ -223,8 +227,8 @@
 		}
 	}
 	if newest == nil {
-		var none T
-		return none, fmt.Errorf("%w: %w", ErrNoQuorum, errs)
+		var zero T
+		return zero, fmt.Errorf("%w: %w", ErrNoQuorum, errs)
 	}
 	return *newest, nil
 }
--- a/internal/quorum/client_test.go
+++ b/internal/quorum/client_test.go
@@ -14,10 +14,11 @@
 	"robindrum/internal/testbed"
 )
 
-// scriptedAnswer returns the answer of the voter with this index to the attempt with this number, from 1.
+// scriptedAnswer returns the reply of the voter with the given index to the given attempt. Attempts are counted from 1 across all
+// voters.
 type scriptedAnswer func(voter, attempt int, voters []Voter) (Reply, error)
 
-// startScriptedVoters starts three voters that answer as scripted, and returns a client and the number of its attempts.
+// startScriptedVoters starts three fake voters that reply with answer. It returns a client and a counter of the attempts received.
 func startScriptedVoters(t *testing.T, attemptTimeout time.Duration, answer scriptedAnswer) (client *Client, attempts *atomic.Int64) {
 	t.Helper()
 	attempts = new(atomic.Int64)
@@ -47,7 +48,8 @@
 
 func notLeader(int, int, []Voter) (Reply, error) { return Reply{Reason: ErrNotLeader.Error()}, nil }
 
-// TestDoOutlastsAnElection has the voters answer at once for a while that none of them leads: a limit on attempts would end too soon.
+// TestDoOutlastsAnElection tests that Do succeeds although the first 12 attempts are rejected immediately because no voter leads. With a
+// limit on the number of attempts, Do would give up before an election completes.
 func TestDoOutlastsAnElection(t *testing.T) {
 	testbed.Leaks(t)
 	client, attempts := startScriptedVoters(t, 200*time.Millisecond, func(voter, attempt int, voters []Voter) (Reply, error) {
@@ -57,12 +59,12 @@
 		return Reply{Committed: true, Result: Result{Code: "held"}}, nil
 	})
 	if result, _, err := client.Do(t.Context(), Command{Op: OpDrain}); err != nil || result.Code != "held" {
-		t.Errorf("%+v, %v, after %d attempts", result, err, attempts.Load())
+		t.Errorf("Do returned %+v, %v after %d attempts, want code held", result, err, attempts.Load())
 	}
 }
 
-// TestDoBacksOffWithoutALeader tests that without a leader a client gives up in the time that three attempts at each silent voter take,
-// and asks less and less often.
+// TestDoBacksOffWithoutALeader tests that without a leader Do gives up after the time of three attempts per voter, and that the interval
+// between its attempts grows.
 func TestDoBacksOffWithoutALeader(t *testing.T) {
 	const attemptTimeout = 100 * time.Millisecond
 	for name, answer := range map[string]scriptedAnswer{
@@ -78,12 +80,12 @@
 			start := time.Now()
 			_, _, err := client.Do(t.Context(), Command{Op: OpDrain})
 			if elapsed := time.Since(start); !errors.Is(err, ErrNoQuorum) || elapsed < 8*attemptTimeout {
-				t.Errorf("%v after %v", err, elapsed)
+				t.Errorf("Do returned %v after %v, want %v after at least %v", err, elapsed, ErrNoQuorum, 8*attemptTimeout)
 			}
-			// Pauses double from a twentieth of the attempt's time to half of it: at most seven of them, with two attempts each, fit into
-			// the first 1.3 attempts' time, and 16 pauses fill the rest.
+			// The backoff doubles from 1/20 to 1/2 of attemptTimeout, with up to two attempts per backoff. At most seven backoffs fit
+			// into the first 1.3 attempt timeouts, and 16 fill the rest.
 			if n := attempts.Load(); n > 46 || n < 9 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("Do made %d attempts, want 9 to 46", n)
 			}
 		})
 	}
@@ -96,11 +98,12 @@
 	defer cancel()
 	start := time.Now()
 	if _, _, err := client.Do(ctx, Command{Op: OpDrain}); !errors.Is(err, ErrNoQuorum) || time.Since(start) > 2*time.Second {
-		t.Errorf("%v after %v", err, time.Since(start))
+		t.Errorf("Do returned %v after %v, want %v within 2s", err, time.Since(start), ErrNoQuorum)
 	}
 }
 
-// TestCommandTimeoutIsShorterThanAnOperatorsCall tests that also with five voters an operator's call of 10 s learns the reason.
+// TestCommandTimeoutIsShorterThanAnOperatorsCall tests that Do returns its error before an operator's call times out after 10 s, even
+// with five voters.
 func TestCommandTimeoutIsShorterThanAnOperatorsCall(t *testing.T) {
 	for _, test := range []struct {
 		voters         int
@@ -113,12 +116,12 @@
 	} {
 		client := NewClient(nil, make([]Voter, test.voters), test.attemptTimeout, nil)
 		if got := client.commandTimeout(); got != test.want {
-			t.Errorf("%d voters, %v an attempt: %v, want %v", test.voters, test.attemptTimeout, got, test.want)
+			t.Errorf("commandTimeout with %d voters and an attempt timeout of %v: got %v, want %v", test.voters, test.attemptTimeout, got, test.want)
 		}
 	}
 }
 
-// TestReasonsOfRedirectsBecomeErrors tests the texts that voters, also of earlier versions, send.
+// TestReasonsOfRedirectsBecomeErrors tests that the texts sent by voters, including those of earlier versions, map to errors.
 func TestReasonsOfRedirectsBecomeErrors(t *testing.T) {
 	for reason, want := range map[string]bool{
 		"not the leader":                         true,
@@ -127,9 +130,9 @@
 		"timed out enqueuing operation":          false,
 		"this voter was once not the leader, so": false,
 	} {
-		err := errorOfReason(reason)
+		err := errorFromReason(reason)
 		if got := errors.Is(err, ErrNotLeader); got != want || err == nil {
-			t.Errorf("%q: %v", reason, err)
+			t.Errorf("errorFromReason(%q) = %v; is ErrNotLeader: got %v, want %v", reason, err, got, want)
 		}
 	}
 }
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -16,10 +16,10 @@
 
 // faultyDisk makes writes slow or fail.
 type faultyDisk struct {
-	before atomic.Pointer[error] // of each write
-	after  atomic.Pointer[error] // of one write
-	delay  atomic.Int64          // of each write, in ns
-	writes atomic.Int64          // that are in Before
+	before atomic.Pointer[error] // returned by each call of Before
+	after  atomic.Pointer[error] // returned by the next call of After
+	delay  atomic.Int64          // time that each call of Before takes, in ns
+	writes atomic.Int64          // number of calls of Before in progress
 }
 
 func (d *faultyDisk) Before(int) error {
@@ -56,21 +56,21 @@
 	return node
 }
 
-// startVoters starts three voters v0, v1 and v2 in this process and a client, and waits for a leader.
+// startVoters starts a client and three voters, v0 to v2, in this process and waits for a leader.
 func startVoters(t *testing.T) (voters [3]*testVoter, client *Client) {
 	t.Helper()
-	var addresses []Voter
+	var voterList []Voter
 	for i := range voters {
 		node := listen(t)
 		voters[i] = &testVoter{node: node, disk: &faultyDisk{}, dir: t.TempDir()}
-		addresses = append(addresses, Voter{Name: fmt.Sprint("v", i), Address: node.Addr()})
+		voterList = append(voterList, Voter{Name: fmt.Sprint("v", i), Address: node.Addr()})
 	}
 	for i, voter := range voters {
 		var err error
 		voter.Server, err = Open(voter.node, Options{
 			Dir:       voter.dir,
 			Name:      fmt.Sprint("v", i),
-			Voters:    addresses,
+			Voters:    voterList,
 			Heartbeat: 100 * time.Millisecond,
 			Disk:      voter.disk,
 			Log:       quietLog,
@@ -85,12 +85,12 @@
 		voter.Start()
 	}
 	start := time.Now()
-	client = NewClient(voters[0].node, addresses, time.Second, func() time.Duration { return time.Since(start) })
+	client = NewClient(voters[0].node, voterList, time.Second, func() time.Duration { return time.Since(start) })
 	testbed.Eventually(t, "a leader", func() bool { return leaderOf(voters) != nil })
 	return voters, client
 }
 
-// leaderOf returns the voter that leads, or nil.
+// leaderOf returns the leader among the voters, or nil.
 func leaderOf(voters [3]*testVoter) *testVoter {
 	for _, voter := range voters {
 		if voter.Leading() {
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// anotherLeader reports whether a voter other than former leads.
-func anotherLeader(voters [3]*testVoter, former *testVoter) bool {
+// anotherLeader reports whether a voter other than previous is the leader.
+func anotherLeader(voters [3]*testVoter, previous *testVoter) bool {
 	leader := leaderOf(voters)
-	return leader != nil && leader != former
+	return leader != nil && leader != previous
 }
 
 func acquireCommand(name, member string) Command {
 	return Command{Op: OpAcquire, Lease: name, Rules: lease.Rules{Length: time.Second}, Member: lease.Member{Name: member, Incarnation: 1}}
 }
 
-// acquire has the command committed, whatever its result.
+// acquire commits an OpAcquire command and returns its result, which may be an error.
 func acquire(t *testing.T, client *Client, name string) Result {
 	t.Helper()
 	result, _, err := client.Do(t.Context(), acquireCommand(name, "m"))
--- a/internal/quorum/command.go
+++ b/internal/quorum/command.go
@@ -11,20 +11,20 @@
 	"robindrum/internal/unknownfields"
 )
 
-// Op names what a Command does. Its values are stored in the Raft log.
+// Op is the operation of a Command. Its values are stored in the Raft log.
 type Op string
 
-// Ops that clients may ask for.
+// Ops that clients may request.
 const (
 	OpAcquire Op = "acquire"
 	OpRenew   Op = "renew"
 	OpRelease Op = "release"
 	OpRevoke  Op = "revoke"
-	OpForget  Op = "forget"
+	OpForget  Op = "forget" // drops unused leases and member names
 
 	OpDrain        Op = "order"  // submits a drain request
 	OpCancelDrain  Op = "cancel" // ends a drain request
-	OpHaltDrains   Op = "halt"   // no further drain begins
+	OpHaltDrains   Op = "halt"   // no new drains begin until OpResumeDrains
 	OpResumeDrains Op = "resume"
 
 	OpStoreConfig     Op = "config"
@@ -44,11 +44,12 @@
 	opDrainProgress Op = "progress"
 )
 
-// commandLevel is the set of ops that this program knows: 1 leases; 2 also drains and releases; 3 also drains of zones and those that
-// releases of programs request. A voter skips entries that it does not know, and would lead without their effect.
+// commandLevel identifies the set of ops that this version supports: level 1 has leases; level 2 adds drains and releases; level 3
+// adds drains of zones and drains requested by releases of program versions. A voter skips log entries that it does not support, and
+// would lack their effect if it became the leader.
 const commandLevel = 3
 
-// allowedForClients reports whether a client may ask for the op.
+// allowedForClients reports whether a client may request the op.
 func (op Op) allowedForClients() bool {
 	switch op {
 	case OpAcquire, OpRenew, OpRelease, OpRevoke, OpForget,
@@ -59,7 +60,7 @@
 	return false
 }
 
-// needsCurrentVoters reports whether the op is rejected while a voter of a lower command level is known.
+// needsCurrentVoters reports whether the op is rejected while any voter is known to have a lower command level.
 func (op Op) needsCurrentVoters() bool {
 	return op == OpDrain || op == OpStoreConfig || op == OpStartRelease
 }
@@ -68,56 +69,56 @@
 type Command struct {
 	Op Op `json:"op"`
 
-	// Of leases.
+	// Fields of lease ops.
 	Lease     string       `json:"lease,omitempty"`
 	Rules     lease.Rules  `json:"rules,omitzero"` // OpAcquire
 	Member    lease.Member `json:"member,omitzero"`
 	Token     uint64       `json:"token,omitempty"`
 	Successor string       `json:"heir,omitempty"` // OpRelease
 
-	// Of drains.
+	// Fields of drain ops.
 	Drain       *drain.Request `json:"order,omitempty"`
 	Budgets     []drain.Budget `json:"budgets,omitempty"` // opSetBudgets
 	Observation *Observation   `json:"seen,omitempty"`    // opObserve
 
-	// Of releases.
+	// Fields of release ops.
 	Plan   *release.Plan `json:"plan,omitempty"`   // OpStartRelease
 	Digest string        `json:"digest,omitempty"` // OpStoreConfig
-	Text   string        `json:"text,omitempty"`   // OpStoreConfig: the configuration; else the operator's reason
+	Text   string        `json:"text,omitempty"`   // OpStoreConfig: the configuration; other ops: the operator's reason
 
 	// Set by the leader.
-	Now       time.Duration `json:"now,omitempty"`   // reading of its monotonic clock
+	Now       time.Duration `json:"now,omitempty"`   // reading of the leader's monotonic clock
 	Fleet     string        `json:"fleet,omitempty"` // opBeginTerm: the ID that the fleet was bootstrapped with
-	TokenBase uint64        `json:"base,omitempty"`  // opBeginTerm: tokens of a new fleet are higher than this
+	TokenBase uint64        `json:"base,omitempty"`  // opBeginTerm: fencing tokens of a new fleet are higher than this
 
-	// Unknown holds the fields of a newer client's command, which a leader of this version writes to the log.
+	// Unknown holds fields that this version does not know, from a client of a newer version. The leader writes them to the log.
 	Unknown unknownfields.Fields `json:"-"`
 }
 
-// MarshalJSON writes the command with its unknown fields.
+// MarshalJSON encodes the command, including its unknown fields.
 func (c Command) MarshalJSON() ([]byte, error) {
 	type plain Command
 	return unknownfields.Marshal(plain(c), c.Unknown)
 }
 
-// UnmarshalJSON reads a command and keeps unknown fields.
-func (c *Command) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON decodes a command and keeps its unknown fields.
+func (c *Command) UnmarshalJSON(data []byte) error {
 	type plain Command
-	return unknownfields.Unmarshal(text, (*plain)(c), &c.Unknown)
+	return unknownfields.Unmarshal(data, (*plain)(c), &c.Unknown)
 }
 
 // Observation is the state of the fleet that the leader collected in one poll cycle.
 type Observation struct {
-	Version   uint64            `json:"version"` // of the drain view that every responding gateway has applied
+	Version   uint64            `json:"version"` // version of the drain view that every responding gateway has applied
 	Gateways  []drain.Gateway   `json:"gateways"`
 	Endpoints []drain.Endpoint  `json:"endpoints"`
-	Releases  []release.Gateway `json:"release,omitempty"` // the gateways' state while a release is in progress; else nil
+	Releases  []release.Gateway `json:"release,omitempty"` // state of the gateways while a release is in progress; otherwise nil
 }
 
-// Code is the kind of failure of a command. Its values go over the wire.
+// Code classifies the failure of a command. Its values are sent over the wire.
 type Code string
 
-// Codes of results. The zero value means success.
+// Codes of results. The empty Code means success.
 const (
 	CodeWaiting          Code = "waiting"
 	CodeNotHeld          Code = "lost"
@@ -126,7 +127,7 @@
 	CodeRejected         Code = "bad" // any other error
 )
 
-// leaseErrors maps codes to the errors of package lease that they stand for.
+// leaseErrors maps codes to the corresponding errors of package lease.
 var leaseErrors = map[Code]error{
 	CodeWaiting:          lease.ErrWaiting,
 	CodeNotHeld:          lease.ErrNotHeld,
@@ -134,7 +135,7 @@
 	CodeFull:             lease.ErrFull,
 }
 
-// codeOf returns the code of an error that is not nil.
+// codeOf returns the code for err, which must not be nil.
 func codeOf(err error) Code {
 	for code, target := range leaseErrors {
 		if errors.Is(err, target) {
@@ -144,35 +145,35 @@
 	return CodeRejected
 }
 
-// Result is the outcome of a command that was committed.
+// Result is the outcome of a committed command.
 type Result struct {
 	Grant lease.Grant    `json:"grant,omitzero"`
-	Drain *drain.Request `json:"order,omitempty"` // after an op on one drain request
+	Drain *drain.Request `json:"order,omitempty"` // the request after an op on one drain request
 	Code  Code           `json:"code,omitempty"`
-	Text  string         `json:"text,omitempty"` // of the error that Code stands for
+	Text  string         `json:"text,omitempty"` // error text; empty on success
 
-	// Set with CodeWaiting.
-	AvailableIn time.Duration `json:"left,omitempty"`  // until the lease may be free at the earliest
-	NextInLine  bool          `json:"first,omitempty"` // the caller would be granted it then
+	// Set if Code is CodeWaiting.
+	AvailableIn time.Duration `json:"left,omitempty"`  // minimum time until the lease may be free
+	NextInLine  bool          `json:"first,omitempty"` // whether the caller would be granted the lease then
 }
 
-// failure returns the result of a command that ended with err, and the empty result where err is nil.
-func failure(err error) Result {
+// errorResult returns the result of a command that returned err, or the empty result if err is nil.
+func errorResult(err error) Result {
 	if err == nil {
 		return Result{}
 	}
 	return Result{Code: codeOf(err), Text: err.Error()}
 }
 
-// granted returns the result of a command that gave a grant or an error.
-func granted(grant lease.Grant, err error) Result {
+// grantResult returns the result of a command that returned a grant or an error.
+func grantResult(grant lease.Grant, err error) Result {
 	if err != nil {
-		return failure(err)
+		return errorResult(err)
 	}
 	return Result{Grant: grant}
 }
 
-// Err returns nil, or the command's error; it wraps one of package lease's errors where the code stands for one.
+// Err returns the command's error, or nil on success. It wraps the error of package lease that corresponds to the code, if any.
 func (r Result) Err() error {
 	if r.Code == "" {
 		return nil
@@ -186,7 +187,7 @@
 // Reply is a voter's answer to a command.
 type Reply struct {
 	Result
-	Committed bool   `json:"done"`             // Result counts
-	Leader    string `json:"leader,omitempty"` // address of the voter to ask instead, if known
-	Reason    string `json:"why,omitempty"`    // why the command was not, or may not have been, committed
+	Committed bool   `json:"done"`             // Result is valid
+	Leader    string `json:"leader,omitempty"` // address of the voter to send the command to instead, if known
+	Reason    string `json:"why,omitempty"`    // why the command was not committed, or may not have been
 }
--- a/internal/quorum/folder.go
+++ b/internal/quorum/folder.go
@@ -14,58 +14,60 @@
 	"go.etcd.io/bbolt"
 )
 
-// Files of a voter's folder.
+// Files in a voter's folder.
 const (
 	identityFile = "voter.json"
 	logFile      = "raft.db"
-	failedFile   = "failed" // exists once a write was lost
+	failedFile   = "failed" // exists if a write may have been lost; contains the error
 )
 
 const (
 	identityFormat  = 1
-	maxStarts       = 256 // that a folder records of its voter
-	maxPeerStarts   = 256 // that a folder records of other voters
+	maxStarts       = 256 // starts of its own voter that a folder records
+	maxPeerStarts   = 256 // other voters whose latest start a folder records
 	boltLockTimeout = time.Second
 )
 
-// ErrUnusableFolder means that a voter's folder cannot be used. Emptying it makes a new voter of it.
+// ErrUnusableFolder means that a voter's folder cannot be used. With an emptied folder the voter joins again under a new ID.
 var ErrUnusableFolder = errors.New("the voter's folder cannot be used; empty it to have the voter replaced")
 
-// identity is what a folder records of its voter.
+// identity is the contents of identityFile: the voter that the folder belongs to, the starts of that voter, and the latest starts of
+// other voters.
 type identity struct {
-	Format     int              `json:"format"`
-	Voter      string           `json:"voter"`
-	ID         string           `json:"id"`              // random when the folder was empty: with an empty folder a voter is another one
-	Fleet      string           `json:"fleet,omitempty"` // ID of the fleet; empty until the voter is a member of one
-	StartCount uint64           `json:"boot"`
-	Starts     []string         `json:"starts"`         // nonces of the latest starts, in order
-	PeerStarts map[string]start `json:"seen,omitempty"` // latest known starts of other voters, by their IDs
+	Format     int                     `json:"format"`
+	Voter      string                  `json:"voter"`
+	ID         string                  `json:"id"`              // see newVoterID; emptying the folder changes it
+	Fleet      string                  `json:"fleet,omitempty"` // ID of the fleet; empty until the voter is a member of one
+	StartCount uint64                  `json:"boot"`            // number of starts so far
+	Starts     []string                `json:"starts"`          // nonces of the latest starts, oldest first
+	PeerStarts map[string]processStart `json:"seen,omitempty"`  // latest known starts of other voters, by voter ID
 }
 
-// start is one start of a voter's process.
-type start struct {
-	Number uint64 `json:"boot"` // 1 for the first start; 0: none
+// processStart identifies one start of a voter's process.
+type processStart struct {
+	Number uint64 `json:"boot"` // counts from 1; 0 means no start
 	Nonce  string `json:"word"`
 }
 
-// includesStart reports whether a folder's starts include one that was seen of its voter. A folder that was restored from a copy
-// lacks later ones, and with them what its voter has promised since.
-func includesStart(startCount uint64, starts []string, seen start) bool {
-	if seen.Number == 0 {
+// includesStart reports whether the starts recorded in a voter's folder include a start of the voter that another voter knows. A
+// folder that was restored from an old copy lacks later starts, and may lack votes and log entries that the voter has acknowledged
+// since. The result is also false if known is too old to be among the recorded starts.
+func includesStart(startCount uint64, starts []string, known processStart) bool {
+	if known.Number == 0 {
 		return true
 	}
-	if seen.Number > startCount {
+	if known.Number > startCount {
 		return false
 	}
-	age := startCount - seen.Number
+	age := startCount - known.Number
 	if age >= uint64(len(starts)) {
 		return false
 	}
-	return starts[len(starts)-1-int(age)] == seen.Nonce
+	return starts[len(starts)-1-int(age)] == known.Nonce
 }
 
-// openFolder reads the folder of a voter and records a start in it; an empty one gets the identity newID. The folder must belong to
-// this voter, be complete, and never have lost a write; otherwise the error is an ErrUnusableFolder.
+// openFolder reads the identity in a voter's folder and records a new start in it. An empty folder gets the ID newID. The error wraps
+// ErrUnusableFolder if the folder belongs to another voter, is incomplete, or may have lost a write.
 func openFolder(dir, voter, newID string) (identity, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return identity{}, err
@@ -83,9 +85,9 @@
 	return id, id.write(dir)
 }
 
-// readIdentity returns the identity in a folder, or a new one where the folder has neither identity nor log.
+// readIdentity returns the identity in a folder, or a new one if the folder has neither an identity nor a log.
 func readIdentity(dir, voter, newID string) (identity, error) {
-	text, err := os.ReadFile(filepath.Join(dir, identityFile))
+	data, err := os.ReadFile(filepath.Join(dir, identityFile))
 	_, logErr := os.Stat(filepath.Join(dir, logFile))
 	if errors.Is(err, os.ErrNotExist) && logErr != nil {
 		return identity{Format: identityFormat, Voter: voter, ID: newID}, nil
@@ -94,14 +96,14 @@
 		return identity{}, err
 	}
 	var id identity
-	if err := json.Unmarshal(text, &id); err != nil {
+	if err := json.Unmarshal(data, &id); err != nil {
 		return identity{}, fmt.Errorf("%s: %w", identityFile, err)
 	}
 	if id.Format != identityFormat || id.ID == "" || id.StartCount == 0 || len(id.Starts) == 0 {
 		return identity{}, fmt.Errorf("%s is incomplete", identityFile)
 	}
 	if id.Voter != voter {
-		return identity{}, fmt.Errorf("it is of voter %q, not of %q", id.Voter, voter)
+		return identity{}, fmt.Errorf("folder belongs to voter %q, not to %q", id.Voter, voter)
 	}
 	if err := checkLogComplete(filepath.Join(dir, logFile)); err != nil {
 		return identity{}, fmt.Errorf("%s: %w", logFile, err)
@@ -109,29 +111,29 @@
 	return id, nil
 }
 
-// clone returns a copy that shares no map with the original. Starts is never changed in place.
+// clone returns a copy with its own PeerStarts. The copy shares Starts, which is never modified in place.
 func (id identity) clone() identity {
 	id.PeerStarts = maps.Clone(id.PeerStarts)
 	return id
 }
 
-// write replaces the identity in a folder.
+// write replaces the identity file in a folder.
 func (id identity) write(dir string) error {
-	text, err := json.Marshal(id)
+	data, err := json.Marshal(id)
 	if err != nil {
 		return err
 	}
-	return replaceFile(filepath.Join(dir, identityFile), text)
+	return replaceFile(filepath.Join(dir, identityFile), data)
 }
 
-// replaceFile writes a file so that after a crash it has either its former or its new contents.
-func replaceFile(path string, text []byte) error {
+// replaceFile replaces a file atomically: after a crash it has either its old or its new contents.
+func replaceFile(path string, data []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".new-*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // fails once it is renamed
-	_, err = file.Write(text)
+	defer func() { _ = os.Remove(file.Name()) }() // fails after the rename, when there is nothing to remove
+	_, err = file.Write(data)
 	if err := errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
@@ -145,12 +147,12 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// checkLogComplete returns an error where a log's file lacks pages that it should have. bbolt maps the file, and reading a missing
-// page would end the process.
+// checkLogComplete returns an error if a log file is missing or truncated. bbolt maps the file into memory, and reading a page beyond
+// its end would crash the process.
 func checkLogComplete(path string) (err error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return errors.New("it is missing")
+		return errors.New("file is missing")
 	}
 	if err != nil {
 		return err
@@ -162,15 +164,15 @@
 	defer func() { err = errors.Join(err, db.Close()) }()
 	return db.View(func(tx *bbolt.Tx) error {
 		if tx.Size() > info.Size() {
-			return fmt.Errorf("%d bytes are missing of %d", tx.Size()-info.Size(), tx.Size())
+			return fmt.Errorf("file is truncated: %d of %d bytes are missing", tx.Size()-info.Size(), tx.Size())
 		}
 		return nil
 	})
 }
 
-// randomHex returns 48 random bits as text.
+// randomHex returns 48 random bits in hexadecimal.
 func randomHex() string {
 	var bits [6]byte
-	_, _ = rand.Read(bits[:]) // never fails
+	_, _ = rand.Read(bits[:]) // never returns an error
 	return hex.EncodeToString(bits[:])
 }
--- a/internal/quorum/folder_test.go
+++ b/internal/quorum/folder_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTruncatedFolderIsUsableOrRejected truncates a folder's log or identity at any byte: it is used only if it is complete, else
-// rejected, and no process dies.
+// TestTruncatedFolderIsUsableOrRejected truncates the log or the identity of a folder at an arbitrary byte, and tests that openFolder
+// accepts the folder only if the log is complete, rejects it with ErrUnusableFolder otherwise, and never crashes the process.
 func TestTruncatedFolderIsUsableOrRejected(t *testing.T) {
 	voters, client := startVoters(t)
 	for i := range 30 {
@@ -48,7 +48,7 @@
 		id, err := openFolder(dir, "v1", "new")
 		switch {
 		case err == nil && truncateIdentity:
-			t.Fatalf("%d of %d bytes of the identity: %+v", len(identityText), len(fullIdentity), id)
+			t.Fatalf("openFolder accepted an identity truncated to %d of %d bytes: %+v", len(identityText), len(fullIdentity), id)
 		case err == nil:
 			opened++
 			if err := checkLogComplete(filepath.Join(dir, logFile)); err != nil {
@@ -58,24 +58,24 @@
 			t.Fatal(err)
 		}
 	})
-	if opened == 0 { // bbolt's files have room behind what is used
+	if opened == 0 { // a truncated log can be complete, because bbolt files have unused space at their end
 		t.Log("every truncated log was incomplete")
 	}
 }
 
 func TestIncludesStart(t *testing.T) {
 	starts := []string{"c", "d", "e"} // numbers 3, 4 and 5
-	for seen, want := range map[start]bool{
+	for known, want := range map[processStart]bool{
 		{}:       true,
 		{5, "e"}: true,
 		{4, "d"}: true,
 		{3, "c"}: true,
-		{2, "b"}: false, // too old to tell
+		{2, "b"}: false, // older than the recorded starts
 		{6, "f"}: false,
 		{5, "x"}: false,
 	} {
-		if got := includesStart(5, starts, seen); got != want {
-			t.Errorf("%+v: %v, want %v", seen, got, want)
+		if got := includesStart(5, starts, known); got != want {
+			t.Errorf("includesStart of known start %+v: got %v, want %v", known, got, want)
 		}
 	}
 }
--- a/internal/quorum/fsm.go
+++ b/internal/quorum/fsm.go
@@ -17,22 +17,23 @@
 	"robindrum/internal/unknownfields"
 )
 
-// fsm is the replicated state. It implements raft.FSM; its methods may be called by several goroutines at once.
+// fsm is the replicated state machine. It implements raft.FSM. Its methods are safe for concurrent use, except apply and the
+// methods that apply calls, which require mu.
 type fsm struct {
 	mu       sync.Mutex
 	leases   *lease.Table
 	drains   *drain.Ledger
 	releases *release.Ledger
-	fleet    string               // the ID that the fleet was bootstrapped with
-	unknown  unknownfields.Fields // of a snapshot that a newer version wrote
+	fleet    string               // ID that the fleet was bootstrapped with
+	unknown  unknownfields.Fields // fields of a snapshot written by a newer version
 }
 
 func newFSM() *fsm {
 	return &fsm{leases: lease.NewTable(), drains: drain.NewLedger(), releases: release.NewLedger()}
 }
 
-// Apply runs one log entry and returns a Result. The same entries give the same state on each voter: time and term come from the
-// entry alone.
+// Apply applies one log entry and returns a Result. It takes time and term from the entry alone, so that the same entries produce the
+// same state on every voter.
 func (f *fsm) Apply(entry *raft.Log) any {
 	var command Command
 	if err := json.Unmarshal(entry.Data, &command); err != nil {
@@ -43,11 +44,11 @@
 	return f.apply(entry.Term, &command)
 }
 
-// apply runs one command. The first one of a term begins the term, whatever its op.
+// apply runs one command. The first command of a term begins the term, whatever its op. The caller must hold f.mu.
 func (f *fsm) apply(term uint64, c *Command) Result {
 	if term > f.leases.Term {
 		if err := f.beginTerm(term, c.Now); err != nil {
-			return failure(err)
+			return errorResult(err)
 		}
 	}
 	switch {
@@ -57,29 +58,29 @@
 	case c.Op == OpAcquire:
 		return f.acquire(term, c)
 	case c.Op == OpRenew:
-		return granted(f.leases.Renew(term, c.Now, c.Lease, c.Member, c.Token))
+		return grantResult(f.leases.Renew(term, c.Now, c.Lease, c.Member, c.Token))
 	case c.Op == OpRelease:
-		return failure(f.leases.Release(term, c.Now, c.Lease, c.Member, c.Token, c.Successor))
+		return errorResult(f.leases.Release(term, c.Now, c.Lease, c.Member, c.Token, c.Successor))
 	case c.Op == OpRevoke:
-		return failure(f.leases.Revoke(term, c.Now, c.Lease))
+		return errorResult(f.leases.Revoke(term, c.Now, c.Lease))
 	case c.Op == OpForget:
-		return failure(f.leases.Forget(term, c.Now))
+		return errorResult(f.leases.Forget(term, c.Now))
 	case c.Op == OpHaltDrains || c.Op == OpResumeDrains:
 		f.drains.SetHalted(c.Now, c.Op == OpHaltDrains)
 		return Result{}
 	case c.Op == opSetBudgets:
-		return failure(f.drains.SetBudgets(c.Now, c.Budgets))
+		return errorResult(f.drains.SetBudgets(c.Now, c.Budgets))
 	case c.Op == opObserve && c.Observation != nil:
-		return failure(f.observe(c.Now, c.Observation))
+		return errorResult(f.observe(c.Now, c.Observation))
 	case c.Op.changesDrain() && c.Drain != nil:
 		return f.applyDrain(c)
 	}
 	err := f.applyRelease(c)
 	f.releases.RequestDrains(c.Now, f.drains)
-	return failure(err)
+	return errorResult(err)
 }
 
-// beginTerm has all times count anew from the new leader's clock.
+// beginTerm rebases all times on the new leader's clock, whose current reading is now.
 func (f *fsm) beginTerm(term uint64, now time.Duration) error {
 	if err := f.leases.BeginTerm(term, now); err != nil {
 		return err
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// setFleet records the fleet's ID and its lowest token, once.
+// setFleet sets the fleet's ID and the lower bound of its tokens. It has no effect if the ID is already set.
 func (f *fsm) setFleet(fleet string, tokenBase uint64) {
 	if f.fleet != "" {
 		return
@@ -99,7 +100,7 @@
 }
 
 func (f *fsm) acquire(term uint64, c *Command) Result {
-	result := granted(f.leases.Acquire(term, c.Now, c.Lease, c.Rules, c.Member))
+	result := grantResult(f.leases.Acquire(term, c.Now, c.Lease, c.Rules, c.Member))
 	if result.Code == CodeWaiting {
 		result.AvailableIn, result.NextInLine = f.leases.NextGrant(c.Lease, c.Member)
 	}
@@ -120,7 +121,7 @@
 	return op == OpDrain || op == OpCancelDrain || op == opBeginDrain || op == opDrainProgress
 }
 
-// applyDrain runs a command on one drain request.
+// applyDrain runs a command that acts on one drain request.
 func (f *fsm) applyDrain(c *Command) Result {
 	var request drain.Request
 	var err error
@@ -134,12 +135,12 @@
 	case opDrainProgress:
 		request, err = f.drains.Progress(c.Now, c.Drain.ID, c.Drain.Token, c.Drain.InFlight)
 	}
-	result := failure(err)
+	result := errorResult(err)
 	result.Drain = &request
 	return result
 }
 
-// applyRelease runs a command on releases. Unknown and incomplete commands are errors.
+// applyRelease runs a command that acts on releases. It returns an error for an unknown op or a missing field.
 func (f *fsm) applyRelease(c *Command) error {
 	switch {
 	case c.Op == OpStoreConfig:
@@ -158,7 +159,8 @@
 	return fmt.Errorf("no such command: %q", c.Op)
 }
 
-// startRelease starts a release, unless its command has unknown fields: one may be a gate that this version would leave out.
+// startRelease starts a release. It rejects a command with unknown fields, because one of them may be a gate that this version would
+// not enforce.
 func (f *fsm) startRelease(c *Command) error {
 	if len(c.Unknown) > 0 {
 		names := strings.Join(slices.Sorted(maps.Keys(c.Unknown)), ", ")
--- a/internal/quorum/fsm_test.go
+++ b/internal/quorum/fsm_test.go
@@ -11,7 +11,8 @@
 	"robindrum/internal/lease"
 )
 
-// TestSameEntriesGiveTheSameState applies random commands to two state machines, one of which is restored from snapshots in between.
+// TestSameEntriesGiveTheSameState applies the same random commands to two state machines, one of which is occasionally replaced by a copy
+// restored from its snapshot, and tests that the results are equal.
 func TestSameEntriesGiveTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := newFSM(), newFSM()
@@ -33,7 +34,7 @@
 			}
 			firstResult, secondResult := first.apply(term, &command), second.apply(term, &command)
 			if fmt.Sprint(firstResult) != fmt.Sprint(secondResult) {
-				t.Fatalf("%+v: %+v and %+v", command, firstResult, secondResult)
+				t.Fatalf("results of %+v differ: first %+v, second %+v", command, firstResult, secondResult)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
 				text, err := second.encode()
@@ -49,7 +50,8 @@
 	})
 }
 
-// FuzzSnapshotAndEntry restores an arbitrary snapshot and applies an arbitrary entry: nothing panics, and the state can be stored.
+// FuzzSnapshotAndEntry restores an arbitrary snapshot and applies an arbitrary entry. It tests that neither panics and that the state
+// can be encoded afterwards.
 func FuzzSnapshotAndEntry(f *testing.F) {
 	state := newFSM()
 	command := acquireCommand("x", "m")
@@ -64,7 +66,7 @@
 		state := newFSM()
 		_ = state.decode(snapshot)
 		if result, ok := state.Apply(&raft.Log{Term: 5, Data: entry}).(Result); !ok {
-			t.Errorf("%+v", result)
+			t.Errorf("Apply returned %+v, want a Result", result)
 		}
 		if _, err := state.encode(); err != nil {
 			t.Error(err)
--- a/internal/quorum/handlers.go
+++ b/internal/quorum/handlers.go
@@ -13,7 +13,7 @@
 	"robindrum/internal/release"
 )
 
-// Paths of a voter's calls.
+// Paths of the HTTP handlers of a voter.
 const (
 	commandPath  = "/fleet/v1/quorum"
 	leasesPath   = "/fleet/v1/leases"
@@ -24,9 +24,9 @@
 )
 
 const (
-	maxCommandBytes = 4 * release.MaxConfigBytes // a configuration, as a JSON string
-	maxQueryBytes   = 1 << 10
-	minForgetPause  = time.Minute // between two OpForget of the leader's own
+	maxCommandBytes   = 4 * release.MaxConfigBytes // leaves room for a configuration encoded as a JSON string
+	maxQueryBytes     = 1 << 10
+	minForgetInterval = time.Minute // minimum time between two OpForget commands that the leader proposes on its own
 )
 
 func (s *Server) registerHandlers() {
@@ -42,7 +42,7 @@
 	return &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 }
 
-// handleCommand has a client's command committed, or names the leader to ask instead.
+// handleCommand proposes a client's command and returns its result. If this voter is not the leader, the reply names the leader.
 func (s *Server) handleCommand(_ context.Context, body []byte) (any, error) {
 	var command Command
 	if err := json.Unmarshal(body, &command); err != nil {
@@ -67,7 +67,7 @@
 	return Reply{Committed: true, Result: result}, nil
 }
 
-// proposeForClient proposes a command. Where the lease table is full it drops unused names and tries once more.
+// proposeForClient proposes a command. If the lease table is full it drops unused names with OpForget and retries once.
 func (s *Server) proposeForClient(command Command) (Result, error) {
 	result, err := s.propose(command)
 	if err != nil || command.Op != OpAcquire || result.Code != CodeFull || !s.claimForget() {
@@ -79,19 +79,20 @@
 	return s.propose(command)
 }
 
-// claimForget reports whether the leader may propose OpForget now, at most once in minForgetPause: names in use may fill the table.
+// claimForget reports whether the leader may propose OpForget now, and records the time if so. It returns true at most once per
+// minForgetInterval, because OpForget frees nothing while every name in the table is in use.
 func (s *Server) claimForget() bool {
 	now := time.Now().UnixNano()
 	last := s.lastForgetNano.Load()
-	return now-last >= int64(minForgetPause) && s.lastForgetNano.CompareAndSwap(last, now)
+	return now-last >= int64(minForgetInterval) && s.lastForgetNano.CompareAndSwap(last, now)
 }
 
-// redirect returns the reply to a command that this voter did not get committed, with the leader's address where another one leads.
+// redirect returns the reply to a command that this voter could not commit. It includes the leader's address if another voter leads.
 func (s *Server) redirect(reason error) Reply {
 	reply := Reply{Reason: reason.Error()}
 	address, leader := s.raft.LeaderWithID()
 	if leader != raft.ServerID(s.id) && s.Stopped() == "" {
-		reply.Leader = reachedAt(address)
+		reply.Leader = dialAddress(address)
 	}
 	return reply
 }
@@ -104,7 +105,7 @@
 
 func (s *Server) handleStatus(context.Context, []byte) (any, error) { return s.Status(), nil }
 
-// handleConfig returns a stored configuration by its digest.
+// handleConfig returns the stored configuration with the digest in the body.
 func (s *Server) handleConfig(_ context.Context, body []byte) (any, error) {
 	var digest string
 	if err := json.Unmarshal(body, &digest); err != nil {
--- a/internal/quorum/leadership.go
+++ b/internal/quorum/leadership.go
@@ -13,18 +13,18 @@
 	"robindrum/internal/drain"
 )
 
-// ErrNotLeader means that the voter asked is not the leader, and that the command was not committed. Its text goes over the wire.
+// ErrNotLeader means that the voter is not the leader and that the command was not committed. Its text is sent over the wire.
 var ErrNotLeader = errors.New("not the leader")
 
-// Leading reports whether this voter is the leader and has begun its term.
+// Leading reports whether this voter is the leader and has committed the first entry of its term.
 func (s *Server) Leading() bool { return s.leading.Load() }
 
-// confirmedLeader reports whether this voter leads and a majority has just confirmed it. It blocks for a round trip.
+// confirmedLeader reports whether this voter is the leader and a majority has just confirmed it. It blocks for a round trip.
 func (s *Server) confirmedLeader() bool {
 	return s.Leading() && s.raft.VerifyLeader().Error() == nil
 }
 
-// watchLeadership begins a term whenever this voter becomes the leader.
+// watchLeadership calls beginTerm whenever this voter becomes the leader, until ctx ends.
 func (s *Server) watchLeadership(ctx context.Context) {
 	for {
 		select {
@@ -39,11 +39,11 @@
 	}
 }
 
-// beginTerm commits the first entry of this leader's term. It retries for as long as Raft considers this voter the leader, since no
-// other one leads then.
+// beginTerm commits the first entry of this leader's term. It retries for as long as Raft considers this voter the leader, because no
+// other voter can lead meanwhile.
 func (s *Server) beginTerm(ctx context.Context) {
 	for ctx.Err() == nil && s.raft.State() == raft.Leader {
-		// After the loss of all folders, the tokens of a new fleet are higher than those of the former one.
+		// The time keeps tokens rising if all folders are lost: tokens of the new fleet are higher than those of the lost one.
 		tokenBase := uint64(time.Now().UnixMilli())
 		_, err := s.propose(Command{Op: opBeginTerm, Fleet: s.fleetID(), TokenBase: tokenBase})
 		if err == nil {
@@ -51,15 +51,15 @@
 			s.options.Log.Info("quorum leadership acquired", "voter", s.options.Name, "term", s.raft.CurrentTerm())
 			return
 		}
-		s.options.Log.Warn("beginning a term failed", "error", err)
+		s.options.Log.Warn("failed to begin term", "error", err)
 		pause(ctx, s.options.Heartbeat/4)
 	}
 }
 
-// proposalTimeout bounds how long a proposal waits for its turn.
+// proposalTimeout limits how long a proposal waits to be enqueued by Raft.
 func (s *Server) proposalTimeout() time.Duration { return 2 * s.options.Heartbeat }
 
-// propose has a command committed and returns its result. After an error the command may still be committed later.
+// propose commits a command and returns its result. After an error the command may still be committed later.
 func (s *Server) propose(command Command) (Result, error) {
 	command.Now = s.Now()
 	entry, err := json.Marshal(command)
@@ -77,13 +77,14 @@
 	return result, nil
 }
 
-// proposeOwn proposes a command of the leader's own and returns its error.
-func (s *Server) proposeOwn(command Command) error {
+// proposeInternal proposes a command that does not come from a client, and returns the command's error, if any.
+func (s *Server) proposeInternal(command Command) error {
 	result, err := s.propose(command)
 	return errors.Join(err, result.Err())
 }
 
-// SetBudgets commits the disruption budgets, unless they are already. It is for the leader, and blocks until they are committed.
+// SetBudgets commits the disruption budgets, unless the replicated state already has them. Only the leader may call it. It blocks
+// until they are committed.
 func (s *Server) SetBudgets(budgets []drain.Budget) error {
 	s.fsm.mu.Lock()
 	unchanged := slices.Equal(budgets, s.fsm.drains.Budgets)
@@ -91,20 +92,21 @@
 	if unchanged {
 		return nil
 	}
-	return s.proposeOwn(Command{Op: opSetBudgets, Budgets: budgets})
+	return s.proposeInternal(Command{Op: opSetBudgets, Budgets: budgets})
 }
 
-// Observe commits an observation of the fleet, unless it would change nothing. It is for the leader, and blocks until the observation
-// is committed.
+// Observe commits an observation of the fleet, unless it would change nothing. Only the leader may call it. It blocks until the
+// observation is committed.
 func (s *Server) Observe(observation *Observation) error {
-	if s.observed(observation) {
+	if s.alreadyObserved(observation) {
 		return nil
 	}
-	return s.proposeOwn(Command{Op: opObserve, Observation: observation})
+	return s.proposeInternal(Command{Op: opObserve, Observation: observation})
 }
 
-// observed reports whether the replicated state already is as observed, and no drain waits for the passing of time.
-func (s *Server) observed(observation *Observation) bool {
+// alreadyObserved reports whether committing the observation would change nothing: the replicated state already matches it, and no
+// draining request has passed its deadline.
+func (s *Server) alreadyObserved(observation *Observation) bool {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
 	drains := s.fsm.drains
@@ -132,16 +134,17 @@
 	return true
 }
 
-// BeginDrain commits that the drain of a granted request begins. It is for the leader, and blocks until that is committed.
+// BeginDrain commits that the drain of a granted request begins. Only the leader may call it. It blocks until the command is
+// committed.
 func (s *Server) BeginDrain(request drain.Request) error {
-	return s.proposeOwn(Command{Op: opBeginDrain, Drain: &drain.Request{ID: request.ID, Token: request.Token}})
+	return s.proposeInternal(Command{Op: opBeginDrain, Drain: &drain.Request{ID: request.ID, Token: request.Token}})
 }
 
-// ReportDrainProgress commits how many requests the target of a drain has in flight, unless that is unchanged and not 0. It is for
-// the leader, and blocks until that is committed.
+// ReportDrainProgress commits how many requests the target of a drain has in flight, unless the number is unchanged and not 0. Only
+// the leader may call it. It blocks until the command is committed.
 func (s *Server) ReportDrainProgress(request drain.Request, inFlight int) error {
 	if request.InFlight == inFlight && inFlight > 0 {
 		return nil
 	}
-	return s.proposeOwn(Command{Op: opDrainProgress, Drain: &drain.Request{ID: request.ID, Token: request.Token, InFlight: inFlight}})
+	return s.proposeInternal(Command{Op: opDrainProgress, Drain: &drain.Request{ID: request.ID, Token: request.Token, InFlight: inFlight}})
 }
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -1,6 +1,8 @@
-// Package quorum replicates what a fleet agrees on: three or five named voters keep one log by Raft (hashicorp/raft, with the log in
-// bbolt) and apply the commands of packages lease, drain and release; every other process is their client over HTTP/1.1. Nothing on
-// a request's path waits for it.
+// Package quorum replicates the shared state of a fleet: leases, drain requests and releases.
+//
+// Three or five named voters replicate one log with Raft (hashicorp/raft, with the log stored in bbolt) and apply its commands to the
+// state of packages lease, drain and release. Every other process is a client of the voters over HTTP/1.1. Proxied requests never
+// wait for this package.
 package quorum
 
 import (
@@ -31,12 +33,12 @@
 	retainedSnapshots = 2
 	snapshotInterval  = 20 * time.Second
 	snapshotThreshold = 4096 // log entries
-	trailingLogs      = 1024 // entries behind a snapshot, for followers that lag
+	trailingLogs      = 1024 // log entries kept after a snapshot, so that lagging followers can catch up without it
 
-	leadershipBuffer = 16 // leader changes that may wait for watchLeadership
+	leadershipBuffer = 16 // leadership changes that can wait for watchLeadership
 )
 
-// Voter is one of the processes that keep the log.
+// Voter is the name and address of a process that stores the replicated log and votes in elections.
 type Voter struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -44,46 +46,46 @@
 
 // Options configure a Server.
 type Options struct {
-	Dir    string
-	Name   string // of this voter, which must be among Voters
+	Dir    string // where the voter stores its identity, log and snapshots
+	Name   string // name of this voter; Voters must include it
 	Voters []Voter
-	// Heartbeat is the shortest time without contact after which a voter starts an election. 0: 500 ms.
+	// Heartbeat is the minimum time without contact from the leader after which a voter starts an election. Defaults to 500 ms.
 	Heartbeat time.Duration
-	// MaxLogBytes is the largest size of the log's file. 0: 256 MiB.
+	// MaxLogBytes is the maximum size of the log file. Defaults to 256 MiB.
 	MaxLogBytes int64
-	// Disk is called around each write. Nil: one that enforces MaxLogBytes.
+	// Disk is called before and after each write. Defaults to one that enforces MaxLogBytes.
 	Disk Disk
 	Log  *slog.Logger
 }
 
-// Server is one voter. Its methods may be called by several goroutines at once.
+// Server is one voter. Its methods are safe for concurrent use.
 type Server struct {
 	options    Options
-	id         string // of this voter; see newVoterID
+	id         string // ID of this voter; see newVoterID
 	node       *peer.Node
 	fsm        *fsm
-	store      *guardedStore
+	store      *failStopStore
 	raft       *raft.Raft
 	transport  *raft.NetworkTransport
 	startedAt  time.Time
-	leadership chan bool     // whether Raft considers this voter the leader, after each change
+	leadership chan bool     // receives whether Raft considers this voter the leader, on each change
 	opened     chan struct{} // closed when Open returns
 	cancel     context.CancelFunc
 	tasks      sync.WaitGroup
 
-	leading        atomic.Bool  // the leader, and has begun its term
-	lastForgetNano atomic.Int64 // Unix time of the leader's last OpForget, in ns
-	outdated       sync.Map     // command levels of voters of earlier versions, by name
+	leading        atomic.Bool  // this voter is the leader and has committed the first entry of its term
+	lastForgetNano atomic.Int64 // Unix time in ns of the last OpForget that this voter proposed as the leader
+	outdated       sync.Map     // command levels of voters that run an earlier version, by voter name
 
 	mu         sync.Mutex
-	identity   identity // as on disk
+	identity   identity // contents of identityFile
 	stopReason string   // empty while this process votes
 }
 
-// States of a voter beside those of Raft (follower, candidate, leader).
+// States of a voter, in addition to those of Raft (follower, candidate, leader).
 const (
-	stateWaiting = "waiting" // is in no fleet yet
-	stateStopped = "stopped" // does not vote any more
+	stateWaiting = "waiting" // not a member of a fleet yet
+	stateStopped = "stopped" // no longer votes
 )
 
 // Status is the state of a voter.
@@ -93,17 +95,17 @@
 	State        string  `json:"state"` // waiting, follower, candidate, leader or stopped
 	Reason       string  `json:"why,omitempty"`
 	Fleet        string  `json:"fleet,omitempty"`
-	Leader       string  `json:"leader,omitempty"` // its name
+	Leader       string  `json:"leader,omitempty"` // name of the leader
 	Term         uint64  `json:"term"`
 	Applied      uint64  `json:"applied"`          // index of the last applied entry
-	Bytes        int64   `json:"bytes"`            // size of the log's file
-	Voters       []Voter `json:"voters,omitempty"` // of the Raft configuration
-	Unassigned   bool    `json:"empty,omitempty"`  // it has never been in a fleet
+	Bytes        int64   `json:"bytes"`            // size of the log file
+	Voters       []Voter `json:"voters,omitempty"` // voters in the Raft configuration
+	Unassigned   bool    `json:"empty,omitempty"`  // the voter has never been a member of a fleet
 	CommandLevel int     `json:"knows"`            // see commandLevel
 }
 
-// Open opens a voter's folder and registers the voter's handlers with the node, which must not serve yet. An ErrUnusableFolder means
-// that this process cannot vote; it can do everything else.
+// Open opens a voter's folder and registers the voter's handlers with the node, which must not be serving yet. If the error wraps
+// ErrUnusableFolder, this process cannot vote but can still run everything else.
 func Open(node *peer.Node, options Options) (*Server, error) {
 	if options.Heartbeat == 0 {
 		options.Heartbeat = defaultHeartbeat
@@ -134,7 +136,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("voter %q, %s: %w (is another process using it?)", options.Name, logPath, err)
 	}
-	s.store = &guardedStore{BoltStore: db, disk: options.Disk, onFailure: s.storeFailed}
+	s.store = &failStopStore{BoltStore: db, disk: options.Disk, onFailure: s.storeFailed}
 	if err := s.openRaft(); err != nil {
 		return nil, fmt.Errorf("voter %q: %w", options.Name, errors.Join(err, db.Close()))
 	}
@@ -163,7 +165,7 @@
 	if err != nil {
 		return errors.Join(err, s.transport.Close())
 	}
-	if !hasState { // nothing was ever promised to a fleet
+	if !hasState { // without Raft state the voter has acknowledged nothing, so it may still join any fleet
 		s.identity.Fleet = ""
 	}
 	if err := s.newRaft(logger, snapshots); err != nil {
@@ -172,7 +174,8 @@
 	return nil
 }
 
-// newRaft sets s.raft. It runs on a goroutine of its own, which the store ends where a write fails; see guardedStore.writeOrExit.
+// newRaft sets s.raft. It calls raft.NewRaft on a separate goroutine because a failed write of the term or vote ends the calling
+// goroutine; see failStopStore.writeOrGoexit.
 func (s *Server) newRaft(logger hclog.Logger, snapshots raft.SnapshotStore) error {
 	var err error
 	done := make(chan struct{})
@@ -202,20 +205,21 @@
 	return config
 }
 
-// configuredAddress returns this voter's address among the voters.
+// configuredAddress returns the address that Options.Voters has for this voter.
 func (s *Server) configuredAddress() (string, error) {
 	for _, voter := range s.options.Voters {
 		if voter.Name == s.options.Name && voter.Address != "" {
 			return voter.Address, nil
 		}
 	}
-	return "", errors.New("is not among the voters")
+	return "", errors.New("not in the list of voters, or without an address")
 }
 
-// Now returns this process's monotonic clock, whose readings commands carry while it leads.
+// Now returns the time since this Server was opened, by a monotonic clock. As the leader, the voter sets it as the time of each
+// command.
 func (s *Server) Now() time.Duration { return time.Since(s.startedAt) }
 
-// Start begins to vote. The node must be serving. It must be called at most once.
+// Start starts the voter's background goroutines. The node must be serving. Start must be called at most once.
 func (s *Server) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -224,7 +228,7 @@
 	s.tasks.Go(func() { s.maintainVoters(ctx) })
 }
 
-// Close ends the voter and waits for its goroutines. It must be called once.
+// Close stops the voter and waits for its goroutines. It must be called exactly once.
 func (s *Server) Close() {
 	if s.cancel != nil {
 		s.cancel()
@@ -232,28 +236,29 @@
 	s.leading.Store(false)
 	_ = s.transport.Close()
 	shutdown := s.raft.Shutdown()
-	if s.Stopped() == "" { // else a goroutine that a failed write ended would never be done
+	if s.Stopped() == "" { // after a failed write, a Raft goroutine may have exited early and the future would never complete
 		_ = shutdown.Error()
 	}
 	s.tasks.Wait()
 	_ = s.store.Close()
 }
 
-// storeFailed stops the voter. Where data may be lost the folder is marked, so that it is never used again.
+// storeFailed stops the voter after a failure of its store. If data may be lost it also writes failedFile, so that the folder is never
+// used again.
 func (s *Server) storeFailed(failure storeFailure) {
 	if failure.dataLost {
 		text := []byte(failure.err.Error() + "\n")
-		_ = replaceFile(filepath.Join(s.options.Dir, failedFile), text) // fails where the disk has failed
+		_ = replaceFile(filepath.Join(s.options.Dir, failedFile), text) // best effort: the disk may have failed
 	}
-	go func() { // not in place: Open, or a goroutine of package raft, waits for this call
+	go func() { // asynchronous, because Open or a goroutine of package raft waits for storeFailed to return
 		<-s.opened
-		if s.raft != nil { // else Open returns the error
+		if s.raft != nil { // if nil, Open returns the error
 			s.stop(fmt.Sprintf("its store cannot be trusted any more: %v", failure.err))
 		}
 	}()
 }
 
-// stop ends the voting of this process for good; everything else in it goes on. Only the first call counts.
+// stop permanently stops this process from voting; its other functions continue. Calls after the first have no effect.
 func (s *Server) stop(reason string) {
 	s.mu.Lock()
 	alreadyStopped := s.stopReason != ""
@@ -270,7 +275,7 @@
 	s.raft.Shutdown()
 }
 
-// Stopped returns why this process does not vote any more; empty while it does.
+// Stopped returns why this process has stopped voting, or "" if it has not.
 func (s *Server) Stopped() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,8 +301,8 @@
 	if _, leader := s.raft.LeaderWithID(); leader != "" {
 		status.Leader = voterName(leader)
 	}
-	for _, member := range s.committedVoters() {
-		status.Voters = append(status.Voters, Voter{Name: voterName(member.ID), Address: reachedAt(member.Address)})
+	for _, member := range s.raftServers() {
+		status.Voters = append(status.Voters, Voter{Name: voterName(member.ID), Address: dialAddress(member.Address)})
 	}
 	switch {
 	case status.Reason != "":
@@ -311,7 +316,7 @@
 	return status
 }
 
-// debugWriter writes the lines of package raft to a log at debug level. It implements io.Writer.
+// debugWriter logs the output of package raft at debug level. It implements io.Writer.
 type debugWriter struct {
 	log *slog.Logger
 }
--- a/internal/quorum/quorum_test.go
+++ b/internal/quorum/quorum_test.go
@@ -11,7 +11,8 @@
 	"robindrum/internal/testbed"
 )
 
-// TestRestartFromSnapshotKeepsLeasesAndTokens starts a voter again from its snapshot.
+// TestRestartFromSnapshotKeepsLeasesAndTokens reopens a voter's folder after a snapshot, and tests that the voter restores its leases
+// and fleet ID and that tokens keep rising.
 func TestRestartFromSnapshotKeepsLeasesAndTokens(t *testing.T) {
 	testbed.Leaks(t)
 	voters, client := startVoters(t)
@@ -21,13 +22,13 @@
 			t.Fatal(err)
 		}
 	}
-	former := leaderOf(voters)
-	former.Close()
-	testbed.Eventually(t, "another leader", func() bool { return anotherLeader(voters, former) })
+	previousLeader := leaderOf(voters)
+	previousLeader.Close()
+	testbed.Eventually(t, "another leader", func() bool { return anotherLeader(voters, previousLeader) })
 	restarted, err := Open(listen(t), Options{
-		Dir:       former.dir,
-		Name:      former.options.Name,
-		Voters:    former.options.Voters,
+		Dir:       previousLeader.dir,
+		Name:      previousLeader.options.Name,
+		Voters:    previousLeader.options.Voters,
 		Heartbeat: 100 * time.Millisecond,
 		Log:       quietLog,
 	})
@@ -37,15 +38,15 @@
 	defer restarted.Close()
 	leases, fleet := restarted.fsm.leaseViews(0), restarted.Status().Fleet
 	if len(leases) != 1 || leases[0].Token != firstToken || fleet == "" {
-		t.Errorf("%+v of fleet %q", leases, fleet)
+		t.Errorf("after the restart: got leases %+v and fleet %q, want one lease with token %d and a fleet", leases, fleet, firstToken)
 	}
 	if token := acquire(t, client, "b").Grant.Token; token <= firstToken {
-		t.Errorf("token %d after %d", token, firstToken)
+		t.Errorf("got token %d, want more than %d", token, firstToken)
 	}
 }
 
-// TestCommandsThatAnOutdatedVoterSkipsAreRejected tests that while a voter of an earlier version is known, commands that it would
-// skip are rejected and leases are granted.
+// TestCommandsThatAnOutdatedVoterSkipsAreRejected tests that while a voter of an earlier version is known, commands that the voter would
+// skip are rejected and leases are still granted.
 func TestCommandsThatAnOutdatedVoterSkipsAreRejected(t *testing.T) {
 	testbed.Leaks(t)
 	voters, client := startVoters(t)
@@ -54,14 +55,14 @@
 		voter.outdated.Store("v9", 1)
 	}
 	if result, _, err := client.Do(t.Context(), storeConfig); err != nil || !strings.Contains(result.Text, "upgrade it first") {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("storing a configuration with an outdated voter: got %+v, %v, want a rejection that asks for an upgrade", result, err)
 	}
 	acquire(t, client, "a")
 	for _, voter := range voters {
 		voter.outdated.Delete("v9")
 	}
 	if result, _, err := client.Do(t.Context(), storeConfig); err != nil || result.Err() != nil {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("storing a configuration without an outdated voter: got %+v, %v, want success", result, err)
 	}
 	testbed.Eventually(t, "the voters' command levels", func() bool {
 		for _, voter := range voters {
@@ -73,8 +74,8 @@
 	})
 }
 
-// TestBeginTermIsRetried has a leader's first entry time out behind a slow write: the leader retries, as Raft would otherwise have a
-// leader that answers nobody.
+// TestBeginTermIsRetried tests that a leader retries the first entry of its term if the entry times out in the queue after a slow write.
+// Without the retry the voter would stay Raft's leader but reject all commands.
 func TestBeginTermIsRetried(t *testing.T) {
 	testbed.Leaks(t)
 	voters, client := startVoters(t)
@@ -84,7 +85,7 @@
 	proposed := make(chan struct{})
 	go func() {
 		defer close(proposed)
-		_, _ = leader.propose(Command{Op: OpForget}) // delays the entries behind it
+		_, _ = leader.propose(Command{Op: OpForget}) // its slow write delays the entries after it
 	}()
 	testbed.Eventually(t, "a write", func() bool { return leader.disk.writes.Load() > 0 })
 	leader.leadership <- true
@@ -96,8 +97,8 @@
 	acquire(t, client, "b")
 }
 
-// TestUnusedNamesMakeRoomInAFullTable fills the table with names that are in no lease: a new member makes room once, and is rejected
-// within the pause between two clean-ups.
+// TestUnusedNamesMakeRoomInAFullTable fills the lease table with names of members that hold and wait for no lease. It tests that a new
+// member's command drops the unused names, and that another one is rejected if the table is full again within minForgetInterval.
 func TestUnusedNamesMakeRoomInAFullTable(t *testing.T) {
 	voters, client := startVoters(t)
 	acquireAs := func(member string) error {
@@ -121,10 +122,10 @@
 	}
 	fillTables()
 	if err := acquireAs("new"); !errors.Is(err, lease.ErrWaiting) {
-		t.Errorf("with unused names: %v", err)
+		t.Errorf("acquire with a table full of unused names: got %v, want %v", err, lease.ErrWaiting)
 	}
 	fillTables()
 	if err := acquireAs("another"); !errors.Is(err, lease.ErrFull) {
-		t.Errorf("within a minute of the first clean-up: %v", err)
+		t.Errorf("acquire within a minute of the first OpForget: got %v, want %v", err, lease.ErrFull)
 	}
 }
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -19,29 +19,29 @@
 	maxSnapshotBytes = 64 << 20
 )
 
-// storedState is the form of the replicated state in a snapshot.
+// storedState is the encoding of the replicated state in a snapshot.
 type storedState struct {
 	Format   int                  `json:"format"`
 	Fleet    string               `json:"fleet"`
 	Leases   json.RawMessage      `json:"table"`
-	Drains   json.RawMessage      `json:"book,omitempty"`     // missing in snapshots of earlier versions
-	Releases json.RawMessage      `json:"releases,omitempty"` // likewise
+	Drains   json.RawMessage      `json:"book,omitempty"`     // absent in snapshots written by earlier versions
+	Releases json.RawMessage      `json:"releases,omitempty"` // absent in snapshots written by earlier versions
 	Unknown  unknownfields.Fields `json:"-"`
 }
 
-// MarshalJSON writes the state with its unknown fields.
+// MarshalJSON encodes the state, including its unknown fields.
 func (s storedState) MarshalJSON() ([]byte, error) {
 	type plain storedState
 	return unknownfields.Marshal(plain(s), s.Unknown)
 }
 
-// UnmarshalJSON reads the state and keeps unknown fields.
-func (s *storedState) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON decodes the state and keeps its unknown fields.
+func (s *storedState) UnmarshalJSON(data []byte) error {
 	type plain storedState
-	return unknownfields.Unmarshal(text, (*plain)(s), &s.Unknown)
+	return unknownfields.Unmarshal(data, (*plain)(s), &s.Unknown)
 }
 
-// encode returns the state as the text of a snapshot.
+// encode returns the state encoded as a snapshot.
 func (f *fsm) encode() ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,14 +67,14 @@
 	})
 }
 
-// decode replaces the state by the one of a snapshot's text. On an error the state is unchanged.
-func (f *fsm) decode(text []byte) error {
+// decode replaces the state with an encoded snapshot. On an error the state is unchanged.
+func (f *fsm) decode(data []byte) error {
 	var stored storedState
-	if err := json.Unmarshal(text, &stored); err != nil {
+	if err := json.Unmarshal(data, &stored); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	if stored.Format != snapshotFormat {
-		return fmt.Errorf("snapshot: format %d, this program reads %d", stored.Format, snapshotFormat)
+		return fmt.Errorf("snapshot: unsupported format %d, want %d", stored.Format, snapshotFormat)
 	}
 	leases, err := lease.Restore(stored.Leases)
 	if err != nil {
@@ -95,21 +95,21 @@
 	return nil
 }
 
-// restoreOrNew restores a part of the state, or makes an empty one where the snapshot does not have it.
-func restoreOrNew[T any](text []byte, restore func([]byte) (T, error), newEmpty func() T) (T, error) {
-	if len(text) == 0 {
+// restoreOrNew restores a part of the state, or returns an empty one if the snapshot does not contain it.
+func restoreOrNew[T any](data []byte, restore func([]byte) (T, error), newEmpty func() T) (T, error) {
+	if len(data) == 0 {
 		return newEmpty(), nil
 	}
-	return restore(text)
+	return restore(data)
 }
 
-// encodedSnapshot is the text of a snapshot. It implements raft.FSMSnapshot.
+// encodedSnapshot is an encoded state. It implements raft.FSMSnapshot.
 type encodedSnapshot []byte
 
 // Snapshot implements raft.FSM.
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
-	text, err := f.encode()
-	return encodedSnapshot(text), err
+	data, err := f.encode()
+	return encodedSnapshot(data), err
 }
 
 // Persist implements raft.FSMSnapshot.
@@ -126,9 +126,9 @@
 // Restore implements raft.FSM.
 func (f *fsm) Restore(reader io.ReadCloser) error {
 	defer reader.Close()
-	text, err := io.ReadAll(io.LimitReader(reader, maxSnapshotBytes))
+	data, err := io.ReadAll(io.LimitReader(reader, maxSnapshotBytes))
 	if err != nil {
 		return err
 	}
-	return f.decode(text)
+	return f.decode(data)
 }
--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -12,21 +12,22 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// entryOverheadBytes is what a stored entry or key may take beyond its value.
+// entryOverheadBytes is the space that a stored entry or key may take in addition to its value.
 const entryOverheadBytes = 128
 
-// ErrStoreFull means that the voter's store has reached its size limit.
-var ErrStoreFull = errors.New("the store has reached its size")
+// ErrStoreFull means that a write would exceed the size limit of the voter's store.
+var ErrStoreFull = errors.New("store size limit reached")
 
-// Disk is called around each write of the log, so that tests can make writes slow or fail. It must be safe for concurrent use.
+// Disk is called before and after each write to the store, so that tests can make writes slow or fail. Its methods must be safe for
+// concurrent use.
 type Disk interface {
-	// Before is called before a write of about this many bytes. After an error nothing is written.
+	// Before is called before a write of approximately this many bytes. On an error nothing is written.
 	Before(bytes int) error
-	// After is called after a write. After an error the write counts as lost.
+	// After is called after a successful write. On an error the write is considered lost.
 	After() error
 }
 
-// limitedDisk rejects writes that would make the log's file larger than a limit.
+// limitedDisk rejects writes that would make the log file larger than maxBytes.
 type limitedDisk struct {
 	path     string
 	maxBytes int64
@@ -45,9 +46,9 @@
 
 func (d limitedDisk) After() error { return nil }
 
-// guardedStore is the log, term and vote of a voter. After the first failed write it writes nothing any more, so that the voter
-// cannot promise anything: whatever a later fsync reports, earlier writes may be lost.
-type guardedStore struct {
+// failStopStore stores the log, term and vote of a voter. After the first failed write it rejects all further writes, so that the
+// voter cannot acknowledge anything: earlier writes may be lost even if a later fsync succeeds.
+type failStopStore struct {
 	*raftboltdb.BoltStore
 	disk      Disk
 	failure   atomic.Pointer[storeFailure]
@@ -61,63 +62,63 @@
 	dataLost bool // earlier writes may be lost
 }
 
-// write runs a write, and fails for good once one has failed.
-func (g *guardedStore) write(bytes int, write func() error) error {
-	if failure := g.failure.Load(); failure != nil {
+// write runs a write. After a failed write it returns the first error without writing.
+func (s *failStopStore) write(bytes int, write func() error) error {
+	if failure := s.failure.Load(); failure != nil {
 		return failure.err
 	}
-	if err := g.disk.Before(bytes); err != nil {
-		g.fail(storeFailure{err: err})
+	if err := s.disk.Before(bytes); err != nil {
+		s.fail(storeFailure{err: err})
 		return err
 	}
 	err := write()
 	if err == nil {
-		err = g.disk.After()
+		err = s.disk.After()
 	}
 	if err != nil {
-		g.fail(storeFailure{err: err, dataLost: true})
+		s.fail(storeFailure{err: err, dataLost: true})
 	}
 	return err
 }
 
-func (g *guardedStore) fail(failure storeFailure) {
-	g.failure.CompareAndSwap(nil, &failure)
-	g.once.Do(func() { g.onFailure(failure) })
+func (s *failStopStore) fail(failure storeFailure) {
+	s.failure.CompareAndSwap(nil, &failure)
+	s.once.Do(func() { s.onFailure(failure) })
 }
 
 // StoreLog implements raft.LogStore.
-func (g *guardedStore) StoreLog(entry *raft.Log) error { return g.StoreLogs([]*raft.Log{entry}) }
+func (s *failStopStore) StoreLog(entry *raft.Log) error { return s.StoreLogs([]*raft.Log{entry}) }
 
 // StoreLogs implements raft.LogStore.
-func (g *guardedStore) StoreLogs(entries []*raft.Log) error {
+func (s *failStopStore) StoreLogs(entries []*raft.Log) error {
 	bytes := 0
 	for _, entry := range entries {
 		bytes += len(entry.Data) + entryOverheadBytes
 	}
-	return g.write(bytes, func() error { return g.BoltStore.StoreLogs(entries) })
+	return s.write(bytes, func() error { return s.BoltStore.StoreLogs(entries) })
 }
 
 // DeleteRange implements raft.LogStore.
-func (g *guardedStore) DeleteRange(from, to uint64) error {
-	return g.write(0, func() error { return g.BoltStore.DeleteRange(from, to) })
+func (s *failStopStore) DeleteRange(from, to uint64) error {
+	return s.write(0, func() error { return s.BoltStore.DeleteRange(from, to) })
 }
 
-// Set implements raft.StableStore; see writeOrExit.
-func (g *guardedStore) Set(key, value []byte) error {
-	g.writeOrExit(len(value)+entryOverheadBytes, func() error { return g.BoltStore.Set(key, value) })
+// Set implements raft.StableStore; see writeOrGoexit.
+func (s *failStopStore) Set(key, value []byte) error {
+	s.writeOrGoexit(len(value)+entryOverheadBytes, func() error { return s.BoltStore.Set(key, value) })
 	return nil
 }
 
-// SetUint64 implements raft.StableStore; see writeOrExit.
-func (g *guardedStore) SetUint64(key []byte, value uint64) error {
-	g.writeOrExit(entryOverheadBytes, func() error { return g.BoltStore.SetUint64(key, value) })
+// SetUint64 implements raft.StableStore; see writeOrGoexit.
+func (s *failStopStore) SetUint64(key []byte, value uint64) error {
+	s.writeOrGoexit(entryOverheadBytes, func() error { return s.BoltStore.SetUint64(key, value) })
 	return nil
 }
 
-// writeOrExit writes a term or a vote. Where that fails it ends the calling goroutine, and with it the voter: package raft would
-// panic on an error, which would end a gateway that serves requests.
-func (g *guardedStore) writeOrExit(bytes int, write func() error) {
-	if g.write(bytes, write) != nil {
+// writeOrGoexit writes a term or a vote. If the write fails it ends the calling goroutine, and onFailure stops the voter. Package raft
+// would panic if it got the error, which would end the whole process, and a gateway has to keep serving requests.
+func (s *failStopStore) writeOrGoexit(bytes int, write func() error) {
+	if s.write(bytes, write) != nil {
 		runtime.Goexit()
 	}
 }
--- a/internal/quorum/store_test.go
+++ b/internal/quorum/store_test.go
@@ -12,9 +12,9 @@
 	"robindrum/internal/testbed"
 )
 
-// TestVoterStopsForGoodAfterAFailedFsync has one fsync of the leader fail: the voter says so and never votes again, also when it is
-// started again; the other two go on.
-func TestVoterStopsForGoodAfterAFailedFsync(t *testing.T) {
+// TestVoterStopsPermanentlyAfterAFailedFsync makes one fsync of the leader fail. It tests that the voter stops and reports the reason, that
+// its folder cannot be opened again, and that the other two voters keep working.
+func TestVoterStopsPermanentlyAfterAFailedFsync(t *testing.T) {
 	testbed.Leaks(t)
 	voters, client := startVoters(t)
 	firstToken := acquire(t, client, "a").Grant.Token
@@ -25,21 +25,21 @@
 		acquire(t, client, "b")
 		return anotherLeader(voters, failing)
 	})
-	testbed.Eventually(t, "the voter to report it", func() bool {
+	testbed.Eventually(t, "the failing voter to report the fault", func() bool {
 		return strings.Contains(failing.Stopped(), "input/output") && failing.Status().State == stateStopped
 	})
 	if token := acquire(t, client, "c").Grant.Token; token <= firstToken {
-		t.Errorf("token %d after %d", token, firstToken)
+		t.Errorf("got token %d, want more than %d", token, firstToken)
 	}
 	failing.Close()
 	_, err := Open(listen(t), Options{Dir: failing.dir, Name: failing.options.Name, Voters: failing.options.Voters, Log: quietLog})
 	if !errors.Is(err, ErrUnusableFolder) {
-		t.Errorf("opened once more: %v", err)
+		t.Errorf("opening the folder again: got %v, want %v", err, ErrUnusableFolder)
 	}
 }
 
-// TestTermThatCannotBeWrittenEndsTheGoroutine has the write of a term fail: the goroutine that would have used the term ends, and the
-// process does not.
+// TestTermThatCannotBeWrittenEndsTheGoroutine makes the write of a term fail. It tests that the calling goroutine ends, so that the term
+// is not used, and that the process continues.
 func TestTermThatCannotBeWrittenEndsTheGoroutine(t *testing.T) {
 	testbed.Leaks(t)
 	voters, client := startVoters(t)
@@ -54,17 +54,17 @@
 	go func() {
 		defer close(ended)
 		_ = follower.store.SetUint64([]byte("CurrentTerm"), 99)
-		t.Error("the goroutine goes on")
+		t.Error("the goroutine continues after the failed write")
 	}()
 	testbed.Receive(t, "the end of the goroutine", ended)
-	testbed.Eventually(t, "the voter to report it", func() bool { return strings.Contains(follower.Stopped(), "no space") })
+	testbed.Eventually(t, "the follower to report the fault", func() bool { return strings.Contains(follower.Stopped(), "no space") })
 	if _, err := os.Stat(filepath.Join(follower.dir, failedFile)); err == nil {
-		t.Error("the folder is marked as failed, although nothing was written and nothing is lost")
+		t.Error("the folder is marked as failed, want unmarked: nothing was written, so no data is lost")
 	}
 	acquire(t, client, "b")
 }
 
-func TestSlowDiskOfAFollowerDelaysNobody(t *testing.T) {
+func TestSlowDiskOfAFollowerDoesNotDelayCommits(t *testing.T) {
 	testbed.Leaks(t)
 	voters, client := startVoters(t)
 	for _, voter := range voters {
@@ -78,6 +78,6 @@
 		acquire(t, client, fmt.Sprint("x", i))
 	}
 	if elapsed := time.Since(start); elapsed > 10*time.Second {
-		t.Errorf("20 leases took %v", elapsed)
+		t.Errorf("acquiring 20 leases took %v, want at most 10s", elapsed)
 	}
 }
--- a/internal/quorum/transport.go
+++ b/internal/quorum/transport.go
@@ -16,23 +16,23 @@
 	"robindrum/internal/peer"
 )
 
-// streamKind is the kind of the streams that carry Raft's messages.
+// streamKind is the kind of the peer streams that carry Raft messages.
 const streamKind = "quorum"
 
-// Headers of the handshake of a stream.
+// Headers of the handshake that begins a stream.
 const (
-	voterIDHeader    = "Robindrum-Voter"
-	toHeader         = "Robindrum-To"
-	startCountHeader = "Robindrum-Boot"
-	startsHeader     = "Robindrum-Starts"
-	fleetIDHeader    = "Robindrum-Fleet-Id"
+	voterIDHeader     = "Robindrum-Voter"
+	recipientIDHeader = "Robindrum-To"
+	startCountHeader  = "Robindrum-Boot"
+	startsHeader      = "Robindrum-Starts"
+	fleetIDHeader     = "Robindrum-Fleet-Id"
 )
 
 const maxVoterIDBytes = 256
 
-var errNoHandshake = errors.New("the voter's handshake is missing or invalid")
+var errInvalidHandshake = errors.New("missing or invalid voter handshake")
 
-// handshake is what a voter says of itself when a stream begins.
+// handshake is the information that each voter sends about itself when a stream begins.
 type handshake struct {
 	id         string
 	fleet      string
@@ -49,11 +49,11 @@
 	return header
 }
 
-// parseHandshake reads and validates the other side's handshake.
+// parseHandshake parses and validates the handshake of another voter.
 func parseHandshake(header http.Header) (handshake, error) {
 	startCount, err := strconv.ParseUint(header.Get(startCountHeader), 10, 64)
 	if err != nil {
-		return handshake{}, errNoHandshake
+		return handshake{}, errInvalidHandshake
 	}
 	h := handshake{
 		id:         header.Get(voterIDHeader),
@@ -64,36 +64,37 @@
 	validID := h.id != "" && len(h.id) <= maxVoterIDBytes
 	validStarts := h.startCount > 0 && len(h.starts) > 0 && len(h.starts) <= maxStarts
 	if !validID || !validStarts || h.fleet == "" {
-		return handshake{}, errNoHandshake
+		return handshake{}, errInvalidHandshake
 	}
 	return h, nil
 }
 
-// latestStart returns the start that the voter runs in.
-func (h handshake) latestStart() start {
-	return start{Number: h.startCount, Nonce: h.starts[len(h.starts)-1]}
+// latestStart returns the current start of the voter.
+func (h handshake) latestStart() processStart {
+	return processStart{Number: h.startCount, Nonce: h.starts[len(h.starts)-1]}
 }
 
-// handshake returns this voter's.
+// handshake returns the handshake of this voter.
 func (s *Server) handshake() handshake {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return handshake{id: s.id, fleet: s.identity.Fleet, startCount: s.identity.StartCount, starts: s.identity.Starts}
 }
 
-// errOutdatedFolder means that a voter's folder is older than what another voter knows of it.
+// errOutdatedFolder means that a voter's folder lacks a start of the voter that another voter knows of; see includesStart.
 var errOutdatedFolder = errors.New("folder is older than what the fleet knows of it")
 
-// isOutdatedFolder reports whether another voter has rejected this one for errOutdatedFolder. Between processes an error travels as
-// text alone: versions in service send and look for this one.
+// isOutdatedFolder reports whether another voter rejected this one because of errOutdatedFolder. Errors are sent between processes as
+// text only, and deployed versions send and match this text, so it must not change.
 func isOutdatedFolder(err error, id string) bool {
 	text := "voter " + id + ": its " + errOutdatedFolder.Error()
 	return errors.Is(err, peer.ErrRemoteRejected) && strings.Contains(err.Error(), text)
 }
 
-// verifyPeer checks another voter's handshake and records its start. addressedHere means that the other side opened the stream with
-// this voter's ID, which only members of its fleet know; a voter without a fleet joins that fleet.
-func (s *Server) verifyPeer(header http.Header, addressedHere bool) error {
+// verifyPeer checks another voter's handshake and records its start. incoming means that the other voter opened the stream and
+// addressed this voter by its ID. Only members of a fleet that includes this voter know that ID, so a voter without a fleet joins the
+// fleet of the other voter.
+func (s *Server) verifyPeer(header http.Header, incoming bool) error {
 	other, err := parseHandshake(header)
 	if err != nil {
 		return err
@@ -103,7 +104,7 @@
 	if s.stopReason != "" {
 		return errors.New(s.stopReason)
 	}
-	mayJoin := s.identity.Fleet == "" && addressedHere
+	mayJoin := s.identity.Fleet == "" && incoming
 	if s.identity.Fleet != other.fleet && !mayJoin {
 		return fmt.Errorf("this is fleet %s, not %s", s.identity.Fleet, other.fleet)
 	}
@@ -117,14 +118,15 @@
 	return s.updateIdentity(func(id *identity) {
 		id.Fleet = other.fleet
 		if id.PeerStarts == nil || len(id.PeerStarts) >= maxPeerStarts {
-			id.PeerStarts = map[string]start{}
+			id.PeerStarts = map[string]processStart{}
 		}
 		id.PeerStarts[other.id] = other.latestStart()
 	})
 }
 
-// streamLayer carries Raft's connections over streams of the peer node. It implements raft.StreamLayer. Both sides send a handshake;
-// a side that is of another fleet, was meant for another folder, or has an outdated folder is rejected.
+// streamLayer carries Raft connections over streams of the peer node. It implements raft.StreamLayer. Both sides send a handshake. A
+// connection is rejected if either side is in another fleet or has an outdated folder, or if the dialed voter does not have the
+// expected ID.
 type streamLayer struct {
 	server   *Server
 	address  streamAddress
@@ -139,7 +141,7 @@
 func (a streamAddress) Network() string { return "robindrum" }
 func (a streamAddress) String() string  { return string(a) }
 
-// newStreamLayer registers the stream handler; address is where this voter is reached.
+// newStreamLayer returns a stream layer and registers its stream handler. address is the address of this voter for other voters.
 func newStreamLayer(s *Server, address string) *streamLayer {
 	layer := &streamLayer{
 		server:   s,
@@ -147,13 +149,13 @@
 		incoming: make(chan net.Conn),
 		closed:   make(chan struct{}),
 	}
-	s.node.HandleStream(streamKind, layer.greet, layer.deliver)
+	s.node.HandleStream(streamKind, layer.handleHandshake, layer.deliver)
 	return layer
 }
 
-// greet checks the handshake of an incoming stream and returns this voter's.
-func (l *streamLayer) greet(header http.Header) (http.Header, error) {
-	if to := header.Get(toHeader); to != l.server.id {
+// handleHandshake checks the handshake of an incoming stream and returns the handshake of this voter.
+func (l *streamLayer) handleHandshake(header http.Header) (http.Header, error) {
+	if to := header.Get(recipientIDHeader); to != l.server.id {
 		return nil, fmt.Errorf("this is voter %s, not %s", l.server.id, to)
 	}
 	if err := l.server.verifyPeer(header, true); err != nil {
@@ -162,7 +164,7 @@
 	return l.server.handshake().header(), nil
 }
 
-// deliver hands an incoming stream to Accept, or closes it with the layer.
+// deliver passes an incoming stream to Accept, or closes it if the layer is closed.
 func (l *streamLayer) deliver(conn net.Conn) {
 	select {
 	case l.incoming <- conn:
@@ -177,10 +179,10 @@
 	defer cancel()
 	id, address, ok := splitRaftAddress(to)
 	if !ok {
-		return nil, fmt.Errorf("%q is no voter's address", to)
+		return nil, fmt.Errorf("invalid Raft address %q, want ID@ADDRESS", to)
 	}
 	header := l.server.handshake().header()
-	header.Set(toHeader, id)
+	header.Set(recipientIDHeader, id)
 	conn, answer, err := l.server.node.Stream(ctx, address, streamKind, header)
 	if err != nil {
 		if isOutdatedFolder(err, l.server.id) {
@@ -198,7 +200,7 @@
 // verifyAnswer checks the handshake of the voter that was dialed.
 func (l *streamLayer) verifyAnswer(answer http.Header, id string) error {
 	if got := answer.Get(voterIDHeader); got != id {
-		return fmt.Errorf("%s answered, not %s", got, id)
+		return fmt.Errorf("voter %q answered, want %q", got, id)
 	}
 	return l.server.verifyPeer(answer, false)
 }
--- a/internal/quorum/views.go
+++ b/internal/quorum/views.go
@@ -12,19 +12,19 @@
 	"robindrum/internal/release"
 )
 
-// LeaseView is one lease as shown to operators and programs.
+// LeaseView is the state of one lease as reported by a voter.
 type LeaseView struct {
 	Name      string        `json:"name"`
 	Holder    lease.Member  `json:"holder,omitzero"`
 	Token     uint64        `json:"token"`
-	Remaining time.Duration `json:"left"` // until it may be granted to another member
+	Remaining time.Duration `json:"left"` // time until the lease may be granted to another member
 	Length    time.Duration `json:"length"`
-	Waiters   []string      `json:"line,omitempty"` // names, in order of arrival
+	Waiters   []string      `json:"line,omitempty"` // names of waiting members, in order of arrival
 	Successor string        `json:"heir,omitempty"`
 	Revoked   bool          `json:"revoked,omitempty"`
 }
 
-// LeaseList is all leases as one voter knows them.
+// LeaseList is the state of all leases on one voter.
 type LeaseList struct {
 	Voter  string      `json:"voter"`
 	Term   uint64      `json:"term"`
@@ -32,7 +32,7 @@
 	Leases []LeaseView `json:"leases"`
 }
 
-// DrainList is all drain requests as one voter knows them.
+// DrainList is the state of all drain requests on one voter.
 type DrainList struct {
 	Voter    string               `json:"voter"`
 	Fresh    bool                 `json:"fresh"` // from the leader, confirmed by a majority
@@ -40,49 +40,49 @@
 	View     drain.View           `json:"view"`
 	Requests []drain.Request      `json:"orders"`
 	Budgets  []drain.BudgetStatus `json:"budgets"`
-	Now      time.Duration        `json:"now"` // the clock reading that the requests' times refer to
-	// DesiredConfigs are the digests of the configurations that gateways should run, by name; gateways that should run their own file
-	// are left out.
+	Now      time.Duration        `json:"now"` // clock reading that the requests' times are relative to
+	// DesiredConfigs maps gateways to the digest of the configuration that they should run. Gateways that should run their own
+	// configuration file are omitted.
 	DesiredConfigs map[string]string `json:"want,omitempty"`
 	Revision       uint64            `json:"want_version"`
-	Release        string            `json:"release,omitempty"` // the one in progress, in one line
+	Release        string            `json:"release,omitempty"` // one-line summary of the release in progress
 }
 
-// ReleaseList is the release in progress and the ended ones as one voter knows them.
+// ReleaseList is the state of the release in progress and of ended releases on one voter.
 type ReleaseList struct {
 	Voter           string            `json:"voter"`
 	Fresh           bool              `json:"fresh"` // from the leader, confirmed by a majority
 	Term            uint64            `json:"term"`
 	Revision        uint64            `json:"version"`
-	CurrentConfig   string            `json:"base"` // what every gateway should run while no release is in progress
+	CurrentConfig   string            `json:"base"` // digest of the configuration that every gateway should run while no release is in progress
 	Current         *release.Release  `json:"current,omitempty"`
 	Ended           []release.Release `json:"ended"`
 	Gateways        []release.Gateway `json:"gateways"`
 	DesiredConfigs  map[string]string `json:"want"`
-	CurrentVersion  string            `json:"program,omitempty"`  // the version that every gateway should run
+	CurrentVersion  string            `json:"program,omitempty"`  // program version that every gateway should run; empty if none was released
 	DesiredVersions map[string]string `json:"programs,omitempty"` // by gateway
 	Now             time.Duration     `json:"now"`
 }
 
-// Summary is the state of drains and releases in numbers.
+// Summary summarizes the state of drains and releases.
 type Summary struct {
 	Halted  bool                 `json:"halted"`
-	Drains  map[drain.State]int  `json:"orders"`
+	Drains  map[drain.State]int  `json:"orders"` // number of drain requests in each state
 	Budgets []drain.BudgetStatus `json:"budgets"`
-	Release release.State        `json:"release,omitempty"` // of the one in progress
+	Release release.State        `json:"release,omitempty"` // state of the release in progress
 }
 
-// Desired is what gateways should run. It stays in its process.
+// Desired is what gateways should run. It is not encoded.
 type Desired struct {
 	Configs    map[string]string // digests, by gateway
-	Versions   map[string]string // by gateway
-	Revision   uint64            // rises with each change
-	InProgress bool              // a release is
-	Soak       time.Duration     // of that release
+	Versions   map[string]string // program versions, by gateway
+	Revision   uint64            // increases with each change
+	InProgress bool              // a release is in progress
+	Soak       time.Duration     // soak time of the release in progress
 }
 
-// leaseList returns all leases as this voter knows them. Times count from the leader's clock where this voter leads, else from the
-// last command.
+// leaseList returns the state of all leases on this voter. The remaining times are relative to the current time if this voter is the
+// leader, otherwise to the time of the last applied command.
 func (s *Server) leaseList() LeaseList {
 	list := LeaseList{Voter: s.options.Name, Term: s.raft.CurrentTerm()}
 	now := time.Duration(0)
@@ -93,7 +93,8 @@
 	return list
 }
 
-// leaseViews returns all leases in the order of their names.
+// leaseViews returns all leases sorted by name. Remaining times are relative to now, or to the time of the last applied command if that
+// is later.
 func (f *fsm) leaseViews(now time.Duration) []LeaseView {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +119,7 @@
 	return views
 }
 
-// drainList returns all drain requests as this voter knows them.
+// drainList returns the state of all drain requests on this voter.
 func (s *Server) drainList() DrainList {
 	list := DrainList{Voter: s.options.Name, Fresh: s.confirmedLeader(), View: s.DrainView(), DesiredConfigs: map[string]string{}}
 	s.fsm.mu.Lock()
@@ -140,7 +141,7 @@
 	return list
 }
 
-// releaseList returns a ReleaseList as JSON: what it refers to changes in place once the state is unlocked.
+// releaseList returns a ReleaseList encoded as JSON. It is encoded under the lock because it refers to state that is modified in place.
 func (s *Server) releaseList() (json.RawMessage, error) {
 	list := ReleaseList{
 		Voter:           s.options.Name,
@@ -167,7 +168,7 @@
 	return json.Marshal(list)
 }
 
-// Summary returns the state of drains and releases in numbers.
+// Summary returns a summary of the state of drains and releases.
 func (s *Server) Summary() Summary {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
@@ -181,14 +182,14 @@
 	return summary
 }
 
-// DrainView returns what each gateway needs to know of drains.
+// DrainView returns the drain state that gateways apply.
 func (s *Server) DrainView() drain.View {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
 	return s.fsm.drains.View(s.fsm.leases.Term)
 }
 
-// KnownGateways returns the gateways of the last observation, in no order.
+// KnownGateways returns the gateways of the last observation in unspecified order.
 func (s *Server) KnownGateways() []drain.Gateway {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
@@ -212,7 +213,8 @@
 	return desired
 }
 
-// StatesAgreed reports whether the replicated state has exactly these gateways in these states, apart from their figures.
+// StatesAgreed reports whether the replicated state of releases has exactly these gateways with the same state, ignoring their
+// figures.
 func (s *Server) StatesAgreed(gateways []release.Gateway) bool {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
--- a/internal/quorum/voters.go
+++ b/internal/quorum/voters.go
@@ -10,12 +10,12 @@
 	"github.com/hashicorp/raft"
 )
 
-// A voter's ID is its name and a random part of its folder, joined by a dot. Its Raft address is its ID and where it is reached,
-// joined by "@", so that a connection for one folder is never accepted by another one at the same place.
+// A voter's ID is NAME.RANDOM; the random part is chosen for each new folder. A Raft address is ID@ADDRESS, so that a connection that
+// is intended for one folder is never accepted by a voter with another folder at the same address.
 
 func newVoterID(name string) string { return name + "." + randomHex() }
 
-// voterName returns the name in a voter's ID.
+// voterName returns the name part of a voter's ID.
 func voterName(id raft.ServerID) string {
 	if i := strings.LastIndex(string(id), "."); i >= 0 {
 		return string(id[:i])
@@ -27,19 +27,19 @@
 	return raft.ServerAddress(id + "@" + address)
 }
 
-// splitRaftAddress returns the parts of a Raft address; ok is false where it is none.
+// splitRaftAddress returns the parts of a Raft address; ok is false if it is not of the form ID@ADDRESS.
 func splitRaftAddress(raftAddress raft.ServerAddress) (id, address string, ok bool) {
 	return strings.Cut(string(raftAddress), "@")
 }
 
-// reachedAt returns where the voter with this Raft address is reached; empty where it is no Raft address.
-func reachedAt(raftAddress raft.ServerAddress) string {
+// dialAddress returns the network address in a Raft address, or "" if the Raft address is not of the form ID@ADDRESS.
+func dialAddress(raftAddress raft.ServerAddress) string {
 	_, address, _ := splitRaftAddress(raftAddress)
 	return address
 }
 
-// committedVoters returns the voters of the Raft configuration.
-func (s *Server) committedVoters() []raft.Server {
+// raftServers returns the servers in Raft's latest configuration, or nil on an error.
+func (s *Server) raftServers() []raft.Server {
 	future := s.raft.GetConfiguration()
 	if future.Error() != nil {
 		return nil
@@ -47,7 +47,7 @@
 	return future.Configuration().Servers
 }
 
-// queryStatus asks a voter, or this server, for its status.
+// queryStatus returns the status of a voter, which may be this one.
 func (s *Server) queryStatus(ctx context.Context, voter Voter) (Status, error) {
 	if voter.Name == s.options.Name {
 		return s.Status(), nil
@@ -59,14 +59,15 @@
 	return status, err
 }
 
-// bootstrap creates a fleet where there is none: the first voter by name does, once every voter has answered that it has never been
-// in one. A voter alone cannot know whether the others have one. It returns once this voter is in a fleet.
+// bootstrap creates a fleet if none of the voters has ever been a member of one. Only the first voter by name does so, after all voters
+// have reported that they are unassigned: a single voter cannot know whether the others already form a fleet. On that voter, bootstrap
+// returns when the voter is a member of a fleet, has stopped, or ctx ends; on others it returns immediately.
 func (s *Server) bootstrap(ctx context.Context) {
 	first := slices.MinFunc(s.options.Voters, func(a, b Voter) int { return strings.Compare(a.Name, b.Name) })
 	if first.Name != s.options.Name {
 		return
 	}
-	for ctx.Err() == nil && s.waitsForFleet() {
+	for ctx.Err() == nil && s.canBootstrap() {
 		if servers := s.unassignedVoters(ctx); len(servers) == len(s.options.Voters) {
 			if err := s.bootstrapWith(servers); err != nil {
 				s.stop(err.Error())
@@ -77,14 +78,15 @@
 	}
 }
 
-// waitsForFleet reports whether this voter may still bootstrap one.
-func (s *Server) waitsForFleet() bool {
+// canBootstrap reports whether this voter may still bootstrap a fleet.
+func (s *Server) canBootstrap() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity.Fleet == "" && s.stopReason == ""
 }
 
-// unassignedVoters asks the voters in order and returns those that have never been in a fleet, up to the first other one.
+// unassignedVoters queries the voters in order and returns those that have never been in a fleet. It stops at the first voter that has
+// been in one or does not answer.
 func (s *Server) unassignedVoters(ctx context.Context) []raft.Server {
 	var servers []raft.Server
 	for _, voter := range s.options.Voters {
@@ -101,7 +103,7 @@
 	return servers
 }
 
-// bootstrapWith creates a fleet of these voters. Its ID is on disk before anything else.
+// bootstrapWith creates a fleet of the given voters. It writes the fleet's ID to disk before it bootstraps Raft.
 func (s *Server) bootstrapWith(servers []raft.Server) error {
 	fleet := randomHex() + randomHex()
 	if err := s.joinFleet(fleet); err != nil {
@@ -114,14 +116,14 @@
 	return nil
 }
 
-// joinFleet records the ID of this voter's fleet on disk.
+// joinFleet sets the ID of this voter's fleet, also on disk.
 func (s *Server) joinFleet(fleet string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.updateIdentity(func(id *identity) { id.Fleet = fleet })
 }
 
-// updateIdentity changes this voter's identity, on disk first. The caller holds s.mu.
+// updateIdentity changes this voter's identity, first on disk and then in memory. The caller must hold s.mu.
 func (s *Server) updateIdentity(change func(id *identity)) error {
 	updated := s.identity.clone()
 	change(&updated)
@@ -132,15 +134,16 @@
 	return nil
 }
 
-// fleetID returns the ID of this voter's fleet; empty where it is in none.
+// fleetID returns the ID of this voter's fleet, or "" if it is not in a fleet.
 func (s *Server) fleetID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.identity.Fleet
 }
 
-// maintainVoters runs while this process votes. As the leader it admits voters whose folder was empty, and records which voters are
-// of an earlier version. It asks each at its configured address, so that nobody else can claim a voter's name.
+// maintainVoters runs until ctx ends. While this voter is the leader, it periodically admits voters whose folder was empty and records
+// which voters run an earlier version. It queries each voter at its configured address, so that no other process can claim a voter's
+// name.
 func (s *Server) maintainVoters(ctx context.Context) {
 	for ; ctx.Err() == nil; pause(ctx, 2*s.options.Heartbeat) {
 		if !s.Leading() {
@@ -154,6 +157,7 @@
 	}
 }
 
+// maintainVoter queries one voter, records whether it is outdated, and admits it if its folder was empty.
 func (s *Server) maintainVoter(ctx context.Context, voter Voter) {
 	status, err := s.queryStatus(ctx, voter)
 	if err != nil || status.Voter != voter.Name || !s.Leading() {
@@ -169,7 +173,7 @@
 	}
 }
 
-// outdatedVoter returns the name of a voter that is known to have a lower command level; empty where there is none.
+// outdatedVoter returns the name of a voter that is known to have a lower command level, or "" if there is none.
 func (s *Server) outdatedVoter() string {
 	outdated := ""
 	s.outdated.Range(func(name, _ any) bool {
@@ -179,32 +183,32 @@
 	return outdated
 }
 
-// admit adds a voter whose folder was empty to the fleet, in place of a former voter of its name. Any other voter has made promises,
-// possibly to another fleet, and is left as it is.
+// admit adds a voter to the fleet if its folder was empty, replacing any member with the same name. A voter that has been in a fleet is
+// not added: it may have voted or acknowledged entries, possibly in another fleet.
 func (s *Server) admit(voter Voter, status Status) error {
-	var former raft.ServerID
-	for _, member := range s.committedVoters() {
+	var replaced raft.ServerID
+	for _, member := range s.raftServers() {
 		if string(member.ID) == status.ID {
 			return nil
 		}
 		if voterName(member.ID) == voter.Name {
-			former = member.ID
+			replaced = member.ID
 		}
 	}
 	if !status.Unassigned {
 		return nil
 	}
-	if former != "" {
-		if err := s.raft.RemoveServer(former, 0, s.proposalTimeout()).Error(); err != nil {
+	if replaced != "" {
+		if err := s.raft.RemoveServer(replaced, 0, s.proposalTimeout()).Error(); err != nil {
 			return err
 		}
 	}
-	s.options.Log.Info("voter admitted", "voter", voter.Name, "id", status.ID, "replaces", string(former))
+	s.options.Log.Info("voter admitted", "voter", voter.Name, "id", status.ID, "replaces", string(replaced))
 	address := raftAddress(status.ID, voter.Address)
 	return s.raft.AddVoter(raft.ServerID(status.ID), address, 0, s.proposalTimeout()).Error()
 }
 
-// pause waits for a duration, or until ctx ends.
+// pause waits until the duration has passed or ctx ends.
 func pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
