--- a/internal/locality/attempts.go
+++ b/internal/locality/attempts.go
@@ -6,9 +6,9 @@
 	"robindrum/balancer"
 )
 
-// AttemptSent notes that an attempt was sent to a locality. One that is not known is ignored.
-func (p *Picker) AttemptSent(now time.Duration, at balancer.Locality, a balancer.LocalityRequest) {
-	l := p.find(at)
+// AttemptSent records that an attempt was sent to a locality. Attempts to unknown localities are ignored.
+func (p *Picker) AttemptSent(now time.Duration, target balancer.Locality, request balancer.LocalityRequest) {
+	l := p.find(target)
 	if l == nil {
 		return
 	}
@@ -20,32 +20,32 @@
 	if !l.own {
 		l.crossed++
 	}
-	state := l.class(a.Class)
+	state := l.class(request.Class)
 	state.inFlight++
 	l.capacity.peak = max(l.capacity.peak, float64(l.inFlight))
-	if a.Purpose == balancer.Retry {
+	if request.Purpose == balancer.Retry {
 		l.retriesInFlight++
 		l.retriesSent++
 	}
 	if l.state == Dark {
 		p.probeSent(now, l)
 	}
-	state.trialSent(now)
+	state.recordSent(now)
 }
 
-// AttemptEnded takes the end of an attempt. One at a locality that is not known is ignored.
-func (p *Picker) AttemptEnded(now time.Duration, at balancer.Locality, a balancer.LocalityRequest, result balancer.Result, latency time.Duration) {
-	l := p.find(at)
+// AttemptEnded records the result of an attempt. Attempts to unknown localities are ignored.
+func (p *Picker) AttemptEnded(now time.Duration, target balancer.Locality, request balancer.LocalityRequest, result balancer.Result, latency time.Duration) {
+	l := p.find(target)
 	if l == nil {
 		return
 	}
 	l.inFlight = max(l.inFlight-1, 0)
-	if a.Purpose == balancer.Retry {
+	if request.Purpose == balancer.Retry {
 		l.retriesInFlight = max(l.retriesInFlight-1, 0)
 	}
-	state := l.class(a.Class)
+	state := l.class(request.Class)
 	state.inFlight = max(state.inFlight-1, 0)
-	isProbe := l.state == Dark && l.probesInFlight > 0 && a.SentAt >= l.firstProbeAt
+	isProbe := l.state == Dark && l.probesInFlight > 0 && request.SentAt >= l.firstProbeAt
 	if isProbe {
 		l.probesInFlight--
 	}
@@ -53,7 +53,7 @@
 		return
 	}
 	var objective time.Duration // 0: unknown
-	if c := p.classes[a.Class]; c != nil {
+	if c := p.classes[request.Class]; c != nil {
 		objective = c.LatencyObjective
 	}
 	if result == balancer.Served || result == balancer.Rejected || result == balancer.ServerError {
@@ -69,13 +69,13 @@
 	if isProbe {
 		l.probeEnded(served)
 	}
-	if l.state == Returning && a.SentAt >= l.rampStepAt { // an earlier one says nothing about this step
+	if l.state == Returning && request.SentAt >= l.rampStepAt { // earlier attempts do not count for this step
 		state.observeRampStep(served && !late)
 	}
 	p.updateState(now, l)
 }
 
-// observation is an attempt that says something about its locality.
+// observation is the outcome of an attempt that counts as evidence about its locality.
 type observation struct {
 	served    bool
 	late      bool
--- a/internal/locality/class.go
+++ b/internal/locality/class.go
@@ -3,40 +3,40 @@
 import "time"
 
 const (
-	maxClassStates   = 64   // classes come from the configuration, so that there are few
-	bestLatencyRise  = 1.02 // factor a second by which a best latency rises that is not met any more
-	healthyShare     = 0.2  // of failed attempts, below which a class is served
-	minFailures      = 5    // consecutive, that eject a class
-	maxClassEjection = 16 * time.Second
-	maxEjections     = 4 // consecutive, by which the ejection grows
+	maxClassStates        = 64   // of a locality; more are not expected, as classes come from the configuration
+	bestLatencyRise       = 1.02 // factor per second by which bestLatency rises while no mean latency is as low
+	maxHealthyFailedShare = 0.2  // share of failed attempts, below which a class counts as served
+	minEjectionFailures   = 5    // consecutive failures after which a class is ejected
+	maxClassEjection      = 16 * time.Second
+	maxEjections          = 4 // consecutive ejections, each of which doubles the next ejection's duration
 )
 
-// classState is how a locality serves one class.
+// classState holds what is known about how a locality serves one class.
 type classState struct {
 	inFlight int
 
-	// Attempts that ended lately.
+	// Attempts that ended recently.
 	ended  decayingCount
 	failed decayingCount
 	late   decayingCount // served, but late
 
 	bestLatency float64 // lowest mean latency, in nanoseconds; 0: unknown
-	// Served attempts of the second under way.
+	// Served attempts of the current second.
 	latencySum   float64
 	latencyCount float64
 	secondStart  time.Duration
 
-	// Attempts of the present step of the recovery ramp.
+	// Attempts of the current step of the recovery ramp.
 	rampGood int
 	rampBad  int
 
 	consecutiveFailures  int
 	consecutiveEjections int
 	ejectedUntil         time.Duration
-	trial                bool // an attempt was let through after an ejection
+	trial                bool // an attempt was sent after the ejection expired
 }
 
-// class returns the state of a class, which is added if need be.
+// class returns the state of a class and creates it if necessary.
 func (l *locality) class(name string) *classState {
 	state := l.byClass[name]
 	if state == nil {
@@ -61,7 +61,7 @@
 	s.observeLatency(now, o.latency)
 }
 
-// observeLatency updates the best latency once a second, and as soon as there are enough answers for a first one.
+// observeLatency updates the best latency once a second. The first one is known as soon as there are enough answers.
 func (s *classState) observeLatency(now, latency time.Duration) {
 	if s.secondStart == 0 {
 		s.secondStart = now
@@ -86,7 +86,7 @@
 	s.secondStart = now
 }
 
-// observeRampStep counts an attempt of the present step of the recovery ramp.
+// observeRampStep counts an attempt of the current step of the recovery ramp.
 func (s *classState) observeRampStep(good bool) {
 	if good {
 		s.rampGood++
@@ -95,7 +95,7 @@
 	}
 }
 
-// beginRampStep drops what was seen before the step.
+// beginRampStep discards the observations made before the step.
 func (s *classState) beginRampStep() {
 	s.rampGood = 0
 	s.rampBad = 0
@@ -104,8 +104,9 @@
 	s.late = decayingCount{}
 }
 
-// updateEjection ejects a locality for a class that alone fails there, longer each time. It fails that class at once and would have
-// capacity for it, while the other classes show that the locality is well.
+// updateEjection ejects a locality for a class that fails there while other classes are served. Each consecutive ejection lasts longer.
+// Capacity and state do not keep such a class away: its attempts fail at once and so leave capacity free, and the other classes show
+// that the locality is healthy.
 func (s *classState) updateEjection(now time.Duration, served bool, l *locality) {
 	if served {
 		s.consecutiveFailures = 0
@@ -115,20 +116,21 @@
 		return
 	}
 	s.consecutiveFailures++
-	othersServed := l.servesOtherThan(s, now)
-	if othersServed && s.consecutiveFailures >= minFailures && (s.trial || now >= s.ejectedUntil) {
+	othersServed := l.servesOtherClasses(s, now)
+	if othersServed && s.consecutiveFailures >= minEjectionFailures && (s.trial || now >= s.ejectedUntil) {
 		s.ejectedUntil = now + min(time.Second<<s.consecutiveEjections, maxClassEjection)
 		s.consecutiveEjections = min(s.consecutiveEjections+1, maxEjections)
 		s.trial = false
 	}
 }
 
-func (l *locality) servesOtherThan(s *classState, now time.Duration) bool {
+// servesOtherClasses reports whether the locality serves any class other than that of s.
+func (l *locality) servesOtherClasses(s *classState, now time.Duration) bool {
 	for _, other := range l.byClass {
 		if other == s || other.ended.decayEvidence(now).count < 1 {
 			continue
 		}
-		if other.failed.decayEvidence(now).count < healthyShare*other.ended.count {
+		if other.failed.decayEvidence(now).count < maxHealthyFailedShare*other.ended.count {
 			return true
 		}
 	}
@@ -140,8 +142,9 @@
 	return now < s.ejectedUntil
 }
 
-// trialSent notes that an attempt was sent. After an ejection it is a trial, and no further one is let through for a while.
-func (s *classState) trialSent(now time.Duration) {
+// recordSent records that an attempt was sent. The first one after an ejection is a trial: the class stays ejected for one more second,
+// or until an attempt is served.
+func (s *classState) recordSent(now time.Duration) {
 	if s.consecutiveEjections > 0 && now >= s.ejectedUntil {
 		s.ejectedUntil = now + countWindow
 		s.trial = true
--- a/internal/locality/decayingcount.go
+++ b/internal/locality/decayingcount.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	countWindow    = time.Second            // time constant of counts
-	evidenceWindow = 400 * time.Millisecond // time constant of counts that are evidence
+	countWindow    = time.Second            // time constant of most counts
+	evidenceWindow = 400 * time.Millisecond // time constant of counts that serve as evidence
 )
 
-// decayingCount is a count that decays exponentially. One count always decays with the same time constant.
+// decayingCount is a count that decays exponentially. All calls on one count must use the same time constant.
 type decayingCount struct {
 	count     float64
 	decayedAt time.Duration
 }
 
-// decay brings a count to now and returns it.
+// decay applies the decay until now, over countWindow, and returns the count.
 func (d *decayingCount) decay(now time.Duration) *decayingCount {
 	return d.decayOver(now, countWindow)
 }
 
-// decayEvidence is decay for counts that are evidence.
+// decayEvidence is like decay, but over evidenceWindow.
 func (d *decayingCount) decayEvidence(now time.Duration) *decayingCount {
 	return d.decayOver(now, evidenceWindow)
 }
--- a/internal/locality/evidence.go
+++ b/internal/locality/evidence.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	minAnswers         = 5 // attempts that make evidence
-	lostAnswersFactor  = 8 // in flight over the baseline, above which answers are lost
-	minLostInFlight    = 2 * minAnswers
-	maxFailuresInARow  = 2 * minAnswers
-	unknownFailedShare = 2.0 // above every share
-	silenceFactor      = 8   // best latencies without an answer, after which a locality is silent
-	minSilence         = 300 * time.Millisecond
+	minAnswers             = 5                      // attempts needed for evidence
+	lostAnswersFactor      = 8                      // multiple of the usual attempts in flight, above which answers are lost
+	minLostInFlight        = 2 * minAnswers         // answersLost is false below this many attempts in flight
+	maxConsecutiveFailures = 2 * minAnswers         // consecutive failures after which a locality counts as down
+	unknownFailedShare     = 2.0                    // higher than any real share
+	silenceFactor          = 8                      // a locality is silent after this multiple of the best latency without an answer
+	minSilence             = 300 * time.Millisecond // shortest time without an answer after which a locality is silent
 )
 
-// evidence is what the attempts that ended lately say about a locality.
+// evidence is what recent attempts show about a locality.
 type evidence struct {
 	failedShare float64
 	lateShare   float64
 	known       bool // there are enough attempts
-	silent      bool // nothing is answered at all
+	silent      bool // no attempt is answered at all
 }
 
-// collectEvidence takes the class that fares best of those with enough attempts, as one that alone fails is ejected by itself. With
-// too few for any class, it takes all classes together.
+// collectEvidence returns the evidence of the class with the lowest share of failures among those with enough attempts, because a class
+// that fails alone is ejected separately. If no class has enough attempts, it takes all classes together.
 func (l *locality) collectEvidence(now time.Duration, o *Options) evidence {
 	e := l.evidenceOfBestClass(now)
 	answersLost := l.answersLost(now)
@@ -67,7 +67,7 @@
 	return evidence{failedShare: failed / ended, lateShare: late / ended, known: true}
 }
 
-// answersLost reports whether many times the attempts are in flight that there would be if all were answered as usual.
+// answersLost reports whether far more attempts are in flight than there would be if all were answered as usual.
 func (l *locality) answersLost(now time.Duration) bool {
 	var baseline float64
 	for _, s := range l.byClass {
@@ -76,7 +76,7 @@
 	return l.inFlight >= minLostInFlight && float64(l.inFlight) > lostAnswersFactor*max(baseline, 1)
 }
 
-// silenceTimeout is how long a locality may answer nothing while attempts are in flight.
+// silenceTimeout returns how long a locality may go without an answer while attempts are in flight.
 func (l *locality) silenceTimeout(o *Options) time.Duration {
 	longest := 0.0
 	for name, s := range l.byClass {
@@ -92,7 +92,7 @@
 	return max(time.Duration(silenceFactor*longest), minSilence)
 }
 
-// expectedLatency is the latency of a class of which no answer is known, in nanoseconds; 0 for an unknown class.
+// expectedLatency returns the latency to assume for a class without answers, in nanoseconds; 0 for an unknown class.
 func (o *Options) expectedLatency(name string) float64 {
 	expected := 0.0
 	for _, c := range o.Classes {
@@ -103,29 +103,29 @@
 	return expected
 }
 
-// worse reports evidence that a locality is down.
-func (e evidence) worse(l *locality) bool {
-	return e.silent || e.known && e.failedShare >= 0.7 || l.consecutiveFailures >= maxFailuresInARow || l.ready == 0
+// down reports whether there is evidence that a locality is down.
+func (e evidence) down(l *locality) bool {
+	return e.silent || e.known && e.failedShare >= 0.7 || l.consecutiveFailures >= maxConsecutiveFailures || l.ready == 0
 }
 
-// bad reports evidence that a locality may be failing.
-func (e evidence) bad(l *locality) bool {
-	return e.worse(l) || e.known && (e.failedShare >= 0.4 || e.lateShare >= 0.5)
+// failing reports whether there is evidence that a locality is failing.
+func (e evidence) failing(l *locality) bool {
+	return e.down(l) || e.known && (e.failedShare >= 0.4 || e.lateShare >= 0.5)
 }
 
-// good reports that there is no evidence against a locality.
-func (e evidence) good() bool {
+// healthy reports whether there is no evidence against a locality.
+func (e evidence) healthy() bool {
 	return !e.silent && (!e.known || e.failedShare <= 0.1 && e.lateShare <= 0.25)
 }
 
-// describe returns the text of the evidence for transitions and reports.
+// describe returns the evidence as text for transitions and reports.
 func (e evidence) describe(now time.Duration, l *locality) string {
 	switch {
 	case e.silent:
 		return fmt.Sprintf("no word for %v", (now - l.lastAnswerAt).Round(time.Millisecond))
 	case l.ready == 0:
 		return "every endpoint is ejected"
-	case l.consecutiveFailures >= maxFailuresInARow:
+	case l.consecutiveFailures >= maxConsecutiveFailures:
 		return fmt.Sprintf("%d attempts in a row failed", l.consecutiveFailures)
 	case !e.known:
 		return "too few answers to tell"
--- a/internal/locality/invariants_test.go
+++ b/internal/locality/invariants_test.go
@@ -13,7 +13,7 @@
 	"robindrum/balancer"
 )
 
-// goroutineT lets checkShares be used in a goroutine that is not the test's.
+// goroutineT allows calls of checkShares from goroutines other than the test's, where testing.T.Fatalf must not be called.
 type goroutineT struct{ *testing.T }
 
 func (t goroutineT) Fatalf(format string, args ...any) {
@@ -21,7 +21,7 @@
 	runtime.Goexit()
 }
 
-// checkShares fails where an invariant of the shares does not hold.
+// checkShares checks the invariants of the shares and of the attempts in flight.
 func checkShares(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -31,56 +31,56 @@
 	for _, l := range picker.localities {
 		sum += l.share
 		if l.share < 0 || l.share > 1+1e-9 || l.state == Dark && l.share != 0 {
-			t.Fatalf("%v is %v and gets %v", l.id, l.state, l.share)
+			t.Fatalf("%v is %v and has a share of %v, want 0 to 1, and 0 if dark", l.id, l.state, l.share)
 		}
 		if l.inFlight < 0 || l.retriesInFlight < 0 || l.retriesInFlight > l.inFlight {
-			t.Fatalf("%v: %d in flight, %d retries", l.id, l.inFlight, l.retriesInFlight)
+			t.Fatalf("%v: %d attempts in flight, %d of them retries, want neither negative nor more retries than attempts", l.id, l.inFlight, l.retriesInFlight)
 		}
 		if l.state == Returning && l.share > l.stateFactor(&picker.options)+1e-9 {
-			t.Fatalf("%v: share %v at a step of %v", l.id, l.share, l.stateFactor(&picker.options))
+			t.Fatalf("%v is returning with a share of %v, want at most its state factor %v", l.id, l.share, l.stateFactor(&picker.options))
 		}
 	}
 	if sum > 1+1e-9 {
-		t.Fatalf("the shares add up to %v", sum)
+		t.Fatalf("sum of the shares: got %v, want at most 1", sum)
 	}
 }
 
-// randomPlay plays random events against one Picker and checks its invariants.
-type randomPlay struct {
-	t          *rapid.T
-	picker     *Picker
-	now        time.Duration
-	open       []openAttempt
-	lastRises  map[balancer.Locality]rise
-	darkSends  map[balancer.Locality][]time.Duration
-	localities []balancer.Locality
+// randomRun applies random events to one Picker and checks its invariants.
+type randomRun struct {
+	t                 *rapid.T
+	picker            *Picker
+	now               time.Duration
+	inFlight          []inFlightAttempt
+	lastFactorChanges map[balancer.Locality]factorChange
+	probeTimes        map[balancer.Locality][]time.Duration
+	localities        []balancer.Locality
 }
 
-type openAttempt struct {
-	at      balancer.Locality
-	request balancer.LocalityRequest
+type inFlightAttempt struct {
+	locality balancer.Locality
+	request  balancer.LocalityRequest
 }
 
-// rise is when a locality came to a state factor.
-type rise struct {
+// factorChange is a change of a locality's state factor.
+type factorChange struct {
 	at     time.Duration
 	factor float64
 }
 
-// Under any sequence of observations: shares add up to 1 at most, a locality's share at most doubles with each step, and a dark
-// locality gets probes alone.
+// Under any sequence of events, the shares add up to at most 1, a locality's share at most doubles with each step, and a dark locality
+// gets only probes.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		picker, err := New(options(), rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &randomPlay{
-			t:          t,
-			picker:     picker,
-			lastRises:  map[balancer.Locality]rise{},
-			darkSends:  map[balancer.Locality][]time.Duration{},
-			localities: []balancer.Locality{own, other, third, {Zone: "b", Priority: 1}},
+		p := &randomRun{
+			t:                 t,
+			picker:            picker,
+			lastFactorChanges: map[balancer.Locality]factorChange{},
+			probeTimes:        map[balancer.Locality][]time.Duration{},
+			localities:        []balancer.Locality{own, other, third, {Zone: "b", Priority: 1}},
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			p.now += time.Duration(rapid.IntRange(0, 700).Draw(t, "gap")) * ms
@@ -93,26 +93,26 @@
 				p.endAttempts()
 			}
 			checkShares(t, picker)
-			p.checkRises()
+			p.checkFactorIncreases()
 		}
 	})
 }
 
-func (p *randomPlay) updateHealth() {
+func (p *randomRun) updateHealth() {
 	t := p.t
 	var list []balancer.LocalityHealth
-	for _, x := range p.localities {
+	for _, l := range p.localities {
 		listed := float64(rapid.IntRange(0, 4).Draw(t, "known"))
 		if listed == 0 {
 			continue
 		}
 		running := min(listed, float64(rapid.IntRange(0, 4).Draw(t, "running")))
-		list = append(list, ready(x, listed, running, min(running, float64(rapid.IntRange(0, 4).Draw(t, "ready")))))
+		list = append(list, ready(l, listed, running, min(running, float64(rapid.IntRange(0, 4).Draw(t, "ready")))))
 	}
 	p.picker.UpdateHealth(p.now, list)
 }
 
-func (p *randomPlay) pick() {
+func (p *randomRun) pick() {
 	t := p.t
 	request := balancer.LocalityRequest{
 		Class:    rapid.SampledFrom([]string{"map", "hold", "pay", "?"}).Draw(t, "class"),
@@ -121,159 +121,160 @@
 		Draw:     rapid.Float64Range(0, 0.999).Draw(t, "draw"),
 		Previous: rapid.SampledFrom(p.localities).Draw(t, "from"),
 	}
-	at, ok, wait := p.picker.Pick(p.now, request)
+	target, ok, wait := p.picker.Pick(p.now, request)
 	if !ok {
 		if request.Purpose == balancer.FirstAttempt && (wait <= 0 || wait > p.picker.options.MaxRetryAfter) {
-			t.Fatalf("Retry-After %v", wait)
+			t.Fatalf("Retry-After of a rejected request: got %v, want more than 0 to %v", wait, p.picker.options.MaxRetryAfter)
 		}
 		return
 	}
-	l := p.picker.find(at)
+	l := p.picker.find(target)
 	if l == nil || l.running == 0 {
-		t.Fatalf("%v has no endpoint", at)
+		t.Fatalf("Pick returned %v, which has no running endpoint", target)
 	}
 	if l.state == Dark {
-		p.checkProbe(at, request.Purpose)
+		p.checkProbe(target, request.Purpose)
 	}
 	request.SentAt = p.now
-	p.picker.AttemptSent(p.now, at, request)
-	p.open = append(p.open, openAttempt{at, request})
+	p.picker.AttemptSent(p.now, target, request)
+	p.inFlight = append(p.inFlight, inFlightAttempt{target, request})
 }
 
-func (p *randomPlay) checkProbe(at balancer.Locality, purpose balancer.Purpose) {
+// checkProbe records an attempt at a dark locality and checks that it is a valid probe.
+func (p *randomRun) checkProbe(target balancer.Locality, purpose balancer.Purpose) {
 	if purpose != balancer.FirstAttempt {
-		p.t.Fatalf("purpose %d goes to %v, which is dark", purpose, at)
+		p.t.Fatalf("attempt with purpose %d sent to %v, which is dark, want only first attempts", purpose, target)
 	}
-	p.darkSends[at] = append(p.darkSends[at], p.now)
-	if s := p.darkSends[at]; len(s) > 1 && s[len(s)-1]-s[len(s)-2] < p.picker.options.ProbeInterval*3/4 {
-		p.t.Fatalf("probes of %v at %v and %v", at, s[len(s)-2], s[len(s)-1])
+	p.probeTimes[target] = append(p.probeTimes[target], p.now)
+	if times := p.probeTimes[target]; len(times) > 1 && times[len(times)-1]-times[len(times)-2] < p.picker.options.ProbeInterval*3/4 {
+		p.t.Fatalf("probes of %v at %v and %v, want at least 3/4 of the probe interval between them", target, times[len(times)-2], times[len(times)-1])
 	}
 }
 
-func (p *randomPlay) endAttempts() {
+func (p *randomRun) endAttempts() {
 	t := p.t
-	for range min(len(p.open), rapid.IntRange(1, 8).Draw(t, "ends")) {
-		i := rapid.IntRange(0, len(p.open)-1).Draw(t, "which")
-		a := p.open[i]
-		p.open = append(p.open[:i], p.open[i+1:]...)
+	for range min(len(p.inFlight), rapid.IntRange(1, 8).Draw(t, "ends")) {
+		i := rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "which")
+		a := p.inFlight[i]
+		p.inFlight = append(p.inFlight[:i], p.inFlight[i+1:]...)
 		result := balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(t, "result"))
 		latency := time.Duration(rapid.IntRange(1, 300).Draw(t, "took")) * ms
-		p.picker.AttemptEnded(p.now, a.at, a.request, result, latency)
+		p.picker.AttemptEnded(p.now, a.locality, a.request, result, latency)
 	}
 }
 
-// checkRises checks that no locality gets more than double its former part of the share at once, nor rises again too soon.
-func (p *randomPlay) checkRises() {
+// checkFactorIncreases checks that no locality's state factor more than doubles at once or increases again before the step has ended.
+func (p *randomRun) checkFactorIncreases() {
 	options := &p.picker.options
 	for _, l := range p.picker.localities {
 		factor := l.stateFactor(options)
 		if l.state == Up || l.state == Failing {
 			factor = 1
 		}
-		last, seen := p.lastRises[l.id]
+		last, seen := p.lastFactorChanges[l.id]
 		if seen && factor > last.factor+1e-9 {
 			if factor > max(2*last.factor, options.FirstShare)+1e-9 {
-				p.t.Fatalf("%v rises from %v to %v at once", l.id, last.factor, factor)
+				p.t.Fatalf("state factor of %v rises from %v to %v at once, want at most double", l.id, last.factor, factor)
 			}
 			if last.factor > 0 && p.now-last.at < options.Step {
-				p.t.Fatalf("%v rises from %v to %v after %v", l.id, last.factor, factor, p.now-last.at)
+				p.t.Fatalf("state factor of %v rises from %v to %v after %v, before the step has ended", l.id, last.factor, factor, p.now-last.at)
 			}
 		}
 		if !seen || last.factor != factor {
-			p.lastRises[l.id] = rise{p.now, factor}
+			p.lastFactorChanges[l.id] = factorChange{p.now, factor}
 		}
 	}
 }
 
-// clone returns a Picker that decides as the given one would.
+// clone returns an independent copy of a Picker that makes the same decisions.
 func clone(picker *Picker) *Picker {
 	c := *picker
-	src := *picker.source
-	c.source, c.rng = &src, rand.New(&src)
+	sourceCopy := *picker.source
+	c.source, c.rng = &sourceCopy, rand.New(&sourceCopy)
 	c.localities = nil
 	for _, l := range picker.localities {
-		q := *l
-		q.byClass = map[string]*classState{}
-		for name, u := range l.byClass {
-			v := *u
-			q.byClass[name] = &v
+		localityCopy := *l
+		localityCopy.byClass = map[string]*classState{}
+		for name, state := range l.byClass {
+			stateCopy := *state
+			localityCopy.byClass[name] = &stateCopy
 		}
-		c.localities = append(c.localities, &q)
+		c.localities = append(c.localities, &localityCopy)
 	}
 	return &c
 }
 
-// Every path of the state machine to a depth of eight: the zone serves, fails, is silent, serves for long, leaves the list or
-// returns to it.
+// Walks every sequence of eight events: the zone serves, fails, is silent, serves for a long time, or leaves the endpoint list or returns
+// to it. Only valid state transitions may occur, and each of them must, except Returning to Up.
 func TestAllPathsOfTheStateMachine(t *testing.T) {
 	const depth = 8
-	events := []func(w *world){
-		func(w *world) { w.does[own] = served; w.play(300*ms, 30, "map") },
-		func(w *world) { w.does[own] = refusesConnections; w.play(400*ms, 40, "map") },
-		func(w *world) { w.does[own] = silent; w.play(700*ms, 12, "map") },
-		func(w *world) { w.does[own] = served; w.play(2500*ms, 4, "map") },
-		func(w *world) {
-			if w.picker.find(own).running > 0 {
-				w.picker.UpdateHealth(w.now, allReady(other))
+	events := []func(sim *simulation){
+		func(sim *simulation) { sim.responses[own] = served; sim.run(300*ms, 30, "map") },
+		func(sim *simulation) { sim.responses[own] = refusesConnections; sim.run(400*ms, 40, "map") },
+		func(sim *simulation) { sim.responses[own] = silent; sim.run(700*ms, 12, "map") },
+		func(sim *simulation) { sim.responses[own] = served; sim.run(2500*ms, 4, "map") },
+		func(sim *simulation) {
+			if sim.picker.find(own).running > 0 {
+				sim.picker.UpdateHealth(sim.now, allReady(other))
 			} else {
-				w.picker.UpdateHealth(w.now, allReady(own, other))
+				sim.picker.UpdateHealth(sim.now, allReady(own, other))
 			}
 		},
 	}
-	var walk func(w *world, left int, events []func(*world), seen map[[2]State]int) (steps int)
+	var walk func(sim *simulation, remaining int, events []func(*simulation), seen map[[2]State]int) (steps int)
 	all := events
-	walk = func(w *world, left int, events []func(*world), seen map[[2]State]int) (steps int) {
-		for _, do := range events {
-			v := &world{picker: clone(w.picker), now: w.now, does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){},
-				draw: w.draw, out: slices.Clone(w.out)}
+	walk = func(sim *simulation, remaining int, events []func(*simulation), seen map[[2]State]int) (steps int) {
+		for _, apply := range events {
+			v := &simulation{picker: clone(sim.picker), now: sim.now, responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){},
+				draw: sim.draw, pending: slices.Clone(sim.pending)}
 			before := v.state(own)
 			v.picker.options.Notify = func(tr Transition) {
 				if tr.Locality == own {
 					seen[[2]State{tr.From, tr.To}]++
 				}
 			}
-			do(v)
+			apply(v)
 			steps++
 			checkShares(goroutineT{t}, v.picker)
 			if l := v.picker.find(own); before == Dark && l.state == Up || l.state == Dark && l.darkUntil-v.now > v.picker.options.MaxHold {
-				goroutineT{t}.Fatalf("%v to %v, hold %v", before, l.state, l.darkUntil-v.now)
+				goroutineT{t}.Fatalf("transition from %v to %v with hold %v, want none from dark to up and a hold of at most %v", before, l.state, l.darkUntil-v.now, v.picker.options.MaxHold)
 			}
-			if left > 1 {
-				steps += walk(v, left-1, all, seen)
+			if remaining > 1 {
+				steps += walk(v, remaining-1, all, seen)
 			}
 		}
 		return steps
 	}
-	w := &world{picker: newPicker(t, options())}
-	w.picker.UpdateHealth(0, allReady(own, other))
-	// Each first event has a goroutine of its own.
+	sim := &simulation{picker: newPicker(t, options())}
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	// Each first event is walked in its own goroutine.
 	seen, steps := map[[2]State]int{}, 0
-	var work sync.WaitGroup
+	var walks sync.WaitGroup
 	var mu sync.Mutex
 	for i := range events {
-		work.Go(func() {
-			mine := map[[2]State]int{}
-			n := walk(w, depth, events[i:i+1], mine)
+		walks.Go(func() {
+			partialSeen := map[[2]State]int{}
+			n := walk(sim, depth, events[i:i+1], partialSeen)
 			mu.Lock()
 			defer mu.Unlock()
 			steps += n
-			for k, v := range mine {
+			for k, v := range partialSeen {
 				seen[k] += v
 			}
 		})
 	}
-	work.Wait()
+	walks.Wait()
 	legal := map[[2]State]bool{{Up, Failing}: true, {Up, Dark}: true, {Failing, Up}: true, {Failing, Dark}: true,
 		{Dark, Returning}: true, {Returning, Dark}: true, {Returning, Up}: true}
 	for k, n := range seen {
 		if !legal[k] {
-			t.Errorf("%d times from %v to %v", n, k[0], k[1])
+			t.Errorf("%d invalid transitions from %v to %v, want 0", n, k[0], k[1])
 		}
 	}
 	for k := range legal {
-		if seen[k] == 0 && k != [2]State{Returning, Up} { // which needs more steps than the walk has
-			t.Errorf("never from %v to %v", k[0], k[1])
+		if seen[k] == 0 && k != [2]State{Returning, Up} { // needs more steps than the walk has
+			t.Errorf("got no transition from %v to %v, want at least one", k[0], k[1])
 		}
 	}
-	t.Logf("%d steps, %v", steps, seen)
+	t.Logf("%d steps; transitions: %v", steps, seen)
 }
--- a/internal/locality/options.go
+++ b/internal/locality/options.go
@@ -12,51 +12,52 @@
 // maxOverprovision is the highest overprovisioning factor.
 const maxOverprovision = 1e9
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name             string
-	PriorityWeight   float64       // classes with a higher weight may fill more of a locality's capacity
+	PriorityWeight   float64       // the higher, the more of a locality's capacity the class may fill
 	LatencyObjective time.Duration // an answer that takes longer is late
 	Effect           balancer.Effect
 }
 
-// Options configure a Picker. Zero values are replaced by the defaults named here; Panic, Floor and RetryShare below 0 mean 0.
+// Options configure a Picker. A zero value selects the default given after the field. Negative values of Panic, Floor and RetryShare
+// mean 0.
 type Options struct {
 	OwnZone  string     // the gateway's zone
-	Tiers    [][]string // zones in order of preference, "*" for all others; empty: the own zone, then all others
-	Gateways int        // before the same servers, with this one; 1
+	Tiers    [][]string // zones in order of preference; "*" stands for all others; default: the own zone, then all others
+	Gateways int        // number of gateways that use the same servers, including this one; default 1
 	Classes  []Class
 
-	Overprovision float64 // Envoy's overprovisioning factor; 1.4
-	Panic         float64 // Envoy's panic threshold, as a fraction; 0.5
+	Overprovision float64 // Envoy's overprovisioning factor; default 1.4
+	Panic         float64 // Envoy's panic threshold, as a fraction; default 0.5
 
-	FailHold      time.Duration // after bad evidence for this long an Up locality is Failing; 200 ms
-	DarkHold      time.Duration // after worse evidence for this long it is Dark; 300 ms
-	UpHold        time.Duration // after good evidence for this long it is Up again; 1 s
-	Hold          time.Duration // the shortest time in Dark; doubled with each consecutive outage; 1 s
-	MaxHold       time.Duration // the longest of these; 30 s
-	ProbeInterval time.Duration // between probes of a Dark locality; 500 ms
-	Step          time.Duration // the shortest step of a recovery ramp; 2 s
-	Floor         float64       // fraction of a locality's capacity that each class may use in any case; 0.05
+	FailHold      time.Duration // how long there must be evidence that an Up locality is failing before it is Failing; default 200 ms
+	DarkHold      time.Duration // how long there must be evidence that a Failing locality is down before it is Dark; default 300 ms
+	UpHold        time.Duration // how long there must be no evidence against a Failing locality before it is Up; default 1 s
+	Hold          time.Duration // shortest time in Dark, before jitter; doubled with each consecutive outage; default 1 s
+	MaxHold       time.Duration // upper bound of the doubled Hold; default 30 s
+	ProbeInterval time.Duration // between probes of a Dark locality; default 500 ms
+	Step          time.Duration // shortest step of a recovery ramp; default 2 s
+	Floor         float64       // fraction of a locality's capacity that each class may always use; default 0.05
 
-	FirstShare   float64 // fraction of its load with which a recovery ramp begins; doubled at each step; 1/16
-	FirstRoom    float64 // requests in flight that a locality outside the own zone may begin with, over all gateways; 16
-	Tolerance    float64 // latency over the best one, above which a locality outside the own zone is busy; 1.5
-	OwnTolerance float64 // the same for the own zone, whose own requests go first; 4
+	FirstShare   float64 // fraction of its share that a locality gets when a recovery ramp begins; doubled at each step; default 1/16
+	FirstRoom    float64 // initial limit of requests in flight in a locality outside the own zone, over all gateways; default 16
+	Tolerance    float64 // multiple of the best latency, above which a locality outside the own zone is busy; default 1.5
+	OwnTolerance float64 // like Tolerance, for the own zone; higher because its own requests take precedence; default 4
 
-	// OwnFree leaves the own zone without a limit on its requests in flight, where admission limits the cluster as a whole.
+	// OwnFree disables the limit of requests in flight in the own zone. It is set where admission limits the cluster as a whole.
 	OwnFree bool
 
-	RetryShare float64 // retries in flight in a locality, as a fraction of its attempts in flight; 0.2
-	MinRetries int     // retries in flight that are allowed in any case; 3
+	RetryShare float64 // retries in flight in a locality, as a fraction of its attempts in flight; default 0.2
+	MinRetries int     // retries in flight that are always allowed; default 3
 
-	MaxRetryAfter time.Duration // the longest Retry-After; 5 s
+	MaxRetryAfter time.Duration // longest Retry-After; default 5 s
 
-	// Notify is called at each transition; nil: not called. It must not call back.
+	// Notify is called at each transition if it is not nil. It must not call the Picker.
 	Notify func(Transition)
 }
 
-// Fill sets the defaults of what was left out.
+// Fill sets the defaults of fields with zero values and raises negative values of Panic, Floor and RetryShare to 0.
 func (o *Options) Fill() {
 	setDefault(&o.Gateways, 1)
 	setDefault(&o.Overprovision, 1.4)
@@ -81,32 +82,32 @@
 	o.RetryShare = max(o.RetryShare, 0)
 }
 
-func setDefault[T cmp.Ordered](v *T, to T) {
+func setDefault[T cmp.Ordered](v *T, value T) {
 	var zero T
 	if *v == zero {
-		*v = to
+		*v = value
 	}
 }
 
-// Check returns an error that names the first option that cannot be used.
+// Check returns an error that names the first invalid option.
 func (o *Options) Check() error {
 	switch {
 	case !validOverprovision(o.Overprovision):
-		return fmt.Errorf("overprovisioning_factor: want more than 0, not %v", o.Overprovision)
+		return fmt.Errorf("overprovisioning_factor must be greater than 0 and at most %v, got %v", maxOverprovision, o.Overprovision)
 	case o.Panic < 0 || o.Panic > 1:
-		return fmt.Errorf("panic_threshold: want 0 to 1, not %v", o.Panic)
+		return fmt.Errorf("panic_threshold must be between 0 and 1, got %v", o.Panic)
 	case o.FirstShare <= 0 || o.FirstShare > 1:
-		return fmt.Errorf("first_share: want more than 0 and at most 1, not %v", o.FirstShare)
+		return fmt.Errorf("first_share must be greater than 0 and at most 1, got %v", o.FirstShare)
 	case o.Tolerance <= 1 || o.OwnTolerance <= 1:
-		return errors.New("tolerance: want more than 1")
+		return errors.New("tolerance and own_tolerance must be greater than 1")
 	case o.Floor < 0 || o.Floor > 0.5:
-		return fmt.Errorf("floor: want 0 to 0.5, not %v", o.Floor)
+		return fmt.Errorf("floor must be between 0 and 0.5, got %v", o.Floor)
 	case o.MaxHold < o.Hold:
-		return fmt.Errorf("most_hold: %v is shorter than hold, %v", o.MaxHold, o.Hold)
+		return fmt.Errorf("most_hold must be at least hold (%v), got %v", o.Hold, o.MaxHold)
 	case o.FirstRoom < 1:
-		return fmt.Errorf("first_room: want 1 at least, not %v", o.FirstRoom)
+		return fmt.Errorf("first_room must be at least 1, got %v", o.FirstRoom)
 	case o.RetryShare < 0 || o.RetryShare > 1 || o.MinRetries < 0:
-		return errors.New("retry budget: want a share from 0 to 1 and at least 0 retries")
+		return errors.New("retry_budget must be between 0 and 1 and retry_least must be at least 0")
 	}
 	return o.checkTiers()
 }
@@ -116,13 +117,13 @@
 }
 
 func (o *Options) checkTiers() error {
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for _, tier := range o.Tiers {
 		for _, zone := range tier {
-			if named[zone] {
-				return fmt.Errorf("tiers: %q is named twice", zone)
+			if seen[zone] {
+				return fmt.Errorf("tiers: zone %q is listed more than once", zone)
 			}
-			named[zone] = true
+			seen[zone] = true
 		}
 	}
 	return nil
--- a/internal/locality/picker.go
+++ b/internal/locality/picker.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	maxLocalities  = 64      // those that left the list are forgotten above this number
-	lowestCapacity = 2.0 / 3 // fraction of a locality's capacity that the class with the lowest weight may fill
+	maxLocalities       = 64      // above this number, localities that left the endpoint list are removed
+	lowestCapacityShare = 2.0 / 3 // fraction of a locality's capacity that the class with the lowest weight may fill
 )
 
-// Picker decides for one cluster. It implements balancer.LocalityPicker.
+// Picker chooses the localities of one cluster's attempts. It implements balancer.LocalityPicker.
 type Picker struct {
 	options Options
-	source  *rand.PCG // of rng
+	source  *rand.PCG // source of rng
 	rng     *rand.Rand
 
 	localities []*locality // in order of preference
-	listSeen   bool        // there was a locality on the list
+	listSeen   bool        // the endpoint list was not empty at least once
 	classes    map[string]*class
 
 	rejected   uint64        // requests without a locality
-	rejections decayingCount // the same
+	rejections decayingCount // recently rejected requests
 }
 
-// class is a class and the fraction of a locality's capacity that it may fill, together with all classes of a lower weight.
+// class is a Class with the fraction of a locality's capacity up to which it is accepted.
 type class struct {
 	Class
 	capacityShare float64
 }
 
-// New returns a Picker without localities. The error names the option that cannot be used.
+// New returns a Picker without localities. The error names the first invalid option.
 func New(o Options, seed uint64) (*Picker, error) {
 	o.Fill()
 	if err := o.Check(); err != nil {
@@ -54,7 +54,7 @@
 	return p, nil
 }
 
-// capacityShare is 1 for the highest weight and falls in equal steps to lowestCapacity.
+// capacityShare returns 1 for the highest weight and falls in equal steps to lowestCapacityShare for the lowest one.
 func capacityShare(weight float64, weights map[float64]bool) float64 {
 	if len(weights) <= 1 {
 		return 1
@@ -65,19 +65,19 @@
 			lower++
 		}
 	}
-	return lowestCapacity + float64(lower)/float64(len(weights)-1)/3
+	return lowestCapacityShare + float64(lower)/float64(len(weights)-1)/3
 }
 
-// class returns the class of a name. An unknown one is taken for one of the lowest weight that is not idempotent.
+// class returns the class with a name. An unknown class is treated as non-idempotent, with the smallest share of the capacity.
 func (p *Picker) class(name string) *class {
 	if c := p.classes[name]; c != nil {
 		return c
 	}
 	unknown := Class{Name: name, PriorityWeight: 1, LatencyObjective: time.Second, Effect: balancer.NonIdempotent}
-	return &class{Class: unknown, capacityShare: lowestCapacity}
+	return &class{Class: unknown, capacityShare: lowestCapacityShare}
 }
 
-// SetOverprovision changes the overprovisioning factor. One that cannot be used changes nothing.
+// SetOverprovision changes the overprovisioning factor. Invalid factors are ignored.
 func (p *Picker) SetOverprovision(factor float64) {
 	if validOverprovision(factor) {
 		p.options.Overprovision = factor
@@ -123,7 +123,7 @@
 	return cmp.Or(compareRank(x.rank, y.rank), cmp.Compare(x.id.Zone, y.id.Zone))
 }
 
-// UpdateHealth takes the health of the localities on the endpoint list. Others have left the list.
+// UpdateHealth sets the health of the localities on the endpoint list. Known localities that are not in list have left the endpoint list.
 func (p *Picker) UpdateHealth(now time.Duration, list []balancer.LocalityHealth) {
 	for _, l := range p.localities {
 		l.listed, l.running, l.ready = 0, 0, 0
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// add adds a locality. Those of the first list are Up; one that comes later has shown nothing yet and is Returning.
+// add adds a locality. The localities of the first endpoint list are Up; later ones are unproven and therefore Returning.
 func (p *Picker) add(now time.Duration, id balancer.Locality) *locality {
 	l := &locality{
 		id:           id,
@@ -175,49 +175,50 @@
 	return l
 }
 
-// Pick returns the locality of an attempt; ok is false if there is none, and retryAfter is when the client may come back then.
-func (p *Picker) Pick(now time.Duration, a balancer.LocalityRequest) (at balancer.Locality, ok bool, retryAfter time.Duration) {
+// Pick returns the locality that an attempt should be sent to. If there is none, ok is false and retryAfter is the Retry-After for the
+// client.
+func (p *Picker) Pick(now time.Duration, request balancer.LocalityRequest) (target balancer.Locality, ok bool, retryAfter time.Duration) {
 	for _, l := range p.localities {
 		p.updateState(now, l)
 	}
 	p.splitLoad()
-	if l := p.pick(now, a, p.class(a.Class)); l != nil {
+	if l := p.pick(now, request, p.class(request.Class)); l != nil {
 		return l.id, true, 0
 	}
-	if a.Purpose == balancer.FirstAttempt {
-		p.countRejection(now, a)
+	if request.Purpose == balancer.FirstAttempt {
+		p.countRejection(now, request)
 	}
 	return balancer.Locality{}, false, p.retryAfter(now)
 }
 
-func (p *Picker) pick(now time.Duration, a balancer.LocalityRequest, c *class) *locality {
-	switch a.Purpose {
+func (p *Picker) pick(now time.Duration, request balancer.LocalityRequest, c *class) *locality {
+	switch request.Purpose {
 	case balancer.FirstAttempt:
-		return p.pickFirst(now, a, c)
+		return p.pickFirst(now, request, c)
 	case balancer.Retry:
-		return p.pickRetry(now, a, c)
+		return p.pickRetry(now, request, c)
 	case balancer.Hedge:
-		return p.pickHedge(now, a, c)
+		return p.pickHedge(now, request, c)
 	default:
 		return nil
 	}
 }
 
-// countRejection counts a rejected request, also at the locality that it would have gone to: the most preferred one that was not
-// excluded.
-func (p *Picker) countRejection(now time.Duration, a balancer.LocalityRequest) {
+// countRejection counts a rejected request, also at the locality that it would have been sent to: the most preferred one that is on
+// the endpoint list and not excluded, or the last one if there is none.
+func (p *Picker) countRejection(now time.Duration, request balancer.LocalityRequest) {
 	p.rejected++
 	p.rejections.decay(now).count++
 	last := len(p.localities) - 1
 	for i, l := range p.localities {
-		if l.listed > 0 && !slices.Contains(a.Excluded, l.id) || i == last {
+		if l.listed > 0 && !slices.Contains(request.Excluded, l.id) || i == last {
 			l.rejected++
 			return
 		}
 	}
 }
 
-// retryAfter is the Retry-After of a rejected request.
+// retryAfter returns the Retry-After of a rejected request.
 func (p *Picker) retryAfter(now time.Duration) time.Duration {
 	served := 0.0
 	for _, l := range p.localities {
@@ -226,30 +227,30 @@
 	return resource.RetryAfter(p.rejections.decay(now).count, served, p.options.MaxRetryAfter, p.rng.Float64())
 }
 
-// pickFirst returns a Dark locality that is due a probe, the one drawn by the shares, or the most preferred one with capacity. A
-// locality that is Returning gets its share and no more.
-func (p *Picker) pickFirst(now time.Duration, a balancer.LocalityRequest, c *class) *locality {
+// pickFirst picks the locality of a first attempt: a Dark one that is due for a probe, otherwise the one drawn by the shares, otherwise
+// the most preferred one with capacity. A Returning locality never gets more than its share.
+func (p *Picker) pickFirst(now time.Duration, request balancer.LocalityRequest, c *class) *locality {
 	for _, l := range p.localities {
-		if l.probeDue(now, &p.options, c) && allowed(l, a) {
+		if l.probeDue(now, &p.options, c) && allowed(l, request) {
 			return l
 		}
 	}
-	drawn := p.draw(a.Draw)
-	if drawn != nil && allowed(drawn, a) && p.accepts(now, drawn, a, c) {
+	drawn := p.draw(request.Draw)
+	if drawn != nil && allowed(drawn, request) && p.accepts(now, drawn, request, c) {
 		return drawn
 	}
 	for _, l := range p.localities {
 		if l == drawn || !l.inUse() {
 			continue
 		}
-		if allowed(l, a) && p.accepts(now, l, a, c) {
+		if allowed(l, request) && p.accepts(now, l, request, c) {
 			return l
 		}
 	}
 	return nil
 }
 
-// draw returns the locality of a random number by the shares; nil where they add up to less.
+// draw returns the locality that u, a random number from 0 to below 1, selects by the shares; nil if u is not below their sum.
 func (p *Picker) draw(u float64) *locality {
 	for _, l := range p.localities {
 		u -= l.share
@@ -260,10 +261,10 @@
 	return nil
 }
 
-// pickRetry returns the most preferred locality that has capacity and a retry budget.
-func (p *Picker) pickRetry(now time.Duration, a balancer.LocalityRequest, c *class) *locality {
+// pickRetry returns the most preferred locality that has capacity and retry budget left.
+func (p *Picker) pickRetry(now time.Duration, request balancer.LocalityRequest, c *class) *locality {
 	for _, l := range p.localities {
-		if !l.inUse() || !allowed(l, a) {
+		if !l.inUse() || !allowed(l, request) {
 			continue
 		}
 		maxRetries := max(p.options.RetryShare*float64(l.inFlight), float64(p.options.MinRetries))
@@ -271,31 +272,31 @@
 			l.retriesDenied++
 			continue
 		}
-		if p.accepts(now, l, a, c) {
+		if p.accepts(now, l, request, c) {
 			return l
 		}
 	}
 	return nil
 }
 
-// pickHedge returns the previous attempt's locality or another one that is Up and not busy. Without a budget a hedge only leaves a
-// locality that is not Up: a single slow answer is no reason for it.
-func (p *Picker) pickHedge(now time.Duration, a balancer.LocalityRequest, c *class) *locality {
-	previous := p.find(a.Previous)
-	if a.BudgetSpent && previous != nil && previous.state == Up {
+// pickHedge returns the previous attempt's locality or another one that is Up and not busy. If the retry budget is spent, a hedge is
+// only sent when the previous attempt's locality is not Up, and to another one: a single slow answer does not justify it.
+func (p *Picker) pickHedge(now time.Duration, request balancer.LocalityRequest, c *class) *locality {
+	previous := p.find(request.Previous)
+	if request.BudgetSpent && previous != nil && previous.state == Up {
 		return nil
 	}
 	for _, l := range p.localities {
-		if l.state != Up || l.ready == 0 || !allowed(l, a) {
+		if l.state != Up || l.ready == 0 || !allowed(l, request) {
 			continue
 		}
-		if a.BudgetSpent && l == previous {
+		if request.BudgetSpent && l == previous {
 			continue
 		}
-		if l.id != a.Previous && l.halfFull(now) {
+		if l.id != request.Previous && l.tooBusyForHedges(now) {
 			continue
 		}
-		if p.accepts(now, l, a, c) {
+		if p.accepts(now, l, request, c) {
 			return l
 		}
 	}
@@ -303,17 +304,17 @@
 }
 
 // allowed reports whether an attempt may go to a locality at all.
-func allowed(l *locality, a balancer.LocalityRequest) bool {
-	return !slices.Contains(a.Excluded, l.id) && (a.OnlyZone == "" || a.OnlyZone == l.id.Zone)
+func allowed(l *locality, request balancer.LocalityRequest) bool {
+	return !slices.Contains(request.Excluded, l.id) && (request.OnlyZone == "" || request.OnlyZone == l.id.Zone)
 }
 
-// accepts reports whether a locality has capacity for an attempt of a class, and the attempt enough time for it.
-func (p *Picker) accepts(now time.Duration, l *locality, a balancer.LocalityRequest, c *class) bool {
-	state := l.class(a.Class)
+// accepts reports whether a locality has capacity for an attempt of a class and the attempt has enough time left for it.
+func (p *Picker) accepts(now time.Duration, l *locality, request balancer.LocalityRequest, c *class) bool {
+	state := l.class(request.Class)
 	if state.ejected(now) {
 		return false
 	}
-	if state.bestLatency > 0 && a.TimeLeft < time.Duration(state.bestLatency) {
+	if state.bestLatency > 0 && request.TimeLeft < time.Duration(state.bestLatency) {
 		l.skippedForTime++
 		return false
 	}
--- a/internal/locality/probe.go
+++ b/internal/locality/probe.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	probeTimeoutIntervals = 8  // probe intervals after which a further probe is sent beside those in flight
-	gatewaysPerProbe      = 16 // gateways that share a locality's probes
+	probeTimeoutIntervals = 8  // probe intervals that a due probe waits for the probes in flight to end
+	maxProbesPerInterval  = 16 // probes of a locality in a probe interval, over all gateways
 )
 
-// probeDelayIntervals is how many probe intervals a due probe waits for a request that is safer to lose, before one of this effect is
-// taken.
+// probeDelayIntervals returns for how many probe intervals after a probe is due requests with this effect are not used as the probe,
+// so that a request that is safer to lose is used if there is one.
 func probeDelayIntervals(effect balancer.Effect) time.Duration {
 	switch effect {
 	case balancer.IdempotentWithKey:
@@ -24,7 +24,7 @@
 	}
 }
 
-// probeDue reports whether a request of a class is to be the next probe of a Dark locality.
+// probeDue reports whether a request of a class should be the next probe of a Dark locality.
 func (l *locality) probeDue(now time.Duration, o *Options, c *class) bool {
 	if l.state != Dark || l.running == 0 || now < l.nextProbeAt {
 		return false
@@ -35,14 +35,15 @@
 	return now >= l.nextProbeAt+probeDelayIntervals(c.Effect)*o.ProbeInterval
 }
 
-// probeSent notes that a probe was sent and plans the next one. Many gateways share the probes of a locality.
+// probeSent records that a probe was sent and schedules the next one. The interval grows with the number of gateways, so that a
+// locality gets about maxProbesPerInterval from all of them at most.
 func (p *Picker) probeSent(now time.Duration, l *locality) {
 	l.probesSent++
 	if l.probesInFlight == 0 {
-		l.firstProbeAt = now // attempts from before the locality went Dark may end meanwhile
+		l.firstProbeAt = now // attempts sent before the locality went Dark may still end and are not probes
 	}
 	l.probesInFlight++
-	interval := float64(p.options.ProbeInterval) * max(float64(p.options.Gateways)/gatewaysPerProbe, 1)
+	interval := float64(p.options.ProbeInterval) * max(float64(p.options.Gateways)/maxProbesPerInterval, 1)
 	jitter := minJitter + p.rng.Float64()/2
 	l.nextProbeAt = now + time.Duration(jitter*interval)
 }
--- a/internal/locality/report.go
+++ b/internal/locality/report.go
@@ -7,23 +7,23 @@
 	"robindrum/balancer"
 )
 
-// Report is the state of a locality.
+// Report describes the state of a locality.
 type Report struct {
 	Locality      balancer.Locality
-	Tier          int // from 0
+	Tier          int // 0 is the most preferred one
 	State         State
-	Since         time.Duration // when it came to the state
-	Evidence      string
-	Health        float64 // fraction of its endpoints' weight that is ready
-	Panic         bool    // ejected endpoints are used as well
-	Share         float64 // of the load
-	Step          float64 // fraction of its share that its state leaves it
+	Since         time.Duration // when the locality entered State
+	Evidence      string        // for the last transition or step of the recovery ramp
+	Health        float64       // fraction of its endpoints' weight that is ready
+	Panic         bool          // ejected endpoints are used as well
+	Share         float64       // fraction of the cluster's load
+	Step          float64       // fraction of its share that the locality gets in its state
 	InFlight      int
-	Room          float64 // attempts in flight that it may have; 0: unlimited
+	Room          float64 // limit of attempts in flight; 0: unlimited
 	Sent          uint64
-	Crossed       uint64 // of the sent attempts, those that left the gateway's zone
-	Refused       uint64 // requests rejected for want of capacity
-	NoTime        uint64 // attempts that it did not get as they had too little time left
+	Crossed       uint64 // attempts that left the gateway's zone: Sent, or 0 for the own zone
+	Refused       uint64 // requests rejected for lack of capacity
+	NoTime        uint64 // attempts not sent because too little time was left
 	Retries       uint64
 	RetriesDenied uint64 // by the retry budget
 	Probes        uint64
@@ -72,12 +72,12 @@
 	return r
 }
 
-// Refused returns how many requests were rejected for want of capacity anywhere.
-func (p *Picker) Refused() uint64 { return p.rejected }
+// Rejected returns how many requests were rejected because no locality had capacity.
+func (p *Picker) Rejected() uint64 { return p.rejected }
 
-// Inherit takes over what another Picker knew of the localities' states, where the cluster gets new options.
-func (p *Picker) Inherit(now time.Duration, old []Report) {
-	for _, r := range old {
+// Inherit adopts the states of the localities from the reports of another Picker. It is used when a cluster gets new options.
+func (p *Picker) Inherit(now time.Duration, reports []Report) {
+	for _, r := range reports {
 		l := p.find(r.Locality)
 		if l == nil {
 			l = p.add(now, r.Locality)
@@ -99,7 +99,7 @@
 	p.splitLoad()
 }
 
-// rampStepOf is the step of a recovery ramp that leaves a locality this fraction of its share.
+// rampStepOf returns the step of the recovery ramp at which a locality gets a fraction of its share.
 func rampStepOf(fraction, firstShare float64) int {
 	doublings := math.Log2(max(fraction, firstShare) / firstShare)
 	return max(int(math.Round(doublings)), 0)
--- a/internal/locality/state.go
+++ b/internal/locality/state.go
@@ -13,9 +13,9 @@
 // The states of a locality.
 const (
 	Up        State = iota // in use
-	Failing                // in use, but others are preferred
-	Dark                   // gets probes alone
-	Returning              // gets a share that grows with good evidence: the recovery ramp
+	Failing                // in use, but other localities are preferred
+	Dark                   // gets only probes
+	Returning              // on the recovery ramp: gets a share that grows while attempts succeed
 )
 
 func (s State) String() string { return [...]string{"up", "failing", "dark", "returning"}[s] }
@@ -26,26 +26,26 @@
 	Locality balancer.Locality
 	From, To State
 	Evidence string
-	Hold     time.Duration // the shortest time in Dark
+	Hold     time.Duration // shortest time in Dark, if To is Dark
 }
 
 const (
-	minRampAnswers   = 3    // good attempts that a step of the recovery ramp needs
-	maxRampBadShare  = 0.2  // of a step's attempts; above it the step failed
-	rampGoodBadShare = 0.1  // of a step's attempts; up to it the step succeeded
-	probesToReturn   = 2    // consecutive served ones
-	maxOutages       = 16   // consecutive, by which the hold grows
-	stableHolds      = 10   // Up for longer than this multiple of its hold, a locality has no consecutive outages
-	minJitter        = 0.75 // factor of holds and probe intervals, which reaches 0.5 above it
+	minRampAnswers      = 3    // good attempts that a step of the recovery ramp needs
+	rampFailureBadShare = 0.2  // share of a step's attempts that failed or were late; above it the step failed
+	rampSuccessBadShare = 0.1  // like rampFailureBadShare; up to it the step succeeded
+	probesToReturn      = 2    // consecutive served probes that end Dark
+	maxOutages          = 16   // consecutive outages, each of which doubles the next hold
+	stableHolds         = 10   // after being Up for longer than this multiple of the hold, an outage is not consecutive
+	minJitter           = 0.75 // holds and probe intervals are multiplied by a random factor from minJitter to minJitter+0.5
 )
 
-// locality is a locality and what the Picker knows of it.
+// locality is a locality and what the Picker knows about it.
 type locality struct {
 	id   balancer.Locality
 	rank rank
 	own  bool // in the gateway's zone
 
-	// Weights of endpoints, from the last UpdateHealth.
+	// Sums of endpoint weights from the last UpdateHealth; see balancer.LocalityHealth.
 	listed  float64
 	running float64
 	ready   float64
@@ -57,14 +57,14 @@
 	stateSince time.Duration
 	evidence   string // of the last transition
 
-	// Since when the evidence of a transition holds; 0: it does not.
-	badSince   time.Duration
-	worseSince time.Duration
-	goodSince  time.Duration
+	// When the evidence began that leads to a transition; 0: there is none.
+	failingSince time.Duration
+	downSince    time.Duration
+	healthySince time.Duration
 
 	consecutiveOutages    int
-	darkUntil             time.Duration // at least
-	noEndpoints           bool          // Dark as no endpoint is running
+	darkUntil             time.Duration // earliest end of Dark
+	noEndpoints           bool          // Dark because no endpoint is running
 	nextProbeAt           time.Duration
 	firstProbeAt          time.Duration // when the first of the probes in flight was sent
 	probesInFlight        int
@@ -76,7 +76,7 @@
 	inFlight            int
 	retriesInFlight     int
 	consecutiveFailures int           // over all classes
-	lastAnswerAt        time.Duration // or when an attempt was sent after a pause
+	lastAnswerAt        time.Duration // or the start of a later wait for an answer
 	byClass             map[string]*classState
 	served              decayingCount
 	capacity            capacity
@@ -92,7 +92,7 @@
 	transitions    uint64
 }
 
-// updateState moves a locality to the state that the evidence demands.
+// updateState moves a locality to the state that its evidence calls for.
 func (p *Picker) updateState(now time.Duration, l *locality) {
 	if l.running == 0 {
 		p.updateWithoutEndpoints(now, l)
@@ -111,7 +111,7 @@
 	}
 }
 
-// updateWithoutEndpoints keeps a locality Dark until the list has running endpoints again; there is no hold beyond that.
+// updateWithoutEndpoints keeps a locality Dark while no endpoint is running. There is no hold: Dark ends as soon as an endpoint runs.
 func (p *Picker) updateWithoutEndpoints(now time.Duration, l *locality) {
 	if l.state != Dark {
 		p.goDark(now, l, "no endpoint is to be used")
@@ -122,17 +122,17 @@
 }
 
 func (p *Picker) updateUp(now time.Duration, l *locality, e evidence) {
-	if heldFor(&l.badSince, now, e.bad(l), p.options.FailHold) {
+	if heldFor(&l.failingSince, now, e.failing(l), p.options.FailHold) {
 		p.transition(now, l, Failing, e.describe(now, l))
 	}
 }
 
 func (p *Picker) updateFailing(now time.Duration, l *locality, e evidence) {
-	if heldFor(&l.worseSince, now, e.worse(l), p.options.DarkHold) {
+	if heldFor(&l.downSince, now, e.down(l), p.options.DarkHold) {
 		p.goDark(now, l, e.describe(now, l))
 		return
 	}
-	if heldFor(&l.goodSince, now, e.good(), p.options.UpHold) {
+	if heldFor(&l.healthySince, now, e.healthy(), p.options.UpHold) {
 		p.transition(now, l, Up, e.describe(now, l))
 	}
 }
@@ -154,12 +154,12 @@
 func (p *Picker) updateReturning(now time.Duration, l *locality, e evidence) {
 	good, bad := l.rampAttempts()
 	all := good + bad
-	manyBad := bad >= minRampAnswers && float64(bad) > maxRampBadShare*float64(all)
+	manyBad := bad >= minRampAnswers && float64(bad) > rampFailureBadShare*float64(all)
 	if e.silent || manyBad {
 		p.rampStepFailed(now, l, e.silent, good, bad)
 		return
 	}
-	succeeded := good >= minRampAnswers && float64(bad) <= rampGoodBadShare*float64(all)
+	succeeded := good >= minRampAnswers && float64(bad) <= rampSuccessBadShare*float64(all)
 	if !succeeded || now-l.rampStepAt < p.options.Step {
 		return
 	}
@@ -171,7 +171,8 @@
 	p.beginRampStep(now, l, fmt.Sprintf("%d of %d served in time", good, all))
 }
 
-// rampStepFailed goes back one step of the recovery ramp, or to Dark from the first one.
+// rampStepFailed goes back one step of the recovery ramp, or to Dark if it is the first step or the locality is silent without a good
+// attempt in the step.
 func (p *Picker) rampStepFailed(now time.Duration, l *locality, silent bool, good, bad int) {
 	reason := fmt.Sprintf("%d of %d failed or late", bad, good+bad)
 	if silent {
@@ -185,20 +186,22 @@
 	p.beginRampStep(now, l, reason)
 }
 
-// heldFor notes since when a condition holds and reports whether it has held for long enough.
-func heldFor(since *time.Duration, now time.Duration, holds bool, long time.Duration) bool {
-	if !holds {
+// heldFor reports whether a condition has held for at least a minimum duration. It maintains since, the time at which the condition
+// began to hold, or 0 if it does not hold.
+func heldFor(since *time.Duration, now time.Duration, condition bool, minimum time.Duration) bool {
+	if !condition {
 		*since = 0
 		return false
 	}
 	if *since == 0 {
 		*since = max(now, 1)
 	}
-	return now-*since >= long
+	return now-*since >= minimum
 }
 
-// rampAttempts counts the attempts of a step of the recovery ramp, of the class that fares best of those with enough attempts, as one
-// that alone fails is ejected by itself. With too few for any class, it counts those of all classes.
+// rampAttempts returns the numbers of good and bad attempts in the current step of the recovery ramp. They are those of the class with
+// the highest share of good ones among the classes with enough attempts, because a class that fails alone is ejected separately. If no
+// class has enough attempts, they are those of all classes.
 func (l *locality) rampAttempts() (good, bad int) {
 	best := -1.0
 	for _, s := range l.byClass {
@@ -221,7 +224,7 @@
 	return good, bad
 }
 
-// beginRampStep begins a step of the recovery ramp.
+// beginRampStep starts a step of the recovery ramp, which the locality enters if it is not Returning yet.
 func (p *Picker) beginRampStep(now time.Duration, l *locality, reason string) {
 	l.rampStepAt = now
 	for _, s := range l.byClass {
@@ -252,6 +255,7 @@
 	p.transition(now, l, Dark, reason)
 }
 
+// hold returns the shortest time in Dark, without jitter, if the locality went Dark now.
 func (p *Picker) hold(l *locality) time.Duration {
 	return min(p.options.Hold<<min(l.consecutiveOutages, maxOutages), p.options.MaxHold)
 }
@@ -265,7 +269,7 @@
 	l.stateSince = now
 	l.evidence = reason
 	l.consecutiveFailures = 0
-	l.badSince, l.worseSince, l.goodSince = 0, 0, 0
+	l.failingSince, l.downSince, l.healthySince = 0, 0, 0
 	l.transitions++
 	if to == Dark || to == Returning {
 		l.capacity.reset(&p.options, l.own)
--- a/internal/locality/state_test.go
+++ b/internal/locality/state_test.go
@@ -8,12 +8,12 @@
 	"robindrum/balancer"
 )
 
-// Each fault leads to Dark within a stated time, and after it the zone gets probes alone.
+// Each fault makes a zone Dark within a given time; from then on, the zone gets only probes.
 func TestFaultsLeadToDark(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		do     func(string) (balancer.Result, time.Duration)
-		within time.Duration
+		name    string
+		respond func(string) (balancer.Result, time.Duration)
+		within  time.Duration
 	}{
 		{"refuses connections", refusesConnections, time.Second},
 		{"accepts and does not answer", silent, 1500 * ms},
@@ -21,272 +21,273 @@
 		{"resets after the last byte", func(string) (balancer.Result, time.Duration) { return balancer.ConnectionLost, 2 * ms }, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := &world{picker: newPicker(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}
-			w.picker.UpdateHealth(0, allReady(own, other))
-			w.play(3*time.Second, 200, "map")
-			w.does[own] = c.do
-			began := w.now
-			for w.state(own) != Dark && w.now < began+5*time.Second {
-				w.play(50*ms, 200, "map")
+			sim := &simulation{picker: newPicker(t, options()), responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}
+			sim.picker.UpdateHealth(0, allReady(own, other))
+			sim.run(3*time.Second, 200, "map")
+			sim.responses[own] = c.respond
+			start := sim.now
+			for sim.state(own) != Dark && sim.now < start+5*time.Second {
+				sim.run(50*ms, 200, "map")
 			}
-			if d := w.now - began; d > c.within {
-				t.Errorf("dark after %v", d)
+			if elapsed := sim.now - start; elapsed > c.within {
+				t.Errorf("dark after %v, want at most %v", elapsed, c.within)
 			}
-			w.clear()
-			w.play(10*time.Second, 200, "map")
-			if n := w.sent[own]; n > 25 { // a probe each 500 ms, and a quarter less between two
-				t.Errorf("%d attempts in 10 s at a dark zone", n)
+			sim.clear()
+			sim.run(10*time.Second, 200, "map")
+			if n := sim.sent[own]; n > 25 { // probes are 500 ms apart on average, and at least 375 ms
+				t.Errorf("%d attempts in 10 s sent to a dark zone, want at most 25", n)
 			}
-			if w.sent[other] < 1900 {
-				t.Errorf("%d of 2000 served by the other zone, %d rejected", w.sent[other], w.rejected)
+			if sim.sent[other] < 1900 {
+				t.Errorf("%d of 2000 requests sent to the other zone, %d rejected, want at least 1900 sent", sim.sent[other], sim.rejected)
 			}
 		})
 	}
 }
 
-// 80% of the answers are lost: the others keep the zone from being silent, and it goes dark all the same.
+// A zone that loses 80% of its answers goes dark, although the remaining answers keep it from being silent.
 func TestMostAnswersLostLeadsToDark(t *testing.T) {
-	w, n := &world{picker: newPicker(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
-	w.picker.UpdateHealth(0, allReady(own, other))
-	w.play(3*time.Second, 200, "map")
-	w.does[own] = func(string) (balancer.Result, time.Duration) {
+	sim, n := &simulation{picker: newPicker(t, options()), responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	sim.run(3*time.Second, 200, "map")
+	sim.responses[own] = func(string) (balancer.Result, time.Duration) {
 		if n++; n%5 == 0 {
 			return balancer.Served, 5 * ms
 		}
 		return balancer.TimedOut, 2 * time.Second
 	}
-	w.play(4*time.Second, 200, "map")
-	if s := w.state(own); s != Dark {
-		t.Errorf("%v, %s", s, w.picker.find(own).evidence)
+	sim.run(4*time.Second, 200, "map")
+	if s := sim.state(own); s != Dark {
+		t.Errorf("state of a zone that loses 80%% of its answers: got %v (%s), want dark", s, sim.picker.find(own).evidence)
 	}
 }
 
-// Latency that doubles each second moves the load before answers take longer than their clients wait.
+// If a zone's latency doubles every second, its load moves to the other zone before answers take longer than clients wait.
 func TestRisingLatencyMovesLoad(t *testing.T) {
-	w, took := &world{picker: newPicker(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 5*ms
-	w.picker.UpdateHealth(0, allReady(own, other))
-	w.play(3*time.Second, 200, "map")
-	w.does[own] = func(string) (balancer.Result, time.Duration) {
-		if took > 2*time.Second {
+	sim, latency := &simulation{picker: newPicker(t, options()), responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 5*ms
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	sim.run(3*time.Second, 200, "map")
+	sim.responses[own] = func(string) (balancer.Result, time.Duration) {
+		if latency > 2*time.Second {
 			return balancer.TimedOut, 2 * time.Second
 		}
-		return balancer.Served, took
+		return balancer.Served, latency
 	}
 	for range 8 {
-		took *= 2
-		w.clear()
-		w.play(time.Second, 200, "map")
+		latency *= 2
+		sim.clear()
+		sim.run(time.Second, 200, "map")
 	}
-	if w.sent[own] > 100 {
-		t.Errorf("%d of 200 still go to the slow zone, %v", w.sent[own], w.picker.find(own).evidence)
+	if sim.sent[own] > 100 {
+		t.Errorf("%d of 200 requests still sent to the slow zone (%v), want at most 100", sim.sent[own], sim.picker.find(own).evidence)
 	}
-	if w.rejected > 20 {
-		t.Errorf("%d of 200 are rejected though the other zone is idle", w.rejected)
+	if sim.rejected > 20 {
+		t.Errorf("%d of 200 requests rejected although the other zone is idle, want at most 20", sim.rejected)
 	}
 }
 
-// A zone that flaps is dark for longer each time.
+// A flapping zone is dark for longer with each outage, so that few requests meet it while it is down.
 func TestFlappingZoneIsDarkForLonger(t *testing.T) {
-	w, outages := &world{does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
+	sim, outages := &simulation{responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){}}, 0
 	o := options()
 	o.Notify = func(t Transition) {
 		if t.To == Dark {
 			outages++
 		}
 	}
-	w.picker = newPicker(t, o)
-	w.picker.UpdateHealth(0, allReady(own, other))
-	w.play(3*time.Second, 200, "map")
+	sim.picker = newPicker(t, o)
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	sim.run(3*time.Second, 200, "map")
 	failed := 0
 	for i := range 60 {
-		w.does[own] = served
+		sim.responses[own] = served
 		if i%2 == 0 {
-			w.does[own] = func(string) (balancer.Result, time.Duration) { failed++; return balancer.NotConnected, ms }
+			sim.responses[own] = func(string) (balancer.Result, time.Duration) { failed++; return balancer.NotConnected, ms }
 		}
-		w.play(time.Second, 200, "map")
+		sim.run(time.Second, 200, "map")
 	}
 	if outages > 8 {
-		t.Errorf("dark %d times in a minute", outages)
+		t.Errorf("zone went dark %d times in a minute, want at most 8", outages)
 	}
-	if failed > 300 { // of 6,000 that would have met a dead zone
-		t.Errorf("%d attempts at a zone that was down", failed)
+	if failed > 300 { // of 6,000 requests sent while the zone was down
+		t.Errorf("%d attempts sent to a zone that was down, want at most 300", failed)
 	}
-	if w.rejected > 200 {
-		t.Errorf("%d of 12000 refused", w.rejected)
+	if sim.rejected > 200 {
+		t.Errorf("%d of 12000 requests rejected, want at most 200", sim.rejected)
 	}
 }
 
-// The recovery ramp: the share at most doubles with each step, and a failed step goes back one, not to nothing.
+// On the recovery ramp, the share at most doubles with each step, and a failed step goes back by one step, not to Dark.
 func TestRecoveryRamp(t *testing.T) {
-	w := &world{picker: newPicker(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refusesConnections}}
-	w.picker.UpdateHealth(0, allReady(own, other))
-	w.play(3*time.Second, 400, "map")
-	if w.state(own) != Dark {
-		t.Fatal(w.state(own))
+	sim := &simulation{picker: newPicker(t, options()), responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refusesConnections}}
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	sim.run(3*time.Second, 400, "map")
+	if sim.state(own) != Dark {
+		t.Fatal(sim.state(own))
 	}
-	delete(w.does, own)
-	for w.state(own) == Dark && w.now < 20*time.Second {
-		w.play(50*ms, 400, "map")
+	delete(sim.responses, own)
+	for sim.state(own) == Dark && sim.now < 20*time.Second {
+		sim.run(50*ms, 400, "map")
 	}
-	l := w.picker.find(own)
+	l := sim.picker.find(own)
 	var steps []float64
-	for w.state(own) == Returning && l.rampStep < 3 && w.now < 60*time.Second {
-		if s := l.stateFactor(&w.picker.options); len(steps) == 0 || steps[len(steps)-1] != s {
+	for sim.state(own) == Returning && l.rampStep < 3 && sim.now < 60*time.Second {
+		if s := l.stateFactor(&sim.picker.options); len(steps) == 0 || steps[len(steps)-1] != s {
 			steps = append(steps, s)
 		}
-		w.clear()
-		w.play(200*ms, 400, "map")
-		if n := float64(w.sent[own]); n > 80*l.stateFactor(&w.picker.options)+3 {
-			t.Errorf("%v of 80 at a share of %v", n, l.stateFactor(&w.picker.options))
+		sim.clear()
+		sim.run(200*ms, 400, "map")
+		if n := float64(sim.sent[own]); n > 80*l.stateFactor(&sim.picker.options)+3 {
+			t.Errorf("%v of 80 requests sent to a zone with a share of %v", n, l.stateFactor(&sim.picker.options))
 		}
 	}
 	if want := fmt.Sprint([]float64{1.0 / 16, 1.0 / 8, 1.0 / 4}); fmt.Sprint(steps) != want {
-		t.Errorf("steps %v, want %s", steps, want)
+		t.Errorf("shares by ramp step: got %v, want %s", steps, want)
 	}
 	n := 0
-	w.does[own] = func(string) (balancer.Result, time.Duration) { // a third of what it gets now is too much
+	sim.responses[own] = func(string) (balancer.Result, time.Duration) { // from this step on, a third of the attempts fail
 		if n++; n%3 == 0 {
 			return balancer.ServerError, ms
 		}
 		return balancer.Served, 5 * ms
 	}
-	for at := l.rampStep; l.rampStep == at && w.state(own) == Returning && w.now < 80*time.Second; {
-		w.play(50*ms, 400, "map")
+	for step := l.rampStep; l.rampStep == step && sim.state(own) == Returning && sim.now < 80*time.Second; {
+		sim.run(50*ms, 400, "map")
 	}
-	if w.state(own) != Returning || l.rampStep != 2 {
-		t.Errorf("%v at step %d after a failed step 3", w.state(own), l.rampStep)
+	if sim.state(own) != Returning || l.rampStep != 2 {
+		t.Errorf("after the failure of step 3: got %v at step %d, want returning at step 2", sim.state(own), l.rampStep)
 	}
-	delete(w.does, own)
-	w.play(20*time.Second, 400, "map")
-	if w.state(own) != Up {
-		t.Errorf("%v in the end", w.state(own))
+	delete(sim.responses, own)
+	sim.run(20*time.Second, 400, "map")
+	if sim.state(own) != Up {
+		t.Errorf("state at the end: got %v, want up", sim.state(own))
 	}
 }
 
-// A zone whose endpoints leave the list is remembered: it returns with a ramp, whatever IDs its servers have.
+// A zone whose endpoints leave the endpoint list is remembered: when endpoints return, it gets a recovery ramp, even if their IDs are
+// new.
 func TestZoneReturnsToTheList(t *testing.T) {
-	w := &world{picker: newPicker(t, options())}
-	w.picker.UpdateHealth(0, allReady(own, other))
-	w.play(time.Second, 200, "map")
-	w.picker.UpdateHealth(w.now, allReady(other))
-	w.play(10*time.Second, 200, "map") // the source is late
-	if w.state(own) != Dark || w.rejected > 20 {
-		t.Errorf("%v, %d rejected", w.state(own), w.rejected)
-	}
-	w.picker.UpdateHealth(w.now, allReady(own, other))
-	w.clear()
-	w.play(time.Second, 200, "map")
-	if n := w.sent[own]; n == 0 || n > 20 {
-		t.Errorf("%d of 200 in the first second of its return", n)
+	sim := &simulation{picker: newPicker(t, options())}
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	sim.run(time.Second, 200, "map")
+	sim.picker.UpdateHealth(sim.now, allReady(other))
+	sim.run(10*time.Second, 200, "map") // the endpoint source is late
+	if sim.state(own) != Dark || sim.rejected > 20 {
+		t.Errorf("zone off the endpoint list: got %v and %d requests rejected, want dark and at most 20", sim.state(own), sim.rejected)
+	}
+	sim.picker.UpdateHealth(sim.now, allReady(own, other))
+	sim.clear()
+	sim.run(time.Second, 200, "map")
+	if n := sim.sent[own]; n == 0 || n > 20 {
+		t.Errorf("%d of 200 requests sent to the zone in the first second after its return, want 1 to 20", n)
 	}
 }
 
-// A zone that serves one class and rejects another gets the one, and the other now and then.
+// A zone that serves one class and rejects another keeps getting the first one, and gets the other only for occasional trials.
 func TestEjectionForOneClass(t *testing.T) {
-	w := &world{picker: newPicker(t, options())}
-	w.does = map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: func(class string) (balancer.Result, time.Duration) {
+	sim := &simulation{picker: newPicker(t, options())}
+	sim.responses = map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: func(class string) (balancer.Result, time.Duration) {
 		if class == "hold" {
 			return balancer.Rejected, ms
 		}
 		return balancer.Served, 5 * ms
 	}}
-	w.picker.UpdateHealth(0, allReady(own, other))
+	sim.picker.UpdateHealth(0, allReady(own, other))
 	for range 400 {
-		w.play(25*ms, 200, "map")
-		w.play(25*ms, 200, "hold")
+		sim.run(25*ms, 200, "map")
+		sim.run(25*ms, 200, "hold")
 	}
-	w.clear()
+	sim.clear()
 	for range 200 {
-		w.play(25*ms, 200, "map")
+		sim.run(25*ms, 200, "map")
 	}
-	if w.state(own) != Up || w.sent[own] < 900 {
-		t.Errorf("%v, %v of 1000 maps", w.state(own), w.sent)
+	if sim.state(own) != Up || sim.sent[own] < 900 {
+		t.Errorf("state %v, map requests by locality %v, want up and at least 900 of 1000 to %v", sim.state(own), sim.sent, own)
 	}
-	w.clear()
+	sim.clear()
 	for range 200 {
-		w.play(25*ms, 200, "hold")
-		w.play(5*ms, 200, "map")
+		sim.run(25*ms, 200, "hold")
+		sim.run(5*ms, 200, "map")
 	}
-	if n := w.sent[own]; n > 260 { // 200 maps, and trials
-		t.Errorf("%d attempts at the own zone", n)
+	if n := sim.sent[own]; n > 260 { // 200 map requests and the trials
+		t.Errorf("%d attempts sent to the own zone, want at most 260", n)
 	}
 }
 
-// With all zones dark requests are rejected at once, and the first zone to recover is found within the time of two probes.
+// While all zones are dark, requests are rejected at once. A zone that recovers is used again after two probes.
 func TestAllZonesDark(t *testing.T) {
-	w := &world{picker: newPicker(t, options()), does: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refusesConnections, other: refusesConnections}}
-	w.picker.UpdateHealth(0, allReady(own, other))
-	w.play(10*time.Second, 200, "map")
-	w.clear()
-	w.play(5*time.Second, 200, "map")
-	if n := w.sent[own] + w.sent[other]; n > 40 {
-		t.Errorf("%d attempts at dark zones in 5 s", n)
-	}
-	w.does[other] = served
-	began := w.now
-	for w.state(other) == Dark && w.now < began+time.Minute {
-		w.play(10*ms, 200, "map")
-	}
-	if d := w.now - began; d > 2*time.Second {
-		t.Errorf("found after %v", d)
-	}
-	w.clear()
-	w.play(time.Second, 200, "map")
-	if n := w.sent[other]; n > 60 {
-		t.Errorf("%d of 200 rush to the one that is back", n)
+	sim := &simulation{picker: newPicker(t, options()), responses: map[balancer.Locality]func(string) (balancer.Result, time.Duration){own: refusesConnections, other: refusesConnections}}
+	sim.picker.UpdateHealth(0, allReady(own, other))
+	sim.run(10*time.Second, 200, "map")
+	sim.clear()
+	sim.run(5*time.Second, 200, "map")
+	if n := sim.sent[own] + sim.sent[other]; n > 40 {
+		t.Errorf("%d attempts sent to dark zones in 5 s, want at most 40", n)
+	}
+	sim.responses[other] = served
+	start := sim.now
+	for sim.state(other) == Dark && sim.now < start+time.Minute {
+		sim.run(10*ms, 200, "map")
+	}
+	if elapsed := sim.now - start; elapsed > 2*time.Second {
+		t.Errorf("recovered zone is in use after %v, want at most 2s", elapsed)
+	}
+	sim.clear()
+	sim.run(time.Second, 200, "map")
+	if n := sim.sent[other]; n > 60 {
+		t.Errorf("%d of 200 requests sent to the recovered zone in the first second, want at most 60", n)
 	}
 }
 
-// Attempts from before a zone went dark are no probes, whenever and however they end: neither do good ones start its ramp nor do
-// bad ones keep it dark.
-func TestEarlierAttemptsAreNoProbes(t *testing.T) {
-	for _, late := range []balancer.Result{balancer.Served, balancer.ServerError} {
+// Attempts sent before a zone went dark do not count as probes, whenever and however they end: served ones do not start the recovery
+// ramp, and failed ones do not keep the zone dark.
+func TestEarlierAttemptsAreNotProbes(t *testing.T) {
+	for _, result := range []balancer.Result{balancer.Served, balancer.ServerError} {
 		picker := newPicker(t, options())
 		picker.UpdateHealth(0, allReady(own, other))
-		old := balancer.LocalityRequest{Class: "map", TimeLeft: time.Minute}
+		earlier := balancer.LocalityRequest{Class: "map", TimeLeft: time.Minute}
 		for range 20 {
-			picker.AttemptSent(0, own, old)
+			picker.AttemptSent(0, own, earlier)
 		}
 		now := ms
 		for ; picker.find(own).state != Dark; now += 10 * ms {
-			a := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second, SentAt: now}
-			picker.AttemptSent(now, own, a)
-			picker.AttemptEnded(now+ms, own, a, balancer.NotConnected, ms)
+			request := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second, SentAt: now}
+			picker.AttemptSent(now, own, request)
+			picker.AttemptEnded(now+ms, own, request, balancer.NotConnected, ms)
 		}
-		probe := func() balancer.LocalityRequest {
+		sendProbe := func() balancer.LocalityRequest {
 			for ; ; now += 10 * ms {
-				a := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second, SentAt: now}
-				if at, ok, _ := picker.Pick(now, a); ok && at == own {
-					picker.AttemptSent(now, own, a)
-					return a
+				request := balancer.LocalityRequest{Class: "map", TimeLeft: time.Second, SentAt: now}
+				if target, ok, _ := picker.Pick(now, request); ok && target == own {
+					picker.AttemptSent(now, own, request)
+					return request
 				}
 			}
 		}
-		a := probe()
+		request := sendProbe()
 		for range 5 {
-			picker.AttemptEnded(now, own, old, late, now)
+			picker.AttemptEnded(now, own, earlier, result, now)
 		}
 		l := picker.find(own)
 		if l.probesInFlight != 1 || l.consecutiveGoodProbes != 0 || l.state != Dark {
-			t.Fatalf("%v: %d probes in flight, %d consecutive good ones, %v", late, l.probesInFlight, l.consecutiveGoodProbes, l.state)
+			t.Fatalf("earlier attempts end with result %v: got %d probes in flight, %d consecutive good ones and state %v, want 1, 0 and dark", result, l.probesInFlight, l.consecutiveGoodProbes, l.state)
 		}
-		picker.AttemptEnded(now, own, a, balancer.Served, ms)
-		if picker.AttemptEnded(now, own, old, late, now); l.consecutiveGoodProbes != 1 {
-			t.Fatalf("%v: %d consecutive good probes after one", late, l.consecutiveGoodProbes)
+		picker.AttemptEnded(now, own, request, balancer.Served, ms)
+		if picker.AttemptEnded(now, own, earlier, result, now); l.consecutiveGoodProbes != 1 {
+			t.Fatalf("earlier attempts end with result %v: got %d consecutive good probes after one served probe, want 1", result, l.consecutiveGoodProbes)
 		}
-		a = probe()
-		for now < l.darkUntil { // the hold
+		request = sendProbe()
+		for now < l.darkUntil { // wait for the end of the hold
 			now += 10 * ms
 		}
-		picker.AttemptEnded(now, own, a, balancer.Served, ms)
+		picker.AttemptEnded(now, own, request, balancer.Served, ms)
 		if l.state != Returning {
-			t.Fatalf("%v: %v after two good probes", late, l.state)
+			t.Fatalf("earlier attempts end with result %v: state after two served probes: got %v, want returning", result, l.state)
 		}
 		for range minRampAnswers {
-			picker.AttemptEnded(now, own, old, late, now)
+			picker.AttemptEnded(now, own, earlier, result, now)
 		}
 		if good, bad := l.rampAttempts(); good != 0 || bad != 0 {
-			t.Errorf("%v: %d good and %d bad attempts count for a step that they were not sent in", late, good, bad)
+			t.Errorf("earlier attempts end with result %v: got %d good and %d bad attempts in the ramp step, want 0 and 0", result, good, bad)
 		}
 	}
 }
