--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Verdict is what an Admission decides about a request.
+// Verdict is the decision of an Admission about a request.
 type Verdict uint8
 
-// The verdicts about a request.
+// The decisions of an Admission.
 const (
-	Admit   Verdict = iota // it starts now
-	Enqueue                // it waits until Admission.Next returns it
-	Reject                 // it is rejected at once
+	Admit   Verdict = iota // the request starts now
+	Enqueue                // the request is queued until Admission.Next returns it
+	Reject                 // the request is rejected immediately
 )
 
-// Arrival is a request that has arrived.
+// Arrival describes a request that has arrived.
 type Arrival struct {
-	Seq          uint64 // by which Next and Withdraw name it
+	Seq          uint64 // identifies the request in Next and Withdraw
 	Class        string
 	Tenant       string
 	TimeLeft     time.Duration // until the client gives up
-	HighPriority bool          // of Envoy's two routing priorities
-	Size         int64         // bytes that are retained while it is queued
+	HighPriority bool          // Envoy's routing priority HIGH instead of DEFAULT
+	Size         int64         // bytes that are retained while the request is queued
 }
 
-// Sample is how an attempt went. There is one for each attempt: when its answer began, or when it ended without one.
+// Sample is the observation of one attempt. Each attempt has exactly one Sample: when its answer began, or when it ended without
+// an answer.
 type Sample struct {
 	Class        string
 	HighPriority bool
-	Retry        bool // it was not its request's first attempt
+	Retry        bool // not the first attempt of its request; includes hedges
 	SentAt       time.Duration
 	Latency      time.Duration
 	Result       Result
 }
 
-// Admission decides which requests may start and limits retries. It is called from one goroutine at a time and must not call
-// back. A Balancer without one goes by its own overload estimate.
+// Admission decides which requests may start, and limits retries. It is called from one goroutine at a time and must not call
+// back into the Balancer. A Balancer without an Admission uses its own overload estimate.
 type Admission interface {
-	// SetEndpoints takes the number of running servers.
+	// SetEndpoints reports the number of servers in state Running.
 	SetEndpoints(now time.Duration, running int)
-	// Arrive decides about a request. With Enqueue, after is how long it waits at most; with Reject, it is the Retry-After.
-	Arrive(now time.Duration, a Arrival) (v Verdict, after time.Duration)
-	// Next returns a queued request that is to be admitted or rejected now; ok is false if there is none.
-	Next(now time.Duration) (seq uint64, v Verdict, after time.Duration, ok bool)
-	// Withdraw takes a request out of the queue whose client has given up.
+	// Arrive decides about a request. With Enqueue, after is the maximum time in the queue; with Reject, it is the Retry-After.
+	Arrive(now time.Duration, arrival Arrival) (verdict Verdict, after time.Duration)
+	// Next returns a queued request that is to be admitted or rejected now; with Reject, after is the Retry-After. If there is no
+	// such request, ok is false.
+	Next(now time.Duration) (seq uint64, verdict Verdict, after time.Duration, ok bool)
+	// Withdraw removes a request from the queue, for example because its client has disconnected.
 	Withdraw(seq uint64)
-	// Done notes that an admitted request has its answer, or that its streamed answer has begun.
-	Done(now time.Duration, high bool)
-	// AttemptEnded notes how an attempt went.
-	AttemptEnded(now time.Duration, s Sample)
-	// MayRetry reports whether one more attempt may be made for a request that has had one.
-	MayRetry(now time.Duration, high bool) bool
-	// RetryStarted notes that it was made.
-	RetryStarted(now time.Duration, high bool)
+	// Done reports that an admitted request has its final answer or that its answer has begun to stream.
+	Done(now time.Duration, highPriority bool)
+	// AttemptEnded reports the observation of an attempt.
+	AttemptEnded(now time.Duration, sample Sample)
+	// MayRetry reports whether the retry budget allows one more retry or hedge.
+	MayRetry(now time.Duration, highPriority bool) bool
+	// RetryStarted reports that a retry or hedge was sent.
+	RetryStarted(now time.Duration, highPriority bool)
 }
 
-// arrive asks the Admission whether a request may start.
-func (b *Balancer) arrive(now time.Duration, r *request) {
+// requestAdmission asks the Admission whether a request may start, and starts, queues or rejects the request accordingly.
+func (b *Balancer) requestAdmission(now time.Duration, r *request) {
 	verdict, after := b.settings.Admission.Arrive(now, Arrival{
 		Seq:          r.seq,
 		Class:        r.Class,
@@ -72,8 +74,8 @@
 	b.admitQueued(now)
 }
 
-// admitQueued admits or rejects the queued requests that the Admission returns. A request that ends at once makes room for the
-// next, which this loop takes; it does not call itself.
+// admitQueued admits or rejects the queued requests that the Admission returns. Nested calls return immediately: if an admitted
+// request ends while this loop runs, the loop also admits the request that takes its place.
 func (b *Balancer) admitQueued(now time.Duration) {
 	if b.settings.Admission == nil || b.admittingQueued {
 		return
@@ -99,11 +101,12 @@
 		return
 	}
 	r.retryAfter = after
-	b.refuse(now, r)
+	b.rejectOrFail(now, r)
 }
 
-// leaveAdmission notes that a request needs no more capacity: it starts nothing more, or its answer is being streamed.
-func (b *Balancer) leaveAdmission(now time.Duration, r *request) {
+// releaseAdmission withdraws a queued request from the Admission or reports an admitted one as done. It is called when the request
+// is finished or when its answer begins to stream.
+func (b *Balancer) releaseAdmission(now time.Duration, r *request) {
 	if r.queued {
 		b.settings.Admission.Withdraw(r.seq)
 	} else if r.admitted {
@@ -113,7 +116,7 @@
 	r.admitted = false
 }
 
-// reportAttempt tells the Admission how an attempt went.
+// reportAttempt passes the observation of an attempt to the Admission.
 func (b *Balancer) reportAttempt(now time.Duration, r *request, attempt int, result Result, latency time.Duration) {
 	if b.settings.Admission == nil {
 		return
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -8,87 +8,87 @@
 	"pgregory.net/rapid"
 )
 
-// randomAdmission is an Admission that draws its verdicts and records what is queued.
+// randomAdmission is an Admission that decides at random. It counts the admitted requests and records the queued ones.
 type randomAdmission struct {
 	t       *rapid.T
-	waits   []uint64
+	queue   []uint64
 	started int
 	samples int
 }
 
-func (g *randomAdmission) SetEndpoints(time.Duration, int) {}
+func (a *randomAdmission) SetEndpoints(time.Duration, int) {}
 
-func (g *randomAdmission) Arrive(_ time.Duration, a Arrival) (Verdict, time.Duration) {
-	v := Verdict(rapid.IntRange(0, 2).Draw(g.t, "verdict"))
+func (a *randomAdmission) Arrive(_ time.Duration, arrival Arrival) (Verdict, time.Duration) {
+	v := Verdict(rapid.IntRange(0, 2).Draw(a.t, "verdict"))
 	switch v {
 	case Admit:
-		g.started++
+		a.started++
 	case Enqueue:
-		g.waits = append(g.waits, a.Seq)
+		a.queue = append(a.queue, arrival.Seq)
 	}
 	return v, 50 * ms
 }
 
-func (g *randomAdmission) Next(time.Duration) (uint64, Verdict, time.Duration, bool) {
-	if len(g.waits) == 0 || rapid.IntRange(0, 2).Draw(g.t, "next") > 0 {
+func (a *randomAdmission) Next(time.Duration) (uint64, Verdict, time.Duration, bool) {
+	if len(a.queue) == 0 || rapid.IntRange(0, 2).Draw(a.t, "next") > 0 {
 		return 0, 0, 0, false
 	}
-	seq := g.waits[0]
-	g.waits = g.waits[1:]
-	if rapid.Bool().Draw(g.t, "starts") {
-		g.started++
+	seq := a.queue[0]
+	a.queue = a.queue[1:]
+	if rapid.Bool().Draw(a.t, "starts") {
+		a.started++
 		return seq, Admit, 0, true
 	}
 	return seq, Reject, time.Second, true
 }
 
-func (g *randomAdmission) Withdraw(seq uint64) {
-	for i, w := range g.waits {
+func (a *randomAdmission) Withdraw(seq uint64) {
+	for i, w := range a.queue {
 		if w == seq {
-			g.waits = append(g.waits[:i], g.waits[i+1:]...)
+			a.queue = append(a.queue[:i], a.queue[i+1:]...)
 			return
 		}
 	}
-	g.t.Fatalf("%d is withdrawn and is not queued", seq)
+	a.t.Fatalf("Withdraw(%d): request is not queued", seq)
 }
 
-func (g *randomAdmission) Done(time.Duration, bool) {
-	if g.started--; g.started < 0 {
-		g.t.Fatal("more are done than started")
+func (a *randomAdmission) Done(time.Duration, bool) {
+	if a.started--; a.started < 0 {
+		a.t.Fatal("Done called more often than requests were admitted")
 	}
 }
 
-func (g *randomAdmission) AttemptEnded(time.Duration, Sample) { g.samples++ }
+func (a *randomAdmission) AttemptEnded(time.Duration, Sample) { a.samples++ }
 
-func (g *randomAdmission) MayRetry(time.Duration, bool) bool { return rapid.Bool().Draw(g.t, "retry") }
+func (a *randomAdmission) MayRetry(time.Duration, bool) bool { return rapid.Bool().Draw(a.t, "retry") }
 
-func (g *randomAdmission) RetryStarted(time.Duration, bool) {}
+func (a *randomAdmission) RetryStarted(time.Duration, bool) {}
 
-// admissionPlay plays random events against a Balancer with a randomAdmission.
-type admissionPlay struct {
+// admissionRun feeds random events to a Balancer with a randomAdmission and checks its actions.
+type admissionRun struct {
 	t         *rapid.T
 	admission *randomAdmission
 	balancer  *Balancer
 	host      *recorder
 	now       time.Duration
-	arrived   int            // requests
-	final     map[string]int // final answers by request
-	ended     int            // attempts
+	arrived   int            // number of requests
+	final     map[string]int // number of final answers by request
+	ended     int            // number of ended attempts
 }
 
-// Whatever an Admission decides: each request has one final answer, none is sent before it is admitted, and each queued, admitted
-// and ended request is reported once.
+// Whatever an Admission decides, each request gets exactly one final answer, no request is sent before it is admitted, and the
+// Balancer and the Admission agree on the number of admitted requests, queued requests and ended attempts.
 func TestInvariantsWithAnyAdmission(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &admissionPlay{t: t, admission: &randomAdmission{t: t}, host: &recorder{}, final: map[string]int{}}
-		set := settings()
-		set.Admission, set.RetryAfter, set.MaxRetryAfter = p.admission, true, 5*time.Second
+		p := &admissionRun{t: t, admission: &randomAdmission{t: t}, host: &recorder{}, final: map[string]int{}}
+		cfg := settings()
+		cfg.Admission, cfg.RetryAfter, cfg.MaxRetryAfter = p.admission, true, 5*time.Second
 		var err error
-		if p.balancer, err = New(set, 7, p.host); err != nil {
+		if p.balancer, err = New(cfg, 7, p.host); err != nil {
 			t.Fatal(err)
 		}
 		p.balancer.UpdateEndpoints(0, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(4)})
-		p.host.take()
+		p.host.takeActions()
 		for range rapid.IntRange(1, 150).Draw(t, "events") {
 			p.now += time.Duration(rapid.IntRange(0, 100).Draw(t, "gap")) * ms
 			p.host.now = p.now
@@ -99,7 +99,8 @@
 	})
 }
 
-func (p *admissionPlay) randomEvent() {
+// randomEvent feeds one random event to the Balancer.
+func (p *admissionRun) randomEvent() {
 	t, b := p.t, p.balancer
 	id := fmt.Sprint(rapid.IntRange(0, p.arrived).Draw(t, "id"))
 	switch rapid.IntRange(0, 6).Draw(t, "event") {
@@ -129,8 +130,8 @@
 	}
 }
 
-// endAttempt ends the first attempt in flight of a request, with any result.
-func (p *admissionPlay) endAttempt(r *request) {
+// endAttempt ends the first attempt in flight of a request with a random result.
+func (p *admissionRun) endAttempt(r *request) {
 	t, id := p.t, r.ID
 	for i := range r.attempts {
 		if !r.attempts[i].inFlight {
@@ -148,27 +149,27 @@
 	}
 }
 
-// checkActions checks what the Balancer has done since the last call.
-func (p *admissionPlay) checkActions() {
-	for _, a := range p.host.take() {
-		switch a.what {
+// checkActions checks the actions of the Balancer since the last call.
+func (p *admissionRun) checkActions() {
+	for _, a := range p.host.takeActions() {
+		switch a.kind {
 		case "send":
 			r := p.balancer.requests.byID[a.id]
 			queued := r != nil && r.queued
 			if p.final[a.id] > 0 || queued {
-				p.t.Fatalf("%s is sent, %d final answers", a.id, p.final[a.id])
+				p.t.Fatalf("request %s was sent with %d final answers and queued = %v, want 0 and false", a.id, p.final[a.id], queued)
 			}
 		case "reject", "fail":
 			p.final[a.id]++
 			if p.final[a.id] > 1 {
-				p.t.Fatalf("%s has %d final answers", a.id, p.final[a.id])
+				p.t.Fatalf("request %s got %d final answers, want 1", a.id, p.final[a.id])
 			}
 		}
 	}
 }
 
-// checkCounts checks that the Balancer and its Admission agree.
-func (p *admissionPlay) checkCounts() {
+// checkCounts checks that the counts of the Balancer and its Admission agree.
+func (p *admissionRun) checkCounts() {
 	admitted, queued := 0, 0
 	for _, r := range p.balancer.requests.byID {
 		if r.admitted {
@@ -178,8 +179,9 @@
 			queued++
 		}
 	}
-	g := p.admission
-	if admitted != g.started || queued != len(g.waits) || g.samples != p.ended {
-		p.t.Fatalf("%d of %d admitted, %d of %d queued, %d samples of %d ends", g.started, admitted, len(g.waits), queued, g.samples, p.ended)
+	a := p.admission
+	if admitted != a.started || queued != len(a.queue) || a.samples != p.ended {
+		p.t.Fatalf("Admission counts %d admitted, %d queued and %d samples, want %d, %d and %d",
+			a.started, len(a.queue), a.samples, admitted, queued, p.ended)
 	}
 }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// State is what the endpoint list says of a server.
+// State is the state of a server on the endpoint list.
 type State uint8
 
 // The states of a server.
 const (
-	Running  State = iota // may be sent requests
+	Running  State = iota // may get requests
 	Draining              // gets no new requests
-	Removed               // leaves the list
+	Removed               // is to be deleted from the list
 )
 
 // Server is one entry of the endpoint list.
@@ -17,50 +17,50 @@
 	ID       string
 	Zone     string
 	Kind     string // servers of one kind are expected to be equally fast
-	Cell     int
+	Cell     int    // cell within the zone; servers of one cell may share idempotency keys, see GroupCell
 	State    State
-	Weight   float64       // not positive or infinite: the mean of the weights listed so far is taken
-	Since    time.Duration // when it last started; 0: long ago
-	Priority int           // priority of its locality, where Settings.Localities is set
+	Weight   float64       // replaced by the mean of the weights listed so far unless positive and finite
+	Since    time.Duration // clock reading at its last start; 0: long ago
+	Priority int           // priority of its locality, used only if Settings.Localities is set
 }
 
-// UpdateKind says what an EndpointUpdate holds.
+// UpdateKind is the kind of an EndpointUpdate and determines the meaning of its Servers.
 type UpdateKind uint8
 
 // The kinds of endpoint updates.
 const (
-	UpdateDelta    UpdateKind = iota // entries that changed
+	UpdateDelta    UpdateKind = iota // only the entries that changed
 	UpdateSnapshot                   // the complete list
-	UpdateCached                     // the complete list as last known, perhaps stale
-	UpdateFailed                     // a poll failed or the watch broke; no entries
+	UpdateCached                     // the complete list as last known; may be stale
+	UpdateFailed                     // a poll failed or the watch broke; Servers is empty
 )
 
 // EndpointUpdate is a watch event or the result of a poll of the endpoint list.
 type EndpointUpdate struct {
 	Kind    UpdateKind
 	Servers []Server
-	// SilentFor belongs to UpdateFailed alone: how long a watch that broke had been silent by then, 0 where a poll failed. The
-	// next poll is due so much sooner.
+	// SilentFor is set only with UpdateFailed: how long a broken watch had received nothing, or 0 if a poll failed. The time
+	// until the next poll is shortened accordingly.
 	SilentFor time.Duration
 }
 
-// Request is a client's request that this proxy has accepted and owes one final answer.
+// Request is a client's request that this proxy has accepted. It gets exactly one final answer.
 type Request struct {
 	ID     string
 	Class  string
 	Tenant string
-	// HighPriority and Size are for an Admission: the priority HIGH of Envoy's circuit breakers, and the bytes that are retained
-	// while the request is queued.
+	// HighPriority and Size are passed to the Admission. HighPriority selects the priority HIGH of Envoy's circuit breakers; Size
+	// is the number of bytes that are retained while the request is queued.
 	HighPriority bool
 	Size         int64
 	TimeLeft     time.Duration // until the client gives up
 	Work         time.Duration // expected work; 0: unknown
-	Key          string        // what it concerns; may be empty
+	Key          string        // identifies the object that the request concerns; may be empty
 	Write        bool
 	Retry        bool
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt or of a health check.
 type Result uint8
 
 // The results of attempts. Only Rejected, NotConnected and NotSent prove that the request was not executed.
@@ -75,18 +75,18 @@
 	NotSent
 )
 
-// Outcome is the end of an attempt; there is one for each Host.Send.
+// Outcome describes how an attempt ended. Each Host.Send is followed by exactly one Outcome.
 type Outcome struct {
 	ID         string
-	Attempt    int // attempts of a request are numbered from 0
+	Attempt    int // number of the attempt within its request, from 0
 	Result     Result
 	Latency    time.Duration
-	Final      bool          // the request has its final answer
-	RetryAfter time.Duration // how long the server asks not to be sent requests; 0: it does not
+	Final      bool          // the client has its final answer
+	RetryAfter time.Duration // the server's Retry-After: how long to send it no requests; 0: none
 	LoadReport map[string]float64
 }
 
-// HealthCheckResult is the end of a health check.
+// HealthCheckResult is the result of a health check.
 type HealthCheckResult struct {
 	Server     string
 	Result     Result
@@ -94,25 +94,27 @@
 	LoadReport map[string]float64
 }
 
-// Host carries out what a Balancer decides. Its methods must not block and must not call back into the Balancer.
+// Host executes the actions of a Balancer. Its methods must not block and must not call back into the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request. An expire of zero sets it no time limit of its own.
-	Send(id, server string, expire time.Duration)
-	// Reject answers a request that was not executed, or may be repeated; a retryAfter of zero gives the client no advice.
+	// Send starts the next attempt of a request. The attempt times out at the clock reading expiresAt; with 0, only the request's
+	// deadline applies.
+	Send(id, server string, expiresAt time.Duration)
+	// Reject answers a request that was not executed or may be repeated safely. With a retryAfter of 0, the answer has no
+	// Retry-After.
 	Reject(id string, retryAfter time.Duration)
 	// Fail answers a request that may have been executed and cannot be repeated.
 	Fail(id string)
-	// Cancel stops waiting for an attempt. Its Outcome still follows.
+	// Cancel aborts an attempt. The Outcome of the attempt is still reported.
 	Cancel(id string, attempt int)
-	// HealthCheck starts a health check, whose end goes to Balancer.HealthChecked.
+	// HealthCheck starts a health check. Its result is passed to Balancer.HealthChecked.
 	HealthCheck(server string)
 	// CloseIdle closes idle connections to a server.
 	CloseIdle(server string)
-	// SetTimer asks for one call of Balancer.Timer with the token after that time.
+	// SetTimer schedules one call of Balancer.Timer with the token after the given time.
 	SetTimer(token uint64, after time.Duration)
-	// Watch starts or stops following changes of the endpoint list.
+	// Watch starts or stops watching the endpoint list.
 	Watch(on bool)
-	// Fetch asks for the complete endpoint list once.
+	// Fetch requests the complete endpoint list once.
 	Fetch()
 	// Log writes a line to the proxy's log.
 	Log(text string)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Tokens of the timers that belong to no request. Those of requests are their sequence numbers.
+// Tokens of the timers that belong to no request. The timer of a request has the request's sequence number as its token.
 const (
 	pollTimer  = 0
 	hedgeTimer = math.MaxInt64
 )
 
-// Balancer makes the decisions of one proxy. It must be called from one goroutine at a time.
+// Balancer makes the load-balancing decisions of one proxy. It must be called from one goroutine at a time.
 type Balancer struct {
 	settings Settings
 	host     Host
@@ -21,28 +21,28 @@
 	tenants  map[string]*tenant
 
 	minObjective time.Duration // the shortest latency objective of all classes
-	shortWindow  time.Duration // time constant of what changes within some answers
-	longWindow   time.Duration // time constant of what is known of a server
+	shortWindow  time.Duration // time constant of means that follow the current load
+	longWindow   time.Duration // time constant of means that describe a server, a kind or a zone
 
 	endpoints endpointList
 	polls     pollSchedule
 	subset    subset
 	slowStart warmBaseline
 	latencies kindLatencies
-	zoneLoss  map[string]*decayingMean // lost value of the attempts in each zone, from 0 to 1
+	zoneLoss  map[string]*decayingMean // loss of the attempts by zone, see observeOutcome
 
 	requests    requestTable
 	load        attemptLoad
 	overload    overloadEstimate
 	retryBudget retryBudget
 
-	hedgeTimerSet    bool
-	admittingQueued  bool             // requests that an Admission had queued are being started
-	localitiesHealth []LocalityHealth // reused by reportHealth
-	firstRequestAt   time.Duration
+	hedgeTimerSet   bool
+	admittingQueued bool             // admitQueued is running
+	localityHealth  []LocalityHealth // buffer of reportHealth
+	firstRequestAt  time.Duration
 }
 
-// New returns the Balancer of one proxy. The error names the first setting that cannot be used.
+// New returns a Balancer for one proxy. The error names the first invalid setting.
 func New(s Settings, seed uint64, host Host) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -74,12 +74,12 @@
 		rate := t.Rate / float64(max(s.Proxies, 1))
 		b.tenants[t.Name] = &tenant{rate: rate, tokens: rate}
 	}
-	// What is known of a server holds for about as long as it takes one to warm up.
+	// Observations of a server remain valid for about as long as a server takes to warm up.
 	b.longWindow = max(b.longWindow, s.WarmUpTime)
 	return b, nil
 }
 
-// Timer takes a timer that has run out.
+// Timer handles the expiry of a timer that was set with Host.SetTimer.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	switch token {
 	case pollTimer:
@@ -94,5 +94,5 @@
 	}
 }
 
-// HealthChecked takes the result of a health check. The Balancer asks for none and ignores it.
+// HealthChecked ignores the result of a health check: the Balancer never calls Host.HealthCheck.
 func (b *Balancer) HealthChecked(time.Duration, HealthCheckResult) {}
--- a/balancer/class.go
+++ b/balancer/class.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	minSamples       = 10.0 // served attempts from which on a class's latency counts as known
-	smoothingSamples = 50.0 // of which a new sample counts for one from then on
+	minSamples       = 10.0 // served attempts after which the latency of a class counts as known
+	smoothingSamples = 50.0 // after minSamples, a new sample has a weight of 1/smoothingSamples
 )
 
-// class is a class and how long its requests take.
+// class is a request class with its observed latency.
 type class struct {
 	Class
-	latency   float64 // mean of served attempts, in nanoseconds
-	deviation float64 // mean deviation from it, in nanoseconds
-	samples   float64
+	latency   float64 // mean latency of served attempts, in nanoseconds
+	deviation float64 // mean absolute deviation from latency, in nanoseconds
+	samples   float64 // number of served attempts
 }
 
-// observeLatency takes the latency of a served attempt, in nanoseconds.
+// observeLatency adds the latency of a served attempt, in nanoseconds.
 func (c *class) observeLatency(latency float64) {
 	c.samples++
 	smoothing := smoothingSamples
@@ -28,7 +28,7 @@
 	c.latency += (latency - c.latency) / smoothing
 }
 
-// weightPerWork is the priority weight of a request over the work that it takes.
+// weightPerWork returns the priority weight of a request per unit of work. The mean latency stands for the work.
 func (c *class) weightPerWork(weightByWork bool) float64 {
 	if weightByWork {
 		return c.PriorityWeight
@@ -36,7 +36,7 @@
 	return c.PriorityWeight / max(c.latency, 1)
 }
 
-// objectiveStretch is the multiple of its mean latency that a request may take within the latency objective.
+// objectiveStretch returns the latency objective as a multiple of the mean latency.
 func (c *class) objectiveStretch() float64 {
 	return float64(c.LatencyObjective) / max(c.latency, 1)
 }
--- a/balancer/decayingmean.go
+++ b/balancer/decayingmean.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// decayingMean is a mean whose samples lose weight exponentially as time passes.
+// decayingMean is a mean whose samples lose weight exponentially over time. Its zero value has no samples.
 type decayingMean struct {
 	sum       float64
 	count     float64
 	decayedAt time.Duration
 }
 
-// decay brings the mean to now and returns it.
+// decay applies the decay up to now and returns m.
 func (m *decayingMean) decay(now, timeConstant time.Duration) *decayingMean {
 	if now > m.decayedAt {
 		factor := math.Exp(-float64(now-m.decayedAt) / float64(timeConstant))
@@ -28,12 +28,12 @@
 	m.count++
 }
 
-// mean returns the mean of the samples and of a prior that counts for priorCount of them.
+// mean returns the mean of the samples and of a prior that counts as priorCount samples.
 func (m *decayingMean) mean(prior, priorCount float64) float64 {
 	return (m.sum + prior*priorCount) / (m.count + priorCount)
 }
 
-// decayedByName returns the mean of a name, decayed to now. An absent one is added.
+// decayedByName returns the mean with the given name, decayed to now. A missing mean is added to the map.
 func decayedByName(means map[string]*decayingMean, name string, now, timeConstant time.Duration) *decayingMean {
 	m := means[name]
 	if m == nil {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// maxStaleNames is how many zones and kinds may be remembered beyond those of the list.
+// maxStaleNames limits the zones and kinds that are retained although no listed server has them.
 const maxStaleNames = 64
 
-// endpointList holds the servers of the endpoint list in an order of this proxy's own, in which the servers that were listed
-// first do not come first.
+// endpointList holds the servers of the endpoint list. Their order differs between proxies and does not follow the list, so that
+// the proxies do not all prefer the servers that are listed first.
 type endpointList struct {
 	byID    map[string]*server
 	ordered []*server            // in the order of compareRank
 	byZone  map[string][]*server // in the order of compareRank; no empty zones
 
-	known        bool           // the list has come, beyond the cached one
+	known        bool           // a list other than the cached one has been received
 	running      int            // servers in state Running
-	added        int            // servers that were ever added
-	addedByZone  map[string]int // the same by zone
-	listedWeight decayingMean   // of the weights listed so far, without decay
+	added        int            // number of servers ever added
+	addedByZone  map[string]int // like added, by zone
+	listedWeight decayingMean   // mean of all weights listed so far, without decay
 }
 
 func newEndpointList() endpointList {
 	return endpointList{byID: map[string]*server{}, byZone: map[string][]*server{}, addedByZone: map[string]int{}}
 }
 
-// UpdateEndpoints takes a change of the endpoint list. New servers start with nothing in flight, and requests in flight to
-// removed ones still get their outcome.
+// UpdateEndpoints applies an update of the endpoint list. New servers start with nothing in flight, and attempts in flight at
+// removed servers are still to be reported with Outcome.
 func (b *Balancer) UpdateEndpoints(now time.Duration, u EndpointUpdate) {
 	if u.Kind == UpdateFailed {
 		b.polls.failed(now, u.SilentFor)
@@ -49,7 +49,7 @@
 	}
 	b.endpoints.known = b.endpoints.known || u.Kind != UpdateCached
 	if b.endpoints.known && b.endpoints.running == 0 {
-		b.dispatchAll(now) // there is nothing to wait for any more: all are rejected
+		b.dispatchAll(now) // no server can be expected: all requests are answered with an error
 	}
 	b.admitQueued(now)
 	if u.Kind == UpdateCached {
@@ -77,8 +77,8 @@
 		}
 		list.removeFromZone(s)
 	}
-	usable := entry.Weight > 0 && !math.IsInf(entry.Weight, 1)
-	if !usable || b.settings.Weights == WeightLive {
+	validWeight := entry.Weight > 0 && !math.IsInf(entry.Weight, 1)
+	if !validWeight || b.settings.Weights == WeightLive {
 		entry.Weight = list.listedWeight.mean(1, 0.001)
 	}
 	list.listedWeight.add(entry.Weight)
@@ -87,9 +87,9 @@
 	list.addToZone(s)
 }
 
-// add puts a new server into the list, but not yet into its zone.
+// add inserts a new server into byID and ordered. The caller sets its entry and calls addToZone.
 func (l *endpointList) add(entry Server, proxyIndex int) *server {
-	// With two golden-section-like ratios, proxies and servers are spread evenly however many there are.
+	// Fractional parts of the multiples of an irrational number are spread evenly for any number of servers and proxies.
 	_, rank := math.Modf(math.Phi*float64(l.addedByZone[entry.Zone]) + math.Sqrt2*float64(max(proxyIndex, 0)))
 	s := &server{rank: rank, addedBefore: l.added}
 	l.addedByZone[entry.Zone]++
@@ -105,7 +105,7 @@
 	l.removeFromZone(s)
 }
 
-// retainOnly removes all servers that have no entry.
+// retainOnly removes all servers that are not among the entries.
 func (l *endpointList) retainOnly(entries []Server) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -135,8 +135,8 @@
 	}
 }
 
-// forgetStaleNames drops what is remembered of zones and kinds that no server has, once there are many: lists whose names
-// always change would otherwise fill the memory.
+// forgetStaleNames deletes the data of zones and kinds that no server has, once there are many of them. Otherwise, memory would
+// grow without bound if the names keep changing.
 func (b *Balancer) forgetStaleNames() {
 	byZone := b.endpoints.byZone
 	maxZones := 2*len(byZone) + maxStaleNames
@@ -149,7 +149,7 @@
 	b.latencies.forgetStaleKinds(b.endpoints.ordered)
 }
 
-// compareRank orders servers by rank, and those of one rank by their addition.
+// compareRank orders servers by rank, and servers of equal rank in the order in which they were added.
 func compareRank(x, y *server) int {
 	return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.addedBefore, y.addedBefore))
 }
@@ -166,8 +166,8 @@
 	return list
 }
 
-// EachServer calls fn for each server of the list with the number of this proxy's attempts in flight there and whether the
-// server is ejected.
+// EachServer calls fn for each server of the list with the number of this proxy's attempts in flight at the server and whether
+// the server is ejected.
 func (b *Balancer) EachServer(now time.Duration, fn func(id string, inFlight int, ejected bool)) {
 	for _, s := range b.endpoints.ordered {
 		fn(s.ID, s.inFlight, b.ejected(s, now))
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// A restarted server is not judged by its former process: neither by its recent latency, which settles ties, nor by what it leaves
-// unanswered.
+// A restarted server starts without the observations of its previous process: neither the recent latency, which breaks ties, nor
+// unanswered attempts count.
 func TestRestartedServerStartsWithoutHistory(t *testing.T) {
-	set := settings()
-	set.WarmUpTime = 0
-	b, h := start(t, set, oneZone(2))
+	cfg := settings()
+	cfg.WarmUpTime = 0
+	b, h := newTestBalancer(t, cfg, oneZone(2))
 	now := 10 * ms
 	for i := range 40 {
 		now += 10 * ms
@@ -23,24 +23,24 @@
 		}
 		endAttempt(b, now, id, Served, took)
 	}
-	for i := range 9 { // until the old process has one in flight
+	for i := range 9 { // until an attempt at the old process is in flight
 		if sendRequest(t, b, h, now, fmt.Sprint("extra", i), "once") == "s0" {
 			break
 		}
 	}
 	s := b.endpoints.byID["s0"]
 	if now += 600 * ms; s.inFlight == 0 || !b.ejected(s, now) || s.recentLatency.count == 0 {
-		t.Fatalf("the old process: %d in flight, out %v, %v answers of late", s.inFlight, b.ejected(s, now), s.recentLatency.count)
+		t.Fatalf("old process: got %d in flight, ejected = %v, %v recent samples; want all nonzero", s.inFlight, b.ejected(s, now), s.recentLatency.count)
 	}
-	again := s.Server
-	again.Since = now
-	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{again}})
+	restarted := s.Server
+	restarted.Since = now
+	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{restarted}})
 	if b.ejected(s, now+ms) || s.recentLatency.count != 0 || s.latency.count != 0 {
-		t.Errorf("the new process: out %v, %v answers of late, %v in all", b.ejected(s, now+ms), s.recentLatency.count, s.latency.count)
+		t.Errorf("new process: got ejected = %v, %v recent samples, %v samples; want false, 0, 0", b.ejected(s, now+ms), s.recentLatency.count, s.latency.count)
 	}
 }
 
-// A list that is known to have no running server rejects at once; one that has yet to come is waited for.
+// Requests are rejected immediately if the list is known to have no running server, and wait if the list is not known yet.
 func TestEmptyListRejectsAtOnce(t *testing.T) {
 	draining := twoZones(2)
 	for i := range draining {
@@ -65,16 +65,16 @@
 		b.UpdateEndpoints(0, c.u)
 		b.Request(ms, Request{ID: "r", Class: "once", TimeLeft: time.Second})
 		got := ""
-		if a := h.take(); len(a) > 0 {
-			got = a[0].what
+		if a := h.takeActions(); len(a) > 0 {
+			got = a[0].kind
 		}
 		if got != c.want {
-			t.Errorf("%s: %q, want %q", name, got, c.want)
+			t.Errorf("%s: first action is %q, want %q", name, got, c.want)
 		}
 	}
 }
 
-// Requests that wait for the list are rejected when it comes and is empty, and later ones are served by the next list.
+// Requests that wait for the list are rejected when an empty list is received. Later requests use the next list.
 func TestWaitingRequestsAreRejectedWithEmptyList(t *testing.T) {
 	h := &recorder{}
 	b, err := New(settings(), 1, h)
@@ -85,28 +85,28 @@
 	for i := range 3 {
 		b.Request(ms, Request{ID: fmt.Sprint("r", i), Class: "once", TimeLeft: time.Second})
 	}
-	if a := h.take(); len(a) != 0 {
-		t.Fatalf("%v before anything is known", a)
+	if actions := h.takeActions(); len(actions) != 0 {
+		t.Fatalf("got actions %v before the list is known, want none", actions)
 	}
 	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot})
-	a := h.take()
-	if len(a) != 3 || a[0] != (action{what: "reject", id: "r0"}) || a[2].id != "r2" {
-		t.Errorf("%v, want three rejections in order", a)
+	actions := h.takeActions()
+	if len(actions) != 3 || actions[0] != (action{kind: "reject", id: "r0"}) || actions[2].id != "r2" {
+		t.Errorf("got actions %v, want rejections of r0, r1 and r2 in this order", actions)
 	}
 	if len(b.requests.byID)+len(b.requests.unanswered) != 0 {
-		t.Error("rejected requests are retained")
+		t.Error("rejected requests are retained, want none")
 	}
 	b.UpdateEndpoints(3*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(2)})
 	if sendRequest(t, b, h, 4*ms, "later", "once") == "" {
-		t.Error("the list came back and nothing is sent")
+		t.Error("request after the second list was not sent")
 	}
 }
 
-// Whatever the updates, the list, the lists of zones and the count of running servers agree.
+// After any sequence of updates, the ordered list, the index by ID, the index by zone and the count of running servers agree.
 func TestEndpointIndexesAgree(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, _ := start(t, settings(), nil)
+		b, _ := newTestBalancer(t, settings(), nil)
 		want := map[string]Server{}
 		for step := range 200 {
 			u := EndpointUpdate{Kind: UpdateDelta}
@@ -123,119 +123,119 @@
 				}
 			}
 			b.UpdateEndpoints(time.Duration(step)*ms, u)
-			running, zoned := 0, 0
-			for zone, l := range b.endpoints.byZone {
-				zoned += len(l)
-				if len(l) == 0 || !slices.IsSortedFunc(l, compareRank) {
-					t.Fatalf("seed %d step %d: zone %s is empty or unsorted", seed, step, zone)
+			running, inZones := 0, 0
+			for zone, servers := range b.endpoints.byZone {
+				inZones += len(servers)
+				if len(servers) == 0 || !slices.IsSortedFunc(servers, compareRank) {
+					t.Fatalf("seed %d step %d: index of zone %s is empty or unsorted", seed, step, zone)
 				}
-				for _, s := range l {
+				for _, s := range servers {
 					if s.Zone != zone || want[s.ID] != s.Server {
-						t.Fatalf("seed %d step %d: %+v in zone %s, want %+v", seed, step, s.Server, zone, want[s.ID])
+						t.Fatalf("seed %d step %d: index of zone %s has %+v, want %+v", seed, step, zone, s.Server, want[s.ID])
 					}
 					if s.State == Running {
 						running++
 					}
 				}
 			}
-			if len(b.endpoints.ordered) != len(want) || len(b.endpoints.byID) != len(want) || zoned != len(want) || running != b.endpoints.running ||
+			if len(b.endpoints.ordered) != len(want) || len(b.endpoints.byID) != len(want) || inZones != len(want) || running != b.endpoints.running ||
 				!slices.IsSortedFunc(b.endpoints.ordered, compareRank) {
-				t.Fatalf("seed %d step %d: %d listed, %d by id, %d by zone, %d of %d running, want %d", seed, step,
-					len(b.endpoints.ordered), len(b.endpoints.byID), zoned, b.endpoints.running, running, len(want))
+				t.Fatalf("seed %d step %d: got %d ordered, %d by ID, %d by zone, %d counted as running of %d; want %d sorted servers", seed, step,
+					len(b.endpoints.ordered), len(b.endpoints.byID), inZones, b.endpoints.running, running, len(want))
 			}
 		}
 	}
 }
 
-// An hour of zones, kinds and IDs that always change leaves nothing behind.
+// Memory stays bounded while zones, kinds and IDs change every second for an hour.
 func TestStaleNamesAreForgotten(t *testing.T) {
-	b, h := start(t, settings(), nil)
-	for sec := range 3600 {
-		now := time.Duration(sec+1) * time.Second
-		l := make([]Server, 8)
-		for i := range l {
-			l[i] = Server{ID: fmt.Sprint(sec, i), Zone: fmt.Sprint("z", sec, i%4), Kind: fmt.Sprint("k", sec, i), Weight: 1}
+	b, h := newTestBalancer(t, settings(), nil)
+	for second := range 3600 {
+		now := time.Duration(second+1) * time.Second
+		servers := make([]Server, 8)
+		for i := range servers {
+			servers[i] = Server{ID: fmt.Sprint(second, i), Zone: fmt.Sprint("z", second, i%4), Kind: fmt.Sprint("k", second, i), Weight: 1}
 		}
-		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
+		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: servers})
 		for i := range 4 {
-			id := fmt.Sprint("r", sec, i)
+			id := fmt.Sprint("r", second, i)
 			if sendRequest(t, b, h, now, id, "once") != "" {
 				endAttempt(b, now+10*ms, id, Served, 10*ms)
 			}
 		}
 	}
-	for what, n := range map[string]int{"servers": len(b.endpoints.byID), "list": len(b.endpoints.ordered), "byZone": len(b.endpoints.byZone),
+	for collection, n := range map[string]int{"servers": len(b.endpoints.byID), "list": len(b.endpoints.ordered), "byZone": len(b.endpoints.byZone),
 		"kinds": len(b.latencies.byKind), "zones": len(b.zoneLoss), "places": len(b.endpoints.addedByZone), "requests": len(b.requests.byID)} {
 		if n > 4*maxStaleNames {
-			t.Errorf("%s holds %d entries after an hour", what, n)
+			t.Errorf("%s has %d entries after an hour, want at most %d", collection, n, 4*maxStaleNames)
 		}
 	}
 }
 
 func TestEndpointUpdates(t *testing.T) {
-	set := settings()
-	set.Proxies = 1                                          // so that nothing is rejected at one server
-	b, h := start(t, set, append(oneZone(3), oneZone(1)...)) // s0 twice
+	cfg := settings()
+	cfg.Proxies = 1                                                    // avoids rejections with a single server
+	b, h := newTestBalancer(t, cfg, append(oneZone(3), oneZone(1)...)) // s0 is listed twice
 	if len(b.endpoints.ordered) != 3 {
-		t.Fatalf("%d servers, want 3: the same one listed twice counts once", len(b.endpoints.ordered))
+		t.Fatalf("got %d servers, want 3 without the duplicate", len(b.endpoints.ordered))
 	}
 	b.UpdateEndpoints(ms, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{{ID: "s0", Zone: "za", State: Draining, Weight: 1}, {ID: "s1", State: Removed}}})
 	for i := range 8 {
 		if got := sendRequest(t, b, h, ms, fmt.Sprint("r", i), "once"); got != "s2" {
-			t.Fatalf("request %d sent to %q, only s2 is ready", i, got)
+			t.Fatalf("request %d was sent to %q, want s2, the only ready server", i, got)
 		}
 	}
 	b.UpdateEndpoints(2*ms, EndpointUpdate{Kind: UpdateSnapshot, Servers: []Server{{ID: "s9", Zone: "za", Weight: 1}}})
 	if got := sendRequest(t, b, h, 2*ms, "x", "once"); got != "s9" || b.endpoints.byID["s9"].inFlight != 1 {
-		t.Errorf("sent to %q after a snapshot that names s9 only", got)
+		t.Errorf("request was sent to %q after a snapshot with only s9, want s9 with one attempt in flight", got)
 	}
 }
 
 func TestInvalidWeightsAreReplaced(t *testing.T) {
-	l := oneZone(3)
-	l[0].Weight, l[1].Weight = 0, -4
-	b, h := start(t, settings(), l)
-	seen := map[string]bool{}
+	servers := oneZone(3)
+	servers[0].Weight, servers[1].Weight = 0, -4
+	b, h := newTestBalancer(t, settings(), servers)
+	used := map[string]bool{}
 	for i := range 200 {
 		id := fmt.Sprint("r", i)
-		seen[sendRequest(t, b, h, ms, id, "safe")] = true
+		used[sendRequest(t, b, h, ms, id, "safe")] = true
 		endAttempt(b, ms, id, Served, 10*ms)
 	}
-	if len(seen) != 3 {
-		t.Errorf("only %v were used", seen)
+	if len(used) != 3 {
+		t.Errorf("requests were sent to %v, want all 3 servers", used)
 	}
 }
 
-// A cached list that is empty has a request wait, then rejects it while the client can still use the answer.
+// With an empty cached list, a request waits and is rejected before its client gives up.
 func TestCachedEmptyListWaitsThenRejects(t *testing.T) {
-	b, h := start(t, settings(), nil)
+	b, h := newTestBalancer(t, settings(), nil)
 	if got := sendRequest(t, b, h, 0, "r", "once"); got != "" {
-		t.Fatal("sent to", got)
+		t.Fatal("request was sent, want it to wait; server:", got)
 	}
 	for range 20 {
 		at, ok := h.timers[1]
 		if !ok {
-			t.Fatal("waits without a timer")
+			t.Fatal("request waits without a timer")
 		}
 		h.now = at
 		delete(h.timers, 1)
 		b.Timer(at, 1)
-		if a := h.take(); len(a) > 0 {
-			if a[0].what != "reject" || at >= time.Second {
-				t.Errorf("%v at %v", a, at)
+		if a := h.takeActions(); len(a) > 0 {
+			if a[0].kind != "reject" || at >= time.Second {
+				t.Errorf("got actions %v at %v, want a rejection before 1s", a, at)
 			}
 			return
 		}
 	}
-	t.Error("never ended")
+	t.Error("request got no answer after 20 timers")
 }
 
-// BenchmarkChange is one changed endpoint with a request after it, by the length of the list.
+// BenchmarkChange measures an update of one endpoint followed by one request, for several lengths of the endpoint list.
 func BenchmarkChange(b *testing.B) {
-	benchmarkSizes(b, func(b *testing.B, bal *Balancer, h *recorder, l []Server) {
+	benchmarkSizes(b, func(b *testing.B, bal *Balancer, h *recorder, servers []Server) {
 		for i := range b.N {
-			s := l[i%len(l)]
-			s.State = State(i / len(l) % 2)
+			s := servers[i%len(servers)]
+			s.State = State(i / len(servers) % 2)
 			bal.UpdateEndpoints(time.Duration(i)*ms/10, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{s}})
 			serveOne(bal, h, i)
 		}
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// hedgeDeviations is how many mean deviations over the mean latency an answer is overdue. Latency has a long tail: with a bound
-// that does not grow with the spread, hedges would use up the retry budget.
+// hedgeDeviations is the number of mean deviations above the mean latency after which an answer is overdue. Latency has a long
+// tail: with a limit that does not grow with the deviation, hedges would use up the retry budget.
 const hedgeDeviations = 14.0
 
-// hedgeDelay is how long an answer may take before it is overdue.
+// hedgeDelay returns the time after which an answer is overdue and the request may be hedged.
 func (c *class) hedgeDelay() time.Duration {
 	if c.samples < minSamples {
 		return c.Deadline
@@ -18,7 +18,7 @@
 	return time.Duration(c.latency + hedgeDeviations*c.deviation)
 }
 
-// setHedgeTimer starts the one timer that serves all requests: one for each would be expensive.
+// setHedgeTimer starts the timer that all requests share, unless it is running. A timer per request would be expensive.
 func (b *Balancer) setHedgeTimer() {
 	if b.settings.ParallelAttempts && !b.hedgeTimerSet {
 		b.hedgeTimerSet = true
@@ -26,7 +26,7 @@
 	}
 }
 
-// hedgeTimerExpired looks for overdue attempts.
+// hedgeTimerExpired hedges the requests with overdue attempts, as far as the retry budget allows.
 func (b *Balancer) hedgeTimerExpired(now time.Duration) {
 	b.hedgeTimerSet = false
 	if len(b.requests.unanswered) == 0 {
@@ -43,8 +43,8 @@
 	b.setHedgeTimer()
 }
 
-// hedge sends a further attempt of a request beside one that is overdue. A LocalityPicker may allow a second hedge in another
-// locality, as all attempts within one that does not answer are lost alike.
+// hedge sends another attempt of a request if its last one is overdue. A LocalityPicker may allow further hedges in another
+// locality, because all attempts within an unresponsive locality fail together.
 func (b *Balancer) hedge(now time.Duration, r *request) {
 	attempts := len(r.attempts)
 	if attempts > 1 && b.settings.Localities == nil {
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// startWithLatencies returns a Balancer that knows how long its classes take: 10 ms, give or take 2.
-func startWithLatencies(t *testing.T, set Settings) (*Balancer, *recorder) {
+// startWithLatencies returns a Balancer that has observed the latencies of two classes: 10 ms with a mean deviation of 2 ms.
+func startWithLatencies(t *testing.T, cfg Settings) (*Balancer, *recorder) {
 	t.Helper()
-	b, h := start(t, set, oneZone(4))
+	b, h := newTestBalancer(t, cfg, oneZone(4))
 	for i := range 60 {
 		for _, class := range []string{"safe", "once"} {
 			id := fmt.Sprint(class, i)
 			b.Request(time.Duration(i)*10*ms, Request{ID: id, Class: class, TimeLeft: 1000 * ms})
-			h.take()
+			h.takeActions()
 			endAttempt(b, time.Duration(i)*10*ms+10*ms, id, Served, time.Duration(8+4*(i%2))*ms)
 		}
 	}
-	b.Timer(605*ms, hedgeTimer) // nothing is in flight: no further timer is set
-	if h.take(); b.hedgeTimerSet {
-		t.Error("sets a timer with nothing in flight")
+	b.Timer(605*ms, hedgeTimer) // nothing is in flight, so the timer is not set again
+	if h.takeActions(); b.hedgeTimerSet {
+		t.Error("hedge timer is set with nothing in flight")
 	}
 	return b, h
 }
 
-// No hedge is sent for a request that must not be repeated, where parallel attempts are not allowed, or without a retry budget.
+// No hedge is sent for a request that must not be repeated, if parallel attempts are not allowed, or without retry budget.
 func TestHedgeIsNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
@@ -38,29 +38,29 @@
 		b, h := startWithLatencies(t, settings())
 		c.change(b)
 		b.Request(700*ms, Request{ID: "r", Class: c.class, TimeLeft: 1000 * ms})
-		h.take()
+		h.takeActions()
 		b.Timer(1200*ms, hedgeTimer)
-		if a := h.take(); len(a) != 0 {
-			t.Errorf("%s: %v", name, a)
+		if a := h.takeActions(); len(a) != 0 {
+			t.Errorf("%s: got actions %v, want none", name, a)
 		}
 	}
 }
 
-// A hedge waits for an answer that is late by the deviation of its class, not by its mean: hedges for the usual tail would use up
-// the retry budget.
+// The hedge delay depends on the deviation of the latency, not only on its mean. Otherwise, hedges for the usual tail of latencies
+// would use up the retry budget.
 func TestHedgeWaitsForDeviation(t *testing.T) {
 	b, h := startWithLatencies(t, settings())
 	if c := b.classes["safe"]; c.deviation < 1e6 || c.deviation > 3e6 {
-		t.Fatalf("mean deviation %v ns, want about 2 ms", c.deviation)
+		t.Fatalf("got mean deviation %v ns, want about 2 ms", c.deviation)
 	}
 	b.Request(700*ms, Request{ID: "r", Class: "safe", TimeLeft: 1000 * ms})
-	first := h.take()
-	b.Timer(725*ms, hedgeTimer) // two and a half times the mean, but within 14 deviations
-	if a := h.take(); len(a) != 0 {
-		t.Errorf("after 25 ms: %v", a)
+	first := h.takeActions()
+	b.Timer(725*ms, hedgeTimer) // 2.5 times the mean latency, but within 14 deviations
+	if a := h.takeActions(); len(a) != 0 {
+		t.Errorf("after 25 ms: got actions %v, want none", a)
 	}
 	b.Timer(750*ms, hedgeTimer)
-	if a := h.take(); len(a) != 1 || a[0].what != "send" || a[0].server == first[0].server {
-		t.Errorf("after 50 ms: %v", a)
+	if a := h.takeActions(); len(a) != 1 || a[0].kind != "send" || a[0].server == first[0].server {
+		t.Errorf("after 50 ms: got actions %v, want a send to another server", a)
 	}
 }
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// randomPlay plays random events against one Balancer and checks its invariants.
-type randomPlay struct {
+// randomRun feeds random events to one Balancer and checks its invariants.
+type randomRun struct {
 	rng      *rand.Rand
 	settings Settings
 	list     []Server
@@ -17,15 +17,16 @@
 	now      time.Duration
 
 	requests  map[string]*sentRequest
-	ids       []string // of requests, in the order of their arrival
+	ids       []string // IDs of the requests in the order of their arrival
 	drainedAt map[string]time.Duration
-	warming   map[string]bool // servers that have restarted during the play
+	warming   map[string]bool // servers that have restarted during the run
 
 	sends        int
 	warmingSends int
-	violation    string // the first one
+	violation    string // the first violation; empty: none
 }
 
+// sentRequest is the state of a request as the invariants require it.
 type sentRequest struct {
 	class      Class
 	deadline   time.Duration
@@ -42,20 +43,21 @@
 	expire      time.Duration
 }
 
-// playRandomEvents returns the first violation of the invariants, if any.
-func playRandomEvents(t *testing.T, seed uint64, steps int, change func(*Balancer)) (violation string) {
+// runRandomEvents feeds random events to a Balancer, which change may modify first, and returns the first violation of the invariants,
+// or an empty string.
+func runRandomEvents(t *testing.T, seed uint64, steps int, change func(*Balancer)) (violation string) {
 	t.Helper()
-	set := settings()
-	set.ParallelAttempts, set.Polled, set.MaxPollInterval = seed%2 == 0, seed%3 == 0, 10*time.Second
-	p := &randomPlay{
+	cfg := settings()
+	cfg.ParallelAttempts, cfg.Polled, cfg.MaxPollInterval = seed%2 == 0, seed%3 == 0, 10*time.Second
+	p := &randomRun{
 		rng:       rand.New(rand.NewPCG(seed, 1)),
-		settings:  set,
+		settings:  cfg,
 		list:      twoZones(12),
 		requests:  map[string]*sentRequest{},
 		drainedAt: map[string]time.Duration{},
 		warming:   map[string]bool{},
 	}
-	p.balancer, p.host = start(t, set, p.list)
+	p.balancer, p.host = newTestBalancer(t, cfg, p.list)
 	if change != nil {
 		change(p.balancer)
 	}
@@ -68,20 +70,21 @@
 		p.checkActions()
 	}
 	if p.violation == "" && p.sends > 0 && float64(p.warmingSends) > 0.6*float64(p.sends) {
-		p.violated("%d of %d sends went to servers that are warming up", p.warmingSends, p.sends)
+		p.violated("%d of %d sends went to servers that are warming up, want at most 0.6 of them", p.warmingSends, p.sends)
 	}
 	p.endAll()
 	return p.violation
 }
 
-func (p *randomPlay) violated(format string, args ...any) {
+// violated records a violation, unless one is already recorded.
+func (p *randomRun) violated(format string, args ...any) {
 	if p.violation == "" {
 		p.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// fireTimers calls the timers that are due in the order of their tokens, as the order of a map would not be reproducible.
-func (p *randomPlay) fireTimers(lastToken uint64) {
+// fireTimers fires the timers that are due, in the order of their tokens, because the iteration order of a map is not reproducible.
+func (p *randomRun) fireTimers(lastToken uint64) {
 	for token := uint64(0); token <= lastToken; token++ {
 		if at, ok := p.host.timers[token]; ok && at <= p.now {
 			delete(p.host.timers, token)
@@ -91,8 +94,8 @@
 	}
 }
 
-// expireAttempts ends the attempts that time out.
-func (p *randomPlay) expireAttempts() {
+// expireAttempts ends the attempts that have timed out and reports requests without a final answer after their deadline.
+func (p *randomRun) expireAttempts() {
 	for _, id := range p.ids {
 		r := p.requests[id]
 		for i := range r.attempts {
@@ -104,12 +107,13 @@
 			}
 		}
 		if !r.final && !r.clientGone && p.now > r.deadline+300*ms {
-			p.violated("%s got no final answer", id)
+			p.violated("request %s got no final answer by 300 ms after its deadline", id)
 		}
 	}
 }
 
-func (p *randomPlay) randomEvent(n int) {
+// randomEvent feeds one random event to the Balancer.
+func (p *randomRun) randomEvent(n int) {
 	switch k := p.rng.IntN(20); {
 	case k < 8:
 		p.arrive(fmt.Sprint("r", n))
@@ -128,12 +132,12 @@
 	}
 }
 
-// recentID is one of the last 40 requests.
-func (p *randomPlay) recentID() string {
+// recentID returns the ID of one of the last 40 requests.
+func (p *randomRun) recentID() string {
 	return p.ids[len(p.ids)-1-p.rng.IntN(min(len(p.ids), 40))]
 }
 
-func (p *randomPlay) arrive(id string) {
+func (p *randomRun) arrive(id string) {
 	c := p.settings.Classes[p.rng.IntN(3)]
 	left := c.Deadline * time.Duration(3+p.rng.IntN(8)) / 10
 	p.requests[id] = &sentRequest{class: c, deadline: p.now + left}
@@ -142,7 +146,7 @@
 }
 
 // endAttempt ends the first attempt in flight of a request.
-func (p *randomPlay) endAttempt(id string) {
+func (p *randomRun) endAttempt(id string) {
 	results := []Result{Served, Served, Served, Served, ServerError, Rejected, NotConnected, ConnectionLost, Cancelled}
 	r := p.requests[id]
 	for i := range r.attempts {
@@ -160,7 +164,7 @@
 }
 
 // updateServer drains or restarts a server.
-func (p *randomPlay) updateServer(s Server) {
+func (p *randomRun) updateServer(s Server) {
 	s.State = State(p.rng.IntN(2))
 	if _, ok := p.drainedAt[s.ID]; !ok {
 		p.drainedAt[s.ID] = p.now
@@ -174,60 +178,60 @@
 	p.balancer.UpdateEndpoints(p.now, EndpointUpdate{Kind: UpdateDelta, Servers: []Server{s}})
 }
 
-// checkActions checks what the Balancer has done since the last call.
-func (p *randomPlay) checkActions() {
-	for _, a := range p.host.take() {
+// checkActions checks the actions of the Balancer since the last call.
+func (p *randomRun) checkActions() {
+	for _, a := range p.host.takeActions() {
 		r := p.requests[a.id]
-		switch a.what {
+		switch a.kind {
 		case "send":
 			p.checkSend(r, a)
 		case "reject":
-			for _, attempt := range r.attempts {
-				if !attempt.notExecuted && r.class.Effect != Idempotent {
-					p.violated("%s (%s) rejected though it may have been executed", a.id, r.class.Name)
+			for _, sent := range r.attempts {
+				if !sent.notExecuted && r.class.Effect != Idempotent {
+					p.violated("request %s (class %s) was rejected although it may have been executed", a.id, r.class.Name)
 				}
 			}
 			r.final = true
 		case "fail":
 			r.final = true
 		case "cancel":
-			if !r.attempts[a.n].inFlight {
-				p.violated("%s: attempt %d cancelled after its end", a.id, a.n)
+			if !r.attempts[a.attempt].inFlight {
+				p.violated("request %s: attempt %d was cancelled after it had ended", a.id, a.attempt)
 			}
 		}
 	}
 }
 
-func (p *randomPlay) checkSend(r *sentRequest, a action) {
+func (p *randomRun) checkSend(r *sentRequest, a action) {
 	if r.final {
-		p.violated("%s sent after its final answer", a.id)
+		p.violated("request %s was sent after its final answer", a.id)
 	}
 	if at, ok := p.drainedAt[a.server]; ok && p.now > at+p.settings.DrainGrace {
-		p.violated("%s sent to draining %s", a.id, a.server)
+		p.violated("request %s was sent to draining server %s", a.id, a.server)
 	}
 	p.sends++
 	if p.warming[a.server] {
 		p.warmingSends++
 	}
 	to := p.server(a.server)
-	var first *sentAttempt // that may have been executed
+	var first *sentAttempt // the first attempt that may have been executed
 	for i := range r.attempts {
 		attempt := &r.attempts[i]
 		if attempt.inFlight && !p.settings.ParallelAttempts {
-			p.violated("%s has two attempts in flight", a.id)
+			p.violated("request %s has two attempts in flight, want at most one", a.id)
 		}
 		if !attempt.notExecuted && first == nil {
 			first = attempt
 		}
 	}
 	if first != nil && !p.mayRepeat(r.class, first, to) {
-		p.violated("%s (%s) sent again", a.id, r.class.Name)
+		p.violated("request %s (class %s) was sent again although it must not be repeated", a.id, r.class.Name)
 	}
 	r.attempts = append(r.attempts, sentAttempt{server: to, sent: p.now, inFlight: true, expire: a.at})
 }
 
-// mayRepeat is the rule for the classes of these settings: an idempotency key holds within a cell.
-func (p *randomPlay) mayRepeat(c Class, first *sentAttempt, to Server) bool {
+// mayRepeat is the repetition rule for the classes of these settings: an idempotency key is recognized within a cell.
+func (p *randomRun) mayRepeat(c Class, first *sentAttempt, to Server) bool {
 	switch c.Effect {
 	case NonIdempotent:
 		return false
@@ -238,7 +242,7 @@
 	}
 }
 
-func (p *randomPlay) server(id string) Server {
+func (p *randomRun) server(id string) Server {
 	for _, s := range p.list {
 		if s.ID == id {
 			return s
@@ -247,8 +251,8 @@
 	return Server{}
 }
 
-// endAll ends all attempts, after which no server may have any in flight.
-func (p *randomPlay) endAll() {
+// endAll ends all attempts and checks that no server has any left in flight.
+func (p *randomRun) endAll() {
 	p.now += time.Minute
 	for _, id := range p.ids {
 		r := p.requests[id]
@@ -262,25 +266,25 @@
 	}
 	for _, s := range p.balancer.endpoints.ordered {
 		if s.inFlight != 0 {
-			p.violated("%s is left with %d in flight", s.ID, s.inFlight)
+			p.violated("server %s has %d attempts in flight at the end, want 0", s.ID, s.inFlight)
 		}
 	}
 }
 
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(40) {
-		if violation := playRandomEvents(t, seed, 1500, nil); violation != "" {
+		if violation := runRandomEvents(t, seed, 1500, nil); violation != "" {
 			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// The checker must detect a Balancer that takes a class that is not idempotent for one that is.
+// The invariants detect a Balancer that treats a class that is not idempotent as idempotent.
 func TestCheckerDetectsUnsafeRetries(t *testing.T) {
 	for seed := range uint64(10) {
-		if playRandomEvents(t, seed, 1500, func(b *Balancer) { b.classes["once"].Effect = Idempotent }) != "" {
+		if runRandomEvents(t, seed, 1500, func(b *Balancer) { b.classes["once"].Effect = Idempotent }) != "" {
 			return
 		}
 	}
-	t.Error("an unsafe class that is treated as safe went unnoticed")
+	t.Error("no violation was found for a class that is wrongly treated as idempotent")
 }
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	priorSamples    = 4.0  // samples that a wider mean counts for; own samples below that are mostly noise
-	minSlowness     = 0.25 // multiple of the mean latency below which faster servers are weighed alike
-	maxLatencyRatio = 4.0  // that an observed attempt counts for at most; failures count for as much
+	priorSamples    = 4.0  // weight, in samples, of the broader mean used as a prior; fewer samples than this are mostly noise
+	minSlowness     = 0.25 // lower bound of the slowness; faster servers all get the same weight
+	maxLatencyRatio = 4.0  // upper bound of an observed latency ratio; failures count as this ratio
 )
 
-// kindLatencies are the latencies of the kinds of servers, each as a multiple of its class's mean.
+// kindLatencies holds the mean latency of each kind of server, as a multiple of the class's mean.
 type kindLatencies struct {
 	byKind   map[string]*decayingMean
-	maxKinds int // stale ones are looked for above this number
+	maxKinds int // forgetStaleKinds does nothing up to this number of kinds
 }
 
-// forgetStaleKinds drops the kinds that none of the servers has, once there are many.
+// forgetStaleKinds deletes the kinds that none of the servers has, once there are many kinds.
 func (k *kindLatencies) forgetStaleKinds(servers []*server) {
 	if len(k.byKind) <= k.maxKinds {
 		return
@@ -30,7 +30,7 @@
 	k.maxKinds = 2*len(k.byKind) + maxStaleNames
 }
 
-// observeLatency takes the latency of an attempt at a server, as a multiple of its class's mean.
+// observeLatency adds the latency of an attempt at a server. The ratio is the latency as a multiple of the class's mean.
 func (b *Balancer) observeLatency(now time.Duration, s *server, ratio float64) {
 	ratio = min(ratio, maxLatencyRatio)
 	decayedByName(b.latencies.byKind, s.Kind, now, b.longWindow).add(ratio)
@@ -38,13 +38,14 @@
 	s.recentLatency.decay(now, b.shortWindow).add(ratio)
 }
 
-// slowness is a server's latency as a multiple of its class's mean. Where few samples are known, the mean of its kind counts.
+// slowness returns a server's mean latency as a multiple of the class's mean, shrunk toward the mean of the server's kind. With
+// few samples, the mean of the kind dominates.
 func (b *Balancer) slowness(s *server, now time.Duration) float64 {
-	ofKind := decayedByName(b.latencies.byKind, s.Kind, now, b.longWindow).mean(1, priorSamples)
-	return max(s.latency.decay(now, b.longWindow).mean(ofKind, priorSamples), minSlowness)
+	kindMean := decayedByName(b.latencies.byKind, s.Kind, now, b.longWindow).mean(1, priorSamples)
+	return max(s.latency.decay(now, b.longWindow).mean(kindMean, priorSamples), minSlowness)
 }
 
-// recentSlowness is the same over the short window, shrunk toward the slowness.
+// recentSlowness returns the latency ratio over the short window, shrunk toward slowness.
 func (b *Balancer) recentSlowness(s *server, now time.Duration) float64 {
 	recent := s.recentLatency.decay(now, b.shortWindow)
 	return recent.mean(b.slowness(s, now), 1)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -2,78 +2,79 @@
 
 import "time"
 
-// maxLocalityPicks is how many localities are tried for one attempt.
+// maxLocalityPicks limits how many localities are tried for one attempt.
 const maxLocalityPicks = 8
 
-// Locality is a group of servers: a zone, at one priority.
+// Locality identifies the servers of one zone and one priority.
 type Locality struct {
 	Zone     string
 	Priority int
 }
 
-// Purpose is what an attempt is for.
+// Purpose is the reason for an attempt.
 type Purpose uint8
 
 // The purposes of attempts.
 const (
 	FirstAttempt Purpose = iota
-	Retry                // after an attempt that has ended
-	Hedge                // beside an attempt in flight
+	Retry                // the previous attempt has ended
+	Hedge                // another attempt is still in flight
 )
 
-// LocalityRequest is an attempt that needs a locality.
+// LocalityRequest describes an attempt for which a locality is to be picked.
 type LocalityRequest struct {
 	Class       string
 	Purpose     Purpose
 	TimeLeft    time.Duration // until the client gives up
-	OnlyZone    string        // the zone that it must not leave; empty: any will do
-	Previous    Locality      // of the attempt before; meaningless for the first
-	Draw        float64       // random, from 0 to below 1
-	Excluded    []Locality    // those that have no server for it now
-	SentAt      time.Duration // when the attempt was sent; 0 while its locality is being picked
-	BudgetSpent bool          // a Hedge whose retry budget is spent: it may only leave a locality that is unhealthy
+	OnlyZone    string        // the only zone allowed; empty: any zone
+	Previous    Locality      // locality of the previous attempt; unused with FirstAttempt
+	Draw        float64       // random number, from 0 to below 1
+	Excluded    []Locality    // localities that have no usable server for the attempt
+	SentAt      time.Duration // when the attempt was sent; 0 while its locality is picked
+	BudgetSpent bool          // for a Hedge without retry budget, which may only leave an unhealthy locality
 }
 
-// LocalityHealth is the health of a locality's servers, as sums of their weights.
+// LocalityHealth holds the sums of the weights of a locality's servers by their health.
 type LocalityHealth struct {
 	Locality
-	Listed  float64 // on the endpoint list
-	Running float64 // of the listed, those in state Running
-	Ready   float64 // of the running, those that are not ejected
+	Listed  float64 // all servers on the endpoint list
+	Running float64 // listed servers in state Running
+	Ready   float64 // running servers that are not ejected
 }
 
-// LocalityPicker decides which locality takes an attempt. It is called from one goroutine at a time and must not call back. A
-// Balancer without one weighs zones by the cross-zone price alone.
+// LocalityPicker picks the locality of each attempt. It is called from one goroutine at a time and must not call back into the
+// Balancer. A Balancer without a LocalityPicker weights zones only by their losses and the cross-zone price.
 type LocalityPicker interface {
-	// UpdateHealth takes the health of all localities on the endpoint list, from time to time. It must not retain l.
-	UpdateHealth(now time.Duration, l []LocalityHealth)
-	// Pick returns a locality; ok is false if there is none, and comeBack is the Retry-After then.
-	Pick(now time.Duration, a LocalityRequest) (at Locality, ok bool, comeBack time.Duration)
-	// AttemptSent notes that an attempt was sent to a locality.
-	AttemptSent(now time.Duration, at Locality, a LocalityRequest)
-	// AttemptEnded notes once how it ended.
-	AttemptEnded(now time.Duration, at Locality, a LocalityRequest, result Result, took time.Duration)
+	// UpdateHealth reports the health of all localities on the endpoint list, each time the subset is refreshed. It must not retain
+	// the slice.
+	UpdateHealth(now time.Duration, localities []LocalityHealth)
+	// Pick returns the locality for an attempt. If there is none, ok is false and retryAfter is the Retry-After of the rejection.
+	Pick(now time.Duration, request LocalityRequest) (locality Locality, ok bool, retryAfter time.Duration)
+	// AttemptSent reports that an attempt was sent to a locality.
+	AttemptSent(now time.Duration, locality Locality, request LocalityRequest)
+	// AttemptEnded reports how an attempt ended. It is called once for each AttemptSent.
+	AttemptEnded(now time.Duration, locality Locality, request LocalityRequest, result Result, latency time.Duration)
 }
 
-// reportHealth tells the LocalityPicker the health of the candidates.
+// reportHealth passes the health of the candidates' localities to the LocalityPicker.
 func (b *Balancer) reportHealth(now time.Duration, candidates []*server) {
-	localities := b.localitiesHealth[:0]
+	localities := b.localityHealth[:0]
 	for _, s := range candidates {
 		health := b.healthOf(s, now)
-		known := findLocality(localities, health.Locality)
-		if known == nil {
+		sums := findLocality(localities, health.Locality)
+		if sums == nil {
 			localities = append(localities, health)
 			continue
 		}
-		known.Listed += health.Listed
-		known.Running += health.Running
-		known.Ready += health.Ready
+		sums.Listed += health.Listed
+		sums.Running += health.Running
+		sums.Ready += health.Ready
 	}
-	b.localitiesHealth = localities
+	b.localityHealth = localities
 	b.settings.Localities.UpdateHealth(now, localities)
 }
 
-// healthOf is what one server adds to the health of its locality.
+// healthOf returns the contribution of one server to the health of its locality.
 func (b *Balancer) healthOf(s *server, now time.Duration) LocalityHealth {
 	health := LocalityHealth{Locality: s.locality(), Listed: s.Weight}
 	if s.State != Running {
@@ -86,72 +87,76 @@
 	return health
 }
 
-func findLocality(localities []LocalityHealth, at Locality) *LocalityHealth {
+// findLocality returns the entry of a locality, or nil if it has none.
+func findLocality(localities []LocalityHealth, loc Locality) *LocalityHealth {
 	for i := range localities {
-		if localities[i].Locality == at {
+		if localities[i].Locality == loc {
 			return &localities[i]
 		}
 	}
 	return nil
 }
 
-// pickInLocality returns a server in a locality of the LocalityPicker's choice, or nil if there is none.
-func (b *Balancer) pickInLocality(now time.Duration, r *request, purpose Purpose, usable func(*server) bool) *server {
+// pickLocalityAndServer returns a server in a locality that the LocalityPicker picks, or nil if there is none.
+func (b *Balancer) pickLocalityAndServer(now time.Duration, r *request, purpose Purpose, usable func(*server) bool) *server {
 	b.refreshSubset(now)
-	ask := LocalityRequest{
+	pickRequest := LocalityRequest{
 		Class:       r.Class,
 		Purpose:     purpose,
 		TimeLeft:    r.deadline - now,
-		OnlyZone:    r.boundZone(),
+		OnlyZone:    r.requiredZone(),
 		Draw:        b.rng.Float64(),
 		BudgetSpent: purpose == Hedge && b.retryBudgetSpent(now, r),
 	}
 	attempts := len(r.attempts)
 	if attempts > 0 {
-		ask.Previous = r.attempts[attempts-1].to.locality()
+		pickRequest.Previous = r.attempts[attempts-1].to.locality()
 	}
 	for range maxLocalityPicks {
-		at, ok, retryAfter := b.settings.Localities.Pick(now, ask)
+		loc, ok, retryAfter := b.settings.Localities.Pick(now, pickRequest)
 		r.retryAfter = retryAfter
 		if !ok {
 			return nil
 		}
 		secondHedge := purpose == Hedge && attempts > 1
-		if secondHedge && r.attemptedIn(at) { // it is for another locality only
-			ask.Excluded = append(ask.Excluded, at)
+		if secondHedge && r.attemptedIn(loc) { // a further hedge must go to a new locality
+			pickRequest.Excluded = append(pickRequest.Excluded, loc)
 			continue
 		}
-		if s := b.pickAt(now, r, at, ask, usable); s != nil {
-			r.localityRequest = ask
+		if s := b.pickServerInLocality(now, r, loc, pickRequest, usable); s != nil {
+			r.localityRequest = pickRequest
 			return s
 		}
-		ask.Excluded = append(ask.Excluded, at)
+		pickRequest.Excluded = append(pickRequest.Excluded, loc)
 	}
 	return nil
 }
 
-// pickAt returns a server of a locality, or nil if there is none.
-func (b *Balancer) pickAt(now time.Duration, r *request, at Locality, ask LocalityRequest, usable func(*server) bool) *server {
-	usableHere := func(s *server) bool { return s.Zone == at.Zone && s.Priority == at.Priority && usable(s) }
+// pickServerInLocality returns a server of a locality, or nil if there is none. A first attempt may get a server that is ejected, or
+// ejected for the class, if the locality has no other.
+func (b *Balancer) pickServerInLocality(now time.Duration, r *request, loc Locality, pickRequest LocalityRequest, usable func(*server) bool,
+) *server {
+	usableHere := func(s *server) bool { return s.Zone == loc.Zone && s.Priority == loc.Priority && usable(s) }
 	s := b.pick(now, func(s *server) bool { return usableHere(s) && s.accepts(r.class, now) })
-	if s != nil || ask.Purpose != FirstAttempt {
+	if s != nil || pickRequest.Purpose != FirstAttempt {
 		return s
 	}
-	if len(ask.Excluded) > 0 { // all reject the class: trying one is better than not trying
+	if len(pickRequest.Excluded) > 0 { // an earlier pick failed as well: allow a server that is ejected for the class
 		s = b.pick(now, usableHere)
 	}
 	if s == nil {
-		s = b.leastEjected(now, at, usable)
+		s = b.leastEjected(now, loc, usable)
 	}
 	return s
 }
 
-// leastEjected returns the server of a locality whose ejection ends first, if all of them are ejected, and nil otherwise. The
-// subset lacks them while at most half of all servers are ejected, and the locality would never be tried.
-func (b *Balancer) leastEjected(now time.Duration, at Locality, usable func(*server) bool) *server {
+// leastEjected returns the usable server of a locality whose ejection ends first if all servers of the locality are ejected, and nil
+// otherwise. Without it, the locality would never be tried: the subset excludes ejected servers unless their weight exceeds the
+// panic threshold over all localities.
+func (b *Balancer) leastEjected(now time.Duration, loc Locality, usable func(*server) bool) *server {
 	var first *server
-	for _, s := range b.endpoints.byZone[at.Zone] {
-		if s.State != Running || s.Priority != at.Priority {
+	for _, s := range b.endpoints.byZone[loc.Zone] {
+		if s.State != Running || s.Priority != loc.Priority {
 			continue
 		}
 		if !b.ejected(s, now) {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	maxServerRetryAfter     = 30 * time.Second // that a server may ask for
-	hangDeviations          = 4.0              // mean deviations over the mean latency; a server hangs after twice that
-	failuresToEject         = 2
-	rejectionsToEject       = 3 // of one class
-	maxConsecutiveEjections = 4 // by which the ejection time grows
+	maxServerRetryAfter     = 30 * time.Second // upper bound of a server's Retry-After
+	hangDeviations          = 4.0              // mean deviations above the mean latency; a server hangs after twice this latency
+	failuresToEject         = 2                // consecutive failures
+	rejectionsToEject       = 3                // consecutive rejections of one class
+	maxConsecutiveEjections = 4                // more do not lengthen the ejection
 )
 
-// ejected reports whether a server is out of the draws. One that fails at once would otherwise have few in flight and win its
-// pairs, and one that hangs never reports a failure.
+// ejected reports whether a server is excluded from the draws. Otherwise, a server that fails immediately would have few attempts
+// in flight and attract most requests. A server that hangs is ejected by hangTimeout because its attempts report no failure.
 func (b *Balancer) ejected(s *server, now time.Duration) bool {
 	if now < s.outlier.ejectedUntil || s.outlier.onProbation && s.inFlight > 0 {
 		return true
@@ -19,7 +19,7 @@
 	return s.inFlight > 0 && now-s.silentSince > b.hangTimeout()
 }
 
-// hangTimeout is how long a server may answer nothing while it has attempts in flight.
+// hangTimeout returns how long a server with attempts in flight may leave all of them unanswered.
 func (b *Balancer) hangTimeout() time.Duration {
 	var longest float64
 	for i := range b.settings.Classes {
@@ -34,8 +34,9 @@
 	return time.Duration(2 * longest)
 }
 
-// judge takes what the outcome of an attempt says about its server and its zone.
-func (b *Balancer) judge(now time.Duration, r *request, a *attempt, o Outcome) {
+// observeOutcome updates the server and the zone of an attempt from its outcome. The loss that it adds for the zone is 1 for a
+// failed attempt, and between 0 and 1 for a served one.
+func (b *Balancer) observeOutcome(now time.Duration, r *request, a *attempt, o Outcome) {
 	s := a.to
 	silent := s.silentSince <= a.sentAt
 	if o.Result != TimedOut && o.Result != Cancelled && o.Result != NotSent {
@@ -47,12 +48,12 @@
 	loss := 1.0
 	switch o.Result {
 	case Served:
-		loss = b.judgeServed(now, r.class, a, o.Latency)
+		loss = b.observeServed(now, r.class, a, o.Latency)
 	case Cancelled, NotSent:
 		return
 	case Rejected:
 		b.observeLatency(now, s, maxLatencyRatio)
-		b.judgeRejected(now, s, r.class)
+		b.observeRejection(now, s, r.class)
 	case ServerError, NotConnected, ConnectionLost, TimedOut:
 		clientLeftNoTime := o.Result == TimedOut && now >= r.deadline && o.Latency < r.class.LatencyObjective
 		if clientLeftNoTime {
@@ -60,14 +61,15 @@
 		}
 		b.observeLatency(now, s, maxLatencyRatio)
 		if o.Result != TimedOut || silent {
-			b.judgeFailed(now, s, o.Result)
+			b.observeFailure(now, s, o.Result)
 		}
 	}
 	b.lossOf(s.Zone, now).add(loss)
 }
 
-// judgeServed returns the lost value of an attempt that was served.
-func (b *Balancer) judgeServed(now time.Duration, c *class, a *attempt, latency time.Duration) float64 {
+// observeServed updates the class and the server of a served attempt and returns the loss, which is the square of
+// latency / LatencyObjective, but at most 1.
+func (b *Balancer) observeServed(now time.Duration, c *class, a *attempt, latency time.Duration) float64 {
 	s := a.to
 	nanoseconds := float64(latency)
 	c.observeLatency(nanoseconds)
@@ -75,7 +77,7 @@
 	s.outlier.consecutiveFailures = 0
 	s.outlier.consecutiveEjections = 0
 	s.outlier.onProbation = false
-	// A server that was sent a health check, or an attempt for want of others, and serves it is back at once.
+	// An ejected server may get an attempt, for example if its locality has no other server. Serving it ends the ejection.
 	mayReturnEarly := b.settings.Localities != nil || b.settings.Admission != nil
 	if mayReturnEarly && now < s.outlier.ejectedUntil && a.sentAt >= s.outlier.ejectedAt {
 		s.outlier.ejectedUntil = 0
@@ -87,16 +89,18 @@
 	return min(lateness*lateness, 1)
 }
 
-func (b *Balancer) judgeFailed(now time.Duration, s *server, result Result) {
+// observeFailure ejects a server after consecutive failures, and immediately if the connection failed or the server is on probation.
+func (b *Balancer) observeFailure(now time.Duration, s *server, result Result) {
 	s.outlier.consecutiveFailures++
 	if s.outlier.consecutiveFailures >= failuresToEject || s.outlier.onProbation || result == NotConnected {
 		b.eject(now, s)
 	}
 }
 
-// judgeRejected ejects a server for a class that it keeps rejecting, longer each time. A server that serves the other classes
-// well is never ejected as a whole, and would win its pairs for this class as it ends its requests at once.
-func (b *Balancer) judgeRejected(now time.Duration, s *server, c *class) {
+// observeRejection ejects a server for one class that it keeps rejecting, for a longer time with each ejection. A server that serves
+// the other classes well is not ejected as a whole, and it would attract the requests of this class because rejections end them
+// immediately.
+func (b *Balancer) observeRejection(now time.Duration, s *server, c *class) {
 	if s.rejections == nil {
 		s.rejections = map[*class]*classRejections{}
 	}
@@ -118,7 +122,7 @@
 	return rejections == nil || now >= rejections.ejectedUntil
 }
 
-// ejectUntil takes a server out of the draws that asks for it with a Retry-After.
+// ejectUntil excludes a server from the draws at least until the given time, because of its Retry-After.
 func (b *Balancer) ejectUntil(s *server, until time.Duration) {
 	if until > s.outlier.ejectedUntil {
 		s.outlier.ejectedUntil = until
@@ -126,7 +130,7 @@
 	}
 }
 
-// eject takes a server out of the draws, longer each time.
+// eject excludes a server from the draws, for a longer time with each consecutive ejection.
 func (b *Balancer) eject(now time.Duration, s *server) {
 	ejections := s.outlier.consecutiveEjections
 	s.outlier = outlierState{
@@ -138,7 +142,7 @@
 	b.subset.stale = true
 }
 
-// ejectionTime is how long a server is ejected after so many consecutive ejections.
+// ejectionTime returns the duration of an ejection that follows the given number of consecutive ejections.
 func (b *Balancer) ejectionTime(consecutiveEjections int) time.Duration {
 	return min(b.longWindow/16<<consecutiveEjections, b.longWindow/2)
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -6,130 +6,132 @@
 	"time"
 )
 
-// With all answers late most requests are rejected, never all, and none once answers are timely again.
+// While all answers are late, most requests are rejected but never all. Once answers meet the objective again, hardly any are.
 func TestOverloadRejectsAndRecovers(t *testing.T) {
-	b, h := start(t, settings(), oneZone(4))
+	b, h := newTestBalancer(t, settings(), oneZone(4))
 	now := time.Duration(0)
-	play := func(n int, took time.Duration) (sent int) {
+	sendRequests := func(n int, took time.Duration) (sent int) {
 		for i := range n {
 			now += 5 * ms
 			id := fmt.Sprint(now)
 			if sendRequest(t, b, h, now, id, "safe") != "" {
 				sent++
 				r := b.requests.byID[id]
-				r.deadline -= took // as if it had arrived that long ago
+				r.deadline -= took // as if the request had arrived that much earlier
 				b.Outcome(now, Outcome{ID: id, Result: Served, Latency: took, Final: true})
 			}
 			_ = i
 		}
 		return sent
 	}
-	play(400, 20*ms)
-	play(400, 500*ms)
-	if sent := play(400, 500*ms); sent < 10 || sent > 200 {
-		t.Errorf("all late: %d of 400 sent", sent)
+	sendRequests(400, 20*ms)
+	sendRequests(400, 500*ms)
+	if sent := sendRequests(400, 500*ms); sent < 10 || sent > 200 {
+		t.Errorf("all answers late: %d of 400 requests sent, want 10 to 200", sent)
 	}
-	play(2000, 20*ms)
-	if sent := play(400, 20*ms); sent < 390 {
-		t.Errorf("timely again: only %d of 400 sent", sent)
+	sendRequests(2000, 20*ms)
+	if sent := sendRequests(400, 20*ms); sent < 390 {
+		t.Errorf("answers within the objective again: %d of 400 requests sent, want at least 390", sent)
 	}
 }
 
-// A rejection carries when what is in flight will have ended, within the limit. It carries nothing where the settings say so or
-// while no latency is known.
+// The Retry-After of a rejection is the expected time until the attempts in flight have ended, up to the limit. A rejection has no
+// Retry-After if the settings disable it or while no latency is known.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		retryAfter        bool
 		limit             time.Duration
 		shortest, longest time.Duration
 	}{{true, time.Second, 10 * ms, 500 * ms}, {true, 2 * ms, 2 * ms, 2 * ms}, {false, time.Second, 0, 0}} {
-		set := settings()
-		set.RetryAfter, set.MaxRetryAfter = c.retryAfter, c.limit
-		b, h := startWithLatencies(t, set)
+		cfg := settings()
+		cfg.RetryAfter, cfg.MaxRetryAfter = c.retryAfter, c.limit
+		b, h := startWithLatencies(t, cfg)
 		rejected := 0
-		for i := range 200 { // at once: more than fits
+		for i := range 200 { // all at the same time, more than are admitted
 			b.Request(605*ms, Request{ID: fmt.Sprint("r", i), Class: "safe", TimeLeft: time.Second})
-			for _, a := range h.take() {
-				if a.what != "reject" {
+			for _, a := range h.takeActions() {
+				if a.kind != "reject" {
 					continue
 				}
 				if rejected++; a.at < c.shortest || a.at > c.longest {
-					t.Fatalf("%+v: Retry-After is %v", c, a.at)
+					t.Fatalf("%+v: got Retry-After %v, want %v to %v", c, a.at, c.shortest, c.longest)
 				}
 			}
 		}
 		if rejected == 0 {
-			t.Errorf("%+v: nothing was rejected", c)
+			t.Errorf("%+v: no request was rejected", c)
 		}
 	}
-	set := settings()
-	set.RetryAfter, set.MaxRetryAfter = true, time.Second
-	b, _ := start(t, set, oneZone(1))
+	cfg := settings()
+	cfg.RetryAfter, cfg.MaxRetryAfter = true, time.Second
+	b, _ := newTestBalancer(t, cfg, oneZone(1))
 	if d := b.retryAfter(ms, &request{class: b.classes["safe"]}); d != 0 {
-		t.Errorf("%v before any latency is known", d)
+		t.Errorf("got Retry-After %v before any latency is known, want 0", d)
 	}
 }
 
 func TestUnknownClassIsRejected(t *testing.T) {
-	b, h := start(t, settings(), oneZone(2))
+	b, h := newTestBalancer(t, settings(), oneZone(2))
 	b.Request(0, Request{ID: "r", Class: "unknown", TimeLeft: time.Second})
-	if a := h.take(); len(a) != 1 || a[0].what != "reject" {
-		t.Errorf("%v", a)
+	if a := h.takeActions(); len(a) != 1 || a[0].kind != "reject" {
+		t.Errorf("got actions %v, want a rejection", a)
 	}
 }
 
-// What each of many proxies admits beyond the baseline would be a long queue at few servers.
+// With many proxies, each proxy admits fewer requests beyond the baseline. Otherwise, their requests would add up to long queues at few
+// servers.
 func TestManyProxiesAdmitLessEach(t *testing.T) {
 	sent := map[int]int{}
 	for _, proxies := range []int{1, 100} {
-		set := settings()
-		set.Proxies = proxies
-		b, h := start(t, set, oneZone(20))
+		cfg := settings()
+		cfg.Proxies = proxies
+		b, h := newTestBalancer(t, cfg, oneZone(20))
 		for i := range 40 {
-			b.Request(time.Second+time.Duration(i), Request{ID: fmt.Sprint(i), Class: set.Classes[0].Name, TimeLeft: time.Second})
+			b.Request(time.Second+time.Duration(i), Request{ID: fmt.Sprint(i), Class: cfg.Classes[0].Name, TimeLeft: time.Second})
 		}
-		for _, a := range h.take() {
-			if a.what == "send" {
+		for _, a := range h.takeActions() {
+			if a.kind == "send" {
 				sent[proxies]++
 			}
 		}
 	}
 	if sent[100] == 0 || 4*sent[100] > 3*sent[1] {
-		t.Errorf("a first burst: one proxy sends %d, each of 100 sends %d", sent[1], sent[100])
+		t.Errorf("of the first 40 requests, a single proxy sent %d and each of 100 proxies %d, want at most 3/4 as many but not 0", sent[1], sent[100])
 	}
 }
 
-// Rejections in proportion to the excess would need latency near the objective to reject a large one.
+// Latency close to the objective leads to many rejections. With rejections in proportion to the excess, a large overload would keep
+// latency near the objective.
 func TestLatencyAtObjectiveRejectsMost(t *testing.T) {
 	for _, c := range []struct {
 		latency                  time.Duration
-		minFraction, maxFraction float64 // fraction rejected
+		minFraction, maxFraction float64 // bounds of the fraction rejected
 	}{{20 * ms, 0, 0.05}, {50 * ms, 0, 0.1}, {99 * ms, 0.3, 0.9}} {
-		set := settings()
-		b, h := start(t, set, oneZone(8))
+		cfg := settings()
+		b, h := newTestBalancer(t, cfg, oneZone(8))
 		arrived, rejected := 0, 0
 		type sent struct {
 			id   string
 			at   time.Duration
 			took time.Duration
 		}
-		var out []sent
+		var inFlight []sent
 		for now := time.Second; now < 6*time.Second; now += ms {
-			took := 10 * ms // quick at first
+			took := 10 * ms // low latency at first
 			if now > 3*time.Second {
 				took = c.latency
 			}
-			for len(out) > 0 && now-out[0].at >= out[0].took {
-				endAttempt(b, now, out[0].id, Served, out[0].took)
-				out = out[1:]
+			for len(inFlight) > 0 && now-inFlight[0].at >= inFlight[0].took {
+				endAttempt(b, now, inFlight[0].id, Served, inFlight[0].took)
+				inFlight = inFlight[1:]
 			}
-			h.take()
+			h.takeActions()
 			id := fmt.Sprint(now)
-			b.Request(now, Request{ID: id, Class: set.Classes[0].Name, TimeLeft: time.Second})
-			for _, a := range h.take() {
-				if a.what == "send" {
-					out = append(out, sent{a.id, now, took})
-				} else if a.what == "reject" && now > 4*time.Second {
+			b.Request(now, Request{ID: id, Class: cfg.Classes[0].Name, TimeLeft: time.Second})
+			for _, a := range h.takeActions() {
+				if a.kind == "send" {
+					inFlight = append(inFlight, sent{a.id, now, took})
+				} else if a.kind == "reject" && now > 4*time.Second {
 					rejected++
 				}
 			}
@@ -137,41 +139,41 @@
 				arrived++
 			}
 		}
-		if part := float64(rejected) / float64(arrived); part < c.minFraction || part > c.maxFraction {
-			t.Errorf("latency %v of an objective of 100ms: %.2f rejected, want %v to %v", c.latency, part, c.minFraction, c.maxFraction)
+		if fraction := float64(rejected) / float64(arrived); fraction < c.minFraction || fraction > c.maxFraction {
+			t.Errorf("latency %v with an objective of 100ms: fraction rejected is %.2f, want %v to %v", c.latency, fraction, c.minFraction, c.maxFraction)
 		}
 	}
 }
 
-// Servers have one queue for all classes. A class of low value for its work that may wait for long is rejected before it makes more
-// valuable ones late; without such classes it may wait.
+// Servers have one queue for all classes. A class with a long latency objective and a low weight per work is rejected before its
+// requests make those of a more valuable class late. Without a more valuable class, its requests may queue.
 func TestLowValueClassIsRejectedFirst(t *testing.T) {
 	for _, c := range []struct {
 		otherClass               bool
-		minFraction, maxFraction float64 // fraction of the maps rejected
+		minFraction, maxFraction float64 // bounds of the fraction of map requests rejected
 	}{{true, 0.5, 0.95}, {false, 0, 0.05}} {
-		set := settings()
-		set.Classes = []Class{{Name: "map", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
+		cfg := settings()
+		cfg.Classes = []Class{{Name: "map", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1},
 			{Name: "hold", LatencyObjective: 150 * ms, Deadline: time.Second, PriorityWeight: 2}}
-		b, _ := start(t, set, oneZone(8))
+		b, _ := newTestBalancer(t, cfg, oneZone(8))
 		now := time.Second
-		for i := range 600 { // 100 a second, in time all of them
-			k := set.Classes[0]
+		for i := range 600 { // 100 per second, all served within the objective
+			k := cfg.Classes[0]
 			if now += 10 * ms; c.otherClass {
-				k = set.Classes[i%2]
+				k = cfg.Classes[i%2]
 			}
 			b.Request(now, Request{ID: fmt.Sprint(i), Class: k.Name, TimeLeft: time.Second})
 			endAttempt(b, now, fmt.Sprint(i), Served, 90*ms)
 		}
-		b.load.inFlight = int(3 * b.baselineInFlight(now)) // each takes three times its time now, 270 ms
-		part := 0.0
+		b.load.inFlight = int(3 * b.baselineInFlight(now)) // answers now take 3 times their mean latency, 270 ms
+		fraction := 0.0
 		for range 1000 {
-			if b.overloaded(now, &request{class: b.classes["map"]}) {
-				part += 0.001
+			if b.shouldReject(now, &request{class: b.classes["map"]}) {
+				fraction += 0.001
 			}
 		}
-		if part < c.minFraction || part > c.maxFraction {
-			t.Errorf("other class %v: %.2f of the maps are rejected, want %v to %v", c.otherClass, part, c.minFraction, c.maxFraction)
+		if fraction < c.minFraction || fraction > c.maxFraction {
+			t.Errorf("other class = %v: fraction of map requests rejected is %.2f, want %v to %v", c.otherClass, fraction, c.minFraction, c.maxFraction)
 		}
 	}
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxDraws is how often a server that may not be used is drawn before all of the subset are gone through.
+// maxDraws is the number of random draws before draw searches the whole subset for a usable server.
 const maxDraws = 8
 
-// pick draws two distinct servers by weight and returns the one with fewer of this proxy's requests in flight. It returns nil
-// if none is usable.
+// pick draws two distinct servers by weight and returns the one with fewer of this proxy's attempts in flight. It returns nil if no
+// server is usable.
 func (b *Balancer) pick(now time.Duration, usable func(*server) bool) *server {
 	b.refreshSubset(now)
 	first := b.draw(usable, nil)
@@ -23,7 +23,7 @@
 	if second.inFlight < first.inFlight {
 		return second
 	}
-	// With many proxies most pairs tie.
+	// With many proxies, most pairs have equally many attempts in flight.
 	if b.recentSlowness(second, now) < b.recentSlowness(first, now) {
 		return second
 	}
@@ -47,7 +47,7 @@
 	return b.drawFromAll(usable, excluded)
 }
 
-// drawFromAll draws like draw, asking of each server whether it is usable.
+// drawFromAll returns the same kind of result as draw, but checks each server of the subset and draws among the usable ones.
 func (b *Balancer) drawFromAll(usable func(*server) bool, excluded *server) *server {
 	var drawn *server
 	var total float64
--- a/balancer/pollschedule_test.go
+++ b/balancer/pollschedule_test.go
@@ -7,226 +7,226 @@
 	"time"
 )
 
-// registry is the service of the endpoint list for all proxies. It works on calls in turn; one that would wait for longer than
-// patience fails by then and is worked on all the same, and where the queue is more than twice as long a call fails at once. While
-// the service is down each call hangs for its patience and fails.
-type registry struct {
-	cost, patience time.Duration
-	up             time.Duration // it is down before
-	done           time.Duration // when all calls that it has taken will be
-	failed         int
+// listService simulates the endpoint list service of all proxies. It processes calls one after another. A call that is not done within
+// callTimeout fails but is still processed. If the queue is longer than twice the callTimeout, a call fails immediately. While the
+// service is down, every call fails after callTimeout.
+type listService struct {
+	costPerCall, callTimeout time.Duration
+	availableAt              time.Duration // the service is down before this time
+	busyUntil                time.Duration // when all accepted calls will have been processed
+	failed                   int
 }
 
-// call returns when a call that comes now ends, and whether it returns the list.
-func (r *registry) call(now time.Duration) (end time.Duration, ok bool) {
-	wait := max(r.done-now, 0)
+// call returns when a call that arrives now ends, and whether it returns the list.
+func (s *listService) call(now time.Duration) (end time.Duration, ok bool) {
+	wait := max(s.busyUntil-now, 0)
 	switch {
-	case now < r.up:
-	case wait > 2*r.patience:
-		r.failed++
+	case now < s.availableAt:
+	case wait > 2*s.callTimeout:
+		s.failed++
 		return now, false
 	default:
-		if r.done = now + wait + r.cost; r.done <= now+r.patience {
-			return r.done, true
+		if s.busyUntil = now + wait + s.costPerCall; s.busyUntil <= now+s.callTimeout {
+			return s.busyUntil, true
 		}
 	}
-	r.failed++
-	return now + r.patience, false
+	s.failed++
+	return now + s.callTimeout, false
 }
 
 // pollingProxy is the Host of one proxy.
 type pollingProxy struct {
 	recorder
-	bal    *Balancer
-	s      *pollingProxies
-	life   int           // a process that was killed has none of its timers and calls any more
-	had    time.Duration // its last list
-	failed bool          // the last call that ended, in whichever life
+	bal            *Balancer
+	s              *pollingProxies
+	incarnation    int           // incremented when the process is killed, which invalidates its timers and calls
+	listReceivedAt time.Duration // when the last list was received; 0: never
+	failed         bool          // whether the last call that ended failed, in any incarnation
 }
 
-func (a *pollingProxy) SetTimer(token uint64, d time.Duration) {
-	life := a.life
-	a.s.at(a.s.now+max(d, 0), func() {
-		if a.life == life {
-			a.bal.Timer(a.s.now, token)
+func (p *pollingProxy) SetTimer(token uint64, d time.Duration) {
+	incarnation := p.incarnation
+	p.s.at(p.s.now+max(d, 0), func() {
+		if p.incarnation == incarnation {
+			p.bal.Timer(p.s.now, token)
 		}
 	})
 }
 
-func (a *pollingProxy) Watch(bool) {
-	life := a.life
-	end, ok := a.s.call(a.s.now)
-	a.s.at(end, func() {
-		if a.life != life {
+func (p *pollingProxy) Watch(bool) {
+	incarnation := p.incarnation
+	end, ok := p.s.call(p.s.now)
+	p.s.at(end, func() {
+		if p.incarnation != incarnation {
 			return
 		}
 		u := EndpointUpdate{Kind: UpdateFailed}
-		if a.failed = !ok; ok {
-			a.had, u.Kind = a.s.now, UpdateSnapshot
+		if p.failed = !ok; ok {
+			p.listReceivedAt, u.Kind = p.s.now, UpdateSnapshot
 		}
-		a.bal.UpdateEndpoints(a.s.now, u)
+		p.bal.UpdateEndpoints(p.s.now, u)
 	})
 }
 
-// pollingProxies are many proxies before one registry.
+// pollingProxies simulates many proxies that poll one listService.
 type pollingProxies struct {
 	simulation
-	registry
-	all []*pollingProxy
+	listService
+	proxies []*pollingProxy
 }
 
-// start gives a proxy a new process, which knows an old list.
+// start starts a new process of proxy i, which has a cached list.
 func (s *pollingProxies) start(t *testing.T, i int, seed uint64) {
-	set := settings()
-	set.Polled, set.MaxPollInterval, set.Index, set.Proxies = true, 10*time.Second, i, len(s.all)
-	a := s.all[i]
-	a.life++
-	a.had = 0
+	cfg := settings()
+	cfg.Polled, cfg.MaxPollInterval, cfg.Index, cfg.Proxies = true, 10*time.Second, i, len(s.proxies)
+	p := s.proxies[i]
+	p.incarnation++
+	p.listReceivedAt = 0
 	var err error
-	if a.bal, err = New(set, seed, a); err != nil {
+	if p.bal, err = New(cfg, seed, p); err != nil {
 		t.Fatal(err)
 	}
-	a.bal.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateCached, Servers: twoZones(4)})
+	p.bal.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateCached, Servers: twoZones(4)})
 }
 
-// breakWatches ends the watches of all proxies, each after its time, before which it was silent for the time given.
-func (s *pollingProxies) breakWatches(after func(i int) time.Duration, silent time.Duration) {
-	for i, a := range s.all {
-		s.at(s.now+after(i), func() { a.bal.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateFailed, SilentFor: silent}) })
+// breakWatches breaks the watch of each proxy after its delay. The watches have received nothing for the time silent by then.
+func (s *pollingProxies) breakWatches(delay func(i int) time.Duration, silent time.Duration) {
+	for i, p := range s.proxies {
+		s.at(s.now+delay(i), func() { p.bal.UpdateEndpoints(s.now, EndpointUpdate{Kind: UpdateFailed, SilentFor: silent}) })
 	}
 }
 
-// lastNotified is when the last of the proxies had the list, counted from a time.
+// lastNotified returns how long after from the last proxy received the list, or an hour if a proxy has not received it.
 func (s *pollingProxies) lastNotified(from time.Duration) time.Duration {
 	last := time.Duration(0)
-	for _, a := range s.all {
-		if a.had == 0 {
+	for _, p := range s.proxies {
+		if p.listReceivedAt == 0 {
 			return time.Hour
 		}
-		last = max(last, a.had-from)
+		last = max(last, p.listReceivedAt-from)
 	}
 	return last
 }
 
 func immediately(int) time.Duration { return 0 }
 
-func newPollingProxies(t *testing.T, n int, seed uint64, one time.Duration) *pollingProxies {
-	s := &pollingProxies{registry: registry{cost: one / time.Duration(n), patience: 2 * time.Second}}
+// newPollingProxies returns n proxies that have all received the list. The service needs roundTime to process one call of each proxy.
+func newPollingProxies(t *testing.T, n int, seed uint64, roundTime time.Duration) *pollingProxies {
+	s := &pollingProxies{listService: listService{costPerCall: roundTime / time.Duration(n), callTimeout: 2 * time.Second}}
 	for i := range n {
-		s.all = append(s.all, &pollingProxy{s: s})
+		s.proxies = append(s.proxies, &pollingProxy{s: s})
 		s.start(t, i, seed<<16+uint64(i))
 	}
 	s.run(time.Minute)
-	for i, a := range s.all {
-		if a.had == 0 {
-			t.Fatalf("proxy %d never had the list", i)
+	for i, p := range s.proxies {
+		if p.listReceivedAt == 0 {
+			t.Fatalf("proxy %d did not receive the list within the first minute", i)
 		}
-		a.had = 0
+		p.listReceivedAt = 0
 	}
 	return s
 }
 
-// notifiedWithin is how long after the list can be reached a change of it counts as known, whatever failed, and sends to draining
-// servers are still allowed: 6 s and a drain grace of 1 s.
+// notifiedWithin is the time after the list becomes reachable by which all proxies must have a change of it, whatever failed before. A
+// change counts as known after 6 s, and sends to draining servers are allowed for a drain grace of 1 s more.
 const notifiedWithin = 6*time.Second + time.Second
 
-// All proxies poll one service that works on their calls in turn. It takes 2 to 8 s for one call of each; a call that waits for too
-// long fails and takes its time all the same. However many proxies there are, all have a change of the list within the time in
-// which it counts as known: when the service returns, when all watches are reset or fall silent, and when most processes are
-// killed at once just after its return.
+// Any number of proxies that poll one service receive a change of the list in time. The service processes calls one after another and
+// needs 2 to 5 s for one call of each proxy; a call that times out still takes its processing time. The cases are a service that returns
+// after an outage, watches that are all reset or all fall silent, and most processes killed just after the service has returned.
 func TestPollsReachAllProxiesInTime(t *testing.T) {
 	for _, n := range []int{5, 30, 60, 300, 2400} {
-		for _, one := range []time.Duration{2 * time.Second, 3500 * ms, 5 * time.Second} {
-			if n == 5 && one > 3*time.Second { // a call is half of what one may wait for: two that meet are too many
+		for _, roundTime := range []time.Duration{2 * time.Second, 3500 * ms, 5 * time.Second} {
+			if n == 5 && roundTime > 3*time.Second { // a call takes up to half of its timeout, so two calls at the same time are too many
 				continue
 			}
 			for seed := range uint64(5) {
-				what := fmt.Sprintf("%d proxies, %v for one call of each, seed %d: ", n, one, seed)
+				scenario := fmt.Sprintf("%d proxies, %v for one call of each, seed %d: ", n, roundTime, seed)
 				rng := rand.New(rand.NewPCG(seed, 1))
 
-				s := newPollingProxies(t, n, seed, one)
-				s.up = s.now + 3*time.Second + time.Duration(rng.Int64N(int64(9*time.Second)))
+				s := newPollingProxies(t, n, seed, roundTime)
+				s.availableAt = s.now + 3*time.Second + time.Duration(rng.Int64N(int64(9*time.Second)))
 				s.breakWatches(immediately, 0)
-				if s.run(s.up + time.Minute); s.lastNotified(s.up) > notifiedWithin {
-					t.Errorf("%sit returned, and the last one had the list after %v", what, s.lastNotified(s.up))
+				if s.run(s.availableAt + time.Minute); s.lastNotified(s.availableAt) > notifiedWithin {
+					t.Errorf("%sservice returned: the last proxy received the list after %v, want at most %v", scenario, s.lastNotified(s.availableAt), notifiedWithin)
 				}
 
-				s = newPollingProxies(t, n, seed, one)
+				s = newPollingProxies(t, n, seed, roundTime)
 				from := s.now
 				s.breakWatches(immediately, 0)
-				if s.run(s.now + time.Minute); one <= 3*time.Second && (s.lastNotified(from) > notifiedWithin || s.failed > 0) {
-					t.Errorf("%sall watches were reset, and the last one had the list after %v, with %d calls failed", what, s.lastNotified(from), s.failed)
+				if s.run(s.now + time.Minute); roundTime <= 3*time.Second && (s.lastNotified(from) > notifiedWithin || s.failed > 0) {
+					t.Errorf("%sall watches were reset: the last proxy received the list after %v with %d failed calls, want at most %v and 0", scenario, s.lastNotified(from), s.failed, notifiedWithin)
 				}
 
-				s = newPollingProxies(t, n, seed, one)
+				s = newPollingProxies(t, n, seed, roundTime)
 				from = s.now
-				// Lines come every 2 s, and a watch is dead 3.5 s behind one.
+				// A watch receives a line every 2 s and counts as broken 3.5 s after the last line.
 				s.breakWatches(func(int) time.Duration { return 3500*ms - time.Duration(rng.Int64N(int64(2*time.Second))) }, 3500*ms)
-				// The silence is seen late: 3.5 s are left to call in.
-				if s.run(s.now + time.Minute); one <= 3*time.Second && s.lastNotified(from) > notifiedWithin {
-					t.Errorf("%sall watches fell silent, and the last one had the list after %v", what, s.lastNotified(from))
+				// The silence is detected after up to 3.5 s, so 3.5 s remain for the poll.
+				if s.run(s.now + time.Minute); roundTime <= 3*time.Second && s.lastNotified(from) > notifiedWithin {
+					t.Errorf("%sall watches fell silent: the last proxy received the list after %v, want at most %v", scenario, s.lastNotified(from), notifiedWithin)
 				}
 
-				s = newPollingProxies(t, n, seed, one)
-				s.up = s.now + 8*time.Second
+				s = newPollingProxies(t, n, seed, roundTime)
+				s.availableAt = s.now + 8*time.Second
 				s.breakWatches(immediately, 0)
-				s.run(s.up + 500*ms + time.Duration(rng.Int64N(int64(1500*ms))))
+				s.run(s.availableAt + 500*ms + time.Duration(rng.Int64N(int64(1500*ms))))
 				killed, before := rng.Perm(n)[:n*7/10], s.failed
 				for _, i := range killed {
-					s.all[i].life++
+					s.proxies[i].incarnation++
 				}
-				from = s.now // what changes from here on counts as known 6 s later to those whose last call failed
+				from = s.now // changes after this time count as known after 6 s at proxies whose last call failed
 				s.run(from + 1550*ms)
 				failed := map[int]bool{}
 				for _, i := range killed {
-					failed[i] = s.all[i].failed
+					failed[i] = s.proxies[i].failed
 					s.start(t, i, seed<<32+uint64(i))
 				}
 				s.run(s.now + time.Minute)
 				for _, i := range killed {
-					if a := s.all[i]; a.had == 0 || a.had-from > 10*time.Second || failed[i] && a.had-from > notifiedWithin {
-						t.Errorf("%sproxy %d was killed after a call that failed (%v) and had the list %v later", what, i, failed[i], a.had-from)
+					if p := s.proxies[i]; p.listReceivedAt == 0 || p.listReceivedAt-from > 10*time.Second || failed[i] && p.listReceivedAt-from > notifiedWithin {
+						t.Errorf("%sproxy %d was killed (last call failed: %v) and received the list after %v, want at most 10s, or %v after a failed call", scenario, i, failed[i], p.listReceivedAt-from, notifiedWithin)
 						break
 					}
 				}
-				if again := s.failed - before; again > n/2 {
-					t.Errorf("%s%d calls failed behind the kill", what, again)
+				if failedAfterKill := s.failed - before; failedAfterKill > n/2 {
+					t.Errorf("%s%d calls failed after the kill, want at most %d", scenario, failedAfterKill, n/2)
 				}
 			}
 		}
 	}
 }
 
-// Where the service has more to do than it can, calls that come again too soon would keep its queue longer than any of them may
-// wait, for ever. A fifth of what it can do is for another caller here.
+// All proxies receive the list even if the service is near its capacity: another caller uses a fifth of it. If proxies polled again too
+// soon after a failure, the queue of the service would stay longer than the timeout of a call.
 func TestPollsSucceedAtBusyService(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newPollingProxies(t, 60, seed, 5*time.Second)
 		rng := rand.New(rand.NewPCG(seed, 2))
 		from := s.now
-		var other func()
-		other = func() {
+		var otherCaller func()
+		otherCaller = func() {
 			s.call(s.now)
-			s.at(s.now+time.Duration(rng.ExpFloat64()*float64(s.cost)/0.2), other)
+			s.at(s.now+time.Duration(rng.ExpFloat64()*float64(s.costPerCall)/0.2), otherCaller)
 		}
-		other()
+		otherCaller()
 		s.breakWatches(immediately, 0)
 		s.run(from + 40*time.Second)
 		if s.lastNotified(from) > 30*time.Second {
-			without := 0
-			for _, a := range s.all {
-				if a.had == 0 {
-					without++
+			unnotified := 0
+			for _, p := range s.proxies {
+				if p.listReceivedAt == 0 {
+					unnotified++
 				}
 			}
-			t.Errorf("seed %d: after 40 s %d have no list (the last one had it after %v), and %d calls failed", seed, without, s.lastNotified(from), s.failed)
+			t.Errorf("seed %d: after 40 s, %d proxies have no list, the last one received it after %v, and %d calls failed; want all to have it within 30 s", seed, unnotified, s.lastNotified(from), s.failed)
 		}
 	}
 }
 
-// A service that takes 6 s and more for one call of each is nearly busy, and a bunch of failed calls makes the next one. 7 in 10
-// proxies are killed within 4 s after its return, when the calls of the others and of the killed ones fill its queue; or they start
-// while it is down. Their lists come within the time in which earlier changes count as known.
+// Proxies that restart receive the list in time even if the service needs more than 6 s for one call of each proxy and is near its
+// capacity, so that one burst of failed calls causes the next. 7 in 10 proxies are killed within 4 s after the return of the service,
+// while its queue is full of the calls of all proxies, or they start while the service is down.
 func TestPollsAfterRestartOfMostProxies(t *testing.T) {
 	for _, n := range []int{60, 300} {
 		for seed := range uint64(30) {
@@ -235,7 +235,7 @@
 				s.run(s.now + after)
 				killed = rng.Perm(n)[:n*7/10]
 				for _, i := range killed {
-					s.all[i].life++
+					s.proxies[i].incarnation++
 				}
 				s.run(s.now + 500*ms)
 				for _, i := range killed {
@@ -243,44 +243,44 @@
 				}
 				return killed
 			}
-			within := func(what string, s *pollingProxies, who []int, from time.Duration) {
+			requireNotified := func(scenario string, s *pollingProxies, restarted []int, from time.Duration) {
 				s.run(s.now + time.Minute)
-				for _, i := range who {
-					if d := s.all[i].had - from; s.all[i].had == 0 || d > notifiedWithin {
-						t.Errorf("%d proxies, seed %d, %s: proxy %d had the list after %v", n, seed, what, i, d)
+				for _, i := range restarted {
+					if d := s.proxies[i].listReceivedAt - from; s.proxies[i].listReceivedAt == 0 || d > notifiedWithin {
+						t.Errorf("%d proxies, seed %d, %s: proxy %d received the list after %v, want at most %v", n, seed, scenario, i, d, notifiedWithin)
 						return
 					}
 				}
 			}
-			end := func(int) time.Duration { return time.Duration(rng.Int64N(int64(time.Second))) }
+			breakDelay := func(int) time.Duration { return time.Duration(rng.Int64N(int64(time.Second))) }
 
 			s := newPollingProxies(t, n, seed, 5*time.Second)
-			s.cost = 6400 * ms / time.Duration(n)
-			s.up = s.now + 4*time.Second + time.Duration(rng.Int64N(int64(8*time.Second)))
-			s.breakWatches(end, 0)
-			killed := restart(s, s.up-s.now+time.Duration(rng.Int64N(int64(4*time.Second))))
-			within("killed behind the return", s, killed, s.now)
+			s.costPerCall = 6400 * ms / time.Duration(n)
+			s.availableAt = s.now + 4*time.Second + time.Duration(rng.Int64N(int64(8*time.Second)))
+			s.breakWatches(breakDelay, 0)
+			killed := restart(s, s.availableAt-s.now+time.Duration(rng.Int64N(int64(4*time.Second))))
+			requireNotified("killed after the return", s, killed, s.now)
 
 			s = newPollingProxies(t, n, seed, 5*time.Second)
-			s.cost = 6200 * ms / time.Duration(n)
-			s.up = s.now + time.Hour
-			s.breakWatches(end, 0)
+			s.costPerCall = 6200 * ms / time.Duration(n)
+			s.availableAt = s.now + time.Hour
+			s.breakWatches(breakDelay, 0)
 			killed = restart(s, 8*time.Second)
-			s.up = s.now + time.Duration(rng.Int64N(int64(12*time.Second)))
-			within("started while it is down", s, killed, s.up)
+			s.availableAt = s.now + time.Duration(rng.Int64N(int64(12*time.Second)))
+			requireNotified("started during the outage", s, killed, s.availableAt)
 		}
 	}
 }
 
-// A proxy that must poll the list does so soon after its start but not with all others, waits after each failure, and never goes
-// without a poll for as long as the settings allow.
+// The first polls of proxies are spread over time. After each failure, a proxy waits, but the time between two polls always stays below
+// MaxPollInterval of the settings.
 func TestPollTimesAreSpreadAndBounded(t *testing.T) {
-	set := settings()
-	set.Polled, set.MaxPollInterval = true, 10*time.Second
-	starts := map[time.Duration]bool{}
+	cfg := settings()
+	cfg.Polled, cfg.MaxPollInterval = true, 10*time.Second
+	firstPolls := map[time.Duration]bool{}
 	for seed := range uint64(50) {
 		h := &recorder{}
-		b, err := New(set, seed, h)
+		b, err := New(cfg, seed, h)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -289,53 +289,53 @@
 		for range 30 {
 			at, ok := h.timers[pollTimer]
 			if !ok {
-				t.Fatal("no poll is planned")
+				t.Fatal("no poll is scheduled")
 			}
 			if now == 0 {
-				starts[at] = true
+				firstPolls[at] = true
 			}
 			longest = max(longest, at-now)
 			now, h.now = at, at
 			delete(h.timers, pollTimer)
 			b.Timer(now, pollTimer)
-			if a := h.take(); len(a) != 1 || a[0].what != "watch" {
-				t.Fatalf("%v, want one call", a)
+			if a := h.takeActions(); len(a) != 1 || a[0].kind != "watch" {
+				t.Fatalf("got actions %v, want one watch", a)
 			}
 			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed})
-			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed}) // a second failure plans no second poll
+			b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateFailed}) // a second failure schedules no second poll
 		}
-		if longest >= set.MaxPollInterval {
-			t.Errorf("seed %d: no poll for %v", seed, longest)
+		if longest >= cfg.MaxPollInterval {
+			t.Errorf("seed %d: longest time between polls is %v, want below %v", seed, longest, cfg.MaxPollInterval)
 		}
 		delete(h.timers, pollTimer)
 		b.Timer(now, pollTimer)
 		b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateDelta})
 		if b.polls.timerSet || b.polls.pending || len(h.timers) != 0 {
-			t.Errorf("seed %d: after an answer a call is due (%v, %v), %d timers", seed, b.polls.timerSet, b.polls.pending, len(h.timers))
+			t.Errorf("seed %d: after an update: timerSet = %v, pending = %v, %d timers; want false, false, 0", seed, b.polls.timerSet, b.polls.pending, len(h.timers))
 		}
 	}
-	if len(starts) < 45 {
-		t.Errorf("50 proxies began at only %d different times", len(starts))
+	if len(firstPolls) < 45 {
+		t.Errorf("first polls of 50 proxies are at %d different times, want at least 45", len(firstPolls))
 	}
 }
 
-// However often a poll fails, the next one follows soon.
+// However often polls fail, the next poll follows within MaxPollInterval.
 func TestPollsContinueAfterFailures(t *testing.T) {
 	s := settings()
 	s.Polled, s.MaxPollInterval = true, 10*time.Second
-	b, h := start(t, s, nil)
+	b, h := newTestBalancer(t, s, nil)
 	for i := range 300 {
 		at, ok := h.timers[pollTimer]
 		if !ok || at-h.now > MaxPollInterval {
-			t.Fatalf("call %d: due in %v, %v", i, at-h.now, ok)
+			t.Fatalf("poll %d: scheduled = %v, due in %v, want at most %v", i, ok, at-h.now, MaxPollInterval)
 		}
 		h.now = at
 		delete(h.timers, pollTimer)
 		b.Timer(h.now, pollTimer)
-		if a := h.take(); len(a) != 1 || a[0].what != "watch" {
-			t.Fatalf("call %d: %v", i, a)
+		if a := h.takeActions(); len(a) != 1 || a[0].kind != "watch" {
+			t.Fatalf("poll %d: got actions %v, want one watch", i, a)
 		}
-		if i == 150 { // it worked once, and its watch broke
+		if i == 150 { // the poll succeeds once, and then the watch breaks
 			b.UpdateEndpoints(h.now, EndpointUpdate{Kind: UpdateSnapshot, Servers: twoZones(2)})
 		}
 		b.UpdateEndpoints(h.now, EndpointUpdate{Kind: UpdateFailed})
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// maxServerWait is how long a request may wait for a usable server, however long its client would.
+// maxServerWait limits how long a request waits for a usable server, even if its client would wait longer.
 const maxServerWait = 2500 * time.Millisecond
 
-// request is a request that this proxy has accepted. It is retained until its last attempt has ended.
+// request is a request that this proxy has accepted. It is retained until its last attempt has ended, which may be after its
+// final answer.
 type request struct {
 	Request
-	seq      uint64 // its timer token
+	seq      uint64 // sequence number; also the token of its timer
 	class    *class
 	deadline time.Duration
 	attempts []attempt
-	inFlight int // attempts
+	inFlight int // attempts in flight
 
-	finished        bool            // has its final answer
-	streaming       bool            // an answer has begun
-	streamedAt      time.Duration   // when that of a class that does not stream has begun
-	queued          bool            // by the Admission
-	admitted        bool            // by the Admission, which still counts it
-	retryAfter      time.Duration   // the last advice of the Admission or the LocalityPicker
-	localityRequest LocalityRequest // by which the LocalityPicker picked the next attempt's locality
+	finished        bool            // the client has its final answer
+	streaming       bool            // an answer has begun to stream to the client
+	streamedAt      time.Duration   // when the answer began, for a class without Stream; otherwise 0
+	queued          bool            // in the queue of the Admission
+	admitted        bool            // by the Admission, which still counts the request as in flight
+	retryAfter      time.Duration   // last Retry-After of the Admission or the LocalityPicker
+	localityRequest LocalityRequest // with which the LocalityPicker picked the locality of the next attempt
 }
 
 // attempt is an attempt of a request at a server.
 type attempt struct {
-	to              *server
-	sentAt          time.Duration
-	inFlight        bool
-	notExecuted     bool            // its outcome proves that
-	uncounted       bool            // no longer in the counters of attempts in flight
-	localityRequest LocalityRequest // where a LocalityPicker is set
+	to               *server
+	sentAt           time.Duration
+	inFlight         bool
+	notExecuted      bool            // the outcome proves that the server did not execute the request
+	inFlightReleased bool            // no longer counted as in flight, see releaseInFlight
+	localityRequest  LocalityRequest // set only with a LocalityPicker
 }
 
-// requestTable holds the requests.
+// requestTable holds the requests until their last attempt has ended.
 type requestTable struct {
 	byID       map[string]*request
-	unanswered map[uint64]*request // those without their final answer, by sequence number
+	unanswered map[uint64]*request // requests without a final answer, by sequence number
 	lastSeq    uint64
 }
 
@@ -52,12 +53,12 @@
 	return r
 }
 
-// waited is how long the client has waited.
+// waited returns how long the client has waited.
 func (r *request) waited(now time.Duration) time.Duration {
 	return now - r.deadline + r.TimeLeft
 }
 
-// attemptedAt reports whether an attempt went to a server.
+// attemptedAt reports whether an attempt of the request was sent to the server.
 func (r *request) attemptedAt(s *server) bool {
 	for i := range r.attempts {
 		if r.attempts[i].to == s {
@@ -67,19 +68,19 @@
 	return false
 }
 
-// attemptedIn reports whether an attempt went to a locality.
-func (r *request) attemptedIn(at Locality) bool {
+// attemptedIn reports whether an attempt of the request was sent to the locality.
+func (r *request) attemptedIn(loc Locality) bool {
 	for i := range r.attempts {
-		if r.attempts[i].to.locality() == at {
+		if r.attempts[i].to.locality() == loc {
 			return true
 		}
 	}
 	return false
 }
 
-// boundZone is the zone that a request must not leave, as it may have been executed there and only servers there recognize its
-// repetition. It is empty if there is none.
-func (r *request) boundZone() string {
+// requiredZone returns the only zone to which the request may be sent: it may have been executed there, and only servers of that
+// zone recognize a repetition. The result is empty if any zone is allowed.
+func (r *request) requiredZone() string {
 	if r.class.Effect != IdempotentWithKey || r.class.Group == GroupAll {
 		return ""
 	}
@@ -91,7 +92,7 @@
 	return ""
 }
 
-// Request takes a client's request. One whose ID is in use is ignored, and one of an unknown class is rejected.
+// Request handles a client's request. A request whose ID is in use is ignored, and a request of an unknown class is rejected.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	if b.requests.byID[q.ID] != nil {
 		return
@@ -106,17 +107,18 @@
 	}
 	r := b.requests.add(q, c, now)
 	if b.settings.Admission != nil {
-		b.arrive(now, r)
+		b.requestAdmission(now, r)
 		return
 	}
-	if b.overloaded(now, r) {
-		b.refuse(now, r)
+	if b.shouldReject(now, r) {
+		b.rejectOrFail(now, r)
 		return
 	}
 	b.dispatch(now, r)
 }
 
-// dispatch sends the next attempt of a request that has none in flight. Without a usable server the request waits or is refused.
+// dispatch sends the next attempt of a request, unless it is finished, has an attempt in flight or is queued by the Admission while
+// servers may be available. If no server is usable, the request waits or is answered with an error.
 func (b *Balancer) dispatch(now time.Duration, r *request) {
 	if r.finished || r.inFlight > 0 {
 		return
@@ -126,7 +128,7 @@
 		return
 	}
 	if now >= r.deadline {
-		b.refuse(now, r)
+		b.rejectOrFail(now, r)
 		return
 	}
 	purpose := FirstAttempt
@@ -140,24 +142,24 @@
 	b.waitForServer(now, r)
 }
 
-// dispatchAll dispatches all requests without their final answer, in the order of their arrival.
+// dispatchAll calls dispatch for all requests without a final answer, in the order of their arrival.
 func (b *Balancer) dispatchAll(now time.Duration) {
 	for _, seq := range slices.Sorted(maps.Keys(b.requests.unanswered)) {
 		b.dispatch(now, b.requests.unanswered[seq])
 	}
 }
 
-// waitForServer has a request dispatched again after a while, or refuses it if waiting does not help or has taken so long that
-// the client would soon have no use for the answer.
+// waitForServer sets a timer to dispatch the request again. Instead of waiting, it answers the request with an error if there is no
+// server to wait for, if the request has already been attempted, or if it has waited for maxServerWait or three quarters of its time.
 func (b *Balancer) waitForServer(now time.Duration, r *request) {
 	noServer := b.endpoints.known && (b.endpoints.running == 0 || b.settings.Localities != nil)
 	attempted := len(r.attempts) > 0
 	if noServer && !attempted {
-		// Not an overload, which would have most requests rejected once there are servers again.
-		b.overload.timely.count--
+		// Do not count the request as an overload: most requests would be rejected once servers are available again.
+		b.overload.withinObjective.count--
 	}
 	if noServer || attempted || r.deadline-now < r.TimeLeft/4 || r.waited(now) > maxServerWait {
-		b.refuse(now, r)
+		b.rejectOrFail(now, r)
 		return
 	}
 	b.host.SetTimer(r.seq, min(r.TimeLeft/8, maxServerWait/6)+1)
@@ -185,8 +187,9 @@
 	b.setHedgeTimer()
 }
 
-// refuse gives a request its final answer without one from a server.
-func (b *Balancer) refuse(now time.Duration, r *request) {
+// rejectOrFail gives a request a final answer that does not come from a server: a rejection if the client may repeat the request
+// safely, otherwise a failure.
+func (b *Balancer) rejectOrFail(now time.Duration, r *request) {
 	if b.mayReject(r) {
 		b.host.Reject(r.ID, b.retryAfter(now, r))
 	} else {
@@ -195,11 +198,11 @@
 	b.finish(now, r)
 }
 
-// finish closes a request that has its final answer.
+// finish marks a request as answered and cancels its attempts in flight.
 func (b *Balancer) finish(now time.Duration, r *request) {
 	r.finished = true
-	b.overload.timely.count++
-	b.leaveAdmission(now, r)
+	b.overload.withinObjective.count++
+	b.releaseAdmission(now, r)
 	delete(b.requests.unanswered, r.seq)
 	if r.inFlight == 0 {
 		delete(b.requests.byID, r.ID)
@@ -209,7 +212,7 @@
 	b.cancelAttempts(r, none)
 }
 
-// cancelAttempts cancels the attempts in flight except one.
+// cancelAttempts cancels the attempts in flight except the one with the index except.
 func (b *Balancer) cancelAttempts(r *request, except int) {
 	if !b.settings.MayCancel {
 		return
@@ -221,17 +224,17 @@
 	}
 }
 
-// uncount takes an attempt out of the counters of attempts in flight.
-func (b *Balancer) uncount(a *attempt) {
-	if a.uncounted {
+// releaseInFlight removes an attempt from the counts of attempts in flight, at most once.
+func (b *Balancer) releaseInFlight(a *attempt) {
+	if a.inFlightReleased {
 		return
 	}
-	a.uncounted = true
+	a.inFlightReleased = true
 	a.to.inFlight--
 	b.load.inFlight--
 }
 
-// Started notes that the answer of an attempt has begun to stream to the client. The request's other attempts are cancelled, and
+// Started reports that the answer of attempt n has begun to stream to the client. The request's other attempts are cancelled, and
 // its deadline no longer applies.
 func (b *Balancer) Started(now time.Duration, id string, n int) {
 	r := b.requests.byID[id]
@@ -243,17 +246,17 @@
 		b.reportAttempt(now, r, n, Served, now-a.sentAt)
 	}
 	r.streaming = true
-	b.leaveAdmission(now, r)
+	b.releaseAdmission(now, r)
 	a.to.silentSince = now
 	if !r.class.Stream && a.inFlight {
-		r.streamedAt = now // how long it takes from here on is up to the client
-		b.uncount(a)
+		r.streamedAt = now // the rest of the transfer depends on the client
+		b.releaseInFlight(a)
 	}
 	b.cancelAttempts(r, n)
 	b.admitQueued(now)
 }
 
-// Outcome takes the end of an attempt. One that has ended already is ignored.
+// Outcome handles the end of an attempt. An Outcome of an attempt that has already ended is ignored.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests.byID[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) {
@@ -265,7 +268,7 @@
 	}
 	a.inFlight = false
 	a.notExecuted = o.Result.provesNotExecuted()
-	b.uncount(a)
+	b.releaseInFlight(a)
 	r.inFlight--
 	if !r.streaming {
 		b.reportAttempt(now, r, o.Attempt, o.Result, o.Latency)
@@ -273,7 +276,7 @@
 	if b.settings.Localities != nil {
 		b.settings.Localities.AttemptEnded(now, a.to.locality(), a.localityRequest, o.Result, o.Latency)
 	}
-	b.judge(now, r, a, o)
+	b.observeOutcome(now, r, a, o)
 	switch {
 	case r.finished:
 		if r.inFlight == 0 {
@@ -287,20 +290,20 @@
 	b.admitQueued(now)
 }
 
-// finalOutcome closes a request whose final answer has come from a server.
+// finalOutcome finishes a request whose final answer came from a server.
 func (b *Balancer) finalOutcome(now time.Duration, r *request, result Result) {
 	answeredAt := now
 	if r.streamedAt > 0 {
 		answeredAt = r.streamedAt
 	}
 	if result == Served && r.waited(answeredAt) <= r.class.LatencyObjective {
-		b.overload.timely.sum++
+		b.overload.withinObjective.sum++
 		b.retryBudget.deposit()
 	}
 	b.finish(now, r)
 }
 
-// ClientGone notes that the client has left, or that its time is over.
+// ClientGone reports that the client has disconnected or no longer waits for an answer.
 func (b *Balancer) ClientGone(now time.Duration, id string) {
 	r := b.requests.byID[id]
 	if r == nil || r.finished {
@@ -310,12 +313,12 @@
 	b.admitQueued(now)
 }
 
-// Expire gives a request its final answer now, unless one has begun. Attempts in flight are cancelled.
+// Expire rejects or fails a request now, unless its answer has begun to stream. Attempts in flight are cancelled.
 func (b *Balancer) Expire(now time.Duration, id string) {
 	r := b.requests.byID[id]
 	if r == nil || r.finished || r.streaming {
 		return
 	}
-	b.refuse(now, r)
+	b.rejectOrFail(now, r)
 	b.admitQueued(now)
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	retryTokensPerSuccess = 0.1
-	maxRetryTokens        = 3.0
+	retryTokensPerSuccess = 0.1 // tokens per request that is served within its latency objective
+	maxRetryTokens        = 3.0 // burst of retries and hedges
 )
 
-// retryBudget limits retries and hedges to a share of the requests that are served in time. It is used where no Admission is set.
+// retryBudget is a token bucket that limits retries and hedges to a fraction of the requests that are served within their latency
+// objective. It is used if no Admission is set.
 type retryBudget struct {
 	tokens float64
 }
@@ -26,7 +27,7 @@
 	b.tokens = min(b.tokens+retryTokensPerSuccess, maxRetryTokens)
 }
 
-// retryBudgetSpent reports whether no further retry or hedge may be made.
+// retryBudgetSpent reports whether the retry budget allows no further retry or hedge.
 func (b *Balancer) retryBudgetSpent(now time.Duration, r *request) bool {
 	if b.settings.Admission != nil {
 		return !b.settings.Admission.MayRetry(now, r.HighPriority)
@@ -34,7 +35,7 @@
 	return !b.retryBudget.available()
 }
 
-// countRetry takes a retry or hedge from its budget.
+// countRetry charges a retry or hedge to the retry budget.
 func (b *Balancer) countRetry(now time.Duration, r *request) {
 	if b.settings.Admission != nil {
 		b.settings.Admission.RetryStarted(now, r.HighPriority)
@@ -43,8 +44,8 @@
 	b.retryBudget.withdraw()
 }
 
-// mayAttempt reports whether a further attempt of a request at a server is allowed: by the number of attempts, by what is in
-// flight, and by what a second execution would do.
+// mayAttempt reports whether another attempt of a request at a server is allowed, considering the number of attempts, the attempts
+// in flight and the effect of a second execution.
 func (b *Balancer) mayAttempt(r *request, s *server, now time.Duration) bool {
 	if len(r.attempts) > 0 {
 		if len(r.attempts) >= max(b.settings.MaxAttempts, 1) || r.finished || r.streaming {
@@ -62,12 +63,12 @@
 	return true
 }
 
-// provesNotExecuted reports whether the server cannot have executed the request.
+// provesNotExecuted reports whether the result proves that the server did not execute the request.
 func (r Result) provesNotExecuted() bool {
 	return r == Rejected || r == NotConnected || r == NotSent
 }
 
-// repeatableAt reports whether a request may be repeated at a server although it may have been executed by this attempt.
+// repeatableAt reports whether the request of this attempt may be repeated at server s.
 func (a *attempt) repeatableAt(c *class, s *server, now time.Duration) bool {
 	if a.notExecuted || c.Effect == Idempotent {
 		return true
@@ -85,7 +86,7 @@
 	}
 }
 
-// mayReject reports whether a request may be rejected, which promises that a repetition is harmless.
+// mayReject reports whether a request may be rejected. A rejection tells the client that repeating the request is safe.
 func (b *Balancer) mayReject(r *request) bool {
 	if r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.Group == GroupAll {
 		return true
@@ -98,13 +99,13 @@
 	return true
 }
 
-// findServer returns the server of the next attempt, or nil if there is none or no attempt is allowed. A retry or hedge is taken
-// from its budget.
+// findServer returns the server for the next attempt, or nil if there is none or no attempt is allowed. A retry or hedge is charged
+// to the retry budget.
 func (b *Balancer) findServer(now time.Duration, r *request, purpose Purpose) *server {
 	first := purpose == FirstAttempt
-	// A LocalityPicker may let a hedge leave its locality without a budget.
-	picksWithoutBudget := purpose == Hedge && b.settings.Localities != nil
-	if !first && b.retryBudgetSpent(now, r) && !picksWithoutBudget {
+	// A LocalityPicker may let a hedge leave an unhealthy locality without retry budget.
+	mayExceedBudget := purpose == Hedge && b.settings.Localities != nil
+	if !first && b.retryBudgetSpent(now, r) && !mayExceedBudget {
 		return nil
 	}
 	usable := func(s *server) bool {
@@ -112,10 +113,10 @@
 	}
 	var s *server
 	if b.settings.Localities != nil {
-		s = b.pickInLocality(now, r, purpose, usable)
+		s = b.pickLocalityAndServer(now, r, purpose, usable)
 	} else {
 		s = b.pick(now, func(s *server) bool { return s.accepts(r.class, now) && usable(s) })
-		if s == nil && first { // all reject the class: trying one is better than not trying
+		if s == nil && first { // all servers are ejected for the class: try one of them nevertheless
 			s = b.pick(now, usable)
 		}
 	}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Every combination of effect, group, the end of the earlier attempt, window and parallel attempts.
+// Checks mayAttempt and mayReject for every combination of effect, group, state of the earlier attempt, expired window, parallel
+// attempts and server of the next attempt.
 func TestRepetitionRulesByEffect(t *testing.T) {
 	type end struct {
 		name        string
@@ -15,9 +16,9 @@
 				for _, late := range []bool{false, true} {
 					for _, parallel := range []bool{false, true} {
 						for _, to := range []Server{{Zone: "za", Cell: 1}, {Zone: "za", Cell: 2}, {Zone: "zb", Cell: 3}} {
-							set := settings()
-							set.ParallelAttempts = parallel
-							b, _ := start(t, set, twoZones(4))
+							cfg := settings()
+							cfg.ParallelAttempts = parallel
+							b, _ := newTestBalancer(t, cfg, twoZones(4))
 							c := &class{Class: Class{Effect: effect, Group: group, Window: 400 * ms}}
 							r := &request{class: c, attempts: []attempt{{to: first, inFlight: e.out, notExecuted: e.proved}}}
 							now := 100 * ms
@@ -33,11 +34,12 @@
 								want = false
 							}
 							if got := b.mayAttempt(r, &server{Server: to}, now); got != want {
-								t.Errorf("repeat effect %d group %d %s late %v parallel %v to %v: %v", effect, group, e.name, late, parallel, to, got)
+								t.Errorf("mayAttempt: effect %d, group %d, first attempt %s, window expired %v, parallel %v, server %v: got %v, want %v",
+									effect, group, e.name, late, parallel, to, got, want)
 							}
 							want = effect == Idempotent || e.proved || effect == IdempotentWithKey && group == GroupAll
 							if got := b.mayReject(r); got != want {
-								t.Errorf("reject effect %d group %d %s: %v", effect, group, e.name, got)
+								t.Errorf("mayReject: effect %d, group %d, first attempt %s: got %v, want %v", effect, group, e.name, got, want)
 							}
 						}
 					}
--- a/balancer/server.go
+++ b/balancer/server.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// server is a server of the endpoint list and what this proxy knows of it.
+// server is an entry of the endpoint list with what this proxy has observed of the server.
 type server struct {
 	Server
 	local       bool    // in this proxy's zone
-	rank        float64 // place in the list's order, from 0 to 1
+	rank        float64 // position in the order of this proxy, from 0 to below 1
 	addedBefore int     // servers added to the list before this one
-	weight      float64 // by which it is drawn, as of the last refresh of the subset
+	weight      float64 // relative probability of being drawn, as of the last refresh of the subset
 
-	inFlight    int           // this proxy's attempts
-	silentSince time.Duration // since when it has answered nothing while attempts were in flight
-	sends       decayingMean  // its count: attempts within the overload window
+	inFlight    int           // this proxy's attempts in flight at the server
+	silentSince time.Duration // start of the period in which attempts were in flight and none was answered
+	sends       decayingMean  // only count is used: attempts within the overload window
 
 	latency       decayingMean // as a multiple of its class's mean
-	recentLatency decayingMean // the same over the short window
+	recentLatency decayingMean // like latency, over the short window
 
 	outlier    outlierState
-	rejections map[*class]*classRejections // of the classes that it has rejected since it served one
+	rejections map[*class]*classRejections // of each class that it has rejected since it last served the class
 }
 
-// outlierState is what ejects a server, and for how long.
+// outlierState holds the failures and the ejection of a server.
 type outlierState struct {
 	consecutiveFailures  int
 	consecutiveEjections int
-	ejectedAt            time.Duration // the last time
+	ejectedAt            time.Duration // start of the last ejection
 	ejectedUntil         time.Duration
-	onProbation          bool // has served nothing since it was ejected: one attempt at a time
+	onProbation          bool // has served nothing since it was ejected; limited to one attempt at a time
 }
 
-// classRejections is how a server rejects one class.
+// classRejections counts the rejections of one class by a server and holds the ejection of the server for the class.
 type classRejections struct {
 	consecutive          int
 	consecutiveEjections int
 	ejectedUntil         time.Duration
 }
 
-// restarted drops what was seen of the server's former process, which says nothing about the new one. Its attempts stay in
-// flight until they end.
+// restarted discards the observations of the server's previous process, as they do not apply to the new one. Attempts at the
+// previous process stay in flight until they end.
 func (s *server) restarted(now time.Duration) {
 	s.latency = decayingMean{}
 	s.recentLatency = decayingMean{}
@@ -47,16 +47,17 @@
 	s.rejections = nil
 }
 
-// locality is where the server is.
+// locality returns the zone and priority of the server.
 func (s *server) locality() Locality {
 	return Locality{Zone: s.Zone, Priority: s.Priority}
 }
 
-// sendsInWindow counts this proxy's attempts at the server within the overload window.
+// sendsInWindow returns the decayed number of this proxy's attempts at the server within the overload window.
 func (b *Balancer) sendsInWindow(s *server, now time.Duration) float64 {
 	return b.decayedSends(s, now).count
 }
 
+// decayedSends returns the attempts at the server, decayed to now.
 func (b *Balancer) decayedSends(s *server, now time.Duration) *decayingMean {
 	return s.sends.decay(now, b.settings.OverloadWindow+1)
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Effect says what a second execution of a request does.
+// Effect is the effect of executing a request a second time.
 type Effect uint8
 
 // The effects of a second execution.
 const (
-	Idempotent        Effect = iota // none: the request may be repeated
-	IdempotentWithKey               // none where the servers of its Group see the same idempotency key within its Window
-	NonIdempotent                   // harm: the request must not be repeated once it may have been executed
+	Idempotent        Effect = iota // no effect: the request may be repeated
+	IdempotentWithKey               // no effect if a server of its Group gets the same idempotency key within its Window
+	NonIdempotent                   // harmful: the request must not be repeated once it may have been executed
 )
 
-// Group says which servers recognize repetitions of a request that is IdempotentWithKey.
+// Group determines which servers recognize a repeated request of a class that is IdempotentWithKey.
 type Group uint8
 
 // The groups of servers that share idempotency keys.
@@ -25,69 +25,69 @@
 	GroupCell              // the servers of one cell of a zone
 )
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name               string
-	LatencyObjective   time.Duration // not positive or over Deadline: Deadline is taken
+	LatencyObjective   time.Duration // zero, negative or above Deadline: Deadline is used
 	ObjectiveStretch   float64
-	Deadline           time.Duration // how long a client waits, over all attempts; must be positive
+	Deadline           time.Duration // how long a client waits for all attempts together; must be positive
 	Effect             Effect
 	Group              Group         // with IdempotentWithKey only
-	Window             time.Duration // with IdempotentWithKey only: how long repetitions are recognized, counted from the first attempt that may have been executed
+	Window             time.Duration // with IdempotentWithKey only: how long a repetition is recognized, from the first attempt that may have been executed
 	PriorityWeight     float64       // value of an answer within LatencyObjective, relative to other classes
 	LatePriorityWeight float64       // fraction of PriorityWeight for an answer after LatencyObjective
-	Stream             bool          // an answer is work for its server for as long as it lasts
+	Stream             bool          // streaming an answer occupies the server until the answer ends
 }
 
-// Tenant is a customer who shares the service.
+// Tenant is a customer that shares the service with other customers.
 type Tenant struct {
 	Name  string
-	Rate  float64 // requests a second within its quota, over all proxies; 0: unlimited
+	Rate  float64 // requests per second within its quota, over all proxies; 0: unlimited
 	Quota float64
 }
 
-// Settings configure a Balancer. A limit of zero means "none" unless said otherwise.
+// Settings configure a Balancer. A limit of 0 means no limit unless stated otherwise.
 type Settings struct {
-	Zone    string // of this proxy
+	Zone    string // zone of this proxy
 	Zones   []string
-	Index   int // number of this proxy, from 0
-	Proxies int // number of proxies; below 1 is taken as 1
+	Index   int // index of this proxy, from 0
+	Proxies int // number of proxies; a value below 1 counts as 1
 
 	Classes         []Class // at least one
 	Tenants         []Tenant
-	OverQuotaWeight float64 // factor of the priority weight of a request over its tenant's quota
-	WeightByWork    bool    // PriorityWeight holds for a unit of work, not for a request
+	OverQuotaWeight float64 // factor on the priority weight of a request above its tenant's quota
+	WeightByWork    bool    // PriorityWeight applies per unit of work instead of per request
 
-	MaxAttempts      int  // for one request; 0 is taken as 1
-	ParallelAttempts bool // a request may have several attempts in flight, so that it may be hedged
+	MaxAttempts      int  // for one request; 0 counts as 1
+	ParallelAttempts bool // a request may have several attempts in flight; required for hedging
 	MayCancel        bool // Host.Cancel may be called
 	MayHealthCheck   bool
 	RetryAfter       bool // rejections carry a Retry-After
 	MaxRetryAfter    time.Duration
 	ConnectTimeout   time.Duration
 	ConnIdle         time.Duration
-	Multiplex        int // requests that one connection carries at once
+	Multiplex        int // requests that one connection carries concurrently
 	WarmKeys         bool
 
-	Polled          bool          // the endpoint list must be polled with Host.Watch
-	MaxPollInterval time.Duration // a proxy that does not poll for this long counts as notified
+	Polled          bool          // the Balancer polls the endpoint list with Host.Watch
+	MaxPollInterval time.Duration // a proxy that has not polled for this long counts as notified
 
 	AnswerGrace      time.Duration // how long after the deadline a final answer still counts
 	DrainGrace       time.Duration
-	WarmUpTime       time.Duration // of a server that has started; 0: servers start warm
-	WarmUpShare      float64       // fraction of its capacity with which a server starts
-	OverloadMultiple float64       // multiple of its capacity above which a server that is warming up fails
-	OverloadWindow   time.Duration // over which that is counted
+	WarmUpTime       time.Duration // duration of slow start; 0: servers start warm
+	WarmUpShare      float64       // fraction of its capacity that a server has when it starts
+	OverloadMultiple float64       // multiple of its current capacity above which a server that is warming up fails
+	OverloadWindow   time.Duration // window in which OverloadMultiple is measured
 
 	Price   Prices
 	Weights WeightSource
 	Report  ReportMode
 
-	Localities LocalityPicker // nil: zones are weighed by the cross-zone price
-	Admission  Admission      // nil: the Balancer's own overload estimate decides
+	Localities LocalityPicker // nil: the servers of other zones are weighted by the cross-zone price
+	Admission  Admission      // nil: the Balancer admits or rejects by its own overload estimate
 }
 
-// Prices are what a unit costs, as fractions of the value of the service.
+// Prices holds the cost per unit of each resource, as a fraction of the value of the service.
 type Prices struct {
 	CrossZone   float64
 	Waste       float64
@@ -99,18 +99,18 @@
 	Gossip      float64
 }
 
-// WeightSource says what Server.Weight holds.
+// WeightSource determines the meaning of Server.Weight.
 type WeightSource uint8
 
 // The sources of server weights.
 const (
 	WeightNone    WeightSource = iota // always 1
 	WeightNominal                     // the capacity
-	WeightRough                       // the capacity, approximately
-	WeightLive                        // the capacity over 1 + requests in flight for each core, some time ago
+	WeightRough                       // the approximate capacity
+	WeightLive                        // capacity / (1 + requests in flight per core), some time ago
 )
 
-// ReportMode says with what load reports arrive.
+// ReportMode determines how load reports arrive.
 type ReportMode uint8
 
 // The ways in which load reports arrive.
@@ -120,7 +120,7 @@
 	ReportHealthChecks
 )
 
-// settingError is a setting that cannot be used.
+// settingError describes an invalid setting.
 type settingError struct {
 	field   string
 	problem string
@@ -130,19 +130,19 @@
 	return e.field + ": " + e.problem
 }
 
-// check returns a *settingError for the first field that cannot be used.
+// check returns a *settingError for the first invalid field.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
-		return &settingError{"Classes", "none given"}
+		return &settingError{"Classes", "at least one class is required"}
 	}
 	for _, c := range s.Classes {
 		switch {
 		case c.Deadline <= 0:
-			return classError(c, "Deadline", "%v is not positive", c.Deadline)
+			return classError(c, "Deadline", "must be positive, got %v", c.Deadline)
 		case c.Effect > NonIdempotent:
-			return classError(c, "Effect", "%d is not known", c.Effect)
+			return classError(c, "Effect", "unknown effect %d", c.Effect)
 		case c.Effect == IdempotentWithKey && c.Group > GroupCell:
-			return classError(c, "Group", "%d is not known", c.Group)
+			return classError(c, "Group", "unknown group %d", c.Group)
 		}
 	}
 	return nil
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// simulation runs functions in the order of their times.
+// simulation runs functions in the order of their scheduled times, and functions with equal times in the order of scheduling.
 type simulation struct {
-	now  time.Duration
-	todo eventHeap
-	seq  int
+	now     time.Duration
+	pending eventHeap
+	seq     int
 }
 
+// event is a scheduled function.
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	fn  func()
 }
 
+// eventHeap orders events by time, then by sequence number. It implements heap.Interface.
 type eventHeap []event
 
-func (m eventHeap) Len() int { return len(m) }
+func (h eventHeap) Len() int { return len(h) }
 
-func (m eventHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(m[i].at, m[j].at), cmp.Compare(m[i].seq, m[j].seq)) < 0
+func (h eventHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].seq, h[j].seq)) < 0
 }
 
-func (m eventHeap) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (m *eventHeap) Push(x any) { *m = append(*m, x.(event)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-func (m *eventHeap) Pop() any {
-	x := (*m)[len(*m)-1]
-	*m = (*m)[:len(*m)-1]
+func (h *eventHeap) Pop() any {
+	x := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return x
 }
 
-// at plans a function.
-func (s *simulation) at(t time.Duration, do func()) {
+// at schedules a function to run at time t.
+func (s *simulation) at(t time.Duration, fn func()) {
 	s.seq++
-	heap.Push(&s.todo, event{t, s.seq, do})
+	heap.Push(&s.pending, event{t, s.seq, fn})
 }
 
-// run runs all that is planned until a time.
+// run runs all functions that are scheduled up to the given time and sets now to that time.
 func (s *simulation) run(until time.Duration) {
-	for len(s.todo) > 0 && s.todo[0].at <= until {
-		m := heap.Pop(&s.todo).(event)
-		s.now = m.at
-		m.do()
+	for len(s.pending) > 0 && s.pending[0].at <= until {
+		next := heap.Pop(&s.pending).(event)
+		s.now = next.at
+		next.fn()
 	}
 	s.now = until
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// warmBaseline is how many attempts a warm server gets within the overload window.
+// warmBaseline holds the number of this proxy's attempts that a warm server gets within the overload window.
 type warmBaseline struct {
-	sends         float64
-	observedSends float64 // when a warm server was last in the subset
+	sends         float64 // current baseline
+	observedSends float64 // baseline when a warm server was last in the subset
 }
 
-// update takes the attempts at a server of the subset, over its warmth. Where all servers are warming up, what they got is no
-// baseline: it is low where little was given, and would grow without end where each may have a little more than the others. The
-// last one with a warm server is used then.
+// update sets the baseline to the mean number of attempts at the servers of the subset, per unit of capacityFraction. If all servers
+// are warming up, their own attempts are no valid baseline: a low number would keep limiting them, and as each server may get a little
+// more than the others, the number could also grow without bound. In this case, the last baseline with a warm server is used.
 func (w *warmBaseline) update(sends float64, hasWarmServer bool) {
 	w.sends = sends
 	if hasWarmServer {
@@ -20,8 +20,9 @@
 	}
 }
 
-// warmth is the fraction of its capacity that a server has at least: below 1 while it warms up.
-func (b *Balancer) warmth(s *server, now time.Duration) float64 {
+// capacityFraction returns the fraction of its full capacity that a server is guaranteed to have: below 1 while the server is warming
+// up, otherwise 1.
+func (b *Balancer) capacityFraction(s *server, now time.Duration) float64 {
 	age := now - s.Since
 	if s.Since == 0 || age >= b.settings.WarmUpTime {
 		return 1
@@ -29,13 +30,14 @@
 	return b.settings.WarmUpShare + (1-b.settings.WarmUpShare)*float64(max(age, 0))/float64(b.settings.WarmUpTime)
 }
 
-// warmUpLimitReached reports whether a server that is warming up has had its part from this proxy, assuming that the other
-// proxies do alike: its warmth times half the multiple of what a warm server gets, as proxies differ.
+// warmUpLimitReached reports whether a server that is warming up has already received this proxy's share of its capacity. The limit is the baseline
+// times the capacityFraction times half the OverloadMultiple. It assumes that the other proxies send at similar rates; half the
+// multiple leaves room for their differences.
 func (b *Balancer) warmUpLimitReached(s *server, now time.Duration) bool {
-	warmth := b.warmth(s, now)
-	if warmth >= 1 {
+	capacityFraction := b.capacityFraction(s, now)
+	if capacityFraction >= 1 {
 		return false
 	}
-	limit := b.settings.OverloadMultiple / 2 * warmth * b.slowStart.sends
+	limit := b.settings.OverloadMultiple / 2 * capacityFraction * b.slowStart.sends
 	return b.sendsInWindow(s, now) >= max(limit, 1)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// A server that is warming up is drawn by the capacity that it has at least. With less, what it could have taken would queue at the
-// warm servers, just when many of them are replaced at once.
+// A server that is warming up is drawn in proportion to its guaranteed capacity. With a lower weight, requests that it could serve
+// would queue at the warm servers, most of all when many servers are replaced at once.
 func TestDrawsFollowWarmth(t *testing.T) {
-	set := settings()
-	set.WarmUpTime, set.WarmUpShare = 10*time.Second, 0.25
-	l := oneZone(4)
-	l[0].Since = 10 * time.Second
-	b, _ := start(t, set, l)
+	cfg := settings()
+	cfg.WarmUpTime, cfg.WarmUpShare = 10*time.Second, 0.25
+	servers := oneZone(4)
+	servers[0].Since = 10 * time.Second
+	b, _ := newTestBalancer(t, cfg, servers)
 	for at, share := range map[time.Duration]float64{10 * time.Second: 0.25, 15 * time.Second: 0.625, 20 * time.Second: 1} {
 		b.subset.stale = true
 		b.refreshSubset(at)
-		n := 0.0
+		draws := 0.0
 		for range 6000 {
 			if b.draw(func(*server) bool { return true }, nil).ID == "s0" {
-				n++
+				draws++
 			}
 		}
-		if want := 6000 * share / (3 + share); math.Abs(n-want) > 150 {
-			t.Errorf("at %v: a server that is warming up is drawn %.0f times of 6000, want about %.0f", at, n, want)
+		if want := 6000 * share / (3 + share); math.Abs(draws-want) > 150 {
+			t.Errorf("at %v: server that is warming up was drawn %.0f of 6000 times, want about %.0f", at, draws, want)
 		}
 	}
 }
 
-// A live weight is highest just after a start; a server that is warming up must still get little.
+// A server that is warming up gets few requests, even though its live weight is highest just after its start.
 func TestWarmingServerGetsLittle(t *testing.T) {
 	for _, source := range []WeightSource{WeightNominal, WeightLive} {
-		set := settings()
-		set.Weights = source
-		l := oneZone(5)
-		l[0].Since, l[0].Weight = 10*time.Second, 9
+		cfg := settings()
+		cfg.Weights = source
+		servers := oneZone(5)
+		servers[0].Since, servers[0].Weight = 10*time.Second, 9
 		for i := 1; i < 5; i++ {
-			l[i].Weight = 1
+			servers[i].Weight = 1
 		}
-		b, h := start(t, set, l)
+		b, h := newTestBalancer(t, cfg, servers)
 		warming := 0
 		for i := range 1000 {
 			id, now := fmt.Sprint("r", i), 10*time.Second+time.Duration(i)*ms/10
@@ -49,18 +49,19 @@
 			}
 			endAttempt(b, now, id, Served, 10*ms)
 		}
-		// A fifth of the fleet with 0.3 of its capacity: its even part is 60 of 1000.
+		// The server is one of five and has 0.3 of its capacity: its even share is 60 of 1000 requests.
 		if warming > 90 {
-			t.Errorf("weights %d: the server that is warming up got %d of 1000", source, warming)
+			t.Errorf("weight source %d: server that is warming up got %d of 1000 requests, want at most 90", source, warming)
 		}
 	}
 }
 
-// The limit of a server that is warming up also counts attempts that end at once, which the attempts in flight do not show.
+// The limit of a server that is warming up counts all sends of the window, including those of attempts that end immediately and are
+// hardly ever in flight.
 func TestWarmUpLimitCountsSends(t *testing.T) {
-	l := oneZone(4)
-	l[0].Since = 10 * time.Second
-	b, _ := start(t, settings(), l)
+	servers := oneZone(4)
+	servers[0].Since = 10 * time.Second
+	b, _ := newTestBalancer(t, settings(), servers)
 	now := 10*time.Second + ms
 	for range 20 {
 		for _, s := range b.endpoints.ordered[1:] {
@@ -69,50 +70,51 @@
 	}
 	warming := b.endpoints.byID["s0"]
 	b.refreshSubset(now)
-	n := 0
-	for ; !b.warmUpLimitReached(warming, now) && n < 100; n++ {
+	sent := 0
+	for ; !b.warmUpLimitReached(warming, now) && sent < 100; sent++ {
 		warming.sends.decay(now, b.settings.OverloadWindow+1).count++
 	}
-	// Warm servers had 20 each; 0.3 of that times half of 2.5 is 7.5, a little less as it dilutes the baseline.
-	if n < 5 || n > 9 {
-		t.Errorf("limit of %d sends", n)
+	// Each warm server got 20 sends. 20 * 0.3 * 2.5/2 = 7.5; the server that is warming up lowers the baseline a little.
+	if sent < 5 || sent > 9 {
+		t.Errorf("limit of the server that is warming up is %d sends, want 5 to 9", sent)
 	}
 	if b.warmUpLimitReached(b.endpoints.ordered[1], now) {
-		t.Error("a warm server has a limit")
+		t.Error("warmUpLimitReached is true for a warm server, want false")
 	}
 }
 
-// Where all servers warm up at once, what the warm ones got before them is the baseline: they get a part of it, and no more.
+// If all servers are warming up at the same time, the baseline is the rate of the previous warm servers, and the new servers get only
+// a part of it.
 func TestAllServersWarmingUp(t *testing.T) {
-	set := settings()
-	set.WarmUpTime, set.WarmUpShare, set.OverloadMultiple, set.OverloadWindow = 10*time.Second, 0.1, 2.5, time.Second
-	b, h := start(t, set, oneZone(2))
+	cfg := settings()
+	cfg.WarmUpTime, cfg.WarmUpShare, cfg.OverloadMultiple, cfg.OverloadWindow = 10*time.Second, 0.1, 2.5, time.Second
+	b, h := newTestBalancer(t, cfg, oneZone(2))
 	now, served := time.Duration(0), 0
-	step := func(id string) { // a client that asks 400 times a second
+	sendOne := func(id string) { // a client that sends 400 requests per second
 		now += 2500 * time.Microsecond
 		if sendRequest(t, b, h, now, id, "once") != "" {
 			served++
 			endAttempt(b, now+ms, id, Served, ms)
 		} else {
 			b.ClientGone(now, id)
-			h.take()
+			h.takeActions()
 		}
 	}
 	for i := range 2000 {
-		step(fmt.Sprint("w", i))
+		sendOne(fmt.Sprint("w", i))
 	}
-	warm := served
-	l := oneZone(2)
-	for i := range l {
-		l[i].ID, l[i].Since = l[i].ID+"'", now
+	servedWarm := served
+	servers := oneZone(2)
+	for i := range servers {
+		servers[i].ID, servers[i].Since = servers[i].ID+"'", now
 	}
-	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: l})
+	b.UpdateEndpoints(now, EndpointUpdate{Kind: UpdateSnapshot, Servers: servers})
 	served = 0
-	for i := range 800 { // two seconds: warmth 0.1 to 0.28, of what was 400 a second
-		step(fmt.Sprint("c", i))
+	for i := range 800 { // two seconds, in which the capacity grows from 0.1 to 0.28
+		sendOne(fmt.Sprint("c", i))
 	}
-	// 1.25 times the warmth of 400 a second, over two seconds; the window that counts lets some more go at first.
+	// The limit is 1.25 * capacityFraction * 400 per second over two seconds. The decaying window admits some more at first.
 	if served < 80 || served > 400 {
-		t.Errorf("%d of 800 go to servers that are all warming up, %d of 2000 went to the warm", served, warm)
+		t.Errorf("%d of 800 requests were sent while all servers were warming up, want 80 to 400; %d of 2000 were sent to warm servers", served, servedWarm)
 	}
 }
--- a/balancer/spillover.go
+++ b/balancer/spillover.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	crossZonePenalty = 0.25 // part of the cross-zone price by which another zone must be better; less is noise of the samples
-	minSpillover     = 0.02 // so that the other zones stay known
+	crossZonePenalty = 0.25 // fraction of the cross-zone price that is added to it; smaller advantages are noise
+	minSpillover     = 0.02 // keeps some attempts in other zones, so that their losses stay known
 )
 
-// spillover is the factor of the weights of another zone's servers: it grows as the loss at home exceeds the loss there by more
-// than the price of crossing.
+// spillover returns the factor for the weights of another zone's servers, from minSpillover to 1. It grows with the loss in this
+// proxy's zone over the loss in the other zone, relative to the cross-zone price.
 func (b *Balancer) spillover(zone string, now time.Duration) float64 {
 	price := b.settings.Price.CrossZone
 	if price <= 0 {
 		return 1
 	}
-	home, other := b.lossOf(b.settings.Zone, now), b.lossOf(zone, now)
-	// The means are shrunk toward the mean of both: a zone with few samples would always be the better one if they were shrunk
-	// toward no loss.
-	both := (home.sum + other.sum) / max(home.count+other.count, 1)
-	advantage := home.mean(both, priorSamples) - other.mean(both, priorSamples)
+	local, other := b.lossOf(b.settings.Zone, now), b.lossOf(zone, now)
+	// Both means are shrunk toward their common mean. If they were shrunk toward a loss of 0, a zone with few samples would always
+	// seem better.
+	common := (local.sum + other.sum) / max(local.count+other.count, 1)
+	advantage := local.mean(common, priorSamples) - other.mean(common, priorSamples)
 	return min(max(advantage/price-crossZonePenalty, minSpillover), 1)
 }
 
-// lossOf is the lost value of the attempts in a zone.
+// lossOf returns the mean loss of the attempts in a zone, decayed to now. See observeOutcome for the loss.
 func (b *Balancer) lossOf(zone string, now time.Duration) *decayingMean {
 	return decayedByName(b.zoneLoss, zone, now, b.longWindow)
 }
--- a/balancer/spillover_test.go
+++ b/balancer/spillover_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// All requests stay in the own zone while it does well, and move as it gets late.
+// Requests stay in the proxy's zone while its latency is low, and move to the other zone as the latency approaches the objective.
 func TestSpilloverFollowsLoss(t *testing.T) {
-	b, h := start(t, settings(), twoZones(8))
-	crossedShare := func(from int, home time.Duration) float64 {
+	b, h := newTestBalancer(t, settings(), twoZones(8))
+	crossedShare := func(from int, localLatency time.Duration) float64 {
 		crossed := 0
 		for i := range 600 {
 			now := time.Duration(from+i) * 20 * ms
@@ -18,7 +18,7 @@
 			if s == "" {
 				continue
 			}
-			took := home
+			took := localLatency
 			if b.endpoints.byID[s].Zone != "za" {
 				crossed, took = crossed+1, 20*ms
 			}
@@ -26,10 +26,10 @@
 		}
 		return float64(crossed) / 600
 	}
-	if calm := crossedShare(0, 10*ms); calm > 0.1 {
-		t.Errorf("home is quick, yet %.2f go elsewhere", calm)
+	if lowLatencyShare := crossedShare(0, 10*ms); lowLatencyShare > 0.1 {
+		t.Errorf("low latency in the local zone: %.2f of the requests crossed zones, want at most 0.1", lowLatencyShare)
 	}
-	if late := crossedShare(600, 90*ms); late < 0.3 {
-		t.Errorf("home is nearly late, yet only %.2f go elsewhere", late)
+	if highLatencyShare := crossedShare(600, 90*ms); highLatencyShare < 0.3 {
+		t.Errorf("latency near the objective in the local zone: %.2f of the requests crossed zones, want at least 0.3", highLatencyShare)
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -7,18 +7,19 @@
 )
 
 const (
-	minSubset     = 5   // servers of a zone; also the number of proxies that each server is meant to serve
-	defaultSubset = 16  // servers of a zone where proxies are few
-	minCandidates = 256 // servers of a zone that are weighed, so that the cost of a change does not grow with the list
+	minSubset     = 5   // lowest number of servers per zone; also the intended number of proxies per server
+	defaultSubset = 16  // servers per zone if there are few proxies
+	minCandidates = 256 // candidates per zone; limits the cost of a refresh on a long list
 
-	panicThreshold = 0.5 // fraction of the weight that may be ejected; above it ejections are ignored
+	panicThreshold = 0.5 // ejections are ignored while ejected servers have more than this fraction of the total weight
 )
 
-// subset is the servers that are drawn from. A proxy that uses few servers has few connections and knows those servers well.
+// subset holds the servers that are drawn from. A proxy that uses few servers needs few connections and has many observations of
+// each server.
 type subset struct {
 	servers           []*server
-	cumulativeWeights []float64 // of servers
-	candidates        []*server // reused by candidates
+	cumulativeWeights []float64 // running sums of the weights of servers
+	candidates        []*server // buffer of Balancer.candidates
 	refreshedAt       time.Duration
 	stale             bool
 }
@@ -28,7 +29,7 @@
 	s.cumulativeWeights = append(s.cumulativeWeights, cumulativeWeight)
 }
 
-// refreshSubset weighs the servers anew and selects those that are drawn from, if something has changed or some time has passed.
+// refreshSubset recomputes the weights and selects the servers of the subset, if the subset is stale or old enough.
 func (b *Balancer) refreshSubset(now time.Duration) {
 	if !b.subset.stale && now-b.subset.refreshedAt < b.minObjective/2 {
 		return
@@ -39,27 +40,27 @@
 	if b.settings.Localities != nil {
 		b.reportHealth(now, candidates)
 	}
-	ejectionsHold := b.weigh(now, candidates)
-	b.selectSubset(now, candidates, ejectionsHold)
+	applyEjections := b.computeWeights(now, candidates)
+	b.selectSubset(now, candidates, applyEjections)
 }
 
-// weigh sets the weights of the candidates and counts what is in flight at ejected ones. It reports whether few enough are
-// ejected to go without them.
-func (b *Balancer) weigh(now time.Duration, candidates []*server) (ejectionsHold bool) {
+// computeWeights sets the weights of the candidates and counts the attempts in flight at ejected ones. It reports whether ejected
+// servers are to be excluded, which is so up to the panic threshold.
+func (b *Balancer) computeWeights(now time.Duration, candidates []*server) (applyEjections bool) {
 	var warm decayingMean
 	for _, s := range candidates {
 		s.weight = s.Weight / b.slowness(s, now)
-		if b.warmth(s, now) == 1 {
+		if b.capacityFraction(s, now) == 1 {
 			warm.add(s.weight)
 		}
 	}
 	b.load.inFlightEjected = 0
 	var total, ejected float64
 	for _, s := range candidates {
-		// A server that warms up gets no less than it can do at least, as the rest would queue at the warm ones.
-		// warmUpLimitReached says what is too much for it.
-		if warmth := b.warmth(s, now); warmth < 1 {
-			s.weight = min(s.weight, warm.mean(s.weight, 0.001)) * warmth
+		// A server that is warming up is weighted by the capacity that it is guaranteed to have. With a lower weight, the
+		// remaining requests would queue at the warm servers. warmUpLimitReached limits what it gets.
+		if capacityFraction := b.capacityFraction(s, now); capacityFraction < 1 {
+			s.weight = min(s.weight, warm.mean(s.weight, 0.001)) * capacityFraction
 		}
 		if !s.local && b.settings.Localities == nil {
 			s.weight *= b.spillover(s.Zone, now)
@@ -73,38 +74,38 @@
 	return ejected <= panicThreshold*total
 }
 
-// selectSubset takes the first usable candidates of each zone.
-func (b *Balancer) selectSubset(now time.Duration, candidates []*server, ejectionsHold bool) {
+// selectSubset selects the first running candidates of each zone, up to subsetSize, and updates the baseline of slow start.
+func (b *Balancer) selectSubset(now time.Duration, candidates []*server, applyEjections bool) {
 	b.subset.servers = b.subset.servers[:0]
 	b.subset.cumulativeWeights = b.subset.cumulativeWeights[:0]
 	var totalWeight float64
-	var sends decayingMean // over the warmth of the servers
+	var sends decayingMean // attempts per unit of capacityFraction
 	hasWarmServer := false
 	selected := map[string]int{}
 	for _, s := range candidates {
-		if s.State != Running || ejectionsHold && b.ejected(s, now) || selected[s.Zone] >= b.subsetSize() {
+		if s.State != Running || applyEjections && b.ejected(s, now) || selected[s.Zone] >= b.subsetSize() {
 			continue
 		}
 		selected[s.Zone]++
-		warmth := b.warmth(s, now)
+		capacityFraction := b.capacityFraction(s, now)
 		sends.sum += b.sendsInWindow(s, now)
-		sends.count += warmth
-		hasWarmServer = hasWarmServer || warmth == 1
+		sends.count += capacityFraction
+		hasWarmServer = hasWarmServer || capacityFraction == 1
 		totalWeight += s.weight
 		b.subset.add(s, totalWeight)
 	}
 	b.slowStart.update(sends.mean(0, 0.001), hasWarmServer)
 }
 
-// subsetSize is how many servers of a zone are drawn from: as many as give each server to a few proxies, and more while this
-// proxy has much in flight.
+// subsetSize returns the number of servers per zone in the subset. It gives each server to a few proxies, and it grows while this
+// proxy has many attempts in flight.
 func (b *Balancer) subsetSize() int {
 	share := minSubset * len(b.endpoints.ordered) / max(b.settings.Proxies, 1)
 	return max(min(max(share, minSubset), defaultSubset), 2*b.load.inFlight)
 }
 
-// candidates are the servers that are weighed: all of a short list, and of a longer one the first servers of each zone, more of
-// them than are drawn from.
+// candidates returns the servers from which the subset is selected: the whole list if it is short, otherwise the first servers of
+// each zone, more than the subset needs.
 func (b *Balancer) candidates(now time.Duration) []*server {
 	enough := max(minCandidates, 2*b.subsetSize())
 	if len(b.endpoints.ordered) <= enough {
