--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	maxClasses            = 64              // names that are not configured may add classes up to this number
-	defaultObjective      = time.Second     // of such classes
-	persistentQueueFactor = 8               // by which the wait is shorter in a queue that is not a passing burst
-	recoveryTime          = 5 * time.Second // without a rejection, after which an overload has ended
+	maxClasses             = 64              // unknown names get their own class up to this total number of classes
+	defaultObjective       = time.Second     // latency objective of classes that are not configured
+	persistentQueueDivisor = 8               // shortens the maximum wait while a queue lasts longer than a short burst
+	recoveryTime           = 5 * time.Second // an overload ends after this time without a rejection
 )
 
-// Controller decides for one cluster. It implements balancer.Admission.
+// Controller is the admission control of one cluster. It implements balancer.Admission.
 type Controller struct {
 	options   Options
 	rng       *rand.Rand
 	now       time.Duration
 	endpoints int
 
-	classes []*class // the highest priority weight first
+	classes []*class // by descending priority weight
 	byName  map[classKey]*class
 
 	limit      limiter
-	inFlight   int // requests that were admitted and have no answer yet
+	inFlight   int // admitted requests that have not ended
 	priorities [2]priority
 	queue      requestQueue
 	throughput throughputEstimate
@@ -36,17 +36,17 @@
 	retryBudget   retryBudget
 	retriesDenied uint64
 
-	started       uint64
-	startedQueued uint64 // of the started requests, those that had been queued
-	rejected      [reasons]uint64
-	rejections    rate
+	started          uint64
+	startedFromQueue uint64 // started requests that had been queued
+	rejected         [reasonCount]uint64
+	rejections       rate
 
 	overloaded    bool
 	lastRejection time.Duration
-	limitEvidence string // of the last time that the limit fell
+	limitEvidence string // for the last decrease of the limit
 }
 
-// priority counts the requests of one of Envoy's routing priorities: DEFAULT, or after it HIGH.
+// priority holds the request counts and circuit breakers of one of Envoy's routing priorities, DEFAULT or HIGH.
 type priority struct {
 	*Breakers
 	inFlight        int
@@ -54,29 +54,29 @@
 	retriesInFlight int
 }
 
-// classKey identifies a class: each priority has classes of its own.
+// classKey identifies a class. Each priority has its own classes.
 type classKey struct {
 	name string
 	high bool
 }
 
-// class is a class of one priority and its queue.
+// class is a request class of one priority, with its observations and its queue.
 type class struct {
 	Class
 	highPriority bool
 	observations
 
-	tenants     map[string]*tenantQueue // those with queued requests
-	turns       []*tenantQueue          // the same, in the order of their turns
+	tenants     map[string]*tenantQueue // tenants with queued requests, by name
+	tenantOrder []*tenantQueue          // the same tenants in round-robin order
 	queued      int
 	queuedBytes int64
-	queuedSince time.Duration // since when there were always queued requests
-	credit      float64       // starts that the floor owes the class
+	queuedSince time.Duration // when the queue last became non-empty
+	credit      float64       // starts owed to the class because of Options.Floor
 	arrivals    rate
 	rejected    uint64
 }
 
-// New returns a Controller with one endpoint. The error names the option that cannot be used.
+// New returns a Controller for a cluster with one endpoint. The error names the first invalid option.
 func New(o Options, seed uint64) (*Controller, error) {
 	o.Fill()
 	if err := o.Check(); err != nil {
@@ -94,11 +94,11 @@
 	for _, k := range o.Classes {
 		c.addClass(k, false)
 	}
-	c.limit.begin(&c.options, 1)
+	c.limit.setInitialLimit(&c.options, 1)
 	return c, nil
 }
 
-// addClass adds a class in the order of the priority weights. Of equal weights, HIGH comes first.
+// addClass adds a class, keeping c.classes ordered by descending priority weight. Of equal weights, HIGH comes first.
 func (c *Controller) addClass(k Class, high bool) *class {
 	added := &class{Class: k, highPriority: high, tenants: map[string]*tenantQueue{}}
 	c.byName[classKey{k.Name, high}] = added
@@ -117,8 +117,8 @@
 	return cmp.Compare(b.PriorityWeight, a.PriorityWeight)
 }
 
-// class returns the class of a name. Unknown names are added as long as there are few, and share the class with the lowest
-// weight then.
+// class returns the class with the given name and priority. An unknown name gets a new class until there are maxClasses classes;
+// further unknown names share the class of their priority with the lowest weight.
 func (c *Controller) class(name string, high bool) *class {
 	if k := c.byName[classKey{name, high}]; k != nil {
 		return k
@@ -143,13 +143,13 @@
 	return &c.priorities[0]
 }
 
-// advance returns the time, which never goes back.
+// advance sets the current time and returns it. An earlier time than the current one is ignored.
 func (c *Controller) advance(now time.Duration) time.Duration {
 	c.now = max(c.now, now)
 	return c.now
 }
 
-// SetEndpoints takes the number of endpoints in use; less than 1 is taken as 1.
+// SetEndpoints sets the number of endpoints in use. Values below 1 count as 1.
 func (c *Controller) SetEndpoints(now time.Duration, n int) {
 	c.advance(now)
 	n = max(n, 1)
@@ -159,7 +159,7 @@
 	}
 }
 
-// maxInFlight is how many requests of both priorities may be in flight.
+// maxInFlight returns how many requests of both priorities together may be in flight.
 func (c *Controller) maxInFlight() int {
 	switch c.options.Mode {
 	case Fixed:
@@ -171,7 +171,7 @@
 	}
 }
 
-// maxInFlightOf is how many requests of a priority may be in flight.
+// maxInFlightOf returns how many requests of one priority may be in flight.
 func (c *Controller) maxInFlightOf(high bool) int {
 	if breaker := c.priorityOf(high).MaxRequests; breaker > 0 {
 		return min(c.maxInFlight(), breaker)
@@ -179,54 +179,54 @@
 	return c.maxInFlight()
 }
 
-// hasCapacity reports whether one more request of a priority may start.
+// hasCapacity reports whether one more request of the given priority may start.
 func (c *Controller) hasCapacity(high bool) bool {
 	p := c.priorityOf(high)
 	belowBreaker := p.MaxRequests == 0 || p.inFlight < p.MaxRequests
 	return c.inFlight < c.maxInFlight() && belowBreaker
 }
 
-// Arrive decides about a request. With balancer.Enqueue the duration is how long it waits at most, with balancer.Reject it is the
-// Retry-After.
-func (c *Controller) Arrive(now time.Duration, a balancer.Arrival) (balancer.Verdict, time.Duration) {
+// Arrive decides whether a request is admitted, queued or rejected. The duration is the maximum wait for balancer.Enqueue, the
+// Retry-After for balancer.Reject and 0 for balancer.Admit.
+func (c *Controller) Arrive(now time.Duration, arrival balancer.Arrival) (balancer.Verdict, time.Duration) {
 	now = c.advance(now)
 	c.retryBudget.deposit(now)
-	k, p := c.class(a.Class, a.HighPriority), c.priorityOf(a.HighPriority)
-	k.arrivals.add(now)
-	if p.queued == 0 && c.hasCapacity(a.HighPriority) {
-		c.start(now, a.HighPriority)
+	requestClass, priority := c.class(arrival.Class, arrival.HighPriority), c.priorityOf(arrival.HighPriority)
+	requestClass.arrivals.add(now)
+	if priority.queued == 0 && c.hasCapacity(arrival.HighPriority) {
+		c.start(now, arrival.HighPriority)
 		return balancer.Admit, 0
 	}
-	wait := c.maxWait(k, a.TimeLeft)
-	if k.queued > 0 && now-k.queuedSince > wait {
-		wait /= persistentQueueFactor
+	wait := c.maxWait(requestClass, arrival.TimeLeft)
+	if requestClass.queued > 0 && now-requestClass.queuedSince > wait {
+		wait /= persistentQueueDivisor
 	}
-	if c.expectedWait(now, k, a.Tenant) > wait {
-		return balancer.Reject, c.reject(now, k, TooLate)
+	if c.expectedWait(now, requestClass, arrival.Tenant) > wait {
+		return balancer.Reject, c.reject(now, requestClass, TooLate)
 	}
-	if !c.fitsBytes(k, a.Size) {
-		return balancer.Reject, c.reject(now, k, QueueFull)
+	if !c.fitsBytes(requestClass, arrival.Size) {
+		return balancer.Reject, c.reject(now, requestClass, QueueFull)
 	}
-	if p.queued >= p.MaxPending && !c.displace(now, k, a.Tenant) {
-		return balancer.Reject, c.reject(now, k, QueueFull)
+	if priority.queued >= priority.MaxPending && !c.displace(now, requestClass, arrival.Tenant) {
+		return balancer.Reject, c.reject(now, requestClass, QueueFull)
 	}
-	c.enqueue(now, k, a, now+wait)
+	c.enqueue(now, requestClass, arrival, now+wait)
 	return balancer.Enqueue, wait
 }
 
-// enqueue queues a request, displacing less valuable ones whose bytes it needs.
-func (c *Controller) enqueue(now time.Duration, k *class, a balancer.Arrival, expiresAt time.Duration) {
+// enqueue queues a request. If that would exceed Options.PendingBytes, it drops requests of classes with a lower weight.
+func (c *Controller) enqueue(now time.Duration, k *class, arrival balancer.Arrival, expiresAt time.Duration) {
 	if k.queued == 0 {
 		k.queuedSince = now
 	}
 	if c.queue.count == 0 {
-		c.throughput.whileQueued = rate{} // what was measured before a pause is too low now
+		c.throughput.whileQueued = rate{} // a rate measured before the queue was empty has decayed and is too low
 	}
-	for c.options.PendingBytes > 0 && c.queue.bytes+a.Size > c.options.PendingBytes { // fitsBytes has checked that this ends
+	for c.options.PendingBytes > 0 && c.queue.bytes+arrival.Size > c.options.PendingBytes { // terminates because fitsBytes returned true
 		c.drop(now, c.leastValuableClass(k).longestQueue().first, Displaced)
 	}
-	c.queue.add(k, a, expiresAt)
-	c.priorityOf(a.HighPriority).queued++
+	c.queue.add(k, arrival, expiresAt)
+	c.priorityOf(arrival.HighPriority).queued++
 }
 
 func (c *Controller) start(now time.Duration, high bool) {
@@ -237,7 +237,8 @@
 	c.rejections.decay(now)
 }
 
-// Next returns a queued request that is to start or to be rejected now; the last result is false if there is none.
+// Next returns the sequence number of a queued request that is to start or to be rejected now, its verdict and, for a rejection,
+// its Retry-After. The last result is false if there is no such request.
 func (c *Controller) Next(now time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
 	now = c.advance(now)
 	c.Overloaded(now)
@@ -256,13 +257,13 @@
 	seq := e.seq
 	c.remove(e)
 	c.queue.free(e)
-	c.startedQueued++
+	c.startedFromQueue++
 	c.start(now, k.highPriority)
 	return seq, balancer.Admit, 0, true
 }
 
-// nextClass is the class whose request starts next: the one with the highest weight, but first those that their floor owes a
-// start. It is nil if there is none or no capacity.
+// nextClass returns the class whose request starts next: the class with the highest weight among those with at least one start
+// owed by Options.Floor, or else among all. It returns nil if no request is queued or there is no capacity.
 func (c *Controller) nextClass() *class {
 	if c.queue.count == 0 {
 		return nil
@@ -293,13 +294,13 @@
 	return next
 }
 
-// remove takes a request out of the queue.
+// remove takes a request out of the queue and updates the counts.
 func (c *Controller) remove(e *entry) {
 	c.priorityOf(e.class.highPriority).queued--
 	c.queue.remove(e)
 }
 
-// Withdraw takes a request out of the queue whose client has given up. Other sequence numbers are ignored.
+// Withdraw removes a queued request whose client has given up. Sequence numbers that are not queued are ignored.
 func (c *Controller) Withdraw(seq uint64) {
 	if e := c.queue.bySeq[seq]; e != nil {
 		c.remove(e)
@@ -307,16 +308,16 @@
 	}
 }
 
-// Done notes the end of a request that was admitted.
+// Done records the end of an admitted request.
 func (c *Controller) Done(now time.Duration, high bool) {
 	now = c.advance(now)
 	c.inFlight = max(c.inFlight-1, 0)
 	p := c.priorityOf(high)
 	p.inFlight = max(p.inFlight-1, 0)
-	c.throughput.answered(now, c.queue.count > 0)
+	c.throughput.observeResponse(now, c.queue.count > 0)
 }
 
-// AttemptEnded takes how an attempt went.
+// AttemptEnded records the outcome of an attempt and may change the adaptive limit.
 func (c *Controller) AttemptEnded(now time.Duration, s balancer.Sample) {
 	now = c.advance(now)
 	if s.Retry {
@@ -336,8 +337,8 @@
 	}
 }
 
-// MayRetry reports whether one more attempt may be made for a request that has had one. The budget is the cluster's; the retries
-// in flight are limited by priority.
+// MayRetry reports whether a request may be retried. The retry budget applies to the whole cluster, the limit on retries in
+// flight to each priority.
 func (c *Controller) MayRetry(now time.Duration, high bool) bool {
 	now = c.advance(now)
 	if !c.priorityOf(high).mayRetry() || !c.retryBudget.available(now) {
@@ -355,13 +356,13 @@
 	return p.MaxRetries == 0 || p.retriesInFlight < p.MaxRetries
 }
 
-// RetryStarted notes that a retry was sent.
+// RetryStarted records that a retry was sent.
 func (c *Controller) RetryStarted(now time.Duration, high bool) {
 	c.retryBudget.withdraw(c.advance(now))
 	c.priorityOf(high).retriesInFlight++
 }
 
-// Overloaded reports whether the cluster is overloaded, and calls Options.Notify if it has recovered.
+// Overloaded reports whether the cluster is overloaded. It calls Options.Notify if the cluster has just recovered.
 func (c *Controller) Overloaded(now time.Duration) bool {
 	now = c.advance(now)
 	if c.overloaded && now-c.lastRejection > recoveryTime && c.queue.count == 0 {
@@ -377,17 +378,17 @@
 	}
 }
 
-// Inherit takes over what another Controller of the same cluster has learnt, where the cluster gets new options.
+// Inherit copies the observations and the adaptive limit of old, the Controller of the same cluster before its options changed.
 func (c *Controller) Inherit(old *Controller) {
 	for _, k := range c.classes {
-		former := old.byName[classKey{k.Name, k.highPriority}]
-		if former == nil {
+		previous := old.byName[classKey{k.Name, k.highPriority}]
+		if previous == nil {
 			continue
 		}
-		k.baseline = former.baseline
-		k.baselineAt = former.baselineAt
-		k.mean = former.mean
-		k.deviation = former.deviation
+		k.baseline = previous.baseline
+		k.baselineAt = previous.baselineAt
+		k.mean = previous.mean
+		k.deviation = previous.deviation
 	}
 	c.throughput.known = old.throughput.known
 	c.endpoints = old.endpoints
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -32,13 +32,13 @@
 	return v
 }
 
-func (c *Controller) answer(t *testing.T, now, took time.Duration, class string) {
+func (c *Controller) respond(t *testing.T, now, took time.Duration, class string) {
 	t.Helper()
 	c.Done(now, false)
 	c.AttemptEnded(now, balancer.Sample{Class: class, SentAt: now - took, Latency: took, Result: balancer.Served})
 }
 
-// startQueued returns the queued requests that start, until no more may.
+// startQueued calls Next until it returns no request, and returns the requests that were admitted.
 func (c *Controller) startQueued(now time.Duration) (l []uint64) {
 	for {
 		seq, v, _, ok := c.Next(now)
@@ -51,14 +51,14 @@
 	}
 }
 
-// Each of Envoy's priorities has circuit breakers of its own, before one limit and one retry budget.
+// The circuit breakers apply to each of Envoy's priorities separately; the limit and the retry budget are shared.
 func TestPrioritiesHaveOwnBreakers(t *testing.T) {
 	c := newController(t, func(o *Options) {
 		o.Mode, o.Limit, o.RetryRate = Fixed, 3, 100
 		o.Breakers = Breakers{MaxRequests: 2, MaxPending: 1, MaxRetries: 1}
 		o.HighPriority = Breakers{MaxRequests: 2, MaxPending: 2, MaxRetries: 2}
 	})
-	ask := func(seq uint64, high bool) balancer.Verdict {
+	sendRequest := func(seq uint64, high bool) balancer.Verdict {
 		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: "map", HighPriority: high, TimeLeft: time.Second})
 		return v
 	}
@@ -67,17 +67,17 @@
 		v    balancer.Verdict
 	}{{false, balancer.Admit}, {false, balancer.Admit}, {false, balancer.Enqueue}, {false, balancer.Reject}, {true, balancer.Admit}, {true, balancer.Enqueue}, {true, balancer.Enqueue},
 		{true, balancer.Reject}} {
-		if v := ask(uint64(i), want.high); v != want.v {
-			t.Errorf("request %d, high %v: verdict %d, want %d", i, want.high, v, want.v)
+		if v := sendRequest(uint64(i), want.high); v != want.v {
+			t.Errorf("Arrive of request %d, high %v: got verdict %d, want %d", i, want.high, v, want.v)
 		}
 	}
-	if c.Done(0, true); fmt.Sprint(c.startQueued(0)) != "[5]" { // 2 has room in the limit, but not in its breaker
-		t.Error("one of HIGH ends: another of HIGH starts")
+	if c.Done(0, true); fmt.Sprint(c.startQueued(0)) != "[5]" { // the limit would allow request 2, its circuit breaker does not
+		t.Error("a HIGH request ended: request 5, also HIGH, did not start alone")
 	}
-	for _, want := range []string{"[6]", "[2]"} { // of equal weight HIGH starts first
+	for _, want := range []string{"[6]", "[2]"} { // of equal weights, HIGH starts first
 		c.Done(0, want == "[2]")
 		if l := c.startQueued(0); fmt.Sprint(l) != want {
-			t.Errorf("one ends: %v starts, want %s", l, want)
+			t.Errorf("requests started after one ended: got %v, want %s", l, want)
 		}
 	}
 	for _, high := range []bool{false, true} {
@@ -86,22 +86,22 @@
 			c.RetryStarted(0, high)
 		}
 		if want := map[bool]int{false: 1, true: 2}[high]; n != want {
-			t.Errorf("high %v: %d retries in flight, want %d", high, n, want)
+			t.Errorf("retries in flight, high %v: got %d, want %d", high, n, want)
 		}
 	}
 	if c.AttemptEnded(0, balancer.Sample{Class: "map", HighPriority: true, Retry: true, Result: balancer.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
-		t.Error("a retry of HIGH ended: one more of HIGH may be made, none of DEFAULT")
+		t.Error("a HIGH retry ended: MayRetry did not allow one more for HIGH and none for DEFAULT")
 	}
 }
 
-// BenchmarkRequest is what admission adds to a request: its arrival, its end and the observation of its attempt.
+// BenchmarkRequest measures the cost that admission adds to a request: arrival, end and observation of its attempt.
 func BenchmarkRequest(b *testing.B) {
 	c := newController(b, nil)
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * 100 * time.Microsecond
 		if v, _ := c.Arrive(now, balancer.Arrival{Seq: uint64(i), Class: "map", TimeLeft: time.Second}); v != balancer.Admit {
-			b.Fatal("not admitted")
+			b.Fatal("Arrive did not admit the request")
 		}
 		c.Next(now)
 		c.Done(now, false)
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -9,16 +9,16 @@
 	"robindrum/balancer"
 )
 
-// randomPlay plays random events against one Controller and checks its invariants.
-type randomPlay struct {
+// eventPlayer plays random events against one Controller and checks its invariants.
+type eventPlayer struct {
 	t          *rapid.T
 	options    Options
 	controller *Controller
 	now        time.Duration
 	lastSeq    uint64
 	queued     map[uint64]queuedRequest
-	started    []bool // requests in flight; true: of the priority HIGH
-	limit      int    // after the last event
+	started    []bool // requests in flight, oldest first; true: priority HIGH
+	limit      int    // limit after the last event
 }
 
 type queuedRequest struct {
@@ -26,16 +26,16 @@
 	size int64
 }
 
-// Under any order of arrivals, ends, withdrawals, times and evidence: each queued request ends once, counters return to 0, limits
-// stay within their bounds, and the limit falls only with evidence.
+// For any sequence of arrivals, ends, withdrawals, times and evidence, each queued request leaves the queue exactly once, counters
+// return to 0, limits stay within their bounds, and the limit decreases only after an ended attempt or a change of endpoints.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newRandomPlay(t)
+		p := newEventPlayer(t)
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			p.now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * ms
-			mayFall := p.randomEvent()
+			mayDecrease := p.randomEvent()
 			p.takeNext()
-			p.checkLimit(mayFall)
+			p.checkLimit(mayDecrease)
 			p.checkPriorities()
 			p.checkQueue()
 		}
@@ -43,7 +43,7 @@
 	})
 }
 
-func newRandomPlay(t *rapid.T) *randomPlay {
+func newEventPlayer(t *rapid.T) *eventPlayer {
 	o := options()
 	o.Mode = Mode(rapid.IntRange(0, 2).Draw(t, "mode"))
 	o.PerEndpoint, o.Limit = rapid.IntRange(1, 20).Draw(t, "per endpoint"), rapid.IntRange(1, 20).Draw(t, "limit")
@@ -54,14 +54,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &randomPlay{t: t, options: o, controller: c, queued: map[uint64]queuedRequest{}, limit: c.maxInFlight()}
+	return &eventPlayer{t: t, options: o, controller: c, queued: map[uint64]queuedRequest{}, limit: c.maxInFlight()}
 }
 
-// randomEvent reports whether the limit may fall by the event.
-func (p *randomPlay) randomEvent() (mayFall bool) {
+// randomEvent plays one random event and reports whether it may decrease the limit.
+func (p *eventPlayer) randomEvent() (mayDecrease bool) {
 	switch rapid.IntRange(0, 7).Draw(p.t, "event") {
 	case 0, 1, 2:
-		p.arriveAny()
+		p.arriveRandom()
 		return false
 	case 3:
 		for seq := range p.queued {
@@ -82,7 +82,8 @@
 	}
 }
 
-func (p *randomPlay) arriveAny() {
+// arriveRandom passes a random request to Arrive.
+func (p *eventPlayer) arriveRandom() {
 	t := p.t
 	p.lastSeq++
 	r := queuedRequest{rapid.Bool().Draw(t, "high"), int64(rapid.IntRange(0, 60).Draw(t, "size"))}
@@ -100,12 +101,12 @@
 	case verdict == balancer.Enqueue && after > 0:
 		p.queued[p.lastSeq] = r
 	case after <= 0:
-		t.Fatalf("verdict %d after %v", verdict, after)
+		t.Fatalf("Arrive: verdict %d with duration %v, want a positive duration", verdict, after)
 	}
 }
 
 // endOldest ends the request that started first, with any result.
-func (p *randomPlay) endOldest() {
+func (p *eventPlayer) endOldest() {
 	high := p.started[0]
 	p.started = p.started[1:]
 	took := time.Duration(rapid.IntRange(0, 900).Draw(p.t, "took")) * ms
@@ -114,8 +115,8 @@
 	p.controller.AttemptEnded(p.now, balancer.Sample{HighPriority: high, Class: "map", SentAt: p.now - took, Latency: took, Result: result})
 }
 
-// takeNext takes all requests that leave the queue now.
-func (p *randomPlay) takeNext() {
+// takeNext calls Next until it returns no request.
+func (p *eventPlayer) takeNext() {
 	for {
 		seq, verdict, after, ok := p.controller.Next(p.now)
 		if !ok {
@@ -123,30 +124,31 @@
 		}
 		r, queued := p.queued[seq]
 		if !queued {
-			p.t.Fatalf("%d is not queued", seq)
+			p.t.Fatalf("Next returned request %d, which is not queued", seq)
 		}
 		delete(p.queued, seq)
 		if verdict == balancer.Admit {
 			p.started = append(p.started, r.high)
 		} else if after <= 0 || after > p.controller.options.MaxRetryAfter {
-			p.t.Fatalf("Retry-After %v", after)
+			p.t.Fatalf("Next: got Retry-After %v, want above 0 and at most %v", after, p.controller.options.MaxRetryAfter)
 		}
 	}
 }
 
-func (p *randomPlay) checkLimit(mayFall bool) {
+func (p *eventPlayer) checkLimit(mayDecrease bool) {
 	c := p.controller
 	limit := c.maxInFlight()
-	if limit < p.limit && !mayFall {
-		p.t.Fatalf("the limit falls from %d to %d without evidence", p.limit, limit)
+	if limit < p.limit && !mayDecrease {
+		p.t.Fatalf("limit decreased from %d to %d without evidence", p.limit, limit)
 	}
 	p.limit = limit
 	if limit < 1 || c.inFlight != len(p.started) || c.queue.count != len(p.queued) {
-		p.t.Fatalf("limit %d, %d of %d in flight, %d of %d queued", limit, c.inFlight, len(p.started), c.queue.count, len(p.queued))
+		p.t.Fatalf("limit %d, want at least 1; in flight: got %d, want %d; queued: got %d, want %d",
+			limit, c.inFlight, len(p.started), c.queue.count, len(p.queued))
 	}
 }
 
-func (p *randomPlay) checkPriorities() {
+func (p *eventPlayer) checkPriorities() {
 	c := p.controller
 	bytes, queued := int64(0), [2]int{}
 	for _, r := range p.queued {
@@ -158,40 +160,43 @@
 		}
 	}
 	if bytes != c.queue.bytes || p.options.PendingBytes > 0 && bytes > p.options.PendingBytes {
-		p.t.Fatalf("%d bytes queued, counted %d, limit %d", bytes, c.queue.bytes, p.options.PendingBytes)
+		p.t.Fatalf("queued bytes: got %d, want %d, limit %d", c.queue.bytes, bytes, p.options.PendingBytes)
 	}
 	for i, breakers := range []Breakers{p.options.Breakers, p.options.HighPriority} {
 		got := c.priorities[i]
 		if got.queued != queued[i] || got.queued > breakers.MaxPending || breakers.MaxRequests > 0 && got.inFlight > breakers.MaxRequests {
-			p.t.Fatalf("priority %d: %d of %d queued, %d of %d in flight", i, got.queued, breakers.MaxPending, got.inFlight, breakers.MaxRequests)
+			p.t.Fatalf("priority %d: queued: got %d, want %d and at most %d; in flight: got %d, want at most %d (0: unlimited)",
+				i, got.queued, queued[i], breakers.MaxPending, got.inFlight, breakers.MaxRequests)
 		}
 	}
 }
 
-// checkQueue checks that the counts of tenants, classes and the queue agree.
-func (p *randomPlay) checkQueue() {
+// checkQueue checks that the counts of tenants, classes and the whole queue agree.
+func (p *eventPlayer) checkQueue() {
 	c := p.controller
 	total := 0
 	for _, k := range c.classes {
-		ofClass := 0
-		for _, tenant := range k.turns {
-			ofClass += tenant.count
+		classTotal := 0
+		for _, tenant := range k.tenantOrder {
+			classTotal += tenant.count
 			if k.tenants[tenant.tenant] != tenant || tenant.count == 0 {
-				p.t.Fatalf("tenant %q: %d queued", tenant.tenant, tenant.count)
+				p.t.Fatalf("tenant %q is in the round-robin order with %d queued requests but not by name, or has none queued", tenant.tenant, tenant.count)
 			}
 		}
-		total += ofClass
-		if ofClass != k.queued || len(k.turns) != len(k.tenants) {
-			p.t.Fatalf("%s: %d and %d queued", k.Name, ofClass, k.queued)
+		total += classTotal
+		if classTotal != k.queued || len(k.tenantOrder) != len(k.tenants) {
+			p.t.Fatalf("class %s: %d requests queued by tenant, %d counted; %d tenants in order, %d by name",
+				k.Name, classTotal, k.queued, len(k.tenantOrder), len(k.tenants))
 		}
 	}
 	if total != c.queue.count || len(c.queue.expiry) != total || len(c.queue.bySeq) != total {
-		p.t.Fatalf("%d, %d, %d, %d queued", total, c.queue.count, len(c.queue.expiry), len(c.queue.bySeq))
+		p.t.Fatalf("queued requests differ: %d by class, %d counted, %d in the expiry heap, %d by sequence number",
+			total, c.queue.count, len(c.queue.expiry), len(c.queue.bySeq))
 	}
 }
 
-// endAll ends all requests, after which nothing may be left.
-func (p *randomPlay) endAll() {
+// endAll ends all requests and checks that all counters are 0.
+func (p *eventPlayer) endAll() {
 	c := p.controller
 	for _, high := range p.started {
 		c.Done(p.now, high)
@@ -206,6 +211,7 @@
 		p.takeNext()
 	}
 	if c.inFlight != 0 || c.priorities[0].inFlight != 0 || c.priorities[1].inFlight != 0 || c.queue.count != 0 || len(p.queued) != 0 {
-		p.t.Fatalf("%d in flight, %d queued in the end", c.inFlight, c.queue.count)
+		p.t.Fatalf("after all requests ended: %d in flight (DEFAULT %d, HIGH %d), %d queued, %d never returned by Next; want 0",
+			c.inFlight, c.priorities[0].inFlight, c.priorities[1].inFlight, c.queue.count, len(p.queued))
 	}
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -7,51 +7,55 @@
 )
 
 const (
-	period         = 100 * time.Millisecond // of evidence, at least
-	maxPause       = 2 * time.Second        // without the end of an attempt, after which earlier observations say nothing
-	minLimit       = 2.0                    // requests in flight that are always allowed
-	maxLimit       = 1e6                    // requests in flight without circuit breakers
-	recentDecrease = 10 * time.Second       // for which a cluster counts as overloaded after its limit fell
-
-	maxShedShare     = 0.25 // of the attempts of a period; above it the limit falls
-	maxLateShare     = 0.1  // of the attempts of a period; above it the limit falls
-	maxFutileShare   = 0.3  // of the requests in flight at the start of a fall, down to which it must have gone to be futile
-	minFutileTime    = 3 * time.Second
-	minUsedShare     = 0.8 // of the limit, that must have been in flight for it to rise
-	decreaseByShed   = 0.8 // factor of the requests in flight
-	decreaseByLate   = 0.9
-	maxDecrease      = 0.2 // smallest factor by latency
-	minDecrease      = 0.9 // largest factor by latency
-	increasePerRatio = 0.1 // of the limit, for each multiple of the latency that the target leaves
+	period         = 100 * time.Millisecond // minimum length of an observation period
+	maxPause       = 2 * time.Second        // after a longer time without an ended attempt, earlier observations are discarded
+	minLimit       = 2.0                    // lower bound of the limit
+	maxLimit       = 1e6                    // upper bound of the limit if a circuit breaker is unlimited
+	recentDecrease = 10 * time.Second       // baselines rise more slowly for this time after a decrease of the limit
+
+	maxShedShare        = 0.25            // of the attempts of a period; a higher share of shed attempts decreases the limit
+	maxLateShare        = 0.1             // of the attempts of a period; a higher share of late attempts decreases the limit
+	noEffectShare       = 0.3             // of the requests in flight before a run of decreases; while more are in flight, the run is not judged
+	noEffectTime        = 3 * time.Second // minimum length of a run of decreases before it is judged
+	minUsedShare        = 0.8             // of the limit, that must have been in flight for the limit to be increased
+	shedFactor          = 0.8             // new limit per request in flight at the peak, if too many attempts were shed
+	lateFactor          = 0.9             // new limit per request in flight at the peak, if too many attempts were late
+	minLatencyFactor    = 0.2             // lower bound of target/latency, the factor of a decrease because of latency
+	maxLatencyFactor    = 0.9             // upper bound of the same factor
+	increasePerHeadroom = 0.1             // relative increase of the limit, multiplied by the latency headroom
 )
 
 // limiter is the adaptive limit on requests in flight.
 type limiter struct {
 	limit         float64
-	peak          int // most requests in flight at once in the period
+	peak          int // maximum number of requests in flight in the period
 	periodStart   time.Duration
-	lastAttemptAt time.Duration // when an attempt last ended
-	decreasedAt   time.Duration // when the limit last fell
-	// A fall is a run of decreases by latency; 0 while there is none.
-	inFlightAtFall float64
-	fallBeganAt    time.Duration
+	lastAttemptAt time.Duration // when the last attempt ended
+	decreasedAt   time.Duration // time of the last decrease; 0: never decreased
+	// State of the current run of decreases because of latency; inFlightBeforeDecreases is 0 while there is no run.
+	inFlightBeforeDecreases float64
+	firstDecreaseAt         time.Duration
 }
 
-func (l *limiter) begin(o *Options, endpoints int) {
+// setInitialLimit sets the limit that applies before any evidence of overload.
+func (l *limiter) setInitialLimit(o *Options, endpoints int) {
 	l.limit = float64(o.PerEndpoint * endpoints)
 	l.clamp(o)
 }
 
-// resize follows the number of endpoints: upwards always, downwards only while the limit never fell. The evidence does the rest.
+// resize adapts the limit to a changed number of endpoints. It always raises the limit if endpoints were added, but lowers it only
+// if the limit has never been decreased. Otherwise the limit is left to the evidence of later periods.
 func (l *limiter) resize(o *Options, before, endpoints int) {
 	if l.decreasedAt == 0 {
-		l.begin(o, endpoints)
+		l.setInitialLimit(o, endpoints)
 	} else if endpoints > before {
 		l.limit *= float64(endpoints) / float64(before)
 	}
 	l.clamp(o)
 }
 
+// clamp keeps the limit between minLimit and the sum of the circuit breakers, or maxLimit if a breaker is unlimited. Breakers whose
+// sum is below minLimit take precedence over it.
 func (l *limiter) clamp(o *Options) {
 	highest := maxLimit
 	if o.MaxRequests > 0 && o.HighPriority.MaxRequests > 0 {
@@ -60,7 +64,7 @@
 	l.limit = max(min(l.limit, highest), min(minLimit, highest))
 }
 
-// update changes the limit if the observations of a period suffice. It returns the evidence if the limit fell.
+// update adjusts the limit once a period has enough observations. It returns the evidence if the limit was decreased.
 func (l *limiter) update(now time.Duration, o *Options, classes []*class, endpoints, inFlight int) (evidence string) {
 	pause := now - l.lastAttemptAt
 	l.lastAttemptAt = now
@@ -69,7 +73,7 @@
 		return ""
 	}
 	if l.decreasedAt > 0 && float64(inFlight) > l.limit {
-		// What is sent now is queued behind what was in flight before the fall.
+		// The requests in flight from before the decrease still delay the requests that are sent now.
 		l.decreasedAt = now
 		l.periodStart = now
 		clearPeriods(classes)
@@ -89,6 +93,7 @@
 	return evidence
 }
 
+// startPeriod discards the observations of the previous period.
 func (l *limiter) startPeriod(now time.Duration, classes []*class, inFlight int) {
 	clearPeriods(classes)
 	l.periodStart = now
@@ -101,11 +106,11 @@
 	}
 }
 
-// attemptCounts are the attempts of a period over all classes.
+// attemptCounts holds the attempts of a period, summed over all classes.
 type attemptCounts struct {
 	all       int
 	shed      int
-	hasSample bool // some class has enough answers
+	hasSample bool // at least one class has minResponses responses
 }
 
 func countAttempts(classes []*class) attemptCounts {
@@ -113,36 +118,37 @@
 	for _, k := range classes {
 		counts.all += k.attempts
 		counts.shed += k.shed
-		counts.hasSample = counts.hasSample || k.served >= minAnswers
+		counts.hasSample = counts.hasSample || k.served >= minResponses
 	}
 	return counts
 }
 
-// manyShed reports whether so many attempts were shed that the limit must fall.
+// manyShed reports whether so many attempts were shed that the limit must be decreased.
 func (a attemptCounts) manyShed() bool {
-	return a.all >= minAnswers && float64(a.shed) > maxShedShare*float64(a.all)
+	return a.all >= minResponses && float64(a.shed) > maxShedShare*float64(a.all)
 }
 
-// sufficient reports whether the period can be evaluated. Otherwise it goes on: at a low limit the answers are spread over the
-// classes, none of which would ever have enough of them if they were dropped.
+// sufficient reports whether the period can be evaluated. If not, the period continues: at a low limit the responses are spread
+// over the classes, and no class would ever collect enough of them if they were discarded.
 func (a attemptCounts) sufficient() bool {
 	return a.hasSample || a.manyShed()
 }
 
-// latencyEvidence is how the class that fares best does. One that is slow by itself says nothing about the others.
+// latencyEvidence describes the latency of the class with the lowest ratio of latency to target. That class is the relevant one
+// because a single class may be slow without the endpoints being overloaded.
 type latencyEvidence struct {
-	ratio     float64 // of its quantile to its target; infinite if nothing is known
-	lateShare float64 // of its attempts
+	ratio     float64 // of the observed quantile to the target; +Inf if unknown
+	lateShare float64 // of the class's attempts
 	text      string
 }
 
 // bestClass updates the baselines and returns the evidence of the class with the lowest ratio.
 func (l *limiter) bestClass(now time.Duration, o *Options, classes []*class, endpoints int) latencyEvidence {
-	calm := l.peak <= max(2*endpoints/o.Gateways, 1)
-	overloaded := now-l.decreasedAt < recentDecrease && l.decreasedAt > 0
+	lowLoad := l.peak <= max(2*endpoints/o.Gateways, 1)
+	recentlyDecreased := now-l.decreasedAt < recentDecrease && l.decreasedAt > 0
 	best := latencyEvidence{ratio: math.Inf(1)}
 	for _, k := range classes {
-		quantile, ok := k.updateBaseline(now, overloaded, calm)
+		quantile, ok := k.updateBaseline(now, recentlyDecreased, lowLoad)
 		if !ok {
 			continue
 		}
@@ -153,40 +159,41 @@
 	return best
 }
 
+// latencyEvidence returns the evidence of the class for its observed quantile and the ratio of that to its target.
 func (k *class) latencyEvidence(quantile, ratio float64) latencyEvidence {
 	lateShare := float64(k.late) / float64(k.attempts)
 	if quantile < 1.5*k.baseline {
-		lateShare = 0 // the quicker answers were not queued: those that are late are so by themselves
+		lateShare = 0 // the faster responses show no queueing, so the late ones are slow for another reason
 	}
 	text := fmt.Sprintf("a quarter of the answers to %s within %v and no less, baseline %v, target %v; %.0f%% late", k.Name,
 		roundLatency(quantile), roundLatency(k.baseline), roundLatency(k.target()), 100*lateShare)
 	return latencyEvidence{ratio, lateShare, text}
 }
 
-// adjust changes the limit by the evidence of a period, and returns the evidence if the limit fell.
+// adjust changes the limit according to the evidence of a period. It returns the evidence if the limit was decreased.
 func (l *limiter) adjust(now time.Duration, attempts attemptCounts, best latencyEvidence, classes []*class) (evidence string) {
 	used := min(float64(l.peak), l.limit)
 	switch {
-	case best.ratio > 1 && l.fallIsFutile(now, used, classes):
-		l.limit = max(l.inFlightAtFall, l.limit)
-		l.inFlightAtFall = 0
+	case best.ratio > 1 && l.decreasesHadNoEffect(now, used, classes):
+		l.limit = max(l.inFlightBeforeDecreases, l.limit)
+		l.inFlightBeforeDecreases = 0
 	case attempts.manyShed():
-		l.decrease(now, used*decreaseByShed)
+		l.decrease(now, used*shedFactor)
 		return fmt.Sprintf("%d of %d attempts turned away or without an answer in time", attempts.shed, attempts.all)
 	case math.IsInf(best.ratio, 1):
 	case best.ratio > 1:
-		if l.inFlightAtFall == 0 {
-			l.beginFall(now, used, classes)
+		if l.inFlightBeforeDecreases == 0 {
+			l.startDecreases(now, used, classes)
 		}
-		l.decrease(now, used*min(max(1/best.ratio, maxDecrease), minDecrease))
+		l.decrease(now, used*min(max(1/best.ratio, minLatencyFactor), maxLatencyFactor))
 		return best.text
 	case best.lateShare > maxLateShare:
-		l.decrease(now, used*decreaseByLate)
+		l.decrease(now, used*lateFactor)
 		return best.text
-	case float64(l.peak) >= minUsedShare*math.Floor(l.limit): // of 3.9 no more than 3 can be in flight
-		l.inFlightAtFall = 0
-		unusedRatio := min(max(1/best.ratio-1, 0.1), 5)
-		l.limit += max(increasePerRatio*l.limit*unusedRatio, 1)
+	case float64(l.peak) >= minUsedShare*math.Floor(l.limit): // a limit of 3.9 allows at most 3 in flight
+		l.inFlightBeforeDecreases = 0
+		headroom := min(max(1/best.ratio-1, 0.1), 5)
+		l.limit += max(increasePerHeadroom*l.limit*headroom, 1)
 	}
 	return ""
 }
@@ -196,29 +203,30 @@
 	l.decreasedAt = now
 }
 
-func (l *limiter) beginFall(now time.Duration, used float64, classes []*class) {
-	l.inFlightAtFall = used
-	l.fallBeganAt = now
+func (l *limiter) startDecreases(now time.Duration, used float64, classes []*class) {
+	l.inFlightBeforeDecreases = used
+	l.firstDecreaseAt = now
 	for _, k := range classes {
-		k.quantileAtFall, _ = k.quantile()
+		k.quantileBeforeDecreases, _ = k.quantile()
 	}
 }
 
-// fallIsFutile reports whether answers take as long as before with much less in flight. They are not queued then but take that
-// long by themselves, and their latency becomes the baseline. A fall takes some time before that is said: requests of other
-// gateways at the same endpoints, whose limits still fall, look alike.
-func (l *limiter) fallIsFutile(now time.Duration, used float64, classes []*class) bool {
-	if l.inFlightAtFall == 0 || used > max(maxFutileShare*l.inFlightAtFall, minLimit) || now-l.fallBeganAt < minFutileTime {
+// decreasesHadNoEffect reports whether latency is unchanged although far fewer requests are in flight than before the run of
+// decreases. Queueing is not the cause of the latency then, and the observed quantile becomes the baseline. The run must last
+// noEffectTime first: until the limits of other gateways with the same endpoints have decreased as well, their requests keep the
+// latency high.
+func (l *limiter) decreasesHadNoEffect(now time.Duration, used float64, classes []*class) bool {
+	if l.inFlightBeforeDecreases == 0 || used > max(noEffectShare*l.inFlightBeforeDecreases, minLimit) || now-l.firstDecreaseAt < noEffectTime {
 		return false
 	}
 	compared := false
 	for _, k := range classes {
 		quantile, ok := k.quantile()
-		if !ok || k.quantileAtFall <= 0 {
+		if !ok || k.quantileBeforeDecreases <= 0 {
 			continue
 		}
 		compared = true
-		if quantile < 0.8*k.quantileAtFall {
+		if quantile < 0.8*k.quantileBeforeDecreases {
 			return false
 		}
 	}
@@ -233,6 +241,7 @@
 	return true
 }
 
+// roundLatency rounds a latency for display in evidence.
 func roundLatency(nanoseconds float64) time.Duration {
 	d := time.Duration(nanoseconds)
 	if d < 10*time.Millisecond {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -8,77 +8,78 @@
 	"robindrum/balancer"
 )
 
-// feed keeps as many requests in flight as the limit allows, for a time, with the latency that takes returns. It returns the lowest
-// limit.
-func (c *Controller) feed(t *testing.T, from, long time.Duration, takes func(n int) time.Duration) (lowest int) {
-	type out struct{ sent, at time.Duration }
-	var open []out
+// runLoad keeps as many requests in flight as the limit allows, up to 40, for the given duration. latency returns the latency of a
+// request when n are in flight. runLoad returns the lowest limit.
+func (c *Controller) runLoad(t *testing.T, start, duration time.Duration, latency func(n int) time.Duration) (lowest int) {
+	type pendingRequest struct{ sent, endsAt time.Duration }
+	var pending []pendingRequest
 	lowest = math.MaxInt
-	for now := from; now < from+long; now += ms {
-		for len(open) > 0 && open[0].at <= now {
-			c.answer(t, now, now-open[0].sent, "map")
-			open = open[1:]
+	for now := start; now < start+duration; now += ms {
+		for len(pending) > 0 && pending[0].endsAt <= now {
+			c.respond(t, now, now-pending[0].sent, "map")
+			pending = pending[1:]
 		}
-		for i := uint64(0); len(open) < 40 && c.inFlight < c.maxInFlight(); i++ {
+		for i := uint64(0); len(pending) < 40 && c.inFlight < c.maxInFlight(); i++ {
 			c.arrive(now, uint64(now)+i, "map", "")
-			at := now + takes(len(open)+1)
-			if n := len(open); n > 0 { // first in, first out
-				at = max(at, open[n-1].at)
+			endsAt := now + latency(len(pending)+1)
+			if n := len(pending); n > 0 { // responses arrive in the order of the requests
+				endsAt = max(endsAt, pending[n-1].endsAt)
 			}
-			open = append(open, out{now, at})
+			pending = append(pending, pendingRequest{now, endsAt})
 		}
 		lowest = min(lowest, c.maxInFlight())
 	}
-	for range open {
-		c.Done(from+long, false)
+	for range pending {
+		c.Done(start+duration, false)
 	}
 	return lowest
 }
 
-// A baseline that is first measured in an overload is corrected; a latency that is long by itself becomes the baseline after a fall.
-func TestBaselineInOverloadAndOfSlowAnswers(t *testing.T) {
-	queue := func(n int) time.Duration { return time.Duration(max(n, 4)) * 5 * ms } // four workers of 20 ms
+// A baseline first measured during an overload is corrected. A latency that stays long after the limit was decreased is not caused
+// by queueing and becomes the baseline.
+func TestBaselineAfterOverloadAndWithSlowResponses(t *testing.T) {
+	queue := func(n int) time.Duration { return time.Duration(max(n, 4)) * 5 * ms } // four workers, 20 ms each
 	c := newController(t, nil)
-	c.feed(t, ms, 10*time.Second, queue)
+	c.runLoad(t, ms, 10*time.Second, queue)
 	if b := c.maxInFlight(); b < 4 || b > 24 {
-		t.Errorf("limit %d for four workers that began in an overload; baseline %v", b, time.Duration(c.byName[classKey{"map", false}].baseline))
+		t.Errorf("limit with four workers after an initial overload: got %d, want 4 to 24; baseline %v", b, time.Duration(c.byName[classKey{"map", false}].baseline))
 	}
 	c = newController(t, nil)
-	slow := func(int) time.Duration { return 700 * ms } // more than twice the objective, whatever is in flight
-	c.feed(t, ms, 20*time.Second, slow)
+	slow := func(int) time.Duration { return 700 * ms } // more than twice the objective, for any number in flight
+	c.runLoad(t, ms, 20*time.Second, slow)
 	if b := c.maxInFlight(); b < 40 {
-		t.Errorf("limit %d with answers that take 700 ms by themselves", b)
+		t.Errorf("limit with 700 ms latency without queueing: got %d, want at least 40", b)
 	}
-	if low := c.feed(t, 30*time.Second, 20*time.Second, slow); low < 40 {
-		t.Errorf("the limit falls to %d again", low)
+	if low := c.runLoad(t, 30*time.Second, 20*time.Second, slow); low < 40 {
+		t.Errorf("lowest limit after the baseline was corrected: got %d, want at least 40", low)
 	}
 }
 
-// An origin becomes ten times as slow and recovers, without queueing: the limit does not fall.
-func TestSlowerOriginKeepsLimit(t *testing.T) {
+// The latency of a backend rises tenfold without queueing and recovers: the limit is not decreased.
+func TestSlowerBackendKeepsLimit(t *testing.T) {
 	c := newController(t, nil)
-	c.feed(t, ms, 5*time.Second, func(int) time.Duration { return 5 * ms })
-	if low := c.feed(t, 5*time.Second, 10*time.Second, func(int) time.Duration { return 50 * ms }); low < 40 {
-		t.Errorf("the limit falls to %d, though all answers are within the objective", low)
+	c.runLoad(t, ms, 5*time.Second, func(int) time.Duration { return 5 * ms })
+	if low := c.runLoad(t, 5*time.Second, 10*time.Second, func(int) time.Duration { return 50 * ms }); low < 40 {
+		t.Errorf("lowest limit with all responses within the objective: got %d, want at least 40", low)
 	}
-	if low := c.feed(t, 15*time.Second, 5*time.Second, func(int) time.Duration { return 5 * ms }); low < 40 {
-		t.Errorf("the limit falls to %d as it recovers", low)
+	if low := c.runLoad(t, 15*time.Second, 5*time.Second, func(int) time.Duration { return 5 * ms }); low < 40 {
+		t.Errorf("lowest limit during recovery: got %d, want at least 40", low)
 	}
 }
 
-// Answers of 5 ms and of 5 s in one class, without queueing: the limit does not fall.
+// One class has responses of 5 ms and of 5 s without queueing: the limit is not decreased.
 func TestBimodalLatencyKeepsLimit(t *testing.T) {
 	c := newController(t, nil)
 	before := c.maxInFlight()
-	ends := map[time.Duration][]time.Duration{} // send times by the time of their end
+	ends := map[time.Duration][]time.Duration{} // send times by end time
 	for i := range 20000 {
 		now := time.Duration(i) * ms
 		for _, sent := range ends[now] {
-			c.answer(t, now, now-sent, "map")
+			c.respond(t, now, now-sent, "map")
 		}
-		if i%5 == 0 { // 200 a second, one of eight long: 125 in flight
+		if i%5 == 0 { // 200 requests/s, one in eight takes 5 s: 125 in flight
 			if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
-				t.Fatalf("verdict %d at %v, limit %d, %d in flight", v, now, c.maxInFlight(), c.inFlight)
+				t.Fatalf("Arrive at %v: got verdict %d, want %d; limit %d, %d in flight", now, v, balancer.Admit, c.maxInFlight(), c.inFlight)
 			}
 			at := now + 5*ms
 			if i%40 == 0 {
@@ -88,12 +89,12 @@
 		}
 	}
 	if c.maxInFlight() < before {
-		t.Errorf("the limit fell from %d to %d: %s", before, c.maxInFlight(), c.limitEvidence)
+		t.Errorf("limit decreased from %d to %d: %s", before, c.maxInFlight(), c.limitEvidence)
 	}
 }
 
-// A low limit rises again once answers are in time: also a fractional one, so that the requests in flight stay well below it, and
-// also where the answers of a period are spread over classes so that none has enough of them.
+// A low limit rises again once responses are in time. It must also rise if it is fractional, so that fewer requests are in flight
+// than the limit, and if the responses of a period are spread over so many classes that none has enough of them.
 func TestLowLimitRises(t *testing.T) {
 	for _, from := range []float64{2, 2.9, 3.85, 4.9} {
 		c := newController(t, nil)
@@ -105,33 +106,33 @@
 				c.arrive(now, seq, "map", "")
 			}
 			for i := range c.inFlight {
-				c.answer(t, now+20*ms, 20*ms, []string{"map", "hold", "pay"}[(int(seq)+i)%3])
+				c.respond(t, now+20*ms, 20*ms, []string{"map", "hold", "pay"}[(int(seq)+i)%3])
 			}
 		}
 		if b := c.maxInFlight(); b < 16 {
-			t.Errorf("from %v: limit %d after 10 s of answers in time", from, b)
+			t.Errorf("starting at limit %v, after 10 s of responses in time: got limit %d, want at least 16", from, b)
 		}
 	}
 }
 
-// Errors within a millisecond show neither capacity nor overload.
+// Errors within a millisecond are evidence of neither capacity nor overload.
 func TestFastFailuresKeepLimit(t *testing.T) {
 	c := newController(t, nil)
 	before := c.maxInFlight()
 	for i := range 20000 {
 		now := time.Duration(i+1) * ms
 		if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
-			t.Fatalf("verdict %d", v)
+			t.Fatalf("Arrive: got verdict %d, want %d", v, balancer.Admit)
 		}
 		c.Done(now+ms, false)
 		c.AttemptEnded(now+ms, balancer.Sample{Class: "map", SentAt: now, Latency: ms, Result: []balancer.Result{balancer.ServerError, balancer.ConnectionLost, balancer.NotConnected}[i%3]})
 	}
 	if c.maxInFlight() != before {
-		t.Errorf("limit %d, %d before", c.maxInFlight(), before)
+		t.Errorf("limit after fast failures: got %d, want %d", c.maxInFlight(), before)
 	}
 }
 
-// A clock that stands still for 30 s, as in a suspended process, ends the waits and leaves the limit as it is.
+// The time jumps by 30 s, as after a suspended process: the queued requests expire and the limit is not decreased.
 func TestClockJumpKeepsLimit(t *testing.T) {
 	c := newController(t, func(o *Options) { o.PerEndpoint = 4 })
 	for i := range uint64(8) {
@@ -149,16 +150,16 @@
 		}
 	}
 	if rejected != 4 {
-		t.Errorf("%d of 4 that were queued are rejected", rejected)
+		t.Errorf("rejected queued requests: got %d, want 4", rejected)
 	}
 	for range 4 {
-		c.answer(t, now, now, "map")
+		c.respond(t, now, now, "map")
 	}
 	if c.maxInFlight() < before || c.inFlight != 0 {
-		t.Errorf("limit %d, %d in flight", c.maxInFlight(), c.inFlight)
+		t.Errorf("limit: got %d, want at least %d; in flight: got %d, want 0", c.maxInFlight(), before, c.inFlight)
 	}
-	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", TimeLeft: time.Second}) // an earlier time
+	c.Arrive(ms, balancer.Arrival{Seq: 99, Class: "map", TimeLeft: time.Second}) // earlier than the current time
 	if c.now != now {
-		t.Errorf("the time went back to %v", c.now)
+		t.Errorf("time after an earlier Arrive: got %v, want %v", c.now, now)
 	}
 }
--- a/internal/admission/observations.go
+++ b/internal/admission/observations.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	minAnswers        = 8    // answers of a class that make evidence
-	maxSamples        = 64   // latencies of a class that are retained in a period
-	observedQuantile  = 0.25 // of the latencies: queueing shows in the quicker answers too, slow requests do not
-	smoothingSamples  = 32   // of which a new latency counts for one
-	slowConnectFactor = 4    // a connection that fails within the objective over this factor shows no overload
+	minResponses       = 8    // minimum number of responses of a class for a usable quantile
+	maxSamples         = 64   // latencies of a class that are kept per period
+	observedQuantile   = 0.25 // of the latencies; queueing also delays the faster responses, a few slow requests do not
+	smoothingSamples   = 32   // a new latency has a weight of 1/smoothingSamples in the mean
+	slowConnectDivisor = 4    // a connection failure within objective/slowConnectDivisor is no sign of overload
 )
 
-// observations are what attempts of a class showed in the period under way, and what is known from before. Latencies are in
-// nanoseconds; 0 is unknown.
+// observations holds the observations of a class: those of the current period, and averages over earlier ones. Latencies are in
+// nanoseconds; 0 means unknown.
 type observations struct {
-	baseline       float64 // the observed quantile without queueing
-	baselineAt     time.Duration
-	mean           float64
-	deviation      float64 // mean deviation
-	answers        rate
-	quantileAtFall float64 // the observed quantile when the fall of the limit under way began
+	baseline                float64       // estimate of the observed quantile without queueing
+	baselineAt              time.Duration // when the baseline was last updated
+	mean                    float64       // exponentially weighted
+	deviation               float64       // exponentially weighted mean absolute deviation
+	responses               rate
+	quantileBeforeDecreases float64 // the observed quantile when the current run of decreases began
 
 	latencies [maxSamples]float64
-	served    int // in the period
-	late      int // of the served attempts
-	shed      int // attempts that were rejected or had no answer in time
-	attempts  int // in the period
+	served    int // attempts with a response in the period
+	late      int // served attempts that exceeded the latency objective
+	shed      int // attempts that failed in a way that shows overload
+	attempts  int // all attempts of the period
 }
 
-// target is the quantile above which answers were queued: four times the baseline, but no less than a sixth and no more than a
-// third of the latency objective. Where answers take longer than that by themselves, it is half above the baseline.
+// target returns the highest value of the observed quantile that shows no queueing: four times the baseline, limited to between a
+// sixth and a third of the latency objective. It is at least 1.5 times the baseline, for responses that are slow without queueing.
 func (k *class) target() float64 {
 	objective := float64(k.LatencyObjective)
 	return max(min(objective/3, max(4*k.baseline, objective/6)), 1.5*k.baseline)
 }
 
-// observe takes an attempt. One that was sent before the limit last fell says nothing about the present limit.
+// observe records an attempt. An attempt sent before the last decrease of the limit is not counted in the period, because it does
+// not show the effect of the current limit.
 func (k *class) observe(now time.Duration, s balancer.Sample, limitDecreasedAt time.Duration) {
 	latency := float64(s.Latency)
 	served := s.Result == balancer.Served
@@ -64,7 +65,7 @@
 }
 
 func (k *class) observeLatency(now time.Duration, latency float64) {
-	k.answers.add(now)
+	k.responses.add(now)
 	if k.mean == 0 {
 		k.mean = latency
 	}
@@ -72,8 +73,8 @@
 	k.mean += (latency - k.mean) / smoothingSamples
 }
 
-// showsOverload reports whether a failed attempt is a sign of overload. One that fails at once shows that the endpoint is
-// unhealthy, not that it is overloaded.
+// showsOverload reports whether a failed attempt is a sign of overload. An immediate failure means that the endpoint is unhealthy,
+// not that it is overloaded.
 func (k *class) showsOverload(s balancer.Sample) bool {
 	switch s.Result {
 	case balancer.Rejected:
@@ -81,31 +82,31 @@
 	case balancer.TimedOut:
 		return s.Latency > k.LatencyObjective
 	case balancer.NotConnected:
-		return float64(s.Latency) > float64(k.LatencyObjective)/slowConnectFactor
+		return float64(s.Latency) > float64(k.LatencyObjective)/slowConnectDivisor
 	default:
 		return false
 	}
 }
 
-// updateBaseline returns the quantile of the period and updates the baseline: it falls at once and rises slowly, the more so
-// while the cluster is overloaded, as answers are queued then. calm says that few requests were in flight, over all gateways if the
-// others do alike. The first period may be one of overload, so that a first baseline above an eighth of the objective needs a calm
-// period.
-func (k *class) updateBaseline(now time.Duration, overloaded, calm bool) (quantile float64, ok bool) {
+// updateBaseline returns the quantile of the period and updates the baseline. The baseline falls immediately and rises slowly. It
+// rises even more slowly if recentlyDecreased is true, because responses may include queueing then. lowLoad means that few requests
+// were in flight, over all gateways if they carry similar load. The cluster may already be overloaded in the first period, so the
+// first baseline is limited to an eighth of the latency objective unless lowLoad is true.
+func (k *class) updateBaseline(now time.Duration, recentlyDecreased, lowLoad bool) (quantile float64, ok bool) {
 	quantile, ok = k.quantile()
 	if !ok {
 		return 0, false
 	}
 	switch {
-	case k.baseline == 0 && !calm:
+	case k.baseline == 0 && !lowLoad:
 		k.baseline = min(quantile, float64(k.LatencyObjective)/8)
 	case k.baseline == 0 || quantile < k.baseline:
 		k.baseline = quantile
-	case calm:
+	case lowLoad:
 		k.baseline = min(quantile, k.baseline*2)
 	default:
 		risePerSecond := 0.1
-		if overloaded {
+		if recentlyDecreased {
 			risePerSecond = 0.01
 		}
 		elapsed := min((now - k.baselineAt).Seconds(), 1)
@@ -115,9 +116,9 @@
 	return quantile, true
 }
 
-// quantile returns the observed quantile of the period, if there are enough answers.
+// quantile returns the observed quantile of the period. ok is false if there are fewer than minResponses responses.
 func (k *class) quantile() (quantile float64, ok bool) {
-	if k.served < minAnswers {
+	if k.served < minResponses {
 		return 0, false
 	}
 	latencies := k.latencies
@@ -126,7 +127,7 @@
 	return sorted[int(observedQuantile*float64(len(sorted)-1))], true
 }
 
-// clearPeriod drops the observations of the period.
+// clearPeriod resets the counters of the period.
 func (k *class) clearPeriod() {
 	k.served, k.late, k.shed, k.attempts = 0, 0, 0, 0
 }
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -6,71 +6,71 @@
 	"time"
 )
 
-// Mode is what limits the requests in flight.
+// Mode selects how the requests in flight are limited.
 type Mode uint8
 
 // The modes of a Controller.
 const (
-	Adaptive Mode = iota // a limit that follows the evidence
+	Adaptive Mode = iota // a limit that adapts to the evidence of overload
 	Fixed                // Options.Limit
-	Off                  // nothing: every request starts at once. Retries still have their budget.
+	Off                  // no limit: every request is admitted. The retry budget still applies.
 )
 
 func (m Mode) String() string { return [...]string{"adaptive", "fixed", "off"}[m] }
 
-// Class is a kind of request.
+// Class is a request class.
 type Class struct {
 	Name             string
 	PriorityWeight   float64       // classes with a higher weight start first
-	LatencyObjective time.Duration // an answer that takes longer is late
+	LatencyObjective time.Duration // a response that takes longer is late
 }
 
-// Options configure a Controller. Zero values are replaced by the defaults named here, unless they have a meaning of their own;
-// Floor, RetryRatio and RetryRate below 0 mean 0.
+// Options configures a Controller. New replaces zero values by the defaults stated in the field comments, unless the comment gives
+// zero its own meaning. Negative values of Floor, RetryRatio and RetryRate mean 0.
 type Options struct {
 	Mode    Mode
 	Classes []Class
 
-	Gateways    int // before the same endpoints, with this one; 1
-	PerEndpoint int // requests in flight for each endpoint with which the adaptive limit begins; 256
-	Limit       int // of the Fixed mode, for the cluster; 1024
-	// Breakers are those of the priority DEFAULT, HighPriority those of HIGH: each counts its own requests.
+	Gateways    int // gateways that use the same endpoints, including this one; default 1
+	PerEndpoint int // initial adaptive limit on requests in flight per endpoint; default 256
+	Limit       int // limit of the cluster in Fixed mode; default 1024
+	// Breakers applies to requests of the priority DEFAULT, HighPriority to those of HIGH. Each priority counts its own requests.
 	Breakers
 	HighPriority Breakers
-	PendingBytes int64         // of the queued requests of both priorities; 0: unlimited
-	MaxWait      time.Duration // of a request in the queue; 0: what its latency objective leaves
-	Floor        float64       // fraction of starts that a class has for certain while requests of it are queued; 0.05
+	PendingBytes int64         // limit on the total size of the queued requests of both priorities; 0: unlimited
+	MaxWait      time.Duration // in the queue; 0: limited only by the latency objective and the client's remaining time
+	Floor        float64       // guaranteed fraction of the starts for each class that has queued requests; default 0.05
 
-	RetryRatio float64       // retries earned by a request; 0.2
-	RetryRate  float64       // retries earned a second in any case; 10
-	RetryTTL   time.Duration // for which an earned retry may be used; 10 s
+	RetryRatio float64       // retries that each request adds to the retry budget; default 0.2
+	RetryRate  float64       // retries per second that the budget allows in addition; default 10
+	RetryTTL   time.Duration // after which an unused retry of the budget expires; default 10 s
 
-	MaxRetryAfter time.Duration // the longest Retry-After; 5 s
+	MaxRetryAfter time.Duration // upper bound of Retry-After; default 5 s
 
-	// Notify is called when the cluster becomes overloaded and when it has recovered; nil: not called. It must not call back.
+	// Notify, if not nil, is called when the cluster becomes overloaded and when it has recovered. It must not call the Controller.
 	Notify func(Change)
 }
 
-// Breakers are Envoy's circuit breakers of one routing priority.
+// Breakers holds Envoy's circuit breakers of one routing priority.
 type Breakers struct {
-	MaxRequests int // in flight; 0: unlimited
-	MaxPending  int // queued requests; 1024
+	MaxRequests int // requests in flight; 0: unlimited
+	MaxPending  int // queued requests; default 1024
 	MaxRetries  int // retries in flight; 0: unlimited
-	// RetryPercent above 0 limits the retries in flight to this percentage of the requests in flight or queued, but no lower
-	// than to MinRetries, in place of MaxRetries. It is Envoy's retry_budget.
+	// RetryPercent, if above 0, replaces MaxRetries: it limits the retries in flight to this percentage of the requests in flight
+	// or queued, but to no fewer than MinRetries. It corresponds to Envoy's retry_budget.
 	RetryPercent float64
 	MinRetries   int
 }
 
-// Change is a cluster that becomes overloaded or has recovered.
+// Change reports that a cluster became overloaded or recovered.
 type Change struct {
 	At         time.Duration
 	Overloaded bool
-	Limit      int // on requests in flight of the priority DEFAULT
-	Evidence   string
+	Limit      int    // on requests in flight of the priority DEFAULT; math.MaxInt: unlimited
+	Evidence   string // for the last decrease of the limit
 }
 
-// Fill sets the defaults of what was left out.
+// Fill replaces zero values by the defaults.
 func (o *Options) Fill() {
 	o.Gateways = cmp.Or(o.Gateways, 1)
 	o.PerEndpoint = cmp.Or(o.PerEndpoint, 256)
@@ -84,27 +84,29 @@
 	o.MaxRetryAfter = cmp.Or(o.MaxRetryAfter, 5*time.Second)
 }
 
-// Check returns an error that names the first option that cannot be used.
+// Check returns an error for the first invalid option. It expects the defaults to be filled in.
 func (o *Options) Check() error {
 	switch {
 	case o.Mode > Off:
-		return fmt.Errorf("mode: %d is not known", o.Mode)
+		return fmt.Errorf("mode: unknown value %d", o.Mode)
 	case o.Gateways < 1:
-		return fmt.Errorf("gateways: want 1 at least, not %d", o.Gateways)
+		return fmt.Errorf("gateways must be at least 1, got %d", o.Gateways)
 	case o.PerEndpoint < 1 || o.Limit < 1:
-		return fmt.Errorf("limit: want 1 at least, not %d for each endpoint and %d in all", o.PerEndpoint, o.Limit)
+		return fmt.Errorf("limits must be at least 1, got %d per endpoint and %d in total", o.PerEndpoint, o.Limit)
 	case o.negative() || o.HighPriority.negative() || o.PendingBytes < 0:
-		return fmt.Errorf("circuit breakers: want 0 at least, not %+v, %+v, %d bytes", o.Breakers, o.HighPriority, o.PendingBytes)
+		return fmt.Errorf("circuit breakers must not be negative, got %+v for DEFAULT, %+v for HIGH and %d pending bytes", o.Breakers, o.HighPriority, o.PendingBytes)
 	case !(o.Floor >= 0 && o.Floor <= 0.5):
-		return fmt.Errorf("floor: want 0 to 0.5, not %v", o.Floor)
+		return fmt.Errorf("floor must be from 0 to 0.5, got %v", o.Floor)
 	case !(o.RetryRatio >= 0 && o.RetryRatio <= 10) || !(o.RetryRate >= 0) || o.RetryTTL <= 0:
-		return fmt.Errorf("retry budget: want a ratio of 0 to 10 and a rate of 0 at least, not %v and %v", o.RetryRatio, o.RetryRate)
+		return fmt.Errorf("retry budget: ratio must be from 0 to 10, rate at least 0 and TTL positive, got %v, %v and %v",
+			o.RetryRatio, o.RetryRate, o.RetryTTL)
 	case o.MaxWait < 0 || o.MaxRetryAfter <= 0:
-		return fmt.Errorf("waits: %v and %v: want no less than 0", o.MaxWait, o.MaxRetryAfter)
+		return fmt.Errorf("maximum wait must not be negative and maximum Retry-After must be positive, got %v and %v", o.MaxWait, o.MaxRetryAfter)
 	}
 	return nil
 }
 
+// negative reports whether a limit is below 0.
 func (b *Breakers) negative() bool {
 	return b.MaxRequests < 0 || b.MaxPending < 0 || b.MaxRetries < 0
 }
--- a/internal/admission/options_test.go
+++ b/internal/admission/options_test.go
@@ -19,7 +19,7 @@
 		o := options()
 		change(&o)
 		if _, err := New(o, 1); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("New with invalid option %s: got no error", name)
 		}
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -14,35 +14,35 @@
 	class      *class
 	tenant     *tenantQueue
 	expiresAt  time.Duration
-	prev, next *entry // of the tenant; next also links spare entries
+	prev, next *entry // in the tenant's queue; next also links the free list
 	heapIndex  int
 	size       int64
 }
 
-// tenantQueue is the queued requests of one tenant in one class, the oldest first.
+// tenantQueue is the linked list of the queued requests of one tenant in one class, oldest first.
 type tenantQueue struct {
 	tenant      string
 	first, last *entry
 	count       int
 }
 
-// requestQueue is all queued requests of a cluster.
+// requestQueue holds all queued requests of a cluster.
 type requestQueue struct {
-	count   int
-	bytes   int64
-	bySeq   map[uint64]*entry
-	expiry  expiryHeap
-	dropped []droppedRequest
-	spare   *entry // list of entries for reuse
+	count    int
+	bytes    int64
+	bySeq    map[uint64]*entry
+	expiry   expiryHeap
+	dropped  []droppedRequest
+	freeList *entry // entries for reuse, linked by next
 }
 
-// droppedRequest is a request that left the queue and is yet to be rejected.
+// droppedRequest is a request that was removed from the queue and that Next has not yet returned as rejected.
 type droppedRequest struct {
 	seq        uint64
 	retryAfter time.Duration
 }
 
-// expiryHeap is a heap of entries by their expiry. It implements heap.Interface.
+// expiryHeap is a min-heap of entries by expiresAt. It implements heap.Interface.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int           { return len(h) }
@@ -70,7 +70,7 @@
 	if t == nil {
 		t = &tenantQueue{tenant: a.Tenant}
 		k.tenants[a.Tenant] = t
-		k.turns = append(k.turns, t)
+		k.tenantOrder = append(k.tenantOrder, t)
 	}
 	e := q.newEntry()
 	*e = entry{seq: a.Seq, class: k, tenant: t, expiresAt: expiresAt, size: a.Size}
@@ -86,7 +86,7 @@
 	heap.Push(&q.expiry, e)
 }
 
-// remove takes a request out. The caller may still read the entry and then frees it.
+// remove takes a request out of the queue. The entry stays readable until the caller frees it with free.
 func (q *requestQueue) remove(e *entry) {
 	t, k := e.tenant, e.class
 	t.unlink(e)
@@ -104,22 +104,23 @@
 	heap.Remove(&q.expiry, e.heapIndex)
 }
 
+// newEntry returns an entry of the free list, or a new one if the list is empty.
 func (q *requestQueue) newEntry() *entry {
-	e := q.spare
+	e := q.freeList
 	if e == nil {
 		return &entry{}
 	}
-	q.spare = e.next
+	q.freeList = e.next
 	return e
 }
 
-// free gives an entry back for reuse.
+// free returns an entry to the free list.
 func (q *requestQueue) free(e *entry) {
-	*e = entry{next: q.spare}
-	q.spare = e
+	*e = entry{next: q.freeList}
+	q.freeList = e
 }
 
-// expired returns a request whose wait is over, or nil.
+// expired returns the request that expired first, or nil if none has expired.
 func (q *requestQueue) expired(now time.Duration) *entry {
 	if len(q.expiry) > 0 && q.expiry[0].expiresAt <= now {
 		return q.expiry[0]
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// nextDropped returns a dropped request that is yet to be rejected.
+// nextDropped removes and returns a dropped request that is still to be rejected. ok is false if there is none.
 func (q *requestQueue) nextDropped() (d droppedRequest, ok bool) {
 	n := len(q.dropped)
 	if n == 0 {
@@ -163,14 +164,15 @@
 	t.count--
 }
 
+// removeTenant removes a tenant without queued requests.
 func (k *class) removeTenant(t *tenantQueue) {
 	delete(k.tenants, t.tenant)
-	if i := slices.Index(k.turns, t); i >= 0 {
-		k.turns = slices.Delete(k.turns, i, i+1)
+	if i := slices.Index(k.tenantOrder, t); i >= 0 {
+		k.tenantOrder = slices.Delete(k.tenantOrder, i, i+1)
 	}
 }
 
-// queuedOf is how many requests of a tenant are queued.
+// queuedOf returns the number of queued requests of a tenant.
 func (k *class) queuedOf(tenant string) int {
 	if t := k.tenants[tenant]; t != nil {
 		return t.count
@@ -178,21 +180,22 @@
 	return 0
 }
 
-// next returns the request of a class that starts next and moves its tenant to the end of the turns. It is the tenant's oldest,
-// or its newest, which is right where requests wait for so long that the oldest are late.
+// next returns the request of the class that starts next and moves its tenant to the end of the round-robin order. It returns the
+// tenant's oldest request or, if newest is set, its newest. Newest first is better when requests wait so long that responses to the
+// oldest would be late.
 func (k *class) next(newest bool) *entry {
-	t := k.turns[0]
-	k.turns = append(k.turns[1:], t)
+	t := k.tenantOrder[0]
+	k.tenantOrder = append(k.tenantOrder[1:], t)
 	if newest {
 		return t.last
 	}
 	return t.first
 }
 
-// longestQueue is the tenant with the most queued requests.
+// longestQueue returns the queue of the tenant with the most queued requests.
 func (k *class) longestQueue() *tenantQueue {
-	longest := k.turns[0]
-	for _, t := range k.turns[1:] {
+	longest := k.tenantOrder[0]
+	for _, t := range k.tenantOrder[1:] {
 		if t.count > longest.count {
 			longest = t
 		}
--- a/internal/admission/rate.go
+++ b/internal/admission/rate.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// rateWindow is the time constant of a rate.
+// rateWindow is the time constant of the exponential decay of a rate.
 const rateWindow = 500 * time.Millisecond
 
-// rate counts events a second, with exponential decay.
+// rate measures events per second with exponential decay.
 type rate struct {
 	count     float64
-	decayedAt time.Duration
+	decayedAt time.Duration // time up to which count has decayed
 	lastEvent time.Duration
-	runStart  time.Duration // first event after a long pause
+	runStart  time.Duration // start of the current run: the first event, or the first after a pause of more than two windows
 }
 
+// decay applies the decay up to now.
 func (r *rate) decay(now time.Duration) {
 	elapsed := now - r.decayedAt
 	if elapsed <= 0 {
@@ -28,6 +29,7 @@
 	r.decayedAt = now
 }
 
+// add counts an event.
 func (r *rate) add(now time.Duration) {
 	r.decay(now)
 	if r.count == 0 {
@@ -37,14 +39,14 @@
 	r.count++
 }
 
-// perSecond returns the rate, corrected for a run that is shorter than the window.
+// perSecond returns the rate. It compensates for a run that is too short to fill the window.
 func (r *rate) perSecond(now time.Duration) float64 {
 	r.decay(now)
-	counted := float64(rateWindow) * (1 - math.Exp(-float64(now-r.runStart)/float64(rateWindow)))
-	return r.count * float64(time.Second) / max(counted, float64(rateWindow)/20)
+	effectiveWindow := float64(rateWindow) * (1 - math.Exp(-float64(now-r.runStart)/float64(rateWindow)))
+	return r.count * float64(time.Second) / max(effectiveWindow, float64(rateWindow)/20)
 }
 
-// significant reports whether there are enough recent events, over enough time.
+// significant reports whether the rate rests on enough recent events over a long enough run.
 func (r *rate) significant(now time.Duration) bool {
-	return r.count >= minAnswers && now-r.runStart >= 2*period && now-r.lastEvent < rateWindow
+	return r.count >= minResponses && now-r.runStart >= 2*period && now-r.lastEvent < rateWindow
 }
--- a/internal/admission/rejection.go
+++ b/internal/admission/rejection.go
@@ -7,16 +7,16 @@
 	"robindrum/internal/resource"
 )
 
-// Reason is why a request was rejected.
+// Reason is the reason for which a request was rejected.
 type Reason uint8
 
-// The reasons of rejections.
+// The reasons for rejections.
 const (
-	QueueFull     Reason = iota // the queue is full of requests of no less value
-	TooLate                     // it would start too late
-	WaitedTooLong               // it did not start in time
-	Displaced                   // a more valuable request, or one of a tenant with fewer queued, took its place
-	reasons
+	QueueFull     Reason = iota // the queue is full and holds no request that may be displaced
+	TooLate                     // the expected wait was too long at arrival
+	WaitedTooLong               // the maximum wait expired in the queue
+	Displaced                   // replaced by a request of a class with a higher weight or of a tenant with fewer queued requests
+	reasonCount
 )
 
 // String returns the reason's name in metrics and reports.
@@ -39,7 +39,7 @@
 	return resource.RetryAfter(rejectionRate, throughput, c.options.MaxRetryAfter, c.rng.Float64())
 }
 
-// drop takes a request out of the queue, to be rejected by the next call of Next.
+// drop removes a request from the queue. A later call of Next returns it as rejected.
 func (c *Controller) drop(now time.Duration, e *entry, reason Reason) {
 	c.remove(e)
 	retryAfter := c.reject(now, e.class, reason)
@@ -47,7 +47,8 @@
 	c.queue.free(e)
 }
 
-// fitsBytes reports whether a request's bytes can be queued, if need be in place of those of less valuable requests.
+// fitsBytes reports whether Options.PendingBytes allows the request to be queued, possibly after dropping requests of the same
+// priority whose class has a lower weight.
 func (c *Controller) fitsBytes(k *class, size int64) bool {
 	if c.options.PendingBytes == 0 {
 		return true
@@ -61,8 +62,8 @@
 	return bytes <= c.options.PendingBytes
 }
 
-// leastValuableClass is the class with the lowest weight that has queued requests, of those of the same priority with a lower
-// weight than k. It is nil if there is none.
+// leastValuableClass returns the class with the lowest weight among the classes with queued requests that have the priority of k
+// and a lower weight than k. It returns nil if there is none.
 func (c *Controller) leastValuableClass(k *class) *class {
 	for _, other := range slices.Backward(c.classes) {
 		if other.PriorityWeight >= k.PriorityWeight {
@@ -75,11 +76,12 @@
 	return nil
 }
 
-// displace makes room for a request in a full queue. It drops the oldest request of the least valuable class below its own, or
-// that of a tenant of its own class with more queued requests, and reports whether there was one.
+// displace makes room in a full queue for a request of class k. It drops the oldest request of the class returned by
+// leastValuableClass or, if there is none, of the tenant of class k with the most queued requests, provided that the tenant still
+// has at least as many as the request's tenant afterwards. It reports whether it dropped a request.
 func (c *Controller) displace(now time.Duration, k *class, tenant string) bool {
-	if lesser := c.leastValuableClass(k); lesser != nil {
-		c.drop(now, lesser.longestQueue().first, Displaced)
+	if lowerClass := c.leastValuableClass(k); lowerClass != nil {
+		c.drop(now, lowerClass.longestQueue().first, Displaced)
 		return true
 	}
 	if k.queued == 0 {
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Report is the state of a cluster's admission.
+// Report is the state of a Controller.
 type Report struct {
 	Mode          Mode
-	Limit         int // requests in flight of the priority DEFAULT; 0: unlimited
-	Active        int // requests in flight
-	Waiting       int // queued requests
-	Bytes         int64
-	Throughput    float64 // requests a second that the endpoints can answer; 0: unknown
+	Limit         int     // on requests in flight of the priority DEFAULT; 0: unlimited
+	Active        int     // requests in flight
+	Waiting       int     // queued requests
+	Bytes         int64   // total size of the queued requests
+	Throughput    float64 // estimated requests per second that the endpoints can serve; 0: unknown
 	Overloaded    bool
-	Evidence      string // of the last time that the limit fell
+	Evidence      string // for the last decrease of the limit
 	Started       uint64
-	Queued        uint64            // of the started requests, those that had been queued
+	Queued        uint64            // started requests that had been queued
 	Rejected      map[string]uint64 // by reason
-	RetriesLeft   int               // in the retry budget; -1: the maximum of retries is in flight
+	RetriesLeft   int               // in the retry budget; -1: the maximum number of retries of the priority DEFAULT is in flight
 	RetriesDenied uint64
 	Classes       []ClassReport
 }
 
-// ClassReport is the state of a class.
+// ClassReport is the state of a class of one priority.
 type ClassReport struct {
 	Name     string
-	High     bool          // of the priority HIGH
-	Baseline time.Duration // latency of its quicker answers without queueing; 0: unknown
-	Mean     time.Duration
-	Target   time.Duration // latency of its quicker answers above which they were queued
+	High     bool          // priority HIGH rather than DEFAULT
+	Baseline time.Duration // lower-quartile latency without queueing; 0: unknown
+	Mean     time.Duration // mean latency
+	Target   time.Duration // lower-quartile latency above which responses are considered queued
 	Waiting  int           // queued requests
 	Refused  uint64        // rejected requests
 }
 
-// Report returns the state at a time.
+// Report returns the state at the given time.
 func (c *Controller) Report(now time.Duration) Report {
 	now = c.advance(now)
 	r := Report{
@@ -46,7 +46,7 @@
 		Overloaded:    c.overloaded && now-c.lastRejection <= recoveryTime,
 		Evidence:      c.limitEvidence,
 		Started:       c.started,
-		Queued:        c.startedQueued,
+		Queued:        c.startedFromQueue,
 		Rejected:      map[string]uint64{},
 		RetriesLeft:   c.retriesLeft(now),
 		RetriesDenied: c.retriesDenied,
@@ -75,7 +75,8 @@
 	}
 }
 
-// retriesLeft is how many retries the budget has left; -1 if the maximum is in flight.
+// retriesLeft returns how many retries the budget has left, or -1 if the maximum number of retries of the priority DEFAULT is in
+// flight.
 func (c *Controller) retriesLeft(now time.Duration) int {
 	if !c.priorities[0].mayRetry() {
 		return -1
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// retryBudget limits the retries and hedges of a cluster, over all its zones: each request earns a fraction of one, and some are
-// earned by time. What was earned longer than ttl ago has expired. It follows Finagle's retry budget.
+// retryBudget limits the retries and hedged requests of a cluster over all its zones. Each request adds a fraction of a retry to
+// the budget, and a fixed number of retries per second is available in addition. Deposits and withdrawals expire after ttl. The
+// design is that of Finagle's retry budget.
 type retryBudget struct {
-	ratio float64 // retries that a request earns
-	rate  float64 // retries earned a second
+	ratio float64 // retries added by each request
+	rate  float64 // retries per second that are available in addition
 	ttl   time.Duration
 
-	slots  [10]float64 // earned less spent, by tenths of ttl
-	newest int64       // number of the newest slot since time 0
+	slots  [10]float64 // deposits minus withdrawals, in slots of a tenth of ttl
+	newest int64       // number of the newest slot, counted from time 0
 }
 
 // advance clears the slots that have expired.
@@ -29,25 +30,25 @@
 	return &b.slots[b.newest%int64(len(b.slots))]
 }
 
-// deposit takes a request.
+// deposit adds the share of one request to the budget.
 func (b *retryBudget) deposit(now time.Duration) {
 	b.advance(now)
 	*b.newestSlot() += b.ratio
 }
 
-// withdraw takes a retry.
+// withdraw takes one retry from the budget.
 func (b *retryBudget) withdraw(now time.Duration) {
 	b.advance(now)
 	*b.newestSlot()--
 }
 
-// available reports whether there is a retry left.
+// available reports whether at least one retry is left, with a tolerance for rounding errors.
 func (b *retryBudget) available(now time.Duration) bool {
 	b.advance(now)
 	return b.balance() >= 1-1e-9
 }
 
-// left is how many retries are left.
+// left returns the number of retries left.
 func (b *retryBudget) left(now time.Duration) int {
 	b.advance(now)
 	return max(int(b.balance()), 0)
--- a/internal/admission/wait.go
+++ b/internal/admission/wait.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// maxWait is how long a request may be queued so that its answer is in time. Where answers take nearly as long as the objective,
-// it is an eighth of it.
+// maxWait returns how long a request may be queued so that its response is still in time: within the latency objective and the
+// client's remaining time. If responses take nearly as long as that, it returns an eighth of that time.
 func (c *Controller) maxWait(k *class, timeLeft time.Duration) time.Duration {
 	available := min(k.LatencyObjective, timeLeft)
 	latency := k.mean
 	limit := c.maxInFlightOf(k.highPriority)
-	if c.throughput.known > 0 && limit < math.MaxInt { // the mean may be of a time with more in flight
+	if c.throughput.known > 0 && limit < math.MaxInt { // the mean may date from a time with more requests in flight
 		latency = min(latency, k.baseline+float64(limit)/c.throughput.known*float64(time.Second))
 	}
 	wait := max(available*9/10-time.Duration(latency+k.deviation), available/8)
@@ -21,10 +21,10 @@
 	return wait
 }
 
-// expectedWait is how long a request of a class would be queued: the requests that start before it, over the throughput. It is 0
-// where the throughput is not known.
+// expectedWait returns how long a new request of class k and the given tenant would be queued: the number of requests that start
+// before it, divided by the throughput that is left for class k. It returns 0 if the throughput is unknown.
 func (c *Controller) expectedWait(now time.Duration, k *class, tenant string) time.Duration {
-	ahead, moreValuableRate := 0, 0.0
+	ahead, higherWeightRate := 0, 0.0
 	for _, other := range c.classes {
 		switch {
 		case other == k:
@@ -32,7 +32,7 @@
 		case other.PriorityWeight >= k.PriorityWeight:
 			ahead += other.queued
 			if other.PriorityWeight > k.PriorityWeight {
-				moreValuableRate += other.arrivals.perSecond(now)
+				higherWeightRate += other.arrivals.perSecond(now)
 			}
 		}
 	}
@@ -40,37 +40,38 @@
 	if throughput <= 0 {
 		return 0
 	}
-	throughput = max(throughput-moreValuableRate, throughput*c.options.Floor, 1e-3)
+	throughput = max(throughput-higherWeightRate, throughput*c.options.Floor, 1e-3)
 	return time.Duration(float64(ahead) / throughput * float64(time.Second))
 }
 
-// throughputEstimate is how many requests a second the endpoints can answer.
+// throughputEstimate estimates how many requests per second the endpoints can serve.
 type throughputEstimate struct {
-	whileQueued     rate          // answers while requests were queued
-	known           float64       // the last throughput measured while requests were queued, or the highest of an interval since; 0: none
-	intervalAnswers int           // in the interval under way
-	intervalStart   time.Duration // an interval is one period long
+	whileQueued       rate          // responses while requests were queued
+	known             float64       // last throughput measured while requests were queued, or the highest of an interval since; 0: unknown
+	intervalResponses int           // in the current interval
+	intervalStart     time.Duration // an interval lasts at least one period
 }
 
-// answered notes the end of a request.
-func (t *throughputEstimate) answered(now time.Duration, queued bool) {
+// observeResponse records the end of a request. queued tells whether other requests are queued.
+func (t *throughputEstimate) observeResponse(now time.Duration, queued bool) {
 	if queued {
 		t.whileQueued.add(now)
 	}
-	t.intervalAnswers++
+	t.intervalResponses++
 	length := now - t.intervalStart
 	if length < period {
 		return
 	}
-	if length < 2*period { // otherwise there was a pause
-		t.known = max(t.known, float64(t.intervalAnswers)/length.Seconds())
+	if length < 2*period { // a longer interval contains a pause
+		t.known = max(t.known, float64(t.intervalResponses)/length.Seconds())
 	}
-	t.intervalAnswers = 0
+	t.intervalResponses = 0
 	t.intervalStart = now
 }
 
-// currentThroughput is how many requests a second the endpoints answer: what they did while requests were queued or, before that
-// is known again, the better of the last known one and what Little's law says. It is 0 where nothing is known.
+// currentThroughput returns how many requests per second the endpoints serve: the rate measured while requests are queued or, if
+// that is not significant, the higher of the last known throughput and the estimate by Little's law. It returns 0 if nothing is
+// known.
 func (c *Controller) currentThroughput(now time.Duration) float64 {
 	if c.queue.count > 0 && c.throughput.whileQueued.significant(now) {
 		c.throughput.known = c.throughput.whileQueued.perSecond(now)
@@ -79,7 +80,7 @@
 	sum, weights := 0.0, 0.0
 	for _, k := range c.classes {
 		if k.mean > 0 {
-			weight := k.answers.perSecond(now) + 1e-3
+			weight := k.responses.perSecond(now) + 1e-3
 			sum += k.mean * weight
 			weights += weight
 		}
