--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -9,18 +9,19 @@
 	"strings"
 )
 
-// Compile checks routes and makes a table of them. All that is wrong comes at once, as *Error joined.
-func Compile(routes []Route, opt Options) (*Table, error) {
-	t := &Table{opt: opt, exact: map[string]*host{}, wildcards: map[string]*host{}, routes: slices.Clone(routes)}
+// Compile validates routes and builds a Table from them. The error joins all problems, each an *Error except for nested
+// wildcards.
+func Compile(routes []Route, options Options) (*Table, error) {
+	t := &Table{options: options, exact: map[string]*host{}, wildcards: map[string]*host{}, routes: slices.Clone(routes)}
 	var errs []error
 	for i := range t.routes {
 		r := &t.routes[i]
-		bad := func(field, reason string, args ...any) {
+		addError := func(field, reason string, args ...any) {
 			errs = append(errs, &Error{i, field, fmt.Sprintf(reason, args...)})
 		}
-		c := &compiled{Route: r, index: i}
+		c := &compiledRoute{Route: r, index: i}
 		before := len(errs)
-		c.check(bad)
+		c.check(addError)
 		hosts := r.Hosts
 		if len(hosts) == 0 {
 			hosts = []string{"*"}
@@ -28,30 +29,31 @@
 		for _, name := range hosts {
 			h, err := t.host(name)
 			if err != nil {
-				bad("hosts", "%v", err)
+				addError("hosts", "%v", err)
 			} else if len(errs) == before {
 				if err := h.add(c); err != nil {
-					bad(c.pathField(), "%v", err)
+					addError(c.pathField(), "%v", err)
 				}
 			}
 		}
 	}
 	for suffix := range t.wildcards {
-		if n := len(t.chain(suffix)); n > MaxWildcards {
-			errs = append(errs, fmt.Errorf("hosts: %d wildcards are nested at *%s, %d at most", n, suffix, MaxWildcards))
+		if n := len(t.matchingWildcards(suffix)); n > MaxWildcards {
+			errs = append(errs, fmt.Errorf("hosts: at most %d wildcard hosts may be nested, got %d at *%s", MaxWildcards, n, suffix))
 		}
 	}
 	for _, h := range t.hosts() {
 		errs = append(errs, h.finish()...)
 	}
 	if len(errs) > 0 {
-		slices.SortStableFunc(errs, func(x, y error) int { return cmp.Compare(place(x), place(y)) })
+		slices.SortStableFunc(errs, func(x, y error) int { return cmp.Compare(routeIndex(x), routeIndex(y)) })
 		return nil, errors.Join(errs...)
 	}
 	return t, nil
 }
 
-func place(err error) int {
+// routeIndex returns the index of the route that an error is about, or a higher number than any index if there is none.
+func routeIndex(err error) int {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Route
@@ -59,24 +61,28 @@
 	return 1 << 30
 }
 
+// hosts returns all hosts in no particular order.
 func (t *Table) hosts() []*host {
-	var l []*host
+	var all []*host
 	for _, h := range t.exact {
-		l = append(l, h)
+		all = append(all, h)
 	}
 	for _, h := range t.wildcards {
-		l = append(l, h)
+		all = append(all, h)
 	}
 	if t.any != nil {
-		l = append(l, t.any)
+		all = append(all, t.any)
 	}
-	return l
+	return all
 }
 
-func newHost() *host { return &host{paths: map[string][]*compiled{}, prefixes: map[string]leaves{}} }
+func newHost() *host {
+	return &host{paths: map[string][]*compiledRoute{}, prefixes: map[string]prefixRoutes{}}
+}
 
+// host returns the host with the given name or wildcard, adding it if needed.
 func (t *Table) host(name string) (*host, error) {
-	into, key := t.exact, strings.ToLower(strings.TrimSuffix(name, "."))
+	byName, key := t.exact, strings.ToLower(strings.TrimSuffix(name, "."))
 	switch suffix, wild := strings.CutPrefix(key, "*"); {
 	case key == "*":
 		if t.any == nil {
@@ -84,25 +90,26 @@
 		}
 		return t.any, nil
 	case wild && (len(suffix) < 2 || suffix[0] != '.'):
-		return nil, fmt.Errorf("%q: a wildcard is the whole first label, as in *.example.org", name)
+		return nil, fmt.Errorf("%q: a wildcard must be the whole first label, as in *.example.org", name)
 	case wild:
-		into, key = t.wildcards, suffix
+		byName, key = t.wildcards, suffix
 	}
-	if key == "" || len(key) > maxHost || strings.ContainsAny(key, "*/ ") {
+	if key == "" || len(key) > maxHostLength || strings.ContainsAny(key, "*/ ") {
 		return nil, fmt.Errorf("%q is not a host", name)
 	}
-	if into[key] == nil {
-		into[key] = newHost()
+	if byName[key] == nil {
+		byName[key] = newHost()
 	}
-	return into[key], nil
+	return byName[key], nil
 }
 
-// chain returns the wildcards that match names below suffix, the longest first.
-func (t *Table) chain(suffix string) []*host {
-	var l []*host
+// matchingWildcards returns the wildcard hosts that match every host name that ends in suffix, longest first. suffix
+// begins with a dot.
+func (t *Table) matchingWildcards(suffix string) []*host {
+	var matching []*host
 	for s := suffix; s != ""; {
 		if h := t.wildcards[s]; h != nil {
-			l = append(l, h)
+			matching = append(matching, h)
 		}
 		i := strings.IndexByte(s[1:], '.')
 		if i < 0 {
@@ -110,10 +117,11 @@
 		}
 		s = s[1+i:]
 	}
-	return l
+	return matching
 }
 
-func (c *compiled) pathField() string {
+// pathField returns the name of the field that sets the route's path condition.
+func (c *compiledRoute) pathField() string {
 	switch {
 	case c.Template != "":
 		return "template"
@@ -123,21 +131,21 @@
 	return "prefix"
 }
 
-// report records what is wrong with a field of the route that is being compiled.
-type report func(field, reason string, args ...any)
+// addErrorFunc records an error in a field of the route that is being compiled.
+type addErrorFunc func(field, reason string, args ...any)
 
-// check reports all that is wrong with the route, and fills in what is derived from it.
-func (c *compiled) check(bad report) {
-	c.checkPath(bad)
-	c.checkTemplate(bad)
-	c.checkConditions(bad)
-	c.checkClusters(bad)
+// check validates the route and sets the fields that are derived from it.
+func (c *compiledRoute) check(addError addErrorFunc) {
+	c.checkPath(addError)
+	c.checkTemplate(addError)
+	c.checkConditions(addError)
+	c.checkClusters(addError)
 	for field, k := range map[string]*Key{"key": &c.Key, "tenant": &c.Tenant} {
-		c.checkKey(field, k, bad)
+		c.checkKey(field, k, addError)
 	}
 }
 
-func (c *compiled) checkPath(bad report) {
+func (c *compiledRoute) checkPath(addError addErrorFunc) {
 	set := 0
 	for field, v := range map[string]string{"path": c.Path, "template": c.Template, "prefix": c.Prefix} {
 		if v == "" {
@@ -145,79 +153,79 @@
 		}
 		set++
 		if v[0] != '/' {
-			bad(field, "%q does not begin with /", v)
+			addError(field, "%q does not begin with /", v)
 		}
 		if strings.ContainsAny(v, "?#") {
-			bad(field, "%q holds more than a path", v)
+			addError(field, "%q must not contain ? or #", v)
 		}
 	}
 	if set > 1 {
-		bad("path", "only one of path, template and prefix can be set")
+		addError("path", "only one of path, template and prefix can be set")
 	}
 }
 
-// checkTemplate fills in params: a name for each parameter, and nothing for a literal segment.
-func (c *compiled) checkTemplate(bad report) {
+// checkTemplate validates the template and sets paramNames.
+func (c *compiledRoute) checkTemplate(addError addErrorFunc) {
 	if c.Template == "" {
 		return
 	}
 	segments := strings.Split(c.Template, "/")[1:]
 	if len(segments) > MaxSegments {
-		bad("template", "%d segments, %d at most", len(segments), MaxSegments)
+		addError("template", "got %d segments, want at most %d", len(segments), MaxSegments)
 	}
 	for _, s := range segments {
-		name, is := parameter(s)
+		name, isParam := parseParameter(s)
 		switch {
-		case is && (name == "" || strings.ContainsAny(name, "{}")):
-			bad("template", "%q is not a parameter", s)
-		case is && slices.Contains(c.params, name):
-			bad("template", "%q stands twice", s)
-		case !is && strings.ContainsAny(s, "{}"):
-			bad("template", "%q: a parameter is a whole segment", s)
+		case isParam && (name == "" || strings.ContainsAny(name, "{}")):
+			addError("template", "%q is not a valid parameter", s)
+		case isParam && slices.Contains(c.paramNames, name):
+			addError("template", "duplicate parameter %q", s)
+		case !isParam && strings.ContainsAny(s, "{}"):
+			addError("template", "%q: a parameter must be a whole segment", s)
 		}
-		c.params = append(c.params, name)
+		c.paramNames = append(c.paramNames, name)
 	}
 }
 
-func (c *compiled) checkConditions(bad report) {
+func (c *compiledRoute) checkConditions(addError addErrorFunc) {
 	for _, m := range c.Methods {
 		if m == "" || m != strings.ToUpper(m) {
-			bad("methods", "%q is not a method", m)
+			addError("methods", "method must be non-empty and in upper case, got %q", m)
 		}
 	}
-	if n := c.conditions(); n > MaxConditions {
-		bad("headers", "%d conditions, %d at most", n, MaxConditions)
+	if n := c.conditionCount(); n > MaxConditions {
+		addError("headers", "got %d conditions, want at most %d", n, MaxConditions)
 	}
 	for i := range c.Headers {
 		c.Headers[i].Name = http.CanonicalHeaderKey(c.Headers[i].Name)
 		if c.Headers[i].Name == "" {
-			bad("headers", "one has no name")
+			addError("headers", "a header condition has no name")
 		}
 	}
 	for _, q := range c.Query {
 		if q.Name == "" {
-			bad("query", "one has no name")
+			addError("query", "a query condition has no name")
 		}
 	}
 }
 
-func (c *compiled) checkClusters(bad report) {
+func (c *compiledRoute) checkClusters(addError addErrorFunc) {
 	if len(c.Clusters) == 0 {
-		bad("cluster", "none is given")
+		addError("cluster", "at least one cluster is required")
 		return
 	}
 	for _, w := range c.Clusters {
-		c.total += uint64(w.Weight)
+		c.totalWeight += uint64(w.Weight)
 		if w.Cluster == "" {
-			bad("clusters", "one has no name")
+			addError("clusters", "a cluster has no name")
 		}
 	}
-	if c.total == 0 {
-		bad("clusters", "the weights add up to nothing")
+	if c.totalWeight == 0 {
+		addError("clusters", "the weights add up to nothing")
 	}
 }
 
-func (c *compiled) checkKey(field string, k *Key, bad report) {
+func (c *compiledRoute) checkKey(field string, k *Key, addError addErrorFunc) {
 	set := 0
 	for _, s := range []string{k.Header, k.Query, k.Path} {
 		if s != "" {
@@ -225,23 +233,24 @@
 		}
 	}
 	if set > 1 {
-		bad(field, "only one of header, query and path can be set")
+		addError(field, "only one of header, query and path can be set")
 	}
-	if k.Path != "" && !slices.Contains(c.params, k.Path) {
-		bad(field, "the template has no parameter %q", k.Path)
+	if k.Path != "" && !slices.Contains(c.paramNames, k.Path) {
+		addError(field, "the template has no parameter %q", k.Path)
 	}
 	k.Header = http.CanonicalHeaderKey(k.Header)
 }
 
-// parameter returns the name of a template's parameter segment; is is false, and the name empty, for a literal one.
-func parameter(segment string) (name string, is bool) {
+// parseParameter returns the name of a template's parameter segment. For a literal segment, isParam is false.
+func parseParameter(segment string) (name string, isParam bool) {
 	if strings.HasPrefix(segment, "{") && strings.HasSuffix(segment, "}") && len(segment) > 1 {
 		return segment[1 : len(segment)-1], true
 	}
 	return "", false
 }
 
-func (c *compiled) conditions() int {
+// conditionCount returns the number of conditions, with the list of methods counted as one.
+func (c *compiledRoute) conditionCount() int {
 	n := len(c.Headers) + len(c.Query)
 	if len(c.Methods) > 0 {
 		n++
@@ -249,109 +258,113 @@
 	return n
 }
 
-func (h *host) add(c *compiled) error {
+// add adds a route to the host. It returns an error if the route exceeds MaxShapes or MaxPrefixes.
+func (h *host) add(c *compiledRoute) error {
 	switch {
 	case c.Path != "":
 		h.paths[c.Path] = append(h.paths[c.Path], c)
 	case c.Template != "":
-		literal := make([]bool, len(c.params))
-		for i, p := range c.params {
+		literal := make([]bool, len(c.paramNames))
+		for i, p := range c.paramNames {
 			literal[i] = p == ""
 		}
 		i := slices.IndexFunc(h.shapes, func(s *shape) bool { return slices.Equal(s.literal, literal) })
 		if i < 0 {
 			if i = len(h.shapes); i == MaxShapes {
-				return fmt.Errorf("templates set parameters in more than %d ways", MaxShapes)
+				return fmt.Errorf("templates of a host must have at most %d distinct patterns of literals and parameters", MaxShapes)
 			}
-			h.shapes = append(h.shapes, &shape{literal, map[string][]*compiled{}})
+			h.shapes = append(h.shapes, &shape{literal, map[string][]*compiledRoute{}})
 		}
 		s := h.shapes[i]
-		key := string(s.key(nil, strings.Split(c.Template, "/")[1:]))
-		s.byLiterals[key] = append(s.byLiterals[key], c)
+		literalsKey := string(s.literalsKey(nil, strings.Split(c.Template, "/")[1:]))
+		s.byLiterals[literalsKey] = append(s.byLiterals[literalsKey], c)
 	default:
 		p := c.Prefix
 		if !c.Textual {
 			p = strings.TrimSuffix(p, "/")
 		}
-		l, ok := h.prefixes[p]
+		routes, ok := h.prefixes[p]
 		if !ok && !slices.Contains(h.lengths, len(p)) {
 			if len(h.lengths) == MaxPrefixes {
-				return fmt.Errorf("prefixes have more than %d lengths", MaxPrefixes)
+				return fmt.Errorf("prefixes of a host must have at most %d distinct lengths", MaxPrefixes)
 			}
 			h.lengths = append(h.lengths, len(p))
 		}
 		if c.Textual && p != "" {
-			l.textual = append(l.textual, c)
+			routes.textual = append(routes.textual, c)
 		} else {
-			l.segments = append(l.segments, c)
+			routes.segments = append(routes.segments, c)
 		}
-		h.prefixes[p] = l
+		h.prefixes[p] = routes
 	}
 	return nil
 }
 
-// finish sorts the routes of a host and returns an error for each that another one always precedes.
+// finish sorts the routes of a host by precedence. It returns an error for each route that can never be taken because an
+// earlier one matches all its requests, and for each path with more than MaxAlternatives routes.
 func (h *host) finish() (errs []error) {
-	tidy := func(l []*compiled) {
-		if len(l) > MaxAlternatives {
-			errs = append(errs, &Error{l[MaxAlternatives].index, l[0].pathField(), fmt.Sprintf(
-				"%d routes have this host and path, %d at most", len(l), MaxAlternatives)})
+	sortAndCheck := func(routes []*compiledRoute) {
+		if len(routes) > MaxAlternatives {
+			errs = append(errs, &Error{routes[MaxAlternatives].index, routes[0].pathField(), fmt.Sprintf(
+				"%d routes have this host and path, at most %d are allowed", len(routes), MaxAlternatives)})
 			return
 		}
-		slices.SortStableFunc(l, func(x, y *compiled) int { return cmp.Compare(y.conditions(), x.conditions()) })
-		for i, c := range l {
-			for _, first := range l[:i] {
-				if first != c && first.covers(c) {
-					errs = append(errs, &Error{c.index, "match", fmt.Sprintf("%s can never be taken: %s takes all that it would",
-						c.name(), first.name())})
+		slices.SortStableFunc(routes, func(x, y *compiledRoute) int { return cmp.Compare(y.conditionCount(), x.conditionCount()) })
+		for i, c := range routes {
+			for _, earlier := range routes[:i] {
+				if earlier != c && earlier.covers(c) {
+					errs = append(errs, &Error{c.index, "match", fmt.Sprintf("%s can never be taken: %s takes all of its requests",
+						c.name(), earlier.name())})
 					break
 				}
 			}
 		}
 	}
-	for _, l := range h.paths {
-		tidy(l)
+	for _, routes := range h.paths {
+		sortAndCheck(routes)
 	}
 	for _, s := range h.shapes {
-		for _, l := range s.byLiterals {
-			tidy(l)
+		for _, routes := range s.byLiterals {
+			sortAndCheck(routes)
 		}
 	}
-	for _, l := range h.prefixes {
-		tidy(l.segments)
-		tidy(l.textual)
+	for _, routes := range h.prefixes {
+		sortAndCheck(routes.segments)
+		sortAndCheck(routes.textual)
 	}
 	slices.SortFunc(h.lengths, func(x, y int) int { return cmp.Compare(y, x) })
 	slices.SortStableFunc(h.shapes, func(x, y *shape) int { return x.compare(y) })
 	return errs
 }
 
-func (c *compiled) name() string {
+// name describes the route in error messages.
+func (c *compiledRoute) name() string {
 	if c.Name != "" {
 		return fmt.Sprintf("%q (routes[%d])", c.Name, c.index)
 	}
 	return fmt.Sprintf("routes[%d]", c.index)
 }
 
-// covers reports whether c matches every request that d matches, if both have the same host and path.
-func (c *compiled) covers(d *compiled) bool {
+// covers reports whether c matches every request that d matches, provided that both have the same host and path.
+func (c *compiledRoute) covers(d *compiledRoute) bool {
 	if len(c.Methods) > 0 && (len(d.Methods) == 0 ||
 		slices.ContainsFunc(d.Methods, func(m string) bool { return !slices.Contains(c.Methods, m) })) {
 		return false
 	}
-	all := func(mine, theirs []Condition) bool {
-		for _, m := range mine {
-			if !slices.ContainsFunc(theirs, m.follows) {
+	allImplied := func(conditions, others []Condition) bool {
+		for _, m := range conditions {
+			if !slices.ContainsFunc(others, m.impliedBy) {
 				return false
 			}
 		}
 		return true
 	}
-	return all(c.Headers, d.Headers) && all(c.Query, d.Query)
+	return allImplied(c.Headers, d.Headers) && allImplied(c.Query, d.Query)
 }
 
-// follows reports whether c holds wherever d does.
-func (c Condition) follows(d Condition) bool {
+// impliedBy reports whether c holds for every request for which d holds. It may return false for conditions that it does not
+// compare, such as negated ones.
+func (c Condition) impliedBy(d Condition) bool {
 	if c == d {
 		return true
 	}
@@ -371,21 +384,22 @@
 	return false
 }
 
-// compare puts the shape with more literals first, and of equally many the one whose literals come first.
-func (s *shape) compare(o *shape) int {
-	count := func(l []bool) (n int) {
-		for _, lit := range l {
-			if lit {
+// compare orders shapes by precedence: the shape with more literals first and, if equal, the shape with a literal in the
+// first segment that differs.
+func (s *shape) compare(other *shape) int {
+	count := func(flags []bool) (n int) {
+		for _, isLiteral := range flags {
+			if isLiteral {
 				n++
 			}
 		}
 		return n
 	}
-	if c := cmp.Compare(count(o.literal), count(s.literal)); c != 0 {
+	if c := cmp.Compare(count(other.literal), count(s.literal)); c != 0 {
 		return c
 	}
-	for i := range min(len(s.literal), len(o.literal)) {
-		if s.literal[i] != o.literal[i] {
+	for i := range min(len(s.literal), len(other.literal)) {
+		if s.literal[i] != other.literal[i] {
 			if s.literal[i] {
 				return -1
 			}
@@ -395,11 +409,12 @@
 	return 0
 }
 
-// key appends the literals of a path's segments, in the places of the shape.
-func (s *shape) key(b []byte, segments []string) []byte {
-	for i, seg := range segments {
+// literalsKey appends to b a slash for each segment, followed by the segment if it is a literal in the shape. It is the
+// map key of shape.byLiterals.
+func (s *shape) literalsKey(b []byte, segments []string) []byte {
+	for i, segment := range segments {
 		if b = append(b, '/'); s.literal[i] {
-			b = append(b, seg...)
+			b = append(b, segment...)
 		}
 	}
 	return b
--- a/internal/route/find.go
+++ b/internal/route/find.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// Find returns the route of a request. random chooses among weighted clusters: any value is valid, and an even spread of
-// values gives each cluster its share.
-func (t *Table) Find(q *Request, random uint64) (Result, bool) {
-	name := q.Host
+// Find returns the result for the first route that matches a request, or false if there is none. random selects among
+// weighted clusters: any value is valid, and uniformly distributed values give each cluster its share.
+func (t *Table) Find(req *Request, random uint64) (Result, bool) {
+	name := req.Host
 	if i := strings.LastIndexByte(name, ':'); i >= 0 && !strings.HasSuffix(name, "]") {
 		name = name[:i]
 	}
 	name = strings.ToLower(strings.TrimSuffix(name, "."))
-	f := finder{q: q, random: random}
-	if len(name) <= maxHost {
+	f := finder{req: req, random: random}
+	if len(name) <= maxHostLength {
 		if h := t.exact[name]; h != nil {
-			if r, ok := f.in(h); ok || t.opt.HostsExclude {
+			if r, ok := f.findInHost(h); ok || t.options.HostsExclude {
 				return r, ok
 			}
 		}
 		for i := strings.IndexByte(name, '.'); i >= 0 && len(t.wildcards) > 0; {
 			if h := t.wildcards[name[i:]]; h != nil {
-				if r, ok := f.in(h); ok || t.opt.HostsExclude {
+				if r, ok := f.findInHost(h); ok || t.options.HostsExclude {
 					return r, ok
 				}
 			}
@@ -35,94 +35,98 @@
 		}
 	}
 	if t.any != nil {
-		return f.in(t.any)
+		return f.findInHost(t.any)
 	}
 	return Result{}, false
 }
 
-// finder is the state of one lookup; what it derives from the request it derives once.
+// finder is the state of one lookup. It splits the path and parses the query at most once, when first needed.
 type finder struct {
-	q        *Request
+	req      *Request
 	random   uint64
-	segments []string
-	split    bool
+	segments []string // of the path
+	split    bool     // splitPath was called
 	query    url.Values
-	parsed   bool
-	buf      [512]byte
+	parsed   bool      // query is set
+	buf      [512]byte // for literalsKey
 }
 
-func (f *finder) in(h *host) (Result, bool) {
-	if r, ok := f.first(h.paths[f.q.Path]); ok {
+// findInHost returns the result for the first route of a host that matches.
+func (f *finder) findInHost(h *host) (Result, bool) {
+	if r, ok := f.firstMatch(h.paths[f.req.Path]); ok {
 		return r, true
 	}
 	if len(h.shapes) > 0 {
-		f.cut()
+		f.splitPath()
 		for _, s := range h.shapes {
 			if len(s.literal) != len(f.segments) || f.emptyParameter(s) {
 				continue
 			}
-			if r, ok := f.first(s.byLiterals[string(s.key(f.buf[:0], f.segments))]); ok {
+			if r, ok := f.firstMatch(s.byLiterals[string(s.literalsKey(f.buf[:0], f.segments))]); ok {
 				return r, true
 			}
 		}
 	}
-	path := f.q.Path
+	path := f.req.Path
 	for _, n := range h.lengths {
 		if n > len(path) {
 			continue
 		}
-		l := h.prefixes[path[:n]]
+		routes := h.prefixes[path[:n]]
 		if n == len(path) || path[n] == '/' || n == 0 {
-			if r, ok := f.first(l.segments); ok {
+			if r, ok := f.firstMatch(routes.segments); ok {
 				return r, true
 			}
 		}
-		if r, ok := f.first(l.textual); ok {
+		if r, ok := f.firstMatch(routes.textual); ok {
 			return r, true
 		}
 	}
 	return Result{}, false
 }
 
-// cut splits the path, unless it has more segments than any template.
-func (f *finder) cut() {
+// splitPath splits the path into segments. A path with more segments than any template may have is not split, as no template
+// can match it.
+func (f *finder) splitPath() {
 	if f.split {
 		return
 	}
 	f.split = true
-	n := strings.Count(f.q.Path, "/")
-	if n > MaxSegments || f.q.Path == "" {
+	n := strings.Count(f.req.Path, "/")
+	if n > MaxSegments || f.req.Path == "" {
 		return
 	}
-	l := make([]string, 0, n)
-	for s := range strings.SplitSeq(f.q.Path[1:], "/") {
-		l = append(l, s)
+	list := make([]string, 0, n)
+	for s := range strings.SplitSeq(f.req.Path[1:], "/") {
+		list = append(list, s)
 	}
-	f.segments = l
+	f.segments = list
 }
 
+// emptyParameter reports whether a segment at a parameter's position is empty.
 func (f *finder) emptyParameter(s *shape) bool {
-	for i, lit := range s.literal {
-		if !lit && f.segments[i] == "" {
+	for i, isLiteral := range s.literal {
+		if !isLiteral && f.segments[i] == "" {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *finder) first(l []*compiled) (Result, bool) {
-	for _, c := range l {
-		if len(c.Methods) > 0 && !slices.Contains(c.Methods, f.q.Method) || !f.headers(c) || !f.params(c) {
+// firstMatch returns the result for the first route whose methods and conditions match.
+func (f *finder) firstMatch(routes []*compiledRoute) (Result, bool) {
+	for _, c := range routes {
+		if len(c.Methods) > 0 && !slices.Contains(c.Methods, f.req.Method) || !f.matchesHeaders(c) || !f.matchesQuery(c) {
 			continue
 		}
-		return Result{Route: c.Route, Cluster: c.cluster(f.random), Class: c.Class, Key: f.key(c, c.Key), Tenant: f.key(c, c.Tenant)}, true
+		return Result{Route: c.Route, Cluster: c.chooseCluster(f.random), Class: c.Class, Key: f.keyValue(c, c.Key), Tenant: f.keyValue(c, c.Tenant)}, true
 	}
 	return Result{}, false
 }
 
-func (f *finder) headers(c *compiled) bool {
+func (f *finder) matchesHeaders(c *compiledRoute) bool {
 	for _, d := range c.Headers {
-		v, ok := f.q.Header[d.Name]
+		v, ok := f.req.Header[d.Name]
 		if len(v) == 0 {
 			v, ok = []string{""}, false
 		}
@@ -133,9 +137,9 @@
 	return true
 }
 
-func (f *finder) params(c *compiled) bool {
+func (f *finder) matchesQuery(c *compiledRoute) bool {
 	for _, d := range c.Query {
-		v, ok := f.param(d.Name)
+		v, ok := f.queryParam(d.Name)
 		if d.holds(v, ok) == d.Not {
 			return false
 		}
@@ -143,11 +147,12 @@
 	return true
 }
 
-func (f *finder) param(name string) (string, bool) {
+// queryParam returns the first value of a query parameter and whether the parameter exists.
+func (f *finder) queryParam(name string) (string, bool) {
 	if !f.parsed {
 		f.parsed = true
-		if f.q.RawQuery != "" {
-			f.query, _ = url.ParseQuery(f.q.RawQuery) // what cannot be read is not there
+		if f.req.RawQuery != "" {
+			f.query, _ = url.ParseQuery(f.req.RawQuery) // malformed parameters are treated as absent
 		}
 	}
 	v, ok := f.query[name]
@@ -157,46 +162,49 @@
 	return v[0], true
 }
 
-func (c Condition) holds(v string, ok bool) bool {
-	if !ok {
+// holds compares the value of a header or query parameter, without regard to Not.
+func (c Condition) holds(value string, present bool) bool {
+	if !present {
 		return false
 	}
 	switch c.Op {
 	case Exact:
-		return v == c.Value
+		return value == c.Value
 	case Prefix:
-		return strings.HasPrefix(v, c.Value)
+		return strings.HasPrefix(value, c.Value)
 	case Suffix:
-		return strings.HasSuffix(v, c.Value)
+		return strings.HasSuffix(value, c.Value)
 	case Contains:
-		return strings.Contains(v, c.Value)
+		return strings.Contains(value, c.Value)
 	}
 	return true
 }
 
-func (c *compiled) cluster(random uint64) string {
+// chooseCluster selects a cluster by weight.
+func (c *compiledRoute) chooseCluster(random uint64) string {
 	if len(c.Clusters) > 1 {
-		at := random % c.total
+		offset := random % c.totalWeight
 		for _, w := range c.Clusters {
-			if at < uint64(w.Weight) {
+			if offset < uint64(w.Weight) {
 				return w.Cluster
 			}
-			at -= uint64(w.Weight)
+			offset -= uint64(w.Weight)
 		}
 	}
 	return c.Clusters[0].Cluster
 }
 
-func (f *finder) key(c *compiled, k Key) string {
+// keyValue returns the value that k refers to, or an empty string.
+func (f *finder) keyValue(c *compiledRoute, k Key) string {
 	switch {
 	case k.Header != "":
-		return f.q.Header.Get(k.Header)
+		return f.req.Header.Get(k.Header)
 	case k.Query != "":
-		v, _ := f.param(k.Query)
+		v, _ := f.queryParam(k.Query)
 		return v
 	case k.Path != "":
-		f.cut()
-		return f.segments[slices.Index(c.params, k.Path)]
+		f.splitPath()
+		return f.segments[slices.Index(c.paramNames, k.Path)]
 	}
 	return ""
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,24 +1,26 @@
-// Package route finds the route of a request: host, path, method, header and query decide, and the route names the
-// cluster, or several by weight, with the request's class and key. It is pure: no clock, no I/O, no random numbers.
+// Package route matches requests to routes by host, path, method, headers and query parameters. A route determines the
+// cluster of a request, or several weighted clusters, and its class, key and tenant. The package uses no clock, does no
+// I/O and generates no random numbers.
 //
 // # Precedence
 //
-// A request takes the first route in this order whose conditions all hold:
+// A request takes the first matching route in this order:
 //
-//  1. the host: exact, then the longer wildcard, then any host;
-//  2. the path: exact, then templates with more literal segments (of equally many, the one whose literals come first),
-//     then the longer prefix, then any path;
-//  3. more conditions (the list of methods is one, each header and each query parameter is one) before fewer;
-//  4. the order in which they were given.
+//  1. by host: exact, then the longer wildcard, then any host;
+//  2. by path: exact, then templates with more literal segments (if equal, those with a literal in the first segment
+//     that differs), then the longer prefix, then any path;
+//  3. by the number of conditions, most first: the list of methods, each header condition and each query condition count
+//     as one;
+//  4. by the order in which the routes were given.
 //
-// Where no route of the most specific host matches, the next host's are tried, unless Options.HostsExclude says that
-// the host alone decides, as Envoy's virtual hosts do.
+// If no route of the most specific matching host matches the request, the routes of the next host are tried. With
+// Options.HostsExclude only the most specific host is considered, as with Envoy's virtual hosts.
 //
 // # Cost
 //
-// A Table is compiled once and never changes. A request costs a bounded number of steps whatever the number of routes:
-// one look-up for each host that can match, template shape and prefix length, all of which Compile bounds, and the
-// conditions of at most MostAlternatives routes behind each.
+// A Table is immutable. The cost of matching a request is bounded regardless of the number of routes: one lookup for each
+// host that can match, each template shape and each prefix length, whose numbers Compile limits, and for each lookup the
+// conditions of at most MaxAlternatives routes.
 package route
 
 import (
@@ -27,34 +29,35 @@
 	"slices"
 )
 
-// Bounds of a table, for each host where that makes a difference. Compile names the route that goes over one.
+// Limits of a table. Those on shapes, prefixes and alternatives apply to each host. Compile returns an error if a limit is
+// exceeded.
 const (
-	MaxAlternatives = 64 // routes of one host and path
-	MaxShapes       = 32 // ways in which templates set literals and parameters
-	MaxPrefixes     = 64 // distinct lengths of prefixes
+	MaxAlternatives = 64 // routes with the same host and path
+	MaxShapes       = 32 // distinct patterns of literal and parameter segments in templates
+	MaxPrefixes     = 64 // distinct prefix lengths
 	MaxSegments     = 32 // of a template
-	MaxWildcards    = 8  // wildcard hosts of which one is the end of the next
+	MaxWildcards    = 8  // nested wildcard hosts, such as *.org and *.example.org
 	MaxConditions   = 16 // of one route
-	maxHost         = 255
+	maxHostLength   = 255
 )
 
-// Route is one rule. Of Path, Template and Prefix at most one is set; with none any path will do.
+// Route is one routing rule. At most one of Path, Template and Prefix is set; if none is, the route matches any path.
 type Route struct {
 	Name     string
-	Hosts    []string // exact, or "*.example.org" for all below it; none, or "*": any
-	Path     string   // the whole path
-	Template string   // "/halls/{hall}/seats/{seat}": parameters stand for one segment that is not empty
-	Prefix   string   // whole segments: "/api" takes "/api" and "/api/x", not "/apix"
-	// Textual has Prefix match in the middle of a segment as well, as Envoy's prefix does.
+	Hosts    []string // exact names, or "*.example.org" for all its subdomains; none or "*": any host
+	Path     string   // exact path
+	Template string   // "/halls/{hall}/seats/{seat}": a parameter matches one non-empty segment
+	Prefix   string   // whole segments: "/api" matches "/api" and "/api/x", not "/apix"
+	// Textual makes Prefix also match within a segment, like Envoy's prefix.
 	Textual  bool
 	Methods  []string // none: any
 	Headers  []Condition
 	Query    []Condition
-	Clusters []Weighted // one at least
+	Clusters []Weighted // at least one
 	Class    string
 	Key      Key
-	Tenant   Key  // whose request it is, for a fair part of a wait
-	High     bool // the priority HIGH of circuit breakers
+	Tenant   Key  // identifies the tenant, for fair queueing between tenants
+	High     bool // whether the request has Envoy's routing priority HIGH, which has its own circuit breakers
 }
 
 // Condition is a condition on the first value of one header or query parameter.
@@ -62,13 +65,13 @@
 	Name  string
 	Op    Op
 	Value string
-	Not   bool // holds where it otherwise would not
+	Not   bool // inverts the condition
 }
 
-// Op is how a condition compares.
+// Op is the comparison operator of a condition.
 type Op uint8
 
-// The comparisons there are.
+// The comparison operators.
 const (
 	Present Op = iota // the header or parameter exists
 	Exact
@@ -77,19 +80,19 @@
 	Contains
 )
 
-// Weighted is a cluster and its part of the route's requests.
+// Weighted is a cluster and its weight among the clusters of a route.
 type Weighted struct {
 	Cluster string
 	Weight  uint32
 }
 
-// Key says where a request's key is found; at most one field is set.
+// Key names the part of a request that holds its key or tenant. At most one field is set.
 type Key struct {
 	Header, Query string
-	Path          string // a parameter of the route's template
+	Path          string // name of a parameter of the route's template
 }
 
-// Request is what decides. Path is as it came, percent-encoding included, and begins with "/".
+// Request holds the parts of a request that routes match. Path is the path as received, percent-encoded, and begins with "/".
 type Request struct {
 	Host, Method, Path, RawQuery string
 	Header                       http.Header
@@ -100,13 +103,13 @@
 	Route   *Route
 	Cluster string
 	Class   string
-	Key     string // empty where the request has none
-	Tenant  string // the same
+	Key     string // empty if the request has none
+	Tenant  string // empty if the request has none
 }
 
-// Error is an error of one route.
+// Error is an error in one route.
 type Error struct {
-	Route  int // its index
+	Route  int // index of the route
 	Field  string
 	Reason string
 }
@@ -115,43 +118,46 @@
 
 // Options configure a Table.
 type Options struct {
-	HostsExclude bool // only the routes of the most specific host that matches are looked at
+	HostsExclude bool // consider only the routes of the most specific matching host
 }
 
-// Table finds routes. It never changes once it is compiled, and may be used by several goroutines at once.
+// Table matches requests to routes. It is immutable and safe for concurrent use.
 type Table struct {
-	opt       Options
+	options   Options
 	exact     map[string]*host
-	wildcards map[string]*host // by what comes behind the star, ".example.org"
+	wildcards map[string]*host // by the suffix after the star, such as ".example.org"
 	any       *host
 	routes    []Route
 }
 
+// host holds the routes of one host name, of one wildcard, or those for any host.
 type host struct {
-	paths    map[string][]*compiled
-	shapes   []*shape          // in order of precedence
-	prefixes map[string]leaves // by prefix
-	lengths  []int             // of prefixes, the longest first
+	paths    map[string][]*compiledRoute
+	shapes   []*shape                // by precedence
+	prefixes map[string]prefixRoutes // by prefix
+	lengths  []int                   // distinct prefix lengths, descending
 }
 
-type leaves struct {
-	segments, textual []*compiled
+// prefixRoutes holds the routes of one prefix, by whether the prefix matches whole segments only or also within a segment.
+type prefixRoutes struct {
+	segments, textual []*compiledRoute
 }
 
-// shape is how a template sets literals and parameters; byLiterals holds the templates of that shape.
+// shape is a pattern of literal and parameter segments, with the templates that have it.
 type shape struct {
-	literal    []bool
-	byLiterals map[string][]*compiled
+	literal    []bool                      // by segment; false: parameter
+	byLiterals map[string][]*compiledRoute // by literalsKey
 }
 
-type compiled struct {
+// compiledRoute is a Route with the data that Compile derives from it.
+type compiledRoute struct {
 	*Route
-	index  int
-	total  uint64 // of the weights
-	params []string
+	index       int      // in the routes passed to Compile
+	totalWeight uint64   // sum of the cluster weights
+	paramNames  []string // by template segment; empty for a literal
 }
 
-// Clusters returns the names of all clusters that a route may choose, sorted.
+// Clusters returns the sorted names of all clusters of all routes.
 func (t *Table) Clusters() []string {
 	names := map[string]bool{}
 	for _, r := range t.routes {
@@ -159,12 +165,12 @@
 			names[w.Cluster] = true
 		}
 	}
-	l := make([]string, 0, len(names))
-	for n := range names {
-		l = append(l, n)
+	sorted := make([]string, 0, len(names))
+	for name := range names {
+		sorted = append(sorted, name)
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(sorted)
+	return sorted
 }
 
 // Len returns the number of routes.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-func to(cluster string) []Weighted { return []Weighted{{cluster, 1}} }
+func toCluster(cluster string) []Weighted { return []Weighted{{cluster, 1}} }
 
 func compile(t testing.TB, routes ...Route) *Table {
 	t.Helper()
@@ -26,22 +26,22 @@
 
 func TestPrecedence(t *testing.T) {
 	table := compile(t,
-		Route{Name: "rest", Clusters: to("rest")},
-		Route{Name: "api", Prefix: "/api", Clusters: to("api")},
-		Route{Name: "api-v2", Prefix: "/api/v2/", Clusters: to("api2")},
-		Route{Name: "text", Prefix: "/files/a", Textual: true, Clusters: to("text")},
-		Route{Name: "seat", Template: "/halls/{hall}/seats/{seat}", Clusters: to("seat"), Key: Key{Path: "seat"}},
-		Route{Name: "main", Template: "/halls/main/seats/{seat}", Clusters: to("main")},
-		Route{Name: "front", Template: "/halls/{hall}/seats/front", Clusters: to("front")},
-		Route{Name: "exact", Path: "/halls/main/seats/1", Clusters: to("exact")},
+		Route{Name: "rest", Clusters: toCluster("rest")},
+		Route{Name: "api", Prefix: "/api", Clusters: toCluster("api")},
+		Route{Name: "api-v2", Prefix: "/api/v2/", Clusters: toCluster("api2")},
+		Route{Name: "text", Prefix: "/files/a", Textual: true, Clusters: toCluster("text")},
+		Route{Name: "seat", Template: "/halls/{hall}/seats/{seat}", Clusters: toCluster("seat"), Key: Key{Path: "seat"}},
+		Route{Name: "main", Template: "/halls/main/seats/{seat}", Clusters: toCluster("main")},
+		Route{Name: "front", Template: "/halls/{hall}/seats/front", Clusters: toCluster("front")},
+		Route{Name: "exact", Path: "/halls/main/seats/1", Clusters: toCluster("exact")},
 		Route{Name: "hold", Template: "/halls/{hall}/seats/{seat}", Methods: []string{"POST"}, Class: "seat-hold",
-			Clusters: to("hold"), Key: Key{Header: "idempotency-key"}},
-		Route{Name: "canary", Prefix: "/api", Headers: []Condition{{Name: "x-canary", Op: Exact, Value: "1"}}, Clusters: to("canary")},
-		Route{Name: "beta", Prefix: "/api", Query: []Condition{{Name: "beta"}}, Clusters: to("beta"), Key: Key{Query: "beta"}},
-		Route{Name: "not", Prefix: "/not", Headers: []Condition{{Name: "x-a", Not: true}}, Clusters: to("not")},
-		Route{Name: "wild", Hosts: []string{"*.Example.org"}, Prefix: "/api", Clusters: to("wild")},
-		Route{Name: "wilder", Hosts: []string{"*.eu.example.org"}, Prefix: "/api", Clusters: to("wilder")},
-		Route{Name: "host", Hosts: []string{"a.eu.example.org", "b.example.org."}, Path: "/api", Clusters: to("host")},
+			Clusters: toCluster("hold"), Key: Key{Header: "idempotency-key"}},
+		Route{Name: "canary", Prefix: "/api", Headers: []Condition{{Name: "x-canary", Op: Exact, Value: "1"}}, Clusters: toCluster("canary")},
+		Route{Name: "beta", Prefix: "/api", Query: []Condition{{Name: "beta"}}, Clusters: toCluster("beta"), Key: Key{Query: "beta"}},
+		Route{Name: "not", Prefix: "/not", Headers: []Condition{{Name: "x-a", Not: true}}, Clusters: toCluster("not")},
+		Route{Name: "wild", Hosts: []string{"*.Example.org"}, Prefix: "/api", Clusters: toCluster("wild")},
+		Route{Name: "wilder", Hosts: []string{"*.eu.example.org"}, Prefix: "/api", Clusters: toCluster("wilder")},
+		Route{Name: "host", Hosts: []string{"a.eu.example.org", "b.example.org."}, Path: "/api", Clusters: toCluster("host")},
 	)
 	for _, c := range []struct{ method, host, target, header, want, key string }{
 		{"GET", "x", "/", "", "rest", ""},
@@ -54,7 +54,7 @@
 		{"GET", "x", "/files/abc", "", "text", ""},
 		{"GET", "x", "/files/b", "", "rest", ""},
 		{"GET", "x", "/halls/main/seats/1", "", "exact", ""},
-		{"GET", "x", "/halls/main/seats/front", "", "main", ""}, // literals earlier in the path win
+		{"GET", "x", "/halls/main/seats/front", "", "main", ""}, // a literal in an earlier segment has precedence
 		{"GET", "x", "/halls/old/seats/front", "", "front", ""},
 		{"GET", "x", "/halls/old/seats/7", "", "seat", "7"},
 		{"GET", "x", "/halls/old/seats/", "", "rest", ""},
@@ -64,7 +64,7 @@
 		{"GET", "x", "/api/x", "X-Canary: 2", "api", ""},
 		{"GET", "x", "/api/x?beta=b%20c", "", "beta", "b c"},
 		{"GET", "x", "/api/x?beta", "", "beta", ""},
-		{"GET", "x", "/api/x?beta=%zz", "", "api", ""}, // cannot be read: not there
+		{"GET", "x", "/api/x?beta=%zz", "", "api", ""}, // a malformed parameter counts as absent
 		{"GET", "x", "/not", "", "not", ""},
 		{"GET", "x", "/not", "X-A: ", "rest", ""},
 		{"GET", "b.example.org", "/api", "", "host", ""},
@@ -82,36 +82,36 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		q := &Request{Host: c.host, Method: c.method, Path: u.EscapedPath(), RawQuery: u.RawQuery, Header: http.Header{}}
+		req := &Request{Host: c.host, Method: c.method, Path: u.EscapedPath(), RawQuery: u.RawQuery, Header: http.Header{}}
 		if name, v, ok := strings.Cut(c.header, ": "); ok {
-			q.Header.Set(name, v)
+			req.Header.Set(name, v)
 		}
-		got, ok := table.Find(q, 0)
+		got, ok := table.Find(req, 0)
 		if !ok || got.Cluster != c.want || got.Key != c.key {
-			t.Errorf("%s %s%s %s: %q with key %q, want %q with %q", c.method, c.host, c.target, c.header, got.Cluster, got.Key, c.want, c.key)
+			t.Errorf("Find %s %s%s %s: got cluster %q with key %q, want %q with %q", c.method, c.host, c.target, c.header, got.Cluster, got.Key, c.want, c.key)
 		}
 	}
 }
 
 func TestHostsExclude(t *testing.T) {
-	routes := []Route{{Prefix: "/", Clusters: to("any")}, {Hosts: []string{"a"}, Path: "/x", Clusters: to("a")},
-		{Hosts: []string{"*.b"}, Path: "/x", Clusters: to("b")}}
+	routes := []Route{{Prefix: "/", Clusters: toCluster("any")}, {Hosts: []string{"a"}, Path: "/x", Clusters: toCluster("a")},
+		{Hosts: []string{"*.b"}, Path: "/x", Clusters: toCluster("b")}}
 	table, err := Compile(routes, Options{HostsExclude: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for host, want := range map[string]bool{"a": false, "c.b": false, "c": true} {
 		if _, ok := table.Find(&Request{Host: host, Path: "/y"}, 0); ok != want {
-			t.Errorf("%s: found %v", host, ok)
+			t.Errorf("Find for host %s: got route %v, want %v", host, ok, want)
 		}
 	}
 }
 
 func TestInvalidRoutesAreRejected(t *testing.T) {
-	many := func(n int, f func(i int, r *Route)) []Route {
+	makeRoutes := func(n int, f func(i int, r *Route)) []Route {
 		l := make([]Route, n)
 		for i := range l {
-			l[i].Clusters = to("c")
+			l[i].Clusters = toCluster("c")
 			f(i, &l[i])
 		}
 		return l
@@ -120,57 +120,57 @@
 		routes []Route
 		want   []string
 	}{
-		"no cluster":      {[]Route{{Prefix: "/"}}, []string{"routes[0].cluster: none is given"}},
-		"no weight":       {[]Route{{Clusters: []Weighted{{"a", 0}}}}, []string{"routes[0].clusters: the weights add up to nothing"}},
-		"two paths":       {[]Route{{Path: "/a", Prefix: "/b", Clusters: to("c")}}, []string{"only one of path, template and prefix"}},
-		"relative":        {[]Route{{Path: "a", Clusters: to("c")}}, []string{`routes[0].path: "a" does not begin with /`}},
-		"query in a path": {[]Route{{Path: "/a?b", Clusters: to("c")}}, []string{"holds more than a path"}},
-		"half parameter":  {[]Route{{Template: "/a{b}", Clusters: to("c")}}, []string{"a parameter is a whole segment"}},
-		"no parameter":    {[]Route{{Template: "/{}", Clusters: to("c")}}, []string{"is not a parameter"}},
-		"twice":           {[]Route{{Template: "/{a}/{a}", Clusters: to("c")}}, []string{"stands twice"}},
-		"key elsewhere":   {[]Route{{Template: "/{a}", Key: Key{Path: "b"}, Clusters: to("c")}}, []string{`no parameter "b"`}},
-		"two keys":        {[]Route{{Key: Key{Header: "b", Query: "c"}, Clusters: to("c")}}, []string{"routes[0].key: only one"}},
-		"star in a label": {[]Route{{Hosts: []string{"*a.b"}, Clusters: to("c")}}, []string{"routes[0].hosts:"}},
-		"bad host":        {[]Route{{Hosts: []string{"a/b"}, Clusters: to("c")}}, []string{"is not a host"}},
-		"lower method":    {[]Route{{Methods: []string{"get"}, Clusters: to("c")}}, []string{"is not a method"}},
-		"nameless":        {[]Route{{Headers: []Condition{{}}, Query: []Condition{{}}, Clusters: to("c")}}, []string{"routes[0].headers: one", "routes[0].query: one"}},
-		"all at once":     {[]Route{{Path: "a"}, {Clusters: to("c")}, {Path: "b"}}, []string{"routes[0].cluster", "routes[0].path", "routes[2].path"}},
-		"the same twice": {[]Route{{Name: "one", Prefix: "/a", Clusters: to("c")}, {Name: "two", Prefix: "/a/", Clusters: to("d")}},
-			[]string{`routes[1].match: "two" (routes[1]) can never be taken: "one" (routes[0]) takes all that it would`}},
-		"templates alike": {[]Route{{Template: "/{a}/x", Clusters: to("c")}, {Template: "/{b}/x", Clusters: to("c")}}, []string{"routes[1].match"}},
-		"methods within": {[]Route{{Path: "/a", Methods: []string{"GET", "PUT"}, Clusters: to("c")}, {Path: "/a", Methods: []string{"GET"}, Clusters: to("c")}},
+		"no cluster":        {[]Route{{Prefix: "/"}}, []string{"routes[0].cluster: at least one cluster is required"}},
+		"no weight":         {[]Route{{Clusters: []Weighted{{"a", 0}}}}, []string{"routes[0].clusters: the weights add up to nothing"}},
+		"two paths":         {[]Route{{Path: "/a", Prefix: "/b", Clusters: toCluster("c")}}, []string{"only one of path, template and prefix"}},
+		"relative":          {[]Route{{Path: "a", Clusters: toCluster("c")}}, []string{`routes[0].path: "a" does not begin with /`}},
+		"query in a path":   {[]Route{{Path: "/a?b", Clusters: toCluster("c")}}, []string{"must not contain ? or #"}},
+		"partial parameter": {[]Route{{Template: "/a{b}", Clusters: toCluster("c")}}, []string{"a parameter must be a whole segment"}},
+		"no parameter":      {[]Route{{Template: "/{}", Clusters: toCluster("c")}}, []string{"is not a valid parameter"}},
+		"twice":             {[]Route{{Template: "/{a}/{a}", Clusters: toCluster("c")}}, []string{"duplicate parameter \"{a}\""}},
+		"key elsewhere":     {[]Route{{Template: "/{a}", Key: Key{Path: "b"}, Clusters: toCluster("c")}}, []string{`no parameter "b"`}},
+		"two keys":          {[]Route{{Key: Key{Header: "b", Query: "c"}, Clusters: toCluster("c")}}, []string{"routes[0].key: only one"}},
+		"star in a label":   {[]Route{{Hosts: []string{"*a.b"}, Clusters: toCluster("c")}}, []string{"routes[0].hosts:"}},
+		"bad host":          {[]Route{{Hosts: []string{"a/b"}, Clusters: toCluster("c")}}, []string{"is not a host"}},
+		"lower-case method": {[]Route{{Methods: []string{"get"}, Clusters: toCluster("c")}}, []string{"method must be non-empty and in upper case, got \"get\""}},
+		"nameless":          {[]Route{{Headers: []Condition{{}}, Query: []Condition{{}}, Clusters: toCluster("c")}}, []string{"routes[0].headers: a header condition has no name", "routes[0].query: a query condition has no name"}},
+		"all at once":       {[]Route{{Path: "a"}, {Clusters: toCluster("c")}, {Path: "b"}}, []string{"routes[0].cluster", "routes[0].path", "routes[2].path"}},
+		"same route twice": {[]Route{{Name: "one", Prefix: "/a", Clusters: toCluster("c")}, {Name: "two", Prefix: "/a/", Clusters: toCluster("d")}},
+			[]string{`routes[1].match: "two" (routes[1]) can never be taken: "one" (routes[0]) takes all of its requests`}},
+		"templates of one shape": {[]Route{{Template: "/{a}/x", Clusters: toCluster("c")}, {Template: "/{b}/x", Clusters: toCluster("c")}}, []string{"routes[1].match"}},
+		"methods are a subset": {[]Route{{Path: "/a", Methods: []string{"GET", "PUT"}, Clusters: toCluster("c")}, {Path: "/a", Methods: []string{"GET"}, Clusters: toCluster("c")}},
 			[]string{"routes[1].match"}},
-		"condition within": {[]Route{{Path: "/a", Headers: []Condition{{Name: "x-b", Op: Prefix, Value: "v"}}, Clusters: to("c")},
-			{Path: "/a", Headers: []Condition{{Name: "X-B", Op: Exact, Value: "vw"}}, Clusters: to("c")}}, []string{"routes[1].match"}},
-		"alternatives": {many(MaxAlternatives+1, func(i int, r *Route) {
+		"condition is implied": {[]Route{{Path: "/a", Headers: []Condition{{Name: "x-b", Op: Prefix, Value: "v"}}, Clusters: toCluster("c")},
+			{Path: "/a", Headers: []Condition{{Name: "X-B", Op: Exact, Value: "vw"}}, Clusters: toCluster("c")}}, []string{"routes[1].match"}},
+		"alternatives": {makeRoutes(MaxAlternatives+1, func(i int, r *Route) {
 			r.Path, r.Query = "/a", []Condition{{Name: fmt.Sprint(i)}}
 		}), []string{"65 routes have this host and path"}},
-		"prefix lengths": {many(MaxPrefixes+1, func(i int, r *Route) { r.Prefix = "/" + strings.Repeat("a", i+1) }), []string{"more than 64 lengths"}},
-		"shapes": {many(MaxShapes+1, func(i int, r *Route) {
+		"prefix lengths": {makeRoutes(MaxPrefixes+1, func(i int, r *Route) { r.Prefix = "/" + strings.Repeat("a", i+1) }), []string{"at most 64 distinct lengths"}},
+		"shapes": {makeRoutes(MaxShapes+1, func(i int, r *Route) {
 			for bit := range 6 {
 				r.Template += []string{"/a", fmt.Sprintf("/{p%d}", bit)}[i>>bit&1]
 			}
-		}), []string{"in more than 32 ways"}},
-		"segments":  {many(1, func(i int, r *Route) { r.Template = strings.Repeat("/a", MaxSegments+1) }), []string{"33 segments, 32 at most"}},
-		"wildcards": {many(MaxWildcards+1, func(i int, r *Route) { r.Hosts = []string{"*" + strings.Repeat(".a", i+1)} }), []string{"9 wildcards are nested"}},
-		"conditions": {many(1, func(i int, r *Route) { r.Query = make([]Condition, MaxConditions+1) }),
-			[]string{"17 conditions"}},
+		}), []string{"at most 32 distinct patterns"}},
+		"segments":  {makeRoutes(1, func(i int, r *Route) { r.Template = strings.Repeat("/a", MaxSegments+1) }), []string{"got 33 segments, want at most 32"}},
+		"wildcards": {makeRoutes(MaxWildcards+1, func(i int, r *Route) { r.Hosts = []string{"*" + strings.Repeat(".a", i+1)} }), []string{"at most 8 wildcard hosts may be nested, got 9"}},
+		"conditions": {makeRoutes(1, func(i int, r *Route) { r.Query = make([]Condition, MaxConditions+1) }),
+			[]string{"got 17 conditions, want at most 16"}},
 	} {
 		_, err := Compile(c.routes, Options{})
 		if err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("Compile with %s: got no error, want one containing %q", name, c.want)
 			continue
 		}
 		for _, w := range c.want {
 			if !strings.Contains(err.Error(), w) {
-				t.Errorf("%s: %q lacks %q", name, err, w)
+				t.Errorf("Compile with %s: got error %q, want it to contain %q", name, err, w)
 			}
 		}
 	}
-	// Where both can win, both are kept.
-	compile(t, Route{Path: "/a", Methods: []string{"GET"}, Clusters: to("c")}, Route{Path: "/a", Methods: []string{"GET", "PUT"}, Clusters: to("c")},
-		Route{Path: "/a", Headers: []Condition{{Name: "b"}}, Clusters: to("c")}, Route{Path: "/a", Headers: []Condition{{Name: "b", Not: true}}, Clusters: to("c")},
-		Route{Path: "/a", Clusters: to("c")})
+	// Routes that each match some requests that the others do not are all accepted.
+	compile(t, Route{Path: "/a", Methods: []string{"GET"}, Clusters: toCluster("c")}, Route{Path: "/a", Methods: []string{"GET", "PUT"}, Clusters: toCluster("c")},
+		Route{Path: "/a", Headers: []Condition{{Name: "b"}}, Clusters: toCluster("c")}, Route{Path: "/a", Headers: []Condition{{Name: "b", Not: true}}, Clusters: toCluster("c")},
+		Route{Path: "/a", Clusters: toCluster("c")})
 }
 
 func TestWeights(t *testing.T) {
@@ -181,15 +181,16 @@
 		got[r.Cluster]++
 	}
 	if got["a"] != 100 || got["b"] != 0 || got["c"] != 300 {
-		t.Errorf("%v", got)
+		t.Errorf("400 requests by cluster: got %v, want 100 to a, none to b and 300 to c", got)
 	}
 	if l := table.Clusters(); !slices.Equal(l, []string{"a", "b", "c"}) || table.Len() != 1 {
-		t.Errorf("%v", l)
+		t.Errorf("got clusters %v of %d routes, want [a b c] of 1", l, table.Len())
 	}
 }
 
-// plain is the order of precedence as it is written down, route by route.
-func plain(routes []Route, q *Request) int {
+// findByScan is a reference implementation of the documented precedence that compares all routes. It returns the index of
+// the route, or -1.
+func findByScan(routes []Route, req *Request) int {
 	type rank struct{ host, kind, literals, length, conditions, index int }
 	best, found := rank{}, -1
 	for i, r := range routes {
@@ -200,9 +201,9 @@
 			case h == "":
 			case h == "*":
 				host = max(host, 0)
-			case h == q.Host:
+			case h == req.Host:
 				host = max(host, 1000)
-			case h[0] == '*' && strings.HasSuffix(q.Host, h[1:]) && len(q.Host) > len(h)-1:
+			case h[0] == '*' && strings.HasSuffix(req.Host, h[1:]) && len(req.Host) > len(h)-1:
 				host = max(host, len(h))
 			}
 		}
@@ -212,36 +213,36 @@
 		k.host = -host
 		switch {
 		case r.Path != "":
-			if r.Path != q.Path {
+			if r.Path != req.Path {
 				continue
 			}
 			k.kind = 0
 		case r.Template != "":
-			want, got := strings.Split(r.Template, "/"), strings.Split(q.Path, "/")
+			want, got := strings.Split(r.Template, "/"), strings.Split(req.Path, "/")
 			ok := len(want) == len(got)
-			bits := 0
+			literalBits := 0
 			for j := 1; ok && j < len(want); j++ {
-				if _, is := parameter(want[j]); is {
+				if _, isParam := parseParameter(want[j]); isParam {
 					ok = got[j] != ""
 				} else {
 					ok = want[j] == got[j]
 					k.literals--
-					bits |= 1 << (30 - j)
+					literalBits |= 1 << (30 - j)
 				}
 			}
 			if !ok {
 				continue
 			}
-			k.kind, k.length = 1, -bits
+			k.kind, k.length = 1, -literalBits
 		default:
 			p := strings.TrimSuffix(r.Prefix, "/")
-			if q.Path != p && !strings.HasPrefix(q.Path, p+"/") {
+			if req.Path != p && !strings.HasPrefix(req.Path, p+"/") {
 				continue
 			}
 			k.kind, k.length = 2, -len(p)
 		}
 		if len(r.Methods) > 0 {
-			if !slices.Contains(r.Methods, q.Method) {
+			if !slices.Contains(r.Methods, req.Method) {
 				continue
 			}
 			k.conditions--
@@ -255,14 +256,14 @@
 	return found
 }
 
-// Whatever the routes, the table finds what going through all of them by the written order finds.
+// For any routes, Find returns the same route as the reference implementation.
 func TestFindFollowsPrecedence(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a", "b", "{p}", "{q}"})
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "n")
 		var routes []Route
 		for range n {
-			r := Route{Clusters: to(fmt.Sprint(len(routes)))}
+			r := Route{Clusters: toCluster(fmt.Sprint(len(routes)))}
 			r.Hosts = rapid.SliceOfN(rapid.SampledFrom([]string{"*", "x.y.z", "*.y.z", "*.z"}), 0, 2).Draw(t, "hosts")
 			parts := rapid.SliceOfNDistinct(segment, 1, 3, rapid.ID).Draw(t, "path")
 			path := "/" + strings.Join(parts, "/")
@@ -276,7 +277,7 @@
 			}
 			r.Methods = rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"GET", "PUT"}), 0, 2, rapid.ID).Draw(t, "methods")
 			routes = append(routes, r)
-			if _, err := Compile(routes, Options{}); err != nil { // shadowed
+			if _, err := Compile(routes, Options{}); err != nil { // can never be taken
 				routes = routes[:len(routes)-1]
 			}
 		}
@@ -285,30 +286,30 @@
 			t.Skip()
 		}
 		for range 20 {
-			q := &Request{Host: rapid.SampledFrom([]string{"x.y.z", "y.z", "w.z", "z"}).Draw(t, "host"),
+			req := &Request{Host: rapid.SampledFrom([]string{"x.y.z", "y.z", "w.z", "z"}).Draw(t, "host"),
 				Method: rapid.SampledFrom([]string{"GET", "PUT", "POST"}).Draw(t, "method"),
 				Path:   "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "p", "q", ""}), 1, 4).Draw(t, "path"), "/")}
-			want := plain(routes, q)
-			got, ok := table.Find(q, 0)
+			want := findByScan(routes, req)
+			got, ok := table.Find(req, 0)
 			if ok != (want >= 0) || ok && got.Cluster != fmt.Sprint(want) {
-				t.Fatalf("%+v: %v %q, want %d\n%+v", q, ok, got.Cluster, want, routes)
+				t.Fatalf("Find %+v: got %v, cluster %q, want route %d of\n%+v", req, ok, got.Cluster, want, routes)
 			}
 		}
 	})
 }
 
-// No request, however odd, upsets a table; no table, however odd, upsets Compile.
+// Compile and Find do not panic for any routes and requests, and errors of Compile name a route.
 func FuzzRoutes(f *testing.F) {
 	f.Add("a.b", "*.b", "/a/{b}", "/a/c", "x=1&x=%zz")
 	f.Add("", "*", "/", "", "")
 	f.Add("[::1]:80", "::1", "/{a}/{b}", "//", "&&=")
 	f.Fuzz(func(t *testing.T, host, pattern, template, path, query string) {
-		table, err := Compile([]Route{{Hosts: []string{pattern}, Template: template, Clusters: to("t"), Query: []Condition{{Name: "x"}}},
-			{Prefix: template, Clusters: to("p"), Key: Key{Query: "x"}}}, Options{})
+		table, err := Compile([]Route{{Hosts: []string{pattern}, Template: template, Clusters: toCluster("t"), Query: []Condition{{Name: "x"}}},
+			{Prefix: template, Clusters: toCluster("p"), Key: Key{Query: "x"}}}, Options{})
 		if err != nil {
 			var e *Error
 			if !errors.As(err, &e) {
-				t.Fatalf("%v names no route", err)
+				t.Fatalf("Compile: got error %v without a route, want an *Error", err)
 			}
 			return
 		}
@@ -320,7 +321,7 @@
 	for _, n := range []int{10, 1000, 100000} {
 		routes := make([]Route, 0, n)
 		for i := range n {
-			r := Route{Clusters: to("c")}
+			r := Route{Clusters: toCluster("c")}
 			switch i % 4 {
 			case 0:
 				r.Hosts, r.Path = []string{fmt.Sprintf("h%d.example.org", i)}, "/seats"
@@ -336,7 +337,7 @@
 		table := compile(b, routes...)
 		for _, c := range []struct {
 			name string
-			q    Request
+			req  Request
 		}{
 			{"exact", Request{Host: "x", Path: "/exact/7"}},
 			{"template", Request{Host: "x", Path: "/halls5/a/seats"}},
@@ -346,7 +347,7 @@
 			b.Run(fmt.Sprintf("%d/%s", n, c.name), func(b *testing.B) {
 				b.ReportAllocs()
 				for range b.N {
-					table.Find(&c.q, 1)
+					table.Find(&c.req, 1)
 				}
 			})
 		}
