--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -39,14 +39,14 @@
 }
 
 // startQueued calls Next until it returns no request, and returns the requests that were admitted.
-func (c *Controller) startQueued(now time.Duration) (l []uint64) {
+func (c *Controller) startQueued(now time.Duration) (started []uint64) {
 	for {
 		seq, v, _, ok := c.Next(now)
 		if !ok {
-			return l
+			return started
 		}
 		if v == balancer.Admit {
-			l = append(l, seq)
+			started = append(started, seq)
 		}
 	}
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -41,14 +41,14 @@
 	queue := func(n int) time.Duration { return time.Duration(max(n, 4)) * 5 * ms } // four workers, 20 ms each
 	c := newController(t, nil)
 	c.runLoad(t, ms, 10*time.Second, queue)
-	if b := c.maxInFlight(); b < 4 || b > 24 {
-		t.Errorf("limit with four workers after an initial overload: got %d, want 4 to 24; baseline %v", b, time.Duration(c.byName[classKey{"map", false}].baseline))
+	if finalLimit := c.maxInFlight(); finalLimit < 4 || finalLimit > 24 {
+		t.Errorf("limit with four workers after an initial overload: got %d, want 4 to 24; baseline %v", finalLimit, time.Duration(c.byName[classKey{"map", false}].baseline))
 	}
 	c = newController(t, nil)
 	slow := func(int) time.Duration { return 700 * ms } // more than twice the objective, for any number in flight
 	c.runLoad(t, ms, 20*time.Second, slow)
-	if b := c.maxInFlight(); b < 40 {
-		t.Errorf("limit with 700 ms latency without queueing: got %d, want at least 40", b)
+	if finalLimit := c.maxInFlight(); finalLimit < 40 {
+		t.Errorf("limit with 700 ms latency without queueing: got %d, want at least 40", finalLimit)
 	}
 	if low := c.runLoad(t, 30*time.Second, 20*time.Second, slow); low < 40 {
 		t.Errorf("lowest limit after the baseline was corrected: got %d, want at least 40", low)
@@ -109,8 +109,8 @@
 				c.respond(t, now+20*ms, 20*ms, []string{"map", "hold", "pay"}[(int(seq)+i)%3])
 			}
 		}
-		if b := c.maxInFlight(); b < 16 {
-			t.Errorf("starting at limit %v, after 10 s of responses in time: got limit %d, want at least 16", from, b)
+		if finalLimit := c.maxInFlight(); finalLimit < 16 {
+			t.Errorf("starting at limit %v, after 10 s of responses in time: got limit %d, want at least 16", from, finalLimit)
 		}
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -194,7 +194,7 @@
 	type rank struct{ host, kind, literals, length, conditions, index int }
 	best, found := rank{}, -1
 	for i, r := range routes {
-		k := rank{index: i}
+		candidate := rank{index: i}
 		host := -1
 		for _, h := range append(slices.Clone(r.Hosts), map[bool]string{true: "*"}[len(r.Hosts) == 0]) {
 			switch {
@@ -210,47 +210,47 @@
 		if host < 0 {
 			continue
 		}
-		k.host = -host
+		candidate.host = -host
 		switch {
 		case r.Path != "":
 			if r.Path != req.Path {
 				continue
 			}
-			k.kind = 0
+			candidate.kind = 0
 		case r.Template != "":
-			want, got := strings.Split(r.Template, "/"), strings.Split(req.Path, "/")
-			ok := len(want) == len(got)
+			templateSegments, pathSegments := strings.Split(r.Template, "/"), strings.Split(req.Path, "/")
+			ok := len(templateSegments) == len(pathSegments)
 			literalBits := 0
-			for j := 1; ok && j < len(want); j++ {
-				if _, isParam := parseParameter(want[j]); isParam {
-					ok = got[j] != ""
+			for j := 1; ok && j < len(templateSegments); j++ {
+				if _, isParam := parseParameter(templateSegments[j]); isParam {
+					ok = pathSegments[j] != ""
 				} else {
-					ok = want[j] == got[j]
-					k.literals--
+					ok = templateSegments[j] == pathSegments[j]
+					candidate.literals--
 					literalBits |= 1 << (30 - j)
 				}
 			}
 			if !ok {
 				continue
 			}
-			k.kind, k.length = 1, -literalBits
+			candidate.kind, candidate.length = 1, -literalBits
 		default:
 			p := strings.TrimSuffix(r.Prefix, "/")
 			if req.Path != p && !strings.HasPrefix(req.Path, p+"/") {
 				continue
 			}
-			k.kind, k.length = 2, -len(p)
+			candidate.kind, candidate.length = 2, -len(p)
 		}
 		if len(r.Methods) > 0 {
 			if !slices.Contains(r.Methods, req.Method) {
 				continue
 			}
-			k.conditions--
+			candidate.conditions--
 		}
-		better := cmp.Or(cmp.Compare(k.host, best.host), cmp.Compare(k.kind, best.kind), cmp.Compare(k.literals, best.literals),
-			cmp.Compare(k.length, best.length), cmp.Compare(k.conditions, best.conditions), cmp.Compare(k.index, best.index))
+		better := cmp.Or(cmp.Compare(candidate.host, best.host), cmp.Compare(candidate.kind, best.kind), cmp.Compare(candidate.literals, best.literals),
+			cmp.Compare(candidate.length, best.length), cmp.Compare(candidate.conditions, best.conditions), cmp.Compare(candidate.index, best.index))
 		if found < 0 || better < 0 {
-			best, found = k, i
+			best, found = candidate, i
 		}
 	}
 	return found
