--- a/cmd/robindrum-sim/main.go
+++ b/cmd/robindrum-sim/main.go
@@ -1,4 +1,5 @@
-// Robindrum-sim hosts balancers on the simulator's wire: batches on standard input, replies on standard output.
+// Robindrum-sim runs balancers for the simulator: it reads batches of events from standard input and writes the balancers' actions to
+// standard output.
 package main
 
 import (
--- a/internal/simprotocol/hub.go
+++ b/internal/simprotocol/hub.go
@@ -10,166 +10,171 @@
 	"robindrum/balancer"
 )
 
-// instance is one node's Balancer with its outbox. Instances share nothing but the table of lists.
+// instance is the Balancer of one simulated node and the outbox for its actions. Instances share only the hub's server lists.
 type instance struct {
 	lb  *balancer.Balancer
 	out outbox
 }
 
-// Hub routes events to the instances of one process.
+// Hub dispatches events to the instances of one process.
 type Hub struct {
-	nodes map[int]*instance
-	lists map[int][]balancer.Server
+	instances   map[int]*instance
+	serverLists map[int][]balancer.Server
 }
 
 // NewHub returns a hub without instances.
-func NewHub() *Hub { return &Hub{nodes: map[int]*instance{}, lists: map[int][]balancer.Server{}} }
+func NewHub() *Hub {
+	return &Hub{instances: map[int]*instance{}, serverLists: map[int][]balancer.Server{}}
+}
 
-// Decode decodes one line of input.
+// Decode decodes one line of input. Unknown fields are ignored; now and nodes are required.
 func Decode(line []byte) (*Batch, error) {
-	var b struct {
+	var decoded struct {
 		Now   *time.Duration `json:"now"`
 		Nodes *[]Node        `json:"nodes"`
 	}
-	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("not the wire's JSON: %w", err)
+	if err := json.Unmarshal(line, &decoded); err != nil {
+		return nil, fmt.Errorf("invalid JSON: %w", err)
 	}
-	if b.Now == nil || b.Nodes == nil {
-		return nil, errors.New("not a batch: now or nodes is missing")
+	if decoded.Now == nil || decoded.Nodes == nil {
+		return nil, errors.New(`invalid batch: "now" or "nodes" is missing`)
 	}
-	return &Batch{*b.Now, *b.Nodes}, nil
+	return &Batch{*decoded.Now, *decoded.Nodes}, nil
 }
 
-// Do applies a batch and appends the reply, without a line end, to dst.
-func (h *Hub) Do(b *Batch, dst []byte) ([]byte, error) {
+// Apply applies a batch and appends the reply to dst, without a trailing newline.
+func (h *Hub) Apply(batch *Batch, dst []byte) ([]byte, error) {
 	dst = append(dst, `{"nodes":[`...)
 	first := true
-	for i := range b.Nodes {
-		n := &b.Nodes[i]
-		in := h.nodes[n.ID]
-		if in == nil {
-			in = &instance{}
-			h.nodes[n.ID] = in
+	for i := range batch.Nodes {
+		node := &batch.Nodes[i]
+		inst := h.instances[node.ID]
+		if inst == nil {
+			inst = &instance{}
+			h.instances[node.ID] = inst
 		}
-		for k := range n.Happened {
-			if err := h.event(b.Now, in, &n.Happened[k]); err != nil {
-				return nil, fmt.Errorf("node %d, event %d: %w", n.ID, k, err)
+		for j := range node.Happened {
+			if err := h.applyEvent(batch.Now, inst, &node.Happened[j]); err != nil {
+				return nil, fmt.Errorf("node %d, event %d: %w", node.ID, j, err)
 			}
 		}
-		if len(in.out.buf) == 0 {
+		if len(inst.out.buf) == 0 {
 			continue
 		}
 		if !first {
 			dst = append(dst, ',')
 		}
 		first = false
-		dst = append(strconv.AppendInt(append(dst, `{"node-id":`...), int64(n.ID), 10), `,"outbox":[`...)
-		dst = append(append(dst, in.out.buf...), "]}"...)
-		in.out.buf = in.out.buf[:0]
+		dst = append(strconv.AppendInt(append(dst, `{"node-id":`...), int64(node.ID), 10), `,"outbox":[`...)
+		dst = append(append(dst, inst.out.buf...), "]}"...)
+		inst.out.buf = inst.out.buf[:0]
 	}
 	return append(dst, "]}"...), nil
 }
 
-// event applies one event to an instance. The Balancer's panics become a fatal action of the instance.
-func (h *Hub) event(now time.Duration, in *instance, e *Event) (err error) {
+// applyEvent applies one event to an instance. A panic of the Balancer is reported to the simulator as a Fatal action.
+func (h *Hub) applyEvent(now time.Duration, inst *instance, event *Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			in.out.fatal(fmt.Sprint("panic: ", p))
+			inst.out.fatal(fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch {
-	case e.Inventory != nil:
-		return h.storeList(e.Inventory)
-	case e.Boot != nil:
-		return in.boot(e.Boot)
-	case e.Stop != nil:
-		in.lb, in.out.buf = nil, in.out.buf[:0]
+	case event.Inventory != nil:
+		return h.storeList(event.Inventory)
+	case event.Boot != nil:
+		return inst.boot(event.Boot)
+	case event.Stop != nil:
+		inst.lb, inst.out.buf = nil, inst.out.buf[:0]
 		return nil
 	}
-	if *e == (Event{}) {
-		return errors.New("an event with no known name")
+	if *event == (Event{}) {
+		return errors.New("unknown event")
 	}
-	if in.lb == nil {
-		return errors.New("an event before Boot")
+	if inst.lb == nil {
+		return errors.New("event before Boot")
 	}
 	switch {
-	case e.Fleet != nil:
-		return h.updateEndpoints(now, in, e.Fleet)
-	case e.Knock != nil:
-		in.lb.Request(now, e.Knock.request())
-	case e.Started != nil:
-		in.lb.Started(now, e.Started.Call, e.Started.Shot)
-	case e.Verdict != nil:
-		return in.outcome(now, e.Verdict)
-	case e.Hangup != nil:
-		in.lb.ClientGone(now, e.Hangup.Call)
-	case e.Ring != nil:
-		in.lb.Timer(now, e.Ring.Handle)
-	case e.Sampled != nil:
-		return in.healthChecked(now, e.Sampled)
-	case e.Message != nil: // proxies share nothing
+	case event.Fleet != nil:
+		return h.updateEndpoints(now, inst, event.Fleet)
+	case event.Knock != nil:
+		inst.lb.Request(now, event.Knock.request())
+	case event.Started != nil:
+		inst.lb.Started(now, event.Started.Call, event.Started.Shot)
+	case event.Verdict != nil:
+		return inst.outcome(now, event.Verdict)
+	case event.Hangup != nil:
+		inst.lb.ClientGone(now, event.Hangup.Call)
+	case event.Ring != nil:
+		inst.lb.Timer(now, event.Ring.Handle)
+	case event.Sampled != nil:
+		return inst.healthChecked(now, event.Sampled)
+	case event.Message != nil: // ignored: proxies exchange no messages
 	}
 	return nil
 }
 
-// storeList stores a list of servers under its number.
+// storeList stores a server list under its table number, replacing an earlier one.
 func (h *Hub) storeList(inventory *Inventory) error {
 	list := make([]balancer.Server, 0, len(inventory.Members))
 	for _, m := range inventory.Members {
 		state, ok := states[m.Availability]
 		if !ok {
-			return fmt.Errorf("Inventory: availability %q is not known", m.Availability)
+			return fmt.Errorf("Inventory: unknown availability %q", m.Availability)
 		}
 		list = append(list, balancer.Server{ID: m.Backend, Zone: m.Zone, Kind: m.Flavor, Cell: m.UnitGroup,
 			State: state, Weight: m.Share, Since: m.Since})
 	}
-	h.lists[inventory.Table] = list
+	h.serverLists[inventory.Table] = list
 	return nil
 }
 
-// boot starts the instance's Balancer, also in place of an earlier one.
-func (in *instance) boot(boot *Boot) error {
+// boot creates the instance's Balancer. It replaces an earlier one and discards that one's pending actions.
+func (inst *instance) boot(boot *Boot) error {
 	settings, err := boot.Info.Settings()
 	if err != nil {
 		return fmt.Errorf("Boot: %w", err)
 	}
-	in.out.buf = in.out.buf[:0]
-	if in.lb, err = balancer.New(settings, boot.Seed, &in.out); err != nil {
+	inst.out.buf = inst.out.buf[:0]
+	if inst.lb, err = balancer.New(settings, boot.Seed, &inst.out); err != nil {
 		return fmt.Errorf("Boot: %w", err)
 	}
 	return nil
 }
 
-func (h *Hub) updateEndpoints(now time.Duration, in *instance, f *Fleet) error {
-	kind, ok := updateKinds[f.How]
+// updateEndpoints passes a stored server list, or the failure to get one, to the instance's Balancer.
+func (h *Hub) updateEndpoints(now time.Duration, inst *instance, fleet *Fleet) error {
+	kind, ok := updateKinds[fleet.How]
 	if !ok {
-		return fmt.Errorf("Fleet: how %q is not known", f.How)
+		return fmt.Errorf("Fleet: unknown update kind %q", fleet.How)
 	}
 	update := balancer.EndpointUpdate{Kind: kind}
 	if kind != balancer.UpdateFailed {
-		if update.Servers, ok = h.lists[f.Table]; !ok {
-			return fmt.Errorf("Fleet: table %d was never sent", f.Table)
+		if update.Servers, ok = h.serverLists[fleet.Table]; !ok {
+			return fmt.Errorf("Fleet: no Inventory with table %d was sent", fleet.Table)
 		}
 	}
-	in.lb.UpdateEndpoints(now, update)
+	inst.lb.UpdateEndpoints(now, update)
 	return nil
 }
 
-func (in *instance) outcome(now time.Duration, v *Verdict) error {
-	result, ok := results[v.Ending]
+// outcome passes the result of an attempt to the Balancer.
+func (inst *instance) outcome(now time.Duration, verdict *Verdict) error {
+	result, ok := results[verdict.Ending]
 	if !ok {
-		return fmt.Errorf("Verdict: ending %q is not known", v.Ending)
+		return fmt.Errorf("Verdict: unknown ending %q", verdict.Ending)
 	}
-	in.lb.Outcome(now, balancer.Outcome{ID: v.Call, Attempt: v.Shot, Result: result, Latency: v.Lag,
-		Final: v.Finished, LoadReport: v.Metrics})
+	inst.lb.Outcome(now, balancer.Outcome{ID: verdict.Call, Attempt: verdict.Shot, Result: result, Latency: verdict.Lag,
+		Final: verdict.Finished, LoadReport: verdict.Metrics})
 	return nil
 }
 
-func (in *instance) healthChecked(now time.Duration, s *Sampled) error {
-	result, ok := results[s.Ending]
+// healthChecked passes the result of a health check to the Balancer.
+func (inst *instance) healthChecked(now time.Duration, sampled *Sampled) error {
+	result, ok := results[sampled.Ending]
 	if !ok {
-		return fmt.Errorf("Sampled: ending %q is not known", s.Ending)
+		return fmt.Errorf("Sampled: unknown ending %q", sampled.Ending)
 	}
-	in.lb.HealthChecked(now, balancer.HealthCheckResult{Server: s.Backend, Result: result, Latency: s.Lag, LoadReport: s.Metrics})
+	inst.lb.HealthChecked(now, balancer.HealthCheckResult{Server: sampled.Backend, Result: result, Latency: sampled.Lag, LoadReport: sampled.Metrics})
 	return nil
 }
--- a/internal/simprotocol/outbox.go
+++ b/internal/simprotocol/outbox.go
@@ -6,75 +6,77 @@
 	"time"
 )
 
-// outbox encodes the actions of one instance. It implements balancer.Host.
+// outbox implements balancer.Host: it encodes the actions of one instance as comma-separated JSON objects, which Hub.Apply puts into
+// the reply.
 type outbox struct{ buf []byte }
 
-func (o *outbox) open(name, field, value string) *outbox {
+// beginAction starts an action with its name and, unless field is empty, a first string field.
+func (o *outbox) beginAction(name, field, value string) *outbox {
 	if len(o.buf) > 0 {
 		o.buf = append(o.buf, ',')
 	}
 	o.buf = append(append(append(o.buf, `{"`...), name...), `":{`...)
 	if field != "" {
-		o.text(field, value)
+		o.writeString(field, value)
 	}
 	return o
 }
 
-func (o *outbox) name(field string) {
+func (o *outbox) writeKey(field string) {
 	if o.buf[len(o.buf)-1] != '{' {
 		o.buf = append(o.buf, ',')
 	}
 	o.buf = append(append(append(o.buf, '"'), field...), `":`...)
 }
 
-func (o *outbox) text(field, value string) {
-	o.name(field)
-	q, _ := json.Marshal(value) // a string always marshals
-	o.buf = append(o.buf, q...)
+func (o *outbox) writeString(field, value string) {
+	o.writeKey(field)
+	quoted, _ := json.Marshal(value) // a string always marshals
+	o.buf = append(o.buf, quoted...)
 }
 
-func (o *outbox) num(field string, v int64) *outbox {
-	o.name(field)
-	o.buf = strconv.AppendInt(o.buf, v, 10)
+func (o *outbox) writeInt(field string, value int64) *outbox {
+	o.writeKey(field)
+	o.buf = strconv.AppendInt(o.buf, value, 10)
 	return o
 }
 
-func (o *outbox) shut() { o.buf = append(o.buf, "}}"...) }
+func (o *outbox) endAction() { o.buf = append(o.buf, "}}"...) }
 
 func (o *outbox) Send(id, server string, expire time.Duration) {
-	o.open("Assign", "call", id).text("backend", server)
+	o.beginAction("Assign", "call", id).writeString("backend", server)
 	if expire > 0 {
-		o.num("expire-at", int64(expire))
+		o.writeInt("expire-at", int64(expire))
 	}
-	o.shut()
+	o.endAction()
 }
 
-func (o *outbox) Reject(id string, after time.Duration) {
-	o.open("SayNo", "call", id)
-	if after > 0 {
-		o.num("come-back", int64(after))
+func (o *outbox) Reject(id string, retryAfter time.Duration) {
+	o.beginAction("SayNo", "call", id)
+	if retryAfter > 0 {
+		o.writeInt("come-back", int64(retryAfter))
 	}
-	o.shut()
+	o.endAction()
 }
 
-func (o *outbox) Fail(id string) { o.open("FinishError", "call", id).shut() }
-func (o *outbox) Cancel(id string, n int) {
-	o.open("StopAttempt", "call", id).num("shot", int64(n)).shut()
+func (o *outbox) Fail(id string) { o.beginAction("FinishError", "call", id).endAction() }
+func (o *outbox) Cancel(id string, attempt int) {
+	o.beginAction("StopAttempt", "call", id).writeInt("shot", int64(attempt)).endAction()
 }
-func (o *outbox) HealthCheck(server string) { o.open("Touch", "backend", server).shut() }
-func (o *outbox) CloseIdle(server string)   { o.open("LetGo", "backend", server).shut() }
-func (o *outbox) Fetch()                    { o.open("Lookup", "", "").shut() }
-func (o *outbox) Log(text string)           { o.open("JournalLine", "body-text", text).shut() }
-func (o *outbox) fatal(text string)         { o.open("Fatal", "body-text", text).shut() }
+func (o *outbox) HealthCheck(server string) { o.beginAction("Touch", "backend", server).endAction() }
+func (o *outbox) CloseIdle(server string)   { o.beginAction("LetGo", "backend", server).endAction() }
+func (o *outbox) Fetch()                    { o.beginAction("Lookup", "", "").endAction() }
+func (o *outbox) Log(text string)           { o.beginAction("JournalLine", "body-text", text).endAction() }
+func (o *outbox) fatal(text string)         { o.beginAction("Fatal", "body-text", text).endAction() }
 
 func (o *outbox) SetTimer(token uint64, after time.Duration) {
-	const longest = 70 * time.Minute // the wire takes 71
-	after = min(max(after, 1), longest)
-	o.open("Schedule", "", "").num("handle", int64(token)).num("span", int64(after)).shut()
+	const maxDelay = 70 * time.Minute // the simulator accepts at most 71 minutes
+	after = min(max(after, 1), maxDelay)
+	o.beginAction("Schedule", "", "").writeInt("handle", int64(token)).writeInt("span", int64(after)).endAction()
 }
 
 func (o *outbox) Watch(on bool) {
-	o.open("Follow", "", "").name("enable")
+	o.beginAction("Follow", "", "").writeKey("enable")
 	o.buf = strconv.AppendBool(o.buf, on)
-	o.shut()
+	o.endAction()
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -6,7 +6,7 @@
 	"robindrum/balancer"
 )
 
-// The wire's words for the balancer's values.
+// Values of the balancer by their names in the protocol.
 var (
 	effects     = map[string]balancer.Effect{"free": balancer.Idempotent, "guarded": balancer.IdempotentWithKey, "single_shot": balancer.NonIdempotent}
 	groups      = map[string]balancer.Group{"": 0, "all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
@@ -19,38 +19,38 @@
 		"called_off": balancer.Cancelled, "not_sent": balancer.NotSent}
 )
 
-// Settings maps the wire's settings to the balancer's. It returns an error that names the field with an unknown value.
-func (i *Info) Settings() (balancer.Settings, error) {
-	c, k := &i.Caps, &i.Contract
-	s := balancer.Settings{
-		Zone: i.AZ, Zones: i.AZs, Index: i.Me, Proxies: i.Replicas,
-		OverQuotaWeight: i.OverShareWorth, WeightByWork: i.WorthBy == "work",
-		MaxAttempts: c.Attempts, ParallelAttempts: c.Parallel, MayCancel: c.MayCancel, MayHealthCheck: c.Probes,
-		RetryAfter: c.RetryAfter, MaxRetryAfter: c.MaxRetryAfter, ConnectTimeout: c.ConnectTimeout,
-		ConnIdle: c.ConnIdle, Multiplex: c.Multiplex, WarmKeys: i.FamilyInfo.WarmKeys,
-		Polled: i.Discovery == "on_request", MaxPollInterval: k.MustAskIn,
-		AnswerGrace: k.Grace, DrainGrace: k.DrainGrace, WarmUpTime: k.Cold, WarmUpShare: k.ColdShare,
-		OverloadMultiple: k.FallMultiple, OverloadWindow: k.OverloadFor,
-		Price: balancer.Prices{CrossZone: i.Costs["cross-zone"], Waste: i.Costs["waste"],
-			Connection: i.Costs["connection"], Handshake: i.Costs["handshake"], HealthCheck: i.Costs["probe"],
-			LateFail: i.Costs["late-fail"], Discovery: i.Costs["discovery"], Gossip: i.Costs["peer"]},
-		Weights: weights[i.WeightSource], Report: reports[i.Reporting.How],
+// Settings converts the simulator's settings to the balancer's. The error for an unknown value names its field.
+func (info *Info) Settings() (balancer.Settings, error) {
+	caps, contract := &info.Caps, &info.Contract
+	settings := balancer.Settings{
+		Zone: info.AZ, Zones: info.AZs, Index: info.Me, Proxies: info.Replicas,
+		OverQuotaWeight: info.OverShareWorth, WeightByWork: info.WorthBy == "work",
+		MaxAttempts: caps.Attempts, ParallelAttempts: caps.Parallel, MayCancel: caps.MayCancel, MayHealthCheck: caps.Probes,
+		RetryAfter: caps.RetryAfter, MaxRetryAfter: caps.MaxRetryAfter, ConnectTimeout: caps.ConnectTimeout,
+		ConnIdle: caps.ConnIdle, Multiplex: caps.Multiplex, WarmKeys: info.FamilyInfo.WarmKeys,
+		Polled: info.Discovery == "on_request", MaxPollInterval: contract.MustAskIn,
+		AnswerGrace: contract.Grace, DrainGrace: contract.DrainGrace, WarmUpTime: contract.Cold, WarmUpShare: contract.ColdShare,
+		OverloadMultiple: contract.FallMultiple, OverloadWindow: contract.OverloadFor,
+		Price: balancer.Prices{CrossZone: info.Costs["cross-zone"], Waste: info.Costs["waste"],
+			Connection: info.Costs["connection"], Handshake: info.Costs["handshake"], HealthCheck: info.Costs["probe"],
+			LateFail: info.Costs["late-fail"], Discovery: info.Costs["discovery"], Gossip: info.Costs["peer"]},
+		Weights: weights[info.WeightSource], Report: reports[info.Reporting.How],
 	}
-	for _, p := range i.Profiles {
+	for _, p := range info.Profiles {
 		effect, ok := effects[p.Effect]
 		if !ok {
-			return s, fmt.Errorf("profiles[%q].effect: %q is not known", p.Name, p.Effect)
+			return settings, fmt.Errorf("profiles[%q].effect: unknown value %q", p.Name, p.Effect)
 		}
 		group, ok := groups[p.Group]
 		if !ok {
-			return s, fmt.Errorf("profiles[%q].group: %q is not known", p.Name, p.Group)
+			return settings, fmt.Errorf("profiles[%q].group: unknown value %q", p.Name, p.Group)
 		}
-		s.Classes = append(s.Classes, balancer.Class{Name: p.Name, LatencyObjective: p.SLO, ObjectiveStretch: p.AimStretch,
+		settings.Classes = append(settings.Classes, balancer.Class{Name: p.Name, LatencyObjective: p.SLO, ObjectiveStretch: p.AimStretch,
 			Deadline: p.Deadline, Effect: effect, Group: group, Window: p.Window, PriorityWeight: p.Gain,
 			LatePriorityWeight: p.LateValue, Stream: p.Stream})
 	}
-	for _, t := range i.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Rate: t.Quota, Quota: t.Fraction})
+	for _, t := range info.Tenants {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{Name: t.Name, Rate: t.Quota, Quota: t.Fraction})
 	}
-	return s, nil
+	return settings, nil
 }
--- a/internal/simprotocol/simprotocol.go
+++ b/internal/simprotocol/simprotocol.go
@@ -1,5 +1,6 @@
-// Package simprotocol is the simulator's protocol: it decodes lines into events of package balancer and encodes its actions
-// as lines. It decides nothing. Types and fields that mirror the wire keep its names.
+// Package simprotocol implements the simulator's protocol: it decodes input lines into events for package balancer and encodes the
+// balancer's actions as output lines. It contains no balancing logic. Types and fields that mirror the protocol keep the simulator's
+// names.
 package simprotocol
 
 import (
@@ -13,9 +14,9 @@
 	"robindrum/balancer"
 )
 
-// Batch is one line of input.
+// Batch is one line of input: the events of all instances at one time.
 type Batch struct {
-	Now   time.Duration `json:"now"`
+	Now   time.Duration `json:"now"` // simulated time
 	Nodes []Node        `json:"nodes"`
 }
 
@@ -25,35 +26,35 @@
 	Happened []Event `json:"happened"`
 }
 
-// Event has exactly one field set. The field names are those of the wire.
+// Event has exactly one field set. The field names are those of the protocol.
 type Event struct {
 	Boot      *Boot
-	Stop      *struct{}
+	Stop      *struct{} // the instance ends
 	Inventory *Inventory
 	Fleet     *Fleet
 	Knock     *Knock
 	Started   *Started
 	Verdict   *Verdict
-	Hangup    *struct {
+	Hangup    *struct { // the client has disconnected
 		Call string `json:"call"`
 	}
-	Ring *struct {
+	Ring *struct { // a timer has fired
 		Handle uint64 `json:"handle"`
 	}
 	Sampled *Sampled
-	Message *struct {
+	Message *struct { // a message from another node; ignored
 		Src  int    `json:"src"`
 		Data []byte `json:"data"`
 	}
 }
 
-// Boot is the first event of an instance.
+// Boot starts an instance, or restarts a running one. Before it, an instance accepts only Inventory and Stop.
 type Boot struct {
 	Seed uint64 `json:"random-seed"`
 	Info Info   `json:"boot-info"`
 }
 
-// Info is the settings as the wire words them.
+// Info holds the settings of an instance under the simulator's names.
 type Info struct {
 	AZ       string   `json:"az"`
 	AZs      []string `json:"azs"`
@@ -133,13 +134,13 @@
 	Gain       float64       `json:"gain"`
 }
 
-// Inventory is a list of servers, which later events name by its number.
+// Inventory is a server list. Later Fleet events refer to it by its table number, which may be reused.
 type Inventory struct {
 	Table   int      `json:"table"`
 	Members []Member `json:"members"`
 }
 
-// Member is a server of an Inventory, as the simulator words it.
+// Member is a server of an Inventory.
 type Member struct {
 	Backend      string        `json:"backend"`
 	Zone         string        `json:"region-part"`
@@ -150,14 +151,14 @@
 	Since        time.Duration `json:"since"`
 }
 
-// Fleet is an update of the list of servers.
+// Fleet is an update of an instance's server list.
 type Fleet struct {
 	How   string `json:"how"`
 	Gen   uint64 `json:"gen"`
 	Table int    `json:"table"`
 }
 
-// Knock is a client's request.
+// Knock is a request from a client.
 type Knock struct {
 	Call   string        `json:"call"`
 	Tenant tenantName    `json:"tenant"`
@@ -174,7 +175,8 @@
 		Write: k.Update, Retry: k.Retry}
 }
 
-// tenantName is a name; at sites without tenants the wire may have 0 in its place.
+// tenantName is the name of a tenant. At sites without tenants the simulator may send 0 instead of a string, which leaves the name
+// empty.
 type tenantName string
 
 func (t *tenantName) UnmarshalJSON(b []byte) error {
@@ -184,14 +186,14 @@
 	return nil
 }
 
-// Started is the beginning of a streamed answer.
+// Started reports that the response to an attempt has started to stream.
 type Started struct {
 	Call string        `json:"call"`
 	Shot int           `json:"shot"`
 	Lag  time.Duration `json:"lag"`
 }
 
-// Verdict is the end of an attempt.
+// Verdict is the result of an attempt.
 type Verdict struct {
 	Call     string        `json:"call"`
 	Shot     int           `json:"shot"`
@@ -201,7 +203,7 @@
 	Metrics  metrics       `json:"metrics"`
 }
 
-// Sampled is the end of a health check.
+// Sampled is the result of a health check.
 type Sampled struct {
 	Ending  string        `json:"ending"`
 	Lag     time.Duration `json:"lag"`
@@ -209,6 +211,7 @@
 	Metrics metrics       `json:"metrics"`
 }
 
+// metrics is a load report. The simulator sends it as an object or as a list of [name, value] pairs; pairs of other types are ignored.
 type metrics map[string]float64
 
 func (m *metrics) UnmarshalJSON(b []byte) error {
@@ -220,37 +223,38 @@
 		return err
 	}
 	*m = metrics{}
-	for _, p := range pairs {
-		k, ok := p[0].(string)
-		v, num := p[1].(float64)
-		if ok && num {
-			(*m)[k] = v
+	for _, pair := range pairs {
+		name, ok := pair[0].(string)
+		value, isNumber := pair[1].(float64)
+		if ok && isNumber {
+			(*m)[name] = value
 		}
 	}
 	return nil
 }
 
-// Serve answers batches until the input ends.
+// Serve reads batches from in, one per line, and writes a reply line for each to out. It returns nil at the end of the input, and
+// stops at the first error.
 func Serve(in io.Reader, out io.Writer) error {
-	h, r := NewHub(), newLineReader(in)
+	hub, lines := NewHub(), newLineReader(in)
 	var reply []byte
-	for n := 1; ; n++ {
-		line, err := r.next()
+	for number := 1; ; number++ {
+		line, err := lines.next()
 		if err != nil {
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
-			return fmt.Errorf("batch %d: %w", n, err)
+			return fmt.Errorf("batch %d: %w", number, err)
 		}
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
-		b, err := Decode(line)
+		batch, err := Decode(line)
 		if err == nil {
-			reply, err = h.Do(b, reply[:0])
+			reply, err = hub.Apply(batch, reply[:0])
 		}
 		if err != nil {
-			return fmt.Errorf("batch %d: %w", n, err)
+			return fmt.Errorf("batch %d: %w", number, err)
 		}
 		if _, err = out.Write(append(reply, '\n')); err != nil {
 			return err
