--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,14 +1,14 @@
-// Package lease is the state machine of leases that a quorum applies: it decides which process may do what only one process may do,
-// and issues fencing tokens. It has no clock, no I/O and no goroutine.
+// Package lease implements the replicated state machine for leases. A lease lets at most one process at a time perform an exclusive
+// task; each grant of a lease has a fencing token. The package reads no clock, does no I/O and starts no goroutines.
 //
-// Time is the reading of the leader's monotonic clock that a command carries. Readings of different leaders are unrelated, so
-// Table.BeginTerm starts each term and restarts every held lease from its reading: nobody knows how much of it is left. A lease is
-// therefore never granted to another holder before its full length has passed on the clock of one leader.
+// Each command carries a reading of the quorum leader's monotonic clock. Readings of different leaders are unrelated, so
+// Table.BeginTerm restarts every held lease at full length when a new leader takes over: the remaining time is unknown. A lease is
+// therefore never granted to another holder before its full length has passed on the clock of a single leader.
 //
-// Safety does not depend on any clock. Each grant has a token that is higher than all earlier ones of all leases, and receivers of a
-// holder's requests reject tokens lower than the highest they have seen (see Fence).
+// Safety does not depend on any clock. Each grant has a token that is higher than all earlier tokens of all leases, and receivers of a
+// holder's requests reject tokens lower than the highest one they have seen (see Fence).
 //
-// The same commands give the same state and results on every replica. A Table must be used by one goroutine at a time.
+// The same commands produce the same state and results on every replica. A Table is not safe for concurrent use.
 package lease
 
 import (
@@ -19,11 +19,11 @@
 	"robindrum/internal/unknownfields"
 )
 
-// Limits of a table. Names and members come from outside, and the table is part of every snapshot.
+// Limits of a table. Lease names and members are external input, and the whole table is part of every snapshot.
 const (
 	maxLeases          = 1024
 	maxWaitersPerLease = 1024
-	maxMembers         = 4096 // with a recorded incarnation
+	maxMembers         = 4096 // members with a recorded incarnation
 	maxNameBytes       = 128
 )
 
@@ -33,62 +33,64 @@
 	MaxLength = time.Hour
 )
 
-// Errors of a Table's commands.
+// Errors returned by the commands of a Table.
 var (
-	// ErrWaiting means that another member holds the lease. The caller waits in order of arrival for as long as it keeps asking.
+	// ErrWaiting means that the lease is not granted to the caller yet. The caller is queued, and stays queued as long as it repeats
+	// the request.
 	ErrWaiting = errors.New("another member holds the lease")
-	// ErrNotHeld means that the caller does not hold the lease, or not with this token.
+	// ErrNotHeld means that the lease is not held, or not by the caller with this token.
 	ErrNotHeld = errors.New("the lease is not held with this token")
-	// ErrStaleIncarnation means that a later incarnation of the caller is known.
+	// ErrStaleIncarnation means that a process with the caller's name and a later incarnation is known.
 	ErrStaleIncarnation = errors.New("a later incarnation of this member is known")
-	// ErrStaleTerm means that the command is from a leader of an earlier term.
-	ErrStaleTerm = errors.New("the command is of an earlier term")
-	// ErrFull means that a limit of the table is reached.
+	// ErrStaleTerm means that the command was issued by the leader of another term.
+	ErrStaleTerm = errors.New("the command is not from the current term")
+	// ErrFull means that the table has reached one of its limits.
 	ErrFull = errors.New("the lease table is full")
 )
 
 // Member identifies a process that asks for leases.
 type Member struct {
 	Name        string `json:"name"`
-	Incarnation uint64 `json:"birth"` // rises with each start of a process of this name
+	Incarnation uint64 `json:"birth"` // increases with each start of a process with this name
 	Site        string `json:"site,omitempty"`
-	Load        int    `json:"load,omitempty"` // number of leases held; the least loaded waiter is preferred
+	Load        int    `json:"load,omitempty"` // number of leases held; waiters with fewer leases are preferred
 }
 
-// sameProcess reports whether both are the same incarnation of the same name.
+// sameProcess reports whether m and other have the same name and incarnation.
 func (m Member) sameProcess(other Member) bool {
 	return m.Name == other.Name && m.Incarnation == other.Incarnation
 }
 
-// Rules govern one lease. They are set by the first Acquire of it.
+// Rules configure one lease. The first Acquire for a lease sets its rules.
 type Rules struct {
 	Length  time.Duration `json:"length"`
-	Site    string        `json:"site,omitempty"`     // waiters of this site are preferred; empty: no preference
-	MaxWait time.Duration `json:"patience,omitempty"` // after which the longest waiter goes first, whatever its site and load
-	MinHold time.Duration `json:"floor,omitempty"`    // least time between grants to different holders, against flapping
+	Site    string        `json:"site,omitempty"`     // waiters at this site are preferred; empty: no preference
+	MaxWait time.Duration `json:"patience,omitempty"` // waiters past it go first, regardless of site and load
+	MinHold time.Duration `json:"floor,omitempty"`    // minimum time between grants to different holders, to prevent flapping
 }
 
 func (r Rules) validate() error {
 	switch {
 	case r.Length < MinLength || r.Length > MaxLength:
-		return fmt.Errorf("length: want %v to %v, not %v", MinLength, MaxLength, r.Length)
+		return fmt.Errorf("length must be %v to %v, got %v", MinLength, MaxLength, r.Length)
 	case r.MaxWait < 0 || r.MaxWait > MaxLength:
-		return fmt.Errorf("max wait: want 0 to %v, not %v", MaxLength, r.MaxWait)
+		return fmt.Errorf("max wait must be 0 to %v, got %v", MaxLength, r.MaxWait)
 	case r.MinHold < 0 || r.MinHold > MaxLength:
-		return fmt.Errorf("min hold: want 0 to %v, not %v", MaxLength, r.MinHold)
+		return fmt.Errorf("min hold must be 0 to %v, got %v", MaxLength, r.MinHold)
 	case len(r.Site) > maxNameBytes:
-		return fmt.Errorf("site: %d bytes, max %d", len(r.Site), maxNameBytes)
+		return fmt.Errorf("site must be at most %d bytes, got %d", maxNameBytes, len(r.Site))
 	}
 	return nil
 }
 
-// Grant is the reply to a holder. Length counts from when the holder sent the request, not from when the reply arrived.
+// Grant is the result of a successful Acquire or Renew. Length counts from the time at which the holder sent the request, not from the
+// arrival of the reply.
 type Grant struct {
 	Token  uint64        `json:"token"`
 	Length time.Duration `json:"length"`
 }
 
-// Waiter is a member that waits for a lease.
+// Waiter is a member that is queued for a lease.
 type Waiter struct {
 	Member       Member        `json:"member"`
 	WaitingSince time.Duration `json:"since"`
@@ -98,29 +100,29 @@
 // Lease is the state of one lease. All times are readings of the current leader's clock.
 type Lease struct {
 	Rules     Rules                `json:"rules"`
-	Holder    Member               `json:"holder"`            // its name is empty where nobody holds the lease
-	Token     uint64               `json:"token"`             // of the last grant
-	ExpiresAt time.Duration        `json:"until"`             // not granted to another member before
-	GrantedAt time.Duration        `json:"granted"`           // of the last grant to another holder
-	Revoked   bool                 `json:"revoked,omitempty"` // not renewed any more; ends at ExpiresAt
-	Successor string               `json:"heir,omitempty"`    // chosen by the last holder on release; first in line until ExpiresAt
+	Holder    Member               `json:"holder"`            // the name is empty if the lease is not held
+	Token     uint64               `json:"token"`             // of the latest grant
+	ExpiresAt time.Duration        `json:"until"`             // the lease is not granted to another member earlier
+	GrantedAt time.Duration        `json:"granted"`           // time of the latest grant to a new holder
+	Revoked   bool                 `json:"revoked,omitempty"` // no longer renewed; ends at ExpiresAt
+	Successor string               `json:"heir,omitempty"`    // chosen by the previous holder on release; has priority until ExpiresAt
 	Waiters   []Waiter             `json:"line,omitempty"`    // in order of arrival
 	Unknown   unknownfields.Fields `json:"-"`                 // fields written by a newer version
 }
 
-// MarshalJSON writes the lease with its unknown fields.
+// MarshalJSON encodes the lease, including its unknown fields.
 func (l Lease) MarshalJSON() ([]byte, error) {
 	type plain Lease
 	return unknownfields.Marshal(plain(l), l.Unknown)
 }
 
-// UnmarshalJSON reads a lease and keeps unknown fields.
+// UnmarshalJSON decodes a lease and keeps unknown fields.
 func (l *Lease) UnmarshalJSON(text []byte) error {
 	type plain Lease
 	return unknownfields.Unmarshal(text, (*plain)(l), &l.Unknown)
 }
 
-// waiterIndex returns the place of the waiter with this name, or -1.
+// waiterIndex returns the index of the waiter with this name, or -1.
 func (l *Lease) waiterIndex(name string) int {
 	for i := range l.Waiters {
 		if l.Waiters[i].Member.Name == name {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,16 +16,17 @@
 
 var rules = Rules{Length: 400 * ms}
 
-// model is three members, a table, and what each member believes to hold, on one true clock. Each leader's clock is its own.
+// model simulates three members, a table, and the leases that each member considers held. All members share the true time; each leader
+// has its own clock.
 type model struct {
 	table        *Table
 	trueTime     time.Duration
-	clockOffset  time.Duration // of the leader's clock from the true one
+	clockOffset  time.Duration // difference of the leader's clock from the true time
 	incarnations [3]uint64
 	held         [3][2]HeldLease // by member and lease
 
-	// Safeguards that are off, to show that the walk finds what they prevent.
-	countFromReply   bool // a holder counts from when the reply arrived
+	// Disabled safeguards, to show that the test detects the faults that they prevent.
+	countFromReply   bool // a holder counts the lease from the arrival of the reply
 	keepOldDeadlines bool // a new leader does not restart the leases
 }
 
@@ -63,19 +64,19 @@
 	eventRelease
 	eventRestart
 	eventAcquireReplyLate
-	memberEvents // their number
+	memberEvents // number of events of one member and one lease
 )
 
-// Events of no member, numbered after those of the members.
+// Events that belong to no member, numbered after those of the members.
 const (
 	eventShortPause = 3*2*memberEvents + iota
 	eventLongPause
 	eventLeaderChange
 	eventRevoke
-	events // the number of all events
+	events // number of all events
 )
 
-// step runs one event and returns the tokens that it granted.
+// step applies one event and returns the tokens that were granted.
 func (m *model) step(event int) (tokens []uint64) {
 	switch event {
 	case eventShortPause:
@@ -106,7 +107,7 @@
 	switch event {
 	case eventRelease:
 		if holds {
-			held.Lost() // it stops before it says so
+			held.Lost() // the holder stops before it sends the release
 			_ = m.table.Release(m.table.Term, m.leaderClock(), leaseName(lease), m.member(member), token, m.member((member+1)%3).Name)
 		}
 		return nil
@@ -140,8 +141,8 @@
 	return []uint64{grant.Token}
 }
 
-// heldTwice returns a lease that two members believe to hold at once, or -1.
-func (m *model) heldTwice() int {
+// leaseWithTwoHolders returns a lease that two members consider held at the same time, or -1.
+func (m *model) leaseWithTwoHolders() int {
 	for lease := range 2 {
 		holders := 0
 		for member := range 3 {
@@ -156,7 +157,7 @@
 	return -1
 }
 
-// key returns a string that is the same for equal states.
+// key returns a string that is equal for equal states.
 func (m *model) key() string {
 	text := fmt.Appendf(nil, "%d %d %d %v %v", m.trueTime, m.table.Term, m.table.LastToken, m.incarnations, m.held)
 	for i := range 2 {
@@ -167,8 +168,9 @@
 	return string(text)
 }
 
-// walk visits every sequence of up to depth events, each state once. It returns the number of states and the first violation.
-func walk(from *model, depth int) (states int, violation string) {
+// exploreStates runs every sequence of up to depth events, visiting each state once. It returns the number of states and the first
+// violation.
+func exploreStates(from *model, depth int) (states int, violation string) {
 	type node struct {
 		model *model
 		path  string
@@ -183,11 +185,11 @@
 				last := m.table.LastToken
 				for _, token := range m.step(event) {
 					if token > m.table.LastToken || token == 0 || token <= last && m.table.LastToken > last {
-						return len(seen), fmt.Sprintf("%s %d: token %d after %d", parent.path, event, token, last)
+						return len(seen), fmt.Sprintf("events%s %d: got token %d after %d, want a higher one", parent.path, event, token, last)
 					}
 				}
-				if lease := m.heldTwice(); lease >= 0 {
-					return len(seen), fmt.Sprintf("%s %d: two members hold lease %d", parent.path, event, lease)
+				if lease := m.leaseWithTwoHolders(); lease >= 0 {
+					return len(seen), fmt.Sprintf("events%s %d: two members hold lease %d", parent.path, event, lease)
 				}
 				if key := m.key(); !seen[key] {
 					seen[key] = true
@@ -200,38 +202,39 @@
 	return len(seen), ""
 }
 
-// TestNoLeaseIsHeldTwice walks all orders of grant, loss, expiry, release, restart and leader change of three members and two leases,
-// four deep: no two members hold one lease by their own clocks, and tokens only rise. Without either safeguard the same walk finds two.
-func TestNoLeaseIsHeldTwice(t *testing.T) {
+// TestLeaseHasAtMostOneHolder runs all sequences of four events, beginning with an Acquire, of three members and two leases: grant, lost
+// reply, expiry, release, restart and leader change. No two members may consider the same lease held, and tokens must increase. With either safeguard disabled,
+// the same exploration must find two holders.
+func TestLeaseHasAtMostOneHolder(t *testing.T) {
 	total := 0
-	// Any sequence that matters begins with an Acquire; by symmetry the first member's of the first lease stands for all.
+	// Every relevant sequence begins with an Acquire. By symmetry, it is enough to begin with the first member and the first lease.
 	for _, first := range []int{eventAcquire, eventAcquireReplyLost, eventAcquireReplyLate} {
 		m := newModel()
 		m.step(first)
-		states, violation := walk(m, 3)
+		states, violation := exploreStates(m, 3)
 		total += states
 		if violation != "" {
-			t.Errorf("after %d: %s", first, violation)
+			t.Errorf("after event %d: %s", first, violation)
 		}
 	}
-	t.Logf("%d states", total)
+	t.Logf("explored %d states", total)
 	if total < 10_000 {
-		t.Errorf("%d states, want 10000 or more", total)
+		t.Errorf("explored %d states, want at least 10000", total)
 	}
 	countFromReply := newModel()
 	countFromReply.countFromReply = true
-	if _, violation := walk(countFromReply, 3); violation == "" {
-		t.Error("a holder that counts from the arrival of the reply is not detected")
+	if _, violation := exploreStates(countFromReply, 3); violation == "" {
+		t.Error("found no violation with a holder that counts the lease from the arrival of the reply, want one")
 	}
 	keepOldDeadlines := newModel()
 	keepOldDeadlines.keepOldDeadlines = true
-	if _, violation := walk(keepOldDeadlines, 3); violation == "" {
-		t.Error("a leader that does not restart the leases is not detected")
+	if _, violation := exploreStates(keepOldDeadlines, 3); violation == "" {
+		t.Error("found no violation with a new leader that does not restart the leases, want one")
 	}
 }
 
-// TestRandomCommandsKeepOneHolder runs random commands with random clock readings: there is one holder by the table's own clock, tokens
-// rise, a waiter that keeps asking is granted the lease, and a restored table behaves like the one that was stored.
+// TestRandomCommandsKeepOneHolder runs random commands with random clock readings. By the table's clock there is at most one holder,
+// tokens increase, a waiter that keeps retrying is granted the lease, and a restored table behaves like the stored one.
 func TestRandomCommandsKeepOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table, now, term := NewTable(), time.Duration(0), uint64(1)
@@ -242,7 +245,7 @@
 			MaxWait: 2 * time.Second,
 			MinHold: rapid.SampledFrom([]time.Duration{0, 3 * time.Second}).Draw(t, "min hold"),
 		}
-		last, holder, expiresAt := uint64(0), Member{}, time.Duration(0) // what is expected
+		last, holder, expiresAt := uint64(0), Member{}, time.Duration(0) // the expected state
 		for range 200 {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause in ms")) * ms
 			member := Member{
@@ -258,7 +261,7 @@
 				grant, err = table.Acquire(term, now, "l", rules, member)
 			case 2:
 				if grant, err = table.Renew(term, now, "l", member, last); err == nil && !member.sameProcess(holder) {
-					t.Fatalf("%v renewed the lease of %v", member, holder)
+					t.Fatalf("Renew by %v succeeded, but the holder is %v", member, holder)
 				}
 			case 3:
 				if member.sameProcess(holder) && now < expiresAt {
@@ -270,7 +273,7 @@
 				err = ErrNotHeld
 			case 4:
 				term++
-				expired := now >= expiresAt // by the clock of the earlier leader
+				expired := now >= expiresAt // by the previous leader's clock
 				now = time.Duration(rapid.IntRange(0, 1000).Draw(t, "clock in s")) * time.Second
 				if err := table.BeginTerm(term, now); err != nil {
 					t.Fatal(err)
@@ -279,7 +282,7 @@
 					expiresAt = now
 				}
 				if _, err := table.Acquire(term-1, now, "l", rules, member); !errors.Is(err, ErrStaleTerm) {
-					t.Fatalf("a leader of an earlier term: %v", err)
+					t.Fatalf("Acquire in an earlier term: got error %v, want %v", err, ErrStaleTerm)
 				}
 				err = ErrNotHeld
 			case 5:
@@ -297,24 +300,24 @@
 			}
 			if grant.Token != last { // a new grant
 				if grant.Token < last || holder.Name != "" && now < expiresAt {
-					t.Fatalf("at %v %v got token %d; %v has %d until %v", now, member, grant.Token, holder, last, expiresAt)
+					t.Fatalf("at %v: %v got token %d, want no grant before %v (holder %v) and a token above %d", now, member, grant.Token, expiresAt, holder, last)
 				}
 			} else if !member.sameProcess(holder) {
-				t.Fatalf("%v has the token of %v", member, holder)
+				t.Fatalf("%v got the token of %v, want a new one", member, holder)
 			}
 			last, holder, expiresAt = grant.Token, member, now+rules.Length
 		}
-		for range 100 { // the only one that keeps asking
+		for range 100 { // only this member keeps retrying
 			now += rules.Length / 2
 			if _, err := table.Acquire(term, now, "l", rules, Member{Name: "w", Incarnation: 1}); err == nil {
 				return
 			}
 		}
-		t.Fatal("a waiter is never granted the lease")
+		t.Fatal("the only waiter was not granted the lease after 100 requests")
 	})
 }
 
-// TestNextWaiterOrder tests the order of preference: the successor, then waiters past MaxWait, then site, load and arrival.
+// TestNextWaiterOrder tests the order of preference: successor, waiters past MaxWait, site, load, arrival.
 func TestNextWaiterOrder(t *testing.T) {
 	const sec = time.Second
 	waiter := func(name, site string, load int, since time.Duration) Waiter {
@@ -345,14 +348,15 @@
 				Waiters:   []Waiter{test.first, test.second},
 			}
 			if got := table.nextWaiter(lease); got != test.want {
-				t.Errorf("waiter %d is next, want %d", got, test.want)
+				t.Errorf("nextWaiter: got %d, want %d", got, test.want)
 			}
 		})
 	}
 }
 
 // TestRevokedAndRestartedHoldersAreFencedOff tests that a revoked lease is neither renewed nor granted before it expires, that a new
-// incarnation waits for the earlier one, which cannot renew any more, and that receivers reject tokens lower than the highest seen.
+// incarnation waits until the lease of the earlier one expires, that the earlier one can no longer renew it, and that receivers reject
+// tokens lower than the highest one seen.
 func TestRevokedAndRestartedHoldersAreFencedOff(t *testing.T) {
 	table := NewTable()
 	_ = table.BeginTerm(1, 0)
@@ -361,7 +365,7 @@
 		return func(grant Grant, err error) Grant {
 			t.Helper()
 			if !errors.Is(err, want) {
-				t.Errorf("%+v, %v, want %v", grant, err, want)
+				t.Errorf("got grant %+v and error %v, want error %v", grant, err, want)
 			}
 			return grant
 		}
@@ -373,31 +377,31 @@
 	secondGrant := expect(nil)(table.Acquire(1, 400*ms, "l", rules, restarted))
 	expect(nil)(Grant{}, table.Revoke(1, 500*ms, "l"))
 	expect(ErrNotHeld)(table.Renew(1, 500*ms, "l", restarted, secondGrant.Token))
-	expect(ErrWaiting)(table.Acquire(1, 799*ms, "l", rules, other)) // its holder may not know yet
+	expect(ErrWaiting)(table.Acquire(1, 799*ms, "l", rules, other)) // the holder may not know of the revocation yet
 	thirdGrant := expect(nil)(table.Acquire(1, 800*ms, "l", rules, other))
 	for range 2 { // the second release does not affect the next holder
 		expect(nil)(Grant{}, table.Release(1, 900*ms, "l", other, thirdGrant.Token, ""))
 		expect(nil)(table.Acquire(1, 900*ms, "l", rules, restarted))
 	}
 	if firstGrant.Token >= secondGrant.Token || secondGrant.Token >= thirdGrant.Token {
-		t.Errorf("tokens %d, %d, %d", firstGrant.Token, secondGrant.Token, thirdGrant.Token)
+		t.Errorf("got tokens %d, %d, %d, want increasing ones", firstGrant.Token, secondGrant.Token, thirdGrant.Token)
 	}
 	fence := Fence{}
 	if fence.Admit(0) || !fence.Admit(1) || !fence.Admit(1) || !fence.Admit(3) || fence.Admit(2) || !fence.Admit(3) {
-		t.Errorf("%+v admits a lower token, or rejects a higher one", fence)
+		t.Errorf("Fence %+v admitted token 0 or a token lower than the highest one seen, or rejected another one", fence)
 	}
-	for i := range 2 * maxMembers { // ever new names
+	for i := range 2 * maxMembers { // each with a new name
 		_, _ = table.Acquire(1, time.Second+time.Duration(i)*ms, "l", rules, Member{Name: fmt.Sprint(i), Incarnation: 1})
 	}
 	if n := len(table.Incarnations); n > maxMembers {
-		t.Errorf("%d incarnations are recorded", n)
+		t.Errorf("got %d recorded incarnations, want at most %d", n, maxMembers)
 	}
 	if err := table.Forget(1, time.Hour); err != nil || len(table.Incarnations) > 0 {
-		t.Errorf("%v, %d incarnations outlive their leases", err, len(table.Incarnations))
+		t.Errorf("Forget: got error %v and %d recorded incarnations, want none", err, len(table.Incarnations))
 	}
 }
 
-// FuzzRestore restores arbitrary text: it is rejected, or no command panics and tokens rise.
+// FuzzRestore restores arbitrary text. Restore must reject it, or commands on the table must not panic and must issue increasing tokens.
 func FuzzRestore(f *testing.F) {
 	f.Add([]byte(`{"term":1,"now":5,"last_token":2,"leases":{"l":{"rules":{"length":400000000},"holder":{"name":"x","birth":1},"token":2,"until":9}},"births":{"x":1}}`))
 	f.Add([]byte(`{"leases":{"l":null}}`))
@@ -410,7 +414,7 @@
 		_ = table.BeginTerm(table.Term+1, 0)
 		for at := time.Duration(0); at < 3*time.Hour; at += time.Hour {
 			if g, err := table.Acquire(table.Term, at, "l", rules, Member{Name: "z", Incarnation: 1 << 63}); err == nil && g.Token <= last {
-				t.Fatalf("token %d after %d", g.Token, last)
+				t.Fatalf("Acquire: got token %d after %d, want a higher one", g.Token, last)
 			}
 		}
 		_ = table.Forget(table.Term, 0)
--- a/internal/lease/selection.go
+++ b/internal/lease/selection.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// noWaiter is the index that nextWaiter returns where nobody is to be granted the lease yet.
+// noWaiter is the index that nextWaiter returns if the lease cannot be granted to any waiter yet.
 const noWaiter = -1
 
-// nextWaiter returns the index of the waiter that is granted the lease now, or noWaiter. The successor goes first and has the
-// lease's length to ask for it; without one, preferredWaiter decides once MinHold has passed.
+// nextWaiter returns the index of the waiter to which the lease can be granted now, or noWaiter. A successor has priority for the
+// length of the lease after its release. Without a successor, or if it does not ask in that time, preferredWaiter selects the waiter
+// once MinHold has passed.
 func (t *Table) nextWaiter(lease *Lease) int {
 	if lease.Holder.Name != "" || len(lease.Waiters) == 0 {
 		return noWaiter
@@ -28,20 +29,21 @@
 	return t.preferredWaiter(lease)
 }
 
-// preferredWaiter returns the index of the waiter that would be granted the lease if it were free. The lease must have a waiter.
+// preferredWaiter returns the index of the waiter that would be granted the lease if it were free. The lease must have at least one
+// waiter.
 func (t *Table) preferredWaiter(lease *Lease) int {
 	preferred := 0
 	for i := range lease.Waiters {
-		if t.goesBefore(lease.Rules, &lease.Waiters[i], &lease.Waiters[preferred]) {
+		if t.precedes(lease.Rules, &lease.Waiters[i], &lease.Waiters[preferred]) {
 			preferred = i
 		}
 	}
 	return preferred
 }
 
-// goesBefore reports whether waiter a is preferred to waiter b: waiters past MaxWait come first, the longest waiter first; then
-// those of the preferred site, then the least loaded, then the longest waiter.
-func (t *Table) goesBefore(rules Rules, a, b *Waiter) bool {
+// precedes reports whether waiter a is preferred to waiter b. Waiters past MaxWait come first, in order of arrival. The others are
+// ordered by preferred site, then by load (lowest first), then by arrival.
+func (t *Table) precedes(rules Rules, a, b *Waiter) bool {
 	byArrival := cmp.Compare(a.WaitingSince, b.WaitingSince)
 	aOverdue, bOverdue := t.overdue(rules, a), t.overdue(rules, b)
 	if aOverdue != bOverdue {
@@ -65,9 +67,9 @@
 	return r.Site == "" || r.Site == site
 }
 
-// NextGrant returns the time until the lease may be free at the earliest, counted from the latest reading of the clock, and whether
-// the member would be granted it then. A waiter that is next asks again at that time and others rarely, which hands the lease over
-// quickly with few requests.
+// NextGrant returns the shortest time after which the lease may be free, counted from the latest reading of the clock, and whether the
+// member would then be granted the lease. The waiter that is next in line retries at that time and the others retry less often, so
+// that a hand-over is quick but needs few requests.
 func (t *Table) NextGrant(name string, member Member) (availableIn time.Duration, next bool) {
 	lease := t.Leases[name]
 	if lease == nil || len(lease.Waiters) == 0 {
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -11,13 +11,13 @@
 	"robindrum/internal/unknownfields"
 )
 
-// Table is the state of all leases. Each command takes the term of the leader that issued it and the reading of that leader's clock.
+// Table is the state of all leases. Each command takes the term of the leader that issued it and a reading of that leader's clock.
 type Table struct {
 	Term         uint64               `json:"term"`
-	Now          time.Duration        `json:"now"` // the latest reading of the term
+	Now          time.Duration        `json:"now"` // the latest clock reading of the term
 	LastToken    uint64               `json:"last_token"`
 	Leases       map[string]*Lease    `json:"leases"`
-	Incarnations map[string]uint64    `json:"births"` // the latest of each member that holds or waits, by name
+	Incarnations map[string]uint64    `json:"births"` // the latest incarnation of each member that holds or waits for a lease, by name
 	Unknown      unknownfields.Fields `json:"-"`      // fields written by a newer version
 }
 
@@ -26,49 +26,49 @@
 	return &Table{Leases: map[string]*Lease{}, Incarnations: map[string]uint64{}}
 }
 
-// MarshalJSON writes the table with its unknown fields.
+// MarshalJSON encodes the table, including its unknown fields.
 func (t Table) MarshalJSON() ([]byte, error) {
 	type plain Table
 	return unknownfields.Marshal(plain(t), t.Unknown)
 }
 
-// UnmarshalJSON reads a table and keeps unknown fields.
+// UnmarshalJSON decodes a table and keeps unknown fields.
 func (t *Table) UnmarshalJSON(text []byte) error {
 	type plain Table
 	return unknownfields.Unmarshal(text, (*plain)(t), &t.Unknown)
 }
 
-// Restore reads a table that encoding/json wrote, and validates it.
+// Restore decodes a table that was encoded as JSON, and validates it.
 func Restore(text []byte) (*Table, error) {
 	return unknownfields.Restore("leases", text, NewTable())
 }
 
-// Validate returns an error where no sequence of commands can have led to the table. A token that could be granted twice would
-// defeat fencing.
+// Validate returns an error if no sequence of commands can produce this table. It rejects tables that could grant a token twice, which
+// would defeat fencing.
 func (t *Table) Validate() error {
 	switch {
 	case t.Leases == nil || len(t.Leases) > maxLeases:
-		return fmt.Errorf("not a table: %d leases, max %d", len(t.Leases), maxLeases)
+		return fmt.Errorf("invalid table: leases must be set and at most %d, got %d", maxLeases, len(t.Leases))
 	case t.Incarnations == nil || len(t.Incarnations) > maxMembers:
-		return fmt.Errorf("not a table: %d members, max %d", len(t.Incarnations), maxMembers)
+		return fmt.Errorf("invalid table: members must be set and at most %d, got %d", maxMembers, len(t.Incarnations))
 	case t.LastToken == math.MaxUint64 || t.Term == math.MaxUint64:
-		return errors.New("not a table: no token or term is left")
+		return errors.New("invalid table: tokens or terms are exhausted")
 	}
 	for name, lease := range t.Leases {
 		if lease == nil || name == "" || len(name) > maxNameBytes || len(lease.Waiters) > maxWaitersPerLease {
-			return fmt.Errorf("%q is no lease", name)
+			return fmt.Errorf("invalid lease %q: must be set, have a name of 1 to %d bytes and at most %d waiters", name, maxNameBytes, maxWaitersPerLease)
 		}
 		if err := lease.Rules.validate(); err != nil {
-			return fmt.Errorf("%q: %w", name, err)
+			return fmt.Errorf("lease %q: %w", name, err)
 		}
 		if lease.Token > t.LastToken {
-			return fmt.Errorf("%q has token %d, the last one granted is %d", name, lease.Token, t.LastToken)
+			return fmt.Errorf("lease %q has token %d, but the last token granted is %d", name, lease.Token, t.LastToken)
 		}
 	}
 	return nil
 }
 
-// BeginTerm begins a leader's term: every held lease, and every MinHold, counts from now on. It returns ErrStaleTerm unless the
+// BeginTerm begins the term of a new leader. Every held lease and every MinHold restarts at now. It returns ErrStaleTerm unless the
 // term is later than the current one.
 func (t *Table) BeginTerm(term uint64, now time.Duration) error {
 	if term <= t.Term {
@@ -79,7 +79,7 @@
 	for _, lease := range t.Leases {
 		lease.ExpiresAt = now + lease.Rules.Length
 		lease.GrantedAt = now
-		for i := range lease.Waiters { // in the same order, with the time waited so far
+		for i := range lease.Waiters { // keeps the order of the waiters and the time waited so far
 			waiter := &lease.Waiters[i]
 			waiter.WaitingSince = now - (before - waiter.WaitingSince)
 			waiter.LastAskedAt = now
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// Acquire grants a lease to the member, or puts it in line and returns ErrWaiting. The holder may repeat it where the reply was
-// lost: it gets its token once more and its lease is renewed. rules count where the lease is new. A new incarnation of the holder
-// waits like any other member, as nobody knows whether the earlier one still acts.
+// Acquire grants a lease to the member, or adds the member to the waiters and returns ErrWaiting. The holder may repeat Acquire if the
+// reply was lost: it gets the same token, and its lease is renewed. rules apply only if the lease is new. A new incarnation of the
+// holder waits like any other member, because the earlier incarnation may still be active.
 func (t *Table) Acquire(term uint64, now time.Duration, name string, rules Rules, member Member) (Grant, error) {
 	if err := t.advance(term, now); err != nil {
 		return Grant{}, err
@@ -111,7 +111,7 @@
 		return t.extend(lease), nil
 	}
 	if err := t.enqueue(lease, member); err != nil {
-		return Grant{}, fmt.Errorf("the line of %q: %w", name, err)
+		return Grant{}, fmt.Errorf("waiters of lease %q: %w", name, err)
 	}
 	t.Incarnations[member.Name] = member.Incarnation
 	next := t.nextWaiter(lease)
@@ -121,8 +121,8 @@
 	return t.grant(lease, next), nil
 }
 
-// Renew extends a held lease by its length from now on. It returns ErrNotHeld once the lease has expired or was revoked, also where
-// nobody else has asked for it: its holder has stopped by its own clock and acquires it anew.
+// Renew extends a held lease by its length, counted from now. It returns ErrNotHeld after the lease has expired or was revoked, even if
+// no other member waits for the lease: by then the holder has stopped by its own clock and has to acquire the lease again.
 func (t *Table) Renew(term uint64, now time.Duration, name string, member Member, token uint64) (Grant, error) {
 	lease, err := t.heldBy(term, now, name, member, token)
 	if err != nil {
@@ -132,14 +132,15 @@
 	if lease.Holder.Name == "" || lease.Revoked {
 		return Grant{}, ErrNotHeld
 	}
-	if t.Incarnations[member.Name] > member.Incarnation { // restarted, or two processes are configured with one name
+	if t.Incarnations[member.Name] > member.Incarnation { // the member has restarted, or two processes have the same name
 		return Grant{}, ErrStaleIncarnation
 	}
 	return t.extend(lease), nil
 }
 
-// Release gives a lease back; its holder must have stopped acting on it. successor, if not empty, names the member that goes first:
-// it has the lease's length to ask before others are considered. Releasing a lease that is not held changes nothing.
+// Release gives up a lease; the holder must have stopped using it. successor, if not empty, is the name of the member that has priority:
+// it can acquire the lease for the lease's length before other members are considered. Releasing a lease that is not held has no
+// effect.
 func (t *Table) Release(term uint64, now time.Duration, name string, member Member, token uint64, successor string) error {
 	lease, err := t.heldBy(term, now, name, member, token)
 	switch {
@@ -148,7 +149,7 @@
 	case err != nil:
 		return err
 	case len(successor) > maxNameBytes:
-		return fmt.Errorf("successor: %d bytes, max %d", len(successor), maxNameBytes)
+		return fmt.Errorf("successor must be at most %d bytes, got %d", maxNameBytes, len(successor))
 	}
 	lease.Holder, lease.Revoked, lease.Successor = Member{}, false, successor
 	lease.ExpiresAt = t.Now
@@ -158,8 +159,8 @@
 	return nil
 }
 
-// Revoke stops the renewal of a held lease, which then ends with the length last granted. It cannot end sooner: its holder may not
-// know yet. It returns ErrNotHeld where nobody holds the lease.
+// Revoke stops the renewal of a held lease, which then ends when the latest grant expires. The lease cannot end sooner, because the
+// holder may not know of the revocation yet. Revoke returns ErrNotHeld if the lease is not held.
 func (t *Table) Revoke(term uint64, now time.Duration, name string) error {
 	if err := t.advance(term, now); err != nil {
 		return err
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// Forget drops leases that nobody holds or waits for, and the incarnations of members that are in no lease. Tokens go on rising. An
-// earlier incarnation whose successor was forgotten may ask again; it gets a new token like any other member.
+// Forget deletes unused leases, and the incarnations of members that neither hold nor wait for a lease. Tokens keep increasing. After a member's later incarnation is forgotten, an earlier one may acquire leases again; it gets a new token like
+// any other member.
 func (t *Table) Forget(term uint64, now time.Duration) error {
 	if err := t.advance(term, now); err != nil {
 		return err
@@ -195,13 +196,14 @@
 	return nil
 }
 
-// unused reports whether nobody holds or waits for the lease, and neither a successor's time nor MinHold is running.
+// unused reports whether the lease has no holder and no waiters, its successor's priority has ended, and MinHold has passed.
 func (t *Table) unused(lease *Lease) bool {
 	free := lease.Holder.Name == "" && len(lease.Waiters) == 0
 	return free && t.Now >= lease.ExpiresAt && t.Now-lease.GrantedAt >= lease.Rules.MinHold
 }
 
-// advance takes a command's reading of the clock. A reading that goes back counts as the latest one.
+// advance checks the term of a command and updates the table's clock to the command's reading. The clock never goes backwards: an
+// earlier reading is ignored.
 func (t *Table) advance(term uint64, now time.Duration) error {
 	if term != t.Term {
 		return ErrStaleTerm
@@ -210,11 +212,11 @@
 	return nil
 }
 
-// checkMember returns an error where the member may not ask: its name or site is invalid, its incarnation is stale, or the table
-// has no room for its name (Forget makes room).
+// checkMember returns an error if the member may not acquire leases: its name or site is invalid, its incarnation is stale, or the
+// table has reached maxMembers (Forget removes unused members).
 func (t *Table) checkMember(member Member) error {
 	if member.Name == "" || len(member.Name) > maxNameBytes || len(member.Site) > maxNameBytes {
-		return fmt.Errorf("member: a name of %d and a site of %d bytes, want 1 to %d", len(member.Name), len(member.Site), maxNameBytes)
+		return fmt.Errorf("member: name must be 1 to %d bytes and site at most %d, got %d and %d", maxNameBytes, maxNameBytes, len(member.Name), len(member.Site))
 	}
 	latest, known := t.Incarnations[member.Name]
 	switch {
@@ -226,7 +228,8 @@
 	return nil
 }
 
-// enqueue adds a waiter, or notes that it has asked again. A new incarnation replaces the earlier one and waits anew.
+// enqueue adds a waiter, or updates the time of its latest request. A new incarnation replaces the earlier one and its waiting time
+// restarts.
 func (t *Table) enqueue(lease *Lease, member Member) error {
 	if i := lease.waiterIndex(member.Name); i >= 0 {
 		waiter := &lease.Waiters[i]
@@ -243,7 +246,7 @@
 	return nil
 }
 
-// expire ends a lease whose time is over, and drops waiters that have not asked for the lease's length.
+// expire ends a lease that has reached ExpiresAt, and removes waiters whose latest request is older than the lease's length.
 func (t *Table) expire(lease *Lease) {
 	if lease.Holder.Name != "" && t.Now >= lease.ExpiresAt {
 		lease.Holder, lease.Revoked = Member{}, false
@@ -253,7 +256,7 @@
 	})
 }
 
-// grant gives a free lease to the waiter with this index, under a new token.
+// grant gives a free lease to the waiter with this index and issues a new token.
 func (t *Table) grant(lease *Lease, waiter int) Grant {
 	t.LastToken++
 	lease.Holder = lease.Waiters[waiter].Member
@@ -265,7 +268,7 @@
 	return t.extend(lease)
 }
 
-// extend lets a held lease last for its length from now on.
+// extend sets a held lease to expire after its length, counted from the table's clock.
 func (t *Table) extend(lease *Lease) Grant {
 	lease.ExpiresAt = t.Now + lease.Rules.Length
 	return Grant{Token: lease.Token, Length: lease.Rules.Length}
