--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -203,8 +203,8 @@
 }
 
 // TestLeaseHasAtMostOneHolder runs all sequences of four events, beginning with an Acquire, of three members and two leases: grant, lost
-// reply, expiry, release, restart and leader change. No two members may consider the same lease held, and tokens must increase. With either safeguard disabled,
-// the same exploration must find two holders.
+// reply, expiry, release, restart and leader change. No two members may consider the same lease held, and tokens must increase. With
+// either safeguard disabled, the exploration must find two holders.
 func TestLeaseHasAtMostOneHolder(t *testing.T) {
 	total := 0
 	// Every relevant sequence begins with an Acquire. By symmetry, it is enough to begin with the first member and the first lease.
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// Forget deletes unused leases, and the incarnations of members that neither hold nor wait for a lease. Tokens keep increasing. After a member's later incarnation is forgotten, an earlier one may acquire leases again; it gets a new token like
-// any other member.
+// Forget deletes unused leases, and the incarnations of members that neither hold nor wait for a lease. Tokens keep increasing. After a
+// member's later incarnation is forgotten, an earlier one may acquire leases again; it gets a new token like any other member.
 func (t *Table) Forget(term uint64, now time.Duration) error {
 	if err := t.advance(term, now); err != nil {
 		return err
