--- a/internal/leaderelection/leaderelection.go
+++ b/internal/leaderelection/leaderelection.go
@@ -1,6 +1,6 @@
-// Package leaderelection runs leader-only tasks: work that at most one process of a fleet does at a time. A task runs while its
-// process holds the task's lease. It begins with a fencing token, and its context ends before the lease expires. Safety does not
-// depend on that: the receiver of an action rejects a token that is older than the highest it has seen (lease.Fence).
+// Package leaderelection runs leader-only tasks: tasks that at most one process of a fleet runs at a time. A task runs while its process
+// holds the task's lease. The task's context is canceled before the lease expires, but safety does not depend on that: each action
+// carries the lease's fencing token, and its receiver rejects a token that is lower than the highest one it has seen (see lease.Fence).
 package leaderelection
 
 import (
@@ -15,13 +15,13 @@
 	"robindrum/internal/quorum"
 )
 
-// maxReleaseTime bounds the wait for the quorum's answer when a lease is given back.
+// maxReleaseTime is the longest time to wait for the quorum's reply when a lease is released.
 const maxReleaseTime = 2 * time.Second
 
-// Quorum applies lease commands; *quorum.Client implements it. The result's sent is the reading of the Elector's clock at which the
-// answered command was sent.
+// Quorum applies lease commands; *quorum.Client implements it. sentAt is the reading of the Elector's clock when the command that was
+// answered was sent.
 type Quorum interface {
-	Do(ctx context.Context, c quorum.Command) (r quorum.Result, sent time.Duration, err error)
+	Do(ctx context.Context, c quorum.Command) (r quorum.Result, sentAt time.Duration, err error)
 }
 
 // Task is a leader-only task.
@@ -30,17 +30,18 @@
 	Name string
 	// Rules are the rules of the task's lease.
 	Rules lease.Rules
-	// Run does the work until ctx ends, and then returns at once. It calls leadership.Token just before it sends each action.
+	// Run performs the task until ctx is done, and then must return immediately. It calls leadership.Token immediately before it sends
+	// each action.
 	Run func(ctx context.Context, leadership *Leadership)
 }
 
 // Options configure an Elector.
 type Options struct {
-	// Member is this process as the quorum knows it. The Elector sets its Load.
+	// Member identifies this process to the quorum. The Elector sets its Load.
 	Member lease.Member
 	// Now reads a monotonic clock.
 	Now func() time.Duration
-	// Log receives each change of a task's state.
+	// Log receives a message for each state change of a task.
 	Log *slog.Logger
 }
 
@@ -50,25 +51,25 @@
 	quorum Quorum
 
 	mu       sync.Mutex
-	statuses map[string]*Status // by the task's name
-	leading  int                // tasks in state Leading
+	statuses map[string]*Status // by task name
+	leading  int                // number of tasks in state Leading
 	wake     chan struct{}      // closed and replaced by Wake
 }
 
-// NewElector returns an Elector that sends its commands to a quorum.
+// NewElector returns an Elector that sends its commands to q.
 func NewElector(q Quorum, opt Options) *Elector {
 	return &Elector{opt: opt, quorum: q, statuses: map[string]*Status{}, wake: make(chan struct{})}
 }
 
-// Run asks for a task's lease, runs the task whenever the lease is granted, and blocks until ctx ends. Then it waits for the task
-// and gives the lease back. Several tasks are run by concurrent calls.
+// Run tries to acquire the task's lease, and runs the task whenever the lease is granted. When ctx is done, it waits for the task to
+// return, releases the lease and returns. To run several tasks, call Run concurrently.
 func (e *Elector) Run(ctx context.Context, task Task) {
 	e.setState(&task, Candidate, 0, nil)
 	for ctx.Err() == nil {
-		result, sent, err := e.acquire(ctx, &task)
+		result, sentAt, err := e.acquire(ctx, &task)
 		if err == nil {
 			leadership := &Leadership{elector: e}
-			leadership.granted(sent, result.Grant)
+			leadership.granted(sentAt, result.Grant)
 			e.lead(ctx, &task, leadership, result.Grant.Token)
 			if ctx.Err() == nil {
 				e.setState(&task, Candidate, 0, nil)
@@ -91,7 +92,8 @@
 	}
 }
 
-// Wake makes the tasks for which this process is next in line ask again at once, as a leader may have given its lease back.
+// Wake makes the Elector immediately retry to acquire the leases for which this process is next in line. Call it when a leader may have
+// released its lease.
 func (e *Elector) Wake() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,15 +107,15 @@
 	return e.wake
 }
 
-// acquire asks the quorum once for a task's lease. The result is meaningful also beside lease.ErrWaiting.
-func (e *Elector) acquire(ctx context.Context, task *Task) (result quorum.Result, sent time.Duration, err error) {
+// acquire sends the quorum one request for the task's lease. The result is also valid if the error is lease.ErrWaiting.
+func (e *Elector) acquire(ctx context.Context, task *Task) (result quorum.Result, sentAt time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, task.Rules.Length)
 	defer cancel()
-	result, sent, err = e.quorum.Do(ctx, e.command(quorum.OpAcquire, task, 0))
+	result, sentAt, err = e.quorum.Do(ctx, e.command(quorum.OpAcquire, task, 0))
 	if err == nil {
 		err = result.Err()
 	}
-	return result, sent, err
+	return result, sentAt, err
 }
 
 func (e *Elector) command(op quorum.Op, task *Task, token uint64) quorum.Command {
@@ -124,21 +126,22 @@
 	return quorum.Command{Op: op, Lease: task.Name, Rules: task.Rules, Member: member, Token: token}
 }
 
-// retryDelay returns how long to wait after a lease was not granted. Delays are random so that candidates do not ask in step.
+// retryDelay returns the delay before the next request for a lease that was not granted. Delays are randomized so that candidates do
+// not send their requests at the same time.
 func retryDelay(length time.Duration, result quorum.Result, err error) time.Duration {
 	switch {
 	case !errors.Is(err, lease.ErrWaiting):
 		return length/8 + rand.N(length/8)
 	case result.NextInLine:
-		// Just after the lease may become available.
+		// Retry shortly after the lease may become available.
 		return min(max(result.AvailableIn+length/50, length/20), length*9/10)
 	default:
-		// Often enough to keep the place in the queue, and to notice when the candidate that is next in line has disappeared.
+		// Retry often enough to stay queued, and to detect that the candidate that was next in line has disappeared.
 		return length/2 + rand.N(length*2/5)
 	}
 }
 
-// sleep waits until ctx ends, a delay has passed or wake is closed. A nil wake is never closed.
+// sleep waits until ctx is done, the delay has passed or wake is closed. A nil wake is ignored.
 func sleep(ctx context.Context, delay time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/leaderelection/leadership.go
+++ b/internal/leaderelection/leadership.go
@@ -17,8 +17,8 @@
 	held lease.HeldLease
 }
 
-// Token returns the fencing token for an action that begins now, and the reading of the clock at which the lease was checked. ok is
-// false when the lease has expired or was lost; that is noticed also by a process that was suspended in the meantime.
+// Token returns the fencing token for an action that starts now, and the reading of the clock at which the lease was checked. ok is
+// false if the lease has expired or was lost. Because Token reads the clock, it also detects an expiry while the process was suspended.
 func (l *Leadership) Token() (token uint64, at time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,10 +30,10 @@
 	return token, at, ok
 }
 
-func (l *Leadership) granted(sent time.Duration, grant lease.Grant) {
+func (l *Leadership) granted(sentAt time.Duration, grant lease.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.held.Granted(sent, grant)
+	l.held.Granted(sentAt, grant)
 }
 
 func (l *Leadership) expiresAt() time.Duration {
@@ -48,11 +48,11 @@
 	l.held.Lost()
 }
 
-// lead runs a task under a granted lease and renews the lease meanwhile. It returns when the task has returned and the lease is
-// given back or over.
+// lead runs a task under a granted lease and renews the lease while the task runs. It returns after the task has returned and the lease
+// was released, lost or has expired.
 func (e *Elector) lead(ctx context.Context, task *Task, leadership *Leadership, token uint64) {
-	if e.timeToLead(task, leadership) <= 0 && !ignoreExpiry {
-		return // the answer took as long as the lease lasts
+	if e.timeUntilStop(task, leadership) <= 0 && !ignoreExpiry {
+		return // the reply arrived too late
 	}
 	taskCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -72,23 +72,24 @@
 	stop()
 	e.awaitReturn(task, leadership, token, returned)
 	<-renewing
-	e.giveBack(ctx, task, leadership, token)
+	e.releaseLease(ctx, task, leadership, token)
 }
 
-// timeToLead returns how long a task may go on if its lease is not renewed. The task is stopped some time before the lease expires.
-func (e *Elector) timeToLead(task *Task, leadership *Leadership) time.Duration {
+// timeUntilStop returns how long a task may still run if its lease is not renewed. A task is stopped with a margin before its lease
+// expires.
+func (e *Elector) timeUntilStop(task *Task, leadership *Leadership) time.Duration {
 	margin := task.Rules.Length / 10
 	return leadership.expiresAt() - margin - e.opt.Now()
 }
 
-// awaitEnd waits until a task has to stop or has returned: its lease is about to expire or is lost, or ctx has ended.
+// awaitEnd waits until the task has returned or must stop: its lease is lost or about to expire, or ctx is done.
 func (e *Elector) awaitEnd(ctx context.Context, task *Task, leadership *Leadership, returned, lost <-chan struct{}) {
 	for {
-		left := e.timeToLead(task, leadership)
-		if left <= 0 && !ignoreExpiry {
+		remaining := e.timeUntilStop(task, leadership)
+		if remaining <= 0 && !ignoreExpiry {
 			return
 		}
-		timer := time.NewTimer(max(left, time.Millisecond))
+		timer := time.NewTimer(max(remaining, time.Millisecond))
 		select {
 		case <-timer.C: // the lease may have been renewed
 			continue
@@ -101,7 +102,7 @@
 	}
 }
 
-// awaitReturn waits for a task that was asked to stop, and reports it as overdue when its lease expires first.
+// awaitReturn waits until a task whose context was canceled has returned. It reports the task as overdue if the lease expires first.
 func (e *Elector) awaitReturn(task *Task, leadership *Leadership, token uint64, returned <-chan struct{}) {
 	select {
 	case <-returned:
@@ -119,21 +120,21 @@
 	}
 }
 
-// giveBack releases a lease that has not expired, so that another process may acquire it at once.
-func (e *Elector) giveBack(ctx context.Context, task *Task, leadership *Leadership, token uint64) {
+// releaseLease releases a lease that has not expired, so that another process can acquire it immediately.
+func (e *Elector) releaseLease(ctx context.Context, task *Task, leadership *Leadership, token uint64) {
 	_, _, valid := leadership.Token()
 	leadership.lost()
 	if !valid {
 		return
 	}
-	// ctx may have ended.
+	// The release must be sent even if ctx is done.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), min(task.Rules.Length/2, maxReleaseTime))
 	defer cancel()
-	_, _, _ = e.quorum.Do(ctx, e.command(quorum.OpRelease, task, token)) // otherwise the lease expires
+	_, _, _ = e.quorum.Do(ctx, e.command(quorum.OpRelease, task, token)) // if the release fails, the lease expires
 	e.setState(task, Waiting, 0, nil)
 }
 
-// renew renews a lease until ctx ends, or until the quorum rejects a renewal: then it closes lost.
+// renew renews a lease until ctx is done. If the quorum rejects a renewal, renew closes lost and returns.
 func (e *Elector) renew(ctx context.Context, task *Task, leadership *Leadership, token uint64, lost chan<- struct{}) {
 	for {
 		sleep(ctx, task.Rules.Length/4, nil)
@@ -141,16 +142,16 @@
 			return
 		}
 		requestCtx, cancel := context.WithTimeout(ctx, task.Rules.Length)
-		result, sent, err := e.quorum.Do(requestCtx, e.command(quorum.OpRenew, task, token))
+		result, sentAt, err := e.quorum.Do(requestCtx, e.command(quorum.OpRenew, task, token))
 		cancel()
 		if err != nil {
-			continue // the lease is valid until it expires
+			continue // retry: the lease remains valid until it expires
 		}
 		if result.Err() != nil {
 			leadership.lost()
 			close(lost)
 			return
 		}
-		leadership.granted(sent, result.Grant)
+		leadership.granted(sentAt, result.Grant)
 	}
 }
--- a/internal/leaderelection/status.go
+++ b/internal/leaderelection/status.go
@@ -7,30 +7,30 @@
 
 // States of a task.
 const (
-	Candidate State = "asking"  // the quorum has not answered yet
-	Waiting   State = "waiting" // another process holds the lease
-	Leading   State = "holding" // this process holds the lease, and the task runs
-	Overdue   State = "overdue" // the lease has expired and the task has not returned: receivers reject its actions
-	NoQuorum  State = "no quorum"
+	Candidate State = "asking"    // no reply from the quorum yet
+	Waiting   State = "waiting"   // another process holds the lease, or the quorum rejected the request
+	Leading   State = "holding"   // this process holds the lease, and the task runs
+	Overdue   State = "overdue"   // the lease has expired but the task has not returned; receivers reject its actions
+	NoQuorum  State = "no quorum" // the quorum does not answer
 )
 
 // Status describes a task in this process.
 type Status struct {
 	Name  string `json:"name"`
 	State State  `json:"state"`
-	// Token is the fencing token of the lease; 0 where this process does not hold it.
+	// Token is the fencing token of the lease, or 0 if this process does not hold it.
 	Token uint64 `json:"token,omitempty"`
-	// Since is the reading of the Elector's clock at which the state began.
+	// Since is the reading of the Elector's clock when State or Token last changed.
 	Since time.Duration `json:"since"`
-	// TimesLed counts how often this process became the leader.
+	// TimesLed is the number of times that this process became the leader.
 	TimesLed int `json:"held"`
-	// TimesOverdue counts how often the task did not return before its lease expired.
+	// TimesOverdue is the number of times that the task did not return before its lease expired.
 	TimesOverdue int `json:"overdue"`
-	// Error is the quorum's last error; empty after a success.
+	// Error is the error that led to State, or empty.
 	Error string `json:"error,omitempty"`
 }
 
-// Status returns the status of each task that was run, in no particular order.
+// Status returns the status of each task that was passed to Run, in no particular order.
 func (e *Elector) Status() []Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
