--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -10,10 +10,11 @@
 	"net/http"
 )
 
-// callOverheadBytes is about what a call sends beyond its body; see Node.Sent.
+// callOverheadBytes is the approximate number of bytes that a call sends in addition to its body; see Node.Sent.
 const callOverheadBytes = 200
 
-// StatusError is an error with an HTTP status: of a handler, the status that its caller gets; of Call, the one that was received.
+// StatusError is an error with an HTTP status. A handler returns it to choose the status of the response; Call returns it with the
+// status that it received.
 type StatusError struct {
 	Status int
 	Err    error
@@ -21,11 +22,12 @@
 
 func (e *StatusError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error without its status.
+// Unwrap returns the error without the status.
 func (e *StatusError) Unwrap() error { return e.Err }
 
-// Handle registers a handler of POST calls of a path. handler gets a body of at most maxBodyBytes, in JSON, and returns what is
-// answered, as JSON. An error that is a StatusError is answered with its status, any other one with 500.
+// Handle registers a handler for POST calls to a path. handler receives the JSON body, which is at most maxBodyBytes long, and returns
+// the reply, which is encoded as JSON. If handler returns a StatusError, the response has its status; for any other error it has status
+// 500.
 func (n *Node) Handle(path string, maxBodyBytes int64, handler func(ctx context.Context, body []byte) (any, error)) {
 	n.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -33,13 +35,13 @@
 			http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
-		answer, err := handler(r.Context(), body)
+		reply, err := handler(r.Context(), body)
 		if err != nil {
 			http.Error(w, err.Error(), statusOf(err))
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(answer) // fails where the caller has left
+		_ = json.NewEncoder(w).Encode(reply) // fails if the caller has disconnected
 	})
 }
 
@@ -51,16 +53,17 @@
 	return http.StatusInternalServerError
 }
 
-// Call posts in to a peer as JSON and reads its answer into out, which may be nil. It ends with ctx. The error is a StatusError where
-// the peer answered with one, and also wraps ErrRemoteRejected where a retry would get the same.
+// Call sends in as JSON in a POST request to a peer and decodes the reply into out, which may be nil. It returns early if ctx is done.
+// If the peer responds with a status other than 200, the error is a StatusError; it also wraps ErrRemoteRejected if a retry would be
+// rejected, too.
 func (n *Node) Call(ctx context.Context, address, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("call %s: %w", path, err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("call %s: %w", path, err)
 	}
 	request.Header.Set(fleetHeader, n.options.Fleet)
 	n.sentBytes.Add(int64(len(body)) + callOverheadBytes)
@@ -70,19 +73,19 @@
 		return err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+	reply, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return fmt.Errorf("%s of %s: %w", path, address, err)
+		return fmt.Errorf("call %s on %s: %w", path, address, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		err := fmt.Errorf("%s of %s: %s", path, address, bytes.TrimSpace(answer))
+		err := fmt.Errorf("call %s on %s: %s", path, address, bytes.TrimSpace(reply))
 		return newStatusError(response.StatusCode, err)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
-		return fmt.Errorf("%s of %s: %w", path, address, err)
+	if err := json.Unmarshal(reply, out); err != nil {
+		return fmt.Errorf("call %s on %s: %w", path, address, err)
 	}
 	return nil
 }
--- a/internal/peer/network.go
+++ b/internal/peer/network.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Network is how a process reaches others and is reached: sockets, or a test's substitute. Addresses of its listeners are
+// Network opens listeners and connections: on sockets, or on a simulated network in tests. The address of a listener must be a
 // *net.TCPAddr.
 type Network interface {
 	Listen(address string) (net.Listener, error)
@@ -17,7 +17,7 @@
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
-// socketNetwork is this machine's TCP and UDP.
+// socketNetwork implements Network with the TCP and UDP sockets of this machine.
 type socketNetwork struct{}
 
 func (socketNetwork) Listen(address string) (net.Listener, error) {
@@ -33,11 +33,11 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// errPartitioned means that SetPartition separates this process from a peer.
+// errPartitioned means that SetPartition has separated this process from the peer.
 var errPartitioned = errors.New("partitioned from the peer")
 
-// SetPartition separates this process from each address for which separated returns true, from now on: packets to them are lost and
-// new connections fail; open ones stay. Nil ends the partition. It is for tests and experiments.
+// SetPartition simulates a network partition for tests and experiments: packets to each address for which separated returns true are
+// dropped and new connections to it fail. Open connections are not affected. Nil ends the partition.
 func (n *Node) SetPartition(separated func(address string) bool) {
 	if separated == nil {
 		n.partition.Store(nil)
@@ -51,7 +51,7 @@
 	return separated != nil && (*separated)(address)
 }
 
-// route returns the address by which a peer is reached from here.
+// route returns the address at which this process reaches a peer; see Options.Via.
 func (n *Node) route(address string) string {
 	if via, ok := n.options.Via[address]; ok {
 		return via
@@ -59,10 +59,10 @@
 	return address
 }
 
-// dial connects to a peer by its own address.
+// dial opens a connection to the peer with this address, which route may translate.
 func (n *Node) dial(ctx context.Context, address string) (net.Conn, error) {
 	if n.partitionedFrom(address) {
-		return nil, fmt.Errorf("%s: %w", address, errPartitioned)
+		return nil, fmt.Errorf("dial %s: %w", address, errPartitioned)
 	}
 	conn, err := n.options.Network.Dial(ctx, n.route(address))
 	if err != nil {
@@ -71,7 +71,7 @@
 	return &countedConn{Conn: conn, counters: &n.traffic}, nil
 }
 
-// Private reports whether an address is localhost, or an IP address that is loopback, private or link-local.
+// Private reports whether the host of an address is localhost or a loopback, private or link-local IP address.
 func Private(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return err == nil && (ip.IsLoopback() || ip.IsPrivate() || ip.IsLinkLocalUnicast())
 }
 
-// Port returns the port of an address, 0 where it has none.
+// Port returns the port of an address, or 0 if it has none.
 func Port(address string) int {
 	_, text, _ := net.SplitHostPort(address)
 	port, _ := strconv.Atoi(text)
--- a/internal/peer/packet.go
+++ b/internal/peer/packet.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// SendPacket sends a UDP packet to a peer. No error does not mean that it arrives.
+// SendPacket sends a UDP packet to a peer. Delivery is not guaranteed, even if the error is nil.
 func (n *Node) SendPacket(address string, packet []byte) error {
 	to, err := n.resolve(address)
 	if err != nil {
@@ -12,13 +12,14 @@
 	n.traffic.packets.Add(1)
 	n.traffic.packetBytes.Add(int64(len(packet)))
 	if n.partitionedFrom(address) {
-		return nil // lost on the way
+		return nil // a partition drops packets without an error
 	}
 	_, err = n.packets.WriteTo(packet, to)
 	return err
 }
 
-// resolve returns the UDP address by which a peer is reached from here, from a bounded cache: peers' addresses come from outside.
+// resolve returns the UDP address at which this process reaches a peer. The cache of addresses is bounded because the addresses of peers
+// are external input.
 func (n *Node) resolve(address string) (*net.UDPAddr, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -36,5 +37,5 @@
 	return resolved, nil
 }
 
-// ReadPacket waits for the next packet and copies it to buffer. It is for one goroutine, and fails after Close.
+// ReadPacket waits for the next packet and copies it to buffer. It returns an error after Close. Only one goroutine may call it.
 func (n *Node) ReadPacket(buffer []byte) (int, net.Addr, error) { return n.packets.ReadFrom(buffer) }
--- a/internal/peer/partition_test.go
+++ b/internal/peer/partition_test.go
@@ -20,8 +20,8 @@
 	return node
 }
 
-// TestPartitionStopsCallsAndPackets separates a node from one of two others: neither calls nor packets arrive there, the third node is
-// reached, and once the partition ends the second one is reached again.
+// TestPartitionStopsCallsAndPackets separates a node from one of two others. Calls and packets must not reach the separated node until
+// the partition ends, and calls must reach the other one.
 func TestPartitionStopsCallsAndPackets(t *testing.T) {
 	testbed.Leaks(t)
 	var nodes [3]*Node
@@ -45,17 +45,17 @@
 	call := func(to *Node) error { return nodes[0].Call(t.Context(), to.Addr(), "/x", 1, nil) }
 	nodes[0].SetPartition(func(address string) bool { return address == nodes[1].Addr() })
 	if err := call(nodes[1]); !errors.Is(err, errPartitioned) {
-		t.Errorf("a call across the partition: %v", err)
+		t.Errorf("Call across the partition: got error %v, want %v", err, errPartitioned)
 	}
 	if err := call(nodes[2]); err != nil {
-		t.Errorf("a call on the same side: %v", err)
+		t.Errorf("Call to a node that is not separated: %v", err)
 	}
 	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("lost")); err != nil {
-		t.Errorf("a packet across the partition is lost without an error, not: %v", err)
+		t.Errorf("SendPacket across the partition: got error %v, want none", err)
 	}
 	nodes[0].SetPartition(nil)
 	if err := call(nodes[1]); err != nil {
-		t.Errorf("a call after the partition: %v", err)
+		t.Errorf("Call after the end of the partition: %v", err)
 	}
 	if err := nodes[0].SendPacket(nodes[1].Addr(), []byte("arrives")); err != nil {
 		t.Error(err)
@@ -63,9 +63,9 @@
 	select {
 	case packet := <-received:
 		if packet != "arrives" {
-			t.Errorf("%q arrived", packet)
+			t.Errorf("got packet %q, want %q", packet, "arrives")
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("no packet arrived")
+		t.Error("no packet arrived within 5s")
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,9 @@
-// Package peer is a process's one address among the processes of its fleet: HTTP/1.1 calls, streams that begin as HTTP upgrades, and
-// UDP packets to the same port. A header names the fleet; processes of other fleets are rejected.
+// Package peer provides communication between the processes of a fleet. Each process has one address, which accepts HTTP/1.1 calls,
+// streams that begin as HTTP upgrades, and UDP packets on the same port. Calls and streams carry the name of the fleet in a header;
+// processes of other fleets are rejected.
 //
-// Nothing is encrypted or authenticated: whoever reaches the address is trusted. Listen on loopback or a private network.
+// Nothing is encrypted or authenticated: every process that can reach the address is trusted. Listen only on loopback or a private
+// network.
 package peer
 
 import (
@@ -16,13 +18,13 @@
 	"time"
 )
 
-// fleetHeader names the fleet of the process that calls.
+// fleetHeader is the header with the name of the caller's fleet.
 const fleetHeader = "Robindrum-Fleet"
 
 const (
-	maxCalls             = 4096 // in progress at once
-	maxStreams           = 4096 // open at once
-	maxResolvedAddresses = 4096 // that are cached
+	maxCalls             = 4096 // handled concurrently
+	maxStreams           = 4096 // open concurrently
+	maxResolvedAddresses = 4096 // in the cache
 	maxReplyBytes        = 64 << 20
 	maxHeaderBytes       = 16 << 10
 
@@ -37,23 +39,23 @@
 	listenAttempts = 16
 )
 
-// ErrRemoteRejected means that the other side is of another fleet, or rejected a call or stream for a reason that a retry does not
-// change.
-var ErrRemoteRejected = errors.New("rejected by the other side")
+// ErrRemoteRejected means that the peer belongs to another fleet, or rejected a call or stream for another reason that makes a retry
+// useless.
+var ErrRemoteRejected = errors.New("rejected by the peer")
 
 // Options configure a Node.
 type Options struct {
-	Fleet   string // name of the fleet; processes of others are rejected
-	Address string // host:port to listen on; port 0: any
-	// Via maps the addresses of peers to the ones by which this process reaches them (port forwarding, a tunnel).
+	Fleet   string // name of the fleet; processes of other fleets are rejected
+	Address string // host:port to listen on; port 0 selects a free port
+	// Via maps addresses of peers to the addresses at which this process reaches them, for port forwarding or a tunnel.
 	Via map[string]string
-	// Network is what Address is on. Nil: this machine's sockets.
+	// Network is the network of Address. The default is this machine's TCP and UDP sockets.
 	Network Network
 	Log     *slog.Logger
 }
 
-// Node is a process's address among its fleet. Its methods may be called by several goroutines at once, except that handlers are
-// registered before Serve.
+// Node is a process's connection to its fleet. Its methods may be called concurrently, except that all handlers must be registered
+// before Serve.
 type Node struct {
 	options   Options
 	listener  net.Listener
@@ -61,19 +63,19 @@
 	mux       *http.ServeMux
 	server    *http.Server
 	client    *http.Client
-	served    chan struct{} // closed when the server ends
-	calls     atomic.Int64  // being handled
+	served    chan struct{} // closed when Serve's goroutine ends
+	calls     atomic.Int64  // calls being handled
 	sentBytes atomic.Int64
 	traffic   counters
-	partition atomic.Pointer[func(address string) bool] // nil: none
+	partition atomic.Pointer[func(address string) bool] // nil: no partition
 
 	mu       sync.Mutex
 	closed   bool
-	streams  map[net.Conn]struct{}   // open ones
-	resolved map[string]*net.UDPAddr // by the peer's own address
+	streams  map[net.Conn]struct{}   // open streams
+	resolved map[string]*net.UDPAddr // by peer address, before Via
 }
 
-// Listen opens the address for TCP and UDP. The node answers calls once Serve is called.
+// Listen opens the address for TCP and UDP. The node handles calls and streams only after Serve is called.
 func Listen(options Options) (*Node, error) {
 	if options.Network == nil {
 		options.Network = socketNetwork{}
@@ -104,7 +106,7 @@
 	return n, nil
 }
 
-// listen opens the same port for TCP and UDP. A port chosen for TCP may be taken for UDP, and then it tries others.
+// listen opens the same port for TCP and UDP. A free port selected for TCP may be in use for UDP; listen then tries other ports.
 func (n *Node) listen() error {
 	_, port, err := net.SplitHostPort(n.options.Address)
 	anyPort := err == nil && port == "0"
@@ -130,21 +132,21 @@
 	return lastErr
 }
 
-// Addr returns the address that the node listens on.
+// Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Sent returns the bytes of calls and packets that were sent, without those of streams.
+// Sent returns the approximate number of bytes sent in calls and packets, without streams.
 func (n *Node) Sent() int64 { return n.sentBytes.Load() }
 
-// Serve starts to answer calls and streams, until Close. It does not block and must be called at most once.
+// Serve starts a goroutine that handles calls and streams until Close. It does not block and must be called at most once.
 func (n *Node) Serve() {
 	go func() {
 		defer close(n.served)
-		_ = n.server.Serve(n.listener) // ends with Close
+		_ = n.server.Serve(n.listener) // returns after Close
 	}()
 }
 
-// Close ends the node and closes all its connections.
+// Close stops the node and closes all its connections.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -158,14 +160,14 @@
 	n.client.CloseIdleConnections()
 	select {
 	case <-n.served:
-	case <-time.After(closeTimeout): // Serve was never called
+	case <-time.After(closeTimeout): // Serve may never have been called
 	}
 }
 
-// Mux returns the handlers by path, for handlers of other kinds than Handle's.
+// Mux returns the node's ServeMux, to register handlers for which Handle is not suitable.
 func (n *Node) Mux() *http.ServeMux { return n.mux }
 
-// serveHTTP rejects calls of other fleets and calls beyond maxCalls, and hands others to their handlers.
+// serveHTTP rejects calls from other fleets and calls in excess of maxCalls, and passes other calls to their handlers.
 func (n *Node) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	if fleet := r.Header.Get(fleetHeader); fleet != n.options.Fleet {
 		http.Error(w, fmt.Sprintf("this is fleet %q, not %q", n.options.Fleet, fleet), http.StatusMisdirectedRequest)
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Path of streams and pattern of their handlers, before the kind.
+// Prefixes of the path of a stream and of the pattern of its handler; the kind of the stream follows.
 const (
 	streamPath    = "/fleet/v1/stream/"
 	streamPattern = "GET /fleet/v1/stream/"
 )
 
-// streamProtocol returns the protocol that a stream of a kind upgrades to.
+// streamProtocol returns the value of the Upgrade header for streams of a kind.
 func streamProtocol(kind string) string { return "robindrum-" + kind }
 
-// HandleStream registers a handler of streams of a kind. greet checks the caller's header and returns the header to answer with, or
-// why the stream is rejected; accept then owns the connection.
-func (n *Node) HandleStream(kind string, greet func(http.Header) (http.Header, error), accept func(net.Conn)) {
+// HandleStream registers a handler for streams of a kind. handshake checks the request header and returns the response header, or an
+// error to reject the stream. accept then receives the connection and must close it.
+func (n *Node) HandleStream(kind string, handshake func(http.Header) (http.Header, error), accept func(net.Conn)) {
 	n.mux.HandleFunc(streamPattern+kind, func(w http.ResponseWriter, r *http.Request) {
-		answer, err := greet(r.Header)
+		header, err := handshake(r.Header)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusForbidden)
 			return
@@ -35,7 +35,7 @@
 			return
 		}
 		_ = conn.SetDeadline(time.Now().Add(dialTimeout))
-		if writeUpgrade(buffered.Writer, kind, answer) != nil || !n.addStream(conn) {
+		if writeUpgrade(buffered.Writer, kind, header) != nil || !n.addStream(conn) {
 			conn.Close()
 			return
 		}
@@ -44,7 +44,7 @@
 	})
 }
 
-// writeUpgrade answers that a connection becomes a stream.
+// writeUpgrade writes the response that turns a connection into a stream.
 func writeUpgrade(w *bufio.Writer, kind string, header http.Header) error {
 	fmt.Fprintf(w, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: %s\r\n", streamProtocol(kind))
 	_ = header.Write(w) // Flush returns the first error
@@ -52,8 +52,8 @@
 	return w.Flush()
 }
 
-// Stream opens a stream of a kind to a peer, within ctx and dialTimeout. header is what the other side's greet gets; the returned one
-// is its answer. The error wraps ErrRemoteRejected where the other side rejects the stream.
+// Stream opens a stream of a kind to a peer, within ctx and dialTimeout. header is passed to the peer's handshake function; the returned
+// header is that of the response. The error wraps ErrRemoteRejected if the peer rejects the stream.
 func (n *Node) Stream(ctx context.Context, address, kind string, header http.Header) (net.Conn, http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -62,18 +62,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	opened, answer, err := n.upgrade(ctx, conn, address, kind, header)
+	opened, responseHeader, err := n.upgrade(ctx, conn, address, kind, header)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
 	}
-	return opened, answer, nil
+	return opened, responseHeader, nil
 }
 
-// upgrade turns a new connection into a stream. The caller closes conn after an error.
+// upgrade turns a new connection into a stream. If it returns an error, the caller must close conn.
 func (n *Node) upgrade(ctx context.Context, conn net.Conn, address, kind string, header http.Header) (*stream, http.Header, error) {
-	stopInterrupt := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	defer stopInterrupt()
+	stopCancellation := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	defer stopCancellation()
 	request, err := http.NewRequest(http.MethodGet, "http://"+address+streamPath+kind, nil)
 	if err != nil {
 		return nil, nil, err
@@ -91,10 +91,10 @@
 		return nil, nil, err
 	}
 	if response.StatusCode != http.StatusSwitchingProtocols {
-		text, _ := io.ReadAll(io.LimitReader(response.Body, maxHeaderBytes)) // as much as came
-		return nil, nil, fmt.Errorf("%w: %s of %s: %s", ErrRemoteRejected, kind, address, bytes.TrimSpace(text))
+		text, _ := io.ReadAll(io.LimitReader(response.Body, maxHeaderBytes)) // on an error, the text is incomplete
+		return nil, nil, fmt.Errorf("%w: stream %s to %s: %s", ErrRemoteRejected, kind, address, bytes.TrimSpace(text))
 	}
-	if !stopInterrupt() {
+	if !stopCancellation() {
 		return nil, nil, context.Cause(ctx)
 	}
 	if !n.addStream(conn) {
@@ -103,7 +103,7 @@
 	return &stream{Conn: conn, node: n, reader: reader}, response.Header, nil
 }
 
-// addStream records an open stream. It returns false where the node is closed or has too many.
+// addStream records an open stream. It returns false if the node is closed or has maxStreams open streams.
 func (n *Node) addStream(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,7 +120,7 @@
 	delete(n.streams, conn)
 }
 
-// stream is a connection after its upgrade, some bytes of which may have been read ahead.
+// stream is a connection after its upgrade. reader may have buffered bytes that were read with the HTTP header.
 type stream struct {
 	net.Conn
 	node   *Node
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// Traffic is what a Node has sent and received since it began, as bytes of payload: without the headers of IP, TCP and UDP.
+// Traffic counts what a Node has sent and received since Listen. Byte counts do not include the headers of IP, TCP and UDP.
 type Traffic struct {
 	Packets     int64 `json:"packets"`      // UDP packets sent
-	PacketBytes int64 `json:"packet_bytes"` // their payload
+	PacketBytes int64 `json:"packet_bytes"` // bytes sent in UDP packets
 	Calls       int64 `json:"calls"`        // made by this node
-	Streams     int64 `json:"streams"`      // opened by this node, or attempted
-	Out         int64 `json:"out"`          // bytes sent over TCP in either direction's calls and streams, with HTTP headers
-	In          int64 `json:"in"`           // bytes received, likewise
+	Streams     int64 `json:"streams"`      // opened by this node, including failed attempts
+	Out         int64 `json:"out"`          // bytes sent over TCP, including HTTP headers, by calls and streams of either side
+	In          int64 `json:"in"`           // bytes received over TCP, counted like Out
 }
 
-// Minus returns the traffic since an earlier reading.
+// Minus returns the difference between t and an earlier reading.
 func (t Traffic) Minus(earlier Traffic) Traffic {
 	return Traffic{
 		Packets:     t.Packets - earlier.Packets,
@@ -27,7 +27,7 @@
 	}
 }
 
-// Plus returns the sum of two nodes' traffic.
+// Plus returns the sum of t and other.
 func (t Traffic) Plus(other Traffic) Traffic {
 	return Traffic{
 		Packets:     t.Packets + other.Packets,
@@ -39,10 +39,10 @@
 	}
 }
 
-// Sent returns all bytes that were sent.
+// Sent returns the number of bytes sent over UDP and TCP.
 func (t Traffic) Sent() int64 { return t.PacketBytes + t.Out }
 
-// Traffic returns what has been sent and received.
+// Traffic returns the current counts.
 func (n *Node) Traffic() Traffic {
 	return Traffic{
 		Packets:     n.traffic.packets.Load(),
@@ -54,7 +54,7 @@
 	}
 }
 
-// counters are the figures of Traffic.
+// counters holds the counts that Node.Traffic returns.
 type counters struct {
 	packets     atomic.Int64
 	packetBytes atomic.Int64
@@ -64,7 +64,7 @@
 	bytesIn     atomic.Int64
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn counts the bytes that are read from and written to a connection.
 type countedConn struct {
 	net.Conn
 	counters *counters
@@ -82,7 +82,7 @@
 	return n, err
 }
 
-// countedListener counts the bytes of the connections that it accepts.
+// countedListener wraps accepted connections so that their bytes are counted.
 type countedListener struct {
 	net.Listener
 	counters *counters
--- a/internal/peer/traffic_test.go
+++ b/internal/peer/traffic_test.go
@@ -11,8 +11,8 @@
 	"robindrum/internal/testbed"
 )
 
-// TestTrafficOfBothSidesAgrees tests that what one node sends by calls, streams and packets the other one receives, and that each is
-// counted once.
+// TestTrafficOfBothSidesAgrees tests that the bytes that one node sends in calls and streams equal those that the other one receives,
+// and that each call, stream and packet is counted once.
 func TestTrafficOfBothSidesAgrees(t *testing.T) {
 	testbed.Leaks(t)
 	sender, receiver := listen(t), listen(t)
@@ -28,7 +28,7 @@
 	}
 	called := sender.Traffic()
 	if called.Calls != 1 || called.Streams != 0 || called.Out < 100 || called.In < 50 {
-		t.Errorf("a call: %+v", called)
+		t.Errorf("traffic of one call: got %+v, want 1 call, 0 streams, at least 100 bytes out and 50 in", called)
 	}
 	conn, _, err := sender.Stream(t.Context(), receiver.Addr(), "echo", http.Header{})
 	if err != nil {
@@ -42,20 +42,20 @@
 	}
 	conn.Close()
 	if streamed := sender.Traffic().Minus(called); streamed.Streams != 1 || streamed.Calls != 0 || streamed.Out < 1000 || streamed.Out > 1500 || streamed.In < 1000 || streamed.In > 1500 {
-		t.Errorf("a stream of 1000 bytes each way: %+v", streamed)
+		t.Errorf("traffic of a stream of 1000 bytes each way: got %+v, want 1 stream, 0 calls, 1000 to 1500 bytes each way", streamed)
 	}
 	if err := sender.SendPacket(receiver.Addr(), make([]byte, 300)); err != nil {
 		t.Fatal(err)
 	}
 	total := sender.Traffic()
 	if total.Packets != 1 || total.PacketBytes != 300 || total.Sent() != total.Out+300 {
-		t.Errorf("a packet of 300 bytes: %+v", total)
+		t.Errorf("traffic with a packet of 300 bytes: got %+v, want 1 packet and 300 bytes more than Out", total)
 	}
-	testbed.Eventually(t, "the other side's bytes", func() bool {
+	testbed.Eventually(t, "equal byte counts on both nodes", func() bool {
 		received := receiver.Traffic()
 		return received.In == total.Out && received.Out == total.In
 	})
 	if sum := total.Plus(receiver.Traffic()); sum.Out != sum.In || sum.Calls != 1 || sum.Packets != 1 {
-		t.Errorf("both together: %+v", sum)
+		t.Errorf("sum of both nodes: got %+v, want equal Out and In, 1 call and 1 packet", sum)
 	}
 }
