--- a/internal/unknownfields/unknownfields.go
+++ b/internal/unknownfields/unknownfields.go
@@ -1,8 +1,8 @@
-// Package unknownfields reads JSON objects without losing the fields that this program does not know: processes of different versions
-// pass on what the other one wrote, in messages and in stored state.
+// Package unknownfields decodes and encodes JSON objects without losing fields that this version of the program does not know. Processes
+// of different versions thereby preserve each other's fields in messages and in stored state.
 //
-// A type that keeps its unknown fields has a field of type Fields, tagged `json:"-"`, and these two methods, whose type plain has no
-// methods of its own and thus prevents their recursion:
+// A type that keeps its unknown fields has a field of type Fields, tagged `json:"-"`, and the following two methods. Their local type
+// plain has no methods, which prevents infinite recursion:
 //
 //	func (v T) MarshalJSON() ([]byte, error) {
 //		type plain T
@@ -25,11 +25,11 @@
 	"strings"
 )
 
-// Fields are the fields of a JSON object that a Go struct has no field for, by name.
+// Fields holds, by name, the fields of a JSON object that have no counterpart in a Go struct.
 type Fields map[string]json.RawMessage
 
-// Unmarshal decodes a JSON object into v, a pointer to a struct without an UnmarshalJSON method, and sets unknown to the other
-// fields of the object; to nil where there are none.
+// Unmarshal decodes a JSON object into v, which must be a pointer to a struct without an UnmarshalJSON method. It sets unknown to the
+// fields of the object that the struct does not have, or to nil if there are none.
 func Unmarshal(text []byte, v any, unknown *Fields) error {
 	if err := json.Unmarshal(text, v); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	known := fieldNames(reflect.TypeOf(v).Elem())
 	maps.DeleteFunc(all, func(name string, _ json.RawMessage) bool {
 		return slices.ContainsFunc(known, func(field string) bool {
-			return strings.EqualFold(field, name) // as encoding/json matches names
+			return strings.EqualFold(field, name) // encoding/json ignores case when it matches names
 		})
 	})
 	*unknown = nil
@@ -70,7 +70,7 @@
 	return names
 }
 
-// Marshal encodes v, whose JSON must be an object, and appends the unknown fields to it in the order of their names.
+// Marshal encodes v, which must encode as a JSON object, and appends the unknown fields to the object, sorted by name.
 func Marshal(v any, unknown Fields) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil || len(unknown) == 0 {
@@ -94,20 +94,20 @@
 	return object.Bytes(), nil
 }
 
-// State is the stored form of a state machine.
+// State is the state of a state machine that is stored as JSON.
 type State interface {
-	// Validate returns an error where no sequence of commands can have led to the state.
+	// Validate returns an error if no sequence of commands can produce the state.
 	Validate() error
 }
 
-// Restore decodes a stored state into empty and validates it. Errors begin with the name of the state.
+// Restore decodes a stored state into empty, validates it and returns it. Errors begin with name.
 func Restore[S State](name string, text []byte, empty S) (S, error) {
-	var none S
+	var zero S
 	if err := json.Unmarshal(text, empty); err != nil {
-		return none, fmt.Errorf("%s: %w", name, err)
+		return zero, fmt.Errorf("%s: %w", name, err)
 	}
 	if err := empty.Validate(); err != nil {
-		return none, fmt.Errorf("%s: %w", name, err)
+		return zero, fmt.Errorf("%s: %w", name, err)
 	}
 	return empty, nil
 }
--- a/internal/unknownfields/unknownfields_test.go
+++ b/internal/unknownfields/unknownfields_test.go
@@ -13,7 +13,7 @@
 	"robindrum/internal/unknownfields"
 )
 
-// TestUnknownFieldsSurviveARoundTrip decodes and encodes each kind of message and state with fields of a newer version.
+// TestUnknownFieldsSurviveARoundTrip decodes and encodes each type that keeps unknown fields, with two fields of a newer version added.
 func TestUnknownFieldsSurviveARoundTrip(t *testing.T) {
 	for name, value := range map[string]any{
 		"drain request":  &drain.Request{ID: "a"},
@@ -32,12 +32,13 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if text, err = json.Marshal(value); err != nil || string(text) != newer {
-			t.Errorf("%s: %s\ncame back as %s, %v", name, newer, text, err)
+			t.Errorf("%s: round trip: got %s and error %v, want %s", name, text, err, newer)
 		}
 	}
 }
 
-// TestUnknownFieldsOfADrainRequestReachTheView submits a request of a newer version and looks for its fields in the gateways' view.
+// TestUnknownFieldsOfADrainRequestReachTheView submits a drain request of a newer version. The view that gateways receive must contain
+// the request's unknown fields.
 func TestUnknownFieldsOfADrainRequestReachTheView(t *testing.T) {
 	var request drain.Request
 	if err := json.Unmarshal([]byte(`{"id":"a","target":{"gateway":"g"},"grace":1000000000,"paint":"blue"}`), &request); err != nil {
@@ -50,11 +51,11 @@
 		t.Fatal(err)
 	}
 	if text, _ := json.Marshal(ledger.View(1)); !strings.Contains(string(text), `"paint":"blue"`) {
-		t.Errorf("%s", text)
+		t.Errorf("got view %s, want one that contains the unknown field paint", text)
 	}
 }
 
-// FuzzUnknownFieldsRoundTrip decodes arbitrary text, encodes the result and expects to read the same again.
+// FuzzUnknownFieldsRoundTrip decodes arbitrary text, encodes the result and decodes it again. Both decoded values must be equal.
 func FuzzUnknownFieldsRoundTrip(f *testing.F) {
 	f.Add(`{"id":"a","ID":"b","x":1,"target":null}`)
 	f.Add(`{"id":1}`)
@@ -75,7 +76,7 @@
 		}
 		err = unknownfields.Unmarshal(encoded, &second, &secondUnknown)
 		if err != nil || len(firstUnknown) != len(secondUnknown) || first.ID != second.ID || len(first.Target) != len(second.Target) {
-			t.Fatalf("%q became %s: %v, %v", text, encoded, err, reflect.DeepEqual(firstUnknown, secondUnknown))
+			t.Fatalf("round trip of %q through %s: got error %v and equal unknown fields: %v", text, encoded, err, reflect.DeepEqual(firstUnknown, secondUnknown))
 		}
 	})
 }
