--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -48,7 +48,7 @@
 	ErrFull = errors.New("the lease table is full")
 )
 
-// Member identifies a process that asks for leases.
+// Member identifies a process that acquires leases.
 type Member struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"birth"` // increases with each start of a process with this name
@@ -65,7 +65,7 @@
 type Rules struct {
 	Length  time.Duration `json:"length"`
 	Site    string        `json:"site,omitempty"`     // waiters at this site are preferred; empty: no preference
-	MaxWait time.Duration `json:"patience,omitempty"` // waiters past it go first, regardless of site and load
+	MaxWait time.Duration `json:"patience,omitempty"` // waiters that have waited longer have priority, regardless of site and load
 	MinHold time.Duration `json:"floor,omitempty"`    // minimum time between grants to different holders, to prevent flapping
 }
 
--- a/internal/lease/selection.go
+++ b/internal/lease/selection.go
@@ -9,8 +9,8 @@
 const noWaiter = -1
 
 // nextWaiter returns the index of the waiter to which the lease can be granted now, or noWaiter. A successor has priority for the
-// length of the lease after its release. Without a successor, or if it does not ask in that time, preferredWaiter selects the waiter
-// once MinHold has passed.
+// length of the lease after its release. Without a successor, or if the successor is not queued by then, preferredWaiter selects the
+// waiter once MinHold has passed.
 func (t *Table) nextWaiter(lease *Lease) int {
 	if lease.Holder.Name != "" || len(lease.Waiters) == 0 {
 		return noWaiter
--- a/internal/simprotocol/hub.go
+++ b/internal/simprotocol/hub.go
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// boot creates the instance's Balancer. It replaces an earlier one and discards that one's pending actions.
+// boot creates the instance's Balancer. An earlier Balancer is replaced and its pending actions are discarded.
 func (inst *instance) boot(boot *Boot) error {
 	settings, err := boot.Info.Settings()
 	if err != nil {
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -19,7 +19,8 @@
 		"called_off": balancer.Cancelled, "not_sent": balancer.NotSent}
 )
 
-// Settings converts the simulator's settings to the balancer's. The error for an unknown value names its field.
+// Settings converts the simulator's settings to the balancer's. An unknown effect or group of a profile is an error; an unknown weight
+// source or report mode counts as off.
 func (info *Info) Settings() (balancer.Settings, error) {
 	caps, contract := &info.Caps, &info.Contract
 	settings := balancer.Settings{
