--- a/internal/quorum/store.go
+++ b/internal/quorum/store.go
@@ -16,7 +16,7 @@
 const entryOverheadBytes = 128
 
 // ErrStoreFull means that a write would exceed the size limit of the voter's store.
-var ErrStoreFull = errors.New("store size limit reached")
+var ErrStoreFull = errors.New("the store has reached its size")
 
 // Disk is called before and after each write to the store, so that tests can make writes slow or fail. Its methods must be safe for
 // concurrent use.
