--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -22,35 +22,35 @@
 
 const (
 	maxHeadBytes       = 8 << 10
-	requestReadTimeout = 2500 * time.Millisecond // for a complete request; of the first one from the connection's start
-	clientIdle         = 90 * time.Second        // between two requests of a connection
-	clientStall        = 10 * time.Second
-	lingerTimeout      = 500 * time.Millisecond
+	requestReadTimeout = 2500 * time.Millisecond // for a complete request; for a connection's first one from its accept on
+	clientIdleTimeout  = 90 * time.Second        // between two requests on a connection
+	clientWriteTimeout = 10 * time.Second        // for one write to a client
+	lingerTimeout      = 500 * time.Millisecond  // for reading from a connection after its sending side is closed
 	maxLingerBytes     = 1 << 20
 )
 
-// client is the connection of one client, served by one goroutine.
+// client is the connection of one client. One goroutine serves it.
 type client struct {
 	*net.TCPConn
 	front            *Front
 	raw              syscall.RawConn
 	br               *bufio.Reader
-	idleSince        atomic.Int64 // ns on the clientSet's clock since which nothing is read or answered; 0 while something is
-	readAhead        atomic.Bool  // the reader waits behind bytes that came before the answer
-	served           atomic.Bool
-	headPendingSince atomic.Int64 // ns on the clientSet's clock since which a request head is awaited; 0 if none is, -1 once the client was shed
-	prefix           netip.Prefix
+	idleSince        atomic.Int64 // when the connection became idle, in ns of the clientSet's clock; 0 while a request is read or answered
+	readAhead        atomic.Bool  // the reader has bytes of a pipelined request and waits for more
+	served           atomic.Bool  // a complete request head has been read
+	headPendingSince atomic.Int64 // since when a request head is awaited, in ns of the clientSet's clock; 0 if none is, -1 once the client is shed
+	prefix           netip.Prefix // of the client's address; set only if the clientSet sheds silent clients
 	peer             Peer
 
 	reading   sync.Mutex // held while bytes are read, and while the connection is closed as idle
-	bytesRead bool       // since the last request was accepted
+	bytesRead bool       // bytes were read since the last request was accepted
 	closed    atomic.Bool
 }
 
 var errHeadTooLong = errors.New("the head is too long")
 
-// Read reads from the connection and marks it as not idle in one step. In two steps, a request that was read in between
-// could be closed with the idle connection, and its client could not tell that it was not processed.
+// Read reads from the connection and atomically marks it as not idle. Otherwise the connection could be closed as idle after a
+// request was read from it, and the client could not tell that the request was not processed.
 func (c *client) Read(p []byte) (n int, err error) {
 	if werr := c.raw.Read(func(fd uintptr) bool {
 		c.reading.Lock()
@@ -75,14 +75,14 @@
 	return max(n, 0), err
 }
 
-// requestAccepted notes that the bytes read so far belong to a request that is now accepted.
+// requestAccepted records that the bytes read so far belong to a request that is now accepted.
 func (c *client) requestAccepted() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
 	c.bytesRead = false
 }
 
-// answerWritten marks the connection as idle unless bytes of a next request have been read.
+// answerWritten marks the connection as idle unless bytes of the next request have been read.
 func (c *client) answerWritten() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -91,33 +91,35 @@
 	}
 }
 
-// closeIdle closes the connection if idle still returns true and nothing waits to be read.
+// closeIdle closes the connection if idle still returns true and no bytes are waiting to be read. It reports whether it closed
+// the connection.
 func (c *client) closeIdle(idle func() bool) bool {
 	c.reading.Lock()
-	ends := idle()
-	if waits, _ := c.peek(); waits { // last, since bytes may arrive at any time
-		ends = false
+	closing := idle()
+	if unread, _ := c.peek(); unread { // checked last, since bytes may arrive at any time
+		closing = false
 	}
-	ends = ends && !c.closed.Swap(true)
+	closing = closing && !c.closed.Swap(true)
 	c.reading.Unlock()
-	if ends { // not under the lock: closing waits for the reader
+	if closing { // after the lock is released, since closing waits for the reader
 		_ = c.closeConnection()
 	}
-	return ends
+	return closing
 }
 
-// peek reports whether bytes wait to be read, and whether the client has closed its side with nothing left to read.
-func (c *client) peek() (waits, left bool) {
+// peek reports whether bytes are waiting to be read, and whether the client has disconnected or closed its sending side and no
+// bytes are left to read.
+func (c *client) peek() (unread, disconnected bool) {
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = n > 0
-		left = n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
+		unread = n > 0
+		disconnected = n == 0 && err == nil || err != nil && err != syscall.EAGAIN && err != syscall.EINTR
 	})
-	return waits, left || err != nil
+	return unread, disconnected || err != nil
 }
 
-// Close closes the connection and releases its descriptor, once.
+// Close closes the connection and releases its descriptor. Further calls do nothing.
 func (c *client) Close() error {
 	if c.closed.Swap(true) {
 		return nil
@@ -131,26 +133,26 @@
 	return err
 }
 
-// serve serves the connection's requests one after the other until it ends.
+// serve serves the connection's requests one after the other and then closes the connection.
 func (c *client) serve() {
 	defer func() { _ = c.Close() }()
-	defer func() { // a panic in serving one client must not end the others
-		if p := recover(); p != nil {
-			slog.Error("serving a client", "panic", p, "stack", string(debug.Stack()))
+	defer func() { // a panic while serving one client must not affect the others
+		if panicked := recover(); panicked != nil {
+			slog.Error("panic while serving a client", "panic", panicked, "stack", string(debug.Stack()))
 		}
 	}()
 	c.br = bufio.NewReaderSize(c, maxHeadBytes)
-	// A client that connects and sends nothing, or half a request, holds a descriptor that others need.
-	until := time.Now().Add(requestReadTimeout)
-	c.SetReadDeadline(until)
-	for c.serveNext(until) {
-		until = time.Time{}
+	// The timeout starts now, since a client that sends nothing or an incomplete request holds a descriptor that others need.
+	readDeadline := time.Now().Add(requestReadTimeout)
+	c.SetReadDeadline(readDeadline)
+	for c.serveNext(readDeadline) {
+		readDeadline = time.Time{}
 	}
 }
 
-// serveNext serves one request, which must be complete by until or, if that is zero, within requestReadTimeout of its
-// first byte. It returns false if the connection ends with it.
-func (c *client) serveNext(until time.Time) bool {
+// serveNext serves one request, which must be complete by readDeadline or, if that is zero, within requestReadTimeout of its
+// first byte. It returns false if the connection must be closed.
+func (c *client) serveNext(readDeadline time.Time) bool {
 	if _, err := c.br.Peek(1); err != nil {
 		return false
 	}
@@ -158,10 +160,10 @@
 	if c.headPendingSince.Load() == 0 {
 		c.front.conns.headPending(c)
 	}
-	if until.IsZero() {
-		until = time.Now().Add(requestReadTimeout)
+	if readDeadline.IsZero() {
+		readDeadline = time.Now().Add(requestReadTimeout)
 	}
-	c.SetReadDeadline(until)
+	c.SetReadDeadline(readDeadline)
 	head, err := c.readHead()
 	if !c.front.conns.headArrived(c) {
 		return false
@@ -179,32 +181,32 @@
 		c.reject(http.StatusBadRequest, "half a request")
 		return false
 	}
-	length, coded := framing(head)
+	hasLength, hasEncoding := framing(head)
 	r, err := http.ReadRequest(c.br)
 	if err != nil {
 		c.reject(http.StatusBadRequest, "not a request")
 		return false
 	}
-	// net/http silently drops the length if there is an encoding as well, and an encoding in HTTP/1.0. An endpoint that
-	// prefers the other one would find another request in the body: request smuggling.
-	if coded && (length || len(r.TransferEncoding) == 0) {
+	// net/http silently ignores the Content-Length if there is also a Transfer-Encoding, and ignores a Transfer-Encoding in
+	// HTTP/1.0. An endpoint that decides differently would parse part of the body as another request (request smuggling).
+	if hasEncoding && (hasLength || len(r.TransferEncoding) == 0) {
 		c.reject(http.StatusBadRequest, "where the body ends is not clear")
 		return false
 	}
-	if text := malformed(r); text != "" {
+	if text := validateRequest(r); text != "" {
 		c.reject(http.StatusBadRequest, text)
 		return false
 	}
-	return c.front.handleRequest(c, r, until)
+	return c.front.handleRequest(c, r, readDeadline)
 }
 
 // readHead waits for a complete request head and returns it without consuming it.
 func (c *client) readHead() ([]byte, error) {
 	for n := 1; ; {
 		_, err := c.br.Peek(n)
-		b, _ := c.br.Peek(c.br.Buffered())
-		if end := headEnd(b); end > 0 {
-			return b[:end], nil
+		buffered, _ := c.br.Peek(c.br.Buffered())
+		if end := headEnd(buffered); end > 0 {
+			return buffered[:end], nil
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			return nil, errHeadTooLong
@@ -212,11 +214,11 @@
 		if err != nil {
 			return nil, err
 		}
-		n = len(b) + 1
+		n = len(buffered) + 1
 	}
 }
 
-// headEnd returns the index behind the empty line that ends a head; 0 if it has not arrived.
+// headEnd returns the index after the empty line that ends a request head, or 0 if the head is incomplete.
 func headEnd(b []byte) int {
 	for i, ch := range b {
 		if ch != '\n' {
@@ -229,23 +231,23 @@
 	return 0
 }
 
-// framing reports whether a head has a Content-Length and whether it has a Transfer-Encoding.
-func framing(head []byte) (length, coded bool) {
+// framing reports whether a request head has a Content-Length and whether it has a Transfer-Encoding.
+func framing(head []byte) (hasLength, hasEncoding bool) {
 	for line := range bytes.Lines(head) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		name = bytes.TrimSpace(name)
-		length = length || bytes.EqualFold(name, []byte("Content-Length"))
-		coded = coded || bytes.EqualFold(name, []byte("Transfer-Encoding"))
+		hasLength = hasLength || bytes.EqualFold(name, []byte("Content-Length"))
+		hasEncoding = hasEncoding || bytes.EqualFold(name, []byte("Transfer-Encoding"))
 	}
-	return length, coded
+	return hasLength, hasEncoding
 }
 
-// awaitAnswer waits until a request is answered and watches for the client's end meanwhile. It returns false if the
-// connection ends with the request.
+// awaitAnswer waits until a request is answered, and abandons the request if the client disconnects in the meantime. It returns
+// false if the connection must be closed.
 func (c *client) awaitAnswer(core *Core, q *Request, x *exchange) bool {
 	_, err := c.br.Peek(1)
 	if err == nil && !q.isDone() { // a pipelined request
-		// Reading on shows whether the client leaves, after which its request must not be forwarded.
+		// Continues reading to detect whether the client disconnects, after which its request must not be forwarded.
 		c.readAhead.Store(true)
 		for err == nil && !x.finished.Load() {
 			_, err = c.br.Peek(c.br.Buffered() + 1)
@@ -254,12 +256,12 @@
 	}
 	switch {
 	case err == nil:
-	case errors.Is(err, bufio.ErrBufferFull): // the full buffer hides whether the client leaves
-		guard := time.NewTimer(time.Until(q.deadline) + abandonMargin)
-		defer guard.Stop()
+	case errors.Is(err, bufio.ErrBufferFull): // the buffer is full, so a disconnect cannot be detected
+		abandonTimer := time.NewTimer(time.Until(q.deadline) + abandonMargin)
+		defer abandonTimer.Stop()
 		select {
 		case <-q.done:
-		case <-guard.C:
+		case <-abandonTimer.C:
 			core.Abandon(q)
 		case <-c.front.expired:
 			core.End(q)
@@ -271,9 +273,9 @@
 			core.Abandon(q)
 		}
 		if <-q.done; !x.closes {
-			c.SetReadDeadline(time.Now().Add(clientIdle))
+			c.SetReadDeadline(time.Now().Add(clientIdleTimeout))
 		}
-	default: // the client left, or has closed its sending side and may still read
+	default: // the client disconnected, or closed its sending side and may still read
 		core.Abandon(q)
 		<-q.done
 		return false
@@ -285,7 +287,8 @@
 	return true
 }
 
-// closeGracefully closes the sending side and reads for a while, so that the answer is not lost to a reset.
+// closeGracefully closes the sending side and then reads for up to lingerTimeout. Closing with unread bytes would send a reset, and
+// the client could lose the answer.
 func (c *client) closeGracefully() {
 	c.front.conns.markIdle(c)
 	_ = c.CloseWrite()
@@ -293,7 +296,7 @@
 	_, _ = io.CopyN(io.Discard, c.br, maxLingerBytes)
 }
 
-// reject answers with an error and closes the connection.
+// reject answers with an error status and text, and closes the connection.
 func (c *client) reject(status int, text string) {
 	c.answerAndClose(Answer{Status: status, Body: []byte(text + "\n")})
 }
@@ -304,11 +307,11 @@
 	c.closeGracefully()
 }
 
-// writeAnswer writes a complete answer; last adds Connection: close.
-func (c *client) writeAnswer(a Answer, last bool) error {
+// writeAnswer writes a complete answer. closeAfter adds the header Connection: close.
+func (c *client) writeAnswer(a Answer, closeAfter bool) error {
 	p := responseBuffers.Get().(*[]byte)
 	defer responseBuffers.Put(p)
-	b := appendHead((*p)[:0], a.Status, a.Header, last)
+	b := appendHead((*p)[:0], a.Status, a.Header, closeAfter)
 	if a.RetryAfter > 0 && c.front.wholeSeconds {
 		b = append(strconv.AppendInt(append(b, "Retry-After: "...), int64(math.Ceil(a.RetryAfter.Seconds())), 10), "\r\n"...)
 	} else if a.RetryAfter > 0 {
@@ -318,11 +321,11 @@
 	if a.noBody && length == 0 {
 		length = a.Length
 	}
-	if a.Status != http.StatusNoContent && a.Status != http.StatusNotModified && length >= 0 { // these have none (RFC 9110, 8.6)
+	if a.Status != http.StatusNoContent && a.Status != http.StatusNotModified && length >= 0 { // these statuses need no Content-Length (RFC 9110, section 8.6)
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
 	}
 	b = append(b, "\r\n"...)
-	c.SetWriteDeadline(time.Now().Add(clientStall))
+	c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	if !a.noBody && len(a.Body) > 0 {
 		if len(b)+len(a.Body) <= cap(b) {
 			b = append(b, a.Body...)
@@ -336,23 +339,23 @@
 	return err
 }
 
-// exchange is one request of a connection. It implements Client.
+// exchange is one request on a connection and its answer. It implements Client.
 type exchange struct {
 	client     *client
 	wantsClose bool
 	noBody     bool
-	closes     bool // the connection ends with the answer; set before Done is closed
+	closes     bool // the connection is closed after the answer; set before the request's Done channel is closed
 	finished   atomic.Bool
 	stream     *stream
 }
 
 var (
-	longAgo   = time.Unix(1, 0)
-	errBroken = errors.New("the answer broke off")
+	longAgo             = time.Unix(1, 0) // a deadline in the past, which interrupts blocked calls
+	errIncompleteStream = errors.New("streamed answer is incomplete")
 )
 
-// finish writes an answer and lets the connection go on or end.
-func (x *exchange) finish(write func(last bool) error) {
+// finish writes an answer and then lets the reader serve the connection's next request or close the connection.
+func (x *exchange) finish(write func(closeAfter bool) error) {
 	c := x.client
 	x.closes = c.front.closesAfterAnswer(x.wantsClose)
 	if write(x.closes) != nil {
@@ -360,24 +363,27 @@
 	}
 	c.answerWritten()
 	if x.finished.Store(true); x.closes || c.readAhead.Load() {
-		c.SetReadDeadline(longAgo) // wakes the reader, which closes the connection or serves the buffered request
+		c.SetReadDeadline(longAgo) // wakes the reader, which closes the connection or serves the pipelined request
 	}
 }
 
+// Answer implements Client.
 func (x *exchange) Answer(a Answer) {
 	a.noBody = x.noBody
-	x.finish(func(last bool) error { return x.client.writeAnswer(a, last) })
+	x.finish(func(closeAfter bool) error { return x.client.writeAnswer(a, closeAfter) })
 }
 
+// Begin implements Client.
 func (x *exchange) Begin(status int, h http.Header, length int64) io.Writer {
 	x.stream = x.client.beginStream(status, h, length, x.wantsClose || x.client.front.stopping.Load() || x.client.front.closing.Load())
 	return x.stream
 }
 
-func (x *exchange) Finish(whole bool) {
+// Finish implements Client. An incomplete answer ends with the connection, without the last chunk or the full length.
+func (x *exchange) Finish(complete bool) {
 	x.finish(func(bool) error {
-		if !whole {
-			return errBroken
+		if !complete {
+			return errIncompleteStream
 		}
 		return x.stream.Close()
 	})
@@ -390,11 +396,11 @@
 	trailer io.Closer
 }
 
-// beginStream writes the head of a streamed answer.
-func (c *client) beginStream(status int, h http.Header, length int64, last bool) *stream {
+// beginStream writes the head of a streamed answer. length is the Content-Length; if it is negative, the body is chunked.
+func (c *client) beginStream(status int, h http.Header, length int64, closeAfter bool) *stream {
 	p := responseBuffers.Get().(*[]byte)
 	defer responseBuffers.Put(p)
-	b := appendHead((*p)[:0], status, h, last)
+	b := appendHead((*p)[:0], status, h, closeAfter)
 	s := &stream{client: c, body: c.TCPConn}
 	if length >= 0 {
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
@@ -403,18 +409,18 @@
 		w := httputil.NewChunkedWriter(c.TCPConn)
 		s.body, s.trailer = w, w
 	}
-	c.SetWriteDeadline(time.Now().Add(clientStall))
-	_, _ = c.Write(append(b, "\r\n"...)) // an error recurs with the first write of the body
+	c.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	_, _ = c.Write(append(b, "\r\n"...)) // an error is returned again by the first write of the body
 	return s
 }
 
-// Write writes a part of the body, with a timeout against clients that do not read.
+// Write writes a part of the body. It times out if the client does not read.
 func (s *stream) Write(p []byte) (int, error) {
-	s.client.SetWriteDeadline(time.Now().Add(clientStall))
+	s.client.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	return s.body.Write(p)
 }
 
-// Close ends a complete body.
+// Close writes the end of a complete body.
 func (s *stream) Close() error {
 	if s.trailer == nil {
 		return nil
@@ -426,15 +432,16 @@
 	return err
 }
 
-func appendHead(b []byte, status int, h http.Header, last bool) []byte {
+// appendHead appends a response head, without the length and the final empty line. It removes the hop-by-hop fields from h.
+func appendHead(b []byte, status int, h http.Header, closeAfter bool) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
 	b = append(append(append(b, ' '), http.StatusText(status)...), "\r\n"...)
-	for name, values := range endToEnd(h) {
+	for name, values := range removeHopByHop(h) {
 		for _, v := range values {
 			b = append(append(append(append(b, name...), ": "...), v...), "\r\n"...)
 		}
 	}
-	if last {
+	if closeAfter {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	return b
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -14,298 +14,305 @@
 )
 
 const (
-	acceptRetry = 5 * time.Millisecond
-	minIdle     = 50 * time.Millisecond
-	minSilence  = 10 * time.Millisecond // a silent client that is older may be closed for a dial
+	acceptRetryDelay = 5 * time.Millisecond  // delay after a failed Accept
+	minIdle          = 50 * time.Millisecond // a connection idle for less is not closed to free a descriptor
+	minSilence       = 10 * time.Millisecond // the same for a connection that has sent nothing yet, if a dial needs a descriptor
 )
 
-// clientSet is the set of a front's client connections within the descriptor budget.
+// clientSet is the set of a Front's client connections. It closes idle and silent ones to stay within the descriptor budget.
 type clientSet struct {
 	budget     *backend.Budget
-	maxClients int // beyond it clients leave too few descriptors for endpoints
-	boot       time.Time
-	shedSilent bool // clients whose request heads do not arrive are shed when they are many
+	maxClients int       // more would leave too few descriptors for endpoints
+	startTime  time.Time // start of the clock for idleSince and headPendingSince
+	shedSilent bool      // clients whose request heads do not arrive are shed if there are too many of them
 
 	mu      sync.Mutex
 	clients map[*client]struct{}
-	empty   *sync.Cond
+	empty   *sync.Cond // signaled when no client is left
 }
 
-func newClientSet(budget *backend.Budget, heads bool) *clientSet {
-	c := &clientSet{budget: budget, shedSilent: heads, maxClients: budget.Limit() * 3 / 4, boot: time.Now(), clients: map[*client]struct{}{}}
-	c.empty = sync.NewCond(&c.mu)
-	budget.OnShort(func() bool { return c.closeOldestIdle(minSilence) })
-	return c
+func newClientSet(budget *backend.Budget, shedSilentClients bool) *clientSet {
+	s := &clientSet{budget: budget, shedSilent: shedSilentClients, maxClients: budget.Limit() * 3 / 4, startTime: time.Now(), clients: map[*client]struct{}{}}
+	s.empty = sync.NewCond(&s.mu)
+	budget.OnShort(func() bool { return s.closeOldestIdle(minSilence) })
+	return s
 }
 
-func (c *clientSet) markIdle(k *client) { k.idleSince.Store(int64(time.Since(c.boot)) + 1) }
+func (s *clientSet) markIdle(c *client) { c.idleSince.Store(int64(time.Since(s.startTime)) + 1) }
 
-func (c *clientSet) idleTime(k *client) time.Duration {
-	q := k.idleSince.Load()
-	if q == 0 {
+// idleTime returns how long a client has been idle; 0 while its request is read or answered.
+func (s *clientSet) idleTime(c *client) time.Duration {
+	since := c.idleSince.Load()
+	if since == 0 {
 		return 0
 	}
-	return time.Since(c.boot) - time.Duration(q)
+	return time.Since(s.startTime) - time.Duration(since)
 }
 
-// add adds a client that has just connected, and returns false if it was closed instead. Beyond maxClients the client that
-// has been idle longest is closed for it; once clients hold half of the descriptors reserved for endpoints, that may be one
-// that connected just before and has sent nothing yet. If no other client can be closed the new one is, unless its request
-// has arrived. With shedSilent, shedPendingHeads makes room instead.
+// add adds a client that has just connected, and returns false if it was closed instead. If there are more than maxClients, add
+// closes the client that has been idle longest. Once clients hold half of the descriptors reserved for endpoints, this may be a
+// client that connected just before and has sent nothing yet. If no other client can be closed, add closes the new one, unless
+// its request has arrived. With shedSilent, shedPendingHeads closes clients instead.
 //
-// Otherwise a connection flood would take the descriptors of discovery, endpoints and health checks. The oldest client is
-// closed and not the new one, since a well-behaved client's request arrives a moment after its connection.
-func (c *clientSet) add(k *client) bool {
-	c.markIdle(k)
-	c.headPending(k)
-	c.mu.Lock()
-	c.clients[k] = struct{}{}
-	n := len(c.clients)
-	c.mu.Unlock()
-	room := c.shedSilent || n <= c.maxClients || c.closeOldestIdle(minIdle) || n <= (c.maxClients+c.budget.Limit())/2 || c.closeOldestIdle(0)
-	c.budget.Force()
-	if k.closed.Load() { // it was the oldest itself
+// This keeps a connection flood from taking the descriptors of discovery, endpoints and health checks. The oldest client is
+// closed rather than the new one, since a well-behaved client's request arrives a moment after its connection.
+func (s *clientSet) add(c *client) bool {
+	s.markIdle(c)
+	s.headPending(c)
+	s.mu.Lock()
+	s.clients[c] = struct{}{}
+	n := len(s.clients)
+	s.mu.Unlock()
+	hasRoom := s.shedSilent || n <= s.maxClients || s.closeOldestIdle(minIdle) || n <= (s.maxClients+s.budget.Limit())/2 || s.closeOldestIdle(0)
+	s.budget.Force()
+	if c.closed.Load() { // the new client was the oldest idle one
 		return false
 	}
-	if !room {
-		if waits, _ := k.peek(); !waits {
-			_ = k.Close()
+	if !hasRoom {
+		if unread, _ := c.peek(); !unread {
+			_ = c.Close()
 			return false
 		}
 	}
 	return true
 }
 
-func (c *clientSet) remove(k *client) {
-	c.budget.Release()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.clients, k)
-	if len(c.clients) == 0 {
-		c.empty.Broadcast()
+func (s *clientSet) remove(c *client) {
+	s.budget.Release()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.clients, c)
+	if len(s.clients) == 0 {
+		s.empty.Broadcast()
 	}
 }
 
-func (c *clientSet) crowded() bool { return c.budget.Used() >= c.budget.Limit() }
+// crowded reports whether all descriptors are in use.
+func (s *clientSet) crowded() bool { return s.budget.Used() >= s.budget.Limit() }
 
-// full reports whether there are too many clients to accept a request of one more. Clients whose request has not arrived
-// hold a descriptor but need none at an endpoint.
-func (c *clientSet) full() bool {
-	c.mu.Lock()
-	n := len(c.clients)
-	if n > c.maxClients && !c.shedSilent {
-		n = 0
-		for k := range c.clients {
-			if k.served.Load() || k.idleSince.Load() == 0 {
-				n++
+// full reports whether there are too many clients to accept another request. Clients whose request has not arrived are not
+// counted: they hold a descriptor, but need no second one for an endpoint. To make room, full may close a client.
+func (s *clientSet) full() bool {
+	s.mu.Lock()
+	count := len(s.clients)
+	if count > s.maxClients && !s.shedSilent {
+		count = 0
+		for c := range s.clients {
+			if c.served.Load() || c.idleSince.Load() == 0 {
+				count++
 			}
 		}
 	}
-	c.mu.Unlock()
-	if n <= c.maxClients {
+	s.mu.Unlock()
+	if count <= s.maxClients {
 		return false
 	}
-	if c.shedSilent {
-		c.shedPendingHeads()
-		if open, _ := c.halfOpen(); n-open <= c.maxClients {
+	if s.shedSilent {
+		s.shedPendingHeads()
+		if pending, _ := s.pendingHeads(); count-pending <= s.maxClients {
 			return false
 		}
 	}
-	return !c.closeOldestIdle(minIdle)
+	return !s.closeOldestIdle(minIdle)
 }
 
 const (
-	minHeadAge          = 250 * time.Millisecond // younger heads are not shed: they may belong to a burst
-	pendingHeadsDivisor = 4                      // of maxClients one in so many may have a pending head
-	prefixDivisor       = 8                      // and one in so many of one address prefix
-	maxShedAtOnce       = 16                     // in one call
-	maxBusySkipped      = 4                      // connections with unread bytes skipped for one descriptor
+	minHeadAge          = 250 * time.Millisecond // clients whose head is pending for less are not shed: they may belong to a burst
+	pendingHeadsDivisor = 4                      // at most maxClients/pendingHeadsDivisor clients may have a pending head
+	prefixDivisor       = 8                      // at most maxClients/prefixDivisor clients of one address prefix may have one
+	maxShedAtOnce       = 16                     // clients shed in one call
+	maxBusySkipped      = 4                      // connections with unread bytes that one call of closeOldestIdle skips
 )
 
-// headPending notes that a client's next request head is awaited from now on.
-func (c *clientSet) headPending(k *client) {
-	if c.shedSilent {
-		k.headPendingSince.Store(int64(time.Since(c.boot)) + 1)
+// headPending records that a client's next request head is awaited from now on.
+func (s *clientSet) headPending(c *client) {
+	if s.shedSilent {
+		c.headPendingSince.Store(int64(time.Since(s.startTime)) + 1)
 	}
 }
 
-// headArrived notes that the head has arrived. It returns false if the client was shed before.
-func (c *clientSet) headArrived(k *client) bool { return k.headPendingSince.Swap(0) >= 0 }
+// headArrived records that a client's request head has arrived. It returns false if the client has already been shed.
+func (s *clientSet) headArrived(c *client) bool { return c.headPendingSince.Swap(0) >= 0 }
 
-// halfOpen counts the clients with a pending head and returns those older than minHeadAge by address prefix.
-func (c *clientSet) halfOpen() (n int, old map[netip.Prefix][]*client) {
-	now := int64(time.Since(c.boot)) + 1
+// pendingHeads returns the number of clients with a pending request head, and by address prefix those whose head has been
+// pending for at least minHeadAge.
+func (s *clientSet) pendingHeads() (count int, old map[netip.Prefix][]*client) {
+	now := int64(time.Since(s.startTime)) + 1
 	old = map[netip.Prefix][]*client{}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for k := range c.clients {
-		if at := k.headPendingSince.Load(); at > 0 {
-			if n++; now-at >= int64(minHeadAge) {
-				old[k.prefix] = append(old[k.prefix], k)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.clients {
+		if since := c.headPendingSince.Load(); since > 0 {
+			if count++; now-since >= int64(minHeadAge) {
+				old[c.prefix] = append(old[c.prefix], c)
 			}
 		}
 	}
-	return n, old
+	return count, old
 }
 
-// shedPendingHeads closes the oldest clients with pending heads if these are too many, those of the address prefix with the
-// most of them first. Each would hold a descriptor for requestReadTimeout (slowloris).
-func (c *clientSet) shedPendingHeads() {
-	c.mu.Lock()
-	many := len(c.clients) > c.maxClients/prefixDivisor
-	c.mu.Unlock()
-	if !c.shedSilent || !many {
+// shedPendingHeads closes clients with pending heads if there are too many of them: first the oldest clients of the address
+// prefix that has the most. Each would hold a descriptor for requestReadTimeout (a slowloris attack).
+func (s *clientSet) shedPendingHeads() {
+	s.mu.Lock()
+	many := len(s.clients) > s.maxClients/prefixDivisor
+	s.mu.Unlock()
+	if !s.shedSilent || !many {
 		return
 	}
-	n, old := c.halfOpen()
+	count, old := s.pendingHeads()
 	for range maxShedAtOnce {
-		var from netip.Prefix
-		for p, l := range old {
-			if len(l) > len(old[from]) {
-				from = p
+		var largest netip.Prefix
+		for prefix, candidates := range old {
+			if len(candidates) > len(old[largest]) {
+				largest = prefix
 			}
 		}
-		l := old[from]
-		if len(l) == 0 || n <= c.maxClients/pendingHeadsDivisor && len(l) <= c.maxClients/prefixDivisor {
+		candidates := old[largest]
+		if len(candidates) == 0 || count <= s.maxClients/pendingHeadsDivisor && len(candidates) <= s.maxClients/prefixDivisor {
 			return
 		}
-		at, since := 0, int64(math.MaxInt64)
-		for i, k := range l {
-			if v := k.headPendingSince.Load(); v > 0 && v < since {
-				at, since = i, v
+		oldest, since := 0, int64(math.MaxInt64)
+		for i, c := range candidates {
+			if pendingSince := c.headPendingSince.Load(); pendingSince > 0 && pendingSince < since {
+				oldest, since = i, pendingSince
 			}
 		}
-		if l[at].headPendingSince.CompareAndSwap(since, -1) { // unless its head has arrived meanwhile
-			_ = l[at].Close()
+		if candidates[oldest].headPendingSince.CompareAndSwap(since, -1) { // unless its head has arrived in the meantime
+			_ = candidates[oldest].Close()
 		}
-		old[from] = slices.Delete(l, at, at+1)
-		n--
+		old[largest] = slices.Delete(candidates, oldest, oldest+1)
+		count--
 	}
 }
 
-// PrefixOf returns the address prefix that stands for one client: v4 bits of an IPv4 and v6 bits of an IPv6 address.
-func PrefixOf(a netip.Addr, v4, v6 int) netip.Prefix {
+// PrefixOf returns the prefix of an address whose hosts are treated as one client. It has v4 bits for an IPv4 address and v6 bits
+// for an IPv6 address.
+func PrefixOf(addr netip.Addr, v4, v6 int) netip.Prefix {
 	bits := v4
-	if a.Is6() {
+	if addr.Is6() {
 		bits = v6
 	}
-	p, _ := a.Prefix(bits) // the zero Prefix for the zero Addr
-	return p
+	prefix, _ := addr.Prefix(bits) // returns the zero Prefix for the zero Addr
+	return prefix
 }
 
 // closeOldestIdle closes the client that has been idle longest, if one has been idle for minIdle. For a client that has never
-// sent anything silent is enough, since clients send as soon as they have connected. It reports whether it closed one.
-func (c *clientSet) closeOldestIdle(silent time.Duration) bool {
-	old := func(k *client) bool {
-		d := c.idleTime(k)
-		if c.shedSilent { // pending heads are shed by other rules
-			return d >= minIdle && (k.served.Load() || d >= requestReadTimeout)
+// sent a request the shorter time silent suffices, since clients send as soon as they have connected. It reports whether it
+// closed a client.
+func (s *clientSet) closeOldestIdle(silent time.Duration) bool {
+	old := func(c *client) bool {
+		idle := s.idleTime(c)
+		if s.shedSilent { // clients with pending heads are closed by shedPendingHeads
+			return idle >= minIdle && (c.served.Load() || idle >= requestReadTimeout)
 		}
-		return d >= minIdle || d >= silent && !k.served.Load()
+		return idle >= minIdle || idle >= silent && !c.served.Load()
 	}
-	var passed []*client // whose next request has arrived
-	for len(passed) < maxBusySkipped {
+	var skipped []*client // clients that are no longer idle or whose next request has arrived
+	for len(skipped) < maxBusySkipped {
 		var oldest *client
-		var most time.Duration
-		c.mu.Lock()
-		for k := range c.clients {
-			if d := c.idleTime(k); d > most && old(k) && !slices.Contains(passed, k) {
-				oldest, most = k, d
+		var longest time.Duration
+		s.mu.Lock()
+		for c := range s.clients {
+			if idle := s.idleTime(c); idle > longest && old(c) && !slices.Contains(skipped, c) {
+				oldest, longest = c, idle
 			}
 		}
-		c.mu.Unlock()
+		s.mu.Unlock()
 		if oldest == nil {
 			return false
 		}
 		if oldest.closeIdle(func() bool { return old(oldest) }) {
 			return true
 		}
-		passed = append(passed, oldest)
+		skipped = append(skipped, oldest)
 	}
 	return false
 }
 
-// closeIdle closes the connections that have been idle for so long, and unused ones after five times that.
-func (c *clientSet) closeIdle(idle time.Duration) {
-	for _, k := range c.list() {
-		old := func() bool {
-			d := c.idleTime(k)
-			return d >= 5*idle || d >= idle && k.served.Load()
+// closeIdle closes the connections that have been idle for at least idle. A connection that has not sent a complete
+// request head is closed after five times idle.
+func (s *clientSet) closeIdle(idle time.Duration) {
+	for _, c := range s.list() {
+		closable := func() bool {
+			idleFor := s.idleTime(c)
+			return idleFor >= 5*idle || idleFor >= idle && c.served.Load()
 		}
-		if old() {
-			k.closeIdle(old)
+		if closable() {
+			c.closeIdle(closable)
 		}
 	}
 }
 
-// interruptReads wakes all readers by a deadline in the past.
-func (c *clientSet) interruptReads() {
-	for _, k := range c.list() {
-		k.SetReadDeadline(longAgo)
+// interruptReads wakes all blocked readers by setting a read deadline in the past.
+func (s *clientSet) interruptReads() {
+	for _, c := range s.list() {
+		c.SetReadDeadline(longAgo)
 	}
 }
 
-func (c *clientSet) list() []*client {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	l := make([]*client, 0, len(c.clients))
-	for k := range c.clients {
-		l = append(l, k)
+func (s *clientSet) list() []*client {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := make([]*client, 0, len(s.clients))
+	for c := range s.clients {
+		all = append(all, c)
 	}
-	return l
+	return all
 }
 
-// awaitEmpty blocks until no connection is left.
-func (c *clientSet) awaitEmpty() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for len(c.clients) > 0 {
-		c.empty.Wait()
+// awaitEmpty blocks until all connections are closed.
+func (s *clientSet) awaitEmpty() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.clients) > 0 {
+		s.empty.Wait()
 	}
 }
 
-// Serve accepts connections on l and serves them until l is closed or Stop has emptied its backlog. If accepting fails,
-// mostly for lack of descriptors, it closes an idle connection and goes on, since requests in the backlog count as accepted.
+// Serve accepts connections on l and serves them until l is closed or Stop has emptied its backlog. If Accept fails, usually for
+// lack of descriptors, Serve closes an idle connection and retries, since requests in the backlog count as accepted.
 func (f *Front) Serve(l net.Listener) { f.ServeAs("", l) }
 
-// ServeAs is Serve with a listener name that the Router gets as Peer.Listener.
+// ServeAs is Serve with a listener name, which the Router receives as Peer.Listener.
 func (f *Front) ServeAs(name string, l net.Listener) {
 	f.accepting.Add(1)
 	defer f.accepting.Add(-1)
-	for empty := false; ; {
-		nc, err := l.Accept()
+	for timedOut := false; ; {
+		conn, err := l.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // Stop was called
-			// A deadline that was over before Accept began says nothing about the backlog.
-			if empty || !f.stopping.Load() {
+		case errors.Is(err, os.ErrDeadlineExceeded): // Stop has set a deadline
+			// Accept fails without looking at the backlog if its deadline has already passed, so the first timeout does not
+			// show that the backlog is empty.
+			if timedOut || !f.stopping.Load() {
 				l.Close()
 				return
 			}
-			empty = true
+			timedOut = true
 			_ = l.(deadliner).SetDeadline(time.Now().Add(backlogWait))
 			continue
 		case err != nil:
 			f.conns.budget.EvictOne()
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		empty = false
-		k := &client{TCPConn: nc.(*net.TCPConn), front: f, peer: Peer{Listener: name}}
-		if k.raw, err = k.SyscallConn(); err != nil { // the connection is closed already
-			nc.Close()
+		timedOut = false
+		c := &client{TCPConn: conn.(*net.TCPConn), front: f, peer: Peer{Listener: name}}
+		if c.raw, err = c.SyscallConn(); err != nil { // the connection is already closed
+			conn.Close()
 			continue
 		}
-		if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
-			k.peer.Addr = a.AddrPort().Addr().Unmap()
+		if addr, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
+			c.peer.Addr = addr.AddrPort().Addr().Unmap()
 		}
 		if f.conns.shedSilent {
-			k.prefix = PrefixOf(k.peer.Addr, 24, 56)
+			c.prefix = PrefixOf(c.peer.Addr, 24, 56)
 			f.conns.shedPendingHeads()
 		}
-		if f.conns.add(k) {
-			go k.serve()
+		if f.conns.add(c) {
+			go c.serve()
 		}
 	}
 }
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -1,5 +1,6 @@
-// Package proxy is the HTTP/1.1 proxy around the balancer. A Front reads clients' requests, a Core runs the attempts
-// that its balancer.Balancer asks for and gives each request exactly one final answer. Package proxy decides nothing itself.
+// Package proxy implements the HTTP/1.1 proxy. A Front reads clients' requests. A Core runs the attempts that its
+// balancer.Balancer asks for and gives each request exactly one final answer. All load-balancing decisions are made by the
+// balancer.
 package proxy
 
 import (
@@ -18,357 +19,365 @@
 // Options configure a Core.
 type Options struct {
 	Settings        balancer.Settings
-	Seed            uint64 // of the balancer's random numbers
-	MaxOpen         int    // requests without a final answer; 0 means no limit
-	LoadReports     bool   // responses or health checks carry load reports
+	Seed            uint64 // seeds the balancer's random numbers
+	MaxOpen         int    // limit of requests without a final answer; 0 means no limit
+	LoadReports     bool   // load reports are read from responses and health checks
 	HealthCheckPath string
-	// HonorRetryAfter has a server that answers 503 left alone for as long as its Retry-After asks.
+	// HonorRetryAfter passes the Retry-After of a server's 503 response to the balancer, which then sends the server no
+	// requests for that time.
 	HonorRetryAfter bool
-	BodyBytes       int64 // memory for the bodies of all requests
+	BodyBytes       int64 // memory limit for the bodies of all requests
 	Budget          *backend.Budget
-	// Open bounds the requests without a final answer over all cores that share it, beside MaxOpen; nil means no limit.
+	// Open limits the requests without a final answer across all cores that share it, in addition to MaxOpen; nil means no
+	// limit.
 	Open Quota
-	// Memory accounts for the requests' bodies; nil means the front's own.
+	// Memory limits the memory for request bodies; nil means the Front's own limit.
 	Memory Quota
-	// OnCompleted, if not nil, is called once for each request that has ended, with the core's lock held: it must neither
-	// block nor call the Core.
+	// OnCompleted, if not nil, is called once for each completed request. The core's lock is held, so OnCompleted must
+	// neither block nor call the Core.
 	OnCompleted func(Completed)
-	// Source fetches and watches the endpoint list when the balancer asks for it; nil if the list is pushed.
+	// Source fetches and watches the endpoint list when the balancer asks for it; nil if the list is pushed to the Core.
 	Source Source
 }
 
-// Quota is a bounded amount that several cores share. Its methods may be called by several goroutines at once.
+// Quota is a limited resource that several cores share. Its methods are safe for concurrent use.
 type Quota interface {
-	Acquire(n int64) bool // reserves n, or returns false if less is left
-	Release(n int64)      // returns n that was acquired
+	Acquire(n int64) bool // reserves n units, or returns false if fewer are left
+	Release(n int64)      // gives back n acquired units
 }
 
 // Source fetches the endpoint list. Its methods do not block.
 type Source interface {
-	Watch(on bool) // begins or ends a watch
+	Watch(on bool) // starts or stops a watch
 	Fetch()        // fetches one full snapshot
 }
 
-// Core runs the requests of one cluster. It carries out the decisions of one Balancer, knows no client protocol and gives
-// each request exactly one final answer. Its methods may be called by several goroutines at once.
+// Core runs the requests of one cluster. It carries out the decisions of one Balancer, is independent of the client
+// protocol and gives each request exactly one final answer. Its methods are safe for concurrent use.
 type Core struct {
 	opt            Options
 	classDeadlines map[string]time.Duration
 	pool           *backend.Pool
-	boot           time.Time
-	bootUnix       time.Duration // boot as Unix time
+	startTime      time.Time
+	startUnix      time.Duration // startTime as the time since the Unix epoch
 	ctx            context.Context
 	cancel         context.CancelFunc
-	attempts       sync.WaitGroup // attempts and probes
+	attempts       sync.WaitGroup // running attempts and health checks, and answers written in the background
 
 	ready atomic.Bool
 
 	mu         sync.Mutex
 	balancer   *balancer.Balancer
-	requests   map[string]*request // unanswered, or with attempts running
-	unanswered int                 // requests without a final answer
-	upstreams  map[string]*backend.Upstream
+	requests   map[string]*request          // by ID; requests that are unanswered or have attempts running
+	unanswered int                          // requests without a final answer
+	upstreams  map[string]*backend.Upstream // by server ID
 	lastLogged time.Time
-	toAnswer   []*request // to be answered once the lock is released
+	toAnswer   []*request // settled requests, to be answered once the lock is released
 	stats      Stats
 	retired    bool
 	idle       chan struct{} // closed when the core is retired and has no requests left
 }
 
-// NewCore returns a core whose attempts go through pool. Close ends it.
+// NewCore returns a core that sends its attempts through pool. The caller must call Close when done.
 func NewCore(opt Options, pool *backend.Pool) (*Core, error) {
-	n := &Core{opt: opt, pool: pool, boot: time.Now(), classDeadlines: map[string]time.Duration{}, idle: make(chan struct{}),
+	c := &Core{opt: opt, pool: pool, startTime: time.Now(), classDeadlines: map[string]time.Duration{}, idle: make(chan struct{}),
 		requests: map[string]*request{}, upstreams: map[string]*backend.Upstream{}}
-	n.bootUnix = time.Duration(n.boot.UnixNano())
-	n.ctx, n.cancel = context.WithCancel(context.Background())
-	for _, c := range opt.Settings.Classes {
-		n.classDeadlines[c.Name] = c.Deadline
+	c.startUnix = time.Duration(c.startTime.UnixNano())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	for _, class := range opt.Settings.Classes {
+		c.classDeadlines[class.Name] = class.Deadline
 	}
 	var err error
-	n.balancer, err = balancer.New(opt.Settings, opt.Seed, (*host)(n))
-	return n, err
+	c.balancer, err = balancer.New(opt.Settings, opt.Seed, (*host)(c))
+	return c, err
 }
 
-// Deadline returns how long a request of a class may take over all attempts; 0 if there is no such class.
-func (n *Core) Deadline(class string) time.Duration { return n.classDeadlines[class] }
+// Deadline returns how long a request of a class may take across all attempts, or 0 if the class does not exist.
+func (c *Core) Deadline(class string) time.Duration { return c.classDeadlines[class] }
 
 // Ready reports whether the core has received an endpoint list.
-func (n *Core) Ready() bool { return n.ready.Load() }
+func (c *Core) Ready() bool { return c.ready.Load() }
 
-// Clock returns the time since the Unix epoch by the monotonic clock; balancer.Server.Since uses the same.
-func (n *Core) Clock() time.Duration { return n.now() }
+// Clock returns the time since the Unix epoch, advanced by the monotonic clock. balancer.Server.Since uses the same clock.
+func (c *Core) Clock() time.Duration { return c.now() }
 
-// Accept hands a request to the core. If ok is false nothing was done and status says why: 409 if a request with the same
-// ID is under way, 503 if there are too many requests, 0 if the core is retired and another core may take the request.
-func (n *Core) Accept(q *Request) (status int, ok bool) {
-	n.withBalancer(func(now time.Duration) {
+// Accept hands a request to the core. If ok is false the request was not accepted, and status is the reason: 409 if the
+// core still has a request with the same ID, 503 if there are too many requests, 0 if the core is retired and another core
+// may accept the request.
+func (c *Core) Accept(q *Request) (status int, ok bool) {
+	c.withBalancer(func(now time.Duration) {
 		switch {
-		case n.retired:
-		case n.requests[q.Attributes.ID] != nil:
+		case c.retired:
+		case c.requests[q.Attributes.ID] != nil:
 			status = http.StatusConflict
-		case n.opt.MaxOpen > 0 && n.unanswered >= n.opt.MaxOpen, n.opt.Open != nil && !n.opt.Open.Acquire(1):
+		case c.opt.MaxOpen > 0 && c.unanswered >= c.opt.MaxOpen, c.opt.Open != nil && !c.opt.Open.Acquire(1):
 			status = http.StatusServiceUnavailable
 		default:
 			ok = true
-			q.id, q.done, q.memory = q.Attributes.ID, make(chan struct{}), n.opt.Memory
-			n.requests[q.id] = q
-			n.unanswered++
-			n.stats.Accepted++
+			q.id, q.done, q.memory = q.Attributes.ID, make(chan struct{}), c.opt.Memory
+			c.requests[q.id] = q
+			c.unanswered++
+			c.stats.Accepted++
 			q.acceptedAt = now
-			q.deadline = n.boot.Add(now - n.bootUnix + q.Attributes.TimeLeft)
-			n.balancer.Request(now, q.Attributes)
+			q.deadline = c.startTime.Add(now - c.startUnix + q.Attributes.TimeLeft)
+			c.balancer.Request(now, q.Attributes)
 		}
 	})
 	return status, ok
 }
 
-// Abandon ends a request whose client has left or whose time is over.
-func (n *Core) Abandon(q *Request) {
-	n.withBalancer(func(now time.Duration) {
-		if n.settleAnswer(q, Answer{Status: http.StatusBadGateway}) {
-			n.stats.ClientLeft++
-			n.notifyCompleted(now, q, OutcomeClientLeft)
-			n.balancer.ClientGone(now, q.id)
-			n.forgetIfFinished(q)
+// Abandon ends a request whose client has disconnected or whose deadline has passed.
+func (c *Core) Abandon(q *Request) {
+	c.withBalancer(func(now time.Duration) {
+		if c.settleAnswer(q, Answer{Status: http.StatusBadGateway}) {
+			c.stats.ClientLeft++
+			c.notifyCompleted(now, q, OutcomeClientLeft)
+			c.balancer.ClientGone(now, q.id)
+			c.forgetIfFinished(q)
 		}
 	})
 }
 
-// End gives a request that has no answer yet the final answer that the balancer chooses at this moment.
-func (n *Core) End(q *Request) {
-	n.withBalancer(func(now time.Duration) { n.balancer.Expire(now, q.id) })
-	n.Abandon(q) // in case the balancer does not know of it
+// End ends a request immediately. If it has no answer yet, the balancer chooses its final answer.
+func (c *Core) End(q *Request) {
+	c.withBalancer(func(now time.Duration) { c.balancer.Expire(now, q.id) })
+	c.Abandon(q) // in case the balancer does not have the request
 }
 
-// ExpireAll gives every request without an answer the one that answer returns for it; sent is whether an attempt was made.
-// Responses that are being streamed go on. It returns the number of requests that were answered.
-func (n *Core) ExpireAll(answer func(attributes balancer.Request, sent bool) Answer) (count int) {
-	n.withBalancer(func(now time.Duration) {
-		for _, q := range n.requests {
+// ExpireAll answers every unanswered request with the result of answer, whose argument sent tells whether an attempt was
+// made. Responses that are being streamed are not interrupted. ExpireAll returns the number of requests that it answered.
+func (c *Core) ExpireAll(answer func(attributes balancer.Request, sent bool) Answer) (count int) {
+	c.withBalancer(func(now time.Duration) {
+		for _, q := range c.requests {
 			if q.answered {
 				continue
 			}
 			a := answer(q.Attributes, len(q.attempts) > 0)
-			n.settleAnswer(q, a)
+			c.settleAnswer(q, a)
 			count++
 			if a.Status == http.StatusServiceUnavailable {
-				n.stats.Rejected++
-				n.notifyCompleted(now, q, OutcomeRejected)
+				c.stats.Rejected++
+				c.notifyCompleted(now, q, OutcomeRejected)
 			} else {
-				n.stats.Failed++
-				n.notifyCompleted(now, q, OutcomeFailed)
+				c.stats.Failed++
+				c.notifyCompleted(now, q, OutcomeFailed)
 			}
-			n.balancer.ClientGone(now, q.id)
-			n.forgetIfFinished(q)
+			c.balancer.ClientGone(now, q.id)
+			c.forgetIfFinished(q)
 		}
 	})
 	return count
 }
 
-// Retire has the core accept no more requests. The returned channel is closed once it has none left.
-func (n *Core) Retire() <-chan struct{} {
-	n.withBalancer(func(time.Duration) {
-		if !n.retired {
-			n.retired = true
-			n.closeIdleIfRetired()
+// Retire stops the core from accepting requests. The returned channel is closed once the core has no requests left.
+func (c *Core) Retire() <-chan struct{} {
+	c.withBalancer(func(time.Duration) {
+		if !c.retired {
+			c.retired = true
+			c.closeIdleIfRetired()
 		}
 	})
-	return n.idle
+	return c.idle
 }
 
-func (n *Core) closeIdleIfRetired() {
-	if n.retired && len(n.requests) == 0 {
+// closeIdleIfRetired closes c.idle once a retired core has no requests left. c.mu must be held.
+func (c *Core) closeIdleIfRetired() {
+	if c.retired && len(c.requests) == 0 {
 		select {
-		case <-n.idle:
+		case <-c.idle:
 		default:
-			close(n.idle)
+			close(c.idle)
 		}
 	}
 }
 
-// Inspect calls fn with the core's lock held, so that fn may read the state of the balancer's LocalityPicker and
+// Inspect calls fn with the core's lock held, so that fn can read the state of the balancer's LocalityPicker and
 // Admission. fn must neither block nor call the Core.
-func (n *Core) Inspect(fn func(now time.Duration)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	fn(n.now())
+func (c *Core) Inspect(fn func(now time.Duration)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	fn(c.now())
 }
 
-// EachServer calls fn for each server of the endpoint list with the attempts in flight and whether it is ejected.
-func (n *Core) EachServer(fn func(id string, inFlight int, ejected bool)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.balancer.EachServer(n.now(), fn)
+// EachServer calls fn for each server of the endpoint list, with its number of attempts in flight and whether it is ejected.
+func (c *Core) EachServer(fn func(id string, inFlight int, ejected bool)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.balancer.EachServer(c.now(), fn)
 }
 
 // InFlight returns the number of requests without a complete answer.
-func (n *Core) InFlight() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	in := n.unanswered
-	for _, q := range n.requests {
+func (c *Core) InFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	count := c.unanswered
+	for _, q := range c.requests {
 		if q.stream != nil { // answered, and still being streamed
-			in++
+			count++
 		}
 	}
-	return in
+	return count
 }
 
-func (n *Core) now() time.Duration { return n.bootUnix + time.Since(n.boot) }
+func (c *Core) now() time.Duration { return c.startUnix + time.Since(c.startTime) }
 
-func (n *Core) withBalancer(event func(now time.Duration)) {
-	for _, r := range n.runLocked(event) {
-		n.writeAnswer(r)
+// withBalancer calls event with the lock held, and then answers the requests that event settled.
+func (c *Core) withBalancer(event func(now time.Duration)) {
+	for _, q := range c.runLocked(event) {
+		c.writeAnswer(q)
 	}
 }
 
-// writeAnswer gives a request its answer.
-func (n *Core) writeAnswer(r *request) {
-	r.Client.Answer(r.answer)
-	close(r.done)
+// writeAnswer passes a settled request's answer to its client and marks the request as done.
+func (c *Core) writeAnswer(q *request) {
+	q.Client.Answer(q.answer)
+	close(q.done)
 }
 
-func (n *Core) runLocked(event func(now time.Duration)) []*request {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	event(n.now())
-	settled := n.toAnswer
-	n.toAnswer = nil
+// runLocked calls event with the lock held and returns the requests to be answered.
+func (c *Core) runLocked(event func(now time.Duration)) []*request {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	event(c.now())
+	settled := c.toAnswer
+	c.toAnswer = nil
 	return settled
 }
 
 // UpdateEndpoints applies an update of the endpoint list.
-func (n *Core) UpdateEndpoints(u discovery.Update) {
-	settled := n.runLocked(func(now time.Duration) {
+func (c *Core) UpdateEndpoints(u discovery.Update) {
+	settled := c.runLocked(func(now time.Duration) {
 		if u.Kind != balancer.UpdateFailed {
-			n.updateUpstreams(u)
+			c.updateUpstreams(u)
 		}
-		n.balancer.UpdateEndpoints(now, u.EndpointUpdate)
+		c.balancer.UpdateEndpoints(now, u.EndpointUpdate)
 	})
-	// On goroutines of their own: a client that does not read must not delay the caller.
-	for _, r := range settled {
-		n.attempts.Go(func() { n.writeAnswer(r) })
+	// Written in separate goroutines, since a client that does not read must not delay the caller.
+	for _, q := range settled {
+		c.attempts.Go(func() { c.writeAnswer(q) })
 	}
 	if u.Kind == balancer.UpdateSnapshot || u.Kind == balancer.UpdateDelta || len(u.Servers) > 0 {
-		n.ready.Store(true)
+		c.ready.Store(true)
 	}
 }
 
 // updateUpstreams makes the upstreams match an update of the endpoint list.
-func (n *Core) updateUpstreams(u discovery.Update) {
+func (c *Core) updateUpstreams(u discovery.Update) {
 	if u.Kind != balancer.UpdateDelta {
-		for uid := range n.upstreams {
-			if _, ok := u.Endpoints[uid]; !ok {
-				n.retireUpstream(uid)
+		for id := range c.upstreams {
+			if _, ok := u.Endpoints[id]; !ok {
+				c.retireUpstream(id)
 			}
 		}
 	}
 	for _, s := range u.Servers {
 		addr, ok := u.Endpoints[s.ID]
-		old := n.upstreams[s.ID]
+		old := c.upstreams[s.ID]
 		switch {
 		case !ok:
-			n.retireUpstream(s.ID)
+			c.retireUpstream(s.ID)
 		case old == nil:
-			n.upstreams[s.ID] = n.pool.Upstream(addr, s.Since)
+			c.upstreams[s.ID] = c.pool.Upstream(addr, s.Since)
 		case old.Addr() != addr || old.Since() != s.Since:
-			n.retireUpstream(s.ID)
-			n.upstreams[s.ID] = n.pool.Upstream(addr, s.Since)
+			c.retireUpstream(s.ID)
+			c.upstreams[s.ID] = c.pool.Upstream(addr, s.Since)
 		}
-		if up := n.upstreams[s.ID]; up != nil {
+		if up := c.upstreams[s.ID]; up != nil {
 			up.SetDraining(s.State == balancer.Draining)
 		}
 	}
 }
 
-func (n *Core) retireUpstream(uid string) {
-	if u := n.upstreams[uid]; u != nil {
-		u.Retire()
-		delete(n.upstreams, uid)
+func (c *Core) retireUpstream(id string) {
+	if up := c.upstreams[id]; up != nil {
+		up.Retire()
+		delete(c.upstreams, id)
 	}
 }
 
-// runAttempt runs one attempt and reports its outcome to the balancer.
-func (n *Core) runAttempt(r *request, i int, a *backend.Attempt) {
-	defer n.attempts.Done()
+// runAttempt runs a, the attempt of q with index i, and reports its outcome to the balancer. If a is nil, the
+// outcome is NotSent.
+func (c *Core) runAttempt(q *request, i int, a *backend.Attempt) {
+	defer c.attempts.Done()
 	sent := time.Now()
 	reply := backend.Reply{Result: balancer.NotSent}
 	streams := false
 	if a != nil {
 		reply = a.Do(func(status int, h http.Header, length int64) io.Writer {
-			if !n.beginStream(r, i) {
+			if !c.beginStream(q, i) {
 				return nil
 			}
 			streams = true
-			return r.Client.Begin(status, h, length)
+			return q.Client.Begin(status, h, length)
 		})
 	}
-	if reply.Unwanted { // before the outcome is reported, or the balancer would retry
-		n.Abandon(r)
+	if reply.Unwanted { // abandoned before the outcome is reported, since the balancer would retry otherwise
+		c.Abandon(q)
 	}
-	o := balancer.Outcome{ID: r.id, Attempt: i, Result: reply.Result, Latency: time.Since(sent)}
-	if n.opt.LoadReports {
-		o.LoadReport = backend.ParseLoad(reply.LoadReport)
+	outcome := balancer.Outcome{ID: q.id, Attempt: i, Result: reply.Result, Latency: time.Since(sent)}
+	if c.opt.LoadReports {
+		outcome.LoadReport = backend.ParseLoad(reply.LoadReport)
 	}
-	if n.opt.HonorRetryAfter {
-		o.RetryAfter = reply.RetryAfter
+	if c.opt.HonorRetryAfter {
+		outcome.RetryAfter = reply.RetryAfter
 	}
 	if streams {
-		o.Latency = reply.FirstByteAt.Sub(sent)
-		r.Client.Finish(reply.Result == balancer.Served)
-		close(r.done)
+		outcome.Latency = reply.FirstByteAt.Sub(sent)
+		q.Client.Finish(reply.Result == balancer.Served)
+		close(q.done)
 	}
-	n.withBalancer(func(now time.Duration) {
-		r.attemptsRunning--
-		switch own := (Answer{Status: reply.Status, Header: reply.Header, Body: reply.Body, Length: reply.Length}); {
+	c.withBalancer(func(now time.Duration) {
+		q.attemptsRunning--
+		switch response := (Answer{Status: reply.Status, Header: reply.Header, Body: reply.Body, Length: reply.Length}); {
 		case streams:
-			r.stream = nil
+			q.stream = nil
 			if reply.Result == balancer.Served {
-				n.recordServed(now, r)
+				c.recordServed(now, q)
 			} else {
-				n.stats.Failed++
-				n.notifyCompleted(now, r, OutcomeFailed)
+				c.stats.Failed++
+				c.notifyCompleted(now, q, OutcomeFailed)
 			}
 		case reply.Result == balancer.Served:
-			if n.settleAnswer(r, own) {
-				n.recordServed(now, r)
+			if c.settleAnswer(q, response) {
+				c.recordServed(now, q)
 			}
 		case reply.Result == balancer.ServerError && reply.Status != 0:
-			r.endpointError = &own
+			q.endpointError = &response
 		}
-		n.stats.Attempts[reply.Result]++
-		o.Final = r.answered && r.stream == nil
-		n.balancer.Outcome(now, o)
-		n.forgetIfFinished(r)
+		c.stats.Attempts[reply.Result]++
+		outcome.Final = q.answered && q.stream == nil
+		c.balancer.Outcome(now, outcome)
+		c.forgetIfFinished(q)
 	})
 }
 
-func (n *Core) beginStream(r *request, i int) (ok bool) {
-	n.withBalancer(func(now time.Duration) {
-		if ok = !r.answered; ok {
-			r.answered, r.stream = true, r.attempts[i]
-			n.countAnswered()
-			r.abortUnsent()
-			n.balancer.Started(now, r.id, i)
+// beginStream makes the response of the attempt with index i the answer to q. It returns false if q is answered already.
+func (c *Core) beginStream(q *request, i int) (ok bool) {
+	c.withBalancer(func(now time.Duration) {
+		if ok = !q.answered; ok {
+			q.answered, q.stream = true, q.attempts[i]
+			c.countAnswered()
+			q.abortUnsent()
+			c.balancer.Started(now, q.id, i)
 		}
 	})
 	return ok
 }
 
-func (n *Core) recordServed(now time.Duration, r *request) {
-	n.stats.Served++
-	n.stats.TotalLatency += now - r.acceptedAt
-	n.notifyCompleted(now, r, OutcomeServed)
+func (c *Core) recordServed(now time.Duration, q *request) {
+	c.stats.Served++
+	c.stats.TotalLatency += now - q.acceptedAt
+	c.notifyCompleted(now, q, OutcomeServed)
 }
 
-func (n *Core) notifyCompleted(now time.Duration, r *request, out RequestOutcome) {
-	if n.opt.OnCompleted != nil {
-		n.opt.OnCompleted(Completed{Attributes: r.Attributes, Method: r.Send.Method, Latency: now - r.acceptedAt, Outcome: out})
+func (c *Core) notifyCompleted(now time.Duration, q *request, outcome RequestOutcome) {
+	if c.opt.OnCompleted != nil {
+		c.opt.OnCompleted(Completed{Attributes: q.Attributes, Method: q.Send.Method, Latency: now - q.acceptedAt, Outcome: outcome})
 	}
 }
 
-// abortUnsent aborts the attempts that have not yet written the request. Settings may forbid to cancel attempts, and one
-// whose connection comes up late would send the request long after its final answer.
+// abortUnsent aborts the attempts that have not yet written the request. The settings may forbid cancelling attempts, and an
+// attempt whose connection is established late would otherwise send the request long after its final answer.
 func (q *Request) abortUnsent() {
 	for _, a := range q.attempts {
 		if a != nil && a != q.stream {
@@ -377,56 +386,58 @@
 	}
 }
 
-// countAnswered releases an answered request's place among the open ones.
-func (n *Core) countAnswered() {
-	n.unanswered--
-	if n.opt.Open != nil {
-		n.opt.Open.Release(1)
+// countAnswered removes an answered request from the count and the quota of open requests.
+func (c *Core) countAnswered() {
+	c.unanswered--
+	if c.opt.Open != nil {
+		c.opt.Open.Release(1)
 	}
 }
 
-func (n *Core) settleAnswer(r *request, a Answer) bool {
-	if r == nil || r.answered {
+// settleAnswer sets the final answer of q, to be written once the lock is released. It returns false if q is nil or has an
+// answer already.
+func (c *Core) settleAnswer(q *request, a Answer) bool {
+	if q == nil || q.answered {
 		return false
 	}
-	r.answered, r.answer = true, a
-	n.countAnswered()
-	r.abortUnsent()
-	n.toAnswer = append(n.toAnswer, r)
+	q.answered, q.answer = true, a
+	c.countAnswered()
+	q.abortUnsent()
+	c.toAnswer = append(c.toAnswer, q)
 	return true
 }
 
-// forgetIfFinished forgets a request that is answered and has no attempt running.
-func (n *Core) forgetIfFinished(r *request) {
-	if r.answered && r.attemptsRunning == 0 && n.requests[r.id] == r {
-		delete(n.requests, r.id)
-		if r.memory != nil {
-			r.memory.Release(r.ReservedBytes)
+// forgetIfFinished removes a request that is answered and has no attempt running, and releases its memory.
+func (c *Core) forgetIfFinished(q *request) {
+	if q.answered && q.attemptsRunning == 0 && c.requests[q.id] == q {
+		delete(c.requests, q.id)
+		if q.memory != nil {
+			q.memory.Release(q.ReservedBytes)
 		}
-		n.closeIdleIfRetired()
+		c.closeIdleIfRetired()
 	}
 }
 
-// upstream returns a server's upstream; one without an address if the server has left the endpoint list.
-func (n *Core) upstream(server string) *backend.Upstream {
-	if up := n.upstreams[server]; up != nil {
+// upstream returns a server's upstream. If the server is no longer in the endpoint list, the upstream has no address.
+func (c *Core) upstream(server string) *backend.Upstream {
+	if up := c.upstreams[server]; up != nil {
 		return up
 	}
-	return n.pool.Nowhere()
+	return c.pool.Nowhere()
 }
 
-// Close cancels all attempts, has the balancer answer their requests and waits for both.
-func (n *Core) Close() {
-	n.cancel()
-	n.mu.Lock()
-	for _, r := range n.requests {
-		for _, a := range r.attempts {
+// Close cancels all attempts, waits until they and the answers to their requests are done, and closes the pool.
+func (c *Core) Close() {
+	c.cancel()
+	c.mu.Lock()
+	for _, q := range c.requests {
+		for _, a := range q.attempts {
 			if a != nil {
 				a.Cancel()
 			}
 		}
 	}
-	n.mu.Unlock()
-	n.attempts.Wait()
-	n.pool.Close()
+	c.mu.Unlock()
+	c.attempts.Wait()
+	c.pool.Close()
 }
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -11,89 +11,89 @@
 	"robindrum/internal/testbed"
 )
 
-// Silent clients connect faster than any of them reaches the minimum idle time, on a clock that barely advances. The oldest silent
-// ones are evicted: neither a client whose request arrives a moment after its connection, nor one whose request waits. The number of
-// descriptors stays within the limit.
+// Silent clients connect so fast that none of them reaches the minimum idle time; the test's clock barely advances. The oldest silent
+// clients are evicted, but neither a client whose request arrives shortly after its connection nor a client whose request waits to be
+// read. The number of descriptors stays within the limit.
 func TestOldestSilentClientIsEvicted(t *testing.T) {
 	testbed.Leaks(t)
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 16
 		budget := backend.NewBudget(limit)
 		f := &Front{conns: newClientSet(budget, false)}
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
+		defer listener.Close()
 		var all []*client
 		defer func() {
-			for _, k := range all {
-				_ = k.Close()
+			for _, c := range all {
+				_ = c.Close()
 			}
 		}()
-		add := func(text string) (k *client, taken bool, far net.Conn) {
-			far, err := net.Dial("tcp", l.Addr().String())
+		add := func(text string) (c *client, added bool, clientSide net.Conn) {
+			clientSide, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { far.Close() })
-			nc, err := l.Accept()
+			t.Cleanup(func() { clientSide.Close() })
+			conn, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			k = &client{TCPConn: nc.(*net.TCPConn), front: f}
-			if k.raw, err = k.SyscallConn(); err != nil {
+			c = &client{TCPConn: conn.(*net.TCPConn), front: f}
+			if c.raw, err = c.SyscallConn(); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := io.WriteString(far, text); err != nil { // over loopback it has arrived when this returns
+			if _, err := io.WriteString(clientSide, text); err != nil { // over loopback the text has arrived when this returns
 				t.Fatal(err)
 			}
-			all = append(all, k)
-			taken = f.conns.add(k)
+			all = append(all, c)
+			added = f.conns.add(c)
 			time.Sleep(time.Microsecond)
 			if n := budget.Used(); n > limit {
-				t.Fatalf("%d descriptors of %d are held", n, limit)
+				t.Fatalf("got %d descriptors in use, want at most %d", n, limit)
 			}
-			return k, taken, far
+			return c, added, clientSide
 		}
 		var silent []*client
-		flood := func(n int) {
+		addSilent := func(n int) {
 			t.Helper()
 			for range n {
-				k, taken, _ := add("")
-				if !taken {
-					t.Fatal("a silent one is shut at once, though there are older ones")
+				c, added, _ := add("")
+				if !added {
+					t.Fatal("new silent client was closed although there are older ones")
 				}
-				silent = append(silent, k)
+				silent = append(silent, c)
 			}
 		}
-		flood(14)
-		k, taken, far := add("")
-		if !taken || k.closed.Load() {
-			t.Fatal("it is shut as soon as it has connected")
+		addSilent(14)
+		c, added, clientSide := add("")
+		if !added || c.closed.Load() {
+			t.Fatal("client was closed when it connected")
 		}
 		if !silent[0].closed.Load() || silent[1].closed.Load() {
-			t.Error("it is not the oldest of the silent ones that makes room")
+			t.Error("want the oldest silent client closed and the second oldest open")
 		}
-		flood(13)
-		if k.closed.Load() {
-			t.Fatal("it is shut, though all others are younger")
+		addSilent(13)
+		if c.closed.Load() {
+			t.Fatal("client was closed after 13 younger clients connected, want it open")
 		}
-		if _, err := io.WriteString(far, "GET / HTTP/1.1\r\n"); err != nil {
+		if _, err := io.WriteString(clientSide, "GET / HTTP/1.1\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		flood(40)
-		if k.closed.Load() {
-			t.Error("it is shut over its request")
+		addSilent(40)
+		if c.closed.Load() {
+			t.Error("client was closed after it had sent a request")
 		}
-		// Where all clients have sent something, only a silent one can be evicted.
+		// If all other clients have sent something, only the new silent client can be evicted.
 		for i := range silent {
 			if !silent[i].closed.Load() {
 				add("GET / HTTP/1.1\r\n")
 			}
 		}
-		if _, taken, _ := add(""); taken {
-			t.Error("a silent one is taken, though each other has something to say")
+		if _, added, _ := add(""); added {
+			t.Error("add of a silent client returned true although all other clients have sent something")
 		}
 	})
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -10,26 +10,26 @@
 	"robindrum/internal/backend"
 )
 
-// maxRoutings bounds how often one request is routed: its core may be retired while its body is read.
+// maxRoutings limits how often a request is routed. It is routed again if its core is retired while its body is read.
 const maxRoutings = 4
 
-// Router chooses the core of a request. Route may be called by several goroutines at once, and again for a request whose
-// core was retired meanwhile. It must neither read the body nor retain or modify r.
+// Router chooses the core for a request. Route must be safe for concurrent use, and is called again for a request whose core
+// was retired in the meantime. It must not read the body, and must neither retain nor modify r.
 type Router interface {
 	Route(r *http.Request, from Peer) Destination
 }
 
 // Peer identifies a client connection.
 type Peer struct {
-	Listener string // as given to ServeAs
+	Listener string // the name passed to ServeAs
 	Addr     netip.Addr
 }
 
-// Destination is where a request goes: to Core with Attributes or, if Core is nil, nowhere, and the other fields are the
-// answer.
+// Destination is a Router's decision about a request. The request goes to Core with Attributes; if Core is nil, it is answered
+// with the other fields.
 type Destination struct {
 	Core       *Core
-	Attributes balancer.Request // TimeLeft is positive
+	Attributes balancer.Request // TimeLeft must be positive
 	Status     int
 	Text       string
 	Header     http.Header
@@ -37,32 +37,32 @@
 	Close      bool          // the connection is closed after the answer
 }
 
-// Front serves clients over HTTP/1.1. It reads complete requests and writes one final answer for each; its Router chooses
-// the core. Its methods may be called by several goroutines at once.
+// Front serves clients over HTTP/1.1. It reads complete requests, hands each to the core that its Router chooses and writes one
+// final answer. Its methods are safe for concurrent use.
 type Front struct {
 	router       Router
 	maxBodyBytes int64
-	wholeSeconds bool // of Retry-After
+	wholeSeconds bool // Retry-After is written in whole seconds
 	conns        *clientSet
-	bodies       bodyBudget
+	bodies       bodyBudget // for requests to cores without a memory quota
 
 	stopping  atomic.Bool
 	closing   atomic.Bool   // connections are closed after their next answer
-	accepting atomic.Int32  // running calls of ServeAs
-	expired   chan struct{} // closed when open requests are to be answered at once
+	accepting atomic.Int32  // number of running calls of ServeAs
+	expired   chan struct{} // closed by Stop when open requests must be answered immediately
 }
 
 // FrontOptions configure a Front.
 type FrontOptions struct {
-	Budget            *backend.Budget // of descriptors; client connections count against it
-	BodyBytes         int64           // memory for bodies of cores without a memory quota
-	MaxBodyBytes      int64           // of one body; 0 means DefaultMaxBodyBytes
+	Budget            *backend.Budget // descriptor budget; client connections count against it
+	BodyBytes         int64           // memory limit for request bodies to cores without a memory quota
+	MaxBodyBytes      int64           // maximum size of one body; 0 means DefaultMaxBodyBytes
 	Router            Router
-	ShedSilentClients bool // clients whose request heads do not arrive are closed when descriptors are short
+	ShedSilentClients bool // connections whose request heads do not arrive are closed when there are too many of them
 	WholeSeconds      bool // Retry-After is written in whole seconds, rounded up, as RFC 9110 requires
 }
 
-// NewFront returns a front that serves nothing yet.
+// NewFront returns a front. Serve and ServeAs accept connections for it.
 func NewFront(opt FrontOptions) *Front {
 	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, wholeSeconds: opt.WholeSeconds, conns: newClientSet(opt.Budget, opt.ShedSilentClients),
 		expired: make(chan struct{})}
@@ -73,10 +73,12 @@
 	return f
 }
 
+// closesAfterAnswer reports whether a connection must be closed after the current answer; wantsClose is the client's wish.
 func (f *Front) closesAfterAnswer(wantsClose bool) bool {
 	return wantsClose || f.stopping.Load() || f.closing.Load() || f.conns.crowded()
 }
 
+// hasExpired reports whether open requests must be answered immediately, since Stop's deadline is near.
 func (f *Front) hasExpired() bool {
 	select {
 	case <-f.expired:
@@ -89,15 +91,15 @@
 // SetClosing sets whether each connection is closed after its next answer.
 func (f *Front) SetClosing(on bool) { f.closing.Store(on) }
 
-// Stopping reports whether Stop was called.
+// Stopping reports whether Stop has been called.
 func (f *Front) Stopping() bool { return f.stopping.Load() }
 
 // ConnectionCount returns the number of client connections.
 func (f *Front) ConnectionCount() int { return len(f.conns.list()) }
 
-// CloseIdle closes all connections.
+// CloseIdle closes all client connections, including active ones.
 func (f *Front) CloseIdle() {
-	for _, k := range f.conns.list() {
-		_ = k.Close()
+	for _, c := range f.conns.list() {
+		_ = c.Close()
 	}
 }
--- a/internal/proxy/host.go
+++ b/internal/proxy/host.go
@@ -11,37 +11,37 @@
 
 const (
 	healthCheckTimeout = 500 * time.Millisecond
-	logInterval        = 200 * time.Millisecond // between two log lines of the balancer
+	logInterval        = 200 * time.Millisecond // minimum time between two log messages of the balancer; others are dropped
 )
 
-// host is the Core as a balancer.Host. Its methods are called with the lock held.
+// host implements balancer.Host for a Core. The balancer calls its methods with the core's lock held.
 type host Core
 
 func (h *host) Send(id, server string, expire time.Duration) {
-	n := (*Core)(h)
-	r := n.requests[id]
-	if r == nil {
+	c := (*Core)(h)
+	q := c.requests[id]
+	if q == nil {
 		return
 	}
-	i := len(r.attempts)
-	n.stats.Sends++
+	i := len(q.attempts)
+	c.stats.Sends++
 	if i > 0 {
-		n.stats.Retries++
+		c.stats.Retries++
 	}
-	r.attemptsRunning++
-	deadline := r.deadline
+	q.attemptsRunning++
+	deadline := q.deadline
 	if expire > 0 {
-		if t := n.boot.Add(expire - n.bootUnix); t.Before(deadline) {
+		if t := c.startTime.Add(expire - c.startUnix); t.Before(deadline) {
 			deadline = t
 		}
 	}
 	var a *backend.Attempt
-	if !r.answered && i < max(n.opt.Settings.MaxAttempts, 1) {
-		a = backend.NewAttempt(n.upstream(server), &r.Send, deadline)
+	if !q.answered && i < max(c.opt.Settings.MaxAttempts, 1) {
+		a = backend.NewAttempt(c.upstream(server), &q.Send, deadline)
 	}
-	r.attempts = append(r.attempts, a)
-	n.attempts.Add(1)
-	go n.runAttempt(r, i, a)
+	q.attempts = append(q.attempts, a)
+	c.attempts.Add(1)
+	go c.runAttempt(q, i, a)
 }
 
 func (h *host) Reject(id string, retryAfter time.Duration) {
@@ -50,45 +50,46 @@
 
 func (h *host) Fail(id string) { h.answer(id, Answer{Status: http.StatusBadGateway}) }
 
+// answer settles an unanswered request with a, or with the last error response from an endpoint.
 func (h *host) answer(id string, a Answer) {
-	n := (*Core)(h)
-	r := n.requests[id]
-	if r != nil && r.endpointError != nil { // the endpoint's own error says more
-		a = *r.endpointError
+	c := (*Core)(h)
+	q := c.requests[id]
+	if q != nil && q.endpointError != nil { // the endpoint's error response is more specific
+		a = *q.endpointError
 	}
-	if n.settleAnswer(r, a) {
-		if a.Status == http.StatusServiceUnavailable && r.endpointError == nil {
-			n.stats.Rejected++
-			n.notifyCompleted(n.now(), r, OutcomeRejected)
+	if c.settleAnswer(q, a) {
+		if a.Status == http.StatusServiceUnavailable && q.endpointError == nil {
+			c.stats.Rejected++
+			c.notifyCompleted(c.now(), q, OutcomeRejected)
 		} else {
-			n.stats.Failed++
-			n.notifyCompleted(n.now(), r, OutcomeFailed)
+			c.stats.Failed++
+			c.notifyCompleted(c.now(), q, OutcomeFailed)
 		}
-		n.forgetIfFinished(r)
+		c.forgetIfFinished(q)
 	}
 }
 
 func (h *host) Cancel(id string, i int) {
-	if r := h.requests[id]; r != nil && i >= 0 && i < len(r.attempts) && r.attempts[i] != nil &&
-		r.attempts[i] != r.stream { // a response that is being streamed goes on
-		r.attempts[i].Cancel()
+	if q := h.requests[id]; q != nil && i >= 0 && i < len(q.attempts) && q.attempts[i] != nil &&
+		q.attempts[i] != q.stream { // a response that is being streamed is not interrupted
+		q.attempts[i].Cancel()
 	}
 }
 
 func (h *host) HealthCheck(server string) {
-	n := (*Core)(h)
-	up := n.upstream(server)
-	n.attempts.Go(func() {
+	c := (*Core)(h)
+	up := c.upstream(server)
+	c.attempts.Go(func() {
 		sent := time.Now()
-		reply := backend.HealthCheck(n.ctx, up, n.opt.HealthCheckPath, healthCheckTimeout)
-		p := balancer.HealthCheckResult{Server: server, Result: reply.Result, Latency: time.Since(sent)}
-		if n.opt.LoadReports {
-			p.LoadReport = backend.ParseLoad(reply.LoadReport)
-			if p.LoadReport == nil {
-				p.LoadReport = backend.ParseLoad(string(reply.Body))
+		reply := backend.HealthCheck(c.ctx, up, c.opt.HealthCheckPath, healthCheckTimeout)
+		result := balancer.HealthCheckResult{Server: server, Result: reply.Result, Latency: time.Since(sent)}
+		if c.opt.LoadReports {
+			result.LoadReport = backend.ParseLoad(reply.LoadReport)
+			if result.LoadReport == nil {
+				result.LoadReport = backend.ParseLoad(string(reply.Body))
 			}
 		}
-		n.withBalancer(func(now time.Duration) { n.balancer.HealthChecked(now, p) })
+		c.withBalancer(func(now time.Duration) { c.balancer.HealthChecked(now, result) })
 	})
 }
 
@@ -99,10 +100,10 @@
 }
 
 func (h *host) SetTimer(token uint64, after time.Duration) {
-	n := (*Core)(h)
+	c := (*Core)(h)
 	time.AfterFunc(max(after, 0), func() {
-		if n.ctx.Err() == nil {
-			n.withBalancer(func(now time.Duration) { n.balancer.Timer(now, token) })
+		if c.ctx.Err() == nil {
+			c.withBalancer(func(now time.Duration) { c.balancer.Timer(now, token) })
 		}
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,14 +11,15 @@
 	"robindrum/internal/discovery"
 )
 
-// Node is the platform's proxy node: one front and one core, with endpoints from the platform's discovery.
+// Node is a proxy node of the platform. It has one Front and one Core and gets its endpoints from the platform's discovery
+// service.
 type Node struct {
 	*Core
 	*Front
 	discovery *discovery.Client
 }
 
-// New returns a node. Start begins to follow the endpoint list.
+// New returns a node that has no endpoints until Start is called.
 func New(opt Options, pool *backend.Pool) (*Node, error) {
 	n := &Node{}
 	n.Front = NewFront(FrontOptions{Budget: opt.Budget, BodyBytes: opt.BodyBytes, Router: n})
@@ -28,19 +29,20 @@
 	return n, err
 }
 
-// Start delivers the cached endpoint list and begins to follow discovery.
-func (n *Node) Start(news *discovery.Client, known []byte) error {
-	n.discovery = news
-	return news.Start(known)
+// Start applies the cached endpoint list and starts the discovery client.
+func (n *Node) Start(discoveryClient *discovery.Client, cachedList []byte) error {
+	n.discovery = discoveryClient
+	return discoveryClient.Start(cachedList)
 }
 
-// Watch begins or ends a watch of the endpoint list.
+// Watch starts or stops a watch of the endpoint list.
 func (n *Node) Watch(on bool) { n.discovery.Watch(on) }
 
 // Fetch fetches one full snapshot of the endpoint list.
 func (n *Node) Fetch() { n.discovery.Fetch() }
 
-// Route implements Router for the platform's protocol: one core, with the class in a header or in the path.
+// Route implements Router for the platform's protocol. All requests go to the same core; their class is in a header or in the
+// path.
 func (n *Node) Route(r *http.Request, _ Peer) Destination {
 	id := r.Header.Get("X-Trace-Id")
 	switch {
@@ -55,26 +57,27 @@
 	return Destination{Core: n.Core, Attributes: n.attributes(r, id)}
 }
 
+// attributes returns the balancer's view of a request with the given trace ID.
 func (n *Node) attributes(r *http.Request, id string) balancer.Request {
 	h := r.Header
-	q := balancer.Request{ID: id, Class: h.Get("X-Qos"), Tenant: h.Get("X-Customer"), Retry: h.Get("X-Second-Try") == "1"}
-	if q.Class == "" {
-		q.Class, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	attrs := balancer.Request{ID: id, Class: h.Get("X-Qos"), Tenant: h.Get("X-Customer"), Retry: h.Get("X-Second-Try") == "1"}
+	if attrs.Class == "" {
+		attrs.Class, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	}
 	if r.URL.RawQuery != "" {
-		q.Key = r.URL.Query().Get("obj")
+		attrs.Key = r.URL.Query().Get("obj")
 	}
 	if us, err := strconv.ParseInt(h.Get("X-Size-Hint"), 10, 64); err == nil && us > 0 && us < 1<<40 {
-		q.Work = time.Duration(us) * time.Microsecond
+		attrs.Work = time.Duration(us) * time.Microsecond
 	}
-	q.TimeLeft = n.classDeadlines[q.Class]
-	if ms, err := strconv.ParseInt(h.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < int64(q.TimeLeft/time.Millisecond) {
-		q.TimeLeft = time.Duration(ms) * time.Millisecond
+	attrs.TimeLeft = n.classDeadlines[attrs.Class]
+	if ms, err := strconv.ParseInt(h.Get("X-Expires-In-Ms"), 10, 64); err == nil && ms > 0 && ms < int64(attrs.TimeLeft/time.Millisecond) {
+		attrs.TimeLeft = time.Duration(ms) * time.Millisecond
 	}
-	return q
+	return attrs
 }
 
-// Close ends the node: its discovery, attempts and client connections.
+// Close stops discovery, cancels all attempts and closes the client connections.
 func (n *Node) Close() {
 	n.cancel()
 	if n.discovery != nil {
--- a/internal/proxy/races_test.go
+++ b/internal/proxy/races_test.go
@@ -14,56 +14,56 @@
 	"robindrum/internal/testbed"
 )
 
-// A client that has sent the first bytes of its next request closes the connection: its pending request is not forwarded.
-func TestClientLeavesAfterEarlyBytesOfANextRequest(t *testing.T) {
-	for name, leave := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
+// A client that has sent the first bytes of a pipelined request closes the connection. Its pending request is not forwarded.
+func TestClientLeavesAfterStartingAPipelinedRequest(t *testing.T) {
+	for name, disconnect := range map[string]func(net.Conn){"closed": func(c net.Conn) { c.Close() }, "reset": testbed.Reset,
 		"half closed": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }} {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
-			b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
-			w := start(t, nil) // no list yet: it waits
-			c := w.dial(t)
-			c.send(head("GET", "get"))
-			testbed.Eventually(t, "the request", func() bool { return w.held() == 1 })
+			b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return okResponse })
+			node := startNode(t, nil) // there is no endpoint list yet, so the request waits
+			c := node.dial(t)
+			c.send(requestHead("GET", "get"))
+			testbed.Eventually(t, "the request", func() bool { return node.pending() == 1 })
 			c.send("GET ")
-			k := w.conns.list()[0]
-			testbed.Eventually(t, "the early bytes to be read", func() bool { waits, _ := k.peek(); return !waits })
-			leave(c.Conn)
-			// Otherwise the balancer rejects it once it has waited for too long.
-			testbed.Eventually(t, "its end to be seen", func() bool { return w.held() == 0 })
-			if s := w.Stats(); s.ClientLeft != 1 || s.Rejected != 0 {
-				t.Errorf("left %d, refused %d", s.ClientLeft, s.Rejected)
+			serverSide := node.conns.list()[0]
+			testbed.Eventually(t, "reading of the pipelined bytes", func() bool { unread, _ := serverSide.peek(); return !unread })
+			disconnect(c.Conn)
+			// If the disconnect is not detected, the balancer rejects the request after some time.
+			testbed.Eventually(t, "detection of the disconnect", func() bool { return node.pending() == 0 })
+			if stats := node.Stats(); stats.ClientLeft != 1 || stats.Rejected != 0 {
+				t.Errorf("got %d requests abandoned and %d rejected, want 1 and 0", stats.ClientLeft, stats.Rejected)
 			}
-			w.list(b.Addr)
-			for code := 0; code != 200; { // the balancer may reject some, as the first one was not served
-				o := w.dial(t)
-				o.send(head("GET", "get"))
-				code, _, _ = o.answer(t)
-				o.Close()
+			node.list(b.Addr)
+			for code := 0; code != 200; { // the balancer may reject some requests, since it has served none yet
+				other := node.dial(t)
+				other.send(requestHead("GET", "get"))
+				code, _, _ = other.readAnswer(t)
+				other.Close()
 			}
 			if n := len(b.Requests()); n != 1 {
-				t.Errorf("%d requests were sent", n)
+				t.Errorf("got %d requests at the backend, want 1", n)
 			}
 		})
 	}
 }
 
-// A pipelined request that arrives in full before the current answer is served right after that answer.
+// A pipelined request that arrives completely before the current answer is served after that answer.
 func TestPipelinedRequestIsServedAfterTheAnswer(t *testing.T) {
 	testbed.Leaks(t)
-	came, goOn := make(chan struct{}, 9), make(chan struct{})
-	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { came <- struct{}{}; <-goOn; return ok })
-	w := start(t, nil, b.Addr)
+	arrived, release := make(chan struct{}, 9), make(chan struct{})
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { arrived <- struct{}{}; <-release; return okResponse })
+	node := startNode(t, nil, b.Addr)
 	for range 100 {
-		c := w.dial(t)
-		c.send(head("GET", "get"))
-		testbed.Receive(t, "the request", came)
-		c.send(head("GET", "get"))
-		goOn <- struct{}{}
-		testbed.Receive(t, "the next request", came)
-		goOn <- struct{}{}
+		c := node.dial(t)
+		c.send(requestHead("GET", "get"))
+		testbed.Receive(t, "the request", arrived)
+		c.send(requestHead("GET", "get"))
+		release <- struct{}{}
+		testbed.Receive(t, "the next request", arrived)
+		release <- struct{}{}
 		for range 2 {
-			if code, _, _ := c.answer(t); code != 200 {
+			if code, _, _ := c.readAnswer(t); code != 200 {
 				t.Fatal(code)
 			}
 		}
@@ -71,135 +71,136 @@
 	}
 }
 
-// heldReads routes as the node does, and blocks all reads from clients from then on.
-type heldReads struct {
-	*world
-	goOn chan struct{}
+// readBlockingRouter is a Router that routes as its node does. Route blocks all reads from clients until release is closed.
+type readBlockingRouter struct {
+	*testNode
+	release chan struct{}
 }
 
-func (h *heldReads) Route(r *http.Request, from Peer) Destination {
-	for _, k := range h.conns.list() {
-		k.reading.Lock()
+func (router *readBlockingRouter) Route(r *http.Request, from Peer) Destination {
+	for _, c := range router.conns.list() {
+		c.reading.Lock()
 		go func() {
-			<-h.goOn
-			k.reading.Unlock()
+			<-router.release
+			c.reading.Unlock()
 		}()
 	}
-	return h.Node.Route(r, from)
+	return router.Node.Route(r, from)
 }
 
-// A client left while its request waited in the socket buffer: the request is not forwarded, though the end of the stream has not
-// been read yet.
+// A client disconnected while its request was in the socket buffer. The request is not forwarded, although the node has not read the end
+// of the stream yet.
 func TestClientLeavesBeforeItsRequestIsRead(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
-	w := start(t, nil, b.Addr)
-	h := &heldReads{w, make(chan struct{})}
-	w.router = h
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return okResponse })
+	node := startNode(t, nil, b.Addr)
+	blocking := &readBlockingRouter{node, make(chan struct{})}
+	node.router = blocking
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := net.Dial("tcp", l.Addr().String())
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_, _ = io.WriteString(c, head("POST", "put", "Idempotency-Key: k", "Content-Length: 1")+"x")
+	_, _ = io.WriteString(c, requestHead("POST", "put", "Idempotency-Key: k", "Content-Length: 1")+"x")
 	_ = c.(*net.TCPConn).CloseWrite()
 	served := make(chan struct{})
-	go func() { w.Serve(l); close(served) }() // only now is anything read
+	go func() { node.Serve(listener); close(served) }() // the request is read only now
 	c.SetDeadline(time.Now().Add(testbed.WaitTimeout))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // the client has closed its sending side only
-	close(h.goOn)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // the client has closed only its sending side
+	close(blocking.release)
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || len(b.Requests()) != 0 {
-		t.Errorf("%v, %v, and %d requests were sent", resp, err, len(b.Requests()))
+		t.Errorf("got response %v, error %v and %d requests at the backend, want 503, nil and 0", resp, err, len(b.Requests()))
 	}
 	c.Close()
-	testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 && w.ConnectionCount() == 0 })
-	l.Close()
+	testbed.Eventually(t, "the end of all requests and connections", func() bool { return node.pending() == 0 && node.ConnectionCount() == 0 })
+	listener.Close()
 	<-served
 }
 
-// Each open request gets exactly one answer at shutdown, which is a rejection only if no attempt can have been executed.
+// At shutdown each open request gets exactly one answer. The answer is 503 only if the request is
+// idempotent or was not sent.
 func TestOpenRequestsAreAnsweredAtShutdown(t *testing.T) {
 	testbed.Leaks(t)
-	came := make(chan string, 9)
+	arrived := make(chan string, 9)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		buf := make([]byte, 4<<10)
 		n, _ := c.Read(buf)
-		came <- string(buf[:n])
+		arrived <- string(buf[:n])
 		_, _ = io.Copy(io.Discard, c)
 	})
-	w := start(t, nil, b.Addr)
-	sent := map[string]*peer{}
+	node := startNode(t, nil, b.Addr)
+	sent := map[string]*clientConn{}
 	for name, text := range map[string]string{
-		"unsafe": head("POST", "post", "Content-Length: 1") + "x",
-		"keyed":  head("POST", "put", "Idempotency-Key: k", "Content-Length: 1") + "x",
-		"safe":   head("GET", "get"),
+		"unsafe": requestHead("POST", "post", "Content-Length: 1") + "x",
+		"keyed":  requestHead("POST", "put", "Idempotency-Key: k", "Content-Length: 1") + "x",
+		"safe":   requestHead("GET", "get"),
 	} {
-		sent[name] = w.dial(t)
+		sent[name] = node.dial(t)
 		sent[name].send(text)
-		testbed.Receive(t, "the request", came)
+		testbed.Receive(t, "the request", arrived)
 	}
-	sentTo := w
-	w = start(t, nil) // it has no endpoint list yet, so requests wait
-	held, half := w.dial(t), w.dial(t)
-	held.send(head("POST", "post", "Content-Length: 1") + "x")
-	text := head("POST", "put", "Idempotency-Key: k", "Content-Length: 4")
-	half.send(text + "bo")
-	ahead := w.dial(t) // its reader waits behind the start of another request
-	ahead.send(head("POST", "post", "Content-Length: 1") + "x")
-	testbed.Eventually(t, "them", func() bool { return w.held() == 2 })
-	ahead.send("POST ")
-	last := w.dial(t)
-	last.send("GET /get/x HTTP/1.1\r\nHost: x\r\n")
+	sendingNode := node
+	node = startNode(t, nil) // this node has no endpoint list yet, so requests wait
+	pending, partial := node.dial(t), node.dial(t)
+	pending.send(requestHead("POST", "post", "Content-Length: 1") + "x")
+	text := requestHead("POST", "put", "Idempotency-Key: k", "Content-Length: 4")
+	partial.send(text + "bo")
+	pipelining := node.dial(t) // its reader waits for the rest of a pipelined request
+	pipelining.send(requestHead("POST", "post", "Content-Length: 1") + "x")
+	testbed.Eventually(t, "them", func() bool { return node.pending() == 2 })
+	pipelining.send("POST ")
+	late := node.dial(t)
+	late.send("GET /get/x HTTP/1.1\r\nHost: x\r\n")
 	stopped := make(chan struct{}, 2)
-	for _, w := range []*world{w, sentTo} {
+	for _, node := range []*testNode{node, sendingNode} {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), acceptAfterStop+expireMargin+300*time.Millisecond)
 			defer cancel()
-			w.Stop(ctx, w.l)
+			node.Stop(ctx, node.listener)
 			stopped <- struct{}{}
 		}()
 	}
-	testbed.Receive(t, "the end to be near", w.expired)
-	last.send("X-Trace-Id: last\r\nX-Qos: get\r\n\r\n")
+	testbed.Receive(t, "the expiry of open requests", node.expired)
+	late.send("X-Trace-Id: last\r\nX-Qos: get\r\n\r\n")
 	for name, c := range sent {
-		code, _, _ := c.answer(t)
+		code, _, _ := c.readAnswer(t)
 		if name == "safe" != (code == http.StatusServiceUnavailable) || name != "safe" && code != http.StatusBadGateway {
-			t.Errorf("%s, sent: %d", name, code)
+			t.Errorf("sent %s request: got status %d, want 503 for the safe request, 502 for others", name, code)
 		}
 	}
-	for name, c := range map[string]*peer{"held": held, "half a body": half, "held, with bytes behind": ahead} {
-		if code, _, _ := c.answer(t); code != http.StatusServiceUnavailable {
-			t.Errorf("%s: %d", name, code)
+	for name, c := range map[string]*clientConn{"held": pending, "half a body": partial, "held, with a pipelined request": pipelining} {
+		if code, _, _ := c.readAnswer(t); code != http.StatusServiceUnavailable {
+			t.Errorf("%s: got status %d, want 503", name, code)
 		}
 	}
-	if code, _, _ := last.answer(t); code == http.StatusOK { // it came too late, or its head was incomplete
-		t.Errorf("the last one: %d", code)
+	if code, _, _ := late.readAnswer(t); code == http.StatusOK { // its head was completed too late
+		t.Errorf("request completed after the expiry: got status %d, want an error", code)
 	}
-	testbed.Receive(t, "the end", stopped)
-	testbed.Receive(t, "the other end", stopped)
-	if len(came) != 0 {
-		t.Errorf("sent at the end: %q", <-came)
+	testbed.Receive(t, "the return of the first Stop", stopped)
+	testbed.Receive(t, "the return of the second Stop", stopped)
+	if len(arrived) != 0 {
+		t.Errorf("got request %q forwarded during the shutdown, want none", <-arrived)
 	}
 }
 
-// A long answer that is being streamed at shutdown is completed.
+// A long answer that is being streamed when open requests expire at shutdown is completed.
 func TestStreamedAnswerOutlastsShutdown(t *testing.T) {
 	testbed.Leaks(t)
-	goOn := make(chan struct{})
+	release := make(chan struct{})
 	half := strings.Repeat("0123456789abcdef", 8<<10)
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		_, _ = c.Read(make([]byte, 4<<10))
 		_, _ = io.WriteString(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*len(half), half))
-		<-goOn
+		<-release
 		_, _ = io.WriteString(c, half)
 	})
-	w := start(t, nil, b.Addr)
-	c := w.dial(t)
-	c.send(head("GET", "get"))
+	node := startNode(t, nil, b.Addr)
+	c := node.dial(t)
+	c.send(requestHead("GET", "get"))
 	if _, err := c.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
@@ -207,136 +208,137 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), acceptAfterStop+expireMargin+300*time.Millisecond)
 		defer cancel()
-		w.Stop(ctx, w.l)
+		node.Stop(ctx, node.listener)
 		close(stopped)
 	}()
-	testbed.Receive(t, "the end to be near", w.expired)
-	close(goOn)
-	if code, body, _ := c.answer(t); code != 200 || body != half+half {
-		t.Errorf("%d and %d bytes", code, len(body))
+	testbed.Receive(t, "the expiry of open requests", node.expired)
+	close(release)
+	if code, body, _ := c.readAnswer(t); code != 200 || body != half+half {
+		t.Errorf("got status %d and %d bytes, want 200 and the complete body of %d bytes", code, len(body), 2*len(half))
 	}
-	testbed.Receive(t, "the end", stopped)
+	testbed.Receive(t, "the return of Stop", stopped)
 }
 
-// A request arrives between the check of an idle connection and its closing: it is served, and the connection stays open.
-func TestRequestOnAConnectionThatIsBeingClosed(t *testing.T) {
+// A request that arrives after a connection was found idle and before it is closed is served, and the connection stays open.
+func TestRequestDuringIdleCloseIsServed(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
-	w := start(t, nil, b.Addr)
-	c := w.dial(t)
-	c.send(head("GET", "get"))
-	c.answer(t)
-	k := w.conns.list()[0]
-	testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idleTime(k) > 0 })
-	shut := k.closeIdle(func() bool {
-		c.send(head("GET", "get"))
-		// The reader must wait until this function returns. One that did not would have read the request by now.
-		for end := time.Now().Add(200 * time.Millisecond); w.conns.idleTime(k) > 0 && time.Now().Before(end); {
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return okResponse })
+	node := startNode(t, nil, b.Addr)
+	c := node.dial(t)
+	c.send(requestHead("GET", "get"))
+	c.readAnswer(t)
+	serverSide := node.conns.list()[0]
+	testbed.Eventually(t, "the connection to be idle", func() bool { return node.conns.idleTime(serverSide) > 0 })
+	closed := serverSide.closeIdle(func() bool {
+		c.send(requestHead("GET", "get"))
+		// The reader must wait until this function returns. Without the lock it would read the request during this loop.
+		for end := time.Now().Add(200 * time.Millisecond); node.conns.idleTime(serverSide) > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		return true // as seen before the request arrived
+		return true // the result of a check before the request arrived
 	})
-	if shut {
-		t.Error("shut")
+	if closed {
+		t.Error("closeIdle returned true, want false")
 	}
-	if code, _, _ := c.answer(t); code != 200 {
-		t.Errorf("%d", code)
+	if code, _, _ := c.readAnswer(t); code != 200 {
+		t.Errorf("got status %d, want 200", code)
 	}
 }
 
-// Descriptors are short, and the client that has been idle for longest has just sent a request that is not read yet: another
-// client is evicted.
+// When descriptors are short and the client that has been idle longest has just sent a request that is not read yet, another client is
+// evicted.
 func TestConnectionWithARequestIsNotEvicted(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
-	w := start(t, nil, b.Addr)
-	c := [2]*peer{}
-	var k [2]*client
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return okResponse })
+	node := startNode(t, nil, b.Addr)
+	c := [2]*clientConn{}
+	var serverSide [2]*client
 	for i := range c {
-		c[i] = w.dial(t)
-		c[i].send(head("GET", "get"))
-		c[i].answer(t)
-		for _, x := range w.conns.list() {
-			if x != k[0] {
-				k[i] = x
+		c[i] = node.dial(t)
+		c[i].send(requestHead("GET", "get"))
+		c[i].readAnswer(t)
+		for _, listed := range node.conns.list() {
+			if listed != serverSide[0] {
+				serverSide[i] = listed
 			}
 		}
-		testbed.Eventually(t, "it to be idle", func() bool { return w.conns.idleTime(k[i]) >= minIdle })
+		testbed.Eventually(t, "the connection to be idle", func() bool { return node.conns.idleTime(serverSide[i]) >= minIdle })
 	}
-	k[0].reading.Lock()
-	c[0].send(head("GET", "get"))
-	testbed.Eventually(t, "the request", func() bool { waits, _ := k[0].peek(); return waits })
-	go k[0].reading.Unlock()
-	if !w.conns.closeOldestIdle(minIdle) {
-		t.Error("no room was made")
+	serverSide[0].reading.Lock()
+	c[0].send(requestHead("GET", "get"))
+	testbed.Eventually(t, "the request", func() bool { unread, _ := serverSide[0].peek(); return unread })
+	go serverSide[0].reading.Unlock()
+	if !node.conns.closeOldestIdle(minIdle) {
+		t.Error("closeOldestIdle returned false, want true")
 	}
-	if code, _, _ := c[0].answer(t); code != 200 {
-		t.Errorf("%d", code)
+	if code, _, _ := c[0].readAnswer(t); code != 200 {
+		t.Errorf("client with a request: got status %d, want 200", code)
 	}
-	if !c[1].closed() {
-		t.Error("the other one is kept")
+	if !c[1].isClosed() {
+		t.Error("other client: got bytes, want a closed connection")
 	}
 }
 
-// heldListener accepts nothing until its deadline is set or it is closed.
-type heldListener struct {
+// delayedListener accepts no connection until its deadline is set or it is closed.
+type delayedListener struct {
 	*net.TCPListener
-	ends chan struct{}
-	told bool
+	unblock   chan struct{}
+	unblocked bool
 }
 
-func (l *heldListener) end() {
-	if !l.told {
-		l.told = true
-		close(l.ends)
+// unblockAccept lets Accept proceed.
+func (l *delayedListener) unblockAccept() {
+	if !l.unblocked {
+		l.unblocked = true
+		close(l.unblock)
 	}
 }
 
-func (l *heldListener) Accept() (net.Conn, error) { <-l.ends; return l.TCPListener.Accept() }
+func (l *delayedListener) Accept() (net.Conn, error) { <-l.unblock; return l.TCPListener.Accept() }
 
-func (l *heldListener) SetDeadline(t time.Time) error {
-	defer l.end()
+func (l *delayedListener) SetDeadline(t time.Time) error {
+	defer l.unblockAccept()
 	return l.TCPListener.SetDeadline(t)
 }
 
-func (l *heldListener) Close() error {
-	defer l.end()
+func (l *delayedListener) Close() error {
+	defer l.unblockAccept()
 	return l.TCPListener.Close()
 }
 
-// Connections in the kernel's backlog that the node had no time to accept are served before the listener closes.
+// Stop serves the connections that are still in the kernel's backlog before it closes the listener.
 func TestStopEmptiesTheBacklog(t *testing.T) {
 	testbed.Leaks(t)
-	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return ok })
-	w := start(t, nil, b.Addr)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return okResponse })
+	node := startNode(t, nil, b.Addr)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &heldListener{TCPListener: l.(*net.TCPListener), ends: make(chan struct{})}
+	delayed := &delayedListener{TCPListener: listener.(*net.TCPListener), unblock: make(chan struct{})}
 	served := make(chan struct{})
-	go func() { w.ServeAs("held", h); close(served) }()
-	testbed.Eventually(t, "both to serve", func() bool { return w.accepting.Load() == 2 })
-	var c []*peer
+	go func() { node.ServeAs("held", delayed); close(served) }()
+	testbed.Eventually(t, "both listeners to be served", func() bool { return node.accepting.Load() == 2 })
+	var clients []*clientConn
 	for range 20 {
-		k, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer k.Close()
-		p := &peer{k, nil}
-		p.send(head("GET", "get"))
-		c = append(c, p)
+		defer conn.Close()
+		client := &clientConn{conn, nil}
+		client.send(requestHead("GET", "get"))
+		clients = append(clients, client)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
-	w.Stop(ctx, h, w.l)
-	testbed.Receive(t, "the end of serving", served)
-	for i, p := range c {
-		p.SetDeadline(time.Now().Add(testbed.WaitTimeout))
-		// Part of a burst may be rejected; no connection may end without an answer.
-		if text, err := io.ReadAll(p); !strings.HasPrefix(string(text), "HTTP/1.1 200") && !strings.HasPrefix(string(text), "HTTP/1.1 503") {
-			t.Errorf("connection %d: %q, %v", i, text, err)
+	node.Stop(ctx, delayed, node.listener)
+	testbed.Receive(t, "the return of ServeAs", served)
+	for i, client := range clients {
+		client.SetDeadline(time.Now().Add(testbed.WaitTimeout))
+		// Some requests of a burst may be rejected, but each connection must get an answer.
+		if text, err := io.ReadAll(client); !strings.HasPrefix(string(text), "HTTP/1.1 200") && !strings.HasPrefix(string(text), "HTTP/1.1 503") {
+			t.Errorf("connection %d: got answer %q, error %v, want status 200 or 503", i, text, err)
 		}
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -9,14 +9,15 @@
 	"robindrum/internal/backend"
 )
 
-// Client receives a request's one final answer: either Answer is called once, or Begin and then Finish. Nothing is
+// Client receives a request's one final answer: either Answer is called once, or Begin and then Finish. No method is
 // called after the request's Done channel is closed.
 type Client interface {
+	// Answer writes a complete answer.
 	Answer(a Answer)
-	// Begin writes the head of a streamed answer and returns the writer of its body. Writes fail if the client has left
-	// or does not read.
+	// Begin writes the head of a streamed answer and returns the writer of its body. Writes fail if the client has
+	// disconnected or does not read.
 	Begin(status int, h http.Header, length int64) io.Writer
-	// Finish ends a streamed answer. If it is not complete the client must be able to tell.
+	// Finish ends a streamed answer. If complete is false, the client must be able to detect that the answer is cut off.
 	Finish(complete bool)
 }
 
@@ -26,17 +27,17 @@
 	RetryAfter time.Duration // 0 means none
 	Header     http.Header
 	Body       []byte
-	Length     int64 // Content-Length of an answer to HEAD; -1 if not known
-	noBody     bool  // the request was a HEAD
+	Length     int64 // Content-Length of an answer to a HEAD request; -1 if unknown
+	noBody     bool  // the request's method is HEAD
 }
 
-// Request is a client's request on its way from a front to a core. Once a core has accepted it the front must not touch
+// Request is a client's request that a Front hands to a Core. Once a core has accepted the request, the front must not access
 // it until Done is closed.
 type Request struct {
-	Attributes    balancer.Request // the ID is unique within the core
+	Attributes    balancer.Request // the ID must be unique within the core
 	Send          backend.Request
 	Client        Client
-	ReservedBytes int64 // of the memory quota, released by the core when the request is finished
+	ReservedBytes int64 // reserved from the memory quota; the core releases them when the request is finished
 
 	id              string
 	acceptedAt      time.Duration
@@ -45,15 +46,15 @@
 	attemptsRunning int
 	answered        bool
 	answer          Answer
-	endpointError   *Answer          // the endpoint's own error response
-	stream          *backend.Attempt // whose response is being streamed to the client
+	endpointError   *Answer          // the latest error response from an endpoint
+	stream          *backend.Attempt // the attempt whose response is being streamed to the client
 	memory          Quota
 	done            chan struct{} // closed when the answer is written
 }
 
 type request = Request
 
-// Done returns a channel that is closed when the answer is written; nil before a core has accepted the request.
+// Done returns a channel that is closed when the answer is written. It is nil until a core has accepted the request.
 func (q *Request) Done() <-chan struct{} { return q.done }
 
 func (q *Request) isDone() bool {
@@ -65,11 +66,11 @@
 	}
 }
 
-// Completed describes a request that has ended.
+// Completed describes a completed request.
 type Completed struct {
 	Attributes balancer.Request
 	Method     string
-	Latency    time.Duration // until its answer was given, or its streamed answer was complete
+	Latency    time.Duration // until the answer was chosen or, if it was streamed, until it ended
 	Outcome    RequestOutcome
 }
 
@@ -81,5 +82,5 @@
 	OutcomeServed RequestOutcome = iota
 	OutcomeRejected
 	OutcomeFailed
-	OutcomeClientLeft // the client left, or its time ran out
+	OutcomeClientLeft // the client disconnected, or its deadline passed
 )
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
+// abandonMargin is the time after a request's deadline at which the Front abandons it. The balancer normally answers before.
 const abandonMargin = 15 * time.Millisecond
 
-// responseBuffers are for the heads of responses, and for complete short ones.
+// responseBuffers holds buffers for response heads and for complete short responses.
 var responseBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 8<<10); return &b }}
 
-// handleRequest reads a request's body, which must be complete by until, and has the request answered. It returns false
-// if the connection ends with it.
-func (f *Front) handleRequest(c *client, r *http.Request, until time.Time) bool {
+// handleRequest reads a request's body, which must be complete by readDeadline, hands the request to a core and waits for the
+// answer. It returns false if the connection must be closed.
+func (f *Front) handleRequest(c *client, r *http.Request, readDeadline time.Time) bool {
 	c.served.Store(true)
 	destination := f.router.Route(r, c.peer)
 	if destination.Core == nil {
@@ -32,7 +33,7 @@
 		memory = &f.bodies
 	}
 	q := &Request{}
-	if status, text := f.prepare(c, r, q, memory, until); status != 0 {
+	if status, text := f.prepare(c, r, q, memory, readDeadline); status != 0 {
 		memory.Release(q.ReservedBytes)
 		c.reject(status, text)
 		return false
@@ -49,52 +50,53 @@
 	return c.awaitAnswer(core, q, x)
 }
 
-// answerWithoutCore answers a request that goes to no core. It returns false if the connection ends with it.
+// answerWithoutCore answers a request whose Destination has no core. It returns false if the connection must be closed.
 func (f *Front) answerWithoutCore(c *client, r *http.Request, d *Destination) bool {
-	if d.Close || r.ContentLength != 0 { // an unread body would precede the next request
+	if d.Close || r.ContentLength != 0 { // an unread body would be parsed as the next request
 		c.answerAndClose(d.answer())
 		return false
 	}
-	last := f.closesAfterAnswer(r.Close)
+	closeAfter := f.closesAfterAnswer(r.Close)
 	a := d.answer()
 	a.noBody = r.Method == http.MethodHead
-	if c.writeAnswer(a, last) != nil {
+	if c.writeAnswer(a, closeAfter) != nil {
 		return false
 	}
 	if c.br.Buffered() == 0 {
 		c.front.conns.markIdle(c)
 	}
-	if last {
+	if closeAfter {
 		c.closeGracefully()
 	}
-	return !last
+	return !closeAfter
 }
 
-// prepare reads the request's body and fills in what is sent to an endpoint. If the request cannot be forwarded it returns
-// the status and text of its answer; otherwise the status is 0.
-func (f *Front) prepare(c *client, r *http.Request, q *Request, memory Quota, until time.Time) (status int, text string) {
+// prepare reads the request's body and sets q.Send, the request to an endpoint. If the request cannot be forwarded, prepare
+// returns the status and text of the answer; otherwise the status is 0.
+func (f *Front) prepare(c *client, r *http.Request, q *Request, memory Quota, readDeadline time.Time) (status int, text string) {
 	var err error
-	q.Send.Body, q.ReservedBytes, err = f.readBody(c, r, memory, until)
+	q.Send.Body, q.ReservedBytes, err = f.readBody(c, r, memory, readDeadline)
 	if err != nil {
 		return f.bodyErrorStatus(err), err.Error()
 	}
-	// Clients send one request at a time: further bytes belong to a body with a wrong length, or are an attempt at request
+	// Clients send one request at a time: further bytes belong to a body with a wrong length or are an attempt at request
 	// smuggling.
 	if c.br.Buffered() > 0 {
 		return http.StatusBadRequest, "more came than the request"
 	}
-	// The goroutine that reads the client's end may be scheduled late on a busy machine, so attempts look for themselves.
+	// The goroutine that detects a client's disconnect may be scheduled late on a busy machine, so each attempt checks the
+	// connection before sending.
 	q.Send.StillWanted = func() bool {
-		_, left := c.peek()
-		return !left
+		_, disconnected := c.peek()
+		return !disconnected
 	}
-	// Route has read the header before the hop-by-hop fields, the deadline among them, are removed.
+	// The hop-by-hop fields, including the client's deadline, are removed only now, since Route reads them.
 	q.Send.Method = r.Method
 	q.Send.URI = r.URL.RequestURI()
 	q.Send.Host = r.Host
-	q.Send.Header = endToEnd(r.Header)
-	// The client may have left while its request waited to be read; forwarding it would waste an endpoint's work.
-	if _, left := c.peek(); left {
+	q.Send.Header = removeHopByHop(r.Header)
+	// The client may have disconnected before its request was read. Forwarding the request would waste an endpoint's work.
+	if _, disconnected := c.peek(); disconnected {
 		return http.StatusServiceUnavailable, "the client has left"
 	}
 	return 0, ""
@@ -103,9 +105,9 @@
 // bodyErrorStatus returns the status of the answer to a request whose body could not be read.
 func (f *Front) bodyErrorStatus(err error) int {
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLong):
 		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, errNoMemory), f.hasExpired(): // it was not forwarded
+	case errors.Is(err, errNoBodyMemory), f.hasExpired(): // it was not forwarded
 		return http.StatusServiceUnavailable
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout
@@ -113,15 +115,16 @@
 	return http.StatusBadRequest
 }
 
-// handToCore has a core accept a request, and routes it again if its core was retired while the body was read. If no core
-// accepts it the returned core is nil and the answer's status and text are given.
+// handToCore hands a request to its core, and routes it again if that core was retired while the body was read. If no core
+// accepts the request, handToCore returns a nil core and the status and text of the answer.
 func (f *Front) handToCore(c *client, r *http.Request, q *Request, d Destination) (core *Core, status int, text string) {
 	for range maxRoutings {
 		q.Attributes = d.Attributes
 		q.Attributes.Size = q.Send.Body.Len()
 		c.SetReadDeadline(time.Now().Add(q.Attributes.TimeLeft + abandonMargin))
-		if f.hasExpired() { // after the deadline is set: Stop wakes readers by that deadline
-			return nil, http.StatusServiceUnavailable, errEnding.Error()
+		// Checked after SetReadDeadline, which may have overwritten the past deadline that Stop sets to interrupt readers.
+		if f.hasExpired() {
+			return nil, http.StatusServiceUnavailable, errShuttingDown.Error()
 		}
 		status, ok := d.Core.Accept(q)
 		if ok {
@@ -138,6 +141,7 @@
 	return nil, http.StatusServiceUnavailable, "the routes keep changing"
 }
 
+// answer returns the answer to a request that no core handles.
 func (d *Destination) answer() Answer {
 	a := Answer{Status: d.Status, Header: d.Header, RetryAfter: d.RetryAfter}
 	if d.Text != "" {
@@ -146,8 +150,9 @@
 	return a
 }
 
-// malformed says what is wrong with a request that net/http's parser accepts; empty if nothing is.
-func malformed(r *http.Request) string {
+// validateRequest checks a request that net/http's parser has accepted. It returns the text of the answer to a malformed
+// request, or "" if the request is valid.
+func validateRequest(r *http.Request) string {
 	if r.Host == "" && r.ProtoAtLeast(1, 1) || !isPlainText(r.Host) || strings.ContainsRune(r.Host, ' ') {
 		return "Host is missing or malformed"
 	}
@@ -172,6 +177,7 @@
 	return ""
 }
 
+// isPlainText reports whether text has no control characters except tabs.
 func isPlainText(text string) bool {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -181,11 +187,13 @@
 	return true
 }
 
+// hopByHop lists header fields that are not forwarded, in addition to those listed in a Connection header. X-Expires-In-Ms is one of
+// them because each attempt sends its own remaining time.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Content-Length", "Upgrade", "Expect", "X-Expires-In-Ms"}
 
-// endToEnd removes the hop-by-hop fields from h and returns it.
-func endToEnd(h http.Header) http.Header {
+// removeHopByHop removes the hop-by-hop fields from h and returns h.
+func removeHopByHop(h http.Header) http.Header {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			switch name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -29,29 +29,29 @@
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, reply)
 		})
-		w := start(t, nil, b.Addr)
-		c := w.dial(t)
-		c.send(head("GET", "get"))
+		node := startNode(t, nil, b.Addr)
+		c := node.dial(t)
+		c.send(requestHead("GET", "get"))
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: reading the head of the answer: error %v, want status 200", name, err)
 		}
 		body, err := io.ReadAll(resp.Body)
 		if cut := strings.Contains(name, "cut"); cut != (err != nil) || !cut && string(body) != long {
-			t.Errorf("%s: %d bytes, %v", name, len(body), err)
+			t.Errorf("%s: got %d bytes, error %v, want %d bytes or, if cut, an error", name, len(body), err, len(long))
 		}
-		testbed.Eventually(t, "all to be over", func() bool { return w.held() == 0 })
+		testbed.Eventually(t, "the end of all requests", func() bool { return node.pending() == 0 })
 		if b.Connections() != 1 {
-			t.Errorf("%s: sent %d times", name, b.Connections())
+			t.Errorf("%s: got %d connections to the backend, want 1", name, b.Connections())
 		}
 	}
 }
 
-// Regression test for incident r69d8ed: answers that take long to stream are no reason to reject requests that idle backends could
-// serve.
+// Regression test for incident r69d8ed, in which answers that took long to stream caused the rejection of requests that idle backends
+// could have served.
 func TestStreamedAnswersDoNotCauseRejections(t *testing.T) {
 	testbed.Leaks(t)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	b := testbed.NewPeer(t, func(c net.Conn, _ int) {
 		for r := bufio.NewReader(c); ; {
 			req, err := http.ReadRequest(r)
@@ -60,9 +60,9 @@
 			}
 			if req.URL.Query().Get("obj") != "7" {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\nbegun")
-				for { // a byte now and then, so that the answer stays open
+				for { // one byte at a time, so that the answer stays open
 					select {
-					case <-over:
+					case <-done:
 						return
 					case <-time.After(100 * time.Millisecond):
 						if _, err := c.Write([]byte("x")); err != nil {
@@ -71,33 +71,34 @@
 					}
 				}
 			}
-			_, _ = io.WriteString(c, ok)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
-	defer close(over)
-	w := start(t, nil, b.Addr)
+	defer close(done)
+	node := startNode(t, nil, b.Addr)
 	for range 15 {
-		c := w.dial(t)
-		c.send(strings.Replace(head("GET", "get"), "obj=7", "obj=long", 1))
+		c := node.dial(t)
+		c.send(strings.Replace(requestHead("GET", "get"), "obj=7", "obj=long", 1))
 		if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, "200") {
-			t.Fatalf("%q %v", line, err)
+			t.Fatalf("streamed answer: got status line %q, error %v, want status 200", line, err)
 		}
 	}
-	c := w.dial(t)
+	c := node.dial(t)
 	for range 20 {
-		c.send(head("GET", "get"))
-		if code, _, _ := c.answer(t); code != 200 {
-			t.Fatalf("%d with 15 answers on their way", code)
+		c.send(requestHead("GET", "get"))
+		if code, _, _ := c.readAnswer(t); code != 200 {
+			t.Fatalf("during 15 streamed answers: got status %d, want 200", code)
 		}
 	}
 }
 
-// Regression test for incident r69d8ed: the losing hedge ends while the winner's long answer is streamed, which must not cut it off.
-func TestLosingHedgeLeavesTheStreamedAnswer(t *testing.T) {
+// Regression test for incident r69d8ed: the end of the losing attempt must not cut off the long answer that is streamed from the other
+// one.
+func TestLosingHedgeDoesNotCutOffTheStreamedAnswer(t *testing.T) {
 	testbed.Leaks(t)
 	long := strings.Repeat("x", 100<<10)
-	var copies atomic.Int64
-	lost := make(chan struct{}, 2)
+	var attempts atomic.Int64
+	losingEnded := make(chan struct{}, 2)
 	script := func(c net.Conn, _ int) {
 		for r := bufio.NewReader(c); ; {
 			req, err := http.ReadRequest(r)
@@ -105,59 +106,59 @@
 			case err != nil:
 				return
 			case req.URL.Query().Get("obj") == "7":
-				_, _ = io.WriteString(c, ok)
-			case copies.Add(1) == 1: // silent until it is cancelled
+				_, _ = io.WriteString(c, okResponse)
+			case attempts.Add(1) == 1: // sends nothing until the attempt is cancelled
 				_, _ = r.ReadByte()
-				lost <- struct{}{}
+				losingEnded <- struct{}{}
 				return
 			default:
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(long), long[1:])
-				<-lost
-				time.Sleep(50 * time.Millisecond) // so that the node notices
+				<-losingEnded
+				time.Sleep(50 * time.Millisecond) // gives the node time to detect the end of the losing attempt
 				_, _ = io.WriteString(c, "x")
 				return
 			}
 		}
 	}
-	w := start(t, func(o *Options) {
+	node := startNode(t, func(o *Options) {
 		o.Settings.ParallelAttempts = true
 		o.Settings.Classes[0].LatencyObjective = 20 * time.Millisecond
 	}, testbed.NewPeer(t, script).Addr, testbed.NewPeer(t, script).Addr)
-	c := w.dial(t)
-	for range 30 { // so that the balancer knows the latency
-		c.send(head("GET", "get"))
-		c.answer(t)
+	c := node.dial(t)
+	for range 30 { // lets the balancer measure the latency, which it needs to start a hedge
+		c.send(requestHead("GET", "get"))
+		c.readAnswer(t)
 	}
-	c.send(strings.Replace(head("GET", "get"), "obj=7", "obj=long", 1))
-	if code, body, _ := c.answer(t); code != 200 || body != long {
-		t.Errorf("%d, %d bytes", code, len(body))
+	c.send(strings.Replace(requestHead("GET", "get"), "obj=7", "obj=long", 1))
+	if code, body, _ := c.readAnswer(t); code != 200 || body != long {
+		t.Errorf("got status %d and %d bytes, want 200 and the complete body of %d bytes", code, len(body), len(long))
 	}
-	if n := copies.Load(); n != 2 {
-		t.Errorf("%d copies", n)
+	if n := attempts.Load(); n != 2 {
+		t.Errorf("got %d attempts, want 2", n)
 	}
 }
 
-// A response whose body is cut off does not count as an answer, whatever its head.
+// A response whose body is cut off or malformed is not passed to the client, whatever its head.
 func TestBrokenAnswerIsNotServed(t *testing.T) {
 	testbed.Leaks(t)
 	for name, text := range map[string]string{
-		"short":        "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
-		"no body":      "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n",
-		"broken chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-		"spoilt chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
-		"without end":  "HTTP/1.1 200 OK\r\n\r\nhalf",
+		"short":                 "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
+		"no body":               "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n",
+		"broken chunk":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+		"malformed chunk":       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
+		"no length or encoding": "HTTP/1.1 200 OK\r\n\r\nhalf",
 	} {
 		b := testbed.NewPeer(t, func(c net.Conn, n int) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 				_, _ = io.WriteString(c, text)
 			}
 		})
-		w := start(t, nil, b.Addr)
+		node := startNode(t, nil, b.Addr)
 		for _, class := range []string{"get", "post"} {
-			c := w.dial(t)
-			c.send(head("GET", class))
-			if code, body, _ := c.answer(t); code != 502 && code != 503 || body != "" {
-				t.Errorf("%s, %s: %d %q", name, class, code, body)
+			c := node.dial(t)
+			c.send(requestHead("GET", class))
+			if code, body, _ := c.readAnswer(t); code != 502 && code != 503 || body != "" {
+				t.Errorf("%s, class %s: got status %d, body %q, want 502 or 503 and an empty body", name, class, code, body)
 			}
 		}
 	}
