--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// gateways returns gateways g0, g1, ... of one site in zones a and b in turn.
+// gateways returns the gateways g0, g1, ... of one site, alternately in zones a and b: one gateway per value of serving.
 func gateways(serving ...bool) []Gateway {
 	var list []Gateway
 	for i, s := range serving {
@@ -22,8 +22,8 @@
 	return list
 }
 
-// slotHolders returns what an outside observer counts as planned to be out: the targets of the requests that keep them from serving,
-// or may be about to.
+// slotHolders returns the keys of all targets whose requests count against the budgets. It reads only the states of the requests and is
+// thus independent of budgetUsage.
 func slotHolders(l *Ledger) map[memberKey]bool {
 	holders := map[memberKey]bool{}
 	for _, r := range l.Requests {
@@ -49,7 +49,7 @@
 	return s
 }
 
-// observe reports the gateways at the ledger's present version.
+// observe reports the gateways at the ledger's current version.
 func (s *scenario) observe(serving ...bool) {
 	s.t.Helper()
 	if err := s.Observe(s.Now, s.Version, gateways(serving...), nil); err != nil {
@@ -85,18 +85,18 @@
 	}
 }
 
-// wantState returns the request, which has to be in the state.
+// wantState returns the request and fails the test if the request is not in the state.
 func (s *scenario) wantState(id string, want State) *Request {
 	s.t.Helper()
 	r := s.Requests[id]
 	if r == nil || r.State != want {
-		s.t.Fatalf("%s: %+v, want %s", id, r, want)
+		s.t.Fatalf("request %s: got %+v, want state %q", id, r, want)
 	}
 	return r
 }
 
-// TestRequestLifecycle takes one request through all its states while a second one waits for the budget. The first one counts against
-// it until its target has been observed in service again.
+// TestRequestLifecycle takes one request through all its states while a second request waits for the budget. The first request counts
+// against the budget until its target has been observed in service again.
 func TestRequestLifecycle(t *testing.T) {
 	s := newScenario(t, Budget{Name: "one", Scope: Scope{Gateways: true}, Max: 1})
 	s.observe(true, true, true)
@@ -105,34 +105,34 @@
 	s.submit("z", 9)
 	firstToken := s.wantState("x", Granted).Token
 	if y := s.wantState("y", Pending); !strings.Contains(y.StateReason, "1 of 3 are out, 1 may be") {
-		t.Errorf("%q", y.StateReason)
+		t.Errorf("request y: got state reason %q, want it to contain \"1 of 3 are out, 1 may be\"", y.StateReason)
 	}
 	s.wantState("z", Rejected)
 
-	// An unplanned loss revokes a grant that has not begun.
+	// An unplanned outage revokes a grant whose drain has not begun.
 	s.observe(true, true, false)
 	s.wantState("x", Pending)
 	if _, err := s.Begin(s.Now, "x", firstToken); err == nil {
-		t.Error("begun though the grant was revoked")
+		t.Error("Begin with a revoked token: got nil, want an error")
 	}
 	s.observe(true, true, true)
 	token := s.wantState("x", Granted).Token
 	if token <= firstToken {
-		t.Errorf("token %d behind %d", token, firstToken)
+		t.Errorf("token of the second grant: got %d, want more than %d", token, firstToken)
 	}
 
 	s.begin("x", token)
 	s.observe(false, true, true)
 	s.progress(s.Now+500*time.Millisecond, "x", token, 3)
 	if n := s.wantState("x", Draining).InFlight; n != 3 {
-		t.Fatalf("%d requests in flight, want 3", n)
+		t.Fatalf("requests in flight: got %d, want 3", n)
 	}
 	s.progress(s.Now+2*time.Second, "x", token, 1)
 	s.wantState("x", Overdue)
 	s.progress(s.Now, "x", token, 0)
 	s.wantState("x", Drained)
 
-	// A target that was killed and reports that it serves is still drained.
+	// A target that was killed while drained and serves after its restart is still drained.
 	s.observe(true, true, true)
 	s.wantState("y", Pending)
 
@@ -163,28 +163,28 @@
 	s.submit("w", 2)
 	s.wantState("w", Granted)
 	if _, err := s.Submit(s.Now, Request{ID: "w", Target: Target{Gateway: "g1"}, Grace: 1}); !errors.Is(err, ErrIDInUse) {
-		t.Errorf("%v", err)
+		t.Errorf("Submit of the same ID with another target: got error %v, want %v", err, ErrIDInUse)
 	}
 }
 
 func TestInvalidRequestIsAnError(t *testing.T) {
 	for name, r := range map[string]Request{
-		"a deadline in the past": {ID: "1", Target: Target{Gateway: "g1"}},
-		"a pattern":              {ID: "2", Target: Target{Gateway: "g*"}, Grace: 1},
-		"no target":              {ID: "3", Grace: 1},
-		"too long":               {ID: "4", Target: Target{Gateway: "g1"}, Grace: 2 * MaxGrace},
+		"no grace period":       {ID: "1", Target: Target{Gateway: "g1"}},
+		"wildcard in target":    {ID: "2", Target: Target{Gateway: "g*"}, Grace: 1},
+		"no target":             {ID: "3", Grace: 1},
+		"grace period too long": {ID: "4", Target: Target{Gateway: "g1"}, Grace: 2 * MaxGrace},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newScenario(t, Budget{Name: "one", Scope: Scope{Gateways: true}, Max: 1})
 			s.observe(true, true, true)
 			if _, err := s.Submit(s.Now, r); err == nil {
-				t.Error("it was accepted")
+				t.Error("Submit: got nil, want an error")
 			}
 		})
 	}
 }
 
-// eventKind is a call of a ledger, as the tests draw or enumerate it.
+// eventKind is a kind of call that tests make on a ledger, at random or in every order.
 type eventKind int
 
 const (
@@ -199,7 +199,7 @@
 	eventKinds
 )
 
-// apply makes one call. The gateway's number also serves as the number of requests in flight and as the choice of budgets.
+// apply makes one call on the ledger. The gateway's number also determines the number of requests in flight and the budgets.
 func apply(l *Ledger, now time.Duration, event eventKind, request, gateway int, serving []bool) {
 	id := fmt.Sprint("o", request)
 	token := uint64(0)
@@ -229,19 +229,20 @@
 	}
 }
 
-// checkNewGrants returns an error where a slot was granted since before that exceeds a budget, with all that is unavailable counted.
+// checkNewGrants returns an error if a target that holds a slot now, but did not before, exceeds a budget that counts all unavailable
+// members.
 func checkNewGrants(before map[memberKey]bool, l *Ledger) error {
-	now := slotHolders(l)
-	if len(now) <= len(before) {
+	current := slotHolders(l)
+	if len(current) <= len(before) {
 		return nil
 	}
-	for key := range now {
+	for key := range current {
 		if before[key] {
 			continue
 		}
-		for _, usage := range l.usageOf(Target{Gateway: string(key)}, l.reserved()) {
+		for _, usage := range l.computeUsage(Target{Gateway: string(key)}, l.reserved()) {
 			if len(usage.unavailable) > usage.allowed {
-				return fmt.Errorf("%s was granted: budget %s has %v out of %d, %d may be", key, usage.name,
+				return fmt.Errorf("%s was granted, but budget %s has %v of %d members unavailable, want at most %d", key, usage.name,
 					slices.Sorted(maps.Keys(usage.unavailable)), usage.total, usage.allowed)
 			}
 		}
@@ -249,8 +250,8 @@
 	return nil
 }
 
-// throughJSON returns the ledger as it is after storing and restoring it, which must not change its stored form.
-func throughJSON(t *rapid.T, l *Ledger) *Ledger {
+// roundTrip encodes the ledger, restores it and returns the result. It fails the test if the restored ledger encodes differently.
+func roundTrip(t *rapid.T, l *Ledger) *Ledger {
 	text, err := json.Marshal(l)
 	if err != nil {
 		t.Fatal(err)
@@ -259,14 +260,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, _ := json.Marshal(restored); string(again) != string(text) {
-		t.Fatalf("%s came back as %s", text, again)
+	if restoredText, _ := json.Marshal(restored); string(restoredText) != string(text) {
+		t.Fatalf("JSON of the restored ledger: got %s, want %s", restoredText, text)
 	}
 	return restored
 }
 
-// TestGrantsStayWithinBudgets makes calls in any order, with losses, changes of leader and storing in between: no grant exceeds a
-// budget, tokens and versions rise, and what is cancelled ends once it is observed in service.
+// TestGrantsStayWithinBudgets makes calls in random order, with lost gateways, leader changes and restores from JSON in between. No grant
+// may exceed a budget, tokens and versions must not decrease, and cancelled requests must end once all gateways are observed serving.
 func TestGrantsStayWithinBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
@@ -292,10 +293,10 @@
 				t.Fatal(err)
 			}
 			if l.LastToken < token || l.Version < version {
-				t.Fatalf("token %d behind %d, version %d behind %d", l.LastToken, token, l.Version, version)
+				t.Fatalf("got token %d and version %d, want at least %d and %d", l.LastToken, l.Version, token, version)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "store") == 0 {
-				l = throughJSON(t, l)
+				l = roundTrip(t, l)
 			}
 		}
 		for id := range l.Requests {
@@ -303,13 +304,13 @@
 		}
 		_ = l.Observe(now, l.Version, gateways(true, true, true, true), nil)
 		if n := len(slotHolders(l)); n > 0 {
-			t.Fatalf("%d slots are held though every request is cancelled and every gateway serves", n)
+			t.Fatalf("got %d slots held after every request was cancelled and every gateway serves, want 0", n)
 		}
 	})
 }
 
-// TestEveryEventSequenceStaysWithinBudget walks every sequence of eight events of two requests for two gateways of which one may be
-// unavailable: never more than one slot is held.
+// TestEveryEventSequenceStaysWithinBudget tries every sequence of eight events on two requests for two gateways, one of which may be
+// unavailable: at most one slot may be held at any time.
 func TestEveryEventSequenceStaysWithinBudget(t *testing.T) {
 	type event struct {
 		kind    eventKind
@@ -341,7 +342,7 @@
 			}
 			apply(l, l.Now, e.kind, e.request, e.gateway, serving)
 			if n := len(slotHolders(l)); n > 1 {
-				t.Fatalf("%d slots are held after %+v: %+v", n, e, l.List())
+				t.Fatalf("got %d slots held after %+v, want at most 1; requests: %+v", n, e, l.List())
 			}
 			next, err := json.Marshal(l)
 			if err != nil {
@@ -361,12 +362,12 @@
 	text, _ := json.Marshal(l)
 	walk(text, 8)
 	if steps < 5000 {
-		t.Errorf("%d steps only", steps)
+		t.Errorf("got %d steps, want at least 5000", steps)
 	}
 }
 
-// TestEndpointBudgets counts endpoints by zone and by cluster; an endpoint that is not healthy counts as unavailable, and a budget that
-// allows none rejects.
+// TestEndpointBudgets counts endpoints by zone and by cluster. An unhealthy endpoint counts as unavailable, and a request is rejected if
+// a budget allows no unavailable endpoint.
 func TestEndpointBudgets(t *testing.T) {
 	l := NewLedger()
 	_ = l.SetBudgets(0, []Budget{
@@ -390,18 +391,18 @@
 		}
 		return r.State
 	}
-	if a, b := submit("c", "0"), submit("c", "1"); a != Pending || b != Granted {
-		t.Errorf("zone a, where one is not healthy: %s; zone b: %s", a, b)
+	if zoneA, zoneB := submit("c", "0"), submit("c", "1"); zoneA != Pending || zoneB != Granted {
+		t.Errorf("Submit in zone a with an unhealthy endpoint, and in zone b: got %q and %q, want %q and %q", zoneA, zoneB, Pending, Granted)
 	}
 	if state := submit("db", "0"); state != Rejected {
-		t.Errorf("a budget that allows none: %s", state)
+		t.Errorf("Submit with a budget that allows no unavailable endpoint: got %q, want %q", state, Rejected)
 	}
 	if statuses := l.BudgetStatuses(); len(statuses) != 4 || statuses[0].Allowed != 1 {
-		t.Errorf("%+v", statuses)
+		t.Errorf("BudgetStatuses: got %+v, want 4 statuses, of which the first allows 1", statuses)
 	}
 }
 
-// FuzzRestore restores any text: it is an error, or a ledger that can be used.
+// FuzzRestore restores arbitrary text: Restore returns an error, or a ledger whose methods do not panic.
 func FuzzRestore(f *testing.F) {
 	l := NewLedger()
 	apply(l, 0, budgetsEvent, 0, 0, nil)
@@ -423,7 +424,7 @@
 	})
 }
 
-// TestFinalAnswer offers for retry only what cannot have had an effect.
+// TestFinalAnswer checks that only requests that cannot have had an effect are retryable.
 func TestFinalAnswer(t *testing.T) {
 	for _, c := range []struct {
 		effect string
@@ -439,7 +440,7 @@
 	} {
 		status, retryable := FinalAnswer(c.effect, c.sent)
 		if status != c.want || retryable != (c.want == 503) {
-			t.Errorf("%q, sent %v: %d, %v", c.effect, c.sent, status, retryable)
+			t.Errorf("FinalAnswer(%q, %v): got %d, %v, want %d, %v", c.effect, c.sent, status, retryable, c.want, c.want == 503)
 		}
 	}
 }
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -1,12 +1,13 @@
 // Package drain decides when gateways and endpoints of a fleet may be taken out of service. Operators and releases submit drain
-// requests; disruption budgets say how many members of the fleet may be unavailable at a time.
+// requests; disruption budgets limit how many members of the fleet may be unavailable at the same time.
 //
-// The package is a state machine that the quorum replicates beside its leases: it has no clock, no I/O and no goroutine, and the same
-// calls lead to the same ledger, texts included. Times are readings of the leader's clock, as in package lease.
+// The package is a deterministic state machine that the quorum replicates together with its leases. It reads no clock, does no I/O and
+// starts no goroutines, and the same calls lead to the same ledger, including its texts. Times are readings of the leader's clock, as in
+// package lease.
 //
-// A member that is missing counts as unavailable, whatever the cause. A request is granted against the budgets before anything is
-// taken out of service, and counts against them until its target has been observed in service again. Bringing a target back needs
-// neither budget nor quorum.
+// A missing member counts as unavailable, whatever the cause. A request has to be granted against the budgets before its target is taken
+// out of service, and counts against them until the target has been observed in service again. Returning a target to service requires
+// neither a budget nor a quorum.
 package drain
 
 import (
@@ -19,19 +20,19 @@
 	"robindrum/internal/unknownfields"
 )
 
-// Limits of what one ledger holds: texts come from outside, and each snapshot contains the ledger.
+// Limits on the size of a ledger: its texts come from outside, and every snapshot contains the ledger.
 const (
-	maxRequests      = 1024 // that have not ended; and as many that have
+	maxRequests      = 1024 // that have not ended; the same number of ended requests is kept
 	maxBudgets       = 64
 	maxGateways      = 4096
 	maxEndpoints     = 20_000
-	maxUnknownFields = 16 // of one request
+	maxUnknownFields = 16 // per request
 	maxTextBytes     = 256
-	// endedRetention is how long a request that has ended stays in the ledger.
+	// endedRetention is how long an ended request stays in the ledger.
 	endedRetention = 24 * time.Hour
 )
 
-// MaxGrace limits how long a drain waits for requests in flight.
+// MaxGrace is the upper limit of Request.Grace.
 const MaxGrace = time.Hour
 
 // Errors that callers can test for with errors.Is.
@@ -56,13 +57,13 @@
 	Cluster string `json:"cluster"`
 	Address string `json:"address"`
 	Zone    string `json:"zone,omitempty"`
-	// Healthy reports whether enough gateways use it: it is warmed up and not ejected.
+	// Healthy is true if the endpoint is in use, warmed up and not ejected, at enough gateways.
 	Healthy bool `json:"well"`
 }
 
-// Ledger holds all drain requests and what they are decided by. It is not safe for concurrent use.
+// Ledger holds all drain requests, and the budgets and observations that decide on them. It is not safe for concurrent use.
 type Ledger struct {
-	Version   uint64              `json:"version"` // rises with each change that gateways have to know of
+	Version   uint64              `json:"version"` // incremented with each change that gateways need to know
 	LastToken uint64              `json:"last_token"`
 	Seq       uint64              `json:"seq"`
 	Now       time.Duration       `json:"now"`
@@ -71,18 +72,18 @@
 	Gateways  map[string]Gateway  `json:"gateways"`  // by name
 	Endpoints map[string]Endpoint `json:"endpoints"` // by cluster and address, with a slash between them
 	Halted    bool                `json:"halted,omitempty"`
-	// ObservedVersion is the version that every gateway had applied when Gateways and Endpoints were observed.
+	// ObservedVersion is the ledger version that every gateway had applied when Gateways and Endpoints were observed.
 	ObservedVersion uint64               `json:"seen"`
-	Unknown         unknownfields.Fields `json:"-"` // passed on unchanged
+	Unknown         unknownfields.Fields `json:"-"` // written by newer versions; kept unchanged
 }
 
-// MarshalJSON encodes the ledger with its unknown fields.
+// MarshalJSON encodes the ledger, including its unknown fields.
 func (l Ledger) MarshalJSON() ([]byte, error) {
 	type plain Ledger
 	return unknownfields.Marshal(plain(l), l.Unknown)
 }
 
-// UnmarshalJSON decodes a ledger and keeps the fields that this program does not know.
+// UnmarshalJSON decodes a ledger and keeps unknown fields in Unknown.
 func (l *Ledger) UnmarshalJSON(text []byte) error {
 	type plain Ledger
 	return unknownfields.Unmarshal(text, (*plain)(l), &l.Unknown)
@@ -97,12 +98,12 @@
 	}
 }
 
-// Restore decodes a ledger from its JSON. It returns an error for a ledger that no sequence of calls can have led to.
+// Restore decodes a ledger from JSON. It returns an error if the ledger is not valid, see Ledger.Validate.
 func Restore(text []byte) (*Ledger, error) {
 	return unknownfields.Restore("orders", text, NewLedger())
 }
 
-// Validate returns an error where no sequence of calls can have led to the ledger.
+// Validate returns an error for an inconsistent ledger, one that no sequence of calls can produce.
 func (l *Ledger) Validate() error {
 	hasMaps := l.Requests != nil && l.Gateways != nil && l.Endpoints != nil
 	withinLimits := len(l.Requests) <= 2*maxRequests && len(l.Budgets) <= maxBudgets
@@ -118,8 +119,8 @@
 	return nil
 }
 
-// BeginTerm starts the term of another leader, whose clock reads now. The clocks of two leaders are unrelated, so all times are moved
-// by their difference.
+// BeginTerm starts the term of a new leader, whose clock reads now. The clocks of two leaders are unrelated, so all stored times are
+// shifted by their difference.
 func (l *Ledger) BeginTerm(now time.Duration) {
 	shift := now - l.Now
 	l.Now = now
@@ -131,7 +132,8 @@
 	}
 }
 
-// SetHalted halts or resumes granting. While the ledger is halted, targets that are out of service stay so and may be brought back.
+// SetHalted halts or resumes granting. While the ledger is halted, targets that are out of service stay out of service, and their
+// requests can be cancelled.
 func (l *Ledger) SetHalted(now time.Duration, halted bool) {
 	l.advance(now)
 	if l.Halted != halted {
@@ -141,8 +143,8 @@
 	l.reconcile()
 }
 
-// SetBudgets replaces the budgets. A budget that is lower than what is unavailable brings nothing back; it only stops further grants.
-// On an error the former budgets stay.
+// SetBudgets replaces the budgets. If more members are unavailable than a new budget allows, none is returned to service: only grants
+// that have not begun are revoked, and no others are made. On an error the previous budgets stay in force.
 func (l *Ledger) SetBudgets(now time.Duration, budgets []Budget) error {
 	l.advance(now)
 	if len(budgets) > maxBudgets {
@@ -158,11 +160,11 @@
 	return nil
 }
 
-// Observe replaces what is known of the fleet's gateways and endpoints by a complete observation. Version is the ledger's version that
-// every gateway had applied when it reported; a gateway that does not report is to be passed as not serving.
+// Observe replaces the known gateways and endpoints of the fleet by a complete observation. The version is the ledger version that every
+// gateway had applied when it reported. A gateway that does not report has to be passed as not serving.
 //
-// A gateway that was killed while it was drained, and runs again, is still drained: its request goes on. A cancelled request is not
-// ended by an observation from before its cancellation.
+// A gateway that was killed while it was drained and has restarted is still drained: its request stays in effect. A cancelled request is
+// not ended by an observation from before its cancellation.
 func (l *Ledger) Observe(now time.Duration, version uint64, gateways []Gateway, endpoints []Endpoint) error {
 	l.advance(now)
 	l.ObservedVersion = max(l.ObservedVersion, min(version, l.Version))
@@ -182,5 +184,5 @@
 	return nil
 }
 
-// advance moves the ledger's time on. It never goes back within a term.
+// advance moves the ledger's time forward. Within a term it never goes back.
 func (l *Ledger) advance(now time.Duration) { l.Now = max(l.Now, now) }
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -8,23 +8,23 @@
 	"robindrum/internal/unknownfields"
 )
 
-// State is a step in the life of a drain request.
+// State is the state of a drain request.
 //
-// A request goes from Pending to Granted, Draining and Drained. One that still has requests in flight at its deadline becomes Overdue
-// before it is Drained. It can be cancelled in any of these states, and is Ended once its target serves again. A request that can
-// never be granted is Rejected at once.
+// A request goes from Pending to Granted, Draining and Drained. If its target still has requests in flight at the deadline, the request
+// becomes Overdue before it is Drained. It can be cancelled in any of these states. Once a cancelled request's target serves again, the
+// request is Ended. A request that can never be granted is Rejected when it is submitted.
 type State string
 
-// The states. Their values are stored and exchanged.
+// The states of a drain request. Their values are stored and sent to other processes.
 const (
-	Pending   State = "asked"     // waits for the budgets
+	Pending   State = "asked"     // waits until the budgets allow it
 	Granted   State = "granted"   // counts against the budgets; its target still serves
-	Draining  State = "under way" // its target accepts nothing new
-	Drained   State = "done"      // its target has nothing in flight
+	Draining  State = "under way" // its target finishes its requests in flight
+	Drained   State = "done"      // its target has no requests in flight
 	Overdue   State = "overdue"   // its deadline has passed with requests in flight
 	Cancelled State = "cancelled" // its target may serve; counts against the budgets until it does
 	Ended     State = "ended"     // its target was observed in service again, or no longer exists
-	Rejected  State = "refused"
+	Rejected  State = "refused"   // its target is unknown, or a budget can never allow it
 )
 
 // holdsSlot reports whether a request in this state counts against the budgets.
@@ -38,46 +38,47 @@
 // hasEnded reports whether the state is final.
 func (s State) hasEnded() bool { return s == Ended || s == Rejected }
 
-// Request asks for a target to be taken out of service.
+// Request is a request to take a target out of service, with its state.
 type Request struct {
-	ID     string `json:"id"` // chosen by the caller; submitting the same one again has no effect
+	ID     string `json:"id"` // chosen by the caller; submitting it again has no effect
 	Target Target `json:"target"`
 	Owner  string `json:"owner"`
 	Reason string `json:"reason,omitempty"`
-	// Grace is how long requests in flight may take to finish. Notice is its first part, in which a gateway still accepts
-	// requests but reports that it is not ready, so that load balancers in front of it can stop using it.
+	// Grace is how long requests in flight may take to finish. Notice is the first part of Grace, during which a gateway still
+	// accepts requests but reports that it is not ready, so that load balancers in front of it can stop using it.
 	Grace  time.Duration `json:"grace"`
 	Notice time.Duration `json:"notice,omitempty"`
-	// WaitForAll makes a gateway wait for its requests in flight after Grace. Otherwise it answers them itself, see FinalAnswer.
+	// WaitForAll makes a gateway wait for its requests in flight even after Grace. Without it, the gateway answers those requests
+	// itself when Grace ends, see FinalAnswer.
 	WaitForAll bool `json:"wait,omitempty"`
-	// Restart is the program version that the gateway restarts as once it is drained; empty: it does not restart.
+	// Restart is the program version with which the gateway restarts once it is drained; empty: it does not restart.
 	Restart string               `json:"restart,omitempty"`
-	Unknown unknownfields.Fields `json:"-"` // passed on unchanged
+	Unknown unknownfields.Fields `json:"-"` // written by newer versions; kept unchanged
 
 	State       State  `json:"state"`
-	StateReason string `json:"why,omitempty"` // why the request is rejected or still pending
-	// Token is a fencing token: higher than that of each request granted before. Whoever drains the target presents it.
+	StateReason string `json:"why,omitempty"` // why the request is rejected, still pending, or ended before it began
+	// Token is the fencing token, higher than the token of every earlier grant. Begin and Progress require it.
 	Token        uint64        `json:"token,omitempty"`
 	StateSince   time.Duration `json:"since"`
 	Deadline     time.Duration `json:"until,omitempty"`
 	InFlight     int           `json:"in_hand,omitempty"` // as last reported for the target
-	Seq          uint64        `json:"seq"`               // rises in the order of submission
+	Seq          uint64        `json:"seq"`               // increases in the order of submission
 	StateVersion uint64        `json:"at"`                // the ledger's version at the last change of State
 }
 
-// MarshalJSON encodes the request with its unknown fields.
+// MarshalJSON encodes the request, including its unknown fields.
 func (r Request) MarshalJSON() ([]byte, error) {
 	type plain Request
 	return unknownfields.Marshal(plain(r), r.Unknown)
 }
 
-// UnmarshalJSON decodes a request and keeps the fields that this program does not know.
+// UnmarshalJSON decodes a request and keeps unknown fields in Unknown.
 func (r *Request) UnmarshalJSON(text []byte) error {
 	type plain Request
 	return unknownfields.Unmarshal(text, (*plain)(r), &r.Unknown)
 }
 
-// newRequest returns a copy of what the caller may set in a request.
+// newRequest returns a request with the fields that the submitter may set; the ledger sets the others.
 func newRequest(submitted Request, seq uint64) *Request {
 	return &Request{
 		ID:         submitted.ID,
@@ -93,7 +94,7 @@
 	}
 }
 
-// validate returns an error that names the first field with a value that no request may have.
+// validate returns an error that names the first invalid field.
 func (r *Request) validate() error {
 	if err := r.validateLengths(); err != nil {
 		return err
@@ -119,6 +120,7 @@
 	return nil
 }
 
+// validateLengths returns an error that names the first text of more than maxTextBytes.
 func (r *Request) validateLengths() error {
 	fields := []struct {
 		name  string
--- a/internal/drain/target.go
+++ b/internal/drain/target.go
@@ -3,7 +3,7 @@
 import "strings"
 
 // Target is what a request drains: one gateway, one endpoint of a cluster, all gateways of a zone of a site, or all endpoints of a
-// zone of a cluster. Which one it is follows from the fields that are set.
+// zone of a cluster. The fields that are set determine the kind of target.
 type Target struct {
 	Gateway  string `json:"gateway,omitempty"`  // member name
 	Cluster  string `json:"cluster,omitempty"`  // with Endpoint or Zone
@@ -74,7 +74,7 @@
 	}
 }
 
-// hasPattern reports whether a field contains a wildcard. Wildcards are rejected so that nobody mistakes one for a working pattern.
+// hasPattern reports whether a field contains a wildcard. Such targets are rejected, because wildcards are not expanded.
 func (t Target) hasPattern() bool {
 	return strings.ContainsAny(t.Gateway+t.Endpoint+t.Cluster+t.Site+t.Zone, "*?")
 }
--- a/internal/drain/transitions.go
+++ b/internal/drain/transitions.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// errHalted is why a pending request is not granted while the ledger is halted.
+// errHalted is the reason why requests stay pending while the ledger is halted.
 var errHalted = errors.New("halted: nothing new is taken out")
 
-// Submit adds a request and returns it with its state. Submitting an ID again returns the request as it is by now, or ErrIDInUse if
-// its target or version differs. A request that can never be granted is not an error: it is returned as Rejected.
+// Submit adds a request and returns it with its state. Submitting an ID again returns the existing request, with ErrIDInUse if its target
+// or restart version differs. A request that can never be granted is not an error: it is returned as Rejected.
 func (l *Ledger) Submit(now time.Duration, submitted Request) (Request, error) {
 	l.advance(now)
-	if known := l.Requests[submitted.ID]; known != nil {
-		if known.Target != submitted.Target || known.Restart != submitted.Restart {
-			return *known, ErrIDInUse
+	if existing := l.Requests[submitted.ID]; existing != nil {
+		if existing.Target != submitted.Target || existing.Restart != submitted.Restart {
+			return *existing, ErrIDInUse
 		}
 		l.reconcile()
-		return *known, nil
+		return *existing, nil
 	}
 	if err := submitted.validate(); err != nil {
 		return submitted, err
@@ -32,7 +32,7 @@
 	l.Seq++
 	r := newRequest(submitted, l.Seq)
 	l.Requests[r.ID] = r
-	if err := l.checkEver(r.Target); err != nil {
+	if err := l.checkFeasible(r.Target); err != nil {
 		l.setState(r, Rejected, err.Error())
 		return *r, nil
 	}
@@ -41,8 +41,8 @@
 	return *r, nil
 }
 
-// Begin marks a granted request as Draining and sets its deadline. Until then the grant can still be revoked. The token has to be the
-// one that the request was granted with; otherwise, or where it is not granted, the error is ErrWrongState.
+// Begin marks a granted request as Draining and sets its deadline. Until then the grant can still be revoked. The error wraps
+// ErrWrongState if the token is not that of the grant or the request is not granted. Repeating the call has no effect.
 func (l *Ledger) Begin(now time.Duration, id string, token uint64) (Request, error) {
 	l.advance(now)
 	l.reconcile()
@@ -62,7 +62,7 @@
 	return *r, nil
 }
 
-// Progress records how many requests a draining target has in flight. With none the request is Drained.
+// Progress records how many requests a draining target has in flight. At zero the drain request becomes Drained.
 func (l *Ledger) Progress(now time.Duration, id string, token uint64, inFlight int) (Request, error) {
 	l.advance(now)
 	l.reconcile()
@@ -80,7 +80,7 @@
 	return *r, nil
 }
 
-// Cancel lets a target serve again, or ends a request that has not begun. It needs no budget, and repeating it has no effect.
+// Cancel returns a target to service, or ends a request that has not begun. It requires no budget, and repeating it has no effect.
 func (l *Ledger) Cancel(now time.Duration, id string) (Request, error) {
 	l.advance(now)
 	r := l.Requests[id]
@@ -97,7 +97,7 @@
 	return *r, nil
 }
 
-// setState records a request's state, and since when it is in it.
+// setState sets a request's state and reason. A change of state is recorded with the ledger's time and new version.
 func (l *Ledger) setState(r *Request, state State, reason string) {
 	if r.State != state {
 		r.StateSince = l.Now
@@ -108,7 +108,7 @@
 	r.StateReason = reason
 }
 
-// reconcile brings every request into the state that follows from the time, the budgets and the last observation.
+// reconcile updates the state of every request according to the time, the budgets and the last observation.
 func (l *Ledger) reconcile() {
 	requests := l.requestsBySeq()
 	for _, r := range requests {
@@ -119,8 +119,8 @@
 	l.dropOldest(requests)
 }
 
-// applyTimeAndObservation marks a drain past its deadline as overdue, ends a cancelled one whose target serves again, and forgets one
-// that ended long ago.
+// applyTimeAndObservation marks a draining request past its deadline as Overdue, ends a cancelled request whose target serves again, and
+// deletes a request that ended more than endedRetention ago.
 func (l *Ledger) applyTimeAndObservation(r *Request) {
 	switch {
 	case r.State == Draining && r.Deadline > 0 && l.Now >= r.Deadline:
@@ -132,8 +132,8 @@
 	}
 }
 
-// revokeExceeding makes granted requests pending again while a budget is exceeded, the latest first, and returns the usage after it.
-// After each one the budgets are counted anew, since that one may be enough.
+// revokeExceeding makes granted requests pending again while a budget is exceeded, the latest submission first, and returns the
+// resulting usage. It recomputes the usage after each revocation, since one may be enough.
 func (l *Ledger) revokeExceeding(requests []*Request) *usageTable {
 	usage := l.usageTable()
 	for _, r := range slices.Backward(requests) {
@@ -148,8 +148,8 @@
 	return usage
 }
 
-// grantPending grants what the budgets allow, in the order of submission, and records why the others wait. A request that does not fit
-// does not hold up those behind it.
+// grantPending grants the pending requests that the budgets allow, in the order of submission, and records why the others wait. A request
+// that exceeds a budget does not block later requests.
 func (l *Ledger) grantPending(requests []*Request, usage *usageTable) {
 	for _, r := range requests {
 		if r.State != Pending {
@@ -170,7 +170,7 @@
 	}
 }
 
-// dropOldest forgets the oldest requests that have ended where there are too many.
+// dropOldest deletes the oldest ended requests if there are more than maxRequests.
 func (l *Ledger) dropOldest(requests []*Request) {
 	ended := 0
 	for _, r := range slices.Backward(requests) {
--- a/internal/drain/usage.go
+++ b/internal/drain/usage.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// budgetUsage is one budget as it applies to a gateway or an endpoint: the members that it counts together with it.
+// budgetUsage is the usage of a budget within one group of members that the budget counts together.
 type budgetUsage struct {
 	name    string
 	total   int
-	allowed int // of them, how many may be unavailable
+	allowed int // how many members may be unavailable
 	members map[memberKey]bool
-	// unavailable are the members that are out of service for any reason, or reserved by a request.
+	// unavailable contains the members that are out of service for any reason or reserved by a request.
 	unavailable map[memberKey]bool
 }
 
-// count returns how many of the targets the budget counts.
+// count returns how many of the targets are members.
 func (u *budgetUsage) count(targets []Target) int {
 	n := 0
 	for _, t := range targets {
@@ -28,7 +28,7 @@
 	return n
 }
 
-// countAvailable returns how many of the targets the budget counts as available.
+// countAvailable returns how many of the targets are available members.
 func (u *budgetUsage) countAvailable(targets []Target) int {
 	n := 0
 	for _, t := range targets {
@@ -40,8 +40,8 @@
 	return n
 }
 
-// checkEver returns an error where the budget would not allow the targets to be unavailable even if nothing else were.
-func (u *budgetUsage) checkEver(targets []Target) error {
+// checkFeasible returns an error if the budget would not allow the targets to be unavailable even with all other members available.
+func (u *budgetUsage) checkFeasible(targets []Target) error {
 	if u.allowed == 0 {
 		return fmt.Errorf("budget %s allows none of %d to be out", u.name, u.total)
 	}
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// checkNow returns an error where the budget is exceeded, or would be with the targets unavailable as well. Those of them that are
-// unavailable already are not counted twice.
+// checkNow returns an error if the budget is exceeded, or would be with the targets unavailable as well. Targets that are already
+// unavailable are not counted twice.
 func (u *budgetUsage) checkNow(targets []Target) error {
 	unavailable := len(u.unavailable)
 	if unavailable+u.countAvailable(targets) <= u.allowed {
@@ -62,7 +62,7 @@
 	return fmt.Errorf("budget %s: %d of %d are out, %d may be (%s)", u.name, unavailable, u.total, u.allowed, names)
 }
 
-// firstNames joins at most five names.
+// firstNames joins the first five names, followed by an ellipsis if there are more.
 func firstNames(names []memberKey) string {
 	const maxNames = 5
 	var list []string
@@ -76,47 +76,48 @@
 	return strings.Join(list, ", ")
 }
 
-// usageTable is the usage of all budgets at one moment: it is valid until the ledger changes.
+// usageTable caches the usage of all budgets. It is valid until the ledger changes.
 type usageTable struct {
-	ledger   *Ledger
-	reserved map[Target]bool
-	byPlace  map[place][]budgetUsage
+	ledger     *Ledger
+	reserved   map[Target]bool
+	byLocation map[location][]budgetUsage
 }
 
-// place is what decides which budgets apply to a gateway or an endpoint.
-type place struct {
+// location contains the properties of a gateway or an endpoint that determine which budgets apply.
+type location struct {
 	cluster string
 	site    string
 	zone    string
 }
 
-// usageTable returns the usage of the budgets as the ledger is now.
+// usageTable returns an empty cache of the usage of the budgets in the ledger's current state.
 func (l *Ledger) usageTable() *usageTable {
-	return &usageTable{ledger: l, reserved: l.reserved(), byPlace: map[place][]budgetUsage{}}
+	return &usageTable{ledger: l, reserved: l.reserved(), byLocation: map[location][]budgetUsage{}}
 }
 
-// of returns the usage of each budget that applies to a single gateway or endpoint; of one that is not known, nothing.
-func (u *usageTable) of(t Target) []budgetUsage {
-	p, known := u.ledger.place(t)
+// forMember returns the usage of each budget that applies to a single gateway or endpoint, or nil if the member is unknown.
+func (u *usageTable) forMember(t Target) []budgetUsage {
+	p, known := u.ledger.location(t)
 	if !known {
 		return nil
 	}
-	usages, cached := u.byPlace[p]
+	usages, cached := u.byLocation[p]
 	if !cached {
-		usages = u.ledger.usageOf(t, u.reserved)
-		u.byPlace[p] = usages
+		usages = u.ledger.computeUsage(t, u.reserved)
+		u.byLocation[p] = usages
 	}
 	return usages
 }
 
-// checkNow returns an error that names the first budget by which the target may not be taken out of service now.
+// checkNow returns an error if the target is unknown, or one that names the first budget that does not allow the target to be taken out
+// of service now.
 func (u *usageTable) checkNow(t Target) error {
 	members := u.ledger.members(t)
 	if len(members) == 0 {
 		return unknownTargetError(t)
 	}
 	for _, member := range members {
-		for _, usage := range u.of(member) {
+		for _, usage := range u.forMember(member) {
 			if err := usage.checkNow(members); err != nil {
 				return err
 			}
@@ -125,9 +126,10 @@
 	return nil
 }
 
-// checkEver returns an error where the target is not known, or a budget would not allow it to be unavailable even if nothing else
-// were. Before the first observation nothing is known, and each target may be allowed later.
-func (l *Ledger) checkEver(t Target) error {
+// checkFeasible returns an error if the target is unknown, or if a budget would not allow it to be unavailable even with all other
+// members available. Before the first observation no gateway is known, and an unknown target is not an error, since it may be observed
+// later.
+func (l *Ledger) checkFeasible(t Target) error {
 	members := l.members(t)
 	if len(members) == 0 {
 		if len(l.Gateways) == 0 {
@@ -137,8 +139,8 @@
 	}
 	table := l.usageTable()
 	for _, member := range members {
-		for _, usage := range table.of(member) {
-			if err := usage.checkEver(members); err != nil {
+		for _, usage := range table.forMember(member) {
+			if err := usage.checkFeasible(members); err != nil {
 				return err
 			}
 		}
@@ -148,18 +150,18 @@
 
 func unknownTargetError(t Target) error { return fmt.Errorf("nobody knows of %s", t) }
 
-// place returns the place of a single gateway or endpoint, and whether it is known.
-func (l *Ledger) place(t Target) (place, bool) {
+// location returns the location of a single gateway or endpoint, and whether the member is known.
+func (l *Ledger) location(t Target) (location, bool) {
 	if t.Gateway != "" {
 		gateway, known := l.Gateways[t.Gateway]
-		return place{cluster: t.Cluster, site: gateway.Site, zone: gateway.Zone}, known
+		return location{cluster: t.Cluster, site: gateway.Site, zone: gateway.Zone}, known
 	}
 	endpoint, known := l.Endpoints[string(t.key())]
-	return place{cluster: t.Cluster, zone: endpoint.Zone}, known
+	return location{cluster: t.Cluster, zone: endpoint.Zone}, known
 }
 
-// usageOf returns the usage of each budget that applies to a single gateway or endpoint.
-func (l *Ledger) usageOf(t Target, reserved map[Target]bool) []budgetUsage {
+// computeUsage returns the usage of each budget that applies to a single gateway or endpoint.
+func (l *Ledger) computeUsage(t Target, reserved map[Target]bool) []budgetUsage {
 	var usages []budgetUsage
 	for i := range l.Budgets {
 		budget := &l.Budgets[i]
@@ -180,7 +182,8 @@
 	return usages
 }
 
-// countGateways adds the gateways that the scope counts together with the target; false where it does not include the target.
+// countGateways adds to the usage the gateways that the scope counts in the target's group. It returns false if the scope does not cover
+// the target.
 func (l *Ledger) countGateways(usage *budgetUsage, scope *Scope, t Target, reserved map[Target]bool) bool {
 	gateway, known := l.Gateways[t.Gateway]
 	if !known || !scope.includesGateway(gateway) {
@@ -198,7 +201,8 @@
 	return true
 }
 
-// countEndpoints adds the endpoints that the scope counts together with the target; false where it does not include the target.
+// countEndpoints adds to the usage the endpoints that the scope counts in the target's group. It returns false if the scope does not
+// cover the target.
 func (l *Ledger) countEndpoints(usage *budgetUsage, scope *Scope, t Target, reserved map[Target]bool) bool {
 	endpoint, known := l.Endpoints[string(t.key())]
 	if !known || !scope.includesEndpoint(t.Cluster, endpoint.Zone) {
@@ -216,8 +220,8 @@
 	return true
 }
 
-// reserved returns the gateways and endpoints that requests reserve. A cancelled request reserves its target until that has been
-// observed in service.
+// reserved returns the gateways and endpoints that requests reserve. A cancelled request reserves each member of its target until that
+// member has been observed in service.
 func (l *Ledger) reserved() map[Target]bool {
 	reserved := map[Target]bool{}
 	for _, r := range l.Requests {
@@ -252,6 +256,7 @@
 	return true
 }
 
+// memberInService reports whether a single gateway or endpoint is known and in service.
 func (l *Ledger) memberInService(t Target) bool {
 	if t.Gateway != "" {
 		return l.Gateways[t.Gateway].Serving
@@ -259,7 +264,7 @@
 	return l.Endpoints[string(t.key())].Healthy
 }
 
-// members returns the known gateways or endpoints that a target consists of, in the order of their keys.
+// members returns the known gateways or endpoints that a target consists of, sorted by key.
 func (l *Ledger) members(t Target) []Target {
 	switch {
 	case t.Gateway != "":
@@ -278,6 +283,7 @@
 	return l.endpointsOf(t)
 }
 
+// gatewaysOf returns the known gateways of the target, sorted by name.
 func (l *Ledger) gatewaysOf(t Target) []Target {
 	var members []Target
 	for _, name := range slices.Sorted(maps.Keys(l.Gateways)) {
@@ -289,6 +295,7 @@
 	return members
 }
 
+// endpointsOf returns the known endpoints of the target, sorted by key.
 func (l *Ledger) endpointsOf(t Target) []Target {
 	var members []Target
 	for _, key := range slices.Sorted(maps.Keys(l.Endpoints)) {
--- a/internal/drain/view.go
+++ b/internal/drain/view.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// View is what each gateway has to know of the ledger.
+// View is the part of the ledger that gateways need.
 type View struct {
 	Term     uint64    `json:"term"`
 	Version  uint64    `json:"version"`
 	Requests []Request `json:"out"` // granted, or keeping their targets out of service; in the order of submission
 }
 
-// View returns the ledger's view in a term of the quorum. It shares nothing with the ledger that later calls change.
+// View returns the ledger's view, marked with a term of the quorum. Later calls on the ledger do not change the returned view.
 func (l *Ledger) View(term uint64) View {
 	view := View{Term: term, Version: l.Version}
 	for _, r := range l.requestsBySeq() {
@@ -25,7 +25,7 @@
 	return view
 }
 
-// NewerThan reports whether the view is of a later state than another one.
+// NewerThan reports whether the view is newer than another one: by version, then by term.
 func (v *View) NewerThan(other *View) bool {
 	if v.Version != other.Version {
 		return v.Version > other.Version
@@ -33,7 +33,7 @@
 	return v.Term > other.Term
 }
 
-// List returns all requests in the order of their submission. It is never nil.
+// List returns all requests in the order of their submission. The slice is never nil.
 func (l *Ledger) List() []Request {
 	list := make([]Request, 0, len(l.Requests))
 	for _, r := range l.requestsBySeq() {
@@ -42,7 +42,7 @@
 	return list
 }
 
-// BudgetStatus is how much of a budget is used, for one group of members that it counts together.
+// BudgetStatus is the usage of a budget within one group of members that the budget counts together.
 type BudgetStatus struct {
 	Name        string   `json:"name"`
 	Scope       string   `json:"scope"` // describes the group
@@ -57,13 +57,13 @@
 	scope string
 }
 
-// BudgetStatuses returns the status of each budget, for each zone, site or cluster that it counts by itself.
+// BudgetStatuses returns the status of each budget, one for each zone, site or cluster that the budget counts separately.
 func (l *Ledger) BudgetStatuses() []BudgetStatus {
 	var statuses []BudgetStatus
 	listed := map[budgetGroup]bool{}
 	table := l.usageTable()
 	add := func(member Target, site, zone string) {
-		for _, usage := range table.of(member) {
+		for _, usage := range table.forMember(member) {
 			group := budgetGroup{name: usage.name, scope: l.scopeOf(usage.name).describe(member, site, zone)}
 			if listed[group] {
 				continue
@@ -83,6 +83,7 @@
 	return statuses
 }
 
+// status returns the usage as the status of a group.
 func (u *budgetUsage) status(group budgetGroup) BudgetStatus {
 	var unavailable []string
 	for _, key := range slices.Sorted(maps.Keys(u.unavailable)) {
@@ -97,13 +98,13 @@
 	}
 }
 
-// scopeOf returns the scope of the first budget with the name, which has to exist.
+// scopeOf returns the scope of the first budget with the name. Such a budget must exist.
 func (l *Ledger) scopeOf(name string) *Scope {
 	i := slices.IndexFunc(l.Budgets, func(b Budget) bool { return b.Name == name })
 	return &l.Budgets[i].Scope
 }
 
-// describe says for operators which group of members the scope counts together with a member at a site and in a zone.
+// describe returns a description for operators of the group in which the scope counts a member at a site and in a zone.
 func (s *Scope) describe(member Target, site, zone string) string {
 	text := ""
 	if s.Cluster != "" {
