--- a/internal/supervisor/decide.go
+++ b/internal/supervisor/decide.go
@@ -14,22 +14,22 @@
 	defaultGiveUp       = 10
 )
 
-// Rules say how a process that has ended is started again. Zero fields stand for the defaults.
+// Rules configure when a process that has ended is restarted. Zero fields stand for the defaults.
 type Rules struct {
-	// MinPause is the pause before a process that crashed is started again; it doubles with each consecutive crash. Default: 200 ms.
+	// MinPause is the pause before the restart after a first crash. The pause doubles with each consecutive crash. Default: 200 ms.
 	MinPause time.Duration
-	// MaxPause bounds the pause. Default: 30 s.
+	// MaxPause is the upper limit of the pause. Default: 30 s.
 	MaxPause time.Duration
-	// StableAfter is how long a process must have run for its crash not to count as consecutive. Default: a minute.
+	// StableAfter is how long a process must have run for its crash to count as the first one. Default: 1 minute.
 	StableAfter time.Duration
 	// TrialCrashes is the number of consecutive crashes at which a version on trial is rolled back. Default: 3.
 	TrialCrashes int
-	// GiveUp is the number of consecutive crashes at which nothing is started any more. Default: 10.
+	// GiveUp is the number of consecutive crashes after which the supervisor stops restarting. Default: 10.
 	GiveUp int
 }
 
-// Fill sets the zero fields to their defaults.
-func (r *Rules) Fill() {
+// SetDefaults sets the zero fields to their defaults.
+func (r *Rules) SetDefaults() {
 	if r.MinPause == 0 {
 		r.MinPause = defaultMinPause
 	}
@@ -47,29 +47,29 @@
 	}
 }
 
-// Action is what to do about a process that has ended. The zero value starts the current version again at once.
+// Action is what the supervisor does after a process has ended. The zero value restarts the current version immediately.
 type Action struct {
 	// Pause is the time before the next start.
 	Pause time.Duration
 	// Rollback makes the previous version the current one before the next start.
 	Rollback bool
-	// GiveUp means that nothing is started any more.
+	// GiveUp means that the supervisor stops restarting because of too many crashes.
 	GiveUp bool
-	// End means that the process has ended as it should.
+	// End means that the process was stopped or exited successfully, and is not restarted.
 	End bool
-	// Reason describes the crash; empty: it was none.
+	// Reason describes the crash; it is empty if the process did not crash.
 	Reason string
 }
 
-// Decider decides what to do about processes that have ended, with a backoff for crash loops. It reads no clock and starts no process.
-// It must not be used concurrently.
+// Decider decides what to do after a process has ended, with a backoff for crash loops. It reads no clock and starts no process. It is
+// not safe for concurrent use.
 type Decider struct {
 	Rules              Rules
 	consecutiveCrashes int
 }
 
-// ProcessEnded returns what to do about a process that ran for a time and ended with an exit code. stopped: it was asked to end.
-// onTrial: its version has not been confirmed yet.
+// ProcessEnded returns what to do after a process ran for a time and ended with an exit code. stopped is true if the supervisor was asked
+// to stop, onTrial if the version of the process has not been confirmed yet.
 func (d *Decider) ProcessEnded(ran time.Duration, exitCode int, stopped, onTrial bool) Action {
 	if stopped || exitCode == 0 {
 		return Action{End: true}
--- a/internal/supervisor/former_test.go
+++ b/internal/supervisor/former_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// TestFormerFolderIsRead reads the folder of an earlier version's supervisor (tools/fixtures/write): version three was given up for
-// two, and four is on trial.
-func TestFormerFolderIsRead(t *testing.T) {
+// TestFolderOfEarlierBuildIsRead reads a folder written by the supervisor of an earlier build (see tools/fixtures/write). Version three
+// was rolled back to two, and four is on trial.
+func TestFolderOfEarlierBuildIsRead(t *testing.T) {
 	f := Folder{Path: filepath.Join(t.TempDir(), "folder")}
-	from := filepath.Join("testdata", "former", "folder")
+	fixture := filepath.Join("testdata", "former", "folder")
 	if err := os.MkdirAll(filepath.Join(f.Path, versionsDir), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"trial", "refused", "versions/two", "versions/three", "versions/four"} {
-		text, err := os.ReadFile(filepath.Join(from, name))
+		text, err := os.ReadFile(filepath.Join(fixture, name))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -24,30 +24,30 @@
 		}
 	}
 	for _, name := range []string{"current", "previous"} {
-		to, err := os.Readlink(filepath.Join(from, name))
+		target, err := os.Readlink(filepath.Join(fixture, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Symlink(to, filepath.Join(f.Path, name)); err != nil {
+		if err := os.Symlink(target, filepath.Join(f.Path, name)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if label, err := f.Current(); label != "four" || err != nil {
-		t.Errorf("current: %q, %v", label, err)
+		t.Errorf("Current: got %q, %v, want %q, nil", label, err, "four")
 	}
 	if label, err := f.Previous(); label != "two" || err != nil {
-		t.Errorf("previous: %q, %v", label, err)
+		t.Errorf("Previous: got %q, %v, want %q, nil", label, err, "two")
 	}
-	if label, why := f.Rejected(); label != "three" || why != "it broke twice" {
-		t.Errorf("refused: %q, %q", label, why)
+	if label, reason := f.Rejected(); label != "three" || reason != "it broke twice" {
+		t.Errorf("Rejected: got %q, %q, want %q, %q", label, reason, "three", "it broke twice")
 	}
 	if !f.OnTrial() {
-		t.Error("four is not on trial")
+		t.Error("OnTrial for version four: got false, want true")
 	}
 	if err := f.Rollback("it broke again"); err != nil {
 		t.Fatal(err)
 	}
 	if label, err := f.Current(); label != "two" || err != nil || f.OnTrial() {
-		t.Errorf("gone back: %q, %v, on trial %v", label, err, f.OnTrial())
+		t.Errorf("after Rollback: got version %q, %v, on trial %v, want %q, nil, false", label, err, f.OnTrial(), "two")
 	}
 }
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,14 +1,14 @@
-// Package supervisor runs robindrum as the version that a link names, and starts it again: at once where the process asks for it, after
-// a growing pause where it crashed. A new version that keeps crashing is rolled back; after too many crashes nothing is started any
-// more.
+// Package supervisor runs the version of robindrum that a symbolic link points to, and restarts it: immediately if the process requests a
+// restart, and with exponential backoff if it crashed. A new version that keeps crashing is rolled back. After too many consecutive
+// crashes the supervisor gives up.
 //
-// A folder holds all its state:
+// All its state is stored in one folder:
 //
-//	versions/LABEL   the programs
-//	current          a link to the version that runs
-//	previous         a link to the version before
-//	trial            the label of a version that has not been confirmed yet; absent: none is on trial
-//	refused          the label of a version that was rolled back, and why
+//	versions/LABEL   the executable of each version
+//	current          a link to the current version
+//	previous         a link to the version that ran before the current one
+//	trial            the label of a version that has not been confirmed yet; absent if none is on trial
+//	refused          the label of the version that was rolled back, and the reason; absent if none is rejected
 //	lock             locked by the running supervisor
 package supervisor
 
@@ -31,22 +31,22 @@
 	// Args are the program's arguments.
 	Args  []string
 	Rules Rules
-	// Stop is how long the process has to end after SIGTERM; then it is killed.
+	// Stop is how long the process may take to end after SIGTERM before it is killed.
 	Stop   time.Duration
 	Stdout io.Writer
 	Stderr io.Writer
-	// Hangup has the signals that are passed on to the process; nil: none.
+	// Hangup delivers the signals that are forwarded to the process; nil: none.
 	Hangup <-chan os.Signal
 	Log    *slog.Logger
 }
 
-// ErrGaveUp is returned when no version keeps running.
+// ErrGaveUp is returned after too many consecutive crashes, or when a rollback fails.
 var ErrGaveUp = errors.New("gave up")
 
-// Run starts the folder's current version and restarts it as the rules say. It blocks until ctx ends or the process ends by itself, and
-// then returns nil; it returns an error that wraps ErrGaveUp after too many crashes. Only one supervisor runs on a folder.
+// Run starts the folder's current version and restarts it according to the rules. It blocks and returns nil once ctx ends or the process
+// exits successfully. After too many crashes it returns an error that wraps ErrGaveUp. Only one supervisor can run on a folder.
 func Run(ctx context.Context, opt Options) error {
-	opt.Rules.Fill()
+	opt.Rules.SetDefaults()
 	lock, err := opt.Folder.lock()
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 	for {
 		version, err := opt.Folder.Current()
 		if err != nil {
-			return fmt.Errorf("%s: %w", opt.Folder.at(currentLink), err)
+			return fmt.Errorf("%s: %w", opt.Folder.pathOf(currentLink), err)
 		}
 		startedAt := time.Now()
 		exitCode, err := opt.runProcess(ctx, version)
@@ -70,14 +70,14 @@
 		if err := opt.prepareRestart(action, version); err != nil {
 			return err
 		}
-		if action.Pause > 0 && !sleepAbout(ctx, action.Pause) {
+		if action.Pause > 0 && !sleepWithJitter(ctx, action.Pause) {
 			return nil
 		}
 	}
 }
 
-// prepareRestart logs what is done about a version's process that has ended, and rolls the version back where that is the action. An
-// error means that nothing is started any more.
+// prepareRestart logs the action after a process of a version has ended, and rolls the version back if the action requires it. An error
+// means that no version is to be started.
 func (opt *Options) prepareRestart(action Action, version string) error {
 	switch {
 	case action.GiveUp:
@@ -96,9 +96,9 @@
 	return nil
 }
 
-// sleepAbout waits for half to one and a half of a pause, so that a fleet that crashed at once does not restart at once. It returns
-// false when ctx ends first.
-func sleepAbout(ctx context.Context, pause time.Duration) bool {
+// sleepWithJitter waits for 0.5 to 1.5 times the pause, so that processes of a fleet that crashed at the same time do not restart at the
+// same time. It returns false if ctx ends first.
+func sleepWithJitter(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause/2 + rand.N(pause))
 	defer timer.Stop()
 	select {
@@ -109,14 +109,14 @@
 	}
 }
 
-// runProcess runs a version until it ends, and returns its exit code; -1: it was not started or was killed. When ctx ends the process
-// gets SIGTERM, and after opt.Stop it is killed.
+// runProcess runs a version until its process ends and returns the exit code, or -1 if the process was not started or was ended by a
+// signal. When ctx ends, the process gets SIGTERM, and is killed if it still runs after opt.Stop.
 func (opt *Options) runProcess(ctx context.Context, version string) (exitCode int, err error) {
 	cmd := exec.Command(opt.Folder.Program(version), opt.Args...)
 	cmd.Env = append(os.Environ(), FolderVariable+"="+opt.Folder.Path, VersionVariable+"="+version)
 	cmd.Stdout = opt.Stdout
 	cmd.Stderr = opt.Stderr
-	// The process ends when its standard input does, also where the supervisor is killed.
+	// The process exits when its standard input is closed, which also happens when the supervisor is killed.
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return -1, err
@@ -139,7 +139,7 @@
 			return cmd.ProcessState.ExitCode(), nil
 		case <-stop:
 			stop = nil
-			_ = cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+			_ = cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 			timer := time.NewTimer(opt.Stop)
 			defer timer.Stop()
 			kill = timer.C
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// All sequences of up to seven ends of a process: crashes, requested restarts, long runs, on trial or not. The pause neither shrinks
-// during consecutive crashes nor exceeds its bound, a version on trial is rolled back at its last allowed crash, and the supervisor
-// gives up at the stated number of crashes and not before.
+// TestProcessEndedForAllSequences tries all sequences of up to seven process ends: crashes, requested restarts and crashes after a long
+// run, on trial or not. The pause must not shrink during consecutive crashes or exceed its limit, a version on trial must be rolled back
+// at TrialCrashes, and the supervisor must give up at exactly GiveUp crashes.
 func TestProcessEndedForAllSequences(t *testing.T) {
 	rules := Rules{MinPause: time.Second, MaxPause: 3 * time.Second, StableAfter: time.Minute, TrialCrashes: 2, GiveUp: 4}
 	type end struct {
-		ran   time.Duration
-		code  int
-		trial bool
+		ran      time.Duration
+		exitCode int
+		onTrial  bool
 	}
 	ends := []end{{time.Second, 1, false}, {time.Second, -1, true}, {2 * time.Minute, 1, false}, {time.Second, ExitRestart, false}}
 	walked := 0
-	var walk func(d Decider, crashes int, lastPause time.Duration, depth int)
-	walk = func(d Decider, crashes int, lastPause time.Duration, depth int) {
+	var walk func(decider Decider, crashes int, lastPause time.Duration, depth int)
+	walk = func(decider Decider, crashes int, lastPause time.Duration, depth int) {
 		for _, e := range ends {
-			d, crashes, lastPause := d, crashes, lastPause
-			a := d.ProcessEnded(e.ran, e.code, false, e.trial)
+			decider, crashes, lastPause := decider, crashes, lastPause
+			action := decider.ProcessEnded(e.ran, e.exitCode, false, e.onTrial)
 			walked++
-			if e.code == ExitRestart {
-				if a != (Action{}) {
-					t.Fatalf("requested restart: %+v", a)
+			if e.exitCode == ExitRestart {
+				if action != (Action{}) {
+					t.Fatalf("ProcessEnded for a requested restart: got %+v, want %+v", action, Action{})
 				}
 				crashes, lastPause = 0, 0
 			} else {
@@ -37,34 +37,34 @@
 					crashes, lastPause = 0, 0
 				}
 				crashes++
-				rollback := e.trial && crashes >= rules.TrialCrashes
-				if a.Rollback != rollback || a.GiveUp != (!rollback && crashes >= rules.GiveUp) || a.Reason == "" || !a.GiveUp && !rollback && (a.Pause < lastPause || a.Pause < rules.MinPause) || a.Pause > rules.MaxPause {
-					t.Fatalf("%d crashes in a row, trial %v, waited %v: %+v", crashes, e.trial, lastPause, a)
+				rollback := e.onTrial && crashes >= rules.TrialCrashes
+				if action.Rollback != rollback || action.GiveUp != (!rollback && crashes >= rules.GiveUp) || action.Reason == "" || !action.GiveUp && !rollback && (action.Pause < lastPause || action.Pause < rules.MinPause) || action.Pause > rules.MaxPause {
+					t.Fatalf("ProcessEnded after %d consecutive crashes, on trial %v, last pause %v: got %+v, want rollback %v", crashes, e.onTrial, lastPause, action, rollback)
 				}
-				if lastPause = a.Pause; rollback {
+				if lastPause = action.Pause; rollback {
 					crashes, lastPause = 0, 0
 				}
-				if a.GiveUp {
+				if action.GiveUp {
 					continue
 				}
 			}
 			if depth > 1 {
-				walk(d, crashes, lastPause, depth-1)
+				walk(decider, crashes, lastPause, depth-1)
 			}
 		}
 	}
 	walk(Decider{Rules: rules}, 0, 0, 7)
 	if walked < 10_000 {
-		t.Errorf("%d", walked)
+		t.Errorf("got %d calls of ProcessEnded, want at least 10000", walked)
 	}
-	d := Decider{Rules: rules}
-	if !d.ProcessEnded(time.Second, 1, true, true).End || !d.ProcessEnded(time.Second, 0, false, false).End {
-		t.Error("a process that was stopped is started again")
+	decider := Decider{Rules: rules}
+	if !decider.ProcessEnded(time.Second, 1, true, true).End || !decider.ProcessEnded(time.Second, 0, false, false).End {
+		t.Error("ProcessEnded for a process that was stopped or exited with 0: got End false, want true")
 	}
 }
 
-// After any sequence of switches, confirmations and rollbacks, with the process ending between any two writes, current names a version
-// that exists, and previous one that ran.
+// TestFolderIsConsistentAfterInterruption makes random sequences of switches, confirmations and rollbacks, and interrupts switches between
+// any two writes. The current version must exist, and the previous one must have run.
 func TestFolderIsConsistentAfterInterruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "robindrum-folder-")
@@ -80,51 +80,51 @@
 		ran := map[string]bool{"a": true}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			label := rapid.SampledFrom(append(labels, "none", "../a", "")).Draw(t, "label")
-			now, _ := f.Current()
+			current, _ := f.Current()
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				if err := f.Switch(label); (err == nil) != (f.Check(label) == nil) {
-					t.Fatalf("switch to %q: %v", label, err)
+					t.Fatalf("Switch(%q): got error %v, want an error exactly if Check returns one", label, err)
 				}
-			case 1: // ended in the middle of a switch
-				if f.Check(label) == nil && label != now {
-					steps := []func() error{func() error { return f.remove(rejectedFile) }, func() error { return f.writeLink(previousLink, now) }, func() error { return f.writeFile(trialFile, label) }}
-					for _, s := range steps[:rapid.IntRange(0, 3).Draw(t, "of the switch")] {
-						if err := s(); err != nil {
+			case 1: // a switch interrupted after 0 to 3 of its writes
+				if f.Check(label) == nil && label != current {
+					steps := []func() error{func() error { return f.remove(rejectedFile) }, func() error { return f.writeLink(previousLink, current) }, func() error { return f.writeFile(trialFile, label) }}
+					for _, step := range steps[:rapid.IntRange(0, 3).Draw(t, "completed writes of the switch")] {
+						if err := step(); err != nil {
 							t.Fatal(err)
 						}
 					}
 				}
 			case 2:
 				err := f.Rollback("it broke\n twice")
-				if _, none := f.Previous(); (err == nil) != (none == nil) {
-					t.Fatalf("back: %v, previous: %v", err, none)
+				if _, previousErr := f.Previous(); (err == nil) != (previousErr == nil) {
+					t.Fatalf("Rollback: got error %v, but Previous returned %v", err, previousErr)
 				}
-				if given, why := f.Rejected(); err == nil && (given != now || why != "it broke twice" || f.OnTrial()) {
-					t.Fatalf("%s was given up, the folder says %q: %q, on trial %v", now, given, why, f.OnTrial())
+				if rejected, reason := f.Rejected(); err == nil && (rejected != current || reason != "it broke twice" || f.OnTrial()) {
+					t.Fatalf("after Rollback: got rejected version %q, reason %q, on trial %v, want %q, %q, false", rejected, reason, f.OnTrial(), current, "it broke twice")
 				}
 			case 3:
 				if f.ConfirmTrial() != nil || f.OnTrial() {
-					t.Fatal("still on trial")
+					t.Fatal("ConfirmTrial failed or the version is still on trial")
 				}
 			case 4:
 				if err := f.ClearRejected(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			now, err := f.Current()
+			current, err := f.Current()
 			if err != nil {
 				t.Fatal(err)
 			}
-			ran[now] = true
-			if p, err := f.Previous(); err == nil && !ran[p] {
-				t.Fatalf("the way back leads to %s, which never ran", p)
+			ran[current] = true
+			if previous, err := f.Previous(); err == nil && !ran[previous] {
+				t.Fatalf("Previous: got %s, which never ran", previous)
 			}
 		}
 	})
 }
 
-// folderWithVersions makes a folder with a program for each label.
+// folderWithVersions creates a folder with an empty executable for each label.
 func folderWithVersions(t *rapid.T, dir string, labels []string) Folder {
 	t.Helper()
 	f := Folder{Path: dir}
