--- a/internal/fleet/admin.go
+++ b/internal/fleet/admin.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	adminTimeout            = 10 * time.Second // of a command to the quorum
+	adminTimeout            = 10 * time.Second // for a command to the quorum
 	maxDrainRequestBytes    = 64 << 10
 	maxReleaseCommandBytes  = 4 * release.MaxConfigBytes
 	drainCommandsPathPrefix = "POST /fleet/"
 )
 
-// drainCommands are the operators' commands on drains, by the last part of their path.
+// drainCommands are the operators' commands on drains, by the last segment of their path.
 var drainCommands = map[string]quorum.Op{
 	"drain":   quorum.OpDrain,
 	"undrain": quorum.OpCancelDrain,
@@ -28,31 +28,31 @@
 	"resume":  quorum.OpResumeDrains,
 }
 
-// Handler returns the operators' interface: GET /fleet, GET /fleet/leases, POST /fleet/revoke?lease=NAME, GET /fleet/orders, POST
-// /fleet/drain, undrain, halt and resume, GET /fleet/releases, and POST /fleet/release. Answers are JSON; 400 is for a body that
-// cannot be used, 503 for what the quorum has not answered or has rejected.
+// Handler returns the HTTP interface for operators: GET /fleet, GET /fleet/leases, POST /fleet/revoke?lease=NAME, GET /fleet/orders,
+// POST /fleet/drain, undrain, halt and resume, GET /fleet/releases, and POST /fleet/release. Responses are JSON. Status 400 means that
+// the request body is invalid, and 503 that the quorum has not answered or has rejected the command.
 func (f *Fleet) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) { writeAnswer(w, f.Status(), nil) })
+	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) { writeResponse(w, f.Status(), nil) })
 	mux.HandleFunc("GET /fleet/leases", func(w http.ResponseWriter, r *http.Request) {
 		leases, err := f.Leases(r.Context())
-		writeAnswer(w, leases, err)
+		writeResponse(w, leases, err)
 	})
 	mux.HandleFunc("POST /fleet/revoke", func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 		defer cancel()
-		writeAnswer(w, struct{}{}, f.Revoke(ctx, r.URL.Query().Get("lease")))
+		writeResponse(w, struct{}{}, f.Revoke(ctx, r.URL.Query().Get("lease")))
 	})
 	mux.HandleFunc("GET /fleet/orders", func(w http.ResponseWriter, r *http.Request) {
 		drains, err := f.Drains(r.Context())
-		writeAnswer(w, drains, err)
+		writeResponse(w, drains, err)
 	})
 	for name, op := range drainCommands {
 		mux.HandleFunc(drainCommandsPathPrefix+name, func(w http.ResponseWriter, r *http.Request) { f.serveDrainCommand(w, r, op) })
 	}
 	mux.HandleFunc("GET /fleet/releases", func(w http.ResponseWriter, r *http.Request) {
 		releases, err := f.client.Releases(r.Context())
-		writeAnswer(w, releases, err)
+		writeResponse(w, releases, err)
 	})
 	mux.HandleFunc("POST /fleet/release", f.serveReleaseCommand)
 	return mux
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 	defer cancel()
 	result, err := f.commandDrain(ctx, op, &request)
-	writeAnswer(w, result, err)
+	writeResponse(w, result, err)
 }
 
 func (f *Fleet) serveReleaseCommand(w http.ResponseWriter, r *http.Request) {
@@ -88,10 +88,10 @@
 	ctx, cancel := context.WithTimeout(r.Context(), adminTimeout)
 	defer cancel()
 	_, err := f.command(ctx, command)
-	writeAnswer(w, struct{}{}, err)
+	writeResponse(w, struct{}{}, err)
 }
 
-func writeAnswer(w http.ResponseWriter, answer any, err error) {
+func writeResponse(w http.ResponseWriter, response any, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -99,7 +99,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(answer) // the client may have left
+	_ = encoder.Encode(response) // fails only if the client has disconnected
 }
 
 // Leases asks the quorum for all leases.
@@ -108,13 +108,13 @@
 // Drains asks the quorum for all drain requests.
 func (f *Fleet) Drains(ctx context.Context) (quorum.DrainList, error) { return f.client.Drains(ctx) }
 
-// Revoke ends a lease: it is not renewed any more, and is over when the time that its holder was last granted has passed.
+// Revoke revokes a lease: the lease is no longer renewed, and ends when its holder's last grant expires.
 func (f *Fleet) Revoke(ctx context.Context, name string) error {
 	_, err := f.command(ctx, quorum.Command{Op: quorum.OpRevoke, Lease: name})
 	return err
 }
 
-// commandDrain applies a command on drains and returns the drain request as it is after that.
+// commandDrain applies a command on drains and returns the resulting drain request.
 func (f *Fleet) commandDrain(ctx context.Context, op quorum.Op, request *drain.Request) (drain.Request, error) {
 	result, err := f.command(ctx, quorum.Command{Op: op, Drain: request})
 	if result.Drain != nil {
@@ -123,7 +123,7 @@
 	return drain.Request{}, err
 }
 
-// command has the quorum apply a command. The result is meaningful also beside the quorum's rejection.
+// command sends a command to the quorum and returns its result. The result is also valid if the error is the quorum's rejection.
 func (f *Fleet) command(ctx context.Context, command quorum.Command) (quorum.Result, error) {
 	result, _, err := f.client.Do(ctx, command)
 	if err == nil {
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -15,20 +15,20 @@
 const (
 	assignmentPath     = "/fleet/v1/orders"
 	maxAssignmentBytes = 4 << 20
-	// awaitInterval is the time between two looks at whether the desired configuration is in use.
-	awaitInterval = 5 * time.Millisecond
+	// configCheckInterval is the time between two checks whether the desired configuration is in use.
+	configCheckInterval = 5 * time.Millisecond
 )
 
-// assignment is what the quorum's leader sends to a gateway with each heartbeat. The gateway answers with a Report.
+// assignment is what the quorum's leader sends to a gateway at each reconciliation. The gateway answers with a Report.
 type assignment struct {
 	View drain.View `json:"view"`
-	// Full asks for all endpoints in the report, not for the unhealthy ones alone.
+	// Full requests all endpoints in the report instead of only the unhealthy ones.
 	Full bool `json:"full"`
-	// Config is the digest of the desired configuration; empty: the gateway's own file alone.
+	// Config is the digest of the desired configuration. If empty, the gateway uses only its own file.
 	Config string `json:"want"`
 	// Revision rises with each change of the desired configurations and versions.
 	Revision uint64 `json:"version"`
-	// Version is the desired version of the program; empty: the running one; nil: the sender does not know.
+	// Version is the desired version of the program. It is empty if the running one is to stay, and nil if the sender does not know.
 	Version           *string `json:"program,omitempty"`
 	ReleaseInProgress bool    `json:"under,omitempty"`
 }
@@ -39,36 +39,38 @@
 	Version     uint64 `json:"version"`
 	Incarnation uint64 `json:"birth"`
 	Serving     bool   `json:"serving"`
-	// InFlight counts requests by the ID of the drain request: all of this gateway where it is the target, else those that it has
-	// sent to the target's endpoints.
+	// InFlight is the number of requests in flight, by the ID of the drain request: all requests of this gateway if it is the target,
+	// otherwise those that it has sent to the target's endpoints.
 	InFlight map[string]int `json:"in_hand,omitempty"`
-	// Endpoints are the unhealthy endpoints; all where a full report was asked for.
+	// Endpoints are the unhealthy endpoints, or all endpoints if a full report was requested.
 	Endpoints []drain.Endpoint `json:"endpoints,omitempty"`
 
-	// Config is the digest of the released configuration in use; empty: the gateway's own file alone; "pending": see Pending.
+	// Config is the digest of the released configuration in use, or "pending" while Pending is set. It is empty if the gateway uses only
+	// its own file.
 	Config string `json:"has,omitempty"`
-	// Pending: a new configuration was accepted, and requests are still routed by the one before.
+	// Pending is set if a new configuration was accepted but requests are still routed by the previous one.
 	Pending bool `json:"pending,omitempty"`
 	// ConfigRejected is why the desired configuration is not in use.
 	ConfigRejected string          `json:"refused,omitempty"`
 	Figures        release.Figures `json:"figures,omitzero"`
-	// RunningVersion is the version of the program that runs; empty: the process is not supervised.
+	// RunningVersion is the running version of the program. It is empty if the process is not supervised.
 	RunningVersion string `json:"program,omitempty"`
 	// AssignedVersion is the desired version of the program.
 	AssignedVersion string `json:"told,omitempty"`
-	// VersionRejected is why the process does not start as the assigned version.
+	// VersionRejected is why the process does not start with the assigned version.
 	VersionRejected string `json:"not_this,omitempty"`
 }
 
-// Supervised is this process as its supervisor starts it. Its methods are called by one goroutine at a time.
+// Supervised controls, through this process's supervisor, which version of the program runs. Its methods are called by one goroutine at
+// a time.
 type Supervised interface {
-	// RejectReason returns why this process would not start as a version; empty: it would.
+	// RejectReason returns why this process would not start with a version, or "" if it would.
 	RejectReason(version string) string
-	// SwitchTo makes this process end and start as another version.
+	// SwitchTo makes this process exit and start again with another version.
 	SwitchTo(version string) error
-	// Rollback makes this process end and the version before start in its place.
+	// Rollback makes this process exit and start again with the previous version.
 	Rollback(why string) error
-	// ConfirmTrial ends the trial of the running version: it works.
+	// ConfirmTrial ends the trial of the running version and keeps that version.
 	ConfirmTrial() error
 	// ClearRejected allows a version that was rolled back to be tried again.
 	ClearRejected() error
@@ -76,26 +78,27 @@
 	OnTrial() bool
 }
 
-// Agent is the gateway that carries out assignments.
+// Agent carries out assignments in a gateway.
 type Agent interface {
-	// ApplyDrains takes gateways and endpoints out of service, or back, and reports the state after that. It is called by one
-	// goroutine at a time, each time with a view that is no older than the one before. With full, the report lists all endpoints.
+	// ApplyDrains takes gateways and endpoints out of service or returns them to service, and reports the resulting state. If full is
+	// set, the report lists all endpoints. ApplyDrains is called by one goroutine at a time, and never with an older view than in the
+	// previous call.
 	ApplyDrains(v drain.View, full bool) Report
-	// Configure makes the gateway use a configuration beside its own file; empty: its own file alone. After an error the
-	// configuration before stays in use. It is called by one goroutine at a time.
+	// Configure makes the gateway use a configuration in addition to its own file. If digest and text are empty, the gateway uses only
+	// its own file. After an error the previous configuration stays in use. Configure is called by one goroutine at a time.
 	Configure(digest, text string) error
 }
 
-// assignee is the gateway's side: it applies what the leader assigns to this process.
+// assignee is the gateway's part of reconciliation: it applies the leader's assignments to this process.
 type assignee struct {
 	fleet *Fleet
 
 	// Set before Start.
 	agent          Agent
-	supervised     Supervised // nil: the process is not supervised
+	supervised     Supervised // nil if the process is not supervised
 	runningVersion string
 
-	configChanged chan struct{} // holds a value when the assignment has changed
+	configChanged chan struct{} // holds a value after the assigned configuration may have changed
 
 	mu   sync.Mutex
 	view drain.View
@@ -108,21 +111,21 @@
 	releaseInProgress bool
 
 	assignedVersion string
-	versionRejected string // why assignedVersion does not run
-	rejectedCleared bool   // ClearRejected succeeded since a version was assigned
+	versionRejected string // why assignedVersion is not running
+	rejectedCleared bool   // ClearRejected has succeeded since a version other than the running one was last assigned
 }
 
 func newAssignee(f *Fleet) *assignee {
 	return &assignee{fleet: f, configChanged: make(chan struct{}, 1)}
 }
 
-// SetSupervised lets releases restart this process as other versions. It must be called before Start.
+// SetSupervised allows releases to restart this process with other versions; version is the running one. It must be called before Start.
 func (f *Fleet) SetSupervised(version string, supervised Supervised) {
 	f.assignee.supervised = supervised
 	f.assignee.runningVersion = version
 }
 
-// SetAgent lets a gateway carry out the leader's assignments. It must be called before Start.
+// SetAgent sets the agent that carries out the leader's assignments. It must be called before Start.
 func (f *Fleet) SetAgent(a Agent) {
 	f.assignee.agent = a
 	f.node.Handle(assignmentPath, maxAssignmentBytes, func(_ context.Context, body []byte) (any, error) {
@@ -134,7 +137,7 @@
 	})
 }
 
-// apply applies an assignment, except where a newer one is known, and reports the gateway's state.
+// apply applies an assignment, except for parts that are older than those already applied, and reports the gateway's state.
 func (a *assignee) apply(received assignment) Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,7 +146,7 @@
 	}
 	a.leaderHeardAt = a.fleet.now()
 	a.assignConfig(received)
-	// Voters that do not lead send no version, and a former leader's revision is older.
+	// Assignments that FetchDrains builds from a voter's answer have no version, and those of a previous leader have an older revision.
 	if received.Version != nil && received.Revision >= a.revision {
 		a.assignVersion(*received.Version)
 		a.releaseInProgress = received.ReleaseInProgress
@@ -161,7 +164,7 @@
 	return report
 }
 
-// assignConfig records the desired configuration of a newer revision. The caller holds a.mu.
+// assignConfig records the desired configuration if its revision is newer. The caller must hold a.mu.
 func (a *assignee) assignConfig(received assignment) {
 	if received.Revision <= a.revision {
 		return
@@ -177,8 +180,8 @@
 	}
 }
 
-// assignVersion records the desired version of the program; the process is restarted by the drain that comes with it (see
-// Fleet.Restart). The caller holds a.mu.
+// assignVersion records the desired version of the program. The process is restarted later, by the drain request of the same release
+// (see Fleet.Restart). The caller must hold a.mu.
 func (a *assignee) assignVersion(version string) {
 	if a.supervised == nil {
 		return
@@ -192,20 +195,20 @@
 		a.versionRejected = a.supervised.RejectReason(version)
 		return
 	}
-	// A later release may bring the rejected version again.
+	// A later release may contain the rejected version again.
 	a.versionRejected = ""
 	if !a.rejectedCleared && a.supervised.ClearRejected() == nil {
 		a.rejectedCleared = true
 	}
 }
 
-// Restart makes this process end and start as another version. Only the agent may call it, from ApplyDrains.
+// Restart restarts this process with another version. Only the agent may call it, from ApplyDrains.
 func (f *Fleet) Restart(version string) {
-	a := f.assignee // its mu is held by apply
+	a := f.assignee // apply holds a.mu
 	if a.supervised == nil || version == a.runningVersion {
 		return
 	}
-	// A process that has just been rolled back from this version is still drained by the same request.
+	// The drain request that led to the switch outlasts a rollback, and must not cause the same switch again.
 	a.versionRejected = a.supervised.RejectReason(version)
 	if a.versionRejected != "" {
 		return
@@ -217,7 +220,7 @@
 }
 
 // FetchDrains asks the voters for the drain requests and the desired configuration, and applies them. It blocks until the
-// configuration is in use or rejected, for at most a time, and returns false when no voter has answered by then.
+// configuration is in use or rejected, but no longer than timeout, and returns false if no voter has answered within that time.
 func (f *Fleet) FetchDrains(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -242,7 +245,7 @@
 		if done {
 			return
 		}
-		sleep(ctx, awaitInterval)
+		sleep(ctx, configCheckInterval)
 	}
 }
 
--- a/internal/fleet/clock_linux.go
+++ b/internal/fleet/clock_linux.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock reads a monotonic clock that advances while the machine is suspended, which Go's own does not: a leader that was suspended with
-// its machine finds its lease expired. Readings of processes on one machine are comparable.
+// Clock returns the reading of a monotonic clock that advances while the machine is suspended, unlike Go's own: a leader finds its
+// lease expired after a suspension. Readings of processes on one machine are comparable.
 func Clock() time.Duration {
 	var now unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &now) != nil { // kernels before 2.6.39
--- a/internal/fleet/clock_other.go
+++ b/internal/fleet/clock_other.go
@@ -6,6 +6,6 @@
 
 var clockOrigin = time.Now()
 
-// Clock reads a monotonic clock. On some systems it stands still while the machine is suspended, so that a leader that was suspended
-// may act under an expired lease; then the fencing tokens alone protect.
+// Clock returns the reading of a monotonic clock. On some systems it does not advance while the machine is suspended, so that a leader
+// may act under an expired lease after a suspension. Only the fencing tokens protect against that.
 func Clock() time.Duration { return time.Since(clockOrigin) }
--- a/internal/fleet/configure.go
+++ b/internal/fleet/configure.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// silenceHeartbeats is for how many heartbeats a process on trial, or with a configuration on trial, goes without hearing from
-	// the leader before it rolls back by itself.
-	silenceHeartbeats = 20
-	maxRetryPause     = time.Hour
-	maxRejectReason   = 200 // bytes
+	// maxSilentHeartbeats is for how many heartbeats the leader may be silent before a process rolls back the version or configuration
+	// that is on trial.
+	maxSilentHeartbeats  = 20
+	maxRetryPause        = time.Hour
+	maxRejectReasonBytes = 200 // bytes
 
 	reasonSilence        = "with it nobody is heard of any more"
 	reasonVersionSilence = "with it nobody is heard of"
 )
 
-// configurer applies the desired configuration, and ends the trials of configurations and of the program's version. It is used by
-// one goroutine.
+// configurer applies the desired configuration, and ends the trials of configurations and of the program's version. It must be used by
+// a single goroutine.
 type configurer struct {
 	assignee   *assignee
 	now        func() time.Duration
@@ -26,12 +26,13 @@
 
 	versionOnTrial bool
 
-	// A configuration is on trial until the leader is heard from with it in use.
-	trialSince     time.Duration // 0: none is on trial
-	previousConfig string        // in use before the one on trial
+	// A configuration is on trial until the process has heard from the leader with the configuration in use.
+	trialSince     time.Duration // 0 if none is on trial
+	previousConfig string        // the configuration in use before the trial
 
-	// A configuration that was rolled back for silence is tried again later, as the silence may have had another cause.
-	retryAt    time.Duration // 0: none is to be tried again
+	// A configuration that was rolled back because the leader was silent is tried again later, since the silence may have had another
+	// cause.
+	retryAt    time.Duration // 0 if none is to be tried again
 	retryPause time.Duration
 }
 
@@ -43,7 +44,7 @@
 	c := &configurer{
 		assignee:       a,
 		now:            a.fleet.now,
-		maxSilence:     silenceHeartbeats * heartbeat,
+		maxSilence:     maxSilentHeartbeats * heartbeat,
 		startedAt:      a.fleet.now(),
 		versionOnTrial: a.supervised != nil && a.supervised.OnTrial(),
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-// configState is a copy of an assignee's state.
+// configState is a copy of the part of the assignee's state that step needs.
 type configState struct {
 	desired       string
 	inUse         string
@@ -66,25 +67,26 @@
 	leaderHeardAt time.Duration
 }
 
+// step ends a trial that is decided, or else applies the desired configuration if it is neither in use nor rejected.
 func (c *configurer) step(ctx context.Context) {
 	state := c.updateTrials()
 	switch {
 	case c.trialSince > 0 && state.leaderHeardAt > c.trialSince:
 		c.trialSince = 0
 	case c.trialSince > 0 && c.now()-c.trialSince > c.maxSilence:
-		c.assignee.use(ctx, c.previousConfig, reasonSilence)
+		c.assignee.useConfig(ctx, c.previousConfig, reasonSilence)
 		c.retryPause = min(max(2*c.retryPause, c.maxSilence), maxRetryPause)
 		c.trialSince = 0
 		c.retryAt = c.now() + c.retryPause
 	case state.desired != state.inUse && state.rejected == "":
-		if c.assignee.use(ctx, state.desired, "") {
+		if c.assignee.useConfig(ctx, state.desired, "") {
 			c.previousConfig = state.inUse
 			c.trialSince = c.now()
 		}
 	}
 }
 
-// updateTrials allows a retry that is due, ends the version's trial where it is decided, and returns the state after that.
+// updateTrials allows a retry that is due, ends the version's trial if it is decided, and returns the resulting state.
 func (c *configurer) updateTrials() configState {
 	a := c.assignee
 	a.mu.Lock()
@@ -100,13 +102,14 @@
 	return configState{desired: a.desiredConfig, inUse: a.config, rejected: a.configRejected, leaderHeardAt: a.leaderHeardAt}
 }
 
-// retryDue reports whether a configuration that was rolled back for silence may be tried again: no release is in progress, its pause
-// is over, and the leader was heard from since the rollback.
+// retryDue reports whether a configuration that was rolled back because the leader was silent may be tried again: no release is in
+// progress, the pause since the rollback is over, and the leader has been heard from since the rollback.
 func (c *configurer) retryDue(releaseInProgress bool, leaderHeardAt time.Duration) bool {
 	return c.retryAt > 0 && !releaseInProgress && c.now() >= c.retryAt && leaderHeardAt > c.retryAt-c.retryPause
 }
 
-// endVersionTrial confirms the version on trial once the leader was heard from, and rolls it back after too long a silence.
+// endVersionTrial confirms the version on trial once the leader has been heard from, and rolls it back if the leader has been silent
+// for longer than maxSilence.
 func (c *configurer) endVersionTrial(leaderHeardAt time.Duration) {
 	if !c.versionOnTrial {
 		return
@@ -115,7 +118,7 @@
 	switch {
 	case leaderHeardAt > 0:
 		if err := a.supervised.ConfirmTrial(); err != nil {
-			a.fleet.log.Warn("version's trial not confirmed", "error", err)
+			a.fleet.log.Warn("version trial confirmation failed", "error", err)
 		}
 		c.versionOnTrial = false
 	case c.now()-c.startedAt > c.maxSilence:
@@ -126,19 +129,19 @@
 	}
 }
 
-// use makes the gateway use a configuration and reports whether it does. rollbackReason is why the desired configuration is given up
-// for this one; empty: this one is the desired one.
-func (a *assignee) use(ctx context.Context, digest, rollbackReason string) bool {
+// useConfig makes the gateway use a configuration and reports whether it does. rollbackReason is why the desired configuration is
+// rolled back to this one. It is empty if this one is the desired configuration.
+func (a *assignee) useConfig(ctx context.Context, digest, rollbackReason string) bool {
 	text, ok := a.fetchConfig(ctx, digest)
 	if !ok {
-		return false // it is tried again at the next step
+		return false // retried at the next step
 	}
 	err := a.agent.Configure(digest, text)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
 		reason := err.Error()
-		a.configRejected = reason[:min(len(reason), maxRejectReason)]
+		a.configRejected = reason[:min(len(reason), maxRejectReasonBytes)]
 		a.fleet.log.Error("released configuration rejected", "digest", digest, "error", err)
 		return false
 	}
@@ -148,7 +151,8 @@
 	return true
 }
 
-// fetchConfig gets the text of a released configuration from the voters. The empty digest stands for the empty text.
+// fetchConfig fetches the text of a released configuration from the voters. The empty digest is that of the empty text. ok is false if
+// the text could not be fetched or does not match the digest.
 func (a *assignee) fetchConfig(ctx context.Context, digest string) (text string, ok bool) {
 	if digest == "" {
 		return "", true
--- a/internal/fleet/configure_test.go
+++ b/internal/fleet/configure_test.go
@@ -22,14 +22,14 @@
 		{"nothing rolled back", 0, retryAt, false, retryAt, false},
 		{"pause not over", retryAt, retryAt - 1, false, rolledBackAt + 1, false},
 		{"pause over", retryAt, retryAt, false, rolledBackAt + 1, true},
-		{"silence goes on", retryAt, retryAt, false, rolledBackAt, false},
+		{"leader still silent", retryAt, retryAt, false, rolledBackAt, false},
 		{"release in progress", retryAt, retryAt, true, rolledBackAt + 1, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := &configurer{now: func() time.Duration { return test.now }, retryAt: test.retryAt, retryPause: pause}
 			if got := c.retryDue(test.releaseInProgress, test.leaderHeardAt); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("retryDue(release in progress %v, leader heard from at %v) at %v: got %v, want %v", test.releaseInProgress, test.leaderHeardAt, test.now, got, test.want)
 			}
 		})
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet connects a process with the other processes of its fleet: one address, the membership, the vote in the quorum, and
-// the leader-only tasks. Requests never wait for it.
+// Package fleet connects a process with the other processes of its fleet: it provides the process's address in the fleet, the
+// membership, the vote in the quorum, and the leader-only tasks. Client requests never wait for it.
 //
 // The quorum's leader reconciles: it assigns each gateway the drains, the configuration and the version that the quorum has agreed
-// on, and commits what the gateways report. All gateways are assignees, also those on the leader's own process.
+// on, and commits what the gateways report. Every gateway receives assignments, including the one in the leader's process.
 package fleet
 
 import (
@@ -21,9 +21,9 @@
 )
 
 const (
-	postIdleConnections = 2 // for each host
+	postIdleConnections = 2 // per host
 	postIdleTimeout     = 30 * time.Second
-	// leaseMaxWaitLengths is after how many lengths of a lease a waiter goes first whatever its site.
+	// leaseMaxWaitLengths is the time, in lengths of the lease, after which the longest waiter is preferred regardless of its site.
 	leaseMaxWaitLengths = 3
 )
 
@@ -36,7 +36,7 @@
 
 	node       *peer.Node
 	members    *membership.List
-	server     *quorum.Server // nil: this process does not vote
+	server     *quorum.Server // nil if this process does not vote
 	voterError string         // why the voter could not be started
 	client     *quorum.Client
 	elector    *leaderelection.Elector
@@ -49,19 +49,19 @@
 	stopTasks   context.CancelFunc
 	taskWorkers sync.WaitGroup
 
-	controlCtx     context.Context // of the reconciler and of the configurer; it outlasts Drain
+	controlCtx     context.Context // of the reconciler and the configurer; Drain does not cancel it
 	stopControl    context.CancelFunc
 	controlWorkers sync.WaitGroup
 }
 
-// New listens on the fleet's address and opens the voter's folder where this process is a voter. An unusable folder keeps it from
-// voting and from nothing else (see NoVote). The Fleet is silent until Start; its owner calls Stop. version is the version of the
-// configuration, state what the process announces at first.
+// New listens on the process's fleet address, opens the voter's folder if this process is a voter, and joins the membership. If the
+// folder is unusable, the process does not vote, but everything else works (see NoVote). The Fleet serves no other process until Start,
+// and the caller must call Stop. version is the version of the configuration, and state is the first state that the process announces.
 func New(conf *config.Fleet, zone, version string, state membership.State, log *slog.Logger) (*Fleet, error) {
 	return NewOn(nil, conf, zone, version, state, log)
 }
 
-// NewOn is New on a given network; nil: this machine's sockets.
+// NewOn is New on the given network. A nil network means this machine's sockets.
 func NewOn(network peer.Network, conf *config.Fleet, zone, version string, state membership.State, log *slog.Logger) (*Fleet, error) {
 	f := &Fleet{
 		conf:       conf,
@@ -84,7 +84,7 @@
 		Zone:        zone,
 		Program:     Version(),
 		Config:      version,
-		Incarnation: uint64(time.Now().UnixNano()), // rises with each start while the wall clock is not set back by more than a process lives
+		Incarnation: uint64(time.Now().UnixNano()), // rises with each start unless the wall clock is set back by more than the process's lifetime
 		State:       state,
 		Address:     conf.Advertise,
 	}
@@ -114,16 +114,16 @@
 }
 
 func (f *Fleet) listen(network peer.Network) error {
-	via := map[string]string{}
-	for _, v := range f.conf.AddressOverrides {
-		via[v.Member] = v.Address
+	overrides := map[string]string{}
+	for _, override := range f.conf.AddressOverrides {
+		overrides[override.Member] = override.Address
 	}
 	var err error
-	f.node, err = peer.Listen(peer.Options{Fleet: f.conf.Name, Address: f.conf.Address, Via: via, Network: network, Log: f.log})
+	f.node, err = peer.Listen(peer.Options{Fleet: f.conf.Name, Address: f.conf.Address, Via: overrides, Network: network, Log: f.log})
 	return err
 }
 
-// openQuorum opens this process's voter, where it has one, and the client of the quorum.
+// openQuorum opens this process's voter, if it has one, and the client of the quorum.
 func (f *Fleet) openQuorum() {
 	conf := &f.conf.Quorum
 	heartbeat := conf.ElectionTimeout.D()
@@ -149,7 +149,8 @@
 	f.client = quorum.NewClient(f.node, voters, min(2*heartbeat, f.conf.LeaseLength.D()/4), f.now)
 }
 
-// Rules returns the rules of a leader-only task's lease that prefers holders of a site; empty: of none.
+// Rules returns the rules for the lease of a leader-only task. Holders at the given site are preferred; an empty site means no
+// preference.
 func (f *Fleet) Rules(site string) lease.Rules {
 	length := f.conf.LeaseLength.D()
 	return lease.Rules{Length: length, Site: site, MaxWait: min(leaseMaxWaitLengths*length, lease.MaxLength), MinHold: 0}
@@ -158,7 +159,7 @@
 // AddTask adds a leader-only task that this process may run. It must be called before Start.
 func (f *Fleet) AddTask(task leaderelection.Task) { f.tasks = append(f.tasks, task) }
 
-// Node returns the fleet's address, for handlers that are registered before Start.
+// Node returns this process's node in the fleet. Handlers must be registered on it before Start.
 func (f *Fleet) Node() *peer.Node { return f.node }
 
 // Members returns the membership as this process sees it.
@@ -170,7 +171,7 @@
 // Config returns the configuration that the Fleet was made from.
 func (f *Fleet) Config() *config.Fleet { return f.conf }
 
-// NoVote returns why a configured voter does not vote; empty: it votes, or none is configured.
+// NoVote returns why a configured voter does not vote, or "" if it votes or none is configured.
 func (f *Fleet) NoVote() string {
 	if f.voterError == "" && f.server != nil {
 		return f.server.Stopped()
@@ -178,7 +179,7 @@
 	return f.voterError
 }
 
-// Start begins to serve the other processes, to vote, and to ask for the leader-only tasks. It does not block.
+// Start begins to serve the other processes, to vote, and to request the leases of the leader-only tasks. It does not block.
 func (f *Fleet) Start() {
 	f.node.Serve()
 	if f.server != nil {
@@ -194,7 +195,7 @@
 	}
 }
 
-// watchMembers wakes the elector when a member that may lead has restarted or left service.
+// watchMembers wakes the elector when a member has restarted or left service, since it may have held a lease.
 func (f *Fleet) watchMembers() {
 	events := f.members.Watch()
 	for {
@@ -211,19 +212,19 @@
 	}
 }
 
-// Announce changes what the other members know of this process: its state and the version of its configuration.
+// Announce announces this process's state and the version of its configuration to the other members.
 func (f *Fleet) Announce(state membership.State, version string) { f.members.Announce(state, version) }
 
-// Drain stops the leader-only tasks, gives their leases back, and announces that this process is draining. It blocks until the tasks
-// have returned. Everything else goes on.
+// Drain stops the leader-only tasks, releases their leases, and announces that this process is draining. It blocks until the tasks
+// have returned. Everything else keeps running.
 func (f *Fleet) Drain() {
 	f.stopTasks()
-	f.taskWorkers.Wait() // the leases must be free when the others hear of it and ask for them
+	f.taskWorkers.Wait() // the leases must be released before other members learn of the drain and request them
 	f.members.Announce(membership.Draining, f.members.Self().Config)
 }
 
-// Stop stops the leader-only tasks, gives their leases back, announces within a time that this process leaves, and closes everything.
-// It blocks until all goroutines have ended.
+// Stop stops the leader-only tasks, releases their leases, announces that this process is leaving, and closes everything. timeout limits
+// how long it waits to leave the membership. It blocks until all goroutines have ended.
 func (f *Fleet) Stop(timeout time.Duration) {
 	f.stopTasks()
 	f.stopControl()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,8 +16,8 @@
 	"robindrum/internal/testbed"
 )
 
-// A fleet of one process votes, leads its task, answers operators, and leaves no goroutine behind. After a restart its token is
-// higher; a revoked lease is granted again under a higher token.
+// A fleet of one process votes, leads its task, serves the operators' interface, and leaks no goroutines. The fencing token rises
+// after a restart, and when a revoked lease is granted again.
 func TestSingleProcessFleet(t *testing.T) {
 	testbed.Leaks(t)
 	var token atomic.Value
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		f.Start()
-		testbed.Eventually(t, "a post", func() bool { s, _ := token.Load().(string); return s > lastToken })
+		testbed.Eventually(t, "a request with a higher token", func() bool { s, _ := token.Load().(string); return s > lastToken })
 		lastToken = token.Load().(string)
 		f.Announce(membership.Serving, "w")
 		admin := httptest.NewServer(f.Handler())
@@ -50,16 +50,16 @@
 		}
 		var status Status
 		if err := json.NewDecoder(resp.Body).Decode(&status); err != nil || len(status.Members) != 1 || status.Members[0].State != membership.Serving || status.Vote.State != "leader" || status.Tasks[0].Token == 0 || status.Stale != "" {
-			t.Errorf("%+v, %v", status, err)
+			t.Errorf("GET /fleet: got %+v, error %v, want one serving member, voter state leader, a task with a token and no Stale text", status, err)
 		}
 		resp.Body.Close()
 		if resp, err = http.Post(admin.URL+"/fleet/revoke?lease=post/p", "", nil); err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("revoke: %v, %v", resp, err)
+			t.Errorf("POST /fleet/revoke of a lease: got response %v, error %v, want status 200", resp, err)
 		}
 		resp.Body.Close()
-		testbed.Eventually(t, "another token", func() bool { return token.Load().(string) > lastToken })
+		testbed.Eventually(t, "a higher token after the revocation", func() bool { return token.Load().(string) > lastToken })
 		if resp, err = http.Post(admin.URL+"/fleet/revoke?lease=none", "", nil); err != nil || resp.StatusCode == http.StatusOK {
-			t.Errorf("revoking an unknown lease: %v, %v", resp, err)
+			t.Errorf("POST /fleet/revoke of an unknown lease: got response %v, error %v, want another status than 200", resp, err)
 		}
 		resp.Body.Close()
 		admin.Close()
@@ -74,29 +74,29 @@
 func TestOtherFleetsAreRejected(t *testing.T) {
 	testbed.Leaks(t)
 	listen := func(name string) *peer.Node {
-		n, err := peer.Listen(peer.Options{Fleet: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
+		node, err := peer.Listen(peer.Options{Fleet: name, Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Serve()
-		t.Cleanup(n.Close)
-		return n
+		node.Serve()
+		t.Cleanup(node.Close)
+		return node
 	}
-	a, b, c := listen("one"), listen("two"), listen("one")
-	a.HandleStream("x", func(http.Header) (http.Header, error) { return http.Header{"Hello": {"you"}}, nil }, func(c net.Conn) { _, _ = c.Write([]byte("!")); c.Close() })
-	if _, _, err := b.Stream(t.Context(), a.Addr(), "x", http.Header{}); err == nil {
-		t.Error("another fleet's stream is accepted")
+	server, otherFleet, client := listen("one"), listen("two"), listen("one")
+	server.HandleStream("x", func(http.Header) (http.Header, error) { return http.Header{"Hello": {"you"}}, nil }, func(client net.Conn) { _, _ = client.Write([]byte("!")); client.Close() })
+	if _, _, err := otherFleet.Stream(t.Context(), server.Addr(), "x", http.Header{}); err == nil {
+		t.Error("Stream from a node of another fleet: got no error, want a rejection")
 	}
-	if err := b.Call(t.Context(), a.Addr(), "/fleet/v1/x", 1, nil); err == nil {
-		t.Error("another fleet's call is accepted")
+	if err := otherFleet.Call(t.Context(), server.Addr(), "/fleet/v1/x", 1, nil); err == nil {
+		t.Error("Call from a node of another fleet: got no error, want a rejection")
 	}
-	stream, header, err := c.Stream(t.Context(), a.Addr(), "x", http.Header{})
+	stream, header, err := client.Stream(t.Context(), server.Addr(), "x", http.Header{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	buf := make([]byte, 1)
 	if _, err := stream.Read(buf); err != nil || buf[0] != '!' || header.Get("Hello") != "you" {
-		t.Errorf("%q, %v, %v", buf, header, err)
+		t.Errorf("stream within a fleet: got data %q, header %v, error %v, want data \"!\" and Hello: you", buf, header, err)
 	}
 	stream.Close()
 }
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -12,15 +12,15 @@
 // unhealthyFraction is the fraction of the answering gateways whose reports make an endpoint unhealthy.
 const unhealthyFraction = 1.0 / 3
 
-// gatewayReport is a gateway and what it has answered.
+// gatewayReport is a gateway and its report.
 type gatewayReport struct {
 	member membership.Member
-	full   bool    // all endpoints were asked for
-	report *Report // nil: no answer
+	full   bool    // a full report is requested
+	report *Report // nil if the gateway has not answered
 }
 
-// reportTargets returns the gateways among the members. One gateway of each site that is not dead is asked for a full report. Dead
-// ones are asked as well: they may be cut off from the other members alone, or be back and not found yet.
+// reportTargets returns the gateways among the members. A full report is requested from one gateway of each site that is not dead. Dead
+// members are included, since they may be unreachable only for the other members, or have returned without being detected yet.
 func reportTargets(members []membership.Member) []gatewayReport {
 	targets := make([]gatewayReport, 0, len(members))
 	sitesCovered := map[string]bool{}
@@ -37,20 +37,21 @@
 	return targets
 }
 
-// drainProgress sums up what gateways report of one drain.
+// drainProgress is the sum of the gateways' reports on one drain.
 type drainProgress struct {
 	inFlight int
 	reports  int // gateways that have reported
 }
 
-// mergedReports is what all reports say together.
+// mergedReports is the result of merging the reports of all gateways.
 type mergedReports struct {
 	observation *quorum.Observation
-	answered    int                      // gateways
+	answered    int                      // gateways that have answered
 	progress    map[string]drainProgress // by the drain request's ID
 }
 
-// mergeReports merges the gateways' reports on a version of the drain view into one observation. Endpoints are in no particular order.
+// mergeReports merges the gateways' reports on a version of the drain view into one observation, with the endpoints in no particular
+// order.
 func mergeReports(version uint64, reports []gatewayReport) mergedReports {
 	merged := mergedReports{
 		observation: &quorum.Observation{Version: version},
@@ -109,8 +110,8 @@
 	}
 }
 
-// endpoints returns all reported endpoints. One is unhealthy where at least one gateway, and the fraction unhealthyFraction of those
-// that answered, report it so.
+// endpoints returns all reported endpoints. An endpoint is unhealthy if at least one gateway, and at least unhealthyFraction of the
+// gateways that answered, report it as unhealthy.
 func (h endpointHealth) endpoints(answered int) []drain.Endpoint {
 	threshold := max(unhealthyFraction*float64(answered), 1)
 	var endpoints []drain.Endpoint
@@ -122,11 +123,11 @@
 	return endpoints
 }
 
-// absentGateways has, by name, since when gateways that the quorum knows are missing.
+// absentGateways is the time since which each gateway that the quorum knows has been absent, by the gateway's name.
 type absentGateways map[string]time.Duration
 
-// update returns the known gateways that are not present and are not to be forgotten yet, as not serving. A gateway is forgotten when it
-// has been absent for a time.
+// update returns the known gateways that are not present, marked as not serving. Gateways that have been absent for forgetAfter are
+// forgotten: update does not return them.
 func (a absentGateways) update(now, forgetAfter time.Duration, present, known []drain.Gateway) []drain.Gateway {
 	isPresent := map[string]bool{}
 	for _, gateway := range present {
@@ -146,7 +147,7 @@
 		gateway.Serving = false
 		absent = append(absent, gateway)
 	}
-	// Entries outlast forgetAfter, so that a gateway which the quorum still knows does not become absent anew.
+	// Entries are kept for longer than forgetAfter. Otherwise a forgotten gateway that the quorum still knows would count as newly absent.
 	maps.DeleteFunc(a, func(_ string, since time.Duration) bool { return now-since >= 2*forgetAfter })
 	return absent
 }
--- a/internal/fleet/observation_test.go
+++ b/internal/fleet/observation_test.go
@@ -39,7 +39,7 @@
 				got[target.member.Name] = target.full
 			}
 			if !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("full reports requested by reportTargets: got %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 	}
 	merged := mergeReports(5, reports)
 	if merged.answered != 2 || merged.observation.Version != 5 {
-		t.Errorf("%d answered, version %d", merged.answered, merged.observation.Version)
+		t.Errorf("mergeReports: got %d answered, version %d, want 2 answered, version 5", merged.answered, merged.observation.Version)
 	}
 	wantGateways := []drain.Gateway{
 		{Name: "a", Site: "s", Zone: "s1", Incarnation: 7, Serving: true},
@@ -65,7 +65,7 @@
 		{Name: "c", Site: "r", Zone: "r1", Incarnation: 1},
 	}
 	if !reflect.DeepEqual(merged.observation.Gateways, wantGateways) {
-		t.Errorf("gateways: %+v", merged.observation.Gateways)
+		t.Errorf("gateways: got %+v, want %+v", merged.observation.Gateways, wantGateways)
 	}
 	wantReleases := []release.Gateway{
 		{Name: "a", Site: "s", Zone: "s1", Incarnation: 7, Responding: true, Serving: true, Config: "d", Version: "v"},
@@ -73,16 +73,16 @@
 		{Name: "c", Site: "r", Zone: "r1", Incarnation: 1},
 	}
 	if !reflect.DeepEqual(merged.observation.Releases, wantReleases) {
-		t.Errorf("releases: %+v", merged.observation.Releases)
+		t.Errorf("releases: got %+v, want %+v", merged.observation.Releases, wantReleases)
 	}
 	endpoints := merged.observation.Endpoints
 	slices.SortFunc(endpoints, func(a, b drain.Endpoint) int { return cmp.Compare(a.Address, b.Address) })
 	if want := []drain.Endpoint{endpoint("1", true), endpoint("2", false), endpoint("3", false)}; !reflect.DeepEqual(endpoints, want) {
-		t.Errorf("endpoints: %+v", endpoints)
+		t.Errorf("endpoints: got %+v, want %+v", endpoints, want)
 	}
 	wantProgress := map[string]drainProgress{"x": {inFlight: 5, reports: 2}, "y": {inFlight: 0, reports: 1}}
 	if !reflect.DeepEqual(merged.progress, wantProgress) {
-		t.Errorf("progress: %+v", merged.progress)
+		t.Errorf("progress: got %+v, want %+v", merged.progress, wantProgress)
 	}
 }
 
@@ -99,7 +99,7 @@
 			health.add([]drain.Endpoint{{Cluster: "c", Address: "1", Healthy: i >= test.unhealthy}})
 		}
 		if got := health.endpoints(test.answered); len(got) != 1 || got[0].Healthy != test.wantHealthy {
-			t.Errorf("%d of %d reports: %+v, want healthy %v", test.unhealthy, test.answered, got, test.wantHealthy)
+			t.Errorf("reported as unhealthy by %d of %d gateways: got %+v, want one endpoint with Healthy %v", test.unhealthy, test.answered, got, test.wantHealthy)
 		}
 	}
 }
@@ -117,13 +117,13 @@
 		{0, known, nil},
 		{1 * time.Second, []drain.Gateway{a}, []string{"b"}},
 		{10 * time.Second, []drain.Gateway{a}, []string{"b"}},
-		{11 * time.Second, []drain.Gateway{a}, nil},                  // forgotten
-		{12 * time.Second, known, nil},                               // back
-		{13 * time.Second, []drain.Gateway{b}, []string{"a"}},        // another one
-		{22 * time.Second, []drain.Gateway{}, []string{"a", "b"}},    // both, one of them anew
-		{23 * time.Second, []drain.Gateway{}, []string{"b"}},         // the first one is forgotten
-		{30 * time.Second, []drain.Gateway{a, b}, []string(nil)},     // both back
-		{31 * time.Second, []drain.Gateway(nil), []string{"a", "b"}}, // both anew
+		{11 * time.Second, []drain.Gateway{a}, nil},                  // b is forgotten
+		{12 * time.Second, known, nil},                               // b is back
+		{13 * time.Second, []drain.Gateway{b}, []string{"a"}},        // a instead of b
+		{22 * time.Second, []drain.Gateway{}, []string{"a", "b"}},    // a still, b newly absent
+		{23 * time.Second, []drain.Gateway{}, []string{"b"}},         // a is forgotten
+		{30 * time.Second, []drain.Gateway{a, b}, []string(nil)},     // both are back
+		{31 * time.Second, []drain.Gateway(nil), []string{"a", "b"}}, // both newly absent
 	}
 	absent := absentGateways{}
 	for _, step := range steps {
@@ -135,7 +135,7 @@
 			got = append(got, gateway.Name)
 		}
 		if !slices.Equal(got, step.want) {
-			t.Errorf("at %v: %v absent, want %v", step.now, got, step.want)
+			t.Errorf("absent gateways at %v: got %v, want %v", step.now, got, step.want)
 		}
 	}
 }
--- a/internal/fleet/post.go
+++ b/internal/fleet/post.go
@@ -14,7 +14,7 @@
 	"robindrum/internal/leaderelection"
 )
 
-// Headers of a post.
+// Headers of the requests that post tasks send.
 const (
 	TokenHeader    = "Robindrum-Token"
 	MemberHeader   = "Robindrum-Member"
@@ -22,13 +22,13 @@
 	NumberHeader   = "Robindrum-Number"
 )
 
-// maxPostResponseBytes is how much of an answer is read so that the connection can be used again.
+// maxPostResponseBytes is how much of a response body is read, so that the connection can be reused.
 const maxPostResponseBytes = 1 << 20
 
-// errLeaseExpired is returned where a leader may not act any more.
+// errLeaseExpired is returned when a process may no longer act as the leader of a task.
 var errLeaseExpired = errors.New("lease expired")
 
-// postTask returns the leader-only task that sends a post at its interval until its context ends.
+// postTask returns the leader-only task that sends the configured request at its interval until the task's context ends.
 func (f *Fleet) postTask(post config.PostTask) func(context.Context, *leaderelection.Leadership) {
 	return func(ctx context.Context, leadership *leaderelection.Leadership) {
 		ticker := time.NewTicker(post.Interval.D())
@@ -46,7 +46,7 @@
 	}
 }
 
-// sendPost sends a post once, under the lease's fencing token.
+// sendPost sends the configured request once, under the lease's fencing token. number counts the requests under this lease from 0.
 func (f *Fleet) sendPost(ctx context.Context, post config.PostTask, leadership *leaderelection.Leadership, number int) error {
 	token, checkedAt, ok := leadership.Token()
 	if !ok {
@@ -67,7 +67,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxPostResponseBytes)) // the status alone counts
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxPostResponseBytes)) // only the status matters
 	if response.StatusCode/100 != 2 {
 		return fmt.Errorf("%s answered %s", post.URL, response.Status)
 	}
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// maxConcurrentReports is how many gateways are asked for a report at once.
+	// maxConcurrentReports is the maximum number of gateways that are asked for a report at the same time.
 	maxConcurrentReports = 64
-	// idleHeartbeats is the interval between reconciliations while nothing is drained or released.
+	// idleHeartbeats is the interval between reconciliations, in heartbeats, while there is no drain request and no release.
 	idleHeartbeats = 4
 	// maxFiguresInterval bounds the time between two commits of the gateways' figures during a release.
 	maxFiguresInterval = time.Second
-	// figuresPerSoak is how often, at the least, figures are committed during the soak of a wave.
+	// figuresPerSoak is the minimum number of commits of figures during the soak of a wave.
 	figuresPerSoak = 20
 )
 
-// reconciler is the leader's side: it sends each gateway its assignment, and commits what the gateways report to the quorum. It is
-// used by one goroutine.
+// reconciler is the leader's part of reconciliation: it sends each gateway its assignment, and commits the gateways' reports to the
+// quorum. It must be used by a single goroutine.
 type reconciler struct {
-	fleet           *Fleet
-	absent          absentGateways
-	figuresAgreedAt time.Duration
+	fleet             *Fleet
+	absent            absentGateways
+	figuresIncludedAt time.Duration // when an observation last included the gateways' figures
 }
 
 func newReconciler(f *Fleet) *reconciler {
@@ -87,7 +87,7 @@
 	return r.reportProgress(view, members, merged.progress)
 }
 
-// beginGranted begins each drain that the quorum has granted, under the token that it was granted with.
+// beginGranted begins each drain that the quorum has granted, under the fencing token of the grant.
 func (r *reconciler) beginGranted() error {
 	for _, request := range r.fleet.server.DrainView().Requests {
 		if request.State != drain.Granted {
@@ -126,7 +126,8 @@
 	return reports
 }
 
-// requestReport sends an assignment to a gateway; nil: it has not answered in time, or not with the assigned view or a later one.
+// requestReport sends an assignment to a gateway and returns its report. The report is nil if the gateway has not answered in time or
+// has applied an older view than the assigned one.
 func (r *reconciler) requestReport(ctx context.Context, address string, assigned assignment) *Report {
 	ctx, cancel := context.WithTimeout(ctx, 2*r.fleet.conf.Quorum.ElectionTimeout.D())
 	defer cancel()
@@ -140,8 +141,8 @@
 	return &report
 }
 
-// addAbsent adds the gateways that the quorum knows and that are no members any more: they count as unavailable until they are back
-// or forgotten.
+// addAbsent adds the gateways that the quorum knows and that are no longer members. They count as unavailable until they return or are
+// forgotten.
 func (r *reconciler) addAbsent(observation *quorum.Observation) {
 	now := r.fleet.now()
 	for _, gateway := range r.absent.update(now, r.fleet.conf.ForgetAfter.D(), observation.Gateways, r.fleet.server.KnownGateways()) {
@@ -150,24 +151,24 @@
 	}
 }
 
-// omitFigures removes the gateways' release state from an observation that need not commit it: figures are not due, and the quorum
-// has agreed on the same states.
+// omitFigures removes the gateways' release state from an observation if it need not be committed: figures are not due, and the quorum
+// has already agreed on the same states.
 func (r *reconciler) omitFigures(observation *quorum.Observation, desired quorum.Desired) {
-	due := figuresDue(desired, r.fleet.now()-r.figuresAgreedAt)
+	due := figuresDue(desired, r.fleet.now()-r.figuresIncludedAt)
 	if !due && r.fleet.server.StatesAgreed(observation.Releases) {
 		observation.Releases = nil
 		return
 	}
-	r.figuresAgreedAt = r.fleet.now()
+	r.figuresIncludedAt = r.fleet.now()
 }
 
-// figuresDue reports whether figures are to be committed a time after the last ones. They go into the log, so a release commits them
-// only as often as its soak needs them.
+// figuresDue reports whether figures are to be committed, sinceLast after the last commit of figures. Each commit is written to the
+// log, so figures are committed only during a release, and only as often as its soak needs them.
 func figuresDue(desired quorum.Desired, sinceLast time.Duration) bool {
 	return desired.InProgress && sinceLast >= min(desired.Soak/figuresPerSoak, maxFiguresInterval)
 }
 
-// reportProgress commits how many requests each drain still has in flight, where enough gateways have reported.
+// reportProgress commits the number of requests in flight of each drain whose progress is due.
 func (r *reconciler) reportProgress(view drain.View, members []membership.Member, progress map[string]drainProgress) error {
 	for _, request := range view.Requests {
 		reported, ok := progress[request.ID]
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// progressDue reports whether a drain's progress is known and is to be committed.
+// progressDue reports whether a drain's progress is known and must be committed.
 func progressDue(request drain.Request, progress drainProgress, members []membership.Member) bool {
 	switch {
 	case !request.State.Unavailable():
@@ -189,13 +190,13 @@
 	case progress.reports < reportsNeeded(request.Target, members):
 		return false
 	case request.State == drain.Drained && progress.inFlight == 0:
-		return false // it is committed
+		return false // already committed
 	}
 	return true
 }
 
-// reportsNeeded returns how many gateways must report before a drain's progress is known: the gateways that are drained; for an
-// endpoint every gateway that may still send requests to it, which is all that are not known to be dead.
+// reportsNeeded returns how many gateways must report before a drain's progress is known. If gateways are drained, these must report;
+// if endpoints are drained, every gateway must that may still send requests to them, which is each one that is not known to be dead.
 func reportsNeeded(target drain.Target, members []membership.Member) int {
 	if target.Gateway != "" {
 		return 1
@@ -237,7 +238,8 @@
 	return budgets
 }
 
-// releaseGateway returns what an observation says of a gateway's part in releases; a nil report: it has not answered.
+// releaseGateway returns a gateway's state for releases, as part of an observation. A nil report means that the gateway has not
+// answered.
 func releaseGateway(gateway drain.Gateway, report *Report) release.Gateway {
 	state := release.Gateway{Name: gateway.Name, Site: gateway.Site, Zone: gateway.Zone, Incarnation: gateway.Incarnation}
 	if report == nil {
--- a/internal/fleet/reconcile_test.go
+++ b/internal/fleet/reconcile_test.go
@@ -34,7 +34,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := reportsNeeded(test.target, members); got != test.want {
-				t.Errorf("%d reports, want %d", got, test.want)
+				t.Errorf("reportsNeeded(%+v): got %d, want %d", test.target, got, test.want)
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := progressDue(drain.Request{State: test.state, Target: endpoint}, test.progress, members); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("progressDue in state %v after %+v: got %v, want %v", test.state, test.progress, got, test.want)
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := figuresDue(test.desired, test.sinceLast); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("figuresDue %v after the last commit: got %v, want %v", test.sinceLast, got, test.want)
 			}
 		})
 	}
@@ -97,6 +97,6 @@
 		{Name: "endpoints", Scope: drain.Scope{Cluster: "*", EachSite: true}, Fraction: 0.5},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("drainBudgets: got %+v, want %+v", got, want)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -11,26 +11,28 @@
 	"robindrum/internal/quorum"
 )
 
-// Status describes this process in its fleet.
+// Status is the fleet as this process sees it, and this process's part in it.
 type Status struct {
 	Name      string              `json:"name"`
 	Self      membership.Member   `json:"self"`
 	Members   []membership.Member `json:"members"`
 	Conflicts int                 `json:"conflicts"`
 	Contact   quorum.Contact      `json:"quorum"`
-	// Vote is the state of this process's voter; nil: it has none.
+	// Vote is the state of this process's voter, or nil if it has none.
 	Vote *quorum.Status `json:"vote,omitempty"`
-	// NoVote is why a configured voter does not vote.
+	// NoVote is why a configured voter does not vote. It is empty if the voter votes or none is configured.
 	NoVote string `json:"no_vote,omitempty"`
 	// Tasks are the leader-only tasks, by name.
 	Tasks     []leaderelection.Status `json:"duties"`
 	SentBytes int64                   `json:"sent_bytes"`
 	Traffic   peer.Traffic            `json:"traffic"`
-	// Stale says what depends on the quorum when it has not answered for longer than a lease; empty: nothing does.
+	// Stale describes the effects of lost contact with the quorum. It is set if this process has leader-only tasks and the quorum has
+	// not answered for longer than a lease.
 	Stale string `json:"stale,omitempty"`
-	// Now is the reading of Clock that the times count to.
+	// Now is the reading of Clock at which this status was taken. The times at which members and
+	// tasks changed their state are readings of the same clock.
 	Now time.Duration `json:"now"`
-	// Ledger summarizes the voter's drain requests and releases; nil: this process does not vote.
+	// Ledger summarizes the voter's drain requests and releases. It is nil if this process does not vote.
 	Ledger *quorum.Summary `json:"book,omitempty"`
 }
 
--- a/internal/fleet/version.go
+++ b/internal/fleet/version.go
@@ -26,7 +26,7 @@
 	return hex.EncodeToString(digest[:configVersionBytes])
 }
 
-// ConfigDigest returns the digest by which a released configuration is stored.
+// ConfigDigest returns the digest that identifies a released configuration in the voters' state.
 func ConfigDigest(text []byte) string {
 	digest := sha256.Sum256(text)
 	return hex.EncodeToString(digest[:])
