--- a/cmd/robindrum-node/idleclients_test.go
+++ b/cmd/robindrum-node/idleclients_test.go
@@ -18,15 +18,16 @@
 	"robindrum/internal/testbed"
 )
 
-// idleClients keep a number of silent connections open until they are ended, and reconnect when one is closed.
-func idleClients(t *testing.T, addr string, many int) (end func()) {
+// idleClients keeps a number of connections open that send nothing, and reopens each that is closed, until end is called or the test
+// ends.
+func idleClients(t *testing.T, addr string, count int) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	for range many {
-		all.Go(func() {
-			for range 500 { // bounded, whatever happens
-				var d net.Dialer
-				c, err := d.DialContext(ctx, "tcp", addr)
+	var clients sync.WaitGroup
+	for range count {
+		clients.Go(func() {
+			for range 500 { // bounds the reconnects
+				var dialer net.Dialer
+				conn, err := dialer.DialContext(ctx, "tcp", addr)
 				if err != nil {
 					select {
 					case <-ctx.Done():
@@ -35,10 +36,10 @@
 						continue
 					}
 				}
-				stop := context.AfterFunc(ctx, func() { c.Close() })
-				_, _ = io.Copy(io.Discard, c)
-				stop()
-				c.Close()
+				stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
+				_, _ = io.Copy(io.Discard, conn)
+				stopClosing()
+				conn.Close()
 				select {
 				case <-ctx.Done():
 					return
@@ -47,100 +48,100 @@
 			}
 		})
 	}
-	end = sync.OnceFunc(func() { cancel(); all.Wait() })
+	end = sync.OnceFunc(func() { cancel(); clients.Wait() })
 	t.Cleanup(end)
 	return end
 }
 
-// Idle clients fill every descriptor that the process is allowed while discovery is down. The health check is answered and
-// other clients are served, by dials to backends, all the while; discovery returns, and its list is received within 6 s.
+// Idle clients occupy all file descriptors of the process while discovery is down. The node must still answer health checks and serve
+// other clients over new connections to backends, and use the list from discovery within 6 s after discovery is up again.
 func TestIdleClientsFillDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	const sockets = 128
 	answer := func(name string) func(testbed.ReceivedRequest, int) string {
-		return func(testbed.ReceivedRequest, int) string { // each attempt needs a connection of its own
+		return func(testbed.ReceivedRequest, int) string { // closes the connection, so each attempt needs a new one
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(name), name)
 		}
 	}
-	old, fresh := testbed.NewBackend(t, answer("old")), testbed.NewBackend(t, answer("fresh"))
-	var up atomic.Bool
-	over := make(chan struct{})
-	d := testbed.NewPeer(t, func(c net.Conn, _ int) {
-		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+	cachedBackend, listedBackend := testbed.NewBackend(t, answer("old")), testbed.NewBackend(t, answer("fresh"))
+	var discoveryUp atomic.Bool
+	done := make(chan struct{})
+	discovery := testbed.NewPeer(t, func(conn net.Conn, _ int) {
+		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
-		if !up.Load() {
-			testbed.Reset(c)
+		if !discoveryUp.Load() {
+			testbed.Reset(conn)
 			return
 		}
-		text := fmt.Sprintf(`{"rev":9,"all":true,"targets":[{"uid":"f","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"SERVING","capacity_hint":1,"boot_ms":0}]}`+"\n", fresh.Addr)
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
-		<-over
+		text := fmt.Sprintf(`{"rev":9,"all":true,"targets":[{"uid":"f","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"SERVING","capacity_hint":1,"boot_ms":0}]}`+"\n", listedBackend.Addr)
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(text), text)
+		<-done
 	})
-	t.Cleanup(func() { close(over) })
-	p := launchWith(t, func(listen string) string {
-		text := strings.Replace(configText(listen, old.Addr, settings), `"127.0.0.1:1"`, fmt.Sprintf("%q", d.Addr), 1)
+	t.Cleanup(func() { close(done) })
+	node := launchWith(t, func(listen string) string {
+		text := strings.Replace(configText(listen, cachedBackend.Addr, settings), `"127.0.0.1:1"`, fmt.Sprintf("%q", discovery.Addr), 1)
 		return strings.Replace(text, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), 1)
 	}, func(program string) *exec.Cmd {
 		return exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, program))
 	})
-	p.connect(t).Close()
-	end := idleClients(t, p.listen, 3*sockets)
-	time.Sleep(500 * time.Millisecond) // they keep the descriptors full for as long as this test lasts
+	node.connect(t).Close()
+	closeIdleClients := idleClients(t, node.listen, 3*sockets)
+	time.Sleep(500 * time.Millisecond) // time for the idle clients to occupy the descriptors
 
-	// ask returns the answer to a request or health check on a connection of its own. If that is closed before the request is read,
-	// it is sent once more, as clients do.
-	ask := func(text string) (body string, took time.Duration) {
-		began := time.Now()
+	// exchange returns the response to a request or health check on a new connection. If there is no response, it tries once more, as
+	// clients do.
+	exchange := func(text string) (body string, elapsed time.Duration) {
+		start := time.Now()
 		for range 2 {
-			c, err := net.DialTimeout("tcp", p.listen, 3*time.Second)
+			conn, err := net.DialTimeout("tcp", node.listen, 3*time.Second)
 			if err != nil {
 				continue
 			}
-			c.SetDeadline(time.Now().Add(3 * time.Second))
-			_, _ = io.WriteString(c, text)
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			conn.SetDeadline(time.Now().Add(3 * time.Second))
+			_, _ = io.WriteString(conn, text)
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
-				c.Close()
+				conn.Close()
 				continue
 			}
-			b, _ := io.ReadAll(resp.Body)
-			c.Close()
-			return fmt.Sprint(resp.StatusCode, " ", string(b)), time.Since(began)
+			data, _ := io.ReadAll(resp.Body)
+			conn.Close()
+			return fmt.Sprint(resp.StatusCode, " ", string(data)), time.Since(start)
 		}
-		return "", time.Since(began)
+		return "", time.Since(start)
 	}
-	n, bad := 0, 0
-	round := func() string {
-		n++
-		body, took := ask(request(fmt.Sprint("r", n)))
+	sent, notServed := 0, 0
+	requestAndHealthCheck := func() string {
+		sent++
+		body, elapsed := exchange(requestText(fmt.Sprint("r", sent)))
 		if !strings.HasPrefix(body, "200") {
-			bad++
-			t.Logf("request %d: %q after %v", n, body, took)
+			notServed++
+			t.Logf("request %d: got %q after %v, want status 200", sent, body, elapsed)
 		}
-		health, _ := ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+		health, _ := exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if !strings.HasPrefix(health, "200") {
-			t.Errorf("health check %d: %q", n, health)
+			t.Errorf("health check %d: got %q, want status 200", sent, health)
 		}
 		time.Sleep(20 * time.Millisecond)
 		return body
 	}
-	for began := time.Now(); time.Since(began) < 4*time.Second; {
-		if body := round(); strings.HasSuffix(body, "fresh") {
-			t.Fatalf("served with %q while discovery is down", body)
+	for start := time.Now(); time.Since(start) < 4*time.Second; {
+		if body := requestAndHealthCheck(); strings.HasSuffix(body, "fresh") {
+			t.Fatalf("response while discovery is down: got %q, want one of the cached backend", body)
 		}
 	}
-	up.Store(true)
-	began := time.Now()
-	for round() != "200 fresh" {
-		if time.Since(began) > 6*time.Second {
-			t.Fatal("6 s behind its return the list is not followed")
+	discoveryUp.Store(true)
+	start := time.Now()
+	for requestAndHealthCheck() != "200 fresh" {
+		if time.Since(start) > 6*time.Second {
+			t.Fatal("the list from discovery is not in use 6 s after discovery came up")
 		}
 	}
-	t.Logf("the list was followed %v behind the return; %d of %d requests were not served", time.Since(began), bad, n)
-	if bad > n/50 {
-		t.Errorf("%d of %d requests were not served", bad, n)
+	t.Logf("the list was in use %v after discovery came up; %d of %d requests were not served", time.Since(start), notServed, sent)
+	if notServed > sent/50 {
+		t.Errorf("%d of %d requests were not served, want at most 2%%", notServed, sent)
 	}
-	end()
-	_ = p.Process.Signal(syscall.SIGTERM)
-	p.ends(t)
+	closeIdleClients()
+	_ = node.Process.Signal(syscall.SIGTERM)
+	node.waitForExit(t)
 }
--- a/cmd/robindrum-node/main.go
+++ b/cmd/robindrum-node/main.go
@@ -1,5 +1,6 @@
-// Robindrum-node is the platform's proxy node. The JSON file that the environment variable PROXY_CONFIG names configures it. On
-// SIGHUP it reads the file again and follows another discovery address; on SIGTERM it answers its open requests and ends.
+// Robindrum-node is the platform's proxy node. Its configuration is the JSON file at the path in the environment variable
+// PROXY_CONFIG. On SIGHUP it reads the file again and switches to the discovery address in it; on SIGTERM it finishes the requests in
+// flight and exits.
 package main
 
 import (
@@ -41,62 +42,63 @@
 }
 
 const (
-	defaultSockets = 1024      // descriptors
-	defaultMemory  = 192 << 20 // bytes
-	spareSockets   = 32        // descriptors for the runtime, discovery and the standard streams
-	killDelay      = 700 * time.Millisecond
-	killMargin     = 200 * time.Millisecond
-	reuseDelay     = 10 * time.Millisecond // the platform's endpoints may send a second response some milliseconds after the first
+	defaultSockets     = 1024                   // file descriptors, used when limits.sockets is 0
+	defaultMemoryBytes = 192 << 20              // used when limits.memory_mb is 0
+	reservedSockets    = 32                     // file descriptors for the runtime, discovery and the standard streams
+	killDelay          = 700 * time.Millisecond // minimum time between the longest deadline and the platform's SIGKILL
+	killMargin         = 200 * time.Millisecond // time to exit before SIGKILL
+	reuseDelay         = 10 * time.Millisecond  // the platform's endpoints may send a second response some milliseconds after the first
 )
 
-// load reads and checks the file that PROXY_CONFIG names.
-func load() (c config, err error) {
+// loadConfig reads and validates the file at the path in PROXY_CONFIG. Environment variables supply the name and the addresses that
+// the file lacks.
+func loadConfig() (c config, err error) {
 	path := os.Getenv("PROXY_CONFIG")
 	if path == "" {
 		return c, errors.New("PROXY_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, fmt.Errorf("reading the configuration: %w", err)
+		return c, fmt.Errorf("read configuration: %w", err)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
-		return c, fmt.Errorf("reading the configuration %s: %w", path, err)
+		return c, fmt.Errorf("parse configuration %s: %w", path, err)
 	}
-	for name, to := range map[string]*string{"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery} {
-		if *to == "" {
-			*to = os.Getenv(name)
+	for name, field := range map[string]*string{"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery} {
+		if *field == "" {
+			*field = os.Getenv(name)
 		}
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// check returns an error that names the first field that cannot be used.
-func (c *config) check() error {
+// validate returns an error that names the first missing or invalid field.
+func (c *config) validate() error {
 	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if addr == "" {
-			return fmt.Errorf("the configuration's %s is missing", name)
+			return fmt.Errorf("configuration: %s is missing", name)
 		}
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return fmt.Errorf("the configuration's %s: %w", name, err)
+			return fmt.Errorf("configuration: %s: %w", name, err)
 		}
 	}
 	switch {
 	case c.Limits.Cores < 0:
-		return fmt.Errorf("the configuration's limits.cores: %v is negative", c.Limits.Cores)
+		return fmt.Errorf("configuration: limits.cores must not be negative, got %v", c.Limits.Cores)
 	case c.Limits.MemoryMB < 0:
-		return fmt.Errorf("the configuration's limits.memory_mb: %d is negative", c.Limits.MemoryMB)
-	case c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets <= 2*spareSockets:
-		return fmt.Errorf("the configuration's limits.sockets: %d leaves none for clients and backends", c.Limits.Sockets)
+		return fmt.Errorf("configuration: limits.memory_mb must not be negative, got %d", c.Limits.MemoryMB)
+	case c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets <= 2*reservedSockets:
+		return fmt.Errorf("configuration: limits.sockets must be at least %d, or 0 for the default, got %d", 2*reservedSockets+1, c.Limits.Sockets)
 	case c.Settings == nil:
-		return errors.New("the configuration's settings is missing")
+		return errors.New("configuration: settings is missing")
 	}
 	return nil
 }
 
-// reload reads the file again and moves the discovery client to the address that it names. Other changes wait for the next
-// start. A file that cannot be used, or that is of another node, changes nothing.
+// reload reads the configuration file again and switches the discovery client to the address in it. Other changes take effect at
+// the next start. reload returns an error and changes nothing if the file is invalid or belongs to another node.
 func reload(running *config, client *discovery.Client) error {
-	c, err := load()
+	c, err := loadConfig()
 	if err != nil {
 		return err
 	}
@@ -107,41 +109,41 @@
 		return err
 	}
 	client.Move(c.Discovery)
-	slog.Info("the configuration was read anew", "discovery", c.Discovery)
+	slog.Info("configuration reloaded", "discovery", c.Discovery)
 	return nil
 }
 
-// checkReload returns an error that names the field by which newer is of another node or deployment.
+// checkReload returns an error if newer belongs to another node or deployment, naming the field that shows it.
 func (c *config) checkReload(newer *config) error {
 	switch {
 	case newer.Name != c.Name:
-		return fmt.Errorf("the configuration's name: %q, and this node is %q", newer.Name, c.Name)
+		return fmt.Errorf("configuration of another node: name is %q, want %q", newer.Name, c.Name)
 	case newer.Listen != c.Listen:
-		return fmt.Errorf("the configuration's listen: %q, and this node listens on %q", newer.Listen, c.Listen)
+		return fmt.Errorf("configuration of another node: listen is %q, want %q", newer.Listen, c.Listen)
 	}
 	for _, class := range newer.Settings.Profiles {
-		for _, own := range c.Settings.Profiles {
-			if class.Name == own.Name {
+		for _, current := range c.Settings.Profiles {
+			if class.Name == current.Name {
 				return nil
 			}
 		}
 	}
-	return errors.New("the configuration's settings.profiles: none of this node's classes is in it")
+	return errors.New("configuration of another deployment: settings.profiles has none of this node's classes")
 }
 
-// limitRuntime fits the Go runtime into the configured limits.
+// limitRuntime configures the Go runtime for the configured limits on cores and memory.
 func limitRuntime(c *config) {
 	if c.Limits.Cores > 0 {
 		runtime.GOMAXPROCS(max(int(math.Ceil(c.Limits.Cores)), 1))
 	}
 	if mb := c.Limits.MemoryMB; mb > 0 {
-		// A wide margin under the limit: the kernel's side of the sockets may count as well.
+		// 60% of the limit leaves a wide margin, since the kernel's socket buffers may count towards the limit.
 		debug.SetMemoryLimit(mb << 20 * 6 / 10)
 		debug.SetGCPercent(400)
 	}
 }
 
-// nodeSeed returns the configured seed, or one drawn from the time if there is none.
+// nodeSeed returns the configured seed, or one derived from the current time if none is configured or it is not hexadecimal.
 func nodeSeed(c *config) uint64 {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
@@ -150,7 +152,7 @@
 	return seed
 }
 
-// newNode returns a node for the configuration.
+// newNode returns a node with the limits of c and the given settings.
 func newNode(c *config, settings balancer.Settings) (*proxy.Node, error) {
 	sockets := c.Limits.Sockets
 	if sockets <= 0 {
@@ -158,9 +160,9 @@
 	}
 	memory := c.Limits.MemoryMB << 20
 	if memory <= 0 {
-		memory = defaultMemory
+		memory = defaultMemoryBytes
 	}
-	budget := backend.NewBudget(sockets - spareSockets)
+	budget := backend.NewBudget(sockets - reservedSockets)
 	pool := backend.NewPool(backend.Options{
 		ConnectTimeout: settings.ConnectTimeout,
 		IdleTimeout:    settings.ConnIdle,
@@ -185,8 +187,8 @@
 	return n, nil
 }
 
-// shutdownTimeout returns how long open requests are waited for after SIGTERM. The platform sends SIGKILL no sooner than the longest
-// deadline and killDelay later.
+// shutdownTimeout returns how long the node waits for requests in flight after SIGTERM. The platform sends SIGKILL at the earliest
+// after the longest request deadline plus killDelay.
 func shutdownTimeout(settings *balancer.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -196,12 +198,12 @@
 }
 
 func run() error {
-	// Before anything else, since either signal would end a process that does not catch it.
+	// Signals are registered first, since either signal terminates a process that does not handle it.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	c, err := load()
+	c, err := loadConfig()
 	if err != nil {
 		return err
 	}
@@ -220,13 +222,13 @@
 	}
 	client := discovery.New(c.Discovery, !settings.Polled, n.UpdateEndpoints)
 	if err := n.Start(client, c.Known); err != nil {
-		slog.Warn("the known list is of no use", "error", err)
+		slog.Warn("cached endpoint list rejected", "error", err)
 	}
 	go n.Serve(listener)
-	go func() { // until the process ends, since attempts of open requests still need the endpoint list
+	go func() { // runs until the process exits, since requests in flight still need the endpoint list during shutdown
 		for range hangups {
 			if err := reload(&c, client); err != nil {
-				slog.Error("the new configuration is of no use, the old one goes on", "error", err)
+				slog.Error("configuration reload failed, keeping the current configuration", "error", err)
 			}
 		}
 	}()
--- a/cmd/robindrum-node/main_test.go
+++ b/cmd/robindrum-node/main_test.go
@@ -17,18 +17,18 @@
 	"robindrum/internal/testbed"
 )
 
-// programs is where TestMain built them, once for all tests.
-var programs string
+// programDir is the directory of the programs that TestMain builds for all tests.
+var programDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(func() int {
 		var err error
-		if programs, err = os.MkdirTemp("", "robindrum-node"); err != nil {
+		if programDir, err = os.MkdirTemp("", "robindrum-node"); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			return 1
 		}
-		defer func() { _ = os.RemoveAll(programs) }()
-		if out, err := exec.Command("go", "build", "-o", programs, "robindrum/cmd/...").CombinedOutput(); err != nil {
+		defer func() { _ = os.RemoveAll(programDir) }()
+		if out, err := exec.Command("go", "build", "-o", programDir, "robindrum/cmd/...").CombinedOutput(); err != nil {
 			fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 			return 1
 		}
@@ -40,6 +40,7 @@
 	"discovery":"on_request","contract":{"must-ask-in":10000000000},"replicas-of-me":1,
 	"profiles":[{"name":"get","deadline":2000000000,"slo":1000000000,"effect":"free","gain":1}]}`
 
+// configText returns a configuration file whose cached list has one endpoint, at the address of backend.
 func configText(listen, backend, settings string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[
@@ -47,30 +48,31 @@
 		"settings":%s}`, listen, backend, settings)
 }
 
-// Both programs, as they are deployed: each gives an answer, and the node ends well when it is told to.
+// The programs are run as they are deployed: both respond to requests, and robindrum-node exits with code 0 after SIGTERM and with an
+// error of one line after an invalid configuration.
 func TestPrograms(t *testing.T) {
 	t.Run("robindrum-sim", func(t *testing.T) {
-		cmd := exec.Command(filepath.Join(programs, "robindrum-sim"))
+		cmd := exec.Command(filepath.Join(programDir, "robindrum-sim"))
 		cmd.Stdin = strings.NewReader(`{"now":1,"nodes":[]}` + "\n")
 		if out, err := cmd.Output(); err != nil || string(out) != `{"nodes":[]}`+"\n" {
-			t.Errorf("%q %v", out, err)
+			t.Errorf("robindrum-sim: got output %q, error %v, want output %q", out, err, `{"nodes":[]}`+"\n")
 		}
 	})
 	t.Run("robindrum-node", func(t *testing.T) {
-		b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
+		backend := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
 		listen := testbed.RefusingAddress(t)
 		path := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(path, []byte(configText("", b.Addr, settings)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(configText("", backend.Addr, settings)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		cmd := exec.Command(filepath.Join(programs, "robindrum-node"))
+		cmd := exec.Command(filepath.Join(programDir, "robindrum-node"))
 		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "PROXY_LISTEN="+listen)
 		var log bytes.Buffer
 		cmd.Stderr = &log
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		testbed.Eventually(t, "the node", func() bool {
+		testbed.Eventually(t, "the node to be ready", func() bool {
 			resp, err := http.Get("http://" + listen + "/health/ready")
 			if err != nil {
 				return false
@@ -88,14 +90,14 @@
 		body, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusOK || string(body) != "ok" {
-			t.Errorf("%d %q", resp.StatusCode, body)
+			t.Errorf("GET /get/x: got status %d, body %q, want status 200, body %q", resp.StatusCode, body, "ok")
 		}
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("after SIGTERM: %v\n%s", err, log.Bytes())
+			t.Errorf("robindrum-node after SIGTERM: %v, want exit code 0\n%s", err, log.Bytes())
 		}
 		if _, err := net.Dial("tcp", listen); err == nil {
-			t.Error("it still listens")
+			t.Error("robindrum-node still listens after its exit")
 		}
 	})
 	t.Run("SIGHUP", func(t *testing.T) { testReload(t) })
@@ -114,36 +116,36 @@
 					t.Fatal(err)
 				}
 			}
-			cmd := exec.Command(filepath.Join(programs, "robindrum-node"))
+			cmd := exec.Command(filepath.Join(programDir, "robindrum-node"))
 			cmd.Env = []string{"PROXY_CONFIG=" + path}
 			out, err := cmd.CombinedOutput()
 			if err == nil || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "robindrum-node: ") {
-				t.Errorf("%s: %v, said %q", name, err, out)
+				t.Errorf("%s: got error %v, output %q, want an error and one line with the prefix %q", name, err, out, "robindrum-node: ")
 			}
 		}
 	})
 }
 
-// A node that is told to read its file anew asks at the discovery that it names from then on, and goes on as it was
-// where the file is of no use.
+// testReload tests that after SIGHUP a node calls the discovery at the address in its configuration file, and that it keeps running
+// unchanged if the file is invalid or belongs to another node.
 func testReload(t *testing.T) {
-	b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
+	backend := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" })
 	calls := make(chan string, 9)
-	discovery := func(name string) string {
-		over := make(chan struct{})
-		p := testbed.NewPeer(t, func(c net.Conn, _ int) {
-			r := bufio.NewReader(c)
-			if _, err := http.ReadRequest(r); err != nil {
+	startDiscovery := func(name string) string {
+		done := make(chan struct{})
+		peer := testbed.NewPeer(t, func(conn net.Conn, _ int) {
+			reader := bufio.NewReader(conn)
+			if _, err := http.ReadRequest(reader); err != nil {
 				return
 			}
 			calls <- name
-			<-over
+			<-done
 		})
-		t.Cleanup(func() { close(over) })
-		return p.Addr
+		t.Cleanup(func() { close(done) })
+		return peer.Addr
 	}
 	listen, path := testbed.RefusingAddress(t), filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
+	writeConfig := func(text string) {
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -151,11 +153,11 @@
 			t.Fatal(err)
 		}
 	}
-	at := func(addr string) string {
-		return strings.Replace(configText(listen, b.Addr, settings), "127.0.0.1:1", addr, 1)
+	configWith := func(addr string) string {
+		return strings.Replace(configText(listen, backend.Addr, settings), "127.0.0.1:1", addr, 1)
 	}
-	write(at(discovery("first")))
-	cmd := exec.Command(filepath.Join(programs, "robindrum-node"))
+	writeConfig(configWith(startDiscovery("first")))
+	cmd := exec.Command(filepath.Join(programDir, "robindrum-node"))
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -167,20 +169,20 @@
 	lines := make(chan string, 99)
 	go func() {
 		defer close(lines)
-		for s := bufio.NewScanner(stderr); s.Scan(); {
-			lines <- s.Text()
+		for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
+			lines <- scanner.Text()
 		}
 	}()
-	said := func(what string) {
+	waitForLog := func(substring string) {
 		t.Helper()
-		for l := range lines {
-			if strings.Contains(l, what) {
+		for line := range lines {
+			if strings.Contains(line, substring) {
 				return
 			}
 		}
-		t.Fatalf("it ended without a word of %q", what)
+		t.Fatalf("robindrum-node exited without logging %q", substring)
 	}
-	ask := func(id string) {
+	get := func(id string) {
 		t.Helper()
 		req, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/get/x", nil)
 		req.Header.Set("X-Trace-Id", id)
@@ -190,31 +192,31 @@
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode != http.StatusOK {
-			t.Errorf("request %s: %d", id, resp.StatusCode)
+			t.Errorf("request %s: got status %d, want 200", id, resp.StatusCode)
 		}
 	}
-	if name := testbed.Receive(t, "a first call", calls); name != "first" {
-		t.Errorf("called %s", name)
+	if name := testbed.Receive(t, "a call to the first discovery", calls); name != "first" {
+		t.Errorf("discovery called: got %q, want %q", name, "first")
 	}
-	good := at("127.0.0.1:1")
-	for _, bad := range []string{"", "{", "{}", good[:len(good)/2], good[:len(good)-1], at("nowhere"), strings.Replace(good, "free", "odd", 1),
-		strings.Replace(good, `"name":"n0"`, `"name":"n1"`, 1), strings.Replace(good, listen, "127.0.0.1:2", 1),
-		strings.Replace(good, `"name":"get"`, `"name":"other"`, 1)} { // the last three are another node's or deployment's
-		write(bad)
+	valid := configWith("127.0.0.1:1")
+	for _, invalid := range []string{"", "{", "{}", valid[:len(valid)/2], valid[:len(valid)-1], configWith("nowhere"), strings.Replace(valid, "free", "odd", 1),
+		strings.Replace(valid, `"name":"n0"`, `"name":"n1"`, 1), strings.Replace(valid, listen, "127.0.0.1:2", 1),
+		strings.Replace(valid, `"name":"get"`, `"name":"other"`, 1)} { // the last three belong to another node or deployment
+		writeConfig(invalid)
 		_ = cmd.Process.Signal(syscall.SIGHUP)
-		said("of no use")
+		waitForLog("configuration reload failed")
 	}
-	ask("1")
-	write(at(discovery("second")))
+	get("1")
+	writeConfig(configWith(startDiscovery("second")))
 	_ = cmd.Process.Signal(syscall.SIGHUP)
-	if name := testbed.Receive(t, "a call after the move", calls); name != "second" {
-		t.Errorf("called %s", name)
+	if name := testbed.Receive(t, "a call to the second discovery", calls); name != "second" {
+		t.Errorf("discovery called: got %q, want %q", name, "second")
 	}
-	ask("2") // the list is the old one's until the new one tells another
+	get("2") // served by the cached list, since the second discovery sends none
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	for range lines {
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+		t.Errorf("robindrum-node after SIGTERM: %v, want exit code 0", err)
 	}
 }
