--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -13,40 +13,40 @@
 	list *List
 }
 
-// NodeMeta returns what this process announces.
+// NodeMeta returns the encoded metadata that this process announces.
 func (d *delegate) NodeMeta(int) []byte {
 	l := d.list
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	encoded, _ := l.self.encodeMeta() // checked by Start; a configuration's version cannot become longer
+	encoded, _ := l.self.encodeMeta() // Start has checked the sizes; a later configuration version is not longer
 	return encoded
 }
 
-// NotifyMsg does nothing: members exchange no messages beside their metadata.
+// NotifyMsg does nothing: members exchange only metadata, no user messages.
 func (d *delegate) NotifyMsg([]byte) {}
 
-// GetBroadcasts returns nothing, see NotifyMsg.
+// GetBroadcasts returns nothing; see NotifyMsg.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState returns nothing, see NotifyMsg.
+// LocalState returns nothing; see NotifyMsg.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState does nothing, see NotifyMsg.
+// MergeRemoteState does nothing; see NotifyMsg.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// NotifyAlive rejects members whose metadata cannot be used.
+// NotifyAlive rejects members whose metadata is invalid.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error {
 	_, err := decodeMeta(node.Name, node.Address(), node.Meta)
 	return err
 }
 
-// NotifyJoin records a member's announcement.
-func (d *delegate) NotifyJoin(node *memberlist.Node) { d.announced(node) }
+// NotifyJoin records the metadata of a new member.
+func (d *delegate) NotifyJoin(node *memberlist.Node) { d.recordAnnouncement(node) }
 
-// NotifyUpdate records a member's announcement.
-func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.announced(node) }
+// NotifyUpdate records the changed metadata of a member.
+func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.recordAnnouncement(node) }
 
-func (d *delegate) announced(node *memberlist.Node) {
+func (d *delegate) recordAnnouncement(node *memberlist.Node) {
 	member, err := decodeMeta(node.Name, node.Address(), node.Meta)
 	if err != nil {
 		return
@@ -54,7 +54,7 @@
 	d.list.observe(func(now time.Duration) []Event { return d.list.roster.alive(now, member) })
 }
 
-// NotifyLeave records that a member has ended: it has left where it had announced so, otherwise it is dead.
+// NotifyLeave records the end of a member: it left if it had announced Leaving, otherwise it is dead.
 func (d *delegate) NotifyLeave(node *memberlist.Node) {
 	member, err := decodeMeta(node.Name, node.Address(), node.Meta)
 	if err != nil {
@@ -66,7 +66,7 @@
 	})
 }
 
-// NotifyConflict records that another address claims a member's name. The first one keeps it until it is dead.
+// NotifyConflict records that another address claims a member's name. The existing member keeps the name until it is dead.
 func (d *delegate) NotifyConflict(existing, other *memberlist.Node) {
 	l := d.list
 	l.mu.Lock()
@@ -75,20 +75,20 @@
 	l.opt.Log.Warn("member name conflict", "name", existing.Name, "address", existing.Address(), "claimed_by", other.Address())
 }
 
-// AckPayload adds nothing to the answers to probes.
+// AckPayload adds no payload to probe responses.
 func (d *delegate) AckPayload() []byte { return nil }
 
-// NotifyPingComplete records that a member has answered a probe.
+// NotifyPingComplete records that a member has responded to a probe.
 func (d *delegate) NotifyPingComplete(node *memberlist.Node, _ time.Duration, _ []byte) {
 	d.list.observe(func(now time.Duration) []Event { return d.list.roster.answered(now, node.Name) })
 }
 
-// logReader reads memberlist's log, the only place where it says that this process suspects a member.
+// logReader parses memberlist's log, the only output in which memberlist reports that this process suspects a member.
 type logReader struct {
 	list *List
 }
 
-// Write takes one line of the log. It must not call memberlist, which may hold its lock.
+// Write processes one log line. It must not call memberlist, which may hold its own lock while it logs.
 func (r *logReader) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
 	if _, rest, ok := strings.Cut(line, "memberlist: Suspect "); ok {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership knows the processes of the fleet: their names, places, versions and states, found by SWIM
-// (hashicorp/memberlist). It offers a list and a stream of events. Requests never wait for it.
+// Package membership tracks the processes of the fleet by gossip (SWIM, hashicorp/memberlist): their names, sites, zones,
+// versions and states. It provides a list of members and a stream of events. Requests never wait for it.
 package membership
 
 import (
@@ -20,51 +20,52 @@
 const (
 	defaultProbe  = time.Second
 	defaultForget = time.Hour
-	// maxBufferedEvents is how many events a watcher may be behind before it misses some.
+	// maxBufferedEvents is the number of events buffered for a watcher; further events are dropped.
 	maxBufferedEvents = 4096
 )
 
-// Times of memberlist, in probe intervals.
+// Timing of memberlist relative to the probe interval. A name ending in Probes is a number of probe intervals; a name ending in
+// PerProbe is a divisor of the probe interval.
 const (
 	seedCheckProbes       = 2
 	pushPullProbes        = 30
 	tcpTimeoutProbes      = 10
 	gossipToTheDeadProbes = 30
-	deadNodeReclaimProbes = 10 // a process that starts again may have another address
+	deadNodeReclaimProbes = 10 // a restarted process may have another address
 	probeTimeoutsPerProbe = 2
 	gossipRoundsPerProbe  = 5
 )
 
 // Options configure a List.
 type Options struct {
-	// Fleet is the fleet's name; packets of other fleets are ignored.
+	// Fleet is the name of the fleet. Packets of other fleets are ignored.
 	Fleet string
-	// Self is this process. Its Address is the one by which the others reach it.
+	// Self describes this process. Its Address is the one at which other members reach it.
 	Self Member
-	// Seeds are the addresses of some members.
+	// Seeds are the addresses of members to join through.
 	Seeds []string
-	// Probe is the interval at which this process probes one other member; other intervals are multiples of it. 0: a second.
+	// Probe is the interval at which this process probes one other member; all other intervals derive from it. 0 means 1 s.
 	Probe time.Duration
-	// Forget is how long a dead member is listed. 0: an hour.
+	// Forget is how long a dead member stays listed. 0 means 1 h.
 	Forget time.Duration
 	// Now reads a monotonic clock.
 	Now func() time.Duration
 	Log *slog.Logger
 }
 
-// View is the part of a List that other packages read. Its methods may be called concurrently and do not block on the network.
+// View is the read-only part of a List. Its methods may be called concurrently and do not block on the network.
 type View interface {
-	// Members returns all known members by name, with this process and the dead ones.
+	// Members returns all known members sorted by name, including this process and dead members.
 	Members() []Member
-	// Self returns this process as it announces itself.
+	// Self returns this process as announced to the fleet.
 	Self() Member
-	// Lookup returns the member of a name; false: there is none.
+	// Lookup returns the member with a name, and false if it is unknown.
 	Lookup(name string) (Member, bool)
-	// Len returns the number of Members.
+	// Len returns the number of members that Members returns.
 	Len() int
 }
 
-// List follows the fleet's membership. Its methods may be called concurrently.
+// List tracks the membership of the fleet. Its methods may be called concurrently.
 type List struct {
 	opt    Options
 	swim   *memberlist.Memberlist
@@ -78,8 +79,8 @@
 	conflicts int
 }
 
-// Start joins the fleet over a node: it takes the node's packets and one kind of its streams, and asks the seeds until all are members. It
-// does not wait for them. The owner calls Stop, and closes the node after that.
+// Start joins the fleet over a node. It consumes the node's packets and one kind of its streams, and contacts the seeds in the background
+// until all of them are members. The caller must call Stop before closing the node.
 func Start(node *peer.Node, opt Options) (*List, error) {
 	if opt.Probe == 0 {
 		opt.Probe = defaultProbe
@@ -97,7 +98,7 @@
 	}
 	l.swim, err = memberlist.Create(conf)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("membership: create memberlist: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stop = cancel
@@ -108,7 +109,7 @@
 func (l *List) memberlistConfig(t *transport) (*memberlist.Config, error) {
 	host, _, err := net.SplitHostPort(l.opt.Self.Address)
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("membership: own address %q: %w", l.opt.Self.Address, err)
 	}
 	probe := l.opt.Probe
 	d := &delegate{list: l}
@@ -134,8 +135,9 @@
 	return conf, nil
 }
 
-// joinSeeds asks the seeds that are not alive members, until ctx ends: after a network partition each side goes on alone, and memberlist
-// does not ask members that have been dead for long.
+// joinSeeds contacts the seeds that are not alive members, periodically until ctx is done, and removes members that have been dead for
+// Options.Forget. Without this the two sides of a network partition would stay separate, because memberlist does not contact members that
+// have been dead for long.
 func (l *List) joinSeeds(ctx context.Context) {
 	ticker := time.NewTicker(seedCheckProbes * l.opt.Probe)
 	defer ticker.Stop()
@@ -150,7 +152,8 @@
 	}
 }
 
-// exchangeWithSeeds exchanges with each seed that was no member at first, even where the first one's answer names the others.
+// exchangeWithSeeds exchanges the membership with each seed that was not an alive member when the call began, even if an earlier exchange
+// of the same call has listed that seed.
 func (l *List) exchangeWithSeeds(ctx context.Context) {
 	for _, seed := range l.absentSeeds() {
 		if ctx.Err() != nil {
@@ -162,7 +165,7 @@
 	}
 }
 
-// absentSeeds returns the other seeds that are unknown or dead.
+// absentSeeds returns the seeds, except this process, that are unknown or dead.
 func (l *List) absentSeeds() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,13 +174,13 @@
 	})
 }
 
-// Exchange exchanges the complete membership with the member at an address. It blocks until that is done or has failed.
+// Exchange exchanges the complete membership with the member at an address. It blocks until the exchange succeeds or fails.
 func (l *List) Exchange(address string) error {
 	_, err := l.swim.Join([]string{address})
 	return err
 }
 
-// observe applies an observation to the roster and sends the events to the watchers.
+// observe applies an observation to the roster and sends the resulting events to the watchers.
 func (l *List) observe(observation func(now time.Duration) []Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,13 +190,13 @@
 		for _, watcher := range l.watchers {
 			select {
 			case watcher <- event:
-			default: // it misses the event
+			default: // the buffer is full: drop the event
 			}
 		}
 	}
 }
 
-// Watch returns a stream of events from now on. A watcher that is too slow misses events; Members is always complete. The channel is
+// Watch returns a channel of future events. Events are dropped if the receiver is too slow; Members is always complete. The channel is
 // never closed.
 func (l *List) Watch() <-chan Event {
 	events := make(chan Event, maxBufferedEvents)
@@ -203,14 +206,14 @@
 	return events
 }
 
-// Members returns all known members by name, with this process and the dead ones.
+// Members returns all known members sorted by name, including this process and dead members.
 func (l *List) Members() []Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.roster.list()
 }
 
-// Lookup returns the member of a name, in whatever state; false: there is none.
+// Lookup returns the member with a name, in any state, and false if it is unknown.
 func (l *List) Lookup(name string) (Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,29 +224,29 @@
 	return entry.Member, true
 }
 
-// Len returns the number of known members, with this process and the dead ones.
+// Len returns the number of known members, including this process and dead members.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.roster.members)
 }
 
-// Self returns this process as it announces itself.
+// Self returns this process as announced to the fleet.
 func (l *List) Self() Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.self
 }
 
-// Conflicts counts the claims of a member's name by another address.
+// Conflicts returns how often another address has claimed a member's name.
 func (l *List) Conflicts() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conflicts
 }
 
-// Announce changes this process's state and the version of its configuration, and blocks until some members have it, for at most the
-// probe interval; the others learn it by gossip and the next complete exchange.
+// Announce changes this process's state and configuration version. It blocks until the change has been sent to some members, for at most
+// one probe interval; the other members receive it by gossip or in the next complete exchange.
 func (l *List) Announce(state State, config string) {
 	l.mu.Lock()
 	unchanged := l.self.State == state && l.self.Config == config
@@ -253,11 +256,11 @@
 	if unchanged {
 		return
 	}
-	_ = l.swim.UpdateNode(l.opt.Probe) // a timeout; see above
+	_ = l.swim.UpdateNode(l.opt.Probe) // a timeout is no failure: gossip still spreads the change
 }
 
-// Stop announces within a time that this process leaves, and ends the membership. It blocks until that is done. Members that do not hear
-// of it find this process dead.
+// Stop announces that this process leaves, waiting at most timeout for the announcement to be sent, and ends the membership. Members that
+// do not receive the announcement detect this process as dead.
 func (l *List) Stop(timeout time.Duration) {
 	l.stop()
 	l.worker.Wait()
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -9,16 +9,16 @@
 // maxMembers bounds the roster, as names come from other processes.
 const maxMembers = 4096
 
-// roster is the state machine of the membership: what is observed of members goes in, events come out. It has no clock; time is an
+// roster is the state machine of the membership: it turns observations of members into events. It has no clock; the current time is an
 // argument. It must not be used concurrently.
 type roster struct {
-	forgetAfter time.Duration // a dead member is gone after it
+	forgetAfter time.Duration // how long a dead member stays listed
 	members     map[string]*rosterEntry
 }
 
 type rosterEntry struct {
 	Member
-	announced State // by the member itself, the last time
+	announced State // the state that the member announced last
 }
 
 func newRoster(forgetAfter time.Duration) *roster {
@@ -36,8 +36,8 @@
 	return []Event{{From: from, Member: entry.Member, Restarted: restarted}}
 }
 
-// alive records what a member announces. Of two incarnations of one name the later one counts; the earlier one is outdated, or a process
-// whose name belongs to another one now.
+// alive records the announcement of a member. Of two incarnations with the same name only the higher one counts; an announcement with a
+// lower incarnation is either outdated or from a process whose name another process has taken over.
 func (r *roster) alive(now time.Duration, announced Member) []Event {
 	entry := r.members[announced.Name]
 	if entry == nil {
@@ -47,10 +47,10 @@
 		return nil
 	}
 	restarted := announced.Incarnation > entry.Incarnation
-	before := entry.Member
+	previous := entry.Member
 	entry.Member = announced
-	entry.State = before.State
-	entry.Since = before.Since
+	entry.State = previous.State
+	entry.Since = previous.Since
 	entry.announced = announced.State
 	return r.setState(now, entry, announced.State, restarted)
 }
@@ -65,7 +65,7 @@
 	return r.setState(now, entry, announced.State, false)
 }
 
-// suspect records that a member has not answered a probe.
+// suspect records that a member has not responded to a probe.
 func (r *roster) suspect(now time.Duration, name string) []Event {
 	entry := r.members[name]
 	if entry == nil || entry.State == Dead || entry.State == Gone {
@@ -74,7 +74,7 @@
 	return r.setState(now, entry, Suspect, false)
 }
 
-// answered records that a member has answered a probe.
+// answered records that a member has responded to a probe.
 func (r *roster) answered(now time.Duration, name string) []Event {
 	entry := r.members[name]
 	if entry == nil || entry.State != Suspect {
@@ -83,7 +83,8 @@
 	return r.setState(now, entry, entry.announced, false)
 }
 
-// ended records that an incarnation of a member has left, or that the fleet has given it up. It does not end a later incarnation.
+// ended records that an incarnation of a member has left or, if left is false, that the fleet has declared it dead. It does not end a
+// higher incarnation.
 func (r *roster) ended(now time.Duration, name string, incarnation uint64, left bool) []Event {
 	entry := r.members[name]
 	if entry == nil || incarnation < entry.Incarnation || entry.State == Gone {
@@ -96,7 +97,7 @@
 	return r.setState(now, entry, Gone, false)
 }
 
-// tick removes the members that have been dead for forgetAfter, in the order of their names.
+// tick removes the members that have been dead for forgetAfter, sorted by name.
 func (r *roster) tick(now time.Duration) []Event {
 	var forgotten []string
 	for name, entry := range r.members {
@@ -123,7 +124,7 @@
 	return false
 }
 
-// list returns all members by name.
+// list returns all members sorted by name.
 func (r *roster) list() []Member {
 	members := make([]Member, 0, len(r.members))
 	for _, entry := range r.members {
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -49,7 +49,7 @@
 	return t
 }
 
-// readPackets hands packets to memberlist until the node is closed, or a packet arrives after Shutdown.
+// readPackets passes packets to memberlist until the node is closed or a packet arrives after Shutdown.
 func (t *transport) readPackets() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
@@ -69,11 +69,11 @@
 	}
 }
 
-// FinalAdvertiseAddr returns the advertised address that memberlist was configured with.
+// FinalAdvertiseAddr returns the configured advertise address unchanged.
 func (t *transport) FinalAdvertiseAddr(ip string, port int) (net.IP, int, error) {
 	address := net.ParseIP(ip)
 	if address == nil {
-		return nil, 0, fmt.Errorf("%q is not an IP address", ip)
+		return nil, 0, fmt.Errorf("advertise address must be an IP address, got %q", ip)
 	}
 	if v4 := address.To4(); v4 != nil {
 		address = v4
@@ -100,7 +100,7 @@
 	return conn, err
 }
 
-// Shutdown ends the handing over of packets and streams. The node is closed by its owner.
+// Shutdown stops passing packets and streams to memberlist. The node stays open; its owner closes it.
 func (t *transport) Shutdown() error {
 	t.once.Do(func() { close(t.done) })
 	return nil
