--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// CompleteAnswerBytes is the longest response body that is read completely before it is forwarded; longer ones are
+	// CompleteAnswerBytes is the longest response body that is read completely before it is forwarded. Longer bodies are
 	// streamed.
 	CompleteAnswerBytes     = 64 << 10
-	maxHeadBytes            = 64 << 10 // of a response
-	maxErrorBodyBytes       = 64 << 10 // of an error response, beyond which its connection is closed
-	defaultMaxResponseBytes = 32 << 20 // a response that announces more is invalid
-	maxInlineBodyBytes      = 16 << 10
+	maxHeadBytes            = 64 << 10 // limit of a response head
+	maxErrorBodyBytes       = 64 << 10 // an error response with a longer body closes its connection
+	defaultMaxResponseBytes = 32 << 20 // a longer Content-Length makes a response invalid
+	maxInlineBodyBytes      = 16 << 10 // a longer request body is written by another goroutine while the response is read
 	defaultStallTimeout     = 1500 * time.Millisecond
 	defaultPauseTimeout     = 250 * time.Millisecond
-	pauseGrace              = 5 * time.Millisecond
-	errorBodyTimeout        = 20 * time.Millisecond // to read an error's body, so that its connection can be reused
+	pauseGrace              = 5 * time.Millisecond  // for a second read after a pause timeout; see readBounded
+	errorBodyTimeout        = 20 * time.Millisecond // to read the body of an error response, so that its connection can be reused
 )
 
-// Attempt sends a request once to one endpoint. Cancel and Abort may be called at any time; Do is called once.
+// Attempt sends a request once to one endpoint. Cancel and Abort may be called at any time and concurrently with Do, which
+// must be called once.
 type Attempt struct {
 	upstream *Upstream
 	req      *Request
@@ -32,10 +33,10 @@
 
 	mu         sync.Mutex
 	conn       *conn
-	cancelDial context.CancelFunc // of the dial
+	cancelDial context.CancelFunc // nil unless a dial has begun
 	cancelled  bool
-	aborted    bool // the rest of the request must not be written
-	written    bool // the request's last byte
+	aborted    bool // the rest of the request must not be written, unless written is set
+	written    bool // the last byte of the request has been written
 }
 
 // NewAttempt returns an attempt that times out at deadline.
@@ -43,9 +44,10 @@
 	return &Attempt{upstream: up, req: req, deadline: deadline}
 }
 
+// longAgo is a deadline in the past. Setting it interrupts pending reads and writes.
 var longAgo = time.Unix(1, 0)
 
-// Cancel ends the attempt. It does not block.
+// Cancel ends the attempt, whose result is then Cancelled unless it has already completed. It does not block.
 func (a *Attempt) Cancel() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,8 +60,8 @@
 	}
 }
 
-// Abort ends an attempt that has not yet written the request's last byte; its result is NotSent, since an endpoint does not
-// start a request before that byte. An attempt that has written it goes on. Abort does not block.
+// Abort ends the attempt if it has not yet written the last byte of the request; its result is then NotSent, because an
+// endpoint does not start a request before it has received that byte. Otherwise the attempt continues. Abort does not block.
 func (a *Attempt) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,18 +77,18 @@
 	}
 }
 
-// isOverLocked reports whether the attempt must not go on. The lock is held.
-func (a *Attempt) isOverLocked() bool { return a.cancelled || a.aborted && !a.written }
+// isInterruptedLocked reports whether Cancel or Abort has ended the attempt. The caller holds a.mu.
+func (a *Attempt) isInterruptedLocked() bool { return a.cancelled || a.aborted && !a.written }
 
-// bind makes c the connection that Cancel and Abort interrupt. It returns false if one of them was called before.
+// bind makes c the connection that Cancel and Abort interrupt. It returns false if the attempt is already interrupted.
 func (a *Attempt) bind(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conn = c
-	return !a.isOverLocked()
+	return !a.isInterruptedLocked()
 }
 
-// unbind undoes bind. It returns false if Cancel or Abort has interrupted the connection.
+// unbind reverses bind. It returns false if the attempt has been interrupted.
 func (a *Attempt) unbind() bool { return a.bind(nil) }
 
 func (a *Attempt) isCancelled() bool {
@@ -95,24 +97,27 @@
 	return a.cancelled
 }
 
-func (a *Attempt) isOver() bool {
+func (a *Attempt) isInterrupted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.isOverLocked()
+	return a.isInterruptedLocked()
 }
 
+// extendDeadline sets the connection deadline. It returns false if the attempt is interrupted or the deadline cannot be set.
 func (a *Attempt) extendDeadline(c *conn, to time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.isOverLocked() && c.SetDeadline(to) == nil
+	return !a.isInterruptedLocked() && c.SetDeadline(to) == nil
 }
 
+// extendWithin sets the connection deadline to d from now if that is before the deadline of the attempt, and reports whether
+// it has set it.
 func (a *Attempt) extendWithin(c *conn, d time.Duration) bool {
 	t := time.Now().Add(d)
 	return t.Before(a.deadline) && a.extendDeadline(c, t)
 }
 
-// Do runs the attempt to its end and returns its result.
+// Do runs the attempt and returns its result. It calls begin if the response is streamed.
 func (a *Attempt) Do(begin Begin) Reply {
 	c, err := a.connect()
 	if err != nil {
@@ -122,10 +127,10 @@
 			return Reply{Result: balancer.NotSent, Unwanted: true}
 		case a.isCancelled():
 			return Reply{Result: balancer.Cancelled}
-		case a.isOver():
+		case a.isInterrupted():
 			return Reply{Result: balancer.NotSent}
 		case errors.As(err, &timeout) && timeout.Timeout() && !time.Now().Before(a.deadline):
-			// The client's time ran out, which is not the endpoint's failure.
+			// The deadline of the request has passed, which is not a failure of the endpoint.
 			return Reply{Result: balancer.TimedOut}
 		case isLocalError(err):
 			return Reply{Result: balancer.NotSent}
@@ -133,7 +138,7 @@
 		return Reply{Result: balancer.NotConnected}
 	}
 	reply, clean := a.roundTrip(c, begin)
-	// After unbind a late Cancel cannot interrupt the next request of the connection.
+	// After unbind, a late Cancel cannot interrupt the next request on the connection.
 	if a.unbind() && clean {
 		c.returnToPool()
 	} else {
@@ -143,7 +148,7 @@
 }
 
 func (a *Attempt) connect() (*conn, error) {
-	if a.isOver() {
+	if a.isInterrupted() {
 		return nil, context.Canceled
 	}
 	c := a.upstream.reuse(a.deadline)
@@ -159,14 +164,14 @@
 		a.mu.Lock()
 		a.cancelDial = stop
 		a.mu.Unlock()
-		if a.isOver() {
+		if a.isInterrupted() {
 			return nil, context.Canceled
 		}
 		var err error
 		if c, err = a.upstream.dial(ctx, a.deadline); err != nil {
 			return nil, err
 		}
-		// The client may have left while the connection came up.
+		// The client may have left while the connection was being established.
 		if !a.stillWanted() {
 			c.returnToPool()
 			return nil, errNotWanted
@@ -176,7 +181,7 @@
 		c.drop()
 		return nil, context.Canceled
 	}
-	// The endpoint may have been drained or removed while the connection came up.
+	// The endpoint may have been drained or removed while the connection was being established.
 	if a.upstream.closedToNew.Load() {
 		a.unbind()
 		c.drop()
@@ -187,7 +192,7 @@
 
 func (a *Attempt) stillWanted() bool { return a.req.StillWanted == nil || a.req.StillWanted() }
 
-// roundTrip writes the request and reads the response. If clean is true the connection can be reused.
+// roundTrip writes the request and reads the response. If clean is true, the connection can be reused.
 func (a *Attempt) roundTrip(c *conn, begin Begin) (reply Reply, clean bool) {
 	join := a.startWriting(c)
 	defer func() { _ = join() }()
@@ -202,15 +207,15 @@
 		clean = a.readError(c, resp, join, &reply)
 		return reply, clean
 	}
-	// The end of a response without framing cannot be told from a broken connection. A response that announces too much
-	// is refused before its head is forwarded, while a retry is still possible.
+	// The end of an unframed response cannot be distinguished from a broken connection. A response with too large a
+	// Content-Length is rejected before its head is forwarded, while a retry is still possible.
 	if !delimited(resp) && a.req.Method != http.MethodHead || resp.ContentLength > a.upstream.pool.maxResponseBytes() && a.req.Method != http.MethodHead {
 		return Reply{Result: balancer.ConnectionLost, LoadReport: reply.LoadReport}, false
 	}
 	if !a.readBody(c, resp, begin, &reply) {
 		return reply, false
 	}
-	// Only now: a head whose body broke off is not a response.
+	// Set only now, because a head with an incomplete body is not a complete response.
 	reply.Status, reply.Header, reply.Length = resp.StatusCode, resp.Header, resp.ContentLength
 	return reply, join() == nil && !resp.Close && c.br.Buffered() == 0
 }
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -6,17 +6,19 @@
 	"sync/atomic"
 )
 
-// Descriptors is the descriptor budget of a Pool. Its methods may be called by several goroutines at once.
+// Descriptors is the file descriptor budget of a Pool. Its methods may be called concurrently.
 type Descriptors interface {
-	Acquire() bool // reserves one, or returns false if none is left
+	Acquire() bool // reserves a descriptor, or returns false if none is available
 	Release()
-	OnShort(fn func() bool) (leave func())
+	// OnShort registers fn, which closes one idle connection and reports whether there was one. Acquire calls it if no
+	// descriptor is available.
+	OnShort(fn func() bool) (unregister func())
 	Used() int
 	Limit() int
 }
 
-// Budget counts the descriptors of client and endpoint connections together. Its methods may be called by several
-// goroutines at once.
+// Budget limits the file descriptors of client and endpoint connections together. Its methods may be called
+// concurrently.
 type Budget struct {
 	limit    int64
 	used     atomic.Int64
@@ -24,12 +26,12 @@
 	evictors []*func() bool
 }
 
-// NewBudget returns a budget of limit descriptors.
+// NewBudget returns a budget of limit descriptors, but at least 2.
 func NewBudget(limit int) *Budget { return &Budget{limit: int64(max(limit, 2))} }
 
-// OnShort registers fn, which closes one idle connection and reports whether there was one. The returned function
-// unregisters it.
-func (b *Budget) OnShort(fn func() bool) (leave func()) {
+// OnShort registers fn, which closes one idle connection and reports whether there was one. It is called when descriptors
+// run short.
+func (b *Budget) OnShort(fn func() bool) (unregister func()) {
 	p := &fn
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -41,7 +43,8 @@
 	}
 }
 
-// Acquire reserves a descriptor for a dial. If none is left it has an idle connection closed, if there is one.
+// Acquire reserves a descriptor for a dial. If none is available, it evicts an idle connection; it returns false if there is
+// no idle connection either.
 func (b *Budget) Acquire() bool {
 	for {
 		u := b.used.Load()
@@ -55,8 +58,8 @@
 	}
 }
 
-// Force counts a descriptor that is in use already, that of an accepted connection, and has an idle connection closed if
-// there are too many now.
+// Force counts the descriptor of an accepted connection, which is already in use, and evicts an idle connection if the limit
+// is exceeded.
 func (b *Budget) Force() {
 	if b.used.Add(1) > b.limit {
 		b.EvictOne()
@@ -66,27 +69,27 @@
 // Release returns a descriptor.
 func (b *Budget) Release() { b.used.Add(-1) }
 
-// Limit returns the number of descriptors.
+// Limit returns the maximum number of descriptors.
 func (b *Budget) Limit() int { return int(b.limit) }
 
-// Used returns how many are in use or reserved.
+// Used returns how many descriptors are in use or reserved.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
 // EvictOne closes one idle connection and reports whether there was one.
 func (b *Budget) EvictOne() bool {
 	b.mu.Lock()
-	evict := b.evictors
+	registered := b.evictors
 	b.mu.Unlock()
-	for _, fn := range evict {
-		if (*fn)() {
+	for _, evict := range registered {
+		if (*evict)() {
 			return true
 		}
 	}
 	return false
 }
 
-// Share is one cluster's part of a Budget: a reserved number of descriptors, and beyond it those that no share has
-// reserved. Its methods may be called by several goroutines at once.
+// Share is the part of a Budget that one cluster may use: a reserved number of descriptors and, beyond it, descriptors that no
+// share has reserved. Its methods may be called concurrently.
 type Share struct {
 	budget *Budget
 
@@ -96,26 +99,28 @@
 	evictors        []*func() bool
 }
 
-// Share reserves descriptors for one user until Close. The user may acquire up to limit; 0 means no limit of its own.
+// Share reserves descriptors for one user until Close. The share may acquire up to limit descriptors; 0 means that only the
+// budget limits it.
 func (b *Budget) Share(reserved, limit int) *Share {
 	s := &Share{budget: b}
 	s.Resize(reserved, limit)
 	return s
 }
 
-// Resize changes the reservation and the limit. Descriptors in use stay so.
+// Resize changes the reservation and the limit. Descriptors in use are not released.
 func (s *Share) Resize(reserved, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	booked := func(reserved int64) int64 { return reserved + max(s.used-reserved, 0) }
-	s.budget.used.Add(booked(int64(reserved)) - booked(s.reserved))
+	// charge returns how many descriptors of the budget the share accounts for with a reservation.
+	charge := func(reserved int64) int64 { return reserved + max(s.used-reserved, 0) }
+	s.budget.used.Add(charge(int64(reserved)) - charge(s.reserved))
 	s.reserved, s.limit = int64(reserved), int64(limit)
 }
 
-// Close ends the reservation. Descriptors in use are returned by Release.
+// Close ends the reservation. Descriptors in use stay counted until Release.
 func (s *Share) Close() { s.Resize(0, 0) }
 
-// Limit returns how many descriptors may be in use.
+// Limit returns how many descriptors the share may have in use.
 func (s *Share) Limit() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,14 +130,15 @@
 	return s.budget.Limit()
 }
 
-// Used returns how many descriptors are in use.
+// Used returns how many descriptors the share has in use.
 func (s *Share) Used() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int(s.used)
 }
 
-// Acquire reserves a descriptor. If none is left it has an idle connection closed, if there is one.
+// Acquire reserves a descriptor. If none is available, it evicts an idle connection; it returns false if there is no idle
+// connection either.
 func (s *Share) Acquire() bool {
 	s.mu.Lock()
 	for s.limit > 0 && s.used >= s.limit {
@@ -143,14 +149,15 @@
 		s.mu.Lock()
 	}
 	s.used++
-	own := s.used <= s.reserved
+	withinReservation := s.used <= s.reserved
 	s.mu.Unlock()
-	if own || s.budget.Acquire() { // not under the lock: evicting calls Release, possibly of this share
+	if withinReservation || s.budget.Acquire() { // without s.mu: eviction calls Release, possibly of this share
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A descriptor released meanwhile was counted as the Budget's, because this one preceded it.
+	// A descriptor released in the meantime was returned to the budget, because s.used still included this failed one. If s.used
+	// is now below the reservation, count it as reserved again.
 	if s.used--; s.used < s.reserved {
 		s.budget.used.Add(1)
 	}
@@ -174,25 +181,26 @@
 
 func (s *Share) evictOne() bool {
 	s.mu.Lock()
-	evict := s.evictors
+	registered := s.evictors
 	s.mu.Unlock()
-	for _, fn := range evict {
-		if (*fn)() {
+	for _, evict := range registered {
+		if (*evict)() {
 			return true
 		}
 	}
 	return false
 }
 
-// OnShort registers fn as Budget.OnShort does. Other users have it called only while this share exceeds its reservation.
-func (s *Share) OnShort(fn func() bool) (leave func()) {
+// OnShort registers fn as Budget.OnShort does. A shortage of other users calls fn only while this share exceeds its
+// reservation.
+func (s *Share) OnShort(fn func() bool) (unregister func()) {
 	p := &fn
 	s.mu.Lock()
 	s.evictors = append(slices.Clone(s.evictors), p)
 	s.mu.Unlock()
-	out := s.budget.OnShort(func() bool { return s.exceedsReservation() && fn() })
+	unregisterFromBudget := s.budget.OnShort(func() bool { return s.exceedsReservation() && fn() })
 	return func() {
-		out()
+		unregisterFromBudget()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.evictors = slices.DeleteFunc(slices.Clone(s.evictors), func(q *func() bool) bool { return q == p })
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -12,49 +12,49 @@
 	"robindrum/internal/testbed"
 )
 
-// One that takes all it can get leaves the other what is its own, and everything comes back.
+// A share that acquires as much as it can leaves other shares their reservations, and all descriptors are returned.
 func TestSharesKeepTheirReservations(t *testing.T) {
-	b := NewBudget(20)
-	sick, well := b.Share(4, 0), b.Share(6, 0)
-	if b.Used() != 10 {
-		t.Fatalf("%d booked", b.Used())
+	budget := NewBudget(20)
+	greedy, other := budget.Share(4, 0), budget.Share(6, 0)
+	if budget.Used() != 10 {
+		t.Fatalf("two shares with reservations 4 and 6: Used = %d, want 10", budget.Used())
 	}
-	held := 0
-	for sick.Acquire() {
-		held++
+	acquired := 0
+	for greedy.Acquire() {
+		acquired++
 	}
-	if held != 14 {
-		t.Errorf("the greedy one got %d, want its 4 and the 10 that nobody owns", held)
+	if acquired != 14 {
+		t.Errorf("greedy share acquired %d, want 14: its reservation of 4 and the 10 unreserved ones", acquired)
 	}
 	for i := range 6 {
-		if !well.Acquire() {
-			t.Fatalf("its own descriptor %d is not to be had", i)
+		if !other.Acquire() {
+			t.Fatalf("Acquire of reserved descriptor %d = false, want true", i)
 		}
 	}
-	if well.Acquire() {
-		t.Error("more than there are")
+	if other.Acquire() {
+		t.Error("Acquire beyond the limit of the budget = true, want false")
 	}
-	for range held {
-		sick.Release()
+	for range acquired {
+		greedy.Release()
 	}
 	for range 6 {
-		well.Release()
+		other.Release()
 	}
-	if b.Used() != 10 {
-		t.Errorf("%d booked after all was given back", b.Used())
+	if budget.Used() != 10 {
+		t.Errorf("after all Releases: Used = %d, want the 10 reserved", budget.Used())
 	}
-	sick.Close()
-	well.Close()
-	if b.Used() != 0 {
-		t.Errorf("%d booked in the end", b.Used())
+	greedy.Close()
+	other.Close()
+	if budget.Used() != 0 {
+		t.Errorf("after Close of all shares: Used = %d, want 0", budget.Used())
 	}
 }
 
-func TestShareHasALimit(t *testing.T) {
-	b := NewBudget(20)
-	s := b.Share(2, 5)
+func TestShareLimit(t *testing.T) {
+	budget := NewBudget(20)
+	s := budget.Share(2, 5)
 	idle := 2
-	leave := s.OnShort(func() bool {
+	unregister := s.OnShort(func() bool {
 		if idle == 0 {
 			return false
 		}
@@ -64,27 +64,27 @@
 	})
 	for i := range 5 {
 		if !s.Acquire() {
-			t.Fatal("refused at ", i)
+			t.Fatal("Acquire = false below the limit, want true; call ", i)
 		}
 	}
 	for range 2 {
 		if !s.Acquire() {
-			t.Error("an idle one does not make room")
+			t.Error("Acquire at the limit with an idle connection = false, want true after an eviction")
 		}
 	}
-	if s.Acquire() || s.Used() != 5 || b.Used() != 5 {
-		t.Errorf("%d held, %d booked", s.Used(), b.Used())
+	if s.Acquire() || s.Used() != 5 || budget.Used() != 5 {
+		t.Errorf("at the limit: share uses %d, budget uses %d; want 5, 5, and Acquire = false", s.Used(), budget.Used())
 	}
-	leave()
-	if len(b.evictors) != 0 || len(s.evictors) != 0 {
-		t.Error("who has left is still asked")
+	unregister()
+	if len(budget.evictors) != 0 || len(s.evictors) != 0 {
+		t.Error("evictors are still registered after unregister")
 	}
 }
 
-// A shortage elsewhere does not cost a user the idle connections that are its own.
+// A shortage caused by another share does not evict idle connections within the reservation of a share.
 func TestReservedIdleConnectionsAreNotEvicted(t *testing.T) {
-	b := NewBudget(8)
-	s, other := b.Share(3, 0), b.Share(0, 0)
+	budget := NewBudget(8)
+	s, other := budget.Share(3, 0), budget.Share(0, 0)
 	closed := 0
 	s.OnShort(func() bool { closed++; s.Release(); return true })
 	for range 4 {
@@ -92,87 +92,87 @@
 	}
 	for range 5 {
 		if !other.Acquire() {
-			t.Fatal("refused")
+			t.Fatal("Acquire by the other share = false, want true while descriptors are available or evictable")
 		}
 	}
 	if other.Acquire() {
-		t.Error("took what is another's own")
+		t.Error("Acquire = true, want false: the remaining descriptors are reserved by another share")
 	}
 	if closed != 1 || s.Used() != 3 {
-		t.Errorf("%d closed, %d left", closed, s.Used())
+		t.Errorf("%d connections evicted, %d in use; want 1, 3", closed, s.Used())
 	}
 }
 
-// Whatever the order of takes and gives, what is booked is what is held or owned.
-func TestSharesAddUp(t *testing.T) {
-	b := NewBudget(30)
-	shares := []*Share{b.Share(5, 0), b.Share(0, 10), b.Share(7, 9)}
-	var all sync.WaitGroup
+// After any order of concurrent Acquire, Release and Resize calls, the budget counts exactly what is in use or reserved.
+func TestSharesUnderConcurrentUse(t *testing.T) {
+	budget := NewBudget(30)
+	shares := []*Share{budget.Share(5, 0), budget.Share(0, 10), budget.Share(7, 9)}
+	var workers sync.WaitGroup
 	for i := range 12 {
-		all.Go(func() {
+		workers.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(i), 1))
-			s, held := shares[i%3], 0
+			s, acquired := shares[i%3], 0
 			for k := range 20000 {
 				if i == 0 && k%100 == 0 {
 					s.Resize(rng.IntN(9), 0)
 				}
-				if held > 0 && rng.IntN(2) == 0 {
+				if acquired > 0 && rng.IntN(2) == 0 {
 					s.Release()
-					held--
+					acquired--
 				} else if s.Acquire() {
-					held++
+					acquired++
 				}
 			}
-			for range held {
+			for range acquired {
 				s.Release()
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	shares[0].Resize(5, 0)
-	if b.Used() != 12 {
-		t.Errorf("%d booked, want the 12 that are owned", b.Used())
+	if budget.Used() != 12 {
+		t.Errorf("after all Releases: Used = %d, want the 12 reserved", budget.Used())
 	}
 	for _, s := range shares {
 		if s.Used() != 0 {
-			t.Errorf("%d held", s.Used())
+			t.Errorf("after all Releases: share uses %d, want 0", s.Used())
 		}
 		s.Close()
 	}
-	if b.Used() != 0 {
-		t.Errorf("%d booked in the end", b.Used())
+	if budget.Used() != 0 {
+		t.Errorf("after Close of all shares: Used = %d, want 0", budget.Used())
 	}
 }
 
-// A backend drains or leaves the list while a connection to it comes up: the attempt is not sent, and the descriptor
-// comes back.
-func TestLateConnectionIsNotUsed(t *testing.T) {
+// An endpoint starts draining or is removed while a connection to it is being established: the attempt ends with NotSent, and the
+// descriptor is released.
+func TestConnectionToDrainingOrRemovedEndpointIsNotUsed(t *testing.T) {
 	testbed.Leaks(t)
-	for name, out := range map[string]func(*Upstream){
+	for name, closeToNew := range map[string]func(*Upstream){
 		"drains": func(u *Upstream) { u.SetDraining(true) },
 		"leaves": (*Upstream).Retire,
 	} {
-		b := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
+		server := testbed.NewBackend(t, func(testbed.ReceivedRequest, int) string { return "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
 		budget := NewBudget(8)
 		p := NewPool(Options{ConnectTimeout: testbed.WaitTimeout}, budget)
-		dialing, goOn := make(chan struct{}), make(chan struct{})
+		dialing, proceed := make(chan struct{}), make(chan struct{})
 		p.dialer.Control = func(string, string, syscall.RawConn) error {
 			close(dialing)
-			<-goOn
+			<-proceed
 			return nil
 		}
-		u := p.Upstream(b.Addr, 0)
+		u := p.Upstream(server.Addr, 0)
 		got := make(chan Reply, 1)
 		r := &Request{Method: http.MethodGet, URI: "/", Host: "x", Header: http.Header{}}
-		go func() { got <- NewAttempt(u, r, time.Now().Add(testbed.WaitTimeout)).Do(refuseStream) }()
+		go func() { got <- NewAttempt(u, r, time.Now().Add(testbed.WaitTimeout)).Do(failOnStream) }()
 		testbed.Receive(t, "the dial", dialing)
-		out(u)
-		close(goOn)
-		if res := testbed.Receive(t, "the end", got).Result; res != balancer.NotSent {
-			t.Errorf("%s: result %d", name, res)
+		closeToNew(u)
+		close(proceed)
+		if res := testbed.Receive(t, "the reply", got).Result; res != balancer.NotSent {
+			t.Errorf("%s: result %d, want %d", name, res, balancer.NotSent)
 		}
-		if n := len(b.Requests()); n != 0 || budget.Used() != 0 {
-			t.Errorf("%s: %d requests sent, %d descriptors held", name, n, budget.Used())
+		if n := len(server.Requests()); n != 0 || budget.Used() != 0 {
+			t.Errorf("%s: backend received %d requests, %d descriptors in use; want 0, 0", name, n, budget.Used())
 		}
 		p.Close()
 	}
--- a/internal/backend/healthcheck.go
+++ b/internal/backend/healthcheck.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// HealthCheck requests path from an endpoint and returns the result.
+// HealthCheck sends a GET request for path to an endpoint and returns the result. It ends early if ctx is done.
 func HealthCheck(ctx context.Context, up *Upstream, path string, timeout time.Duration) Reply {
 	req := &Request{Method: http.MethodGet, URI: path, Header: http.Header{}}
 	a := NewAttempt(up, req, time.Now().Add(timeout))
@@ -17,7 +17,8 @@
 	return a.Do(func(int, http.Header, int64) io.Writer { return nil })
 }
 
-// ParseLoad reads a load report, "TEXT inflight=7, queue=2". What is not understood is passed over.
+// ParseLoad parses a load report such as "TEXT inflight=7, queue=2". It skips invalid pairs and returns nil if the prefix
+// "TEXT " is missing.
 func ParseLoad(text string) map[string]float64 {
 	text, ok := strings.CutPrefix(text, "TEXT ")
 	if !ok {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend sends requests to endpoints over HTTP/1.1. It has a connection pool for each endpoint and attempts, each
-// of which writes its request once on one connection and returns one result; nothing here retries.
+// Package backend sends requests to endpoints over HTTP/1.1. It keeps a connection pool for each endpoint. An attempt writes
+// its request once on one connection and returns one result; this package never retries.
 package backend
 
 import (
@@ -20,21 +20,23 @@
 
 // Options configure a Pool.
 type Options struct {
-	ConnectTimeout time.Duration // for a new connection
-	IdleTimeout    time.Duration
-	// ReuseDelay is how long a connection rests after a response before it is reused. Bytes that an endpoint sends late and
-	// unasked would otherwise be taken for the next response. 0 means none.
+	ConnectTimeout time.Duration // for a new connection; 0 means 250 ms
+	IdleTimeout    time.Duration // of endpoints; connections are closed after 70 % of it; 0 means 10 s
+	// ReuseDelay is the minimum idle time of a connection before it is reused. Without it, unsolicited bytes that an endpoint
+	// sends late would be taken for the next response. 0 means no delay.
 	ReuseDelay time.Duration
-	// IsAnswer reports whether a response with this status is forwarded; others are endpoint failures, whose short bodies
-	// come with the Reply. If nil, 200 alone is, and nothing of a failure's response is retained.
+	// IsAnswer reports whether a response with this status is forwarded. Other responses are endpoint failures; the Reply
+	// contains their bodies if these are short. If IsAnswer is nil, only status 200 is forwarded, and failure responses are
+	// discarded.
 	IsAnswer func(status int) bool
-	// PauseTimeout bounds the pauses within a response; 0 means 250 ms.
+	// PauseTimeout is the maximum pause within a response that has begun; 0 means 250 ms.
 	PauseTimeout time.Duration
-	// StallTimeout bounds the pauses within a response that is being streamed; 0 means 1.5 s.
+	// StallTimeout is the maximum pause within a response that is being streamed; 0 means 1.5 s.
 	StallTimeout time.Duration
-	// MaxResponseBytes bounds the announced length of a response; 0 means 32 MiB.
+	// MaxResponseBytes is the maximum Content-Length of a response; 0 means 32 MiB.
 	MaxResponseBytes int64
-	// StreamResponse reports by a response's head whether it is streamed however short it is; nil means none is.
+	// StreamResponse reports whether a response with this head is streamed regardless of its length. If nil, only long
+	// responses are streamed.
 	StreamResponse func(head http.Header) bool
 }
 
@@ -51,7 +53,7 @@
 	return p.opt.IsAnswer(status)
 }
 
-// Pool holds the idle connections to all endpoints. Its methods may be called by several goroutines at once.
+// Pool holds the idle connections to all endpoints. Its methods may be called concurrently.
 type Pool struct {
 	opt          Options
 	budget       Descriptors
@@ -60,7 +62,7 @@
 
 	mu        sync.Mutex
 	upstreams map[*Upstream]struct{}
-	sweeping  bool
+	sweeping  bool // a sweep is scheduled
 	closed    bool
 }
 
@@ -70,8 +72,8 @@
 	addr    string
 	since   time.Duration
 	idle    []*conn // ordered by lastUsed
-	retired bool
-	// closedToNew is set once the endpoint is removed or draining: no new attempt begins.
+	retired bool    // removed from the pool: returned connections are closed
+	// closedToNew is set while the endpoint is draining or once it is removed: no new attempt begins.
 	closedToNew atomic.Bool
 }
 
@@ -79,17 +81,17 @@
 type conn struct {
 	*net.TCPConn
 	br            *bufio.Reader
-	headBytesLeft int64
+	headBytesLeft int64 // of the response head being read; -1 if no head is being read
 	lastUsed      time.Time
 	upstream      *Upstream
 
-	attempt       *Attempt
-	responseBegun bool // some bytes of the response have arrived
+	attempt       *Attempt // whose pause timeout applies; nil if none does
+	responseBegun bool     // at least one byte of the response has been read
 }
 
-var errHeadTooLong = errors.New("the head of the answer is too long")
+var errHeadTooLong = errors.New("response head is too long")
 
-// Read bounds the response's head, for which net/http's parser has no limit.
+// Read limits the length of a response head, for which http.ReadResponse has no limit.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.headBytesLeft < 0 {
 		return c.readBounded(p)
@@ -102,14 +104,14 @@
 	return n, err
 }
 
-// readBounded bounds the pauses of a response that has begun. Otherwise an endpoint that stops half way would hold the
-// request until the client's deadline, when another one could still have served it.
+// readBounded limits the pauses within a response that has begun. Otherwise an endpoint that stops partway would hold the
+// request until its deadline, although another endpoint could still serve it.
 func (c *conn) readBounded(p []byte) (int, error) {
 	a := c.attempt
 	bounded := a != nil && c.responseBegun && a.extendWithin(c, a.upstream.pool.pauseTimeout())
 	n, err := c.TCPConn.Read(p)
 	if bounded && n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && a.extendWithin(c, pauseGrace) {
-		// If this process was not scheduled for so long, the rest may have arrived meanwhile.
+		// The timeout may have expired only because this process was not scheduled, and the rest may have arrived by now.
 		n, err = c.TCPConn.Read(p)
 	}
 	c.responseBegun = c.responseBegun || n > 0
@@ -130,10 +132,10 @@
 	return p
 }
 
-// Nowhere returns an endpoint without an address: attempts at it end as not sent.
+// Nowhere returns an endpoint without an address. Attempts to send to it end with NotSent.
 func (p *Pool) Nowhere() *Upstream { return &Upstream{pool: p, retired: true} }
 
-// Upstream adds an endpoint that started at since.
+// Upstream adds an endpoint with an address and the time at which it started.
 func (p *Pool) Upstream(addr string, since time.Duration) *Upstream {
 	u := &Upstream{pool: p, addr: addr, since: since}
 	p.mu.Lock()
@@ -145,10 +147,10 @@
 // Addr returns the endpoint's address.
 func (u *Upstream) Addr() string { return u.addr }
 
-// Since returns when the endpoint started.
+// Since returns the time at which the endpoint started.
 func (u *Upstream) Since() time.Duration { return u.since }
 
-// Retire removes an endpoint that has left the list or has moved. Attempts in flight go on.
+// Retire removes an endpoint that has left the endpoint list or has changed its address. Attempts in flight continue.
 func (u *Upstream) Retire() {
 	u.closedToNew.Store(true)
 	u.pool.mu.Lock()
@@ -158,7 +160,8 @@
 	u.CloseIdle()
 }
 
-// SetDraining sets whether the endpoint is draining: attempts that have not begun by then end as not sent.
+// SetDraining sets whether the endpoint is draining. While it is, attempts that have not yet obtained a connection end with
+// NotSent.
 func (u *Upstream) SetDraining(on bool) {
 	u.closedToNew.Store(on)
 	if on {
@@ -175,7 +178,7 @@
 	u.pool.dropAll(idle)
 }
 
-// Close closes all idle connections, and others when they are returned.
+// Close closes all idle connections now, and connections in use once they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -195,6 +198,7 @@
 	}
 }
 
+// drop closes the connection and releases its descriptor.
 func (c *conn) drop() {
 	c.Close()
 	c.upstream.pool.budget.Release()
@@ -202,6 +206,7 @@
 
 func (p *Pool) maxIdle() time.Duration { return p.opt.IdleTimeout * 7 / 10 }
 
+// reuse takes the most recently used usable connection that has been idle for at least ReuseDelay, or returns nil.
 func (u *Upstream) reuse(deadline time.Time) *conn {
 	p := u.pool
 	for {
@@ -224,7 +229,7 @@
 	}
 }
 
-// isUsable reports whether the peer has neither closed the connection nor sent anything unasked.
+// isUsable reports whether the peer has neither closed the connection nor sent unsolicited bytes.
 func (c *conn) isUsable() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -243,23 +248,24 @@
 	return ok && err == nil
 }
 
-// returnToPool puts a connection back into the pool, or closes it if the endpoint or the pool is closed.
+// returnToPool puts a connection that was used back into the pool, or closes it if the endpoint is retired or the pool is
+// closed.
 func (c *conn) returnToPool() {
 	c.lastUsed = time.Now()
 	c.insertIdle()
 }
 
-// insertIdle is returnToPool for a connection that was not used and so keeps its idle time.
+// insertIdle is like returnToPool, but for a connection that was not used: it keeps its lastUsed time.
 func (c *conn) insertIdle() {
 	u, p := c.upstream, c.upstream.pool
 	p.mu.Lock()
 	kept := !u.retired && !p.closed
 	if kept {
-		at := len(u.idle)
-		for at > 0 && u.idle[at-1].lastUsed.After(c.lastUsed) {
-			at--
+		index := len(u.idle)
+		for index > 0 && u.idle[index-1].lastUsed.After(c.lastUsed) {
+			index--
 		}
-		u.idle = slices.Insert(u.idle, at, c)
+		u.idle = slices.Insert(u.idle, index, c)
 		if !p.sweeping {
 			p.sweeping = true
 			time.AfterFunc(p.sweepInterval(), p.sweep)
@@ -273,8 +279,9 @@
 
 func (p *Pool) sweepInterval() time.Duration { return max(p.maxIdle()/8, time.Millisecond) }
 
+// sweep closes the connections that have been idle for maxIdle and schedules the next sweep while any are left.
 func (p *Pool) sweep() {
-	var old []*conn
+	var expired []*conn
 	any := false
 	p.mu.Lock()
 	for u := range p.upstreams {
@@ -282,7 +289,7 @@
 		for n < len(u.idle) && time.Since(u.idle[n].lastUsed) >= p.maxIdle() {
 			n++
 		}
-		old = append(old, u.idle[:n]...)
+		expired = append(expired, u.idle[:n]...)
 		u.idle = append(u.idle[:0], u.idle[n:]...)
 		any = any || len(u.idle) > 0
 	}
@@ -291,9 +298,10 @@
 		time.AfterFunc(p.sweepInterval(), p.sweep)
 	}
 	p.mu.Unlock()
-	p.dropAll(old)
+	p.dropAll(expired)
 }
 
+// evict closes the connection of the pool that has been idle the longest and reports whether there was one.
 func (p *Pool) evict() bool {
 	p.mu.Lock()
 	var oldest *Upstream
@@ -314,13 +322,13 @@
 }
 
 var (
-	errNoDescriptor = errors.New("no descriptor is left for a connection")
-	errNoAddress    = errors.New("the backend is not on the list")
-	errNotWanted    = errors.New("nobody waits for the answer any more")
+	errNoDescriptor = errors.New("no file descriptor available for a connection")
+	errNoAddress    = errors.New("endpoint is draining or not in the endpoint list")
+	errNotWanted    = errors.New("client no longer waits for the response")
 )
 
-// isLocalError reports whether a dial failed for lack of a local resource, which must not count as an endpoint's failure:
-// a shortage here would eject healthy endpoints.
+// isLocalError reports whether a dial failed for a local reason, such as a resource shortage. Such an error must not count as
+// a failure of the endpoint, because a local shortage would then eject healthy endpoints.
 func isLocalError(err error) bool {
 	for _, e := range []error{errNoDescriptor, errNoAddress, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL,
 		syscall.ENOBUFS, syscall.ENOMEM} {
@@ -339,18 +347,18 @@
 	if !p.budget.Acquire() {
 		return nil, errNoDescriptor
 	}
-	until := time.Now().Add(p.opt.ConnectTimeout)
-	if until.After(deadline) {
-		until = deadline
+	connectDeadline := time.Now().Add(p.opt.ConnectTimeout)
+	if connectDeadline.After(deadline) {
+		connectDeadline = deadline
 	}
-	ctx, cancel := context.WithDeadline(ctx, until)
+	ctx, cancel := context.WithDeadline(ctx, connectDeadline)
 	defer cancel()
-	nc, err := p.dialer.DialContext(ctx, "tcp", u.addr)
+	tcpConn, err := p.dialer.DialContext(ctx, "tcp", u.addr)
 	if err != nil {
-		p.budget.Release() // a failed dial holds no descriptor
+		p.budget.Release() // a failed dial uses no descriptor
 		return nil, err
 	}
-	c := &conn{TCPConn: nc.(*net.TCPConn), upstream: u, headBytesLeft: -1}
+	c := &conn{TCPConn: tcpConn.(*net.TCPConn), upstream: u, headBytesLeft: -1}
 	c.br = bufio.NewReaderSize(io.Reader(c), 4<<10)
 	if err := c.SetDeadline(deadline); err != nil {
 		c.drop()
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -20,21 +20,21 @@
 	Body        []byte
 	Length      int64 // Content-Length of a response to HEAD; -1 if not given
 	Streamed    bool
-	Unwanted    bool          // nothing was written, since the client has left
-	RetryAfter  time.Duration // of a 503; 0 if not given
+	Unwanted    bool          // nothing was written, because StillWanted returned false
+	RetryAfter  time.Duration // of a response with status 503; 0 if not given
 	FirstByteAt time.Time     // of a streamed response
-	LoadReport  string
+	LoadReport  string        // value of the Endpoint-Load-Metrics header
 }
 
-// Begin commits a request to the attempt whose response is to be streamed. It returns the client's writer, or nil if the
-// request has its final answer already.
+// Begin commits a request to the attempt whose response is to be streamed. It returns the writer to the client, or nil if the
+// request has already been answered.
 type Begin func(status int, header http.Header, length int64) io.Writer
 
-// readError fills in the reply to an error response. It returns true if the connection can be reused.
+// readError fills in reply from an error response. It returns true if the connection can be reused.
 func (a *Attempt) readError(c *conn, resp *http.Response, join func() error, reply *Reply) (clean bool) {
 	reply.Result = balancer.ServerError
-	mayPromise := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
-	if mayPromise && resp.Header.Get("X-Never-Ran") == "1" {
+	mayBeRejection := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
+	if mayBeRejection && resp.Header.Get("X-Never-Ran") == "1" {
 		reply.Result = balancer.Rejected
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
@@ -69,7 +69,7 @@
 	return 0
 }
 
-// delimited reports whether the response is framed by a length or by chunks.
+// delimited reports whether the response is framed by a Content-Length or by the chunked transfer coding.
 func delimited(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) == 1 && r.TransferEncoding[0] == "chunked"
 }
@@ -93,11 +93,12 @@
 			break
 		}
 	}
-	return nil, errors.New("no final answer")
+	return nil, errors.New("no final response after 8 heads, or 101 Switching Protocols")
 }
 
-// awaitVersion waits for the HTTP version that begins a response. net/http's parser waits for the end of the line, which
-// garbage may not have, while another endpoint could still serve the request.
+// awaitVersion waits for the HTTP version at the start of a response and returns an error as soon as a byte differs.
+// http.ReadResponse would wait for the end of the line, which may never come in invalid data, while another endpoint could
+// still serve the request.
 func (c *conn) awaitVersion() error {
 	const version = "HTTP/1."
 	for n := range len(version) {
@@ -106,38 +107,39 @@
 			return err
 		}
 		if b[n] != version[n] {
-			return errors.New("not an answer of HTTP/1")
+			return errors.New("response does not start with HTTP/1.")
 		}
 	}
 	return nil
 }
 
-// classifyFailure returns the result of a round trip without a response, by the errors of reading and writing.
-func (a *Attempt) classifyFailure(read, wrote error) balancer.Result {
+// classifyFailure returns the result of a round trip without a complete response from its read and write errors.
+func (a *Attempt) classifyFailure(readErr, writeErr error) balancer.Result {
 	switch {
 	case a.isCancelled():
 		return balancer.Cancelled
-	case wrote != nil && a.isOver():
+	case writeErr != nil && a.isInterrupted():
 		return balancer.NotSent
-	case !time.Now().Before(a.deadline) && errors.Is(read, os.ErrDeadlineExceeded):
+	case !time.Now().Before(a.deadline) && errors.Is(readErr, os.ErrDeadlineExceeded):
 		return balancer.TimedOut
-	case wrote != nil:
+	case writeErr != nil:
 		return balancer.NotConnected
-	case errors.Is(read, os.ErrDeadlineExceeded): // the response stalled
+	case errors.Is(readErr, os.ErrDeadlineExceeded): // the response stalled
 		return balancer.TimedOut
 	}
 	return balancer.ConnectionLost
 }
 
+// readBody reads a short response body completely, or begins to stream a long one. It returns true if the body is complete.
 func (a *Attempt) readBody(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
 	size := int64(CompleteAnswerBytes)
 	if n := resp.ContentLength; n >= 0 && n <= size {
 		size = n
 	} else if n > size {
-		size = 4 << 10 // it is streamed from its first bytes on
+		size = 4 << 10 // streamed from the first bytes on
 	}
 	buf := make([]byte, 0, min(size+1, 1<<10))
-	atOnce := a.upstream.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.upstream.pool.opt.StreamResponse(resp.Header)
+	streamImmediately := a.upstream.pool.opt.StreamResponse != nil && a.req.Method != http.MethodHead && a.upstream.pool.opt.StreamResponse(resp.Header)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
@@ -152,7 +154,7 @@
 			reply.Result = a.classifyFailure(err, nil)
 			return false
 		}
-		if atOnce && len(buf) > 0 || int64(len(buf)) > CompleteAnswerBytes || resp.ContentLength > CompleteAnswerBytes && len(buf) > 0 {
+		if streamImmediately && len(buf) > 0 || int64(len(buf)) > CompleteAnswerBytes || resp.ContentLength > CompleteAnswerBytes && len(buf) > 0 {
 			break
 		}
 	}
@@ -168,16 +170,17 @@
 
 var copyBuffers = sync.Pool{New: func() any { b := make([]byte, 32<<10); return &b }}
 
-// stream forwards the rest of the body. The deadline no longer applies, only the stall timeouts of both sides.
+// stream forwards first and then the rest of the body to w. The deadline of the attempt no longer applies, only the stall
+// timeouts of the endpoint and the client.
 func (a *Attempt) stream(c *conn, resp *http.Response, first []byte, w io.Writer, reply *Reply) bool {
-	p := copyBuffers.Get().(*[]byte)
-	defer copyBuffers.Put(p)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
 	c.attempt = nil
 	part, end := first, error(nil)
 	for {
 		if len(part) > 0 {
 			if _, err := w.Write(part); err != nil {
-				reply.Result = balancer.Cancelled // by the client
+				reply.Result = balancer.Cancelled // the client has left
 				return false
 			}
 		}
@@ -191,7 +194,7 @@
 		}
 		a.extendDeadline(c, time.Now().Add(a.upstream.pool.stallTimeout()))
 		var n int
-		n, end = resp.Body.Read(*p)
-		part = (*p)[:n]
+		n, end = resp.Body.Read(*buf)
+		part = (*buf)[:n]
 	}
 }
