--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the platform's endpoint list: it fetches snapshots, reads watches and delivers updates. A list
-// that is pushed is always watched; otherwise the balancer decides when to poll.
+// Package discovery tracks the platform's endpoint list: it fetches snapshots, reads watches and delivers updates. A pushed
+// list is always watched; otherwise the list is polled, and the balancer decides when to watch or fetch it.
 package discovery
 
 import (
@@ -20,20 +20,21 @@
 )
 
 const (
-	maxLineBytes = 8 << 20
+	maxLineBytes = 8 << 20 // of a line of a watch, or of a fetched list
 	dialTimeout  = time.Second
 
-	// A watch sends at least an empty line every 2 s. What a silent one misses counts as notified 6 s after its last line,
-	// which leaves time to call again.
+	// A watch sends at least an empty line every 2 s. A change that a silent watch misses counts as notified 6 s after its last
+	// line. A timeout of 3.5 s leaves time for another call before then.
 	defaultSilenceTimeout = 3500 * time.Millisecond
-	// The agent that pushes lists is on the same machine and answers at once. What it has counts as notified, so a failed
-	// call must be repeated well within the drain grace of a second.
+	// The agent that pushes lists runs on the same machine and responds at once. Changes that it knows count as notified, so a
+	// failed call must be repeated well within the drain grace period of 1 s.
 	agentTimeout         = 400 * time.Millisecond
 	defaultMinRetryPause = 100 * time.Millisecond
 	maxRetryPause        = 300 * time.Millisecond
 )
 
-// Client follows discovery. Its methods do not block, except for Stop, and may be called by several goroutines at once.
+// Client tracks the endpoint list of one discovery service. Its methods may be called concurrently and, except for Stop, do
+// not block.
 type Client struct {
 	pushed  bool
 	deliver func(Update)
@@ -43,32 +44,33 @@
 	calls   sync.WaitGroup
 
 	fetchTimeout     time.Duration // of a snapshot
-	firstLineTimeout time.Duration // until a watch sends its first line or, of a pushed list, its response's head
-	silenceTimeout   time.Duration // between two lines of a watch
-	minRetryPause    time.Duration // before a pushed list is watched again; doubled each time
+	firstLineTimeout time.Duration // until a watch sends its first line or, if lists are pushed, its response head
+	silenceTimeout   time.Duration // maximum time between two lines of a watch
+	minRetryPause    time.Duration // before a pushed list is watched again; doubled after each failure
 
-	deliverMu   sync.Mutex // updates are delivered one after the other, also those of concurrent calls
+	deliverMu   sync.Mutex // serializes the delivery of updates from concurrent calls
 	revision    uint64
-	hasRevision bool
+	hasRevision bool // revision is set
 
 	mu             sync.Mutex // acquired after deliverMu
 	url            string
 	addressCtx     context.Context // ends when Move changes the address
 	cancelAddress  context.CancelFunc
-	currentWatch   *watchCall    // the latest watch; nil once it has ended
-	overdueWatch   *watchCall    // the one before it, if that is overdue and may still be answered
-	addressChanged chan struct{} // a pushed list is to be watched at another address
+	currentWatch   *watchCall    // the watch started last; nil once it has ended
+	overdueWatch   *watchCall    // the previous watch, if it is overdue but may still receive a response
+	addressChanged chan struct{} // signals that a pushed list must be watched at a new address
 }
 
-// watchCall is one call of a watch. Its fields are guarded by Client.mu.
+// watchCall is one call that watches the list. Its fields are guarded by Client.mu.
 type watchCall struct {
 	cancel    context.CancelFunc
-	overdue   bool          // it was delivered as a failure
-	firstLine chan struct{} // closed with the first line
-	lastLine  time.Time     // when the last line came; zero if none has
+	overdue   bool          // a failure was delivered because no line arrived in time
+	firstLine chan struct{} // closed when the first line arrives
+	lastLine  time.Time     // when the last line arrived; zero if none has
 }
 
-// New returns a client of the discovery at addr; deliver is called with one update after the other. Start begins.
+// New returns a client of the discovery service at addr; Start starts it. deliver is called with each update, never
+// concurrently. If pushed is true, the service pushes lists, and the client always watches.
 func New(addr string, pushed bool, deliver func(Update)) *Client {
 	c := &Client{url: instancesURL(addr), addressChanged: make(chan struct{}, 1), pushed: pushed, deliver: deliver,
 		fetchTimeout: 5 * time.Second, firstLineTimeout: defaultSilenceTimeout, silenceTimeout: defaultSilenceTimeout, minRetryPause: defaultMinRetryPause}
@@ -77,7 +79,7 @@
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.addressCtx, c.cancelAddress = context.WithCancel(c.ctx)
-	// No connection is reused: net/http would repeat a call on a connection that has just died.
+	// Do not reuse connections: net/http would retry a call on a connection that has just broken.
 	c.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext:            (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		MaxResponseHeaderBytes: 64 << 10}}
@@ -86,8 +88,9 @@
 
 func instancesURL(addr string) string { return "http://" + addr + "/registry/instances" }
 
-// Move changes the address. The present list stays, and a full snapshot is fetched from the new address, whose revisions
-// have nothing to do with the former one's: address and revision change in one step, and calls at the former address end.
+// Move changes the address of the service. The current list stays valid until a full snapshot arrives from the new address.
+// Revisions of different addresses are unrelated, so address and revision change atomically, and calls to the previous address
+// are cancelled.
 func (c *Client) Move(addr string) {
 	c.deliverMu.Lock()
 	c.mu.Lock()
@@ -107,174 +110,178 @@
 	c.Watch(true)
 }
 
-// Start delivers the cached list, which may be nil, and begins to watch if lists are pushed. It returns an error if known
-// is not a valid list; it has started all the same.
-func (c *Client) Start(known []byte) error {
-	var u Update
+// Start delivers the cached list, which may be empty, and begins to watch if lists are pushed. It returns an error if cached is
+// not a valid list; the client is started even then.
+func (c *Client) Start(cached []byte) error {
+	var update Update
 	var err error
-	if len(known) > 0 && !bytes.Equal(known, []byte("null")) {
-		if c.revision, u, err = Parse(known); err == nil {
+	if len(cached) > 0 && !bytes.Equal(cached, []byte("null")) {
+		if c.revision, update, err = Parse(cached); err == nil {
 			c.hasRevision = true
 		} else {
-			u = Update{}
+			update = Update{}
 		}
 	}
-	u.Kind = balancer.UpdateCached
-	c.deliver(u)
+	update.Kind = balancer.UpdateCached
+	c.deliver(update)
 	if c.pushed {
 		c.calls.Go(func() { c.followPushed() })
 	}
 	return err
 }
 
-// Stop ends all calls and waits for them. Nothing is delivered after it has returned.
+// Stop cancels all calls and waits until they have ended. Nothing is delivered after it returns.
 func (c *Client) Stop() {
 	c.cancel()
 	c.calls.Wait()
 }
 
+// followPushed watches a pushed list until Stop, with a randomized pause between two watches.
 func (c *Client) followPushed() {
-	wait := c.minRetryPause
+	pause := c.minRetryPause
 	for c.ctx.Err() == nil {
 		c.mu.Lock()
-		here := c.addressCtx
+		watchCtx := c.addressCtx
 		c.mu.Unlock()
-		if c.readWatch(here, nil) {
-			wait = c.minRetryPause
+		if c.readWatch(watchCtx, nil) {
+			pause = c.minRetryPause
 		}
 		select {
 		case <-c.ctx.Done():
 		case <-c.addressChanged:
-			wait = c.minRetryPause
+			pause = c.minRetryPause
 			continue
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(pause/2 + rand.N(pause)):
 		}
-		wait = min(2*wait, maxRetryPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// Watch begins a watch in place of the present one, or ends it. An overdue one goes on beside the new one until either
-// sends a line, since an overloaded service may still answer it.
+// Watch starts a new watch that replaces the current one, or, if on is false, ends the current one. An overdue watch continues
+// in parallel with the new one until either receives a line, because an overloaded service may still respond to it. Watch has
+// no effect if lists are pushed.
 func (c *Client) Watch(on bool) {
 	if c.pushed {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if on && c.currentWatch != nil && c.currentWatch.overdue && !c.currentWatch.lastLine.IsZero() { // it was answered after all
+	if on && c.currentWatch != nil && c.currentWatch.overdue && !c.currentWatch.lastLine.IsZero() { // the overdue watch has received a line since
 		return
 	}
-	old := c.currentWatch
-	if c.currentWatch = nil; old != nil && (!on || !old.overdue) {
-		old.cancel()
-		old = nil
+	previous := c.currentWatch
+	if c.currentWatch = nil; previous != nil && (!on || !previous.overdue) {
+		previous.cancel()
+		previous = nil
 	}
-	if old != nil || !on {
+	if previous != nil || !on {
 		if c.overdueWatch != nil {
 			c.overdueWatch.cancel()
 		}
-		c.overdueWatch = old
+		c.overdueWatch = previous
 	}
 	if !on || c.ctx.Err() != nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(c.addressCtx)
-	a := &watchCall{cancel: cancel, firstLine: make(chan struct{})}
-	c.currentWatch = a
-	c.calls.Go(func() { c.reportOverdue(ctx, a) })
+	watch := &watchCall{cancel: cancel, firstLine: make(chan struct{})}
+	c.currentWatch = watch
+	c.calls.Go(func() { c.reportOverdue(ctx, watch) })
 	c.calls.Go(func() {
 		defer cancel()
-		c.readWatch(ctx, a)
-		c.watchEnded(ctx, a)
+		c.readWatch(ctx, watch)
+		c.watchEnded(ctx, watch)
 	})
 }
 
-// reportOverdue delivers a failure if a watch sends no line in time, and leaves the watch on.
-func (c *Client) reportOverdue(ctx context.Context, a *watchCall) {
-	t := time.NewTimer(c.firstLineTimeout)
-	defer t.Stop()
+// reportOverdue delivers a failure if a watch receives no line in time. The watch continues.
+func (c *Client) reportOverdue(ctx context.Context, watch *watchCall) {
+	timer := time.NewTimer(c.firstLineTimeout)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return
-	case <-a.firstLine:
+	case <-watch.firstLine:
 		return
-	case <-t.C:
+	case <-timer.C:
 	}
 	c.mu.Lock()
-	a.overdue = a.lastLine.IsZero()
-	tell := a.overdue
+	watch.overdue = watch.lastLine.IsZero()
+	report := watch.overdue
 	c.mu.Unlock()
-	if tell {
+	if report {
 		c.deliverFailure(ctx, 0)
 	}
 }
 
-// lineReceived notes a line of a watch. A watch's first line ends the other watch if there are two.
-func (c *Client) lineReceived(a *watchCall) {
+// lineReceived records a line of a watch. The first line of a watch cancels the other watch if there are two.
+func (c *Client) lineReceived(watch *watchCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.lastLine.IsZero() {
-		close(a.firstLine)
+	if watch.lastLine.IsZero() {
+		close(watch.firstLine)
 		switch {
-		case c.overdueWatch == a && c.currentWatch != nil:
+		case c.overdueWatch == watch && c.currentWatch != nil:
 			c.currentWatch.cancel()
 			fallthrough
-		case c.overdueWatch == a:
-			c.currentWatch, c.overdueWatch = a, nil
+		case c.overdueWatch == watch:
+			c.currentWatch, c.overdueWatch = watch, nil
 		case c.overdueWatch != nil:
 			c.overdueWatch.cancel()
 			c.overdueWatch = nil
 		}
 	}
-	a.lastLine = time.Now()
+	watch.lastLine = time.Now()
 }
 
-// watchEnded delivers a failure for a watch that has ended, unless one was delivered or the watch was cancelled here.
-func (c *Client) watchEnded(ctx context.Context, a *watchCall) {
+// watchEnded delivers a failure for a watch that has ended, unless it was already reported as overdue without a line since, or
+// ctx was cancelled by this client.
+func (c *Client) watchEnded(ctx context.Context, watch *watchCall) {
 	c.mu.Lock()
-	if c.currentWatch == a {
+	if c.currentWatch == watch {
 		c.currentWatch = nil
 	}
-	if c.overdueWatch == a {
+	if c.overdueWatch == watch {
 		c.overdueWatch = nil
 	}
-	tell, silent := !a.overdue || !a.lastLine.IsZero(), time.Duration(0)
-	if !a.lastLine.IsZero() {
-		silent = time.Since(a.lastLine)
+	report, silence := !watch.overdue || !watch.lastLine.IsZero(), time.Duration(0)
+	if !watch.lastLine.IsZero() {
+		silence = time.Since(watch.lastLine)
 	}
 	c.mu.Unlock()
-	if tell {
-		c.deliverFailure(ctx, silent)
+	if report {
+		c.deliverFailure(ctx, silence)
 	}
 }
 
-// Fetch fetches one snapshot. A failure is delivered as such.
+// Fetch fetches one snapshot in the background and delivers it or, on error, a failure.
 func (c *Client) Fetch() {
 	if c.ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
-	here := c.addressCtx
+	parent := c.addressCtx
 	c.mu.Unlock()
 	c.calls.Go(func() {
-		ctx, cancel := context.WithTimeout(here, c.fetchTimeout)
+		ctx, cancel := context.WithTimeout(parent, c.fetchTimeout)
 		defer cancel()
 		if c.fetch(ctx) != nil {
-			c.deliverFailure(here, 0)
+			c.deliverFailure(parent, 0)
 		}
 	})
 }
 
-// deliverFailure delivers that a call failed, or that a watch ended after a silence, unless ctx was cancelled here.
-func (c *Client) deliverFailure(ctx context.Context, silent time.Duration) {
+// deliverFailure delivers a failed call or an ended watch, unless ctx was cancelled by this client. silence is the time since
+// the last line of the watch, 0 if there is none.
+func (c *Client) deliverFailure(ctx context.Context, silence time.Duration) {
 	c.deliverMu.Lock()
 	defer c.deliverMu.Unlock()
 	if ctx.Err() == nil {
-		c.deliver(Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateFailed, SilentFor: silent}})
+		c.deliver(Update{EndpointUpdate: balancer.EndpointUpdate{Kind: balancer.UpdateFailed, SilentFor: silence}})
 	}
 }
 
-// startCall begins a watch or a fetch and returns the revision that was known as it began.
+// startCall starts a watch or a fetch and returns the response and the revision that was known at the start.
 func (c *Client) startCall(ctx context.Context, watch bool) (resp *http.Response, known knownRevision, err error) {
 	c.deliverMu.Lock()
 	c.mu.Lock()
@@ -292,7 +299,7 @@
 	return resp, known, err
 }
 
-// knownRevision is the revision of the latest delivered list, if there is one.
+// knownRevision is the revision of the list delivered last; known is false if none was delivered.
 type knownRevision struct {
 	revision uint64
 	known    bool
@@ -309,7 +316,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		return nil, fmt.Errorf("discovery answered %d", resp.StatusCode)
+		return nil, fmt.Errorf("discovery responded with status %d, want %d", resp.StatusCode, http.StatusOK)
 	}
 	return resp, nil
 }
@@ -325,14 +332,14 @@
 		return err
 	}
 	if len(text) > maxLineBytes {
-		return errors.New("the list is too long")
+		return fmt.Errorf("endpoint list must be at most %d bytes", maxLineBytes)
 	}
 	_, err = c.deliverLine(ctx, text, known)
 	return err
 }
 
-// deliverLine delivers a line of a call and returns the revision known afterwards; known is the one that was known when the
-// call began or its previous line was delivered.
+// deliverLine parses a line of a call and delivers its update. It returns the revision known afterwards; known is the revision
+// that was known when the call began or its previous line was delivered.
 func (c *Client) deliverLine(ctx context.Context, line []byte, known knownRevision) (knownRevision, error) {
 	rev, u, err := Parse(line)
 	if err != nil {
@@ -343,32 +350,32 @@
 	if err := ctx.Err(); err != nil {
 		return known, err
 	}
-	// An older update must not undo a newer one. A snapshot with a lower revision than was known when it was requested means
-	// that revisions have started anew; one that another call has overtaken since is stale.
+	// An older update must not undo a newer one. A snapshot with a lower revision than the one known when it was requested is
+	// accepted: the service has reset its revisions. A snapshot is stale if another call has delivered a newer list meanwhile.
 	if c.hasRevision && rev < c.revision && (u.Kind == balancer.UpdateDelta || known != (knownRevision{c.revision, true})) {
-		return known, fmt.Errorf("version %d after %d", rev, c.revision)
+		return known, fmt.Errorf("stale revision %d, already at %d", rev, c.revision)
 	}
 	c.revision, c.hasRevision = rev, true
 	c.deliver(u)
 	return knownRevision{rev, true}, nil
 }
 
-// readWatch reads a watch to its end and reports whether a list came. a is nil if lists are pushed.
-func (c *Client) readWatch(parent context.Context, a *watchCall) (got bool) {
+// readWatch reads a watch to its end and reports whether it delivered a list. watch is nil if lists are pushed.
+func (c *Client) readWatch(parent context.Context, watch *watchCall) (delivered bool) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	// A partitioned service closes nothing: a watch without complete lines is dead.
-	first := c.firstLineTimeout
-	if a != nil { // it is overdue by then, and goes on for as long beside the next call
-		first *= 2
-	}
-	alive := time.AfterFunc(first, cancel)
-	defer func() { alive.Stop() }()
-	lasts := func(d time.Duration) bool {
-		if !alive.Stop() {
+	// A service behind a network partition does not close its connections, so a watch without complete lines is cancelled.
+	firstTimeout := c.firstLineTimeout
+	if watch != nil { // after firstLineTimeout it is overdue and continues for as long again, in parallel with the next call
+		firstTimeout *= 2
+	}
+	expiry := time.AfterFunc(firstTimeout, cancel)
+	defer func() { expiry.Stop() }()
+	extend := func(d time.Duration) bool {
+		if !expiry.Stop() {
 			return false
 		}
-		alive = time.AfterFunc(d, cancel)
+		expiry = time.AfterFunc(d, cancel)
 		return true
 	}
 	resp, known, err := c.startCall(ctx, true)
@@ -376,37 +383,37 @@
 		return false
 	}
 	defer resp.Body.Close()
-	if a == nil && !lasts(c.silenceTimeout) { // of a polled list the head alone is no sign of life
+	if watch == nil && !extend(c.silenceTimeout) { // only for a pushed list does the response head count as a sign of life
 		return false
 	}
 	r := bufio.NewReaderSize(resp.Body, 4<<10)
 	var line []byte
-	var open objectScanner
+	var scanner objectScanner
 	for {
 		part, err := r.ReadSlice('\n')
 		line = append(line, part...)
-		if open.scan(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxLineBytes {
+		if scanner.scan(part); errors.Is(err, bufio.ErrBufferFull) && len(line) <= maxLineBytes {
 			continue
 		}
-		if err != nil || len(line) > maxLineBytes { // an incomplete line is dropped
-			return got
+		if err != nil || len(line) > maxLineBytes { // discard an incomplete line
+			return delivered
 		}
-		if open.unfinished() { // a list may be indented over several lines
+		if scanner.unfinished() { // a list may span several indented lines
 			continue
 		}
-		if !lasts(c.silenceTimeout) {
-			return got
+		if !extend(c.silenceTimeout) {
+			return delivered
 		}
-		if a != nil {
-			c.lineReceived(a)
+		if watch != nil {
+			c.lineReceived(watch)
 		}
 		if text := bytes.TrimSpace(line); len(text) > 0 {
 			if known, err = c.deliverLine(parent, text, known); err != nil {
-				return got
+				return delivered
 			}
-			got = true
+			delivered = true
 		}
-		open = objectScanner{}
+		scanner = objectScanner{}
 		if line = line[:0]; cap(line) > 64<<10 {
 			line = nil
 		}
--- a/internal/discovery/message.go
+++ b/internal/discovery/message.go
@@ -10,13 +10,13 @@
 	"robindrum/balancer"
 )
 
-// Update is an update of the endpoint list. Endpoints are the addresses of its servers by ID.
+// Update is an update of the endpoint list. Endpoints contains the addresses of its servers by ID.
 type Update struct {
 	balancer.EndpointUpdate
 	Endpoints map[string]string
 }
 
-// listMessage is a line of the platform's protocol; its themed names are mapped by Parse.
+// listMessage is a line of the platform's protocol. Parse maps its field names to those of package balancer.
 type listMessage struct {
 	Rev     *uint64          `json:"rev"`
 	All     bool             `json:"all"`
@@ -36,40 +36,40 @@
 
 var statesByWireName = map[string]balancer.State{"SERVING": balancer.Running, "DRAINING": balancer.Draining, "DELETED": balancer.Removed}
 
-// Parse decodes one line and returns its revision and update. It returns an error, and no part of the update, if anything
-// in the line is invalid.
+// Parse decodes one line and returns its revision and update. If any part of the line is invalid, it returns an error and the
+// update must not be used.
 func Parse(line []byte) (rev uint64, u Update, err error) {
-	var l listMessage
-	if err := json.Unmarshal(line, &l); err != nil {
-		return 0, u, fmt.Errorf("list: %w", err)
+	var list listMessage
+	if err := json.Unmarshal(line, &list); err != nil {
+		return 0, u, fmt.Errorf("list: decode JSON: %w", err)
 	}
-	if l.Rev == nil || l.Targets == nil {
-		return 0, u, errors.New("list: rev or targets is missing")
+	if list.Rev == nil || list.Targets == nil {
+		return 0, u, errors.New("list: rev and targets are required")
 	}
 	u.Kind = balancer.UpdateDelta
-	if l.All {
+	if list.All {
 		u.Kind = balancer.UpdateSnapshot
 	}
-	u.Endpoints = make(map[string]string, len(*l.Targets))
-	for _, t := range *l.Targets {
-		state, ok := statesByWireName[t.State]
-		if !ok || t.UID == "" {
-			return 0, u, fmt.Errorf("list: uid %q, state %q", t.UID, t.State)
+	u.Endpoints = make(map[string]string, len(*list.Targets))
+	for _, target := range *list.Targets {
+		state, ok := statesByWireName[target.State]
+		if !ok || target.UID == "" {
+			return 0, u, fmt.Errorf("list: uid must not be empty and state must be SERVING, DRAINING or DELETED, got uid %q, state %q", target.UID, target.State)
 		}
-		s := balancer.Server{ID: t.UID, Zone: t.AZ, Kind: t.Model, Cell: t.PodGroup, State: state, Weight: 1}
-		if t.Capacity != nil {
-			s.Weight = *t.Capacity
+		server := balancer.Server{ID: target.UID, Zone: target.AZ, Kind: target.Model, Cell: target.PodGroup, State: state, Weight: 1}
+		if target.Capacity != nil {
+			server.Weight = *target.Capacity
 		}
-		if t.BootMS > 0 && t.BootMS < 1<<43 {
-			s.Since = time.Duration(t.BootMS) * time.Millisecond
+		if target.BootMS > 0 && target.BootMS < 1<<43 {
+			server.Since = time.Duration(target.BootMS) * time.Millisecond
 		}
 		if state != balancer.Removed {
-			if _, port, err := net.SplitHostPort(t.Endpoint); err != nil || port == "" {
-				return 0, u, fmt.Errorf("list: uid %q, endpoint %q", t.UID, t.Endpoint)
+			if _, port, err := net.SplitHostPort(target.Endpoint); err != nil || port == "" {
+				return 0, u, fmt.Errorf("list: uid %q: endpoint must be host:port, got %q", target.UID, target.Endpoint)
 			}
-			u.Endpoints[t.UID] = t.Endpoint
+			u.Endpoints[target.UID] = target.Endpoint
 		}
-		u.Servers = append(u.Servers, s)
+		u.Servers = append(u.Servers, server)
 	}
-	return *l.Rev, u, nil
+	return *list.Rev, u, nil
 }
--- a/internal/discovery/notified_test.go
+++ b/internal/discovery/notified_test.go
@@ -17,87 +17,87 @@
 	"robindrum/balancer"
 )
 
-// module is the decision module as the node runs it, as far as the list goes.
-type module struct {
-	balancer.Host // nothing else is called
-	mu            sync.Mutex
-	bal           *balancer.Balancer
-	client        *Client
-	life          context.Context
-	told          chan time.Time // when it had the drain
+// balancerHost runs the balancer with a discovery client like the node does, but only for the endpoint list.
+type balancerHost struct {
+	balancer.Host  // methods that are not overridden here are never called
+	mu             sync.Mutex
+	bal            *balancer.Balancer
+	client         *Client
+	ctx            context.Context
+	drainDelivered chan time.Time // receives the time at which the drain was delivered
 }
 
-func (m *module) Watch(on bool) { m.client.Watch(on) }
-func (m *module) Fetch()        { m.client.Fetch() }
+func (m *balancerHost) Watch(on bool) { m.client.Watch(on) }
+func (m *balancerHost) Fetch()        { m.client.Fetch() }
 
-func (m *module) SetTimer(token uint64, after time.Duration) {
+func (m *balancerHost) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if m.life.Err() == nil {
+		if m.ctx.Err() == nil {
 			m.bal.Timer(time.Duration(time.Now().UnixNano()), token)
 		}
 	})
 }
 
-func (m *module) deliver(u Update) {
+func (m *balancerHost) deliver(u Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.bal.UpdateEndpoints(time.Duration(time.Now().UnixNano()), u.EndpointUpdate)
 	for _, s := range u.Servers {
 		if s.State == balancer.Draining {
 			select {
-			case m.told <- time.Now():
+			case m.drainDelivered <- time.Now():
 			default:
 			}
 		}
 	}
 }
 
-// service is discovery as it answers calls: whichever way it fails them until it can be reached.
+// service is a fake discovery service. Until reachableAt it fails each call in a random way.
 type service struct {
-	rng   *rand.Rand
-	mu    sync.Mutex
-	up    time.Time // it can be reached from then on
-	drain bool      // it has the drain to tell
-	open  []net.Conn
-	what  []string // what it did, for a test that fails
+	rng         *rand.Rand
+	mu          sync.Mutex
+	reachableAt time.Time // calls succeed from then on
+	draining    bool      // its list contains the drain
+	connections []net.Conn
+	history     []string // log of the calls, for the message of a failing test
 }
 
-func (s *service) note(text string) {
-	s.what = append(s.what, fmt.Sprintf("%v %s", time.Since(s.up).Round(time.Millisecond), text))
+func (s *service) record(text string) {
+	s.history = append(s.history, fmt.Sprintf("%v %s", time.Since(s.reachableAt).Round(time.Millisecond), text))
 }
 
-// dial begins a call.
+// dial opens the connection for a call, or fails it.
 func (s *service) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	s.mu.Lock()
-	down, way := time.Now().Before(s.up), s.rng.IntN(9)
-	if down && way < 2 {
-		s.note([]string{"refused", "never came up"}[way])
+	down, failure := time.Now().Before(s.reachableAt), s.rng.IntN(9)
+	if down && failure < 2 {
+		s.record([]string{"refused", "connect timeout"}[failure])
 	}
 	s.mu.Unlock()
 	switch {
-	case down && way == 0:
+	case down && failure == 0:
 		return nil, errors.New("refused")
-	case down && way == 1:
+	case down && failure == 1:
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	near, far := net.Pipe()
-	go s.serve(far, down, way)
-	return near, nil
+	clientSide, serverSide := net.Pipe()
+	go s.serve(serverSide, down, failure)
+	return clientSide, nil
 }
 
-func (s *service) serve(c net.Conn, down bool, way int) {
+func (s *service) serve(c net.Conn, down bool, failure int) {
 	defer c.Close()
 	s.mu.Lock()
-	wait := time.Duration(s.rng.Int64N(int64(time.Second)))
-	s.open = append(s.open, c)
-	drain := s.drain
-	if way > 1 || !down {
-		s.note(fmt.Sprintf("call, down %v, way %d", down, way))
+	queueDelay := time.Duration(s.rng.Int64N(int64(time.Second)))
+	s.connections = append(s.connections, c)
+	draining := s.draining
+	if failure > 1 || !down {
+		s.record(fmt.Sprintf("call, down %v, failure %d", down, failure))
 	}
 	s.mu.Unlock()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
@@ -105,16 +105,16 @@
 	}
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	if down {
-		switch way {
-		case 2: // hangs
+		switch failure {
+		case 2: // hang
 			_, _ = io.Copy(io.Discard, c)
-		case 3: // the head alone
+		case 3: // response head only
 			_, _ = io.WriteString(c, head)
 			_, _ = io.Copy(io.Discard, c)
-		case 4: // half a line
+		case 4: // partial line
 			_, _ = io.WriteString(c, head+"9\r\n{\"rev\":1,\r\n")
 			_, _ = io.Copy(io.Discard, c)
-		case 5: // trickles
+		case 5: // single bytes without a line
 			if _, err := io.WriteString(c, head); err != nil {
 				return
 			}
@@ -124,18 +124,18 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-		case 6: // turned away, in the end
+		case 6: // rejected after 2 s
 			time.Sleep(2 * time.Second)
 			fallthrough
-		case 7: // turned away at once
+		case 7: // rejected at once
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-		} // or closed with no answer
+		} // otherwise closed without a response
 		return
 	}
-	time.Sleep(wait) // in the queue
-	text := line(1, true, entry("s1", "SERVING"))
-	if drain {
-		text = line(100, true, entry("s1", "DRAINING"))
+	time.Sleep(queueDelay) // time in the queue
+	text := listLine(1, true, targetEntry("s1", "SERVING"))
+	if draining {
+		text = listLine(100, true, targetEntry("s1", "DRAINING"))
 	}
 	for {
 		if _, err := fmt.Fprintf(c, "%s%x\r\n%s\n\r\n", head, len(text)+1, text); err != nil {
@@ -146,27 +146,27 @@
 	}
 }
 
-// breaks ends the connections that are open.
-func (s *service) breaks() {
+// closeConnections closes all open connections.
+func (s *service) closeConnections() {
 	s.mu.Lock()
-	open := s.open
-	s.open = nil
+	connections := s.connections
+	s.connections = nil
 	s.mu.Unlock()
-	for _, c := range open {
+	for _, c := range connections {
 		c.Close()
 	}
 }
 
-// Whatever came before, several of it in a row and a move of discovery in between: a change is had within 6 s of the moment from
-// which on discovery can be reached. A call that is answered waits for up to 1 s.
+// After any sequence of failed calls, possibly with a Move in between, a change is delivered within 6 s of the time at which the
+// discovery service becomes reachable. The service delays each successful response by up to 1 s.
 func TestNotifiedInTimeAfterAnyFailure(t *testing.T) {
-	worst := time.Duration(0)
+	longest := time.Duration(0)
 	for seed := range uint64(400) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			s := &service{rng: rand.New(rand.NewPCG(seed, 4))} // its own, as it draws beside this one
-			life, end := context.WithCancel(t.Context())
-			m := &module{life: life, told: make(chan time.Time, 1)}
+			s := &service{rng: rand.New(rand.NewPCG(seed, 4))} // separate, because the service uses it concurrently with the test
+			ctx, cancel := context.WithCancel(t.Context())
+			m := &balancerHost{ctx: ctx, drainDelivered: make(chan time.Time, 1)}
 			m.client = New("127.0.0.1:1", false, m.deliver)
 			m.client.http = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: s.dial}}
 			var err error
@@ -175,31 +175,31 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := m.client.Start([]byte(line(1, true, entry("s1", "SERVING")))); err != nil {
+			if err := m.client.Start([]byte(listLine(1, true, targetEntry("s1", "SERVING")))); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(10 * time.Second) // a watch is on
+			time.Sleep(10 * time.Second) // a watch is open
 			s.mu.Lock()
-			s.drain = true
-			s.up = time.Now().Add(time.Duration(rng.Int64N(int64(25 * time.Second))))
-			up := s.up
+			s.draining = true
+			s.reachableAt = time.Now().Add(time.Duration(rng.Int64N(int64(25 * time.Second))))
+			reachableAt := s.reachableAt
 			s.mu.Unlock()
-			s.breaks()
+			s.closeConnections()
 			if rng.IntN(2) == 0 {
 				time.AfterFunc(time.Duration(rng.Int64N(int64(30*time.Second))), func() { m.client.Move("127.0.0.1:2") })
 			}
-			at := <-m.told
-			if took := at.Sub(up); took > 6*time.Second {
-				t.Errorf("seed %d: had %v behind the return: %q", seed, took, s.what)
+			deliveredAt := <-m.drainDelivered
+			if took := deliveredAt.Sub(reachableAt); took > 6*time.Second {
+				t.Errorf("seed %d: drain delivered %v after the service became reachable, want at most 6s; calls: %q", seed, took, s.history)
 			} else {
-				worst = max(worst, took)
+				longest = max(longest, took)
 			}
-			end()
-			s.breaks()
+			cancel()
+			s.closeConnections()
 			m.client.Stop()
-			s.breaks()
-			time.Sleep(time.Minute) // timers that are left
+			s.closeConnections()
+			time.Sleep(time.Minute) // let remaining timers expire
 		})
 	}
-	t.Logf("the longest took %v", worst)
+	t.Logf("longest time until delivery: %v", longest)
 }
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -1,6 +1,6 @@
 package discovery
 
-// objectScanner detects whether a JSON object is complete at the end of a line.
+// objectScanner tracks the nesting of a JSON value to detect whether it is complete at the end of a line.
 type objectScanner struct {
 	depth           int
 	quoted, escaped bool
@@ -23,5 +23,6 @@
 	}
 }
 
-// unfinished reports whether the object goes on behind the line. A line that ends within a string does not.
+// unfinished reports whether the object continues on the next line. It returns false within a string, which cannot contain a
+// line break.
 func (o *objectScanner) unfinished() bool { return o.depth > 0 && !o.quoted }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,90 +12,90 @@
 	"robindrum/internal/testbed"
 )
 
-func (c call) whole(text string) {
+func (c call) respond(text string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// A snapshot that was requested before a change and is read after it does not undo the change.
+// A snapshot requested before a change but received after it must not undo the change.
 func TestSnapshotOvertakenByADelta(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
-	w.Watch(true)
-	watch := testbed.Receive(t, "a call", w.calls)
-	watch.begin()
-	w.Fetch()
-	fetch := testbed.Receive(t, "a call", w.calls)
-	watch.chunk(line(9, false, entry("s1", "DRAINING")) + "\n")
-	w.expect(t, balancer.UpdateDelta, "s1")
-	fetch.whole(line(8, true, entry("s1", "SERVING")))
-	w.expect(t, balancer.UpdateFailed)
-	watch.chunk(line(10, false) + "\n") // the watch continues
-	w.expect(t, balancer.UpdateDelta)
+	h := startHarness(t, false, listLine(7, true, targetEntry("s1", "SERVING")), nil)
+	h.Watch(true)
+	watch := testbed.Receive(t, "a call", h.calls)
+	watch.writeHead()
+	h.Fetch()
+	fetch := testbed.Receive(t, "a call", h.calls)
+	watch.writeChunk(listLine(9, false, targetEntry("s1", "DRAINING")) + "\n")
+	h.expect(t, balancer.UpdateDelta, "s1")
+	fetch.respond(listLine(8, true, targetEntry("s1", "SERVING")))
+	h.expect(t, balancer.UpdateFailed)
+	watch.writeChunk(listLine(10, false) + "\n") // the watch continues
+	h.expect(t, balancer.UpdateDelta)
 }
 
-// Two snapshots are requested, and the older one is read last.
+// Of two snapshots in flight, the older one arrives last and must not replace the newer one.
 func TestSnapshotOvertakenByASnapshot(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, "", nil)
-	w.Fetch()
-	first := testbed.Receive(t, "a call", w.calls)
-	w.Fetch()
-	testbed.Receive(t, "a call", w.calls).whole(line(9, true, entry("s1", "DRAINING")))
-	w.expect(t, balancer.UpdateSnapshot, "s1")
-	first.whole(line(8, true, entry("s1", "SERVING")))
-	w.expect(t, balancer.UpdateFailed)
+	h := startHarness(t, false, "", nil)
+	h.Fetch()
+	first := testbed.Receive(t, "a call", h.calls)
+	h.Fetch()
+	testbed.Receive(t, "a call", h.calls).respond(listLine(9, true, targetEntry("s1", "DRAINING")))
+	h.expect(t, balancer.UpdateSnapshot, "s1")
+	first.respond(listLine(8, true, targetEntry("s1", "SERVING")))
+	h.expect(t, balancer.UpdateFailed)
 }
 
-// A service that has lost its revisions starts them anew: its next snapshot replaces the list.
-func TestRevisionsStartAnew(t *testing.T) {
+// A service that has lost its state resets its revisions. Its next snapshot replaces the list despite the lower revision.
+func TestSnapshotAfterRevisionResetReplacesList(t *testing.T) {
 	testbed.Leaks(t)
 	for _, pushed := range []bool{false, true} {
-		w := start(t, pushed, line(70, true, entry("s1", "SERVING")), nil)
-		w.Watch(true)
-		c := testbed.Receive(t, "a call", w.calls)
-		c.begin()
-		c.chunk(line(2, true, entry("s2", "SERVING")) + "\n")
-		w.expect(t, balancer.UpdateSnapshot, "s2")
-		c.chunk(line(1, true, entry("s3", "SERVING")) + "\n") // again, on the same watch
-		w.expect(t, balancer.UpdateSnapshot, "s3")
+		h := startHarness(t, pushed, listLine(70, true, targetEntry("s1", "SERVING")), nil)
+		h.Watch(true)
+		c := testbed.Receive(t, "a call", h.calls)
+		c.writeHead()
+		c.writeChunk(listLine(2, true, targetEntry("s2", "SERVING")) + "\n")
+		h.expect(t, balancer.UpdateSnapshot, "s2")
+		c.writeChunk(listLine(1, true, targetEntry("s3", "SERVING")) + "\n") // another reset, on the same watch
+		h.expect(t, balancer.UpdateSnapshot, "s3")
 	}
 }
 
-// A snapshot that was requested at the former address arrives after the move: it is dropped, is not reported as a failed call, and
-// leaves no revision for the next watch.
-func TestListOfTheFormerAddressIsDropped(t *testing.T) {
+// A snapshot requested at the previous address arrives after Move. It is dropped, not reported as a failed call, and its revision is
+// not used for the next watch.
+func TestListFromPreviousAddressIsDropped(t *testing.T) {
 	testbed.Leaks(t)
-	old := start(t, false, line(7, true, entry("s1", "SERVING")), nil)
-	next := start(t, false, "", nil) // only its listener is used
-	old.Fetch()
-	fetch := testbed.Receive(t, "a call", old.calls)
-	old.Move(next.addr)
+	previous := startHarness(t, false, listLine(7, true, targetEntry("s1", "SERVING")), nil)
+	next := startHarness(t, false, "", nil) // only its listener is used
+	previous.Fetch()
+	fetch := testbed.Receive(t, "a call", previous.calls)
+	previous.Move(next.addr)
 	c := testbed.Receive(t, "a call at the new address", next.calls)
 	if c.uri != "/registry/instances?watch=1" {
-		t.Errorf("called %s", c.uri)
+		t.Errorf("watch at the new address called %s, want no revision", c.uri)
 	}
-	fetch.whole(line(8, true, entry("late", "SERVING")))
+	fetch.respond(listLine(8, true, targetEntry("late", "SERVING")))
 	_, _ = io.Copy(io.Discard, fetch.conn) // the client has closed the connection
-	c.begin()
-	c.chunk(line(3, true, entry("s3", "SERVING")) + "\n")
-	old.expect(t, balancer.UpdateSnapshot, "s3")
+	c.writeHead()
+	c.writeChunk(listLine(3, true, targetEntry("s3", "SERVING")) + "\n")
+	previous.expect(t, balancer.UpdateSnapshot, "s3")
 	c.conn.Close()
-	old.expect(t, balancer.UpdateFailed)
-	old.Watch(true)
+	previous.expect(t, balancer.UpdateFailed)
+	previous.Watch(true)
 	if c := testbed.Receive(t, "a call", next.calls); c.uri != "/registry/instances?watch=1&after=3" {
-		t.Errorf("called %s", c.uri)
+		t.Errorf("next watch called %s, want after=3", c.uri)
 	}
 }
 
-// Bytes that do not complete a line are no sign of life, nor are empty lines within a list.
-func TestBytesWithoutLinesAreNoSignOfLife(t *testing.T) {
+// Bytes that do not complete a line, or line breaks within an incomplete list, do not extend the timeouts of a watch.
+func TestIncompleteLinesDoNotKeepWatchAlive(t *testing.T) {
 	testbed.Leaks(t)
-	for name, text := range map[string]string{"half a line": "x", "lines in half a list": "\n"} {
-		w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 100*time.Millisecond, 100*time.Millisecond })
-		w.Watch(true)
-		c := testbed.Receive(t, "a call", w.calls)
-		c.begin()
-		c.chunk(`{"rev":1,`)
+	for name, text := range map[string]string{"partial line": "x", "line breaks in a partial list": "\n"} {
+		h := startHarness(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 100*time.Millisecond, 100*time.Millisecond })
+		h.Watch(true)
+		c := testbed.Receive(t, "a call", h.calls)
+		c.writeHead()
+		c.writeChunk(`{"rev":1,`)
 		go func() {
 			for {
 				if _, err := fmt.Fprintf(c.conn, "%x\r\n%s\r\n", len(text), text); err != nil {
@@ -104,24 +104,24 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 		}()
-		if w.expect(t, balancer.UpdateFailed); t.Failed() {
+		if h.expect(t, balancer.UpdateFailed); t.Failed() {
 			t.Fatal(name)
 		}
 	}
 }
 
-// A watch that is answered but sends no line, or stops within a line, is given up.
-func TestWatchWithoutLinesIsGivenUp(t *testing.T) {
+// A watch that receives a response head but no line, or an incomplete line, fails after the timeout.
+func TestWatchWithoutLinesTimesOut(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
+	h := startHarness(t, false, "", func(c *Client) { c.firstLineTimeout, c.silenceTimeout = 50*time.Millisecond, 50*time.Millisecond })
 	for _, text := range []string{"", `{"rev":1,"all":true,"tar`, "{\n"} {
-		w.Watch(true)
-		c := testbed.Receive(t, "a call", w.calls)
-		c.begin()
+		h.Watch(true)
+		c := testbed.Receive(t, "a call", h.calls)
+		c.writeHead()
 		if text != "" {
-			c.chunk(text)
+			c.writeChunk(text)
 		}
-		w.expect(t, balancer.UpdateFailed)
+		h.expect(t, balancer.UpdateFailed)
 	}
 }
 
@@ -130,33 +130,33 @@
 	testbed.Leaks(t)
 	indented := func(rev int, id, state string) string {
 		var b bytes.Buffer
-		if err := json.Indent(&b, []byte(line(rev, true, entry(id, state))), "", "  "); err != nil {
+		if err := json.Indent(&b, []byte(listLine(rev, true, targetEntry(id, state))), "", "  "); err != nil {
 			t.Fatal(err)
 		}
 		return b.String()
 	}
-	w := start(t, false, "", nil)
-	w.Watch(true)
-	c := testbed.Receive(t, "a call", w.calls)
-	c.begin()
+	h := startHarness(t, false, "", nil)
+	h.Watch(true)
+	c := testbed.Receive(t, "a call", h.calls)
+	c.writeHead()
 	for i := range 3 {
-		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with a name that looks like the end of the list
-		c.chunk("\n" + text[:30])
-		c.chunk(text[30:] + "\n")
-		w.expect(t, balancer.UpdateSnapshot, fmt.Sprintf(`s{%d}"\`, i))
+		text := indented(i+1, fmt.Sprintf(`s{%d}"\`, i), "SERVING") + "\n" // with an ID that contains JSON delimiters
+		c.writeChunk("\n" + text[:30])
+		c.writeChunk(text[30:] + "\n")
+		h.expect(t, balancer.UpdateSnapshot, fmt.Sprintf(`s{%d}"\`, i))
 	}
-	w.Fetch()
-	testbed.Receive(t, "a call", w.calls).whole(indented(9, "s9", "SERVING"))
-	w.expect(t, balancer.UpdateSnapshot, "s9")
+	h.Fetch()
+	testbed.Receive(t, "a call", h.calls).respond(indented(9, "s9", "SERVING"))
+	h.expect(t, balancer.UpdateSnapshot, "s9")
 }
 
-// However often the watches of a pushed list hang, are refused or end, another one begins, and the time between two is shorter
-// than the time in which requests may still go to a draining server.
+// However often the watches of a pushed list hang, are reset or rejected, another one begins. The time between two watches is shorter
+// than the drain grace period of 1 s, during which requests may still be sent to a draining server.
 func TestPushedListIsWatchedAgain(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, true, line(7, true), func(c *Client) { c.firstLineTimeout, c.minRetryPause = 20*time.Millisecond, time.Millisecond })
+	h := startHarness(t, true, listLine(7, true), func(c *Client) { c.firstLineTimeout, c.minRetryPause = 20*time.Millisecond, time.Millisecond })
 	for i := range 12 {
-		c := testbed.Receive(t, "a call", w.calls)
+		c := testbed.Receive(t, "a call", h.calls)
 		switch i % 3 {
 		case 0: // hangs
 		case 1:
@@ -165,93 +165,93 @@
 			_, _ = io.WriteString(c.conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		}
 	}
-	c := testbed.Receive(t, "a call", w.calls)
-	c.begin()
-	c.chunk(line(8, false, entry("s1", "DRAINING")) + "\n")
-	w.expect(t, balancer.UpdateDelta, "s1")
-	if most := agentTimeout + maxRetryPause/2 + maxRetryPause; most >= time.Second {
-		t.Errorf("%v between two calls", most)
+	c := testbed.Receive(t, "a call", h.calls)
+	c.writeHead()
+	c.writeChunk(listLine(8, false, targetEntry("s1", "DRAINING")) + "\n")
+	h.expect(t, balancer.UpdateDelta, "s1")
+	if maxDelay := agentTimeout + maxRetryPause/2 + maxRetryPause; maxDelay >= time.Second {
+		t.Errorf("up to %v between two watches, want less than 1s", maxDelay)
 	}
 }
 
-// A call that hangs, or is answered in part, is reported as refused in time, once, and continues beside the next one. The one that
-// sends a line first is followed, and the other one is ended.
-func TestOverdueWatchBesideTheNext(t *testing.T) {
-	for name, half := range map[string]string{"hangs": "", "head alone": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-		"half a line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"rev\":1,\r\n"} {
-		for _, lateAnswers := range []bool{false, true} {
-			t.Run(fmt.Sprint(name, ", the late one answers: ", lateAnswers), func(t *testing.T) {
+// A watch that hangs, or receives only part of a response, is reported as failed in time and only once. It continues in parallel with the
+// next watch. The watch that receives a line first is kept, and the other one is cancelled.
+func TestOverdueWatchContinuesInParallel(t *testing.T) {
+	for name, partial := range map[string]string{"hangs": "", "head only": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+		"partial line": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{\"rev\":1,\r\n"} {
+		for _, overdueResponds := range []bool{false, true} {
+			t.Run(fmt.Sprint(name, ", overdue watch responds: ", overdueResponds), func(t *testing.T) {
 				testbed.Leaks(t)
-				w := start(t, false, line(1, true, entry("s0", "SERVING")), func(c *Client) { c.firstLineTimeout = 50 * time.Millisecond })
-				w.Watch(true)
-				late := testbed.Receive(t, "a call", w.calls)
-				_, _ = io.WriteString(late.conn, half)
-				w.expect(t, balancer.UpdateFailed)
-				w.firstLineTimeout = testbed.WaitTimeout // from here on no timeout expires
-				w.Watch(true)
-				next := testbed.Receive(t, "a call beside it", w.calls)
-				answers, ended := next, late
-				if lateAnswers {
-					answers, ended = late, next
+				h := startHarness(t, false, listLine(1, true, targetEntry("s0", "SERVING")), func(c *Client) { c.firstLineTimeout = 50 * time.Millisecond })
+				h.Watch(true)
+				overdue := testbed.Receive(t, "a call", h.calls)
+				_, _ = io.WriteString(overdue.conn, partial)
+				h.expect(t, balancer.UpdateFailed)
+				h.firstLineTimeout = testbed.WaitTimeout // long enough that no timeout expires from here on
+				h.Watch(true)
+				next := testbed.Receive(t, "the next call", h.calls)
+				responding, cancelled := next, overdue
+				if overdueResponds {
+					responding, cancelled = overdue, next
 				}
 				switch {
-				case half == "" || !lateAnswers:
-					answers.begin()
-					answers.chunk(line(7, true, entry("s1", "DRAINING")) + "\n")
-				case name == "half a line":
-					answers.chunk(line(7, true, entry("s1", "DRAINING"))[len(`{"rev":1,`):] + "\n")
+				case partial == "" || !overdueResponds:
+					responding.writeHead()
+					responding.writeChunk(listLine(7, true, targetEntry("s1", "DRAINING")) + "\n")
+				case name == "partial line":
+					responding.writeChunk(listLine(7, true, targetEntry("s1", "DRAINING"))[len(`{"rev":1,`):] + "\n")
 				default:
-					answers.chunk(line(7, true, entry("s1", "DRAINING")) + "\n")
+					responding.writeChunk(listLine(7, true, targetEntry("s1", "DRAINING")) + "\n")
 				}
-				w.expect(t, balancer.UpdateSnapshot, "s1")
-				testbed.Eventually(t, "the other one to be ended", func() bool { _, err := ended.conn.Write([]byte("\n")); return err != nil })
-				if lateAnswers { // the balancer may have planned a call before it was notified: the current one continues
-					w.Watch(true)
+				h.expect(t, balancer.UpdateSnapshot, "s1")
+				testbed.Eventually(t, "the other watch to be cancelled", func() bool { _, err := cancelled.conn.Write([]byte("\n")); return err != nil })
+				if overdueResponds { // the balancer may have scheduled this call before it was notified; the current watch continues
+					h.Watch(true)
 				}
-				answers.chunk(line(8, false, entry("s2", "SERVING")) + "\n")
-				w.expect(t, balancer.UpdateDelta, "s2")
-				answers.conn.Close()
-				w.expect(t, balancer.UpdateFailed)
-				if len(w.updates) != 0 || len(w.calls) != 0 {
-					t.Errorf("%d more updates, %d more calls", len(w.updates), len(w.calls))
+				responding.writeChunk(listLine(8, false, targetEntry("s2", "SERVING")) + "\n")
+				h.expect(t, balancer.UpdateDelta, "s2")
+				responding.conn.Close()
+				h.expect(t, balancer.UpdateFailed)
+				if len(h.updates) != 0 || len(h.calls) != 0 {
+					t.Errorf("%d unexpected updates, %d unexpected calls; want 0, 0", len(h.updates), len(h.calls))
 				}
 			})
 		}
 	}
 }
 
-// However many calls in a row hang, each is reported as refused in time, and no more than two are open at once.
+// However many consecutive calls hang, each is reported as failed in time and only once, and at most two are open at a time.
 func TestConsecutiveHangingCalls(t *testing.T) {
 	testbed.Leaks(t)
-	w := start(t, false, "", func(c *Client) { c.firstLineTimeout = 20 * time.Millisecond })
+	h := startHarness(t, false, "", func(c *Client) { c.firstLineTimeout = 20 * time.Millisecond })
 	var calls []call
 	for range 6 {
-		w.Watch(true)
-		calls = append(calls, testbed.Receive(t, "a call", w.calls))
-		w.expect(t, balancer.UpdateFailed)
+		h.Watch(true)
+		calls = append(calls, testbed.Receive(t, "a call", h.calls))
+		h.expect(t, balancer.UpdateFailed)
 	}
 	for i, c := range calls[:4] {
 		testbed.Eventually(t, fmt.Sprint("the end of call ", i), func() bool { _, err := c.conn.Write([]byte("\n")); return err != nil })
 	}
-	if len(w.updates) != 0 {
-		t.Errorf("told twice: %+v", w.next(t))
+	if len(h.updates) != 0 {
+		t.Errorf("unexpected update %+v, want one failure for each call", h.next(t))
 	}
 }
 
-// The time by which a change counts as notified, calculated from the timeouts for the worst cases: a call that hung, or a watch that
-// fell silent, at the moment in which discovery can be reached again. The next call begins within the balancer's maximum interval
-// after the one before, or after the last line.
+// A change must be received before it counts as notified after 6 s. This test computes the worst cases from the timeouts: a call hangs,
+// or a watch becomes silent, at the moment at which the discovery service becomes reachable again. The next call begins within the
+// balancer's maximum poll interval after the previous call or the last line.
 func TestNotifiedInTimeByCallSchedule(t *testing.T) {
-	const told, span = 6 * time.Second, balancer.MaxPollInterval
-	for name, at := range map[string]time.Duration{"an overdue call": defaultSilenceTimeout, "a silent watch": defaultSilenceTimeout, "a dial": dialTimeout} {
-		if at > span {
-			t.Errorf("%s is noticed after %v, behind the next call", name, at)
+	const notifiedAfter, maxInterval = 6 * time.Second, balancer.MaxPollInterval
+	for name, timeout := range map[string]time.Duration{"an overdue call": defaultSilenceTimeout, "a silent watch": defaultSilenceTimeout, "a dial": dialTimeout} {
+		if timeout > maxInterval {
+			t.Errorf("%s is detected after %v, want at most %v, before the next call", name, timeout, maxInterval)
 		}
 	}
-	if span >= told {
-		t.Errorf("no time is left for the call")
+	if maxInterval >= notifiedAfter {
+		t.Errorf("maximum poll interval %v leaves no time for a call within %v", maxInterval, notifiedAfter)
 	}
-	if pushed := agentTimeout + maxRetryPause/2 + maxRetryPause + defaultSilenceTimeout; pushed >= told {
-		t.Errorf("a pushed list's half answer takes %v until the next one", pushed)
+	if total := agentTimeout + maxRetryPause/2 + maxRetryPause + defaultSilenceTimeout; total >= notifiedAfter {
+		t.Errorf("after a partial response of a pushed list the next one takes up to %v, want less than %v", total, notifiedAfter)
 	}
 }
