--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -12,32 +12,32 @@
 		t.Fatal(err)
 	}
 	if _, err := p.Share(5, 0); err == nil {
-		t.Error("11 of 10 were promised")
+		t.Error("Share reserved 11 of 10 in total, want an error")
 	}
 	if _, err := p.Share(-1, 0); err == nil {
-		t.Error("less than nothing was promised")
+		t.Error("Share accepted a reservation of -1, want an error")
 	}
 	if p.Used() != 6 || p.Limit() != 10 {
-		t.Errorf("%d of %d", p.Used(), p.Limit())
+		t.Errorf("Used, Limit = %d, %d; want 6, 10", p.Used(), p.Limit())
 	}
 }
 
-// Whatever is taken, given and ended: a share always gets what it owns, never more than its most, and the pool's
-// bookings are what is held or owned.
+// After any sequence of Acquire, Release, Resize and Close: a share can always acquire its reservation and never more than its maximum,
+// and Used of the pool is the amount reserved or in use.
 func TestSharesUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPool(100)
 		type user struct {
 			*Share
-			own, most, held int64
-			ended           bool
+			reservation, maximum, acquired int64
+			closed                         bool
 		}
 		var users []*user
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(t *rapid.T) {
-				own, most := rapid.Int64Range(0, 30).Draw(t, "own"), rapid.SampledFrom([]int64{0, 30, 50}).Draw(t, "most")
-				if s, err := p.Share(own, most); err == nil {
-					users = append(users, &user{Share: s, own: own, most: most})
+				reservation, maximum := rapid.Int64Range(0, 30).Draw(t, "own"), rapid.SampledFrom([]int64{0, 30, 50}).Draw(t, "most")
+				if s, err := p.Share(reservation, maximum); err == nil {
+					users = append(users, &user{Share: s, reservation: reservation, maximum: maximum})
 				}
 			},
 			"take": func(t *rapid.T) {
@@ -48,13 +48,13 @@
 				n := rapid.Int64Range(0, 40).Draw(t, "n")
 				ok := u.Acquire(n)
 				if ok {
-					u.held += n
+					u.acquired += n
 				}
-				if !u.ended && u.held+n <= u.own && !ok {
-					t.Fatalf("%d of its own %d refused with %d held", n, u.own, u.held)
+				if !u.closed && u.acquired+n <= u.reservation && !ok {
+					t.Fatalf("Acquire(%d) = false with reservation %d and %d acquired, want true", n, u.reservation, u.acquired)
 				}
-				if u.most > 0 && u.held > u.most {
-					t.Fatalf("%d held of at most %d", u.held, u.most)
+				if u.maximum > 0 && u.acquired > u.maximum {
+					t.Fatalf("share has acquired %d, want at most %d", u.acquired, u.maximum)
 				}
 			},
 			"give": func(t *rapid.T) {
@@ -62,9 +62,9 @@
 					t.Skip()
 				}
 				u := rapid.SampledFrom(users).Draw(t, "user")
-				n := rapid.Int64Range(0, u.held).Draw(t, "n")
+				n := rapid.Int64Range(0, u.acquired).Draw(t, "n")
 				u.Release(n)
-				u.held -= n
+				u.acquired -= n
 			},
 			"end": func(t *rapid.T) {
 				if len(users) == 0 {
@@ -72,35 +72,35 @@
 				}
 				u := rapid.SampledFrom(users).Draw(t, "user")
 				u.Close()
-				u.ended = true
+				u.closed = true
 			},
 			"resize": func(t *rapid.T) {
 				if len(users) == 0 {
 					t.Skip()
 				}
 				u := rapid.SampledFrom(users).Draw(t, "user")
-				own := rapid.Int64Range(0, 40).Draw(t, "own")
-				if u.most > 0 {
-					own = min(own, u.most)
+				reservation := rapid.Int64Range(0, 40).Draw(t, "own")
+				if u.maximum > 0 {
+					reservation = min(reservation, u.maximum)
 				}
-				if !u.ended && u.Resize(own, u.most) == nil {
-					u.own = own
+				if !u.closed && u.Resize(reservation, u.maximum) == nil {
+					u.reservation = reservation
 				}
 			},
 			"": func(t *rapid.T) {
 				var want int64
 				for _, u := range users {
-					if u.ended {
-						want += u.held
+					if u.closed {
+						want += u.acquired
 					} else {
-						want += max(u.held, u.own)
+						want += max(u.acquired, u.reservation)
 					}
-					if u.Used() != u.held {
-						t.Fatalf("%d held, want %d", u.Used(), u.held)
+					if u.Used() != u.acquired {
+						t.Fatalf("Used of a share = %d, want %d", u.Used(), u.acquired)
 					}
 				}
 				if p.Used() != want || want > 100 {
-					t.Fatalf("%d booked, want %d", p.Used(), want)
+					t.Fatalf("Used of the pool = %d, want %d and at most 100", p.Used(), want)
 				}
 			},
 		})
