--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -93,7 +93,7 @@
 			break
 		}
 	}
-	return nil, errors.New("no final response after 8 heads, or 101 Switching Protocols")
+	return nil, errors.New("no final response within 8 heads, or unexpected 101 Switching Protocols")
 }
 
 // awaitVersion waits for the HTTP version at the start of a response and returns an error as soon as a byte differs.
@@ -107,7 +107,7 @@
 			return err
 		}
 		if b[n] != version[n] {
-			return errors.New("response does not start with HTTP/1.")
+			return errors.New(`response does not start with "HTTP/1."`)
 		}
 	}
 	return nil
