--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,10 +1,10 @@
-// Package subscription decides how the gateways of one site share one subscription to the control plane: whose updates a gateway
-// accepts, and when it opens a stream to the control plane itself. It has no clock, no I/O and no goroutine; time and chance are
-// arguments.
+// Package subscription decides how the gateways of one site share one subscription to the control plane: which updates a gateway
+// accepts, and when it opens its own (direct) stream to the control plane. The package has no clock, I/O or goroutines; the caller
+// passes the current time and the random fraction that spreads the opening of streams.
 //
-// The holder of the site's lease has a stream to the control plane and sends what it accepted to the other gateways, under the lease's
-// fencing token and a sequence number. A gateway accepts nothing that is older, by token and then by sequence number, than what it has
-// accepted; so no older version replaces a newer one, whoever sends it and however late it arrives.
+// The holder of the site's lease is the leader. It has a stream to the control plane and sends the resources that it accepted to the
+// other gateways, with the lease's fencing token and a sequence number. A gateway applies no update that is older than the last one it
+// accepted, comparing tokens first and then sequence numbers, so neither a delayed update nor a former leader replaces a newer version.
 package subscription
 
 import (
@@ -15,43 +15,43 @@
 
 // Options configure a Subscription.
 type Options struct {
-	// DirectAfter is how long a gateway goes without hearing from a leader before it opens a direct stream.
+	// DirectAfter is how long a leader must be silent before a gateway opens a direct stream.
 	DirectAfter time.Duration
-	// Spread is up to how much longer it waits, so that not all gateways open their streams at once.
+	// Spread is the maximum additional delay. It keeps the gateways from opening their streams all at once.
 	Spread time.Duration
-	// Chance is this gateway's part of Spread, from 0 to 1, drawn once for each process.
+	// Chance is the fraction of Spread that this gateway waits, from 0 to 1, drawn at random once per process.
 	Chance float64
 }
 
-// Mode is where a gateway's updates come from.
+// Mode is the source of a gateway's updates.
 type Mode string
 
 // Modes of a gateway.
 const (
-	Waiting   Mode = "waiting"   // just started, no leader has been heard from
-	Following Mode = "following" // from the leader, without a direct stream
-	Direct    Mode = "own"       // from a direct stream
-	Leading   Mode = "holding"   // from a direct stream, and it sends updates to the others
+	Waiting   Mode = "waiting"   // just started, no update was accepted yet
+	Following Mode = "following" // updates from the leader, no direct stream
+	Direct    Mode = "own"       // updates from a direct stream
+	Leading   Mode = "holding"   // updates from a direct stream, which the gateway sends to the others
 )
 
-// Update is what a leader sends. It serves as a heartbeat also when nothing has changed.
+// Update is a message from the leader to the other gateways. It is also the heartbeat, so it is sent even if nothing has changed.
 type Update struct {
 	Token uint64 `json:"token"`
-	// Seq is the number of the last change under the token; 0: the leader does not know yet whether what it has is current.
+	// Seq is the sequence number of the last change under the token; 0 while the leader does not know whether its state is current.
 	Seq uint64 `json:"seq"`
-	// Base: the update has what changed since this Seq.
+	// Base is the sequence number that a delta starts from: it contains all changes after Base.
 	Base uint64 `json:"base"`
-	// Full: the update is a full snapshot, not a delta.
+	// Full reports whether the update is a full snapshot rather than a delta.
 	Full bool `json:"whole"`
-	// Digest is of everything that the leader has in use.
+	// Digest is the digest of all resources that the leader has in use.
 	Digest uint64 `json:"digest"`
-	// Connected: the leader's stream is open. If not, the update has the control plane's last state.
+	// Connected reports whether the leader's stream is open. If not, the update contains the last state that the control plane sent.
 	Connected bool `json:"connected"`
-	// Age is the time since the control plane's last message, in nanoseconds.
+	// Age is the time since the control plane's last message, in nanoseconds when encoded.
 	Age time.Duration `json:"age"`
 }
 
-// Verdict is what a gateway does with an update.
+// Verdict is the decision on an update.
 type Verdict string
 
 // Verdicts on an update.
@@ -59,12 +59,12 @@
 	Accept       Verdict = "take"    // apply it
 	Unchanged    Verdict = "same"    // nothing new in it
 	NeedSnapshot Verdict = "need"    // ask for a full snapshot
-	Compare      Verdict = "compare" // call Adopt if this full snapshot has everything that is in use here
-	Reject       Verdict = "refuse"  // its token is older than the highest seen
-	Diverged     Verdict = "alone"   // this gateway has a direct stream, which says something else
+	Compare      Verdict = "compare" // call Adopt if this full snapshot contains all resources in use here
+	Reject       Verdict = "refuse"  // its token is lower than the highest seen
+	Diverged     Verdict = "alone"   // this gateway has a direct stream, whose state differs
 )
 
-// noneMissing is the value of Subscription.missingSince while nothing is missing.
+// noneMissing is the value of Subscription.missingSince while no resource is missing.
 const noneMissing = -1
 
 // version orders updates: by token, then by sequence number.
@@ -79,23 +79,24 @@
 
 func (u Update) version() version { return version{token: u.Token, seq: u.Seq} }
 
-// Subscription is one gateway's part in its site's subscription. It must not be used concurrently.
+// Subscription is the state of one gateway in its site's shared subscription. It must not be used concurrently.
 type Subscription struct {
 	opt       Options
 	mode      Mode
 	modeSince time.Duration
 	fence     lease.Fence
 	accepted  version
-	// heardAt is when a leader was heard from last, updateAge the Age of its update.
+	// heardAt is when a leader was last heard from. updateAge is the Age of the last update that was neither
+	// rejected, delayed nor a heartbeat with Seq 0.
 	heardAt   time.Duration
 	updateAge time.Duration
-	// missingSince is since when a resource is wanted that the leader does not send; noneMissing: none is.
+	// missingSince is when a resource that this gateway wants began to be missing from the updates; noneMissing if none is missing.
 	missingSince time.Duration
-	// compared is the version that got the verdict Compare last; nil: none did since the direct stream was opened.
+	// compared is the last version that got the verdict Compare; nil if none did since Tick last opened a direct stream.
 	compared *version
 }
 
-// New returns a Subscription in the mode Waiting.
+// New returns a Subscription in mode Waiting.
 func New(now time.Duration, opt Options) *Subscription {
 	return &Subscription{opt: opt, mode: Waiting, modeSince: now, heardAt: now, missingSince: noneMissing}
 }
@@ -106,8 +107,8 @@
 // WantsStream reports whether the gateway needs a direct stream to the control plane.
 func (s *Subscription) WantsStream() bool { return s.mode == Direct || s.mode == Leading }
 
-// LastUpdate returns the token and sequence number of the update that was accepted last, how long ago a leader was heard from, and how
-// old the control plane's last message was then.
+// LastUpdate returns the token and sequence number of the last accepted update, the time since a leader was last heard from, and the
+// age that the control plane's last message had in the last update.
 func (s *Subscription) LastUpdate(now time.Duration) (token, seq uint64, heard, age time.Duration) {
 	return s.accepted.token, s.accepted.seq, now - s.heardAt, s.updateAge
 }
@@ -122,7 +123,7 @@
 	}
 }
 
-// Receive returns what to do with an update. digest is of everything that is in use here.
+// Receive records an update and returns what to do with it. digest is the digest of all resources in use here.
 func (s *Subscription) Receive(now time.Duration, update Update, digest uint64) Verdict {
 	if !s.fence.Admit(update.Token) {
 		return Reject
@@ -134,10 +135,10 @@
 		return Unchanged
 	}
 	if s.mode == Leading {
-		return Diverged // another gateway leads now; the task here is about to end
+		return Diverged // another gateway leads now, so this gateway's leader-only task is about to end
 	}
 	if update.version().olderThan(s.accepted) {
-		return Unchanged // it was delayed
+		return Unchanged // delayed
 	}
 	s.heardAt = now
 	s.updateAge = update.Age
@@ -157,7 +158,8 @@
 	return NeedSnapshot
 }
 
-// receiveWhileDirect follows the leader again once it has the same in use as this gateway. Each version is compared once.
+// receiveWhileDirect handles an update while a direct stream is open. The gateway follows the leader again once both have the same
+// resources in use. It requests no snapshot of a version that was compared already.
 func (s *Subscription) receiveWhileDirect(now time.Duration, update Update, digest uint64) Verdict {
 	received := update.version()
 	switch {
@@ -178,8 +180,8 @@
 	s.setMode(now, Following)
 }
 
-// Adopt makes a gateway with a direct stream follow the leader of a full snapshot that got the verdict Compare and has everything that
-// is in use here. It returns false where something newer was received in the meantime, or the gateway has no direct stream.
+// Adopt makes the gateway follow the leader without applying update, a full snapshot that got the verdict Compare and contains all
+// resources in use here. It returns false if a newer update was received in the meantime or the mode is not Direct.
 func (s *Subscription) Adopt(now time.Duration, update Update) bool {
 	if s.mode != Direct || update.version().olderThan(s.accepted) || update.Token < s.fence.Highest {
 		return false
@@ -188,13 +190,13 @@
 	return true
 }
 
-// Lead makes this gateway the leader, under a fencing token.
+// Lead makes this gateway the leader under a fencing token.
 func (s *Subscription) Lead(now time.Duration, token uint64) {
 	s.fence.Admit(token)
 	s.setMode(now, Leading)
 }
 
-// Release ends the leadership. The gateway stays on its direct stream until another leader has the same in use.
+// Release ends the leadership. The gateway keeps its direct stream until another leader has the same resources in use.
 func (s *Subscription) Release(now time.Duration) {
 	if s.mode == Leading {
 		s.heardAt = now
@@ -202,7 +204,7 @@
 	}
 }
 
-// SetMissing records whether a resource is wanted that no update has mentioned.
+// SetMissing records whether a resource that this gateway wants has not been received yet.
 func (s *Subscription) SetMissing(now time.Duration, missing bool) {
 	switch {
 	case !missing:
@@ -212,8 +214,8 @@
 	}
 }
 
-// Tick switches to a direct stream when the leader has been silent, or a resource has been missing, for too long. It returns when to
-// call it again at the latest; 0: not until the mode has changed.
+// Tick switches to a direct stream if the leader has been silent, or a resource has been missing, for too long. It returns the time by
+// which it must be called again; 0 means that no call is needed until the mode has changed.
 func (s *Subscription) Tick(now time.Duration) (next time.Duration) {
 	if s.WantsStream() {
 		return 0
