--- a/internal/failoverplan/failoverplan.go
+++ b/internal/failoverplan/failoverplan.go
@@ -1,8 +1,8 @@
-// Package failoverplan computes where the load of a site goes when the site fails: what the other sites serve of it, what is rejected
-// and of which class, and what their own users keep. Its functions are pure.
+// Package failoverplan computes where a site's load goes when the site fails: how much of it the other sites serve, how much of each
+// class is rejected, and how much the other sites still serve to their own users. Its functions are pure.
 //
-// A site's capacity is given by class, as the requests a second that it could serve of that class alone. A load uses the sum of its
-// rates over these capacities; the full capacity is 1.
+// A site's capacity is given per class, as the requests per second that the site could serve if it served only that class. The
+// utilization by a load is the sum over the classes of the rate divided by the capacity; 1 is the full capacity.
 package failoverplan
 
 import (
@@ -14,37 +14,37 @@
 )
 
 const (
-	// MaxSites is the number of sites that a plan may have.
+	// MaxSites is the maximum number of sites in a plan.
 	MaxSites   = 16
 	maxClasses = 64
-	maxRate    = 1e9  // requests a second
-	tolerance  = 1e-9 // of sums of fractions, for rounding
+	maxRate    = 1e9  // requests per second
+	tolerance  = 1e-9 // rounding error allowed in sums of fractions
 )
 
-// Rates are requests a second by class.
+// Rates are requests per second by class.
 type Rates map[string]float64
 
 // Class is a request class.
 type Class struct {
 	Name           string
-	PriorityWeight float64 // classes of a lower weight are rejected first
+	PriorityWeight float64 // classes with a lower weight are rejected first
 	// Floor is the fraction of the class's load that is served before any class gets more than its floor.
 	Floor float64
 }
 
-// FailoverTarget is a site that takes over load of a failed site.
+// FailoverTarget is a site that takes over a fraction of a failed site's load.
 type FailoverTarget struct {
 	Site     string
 	Fraction float64 // of the load of each class
 }
 
-// Site is a site of a plan.
+// Site holds the capacity, the expected load and the failover targets of a site.
 type Site struct {
 	Name     string
 	Capacity Rates
 	Load     Rates            // expected; nil: unknown
 	Targets  []FailoverTarget // in order of preference
-	// MaxSpillover is the fraction of the site's capacity that load of other sites may use.
+	// MaxSpillover is the maximum fraction of the site's capacity that the load of other sites may use.
 	MaxSpillover float64
 }
 
@@ -54,26 +54,26 @@
 	Sites   []Site
 }
 
-// Allocation is the part of a class's load of one site that is sent to one site.
+// Allocation is the part of one site's load of a class that is sent to one serving site.
 type Allocation struct {
 	From      string  `json:"from"`
-	At        string  `json:"at,omitempty"` // empty: no site takes it
+	At        string  `json:"at,omitempty"` // serving site; empty if no site takes the load
 	Class     string  `json:"class"`
-	Requested float64 `json:"asked"` // requests a second
-	Served    float64 `json:"served"`
+	Requested float64 `json:"asked"`  // requests per second
+	Served    float64 `json:"served"` // requests per second
 }
 
-// Outcome is the result of the loss of sites.
+// Outcome is the result of losing sites.
 type Outcome struct {
 	Lost []string `json:"lost"`
-	// Allocations are sorted by serving site, origin and class of descending weight.
+	// Allocations are sorted by serving site, then by origin, then by descending priority weight of the class.
 	Allocations []Allocation `json:"shares"`
-	// Utilization is the used fraction of the capacity of each remaining site that receives load.
+	// Utilization is the fraction of its capacity that each remaining site with load uses.
 	Utilization map[string]float64 `json:"used"`
 }
 
-// Rejected returns the requests a second that are not served.
-func (s *Allocation) Rejected() float64 { return max(s.Requested-s.Served, 0) }
+// Rejected returns the requests per second that are not served.
+func (a *Allocation) Rejected() float64 { return max(a.Requested-a.Served, 0) }
 
 func (p *Plan) site(name string) int {
 	return slices.IndexFunc(p.Sites, func(s Site) bool { return s.Name == name })
@@ -86,7 +86,7 @@
 	return Class{Name: name}
 }
 
-// SingleLosses returns the losses of each site alone.
+// SingleLosses returns, for each site, the loss of that site alone.
 func (p *Plan) SingleLosses() (losses [][]string) {
 	for _, s := range p.Sites {
 		losses = append(losses, []string{s.Name})
@@ -94,7 +94,7 @@
 	return losses
 }
 
-// PairLosses returns the losses of each pair of sites, if there are three sites or more.
+// PairLosses returns the loss of each pair of sites, or nil if the plan has fewer than three sites.
 func (p *Plan) PairLosses() (losses [][]string) {
 	if len(p.Sites) < 3 {
 		return nil
@@ -107,8 +107,8 @@
 	return losses
 }
 
-// Lose computes the outcome of the loss of sites. The load by site replaces the expected load of the sites it has. Load for which a
-// target has no capacity is rejected there rather than sent to the next target, as a request crosses sites at most once.
+// Lose computes the outcome of losing the sites named in lost. load replaces the expected load of the sites that it contains. Load that
+// exceeds what a target can serve is rejected there and not sent to the next target, because a request crosses sites at most once.
 func (p *Plan) Lose(lost []string, load map[string]Rates) Outcome {
 	outcome := Outcome{Lost: slices.Sorted(slices.Values(lost)), Utilization: map[string]float64{}}
 	bySite := map[string][]Allocation{} // by serving site
@@ -137,13 +137,14 @@
 	return outcome
 }
 
-// compareWeight orders classes by descending priority weight.
+// compareWeight compares two classes for sorting by descending priority weight.
 func (p *Plan) compareWeight(a, b string) int {
 	return cmp.Compare(p.class(b).PriorityWeight, p.class(a).PriorityWeight)
 }
 
-// route divides a site's load of a class among the sites that are to serve it. The fractions of targets that are lost as well go to the
-// remaining ones as far as these may take more; what no site takes is allocated at "".
+// route divides a site's load of a class among the sites that are to serve it. A site that is not lost serves its own load. Of a lost
+// site's load, each target that is not lost and has capacity for the class gets its fraction, up to what the targets before it left. The
+// rest is allocated with an empty At.
 func (p *Plan) route(s *Site, class string, rate float64, lost []string) []Allocation {
 	if !slices.Contains(lost, s.Name) {
 		return []Allocation{{From: s.Name, At: s.Name, Class: class, Requested: rate}}
@@ -164,10 +165,10 @@
 	return allocations
 }
 
-// allocate divides a site's capacity among allocations and sets what is served: first the floors, then by descending weight and, at
-// equal weight, the site's own load before that of others, which is bounded by MaxSpillover. It returns the utilization.
+// allocate divides a site's capacity among allocations, sets Served in each, and returns the utilization. It first serves the floors and
+// then the remaining load, each in the order of serviceOrder. MaxSpillover bounds the capacity that other sites' load uses.
 func (p *Plan) allocate(s *Site, allocations []Allocation) float64 {
-	left, spillover := 1.0, s.MaxSpillover
+	left, spilloverLeft := 1.0, s.MaxSpillover
 	serve := func(a *Allocation, rate float64) {
 		capacity := s.Capacity[a.Class]
 		if capacity <= 0 || rate <= 0 {
@@ -175,8 +176,8 @@
 		}
 		used := min(rate/capacity, left)
 		if a.From != s.Name {
-			used = min(used, spillover)
-			spillover -= used
+			used = min(used, spilloverLeft)
+			spilloverLeft -= used
 		}
 		left -= used
 		a.Served += used * capacity
@@ -191,25 +192,26 @@
 	return 1 - max(left, 0)
 }
 
-// serviceOrder returns the allocations at a site in the order in which they are served.
+// serviceOrder returns the allocations at a site in the order in which they are served: by descending priority weight and, at equal
+// weight, the site's own load before that of other sites.
 func (p *Plan) serviceOrder(s *Site, allocations []Allocation) []*Allocation {
 	order := make([]*Allocation, len(allocations))
 	for i := range allocations {
 		order[i] = &allocations[i]
 	}
-	foreign := func(a *Allocation) int {
+	originRank := func(a *Allocation) int {
 		if a.From == s.Name {
 			return 0
 		}
 		return 1
 	}
 	slices.SortStableFunc(order, func(a, b *Allocation) int {
-		return cmp.Or(p.compareWeight(a.Class, b.Class), cmp.Compare(foreign(a), foreign(b)), cmp.Compare(a.Class, b.Class), cmp.Compare(a.From, b.From))
+		return cmp.Or(p.compareWeight(a.Class, b.Class), cmp.Compare(originRank(a), originRank(b)), cmp.Compare(a.Class, b.Class), cmp.Compare(a.From, b.From))
 	})
 	return order
 }
 
-// String describes the outcome in a line.
+// String returns a one-line summary of the outcome.
 func (o *Outcome) String() string {
 	var requested, served, crossed float64
 	for _, a := range o.Allocations {
@@ -219,7 +221,7 @@
 			crossed += a.Served
 		}
 	}
-	lost := "all sites there"
+	lost := "all sites available"
 	if len(o.Lost) > 0 {
 		lost = strings.Join(o.Lost, " and ") + " lost"
 	}
