--- a/internal/release/drains.go
+++ b/internal/release/drains.go
@@ -10,17 +10,19 @@
 	"robindrum/internal/drain"
 )
 
-// drainIDPrefix begins the IDs of the drain requests that RequestDrains submits. A number and the gateway's name follow it.
+// drainIDPrefix is the prefix of the IDs of the drain requests that RequestDrains submits. A sequence number, a slash and the gateway's
+// name follow it.
 const drainIDPrefix = "program/"
 
-// rejectionBackoff is how long a rejected drain request is not submitted again.
+// rejectionBackoff is how long RequestDrains waits after the rejection of a drain request before it submits another one for the gateway.
 const rejectionBackoff = time.Minute
 
-// RequestDrains submits and cancels drain requests so that each gateway restarts as its desired version, forward and on a rollback. A
-// gateway is drained once it has been assigned the version and accepts it. The fleet's budgets apply, until the gateway has been
-// observed in service again. While a program release is halted its drains are cancelled.
+// RequestDrains submits and cancels drain requests so that each gateway restarts as its desired version, both during a release and during
+// its rollback. A gateway is drained once it was assigned the version and did not reject it. The fleet's disruption budgets apply, and
+// count the gateway as unavailable until it has been observed in service again. While a program release is halted, its drain requests are
+// cancelled.
 //
-// It is called after each change of either ledger.
+// RequestDrains must be called after each change of either ledger.
 func (l *Ledger) RequestDrains(now time.Duration, drains *drain.Ledger) {
 	open := openDrains(drains)
 	rejections := l.recentRejections(now, drains)
@@ -35,7 +37,7 @@
 		case request != nil:
 			obsolete := gateway.Responding && (!restarts || request.Restart != version)
 			if halted || obsolete {
-				_, _ = drains.Cancel(now, request.ID) // it exists, so there is no error
+				_, _ = drains.Cancel(now, request.ID) // the request exists, so Cancel cannot fail
 			}
 		case !restarts || !gateway.Responding:
 		case rejections[name] != "":
@@ -45,7 +47,7 @@
 			}
 		default:
 			l.DrainsRequested++
-			_, _ = drains.Submit(now, l.drainRequest(name, version, &plan)) // a failure is tried again at the next call
+			_, _ = drains.Submit(now, l.drainRequest(name, version, &plan)) // a failed request is retried at the next call
 		}
 	}
 }
@@ -62,14 +64,15 @@
 	}
 }
 
-// canRestartAs reports whether a gateway runs another version under a supervisor, was assigned this one and does not reject it.
+// canRestartAs reports whether the gateway runs a different version under a supervisor, was assigned the given version and does not
+// reject it.
 func (g *Gateway) canRestartAs(version string) bool {
 	differs := version != "" && g.Version != "" && version != g.Version
 	accepted := g.AssignedVersion == version && g.VersionRejected == ""
 	return differs && accepted
 }
 
-// openDrains returns the drain requests for restarts that are in progress, by gateway.
+// openDrains returns the drain requests submitted by RequestDrains that have not ended, by gateway.
 func openDrains(drains *drain.Ledger) map[string]*drain.Request {
 	open := map[string]*drain.Request{}
 	for id, request := range drains.Requests {
@@ -87,7 +90,7 @@
 	return open
 }
 
-// recentRejections returns why drain requests for restarts as the desired versions were rejected recently, by gateway.
+// recentRejections returns, by gateway, why drain requests for the desired versions were rejected within the last rejectionBackoff.
 func (l *Ledger) recentRejections(now time.Duration, drains *drain.Ledger) map[string]string {
 	rejections := map[string]string{}
 	for id, request := range drains.Requests {
@@ -103,7 +106,7 @@
 	return rejections
 }
 
-// versionPlan returns the plan of the program release in progress, or else of the last one.
+// versionPlan returns the plan of the program release in progress, or of the last one that has ended if none is in progress.
 func (l *Ledger) versionPlan() Plan {
 	var plan Plan
 	for i := range l.Ended {
--- a/internal/release/drains_test.go
+++ b/internal/release/drains_test.go
@@ -12,13 +12,14 @@
 	"robindrum/internal/drain"
 )
 
-// supervisedFleet is a fleet of supervised gateways that drain and restart as they are assigned, with both ledgers.
+// supervisedFleet simulates a fleet of supervised gateways that drain, and restart as the version they are assigned. It holds the release
+// ledger and the drain ledger.
 type supervisedFleet struct {
 	*fleet
 	drains         *drain.Ledger
 	maxUnavailable int
-	away           map[string]int    // rounds until a gateway that restarts responds
-	nextVersion    map[string]string // of those that are away
+	away           map[string]int    // rounds until a stopped gateway responds again
+	nextVersion    map[string]string // version as which a stopped gateway returns
 }
 
 func newSupervisedFleet(gateways, maxUnavailable int) *supervisedFleet {
@@ -49,7 +50,7 @@
 	return drained
 }
 
-// stop has a gateway not respond for some rounds and then run as a version.
+// stop makes a gateway stop responding for some rounds and then return as the given version.
 func (f *supervisedFleet) stop(g *Gateway, rounds int, version string) {
 	g.Responding = false
 	g.Serving = false
@@ -57,7 +58,7 @@
 	f.nextVersion[g.Name] = version
 }
 
-// step is a round: gateways that were away return, drains go on, and each gateway serves and reports.
+// step simulates one round of a second: stopped gateways return, drains progress, and each gateway serves and reports.
 func (f *supervisedFleet) step() {
 	f.returnGateways()
 	f.progressDrains()
@@ -124,7 +125,7 @@
 	f.ledger.RequestDrains(f.now, f.drains)
 }
 
-// serve counts a round's requests; version v2 fails some of them.
+// serve counts the requests of one round. With version v2, errorRate of them fail.
 func (f *supervisedFleet) serve(g *Gateway) {
 	errors := uint64(0)
 	if g.Version == "v2" {
@@ -136,7 +137,7 @@
 	g.LatencySeconds += float64(f.load-errors) / 100
 }
 
-// storeAndRestore replaces both ledgers by what their stored forms restore to.
+// storeAndRestore replaces both ledgers with copies restored from their stored form.
 func (f *supervisedFleet) storeAndRestore() error {
 	releases, err := json.Marshal(f.ledger)
 	if err != nil {
@@ -157,20 +158,20 @@
 	return Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 2 * time.Second, RollBackOnFailure: rollBack, Gate: Gate{MinRequests: 50}}
 }
 
-// TestVersionReleaseStaysWithinBudget runs a release with operators' commands, drains by hand, crashes, changes of leader and storing in
-// any order: no more gateways are drained than the budget allows, each runs the former or the new version, and after a rollback without
-// faults each runs what it did before and no drain is left.
+// TestVersionReleaseStaysWithinBudget runs a release with operator commands, manual drains, crashes, leader changes and restores of the
+// ledgers in any order. No more gateways may be drained than the budget allows, and each must run the previous or the new version. After a
+// final rollback without faults, each must run its previous version, and no drain may be left.
 func TestVersionReleaseStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newSupervisedFleet(rapid.IntRange(2, 9).Draw(t, "gateways"), rapid.IntRange(1, 3).Draw(t, "max unavailable"))
 		names := f.names()
 		check := func(event any) {
 			if n := len(f.drained()); n > f.maxUnavailable {
-				t.Fatalf("%d are drained, %d may be (%v)", n, f.maxUnavailable, event)
+				t.Fatalf("%d gateways are drained, want at most %d (event %v)", n, f.maxUnavailable, event)
 			}
 			for _, g := range f.gateways {
 				if g.Version != "v1" && g.Version != "v2" {
-					t.Fatalf("%s runs as %q", g.Name, g.Version)
+					t.Fatalf("%s runs version %q, want v1 or v2", g.Name, g.Version)
 				}
 			}
 		}
@@ -203,19 +204,19 @@
 		}
 		for name, g := range f.gateways {
 			if previous[name] != "" && g.Version != previous[name] || !g.Serving {
-				t.Fatalf("%s runs as %s, before the release as %s; serving %v; %v; %+v", name, g.Version, previous[name], g.Serving,
+				t.Fatalf("after the rollback %s runs version %q, want %q; serving is %v, want true; release %v; drain requests %+v", name, g.Version, previous[name], g.Serving,
 					f.ledger.Current, f.drains.List())
 			}
 		}
 		if n := len(f.drained()); n > 0 || f.ledger.Current != nil {
-			t.Fatalf("%d are still drained, %v", n, f.ledger.Current)
+			t.Fatalf("after the rollback %d gateways are drained, want 0; release in progress: %v, want none", n, f.ledger.Current)
 		}
 	})
 }
 
 func manualDrainID(gateway string) string { return "hand" + gateway }
 
-// apply makes one of the events happen, some of them to the gateway.
+// apply performs the event with a number, which may affect the given gateway.
 func (f *supervisedFleet) apply(t *rapid.T, event int, gateway *Gateway) {
 	l := f.ledger
 	switch event {
@@ -228,7 +229,7 @@
 	case 4:
 		_ = l.Rollback(f.now, "")
 	case 5:
-		if gateway.Responding { // it crashes, and returns as the version that it was
+		if gateway.Responding { // it crashes and returns as the same version
 			f.stop(gateway, rapid.IntRange(1, 9).Draw(t, "rounds away"), gateway.Version)
 		}
 	case 6:
@@ -250,7 +251,8 @@
 	}
 }
 
-// TestLostZoneHaltsAndCancelsDrains loses a zone during a release: it halts, and gateways that are drained and have not left return.
+// TestLostZoneHaltsAndCancelsDrains loses a zone during a release. The release must halt, and the drains must be cancelled, so that
+// drained gateways that have not stopped return to service.
 func TestLostZoneHaltsAndCancelsDrains(t *testing.T) {
 	f := newSupervisedFleet(8, 2)
 	if err := f.ledger.Start(f.now, versionPlan(true)); err != nil {
@@ -268,29 +270,29 @@
 		f.step()
 	}
 	if r := f.ledger.Current; r == nil || r.State != Halted || r.StateReason == "" || len(f.drained()) > 0 {
-		t.Fatalf("%v, drained %v", r, f.drained())
+		t.Fatalf("after the loss of a zone: got %v, want a halted release with a reason; drained gateways are %v, want none", r, f.drained())
 	}
 }
 
 func TestInvalidVersionReleaseDoesNotStart(t *testing.T) {
 	f := newSupervisedFleet(3, 1)
 	for name, plan := range map[string]Plan{
-		"no name":       {ID: "a", Target: "a/b", OfProgram: true},
-		"there already": {ID: "a", Target: "v1", OfProgram: true},
-		"grace":         {ID: "a", Target: "v2", OfProgram: true, Grace: -1},
+		"target is not a name":    {ID: "a", Target: "a/b", OfProgram: true},
+		"version already running": {ID: "a", Target: "v1", OfProgram: true},
+		"grace":                   {ID: "a", Target: "v2", OfProgram: true, Grace: -1},
 	} {
 		if err := f.ledger.Start(f.now, plan); err == nil {
-			t.Errorf("%s: it begins", name)
+			t.Errorf("%s: Start returned no error", name)
 		}
 	}
 	f.gateways["g01"].Version = ""
 	f.step()
 	if err := f.ledger.Start(f.now, Plan{ID: "a", Target: "v2", OfProgram: true}); err == nil {
-		t.Error("it begins though nobody supervises g01")
+		t.Error("g01 without a supervisor: Start returned no error")
 	}
 }
 
-// storedFleet is a fleet's state between two events.
+// storedFleet is the stored state of a supervisedFleet between two events.
 type storedFleet struct {
 	Releases    json.RawMessage
 	Drains      json.RawMessage
@@ -340,8 +342,8 @@
 	return f
 }
 
-// drainsForward counts the gateways that are drained to run the new version.
-func (f *supervisedFleet) drainsForward() int {
+// countForwardDrains returns how many gateways are drained in order to run the new version.
+func (f *supervisedFleet) countForwardDrains() int {
 	n := 0
 	for _, r := range f.drains.Requests {
 		if r.Restart == "v2" && r.State.Unavailable() {
@@ -351,11 +353,11 @@
 	return n
 }
 
-// walkEvents is how many events applyNumbered knows.
-const walkEvents = 8
+// walkEventCount is the number of events that applyWalkEvent knows.
+const walkEventCount = 8
 
-// applyNumbered makes one event of the exhaustive walk happen.
-func (f *supervisedFleet) applyNumbered(event int) {
+// applyWalkEvent performs one event of TestEveryEventSequenceOfVersionRelease.
+func (f *supervisedFleet) applyWalkEvent(event int) {
 	l := f.ledger
 	switch event {
 	case 0:
@@ -383,32 +385,32 @@
 	l.RequestDrains(f.now, f.drains)
 }
 
-// TestEveryEventSequenceOfVersionRelease walks every sequence of six events of a program release over two gateways of which one may be
-// unavailable. Never are both drained, each is to run the former or the new version, and once the release is halted or rolled back no
-// further gateway is drained for the new version.
+// TestEveryEventSequenceOfVersionRelease tries every sequence of six events during a program release to two gateways, of which one may be
+// unavailable. The two must never be drained at the same time, the desired version must be the previous or the new one, and while the
+// release is halted or rolled back, no further gateway may be drained for the new version.
 func TestEveryEventSequenceOfVersionRelease(t *testing.T) {
 	steps, visited := 0, map[string]bool{}
 	var walk func(text []byte, depth int)
 	walk = func(text []byte, depth int) {
-		for event := range walkEvents {
+		for event := range walkEventCount {
 			f := loadFleet(t, text)
-			state, before := State(""), f.drainsForward()
+			state, before := State(""), f.countForwardDrains()
 			if f.ledger.Current != nil {
 				state = f.ledger.Current.State
 			}
-			f.applyNumbered(event)
+			f.applyWalkEvent(event)
 			if n := len(f.drained()); n > 1 {
-				t.Fatalf("%d are drained after event %d: %+v", n, event, f.drains.List())
+				t.Fatalf("%d gateways are drained after event %d, want at most 1: %+v", n, event, f.drains.List())
 			}
 			for name := range f.gateways {
 				if version := f.ledger.DesiredVersion(name); version != "" && version != "v1" && version != "v2" {
-					t.Fatalf("%s is to run as %q", name, version)
+					t.Fatalf("DesiredVersion(%s) = %q, want v1, v2 or none", name, version)
 				}
 			}
 			r := f.ledger.Current
 			unchanged := r != nil && r.State == state
-			if unchanged && (state == Halted || state == RollingBack) && f.drainsForward() > before {
-				t.Fatalf("%s, and one more is drained forward after event %d: %+v", state, event, f.drains.List())
+			if unchanged && (state == Halted || state == RollingBack) && f.countForwardDrains() > before {
+				t.Fatalf("release is %q, but event %d drained another gateway for the new version: %+v", state, event, f.drains.List())
 			}
 			steps++
 			next := f.save(t)
@@ -421,12 +423,13 @@
 	}
 	walk(newSupervisedFleet(2, 1).save(t), 6)
 	if steps < 2000 {
-		t.Errorf("%d steps only", steps)
+		t.Errorf("walked %d steps, want at least 2000", steps)
 	}
 	t.Log(steps, "steps")
 }
 
-// TestBudgetThatAllowsNoneFailsRelease ends a release with the budget's reason, and submits its drain request only once.
+// TestBudgetThatAllowsNoneFailsRelease starts a release under a budget that allows no drain. The release must end with the budget's
+// reason, and its drain request must be submitted only once.
 func TestBudgetThatAllowsNoneFailsRelease(t *testing.T) {
 	f := newSupervisedFleet(1, 1)
 	if err := f.drains.SetBudgets(f.now, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Fraction: 0.3}}); err != nil {
@@ -440,6 +443,6 @@
 	}
 	current, ended := f.ledger.Current, f.ledger.Ended
 	if current != nil || ended[0].State != RolledBack || !strings.Contains(ended[0].StateReason, "allows none of 1") || len(f.drains.Requests) != 1 {
-		t.Errorf("%v %+v, %d drain requests", current, ended, len(f.drains.Requests))
+		t.Errorf("got release in progress %v, ended %+v and %d drain requests, want one rolled back because of the budget and 1 request", current, ended, len(f.drains.Requests))
 	}
 }
--- a/internal/release/figures.go
+++ b/internal/release/figures.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// ClassFigures counts the requests of one class.
+// ClassFigures counts the requests of one request class.
 type ClassFigures struct {
 	Accepted uint64 `json:"taken"`
 	InTime   uint64 `json:"in_time"` // answered within the class's latency objective
 }
 
-// Figures are a process's counters since its start, and its memory. They are shared and not changed once they are made.
+// Figures are the counters of a gateway process since its start, and its memory. Copies share the slice and the map, which must not be
+// modified.
 type Figures struct {
 	Accepted       uint64  `json:"taken"`
 	Failed         uint64  `json:"bad"`     // failed or rejected
 	Served         uint64  `json:"served"`  // answered
-	LatencySeconds float64 `json:"seconds"` // summed over all answers
-	Memory         int64   `json:"memory"`  // bytes, resident
-	// LatencyCounts counts the answers by LatencyBucket. Empty buckets at the end are left out.
+	LatencySeconds float64 `json:"seconds"` // sum of the latencies of all answers
+	Memory         int64   `json:"memory"`  // resident memory in bytes
+	// LatencyCounts is the number of answers in each LatencyBucket. Empty buckets at the end are omitted.
 	LatencyCounts []uint64                `json:"times,omitempty"`
 	Classes       map[string]ClassFigures `json:"classes,omitempty"`
 }
 
-// since returns what was counted since an earlier reading of the same gateway. A process that was restarted in between has counted all
-// of it since.
+// since returns the figures counted since an earlier reading of the same gateway. If the process has restarted in between, all of f was
+// counted since then.
 func (f Figures) since(earlier Figures) Figures {
 	restarted := f.Accepted < earlier.Accepted || f.Served < earlier.Served
 	if restarted {
@@ -53,10 +54,10 @@
 	return difference
 }
 
-// subtract returns the difference of two counters, and zero where it would be negative.
+// subtract returns the increase of a counter, or 0 if the earlier value is higher.
 func subtract(n, earlier uint64) uint64 { return n - min(earlier, n) }
 
-// add returns the sum of two gateways' figures, with the larger one's memory.
+// add returns the sum of the figures of two gateways. Its Memory is the larger of the two.
 func (f Figures) add(other Figures) Figures {
 	sum := Figures{
 		Accepted:       f.Accepted + other.Accepted,
@@ -67,11 +68,11 @@
 		LatencyCounts:  make([]uint64, max(len(f.LatencyCounts), len(other.LatencyCounts))),
 		Classes:        map[string]ClassFigures{},
 	}
-	for _, part := range []Figures{f, other} {
-		for i, n := range part.LatencyCounts {
+	for _, summand := range []Figures{f, other} {
+		for i, n := range summand.LatencyCounts {
 			sum.LatencyCounts[i] += n
 		}
-		for name, class := range part.Classes {
+		for name, class := range summand.Classes {
 			total := sum.Classes[name]
 			sum.Classes[name] = ClassFigures{
 				Accepted: total.Accepted + class.Accepted,
@@ -82,7 +83,7 @@
 	return sum
 }
 
-// errorRate returns the part of the accepted requests that failed.
+// errorRate returns the fraction of the accepted requests that failed or were rejected.
 func (f Figures) errorRate() float64 {
 	if f.Accepted == 0 {
 		return 0
@@ -90,7 +91,7 @@
 	return float64(f.Failed) / float64(f.Accepted)
 }
 
-// meanLatency returns the mean latency of the answers in seconds.
+// meanLatency returns the mean latency of all answers in seconds.
 func (f Figures) meanLatency() float64 {
 	if f.Served == 0 {
 		return 0
@@ -98,7 +99,7 @@
 	return f.LatencySeconds / float64(f.Served)
 }
 
-// quantileBucket returns the latency bucket within which the part q of all answers was given.
+// quantileBucket returns the latency bucket that contains the quantile q, from 0 to 1, of the answers' latencies.
 func (f Figures) quantileBucket(q float64) int {
 	total := uint64(0)
 	for _, n := range f.LatencyCounts {
@@ -114,7 +115,7 @@
 	return 0
 }
 
-// countAbove returns how many answers took longer than the bound of a latency bucket.
+// countAbove returns how many answers took longer than the upper bound of a latency bucket.
 func (f Figures) countAbove(bucket int) uint64 {
 	count := uint64(0)
 	for i, n := range f.LatencyCounts {
@@ -126,14 +127,14 @@
 }
 
 const (
-	// LatencyBuckets is the number of latency buckets. The last one is unbounded.
+	// LatencyBuckets is the number of latency buckets. The last bucket has no upper bound.
 	LatencyBuckets = 65
 
 	bucketsPerDoubling = 4
 	firstLatencyBound  = time.Millisecond
 )
 
-// LatencyBucket returns the bucket of a latency. Bucket 0 ends at a millisecond, and every fourth one doubles the bound.
+// LatencyBucket returns the index of a latency's bucket. Bucket 0 ends at 1 ms, and the upper bound doubles every four buckets.
 func LatencyBucket(d time.Duration) int {
 	if d <= firstLatencyBound {
 		return 0
@@ -142,10 +143,10 @@
 	return min(bucketsIn(doublings), LatencyBuckets-1)
 }
 
-// bucketsIn returns how many buckets a number of doublings spans.
+// bucketsIn returns how many buckets it takes to cover a number of doublings of the latency.
 func bucketsIn(doublings float64) int { return int(math.Ceil(bucketsPerDoubling * doublings)) }
 
-// latencyBound returns the upper bound of a bucket, rounded to a tenth of a millisecond.
+// latencyBound returns the upper bound of a bucket, rounded to 0.1 ms.
 func latencyBound(bucket int) time.Duration {
 	bound := float64(firstLatencyBound) * math.Pow(2, float64(bucket)/bucketsPerDoubling)
 	return time.Duration(bound).Round(100 * time.Microsecond)
--- a/internal/release/gateway.go
+++ b/internal/release/gateway.go
@@ -2,22 +2,22 @@
 
 import "reflect"
 
-// Gateway is a gateway as it last reported itself.
+// Gateway is the state of a gateway at the last observation.
 type Gateway struct {
 	Name        string `json:"name"`
 	Site        string `json:"site,omitempty"`
 	Zone        string `json:"zone,omitempty"`
 	Incarnation uint64 `json:"birth"`
-	// Responding reports whether it answered in the last poll cycle.
+	// Responding reports whether the gateway answered when the leader last asked all gateways for their state.
 	Responding bool `json:"here"`
-	// Config is the digest of the released configuration that it uses; empty: only its own file.
+	// Config is the digest of the released configuration in use; empty if the gateway uses only its own file.
 	Config string `json:"has,omitempty"`
-	// ConfigRejected is why it does not use the configuration that it was assigned; empty: it does, or has not tried yet.
+	// ConfigRejected is why the gateway rejects the configuration that it was assigned; empty if it uses it or has not tried to yet.
 	ConfigRejected string `json:"refused,omitempty"`
 	Serving        bool   `json:"serving"`
-	// Version is the program version that it runs; empty: it has no supervisor and cannot be restarted as another one.
+	// Version is the program version that the gateway runs; empty if it has no supervisor and thus cannot restart as another version.
 	Version string `json:"program,omitempty"`
-	// AssignedVersion is the program version that it was assigned, and VersionRejected why it does not start as that.
+	// AssignedVersion is the program version that the gateway was assigned. VersionRejected is why it does not start as that version.
 	AssignedVersion string `json:"told,omitempty"`
 	VersionRejected string `json:"not_this,omitempty"`
 	Figures
--- a/internal/release/judge.go
+++ b/internal/release/judge.go
@@ -8,24 +8,25 @@
 	"time"
 )
 
-// Margins of the gates, which keep chance from failing a wave.
+// Margins of the gate. They keep random variation from failing a wave.
 const (
-	meanSlack   = 0.005    // seconds that a mean latency may always rise by
-	memorySlack = 32 << 20 // bytes that a gateway's memory may always rise by
+	meanSlack   = 0.005    // seconds by which the mean latency may always rise
+	memorySlack = 32 << 20 // bytes by which a gateway's memory may always rise
 
-	// A tenth of the gate's requests, and at least minEarlyRequests, suffice for an error rate that is worse by earlyErrorMargin.
+	// While the wave has fewer requests than the gate requires, an error rate fails it only if it exceeds the limit by earlyErrorMargin.
+	// This check needs a tenth of the required requests, and at least minEarlyRequests.
 	minEarlyRequests = 20
 	earlyErrorMargin = 0.25
 
 	tailQuantile    = 0.99
-	minTailLatency  = 10 * time.Millisecond // a lower 99th percentile counts as this
-	minTailAnswers  = 10
-	maxTailFraction = 0.03
-
-	minClassRequests  = 20
-	classNoiseSigmas  = 3
-	minClassVariance  = 0.01
-	classRequestsPart = 4 // a class needs one part in this many of the gate's requests
+	minTailLatency  = 10 * time.Millisecond // lower bound of the reference 99th percentile
+	minTailAnswers  = 10                    // fewer slow answers never fail a wave
+	maxTailFraction = 0.03                  // of the answers may be slow
+
+	minClassRequests     = 20
+	classNoiseSigmas     = 3    // standard deviations of the in-time rate that are attributed to noise
+	minClassVariance     = 0.01 // lower bound of the variance of whether a request is in time
+	classRequestsDivisor = 4    // a class needs the gate's MinRequests divided by this to be judged
 )
 
 // outcome is the result of judging a wave.
@@ -37,7 +38,7 @@
 	failed
 )
 
-// verdict is an outcome with its reason, which is empty where the wave passed.
+// verdict is an outcome with its reason, which is empty if the wave passed.
 type verdict struct {
 	outcome outcome
 	reason  string
@@ -47,14 +48,14 @@
 	return verdict{failed, fmt.Sprintf(format, args...)}
 }
 
-// comparison is what a wave is judged by.
+// comparison holds the figures by which a wave is judged.
 type comparison struct {
-	canary   Figures // the wave's gateways since it was ready
-	control  Figures // those that are not released yet, over the same time
-	baseline Figures // the wave's gateways before it
+	canary   Figures // of the wave's gateways, since the wave was ready
+	control  Figures // of the gateways that are not released yet, over the same time
+	baseline Figures // of the wave's gateways, from the start of the release to the wave
 }
 
-// judge compares the present wave's gateways with the control group and with their baseline.
+// judge compares the gateways of the current wave with the control group and with their own baseline.
 func (l *Ledger) judge(r *Release) verdict {
 	if v := l.judgeMemory(r); v.outcome != passed {
 		return v
@@ -69,7 +70,7 @@
 	return verdict{}
 }
 
-// judgeMemory compares each gateway's memory with its own before the wave.
+// judgeMemory compares the memory of each gateway of the current wave with what it used before the wave.
 func (l *Ledger) judgeMemory(r *Release) verdict {
 	for _, name := range slices.Sorted(maps.Keys(l.Gateways)) {
 		gateway := l.Gateways[name]
@@ -84,7 +85,7 @@
 	return verdict{}
 }
 
-// compare sums up the figures of the gateways that respond. Those of earlier waves are neither canaries nor control.
+// compare sums up the figures of the gateways that are judged. Gateways of earlier waves are neither canaries nor control group.
 func (l *Ledger) compare(r *Release) comparison {
 	var c comparison
 	for _, name := range slices.Sorted(maps.Keys(l.Gateways)) {
@@ -103,18 +104,18 @@
 	return c
 }
 
-// isJudged reports whether a gateway responds and was known when the wave was ready.
+// isJudged reports whether a gateway responds and has figures from the start of its soak to compare with.
 func (l *Ledger) isJudged(r *Release, name string) bool {
 	_, known := r.AtWaveReady[name]
 	return known && l.Gateways[name].Responding
 }
 
-// isCanary reports whether a gateway is of the present wave, and that is not rolled back.
+// isCanary reports whether a gateway is in the current wave and the wave is not being rolled back.
 func (r *Release) isCanary(name string) bool {
 	return r.released(name) && slices.Contains(r.wave(), name)
 }
 
-// judgeErrors compares the error rates. With few requests only one that is far worse fails.
+// judgeErrors compares the error rates. With fewer requests than the gate requires, only a much higher error rate fails the wave.
 func (c *comparison) judgeErrors(gate *Gate) verdict {
 	required := uint64(gate.MinRequests)
 	if c.canary.Accepted < max(required/10, minEarlyRequests) {
@@ -132,7 +133,7 @@
 		100*c.canary.errorRate(), c.canary.Accepted, 100*c.control.errorRate(), 100*c.baseline.errorRate())
 }
 
-// judgeRequests leaves a wave undecided that has had too few requests.
+// judgeRequests returns undecided if the wave has had fewer requests than the gate requires.
 func (c *comparison) judgeRequests(gate *Gate) verdict {
 	required := uint64(gate.MinRequests)
 	if c.canary.Accepted < required {
@@ -151,7 +152,8 @@
 	return verdict{}
 }
 
-// judgeTail counts the answers that are much slower than the others' 99th percentile, which a mean does not show.
+// judgeTail fails a wave in which too many answers are much slower than the 99th percentile of the control group and the baseline. The
+// mean latency does not show them.
 func (c *comparison) judgeTail(gate *Gate) verdict {
 	if c.canary.Served == 0 || c.control.Served+c.baseline.Served < uint64(gate.MinRequests) {
 		return verdict{}
@@ -165,7 +167,7 @@
 	return verdict{}
 }
 
-// judgeClasses compares the part of each class's requests that were answered in time, which the sums of all classes do not show.
+// judgeClasses compares the fraction of requests answered in time for each class. The totals of all classes can hide a regression in one.
 func (c *comparison) judgeClasses(gate *Gate) verdict {
 	for _, name := range slices.Sorted(maps.Keys(c.canary.Classes)) {
 		if v := c.judgeClass(gate, name); v.outcome != passed {
@@ -175,10 +177,10 @@
 	return verdict{}
 }
 
-// judgeClass passes a class with too few requests, of its own or to compare it with.
+// judgeClass judges one class. It passes a class with too few requests to the canaries, or to the control group and the baseline together.
 func (c *comparison) judgeClass(gate *Gate, name string) verdict {
 	canary, control, baseline := c.canary.Classes[name], c.control.Classes[name], c.baseline.Classes[name]
-	if canary.Accepted < max(uint64(gate.MinRequests)/classRequestsPart, minClassRequests) {
+	if canary.Accepted < max(uint64(gate.MinRequests)/classRequestsDivisor, minClassRequests) {
 		return verdict{}
 	}
 	if control.Accepted+baseline.Accepted < minClassRequests {
@@ -197,5 +199,5 @@
 	return verdict{}
 }
 
-// inTimeRate returns the part of the accepted requests that were answered in time. There has to be one.
+// inTimeRate returns the fraction of the accepted requests that were answered in time. Accepted must not be 0.
 func (c ClassFigures) inTimeRate() float64 { return float64(c.InTime) / float64(c.Accepted) }
--- a/internal/release/judge_test.go
+++ b/internal/release/judge_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// classFigures returns 1000 answers, some of them slow, of a class that is nearly always in time and one that is small.
+// classFigures returns figures of 1000 answers, of which slow took a second: of class maps, which is nearly always in time, and of the
+// smaller class seats.
 func classFigures(slow, seats, seatsInTime uint64) Figures {
 	f := Figures{
 		Accepted:      1000,
@@ -18,8 +19,8 @@
 	return f
 }
 
-// judgeRareFaults applies the gates for what a mean does not show, in the order in which a wave is judged.
-func judgeRareFaults(c comparison, gate *Gate) verdict {
+// judgeTailAndClasses applies the checks for faults that the mean latency does not show, in the order of Ledger.judge.
+func judgeTailAndClasses(c comparison, gate *Gate) verdict {
 	if v := c.judgeTail(gate); v.outcome != passed {
 		return v
 	}
@@ -34,16 +35,16 @@
 		comparison comparison
 		want       outcome
 	}{
-		"as the others":            {comparison{canary: classFigures(2, 100, 99), control: others}, passed},
-		"a tail":                   {comparison{canary: classFigures(60, 100, 99), control: others}, failed},
-		"a class":                  {comparison{canary: classFigures(0, 100, 60), control: others}, failed},
-		"a class with few":         {comparison{canary: classFigures(0, 10, 0), control: others}, passed},
-		"nothing to compare with":  {comparison{canary: classFigures(500, 100, 0)}, passed},
-		"a tail over the baseline": {comparison{canary: classFigures(60, 100, 99), baseline: others}, failed},
+		"same as control":           {comparison{canary: classFigures(2, 100, 99), control: others}, passed},
+		"slow tail":                 {comparison{canary: classFigures(60, 100, 99), control: others}, failed},
+		"class late":                {comparison{canary: classFigures(0, 100, 60), control: others}, failed},
+		"class with few requests":   {comparison{canary: classFigures(0, 10, 0), control: others}, passed},
+		"no control or baseline":    {comparison{canary: classFigures(500, 100, 0)}, passed},
+		"slow tail over a baseline": {comparison{canary: classFigures(60, 100, 99), baseline: others}, failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if v := judgeRareFaults(c.comparison, &gate); v.outcome != c.want {
-				t.Errorf("outcome %d, want %d: %s", v.outcome, c.want, v.reason)
+			if v := judgeTailAndClasses(c.comparison, &gate); v.outcome != c.want {
+				t.Errorf("outcome: got %d, want %d; reason %q", v.outcome, c.want, v.reason)
 			}
 		})
 	}
@@ -56,7 +57,7 @@
 			continue
 		}
 		if latencyBound(bucket)+100*time.Microsecond < d || bucket > 0 && latencyBound(bucket-1) > d {
-			t.Errorf("%v is in bucket %d, up to %v", d, bucket, latencyBound(bucket))
+			t.Errorf("LatencyBucket(%v) = %d with upper bound %v, want the first bucket that contains it", d, bucket, latencyBound(bucket))
 		}
 	}
 }
--- a/internal/release/ledger.go
+++ b/internal/release/ledger.go
@@ -1,9 +1,10 @@
-// Package release decides how a configuration or a program version goes over a fleet: in waves, each judged by a gate against the
-// gateways that do not have it yet and against its own baseline, with a halt and a rollback.
+// Package release controls the rollout of a configuration or a program version to a fleet of gateways. A release proceeds in waves. A
+// gate compares each wave with the gateways that are not released yet and with the wave's own baseline. A release can be halted and
+// rolled back.
 //
-// The package is a state machine that the quorum replicates: it has no clock, no I/O and no goroutine. Times are readings of the
-// leader's clock. What each gateway is to have is part of the replicated state (DesiredConfig, DesiredVersion): the leader assigns it
-// and reports what the gateways answer (Observe), and another leader goes on from there without repeating or skipping a step.
+// The package is a state machine that the quorum replicates: it has no clock, I/O or goroutines. Times are readings of the leader's
+// clock. The replicated state includes what each gateway is to run (DesiredConfig, DesiredVersion): the leader assigns it to the
+// gateways and passes their reports to Observe. A new leader continues from this state without repeating or skipping a step.
 package release
 
 import (
@@ -19,33 +20,35 @@
 // MaxConfigBytes limits the size of a configuration.
 const MaxConfigBytes = 256 << 10
 
-// Limits of what one ledger holds: texts come from outside, and each snapshot contains the ledger.
+// Limits of the contents of a ledger. Its texts come from outside the fleet, and each snapshot of the quorum contains the whole ledger.
 const (
 	maxConfigs       = 8
 	maxEndedReleases = 16
 	maxTextBytes     = 256
 )
 
-// Errors that callers can test for with errors.Is.
+// Errors that callers can test for with errors.Is. The messages are sent to other processes.
 var (
 	ErrInProgress    = errors.New("another release is under way")
 	ErrNoRelease     = errors.New("no release is under way")
 	ErrUnknownConfig = errors.New("nobody has this configuration")
 )
 
-// Ledger holds the release in progress, what it is judged by, and what every gateway is to have. It is not safe for concurrent use.
+// Ledger holds the release in progress, the figures by which it is judged, and what every gateway is to run. It is not safe for concurrent
+// use.
 type Ledger struct {
-	Revision       uint64            `json:"version"` // rises with each change that gateways have to know of
+	Revision       uint64            `json:"version"` // increases when what a gateway is to run may have changed
 	Now            time.Duration     `json:"now"`
 	Configs        map[string]string `json:"texts"`             // configurations by digest
-	ConfigOrder    []string          `json:"order"`             // digests, the oldest first
-	CurrentConfig  string            `json:"base"`              // digest that every gateway is to have while no release is in progress
-	CurrentVersion string            `json:"program,omitempty"` // program version that every gateway is to run; empty: none was released
-	// RolledBackVersions are what gateways ran before a program release that was rolled back, for those that return later.
+	ConfigOrder    []string          `json:"order"`             // digests, oldest first
+	CurrentConfig  string            `json:"base"`              // digest that every gateway is to use while no release is in progress
+	CurrentVersion string            `json:"program,omitempty"` // program version that every gateway is to run; empty if none was released
+	// RolledBackVersions are the versions that gateways ran before a program release that was rolled back. They remain the desired
+	// versions, so that gateways that respond again only after the rollback are rolled back, too.
 	RolledBackVersions map[string]string    `json:"versions,omitempty"`
-	DrainsRequested    uint64               `json:"restarts,omitempty"` // by RequestDrains
-	Current            *Release             `json:"current,omitempty"`  // nil: none is in progress
-	Ended              []Release            `json:"ended,omitempty"`    // the latest last
+	DrainsRequested    uint64               `json:"restarts,omitempty"` // number of drain requests made by RequestDrains
+	Current            *Release             `json:"current,omitempty"`  // nil if no release is in progress
+	Ended              []Release            `json:"ended,omitempty"`    // oldest first
 	Gateways           map[string]Gateway   `json:"gateways"`           // by name
 	Unknown            unknownfields.Fields `json:"-"`                  // passed on unchanged
 }
@@ -67,12 +70,12 @@
 	return &Ledger{Configs: map[string]string{}, Gateways: map[string]Gateway{}}
 }
 
-// Restore decodes a ledger from its JSON. It returns an error for a ledger that no sequence of calls can have led to.
+// Restore decodes a ledger from its JSON form and validates it.
 func Restore(text []byte) (*Ledger, error) {
 	return unknownfields.Restore("releases", text, NewLedger())
 }
 
-// Validate returns an error where no sequence of calls can have led to the ledger.
+// Validate returns an error if the ledger's contents are inconsistent, so that no sequence of calls can have produced it.
 func (l *Ledger) Validate() error {
 	hasMaps := l.Configs != nil && l.Gateways != nil
 	configsAreOrdered := len(l.Configs) == len(l.ConfigOrder)
@@ -95,7 +98,7 @@
 	return nil
 }
 
-// BeginTerm starts the term of another leader, whose clock reads now. The clocks of two leaders are unrelated, so all times are moved
+// BeginTerm starts the term of a new leader whose clock reads now. The clocks of two leaders are unrelated, so BeginTerm shifts all times
 // by their difference.
 func (l *Ledger) BeginTerm(now time.Duration) {
 	shift := now - l.Now
@@ -110,13 +113,14 @@
 	}
 }
 
-// positive returns a time that is not zero, since zero stands for no time.
+// positive returns t, or 1 ns if t is not positive, because a zero time means that the event has not happened.
 func positive(t time.Duration) time.Duration { return max(t, 1) }
 
-// advance moves the ledger's time on. It never goes back within a term.
+// advance moves the ledger's time forward to now. The time never goes back within a term.
 func (l *Ledger) advance(now time.Duration) { l.Now = max(l.Now, now) }
 
-// StoreConfig stores a configuration under its digest, in place of the oldest one that is not in use. Storing one again has no effect.
+// StoreConfig stores a configuration under its digest. If the ledger is full, it replaces the oldest configuration that is not in use.
+// Storing a configuration again has no effect.
 func (l *Ledger) StoreConfig(digest, text string) error {
 	if len(text) > MaxConfigBytes || len(digest) > maxTextBytes || digest == "" {
 		return fmt.Errorf("a configuration of %d bytes, %d at most", len(text), MaxConfigBytes)
@@ -145,7 +149,7 @@
 	return nil
 }
 
-// configInUse reports whether gateways have the configuration, or may get it by the release in progress.
+// configInUse reports whether the configuration is the current one, or the target or the previous one of the release in progress.
 func (l *Ledger) configInUse(digest string) bool {
 	if digest == l.CurrentConfig {
 		return true
@@ -153,7 +157,7 @@
 	return l.Current != nil && (digest == l.Current.Target || digest == l.Current.Previous)
 }
 
-// DesiredConfig returns the digest of the configuration that a gateway is to have; empty: only its own file.
+// DesiredConfig returns the digest of the configuration that a gateway is to use; empty if it is to use only its own file.
 func (l *Ledger) DesiredConfig(name string) string {
 	r := l.Current
 	switch {
@@ -165,8 +169,8 @@
 	return r.Previous
 }
 
-// settledConfig returns the configuration of a gateway while none is being released. A release that was stopped leaves the gateways of
-// its waves with its target, until a later one of a configuration ends otherwise.
+// settledConfig returns the configuration that a gateway is to use while no configuration is being released. A stopped release leaves the
+// gateways of its released waves with its target, until a later configuration release ends in another state.
 func (l *Ledger) settledConfig(name string) string {
 	for _, r := range slices.Backward(l.Ended) {
 		if r.OfProgram {
@@ -182,7 +186,7 @@
 	return l.CurrentConfig
 }
 
-// DesiredVersion returns the program version that a gateway is to run; empty: the one that it does.
+// DesiredVersion returns the program version that a gateway is to run; empty if it is to keep its version.
 func (l *Ledger) DesiredVersion(name string) string {
 	r := l.Current
 	switch {
--- a/internal/release/operations.go
+++ b/internal/release/operations.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Start begins a release. Starting the one in progress again has no effect; another one is ErrInProgress.
+// Start begins a release. It has no effect if the same release is already in progress, and returns ErrInProgress if another one is.
 func (l *Ledger) Start(now time.Duration, plan Plan) error {
 	l.advance(now)
 	plan.setDefaults()
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// CheckStart returns an error that says why a release cannot begin with the fleet as it is. It changes nothing.
+// CheckStart returns an error if the known gateways or the stored configurations do not permit the release. It changes nothing.
 func (l *Ledger) CheckStart(plan Plan) error {
 	if len(l.Gateways) == 0 {
 		return errors.New("no gateway is known yet")
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Halt stops a release from going on in either direction; each gateway keeps what it has. Repeating it has no effect. Without a release
-// in progress, this call and the following ones return ErrNoRelease.
+// Halt pauses a release or its rollback: no further wave is released or rolled back until Resume or Rollback is called. Halting again has
+// no effect. Halt, Resume, Rollback and Stop return ErrNoRelease if no release is in progress.
 func (l *Ledger) Halt(now time.Duration, reason string) error {
 	l.advance(now)
 	r := l.Current
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// Resume goes on with the wave at which a release was halted. Its soak begins again.
+// Resume continues a halted release forward from the current wave, even if it was halted during a rollback. The soak of the wave starts
+// over.
 func (l *Ledger) Resume(now time.Duration) error {
 	l.advance(now)
 	r := l.Current
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// Rollback begins to take every gateway back to what it had before. Repeating it has no effect.
+// Rollback begins to return every gateway to what it had before the release. Repeating it has no effect.
 func (l *Ledger) Rollback(now time.Duration, reason string) error {
 	l.advance(now)
 	r := l.Current
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// Stop ends a halted release: each gateway keeps what it has, and DesiredConfig goes on to name that.
+// Stop ends a halted release. Each gateway keeps what it has, and DesiredConfig continues to return it.
 func (l *Ledger) Stop(now time.Duration, reason string) error {
 	l.advance(now)
 	r := l.Current
@@ -132,7 +133,7 @@
 	return nil
 }
 
-// setState records the present release's state, and since when it is in it.
+// setState sets the state of the release in progress and its reason, and records the time if the state changes.
 func (l *Ledger) setState(state State, reason string) {
 	r := l.Current
 	if r.State != state {
@@ -148,7 +149,7 @@
 	l.Current.WaveReadyAt = 0
 }
 
-// failGate rolls the release back or halts it, as its plan says.
+// failGate rolls the release back or halts it, depending on its plan.
 func (l *Ledger) failGate(reason string) {
 	if l.Current.RollBackOnFailure {
 		l.beginRollback(reason)
@@ -157,7 +158,7 @@
 	l.setState(Halted, reason)
 }
 
-// finish ends the present release in a final state.
+// finish ends the release in progress in a final state.
 func (l *Ledger) finish(state State, reason string) {
 	l.setState(state, reason)
 	r := l.Current
@@ -171,7 +172,7 @@
 	l.Current = nil
 }
 
-// settleVersions sets what gateways are to run after a program release. After one that was stopped each keeps its own version.
+// settleVersions sets the versions that gateways are to run after a program release. After a stopped release, each keeps its own version.
 func (l *Ledger) settleVersions(r *Release) {
 	l.RolledBackVersions = nil
 	switch r.State {
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -31,20 +31,21 @@
 	maxRollbackSpeedup = 100
 )
 
-// Gate says when a wave passes. The canaries, which are the gateways of the wave, are compared with the control group, which are those
-// not released yet, and with the baseline, which is what the canaries showed before. Zero fields stand for defaults.
+// Gate holds the conditions under which a wave passes. It compares the canaries, which are the gateways of the wave, with the control
+// group, which are the gateways not released yet, and with the baseline, which is what the canaries showed before the wave. Fields that
+// are zero get default values.
 type Gate struct {
-	// MinRequests is how many requests a wave must have had to pass.
+	// MinRequests is the number of requests that a wave needs to pass.
 	MinRequests int `json:"requests"`
-	// MaxErrorIncrease is how much the part of failed or rejected requests may rise.
+	// MaxErrorIncrease is by how much the fraction of failed or rejected requests may rise.
 	MaxErrorIncrease float64 `json:"errors"`
-	// MaxMeanRatio is the multiple that the mean latency may reach, with 5 ms added.
+	// MaxMeanRatio is the multiple of the reference that the mean latency may reach, plus 5 ms.
 	MaxMeanRatio float64 `json:"slower"`
-	// MaxTailRatio is a multiple of the others' 99th percentile of latency that at most 3 % of the answers may exceed.
+	// MaxTailRatio is the multiple of the reference 99th percentile of latency that at most 3% of the answers may exceed.
 	MaxTailRatio float64 `json:"tail"`
-	// MaxInTimeLoss is how much the part of a class's requests that are answered in time may fall.
+	// MaxInTimeLoss is by how much the fraction of a class's requests that are answered in time may fall.
 	MaxInTimeLoss float64 `json:"in_time"`
-	// MaxMemoryRatio is the multiple that a gateway's memory may reach, with 32 MiB added.
+	// MaxMemoryRatio is the multiple of its memory before the wave that a gateway's memory may reach, plus 32 MiB.
 	MaxMemoryRatio float64 `json:"memory"`
 }
 
@@ -70,23 +71,23 @@
 	return nil
 }
 
-// Plan says what a release brings to the fleet, and how. Zero durations and numbers stand for defaults.
+// Plan describes a release: what is released to the fleet, and how. Durations and numbers that are zero get default values.
 type Plan struct {
 	ID     string `json:"id"`
 	Target string `json:"to"` // a configuration's digest, or a program version
-	// OfProgram says that Target is a program version. Gateways are drained and restarted for it, see Ledger.RequestDrains.
+	// OfProgram reports whether Target is a program version. Gateways are drained and restarted for it, see Ledger.RequestDrains.
 	OfProgram bool `json:"program,omitempty"`
-	// Grace and Notice are those of the drains of a program release.
+	// Grace and Notice are passed to the drain requests of a program release.
 	Grace  time.Duration `json:"grace,omitempty"`
 	Notice time.Duration `json:"notice,omitempty"`
 	Owner  string        `json:"owner"`
 	Reason string        `json:"reason,omitempty"`
-	// Soak is how long a wave is judged before the next one begins.
+	// Soak is the minimum time for which a wave is judged before the next one begins.
 	Soak time.Duration `json:"soak"`
 	// RollbackSpeedup divides Soak while the waves are rolled back.
 	RollbackSpeedup int  `json:"faster"`
 	Gate            Gate `json:"gate"`
-	// RollBackOnFailure rolls the release back when a gate fails. Otherwise it halts.
+	// RollBackOnFailure makes a failed gate roll the release back rather than halt it.
 	RollBackOnFailure bool `json:"back"`
 }
 
@@ -98,7 +99,7 @@
 	p.Gate.setDefaults()
 }
 
-// validate returns an error that names the first value that no plan may have.
+// validate returns an error for the first invalid value.
 func (p *Plan) validate() error {
 	for _, text := range []string{p.ID, p.Target, p.Owner, p.Reason} {
 		if len(text) > maxTextBytes {
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -12,36 +12,37 @@
 // State is a release's state. Done, RolledBack and Stopped are final.
 type State string
 
-// The states. Their values are stored and exchanged.
+// The states of a release. Their values are stored and sent to other processes.
 const (
 	Running     State = "running"
 	Halted      State = "halted" // by an operator, or by a gate
 	RollingBack State = "going back"
 	Done        State = "done"
-	RolledBack  State = "back"    // every gateway has what it had before
-	Stopped     State = "stopped" // by an operator: each gateway keeps what it has
+	RolledBack  State = "back"    // every gateway has what it had before the release
+	Stopped     State = "stopped" // by an operator; each gateway keeps what it has
 )
 
-// Release is a plan that has been started, with what is known of its waves.
+// Release is a started plan and the progress of its waves.
 type Release struct {
 	Plan
 	State       State         `json:"state"`
 	StateReason string        `json:"why,omitempty"`
 	StateSince  time.Duration `json:"since"`
 	Waves       [][]string    `json:"waves"` // names of gateways
-	Wave        int           `json:"wave"`  // index of the present one
-	// WaveReadyAt is when every gateway of the present wave had the target, or on the way back had what it had before; 0: not yet.
+	Wave        int           `json:"wave"`  // index of the current wave
+	// WaveReadyAt is when every gateway of the current wave had the target or, in a rollback, had what it had before the release; 0 if that
+	// has not happened yet.
 	WaveReadyAt time.Duration `json:"began"`
-	Previous    string        `json:"before"` // what all gateways had before
-	// PreviousVersions are what each gateway ran before a program release.
+	Previous    string        `json:"before"` // what all gateways were to have before the release
+	// PreviousVersions are the versions that the gateways ran before a program release.
 	PreviousVersions map[string]string `json:"versions,omitempty"`
-	// Incarnations are those of each released gateway when its wave was ready.
+	// Incarnations are the incarnations of the released gateways when their waves were ready.
 	Incarnations map[string]uint64 `json:"births"`
-	// AtWaveReady are all gateways' figures when the present wave was ready.
+	// AtWaveReady are the figures of all gateways when the current wave was ready.
 	AtWaveReady map[string]Figures `json:"start"`
-	// BeforeWave is what each gateway counted between the start of the release and its own wave.
+	// BeforeWave are the figures that each gateway counted between the start of the release and its own wave.
 	BeforeWave map[string]Figures `json:"past"`
-	// AtStart are all gateways' figures at the start of the release, and PresentAtStart which of them responded then.
+	// AtStart are the figures of all gateways at the start of the release. PresentAtStart reports which gateways responded then.
 	AtStart        map[string]Figures   `json:"from"`
 	PresentAtStart map[string]bool      `json:"here"`
 	Unknown        unknownfields.Fields `json:"-"` // passed on unchanged
@@ -59,7 +60,7 @@
 	return unknownfields.Unmarshal(text, (*plain)(r), &r.Unknown)
 }
 
-// newRelease returns a release that begins now over all of the gateways.
+// newRelease returns a release of a plan to the given gateways that begins now.
 func newRelease(plan Plan, now time.Duration, gateways []Gateway, previous string) *Release {
 	r := &Release{
 		Plan:           plan,
@@ -86,13 +87,13 @@
 	return r
 }
 
-// wave returns the names of the present wave's gateways.
+// wave returns the names of the gateways in the current wave.
 func (r *Release) wave() []string { return r.Waves[r.Wave] }
 
-// waveIsReady reports whether every gateway of the present wave has what it is to have.
+// waveIsReady reports whether every gateway of the current wave has had what it is to have.
 func (r *Release) waveIsReady() bool { return r.WaveReadyAt > 0 }
 
-// released reports whether a gateway is to have the target: its wave has begun and was not rolled back.
+// released reports whether a gateway is to have the target: its wave has begun and is not rolled back.
 func (r *Release) released(name string) bool {
 	for i, wave := range r.Waves {
 		if i > r.Wave || i == r.Wave && r.State == RollingBack {
@@ -105,7 +106,7 @@
 	return false
 }
 
-// current returns what a gateway has of the kind that is released, and why it rejects the target.
+// current returns the version or configuration that a gateway has, whichever is released, and why the gateway rejects the target.
 func (r *Release) current(g *Gateway) (current, rejection string) {
 	if r.OfProgram {
 		return g.Version, g.VersionRejected
@@ -119,7 +120,7 @@
 	return incarnation != 0 && g.Incarnation != incarnation
 }
 
-// String describes the release for operators in one line.
+// String returns a one-line summary of the release for operators.
 func (r *Release) String() string {
 	text := fmt.Sprintf("release %s to %s: %s", r.ID, shortDigest(r.Target), r.State)
 	if r.State == Running || r.State == Halted || r.State == RollingBack {
--- a/internal/release/release_test.go
+++ b/internal/release/release_test.go
@@ -13,18 +13,19 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is gateways that take what they are assigned, and serve.
+// fleet simulates gateways that use the configuration that they are assigned, and serve requests.
 type fleet struct {
 	ledger   *Ledger
 	gateways map[string]*Gateway
 	now      time.Duration
-	// What the new configuration does to a gateway that has it.
+	// Effects of the new configuration on a gateway that uses it.
 	errorRate float64
-	slowdown  float64 // added to the latency, as a multiple of it
-	load      uint64  // requests of a gateway in a round
+	slowdown  float64 // increase of the latency, as a multiple of it
+
+	load uint64 // requests per gateway and round
 }
 
-// newFleet returns n gateways at two sites with two zones each.
+// newFleet returns a fleet of n gateways at two sites with two zones each.
 func newFleet(n int) *fleet {
 	f := &fleet{ledger: NewLedger(), gateways: map[string]*Gateway{}, load: 100}
 	for i := range n {
@@ -45,7 +46,7 @@
 
 func (f *fleet) names() []string { return slices.Sorted(maps.Keys(f.gateways)) }
 
-// round has every gateway that responds take its desired configuration, serve for a second, and report.
+// round makes every responding gateway use its desired configuration, serve for a second, and report.
 func (f *fleet) round() {
 	f.now += time.Second
 	var reports []Gateway
@@ -72,7 +73,7 @@
 	g.LatencySeconds += latency * float64(f.load-errors)
 }
 
-// countWith returns how many gateways have a configuration.
+// countWith returns how many gateways use the configuration with the given digest.
 func (f *fleet) countWith(digest string) int {
 	n := 0
 	for _, g := range f.gateways {
@@ -83,25 +84,26 @@
 	return n
 }
 
-// run plays rounds until the release has ended or halts. It returns how many gateways had the new configuration at once.
+// run simulates up to the given number of rounds, until the release has ended or is halted. It returns the largest number of gateways that
+// used the new configuration at the same time.
 func (f *fleet) run(t *testing.T, rounds int) int {
 	t.Helper()
-	most := 0
+	maxCount := 0
 	for range rounds {
 		f.round()
-		most = max(most, f.countWith("new"))
+		maxCount = max(maxCount, f.countWith("new"))
 		if r := f.ledger.Current; r == nil || r.State == Halted {
 			break
 		}
 	}
-	return most
+	return maxCount
 }
 
 func configPlan(rollBack bool) Plan {
 	return Plan{ID: "r", Target: "new", Owner: "t", Soak: 5 * time.Second, RollBackOnFailure: rollBack}
 }
 
-func TestWavesHaveOneZoneOfASite(t *testing.T) {
+func TestWavesHaveOneZonePerSite(t *testing.T) {
 	f := newFleet(40)
 	seen := map[string]bool{}
 	waves := Waves(slices.Collect(maps.Values(f.ledger.Gateways)))
@@ -110,17 +112,17 @@
 		for _, name := range names {
 			g := f.gateways[name]
 			if zone, ok := zones[g.Site]; ok && zone != g.Zone {
-				t.Errorf("wave %d has zones %s and %s of site %s", i, zone, g.Zone, g.Site)
+				t.Errorf("wave %d has zones %s and %s of site %s, want one zone", i, zone, g.Zone, g.Site)
 			}
 			zones[g.Site] = g.Zone
 			if seen[name] {
-				t.Errorf("%s is in two waves", name)
+				t.Errorf("%s is in more than one wave", name)
 			}
 			seen[name] = true
 		}
 	}
 	if len(seen) != 40 || len(waves[0]) != 2 || len(waves[0])+len(waves[1]) != 4 {
-		t.Errorf("%d gateways in waves %v", len(seen), waves)
+		t.Errorf("got %d gateways in waves %v, want 40 with 2 in the first wave and 2 in the second", len(seen), waves)
 	}
 }
 
@@ -131,11 +133,13 @@
 	}
 	f.run(t, 200)
 	if f.ledger.CurrentConfig != "new" || f.countWith("new") != 20 || f.ledger.Ended[0].State != Done {
-		t.Errorf("%+v, %d have it", f.ledger.Ended, f.countWith("new"))
+		t.Errorf("ended releases %+v, current configuration %q, used by %d gateways; want a done release, \"new\" and 20", f.ledger.Ended, f.ledger.CurrentConfig,
+			f.countWith("new"))
 	}
 }
 
-// TestBadReleaseStopsAtItsCanaries halts a release, or rolls it back where its plan says so, before it has left its first wave.
+// TestBadReleaseStopsAtItsCanaries starts a release whose canaries show a fault. It must be halted, or rolled back if its plan has
+// RollBackOnFailure, before its first wave has passed.
 func TestBadReleaseStopsAtItsCanaries(t *testing.T) {
 	afterTwoRounds := func(change func(g *Gateway)) func(f *fleet) {
 		return func(f *fleet) {
@@ -159,18 +163,18 @@
 					t.Fatal(err)
 				}
 				fault(f)
-				if most := f.run(t, 200); most > 2 {
-					t.Errorf("%d of 20 had it", most)
+				if maxCount := f.run(t, 200); maxCount > 2 {
+					t.Errorf("%d of 20 gateways used the new configuration, want at most 2", maxCount)
 				}
 				current, ended := f.ledger.Current, f.ledger.Ended
 				if !rollBack {
 					if current == nil || current.State != Halted || current.StateReason == "" {
-						t.Errorf("it did not halt: %+v", current)
+						t.Errorf("release in progress: got %+v, want a halted one with a reason", current)
 					}
 					return
 				}
 				if current != nil || ended[0].State != RolledBack || ended[0].StateReason == "" || f.ledger.CurrentConfig != "" {
-					t.Errorf("it was not rolled back: %+v %+v", current, ended)
+					t.Errorf("got release in progress %+v, ended %+v, want one rolled back with a reason", current, ended)
 				}
 			})
 		}
@@ -184,19 +188,19 @@
 	f.run(t, 60)
 	r := f.ledger.Current
 	if r == nil || r.Wave != 0 || !strings.Contains(r.StateReason, "too little is known") {
-		t.Errorf("%v", r)
+		t.Errorf("got release %v, want one in its first wave that has too few requests", r)
 	}
 }
 
-// runToWave plays rounds until the release is in a wave.
+// runToWave simulates rounds until the release has reached the wave with the given index.
 func (f *fleet) runToWave(wave int) {
 	for f.ledger.Current.Wave < wave {
 		f.round()
 	}
 }
 
-// twice makes a call that may be repeated.
-func twice(t *testing.T, call func() error) {
+// callTwice makes a call twice, since repeating it must have no effect, and fails the test on an error.
+func callTwice(t *testing.T, call func() error) {
 	t.Helper()
 	for range 2 {
 		if err := call(); err != nil {
@@ -205,26 +209,26 @@
 	}
 }
 
-func TestSecondReleaseWaitsForTheFirst(t *testing.T) {
+func TestSecondReleaseIsRejectedWhileOneIsInProgress(t *testing.T) {
 	f := newFleet(20)
 	_ = f.ledger.StoreConfig("other", "x")
-	twice(t, func() error { return f.ledger.Start(f.now, configPlan(false)) })
+	callTwice(t, func() error { return f.ledger.Start(f.now, configPlan(false)) })
 	if err := f.ledger.Start(f.now, Plan{ID: "s", Target: "other"}); !errors.Is(err, ErrInProgress) {
-		t.Errorf("two at once: %v", err)
+		t.Errorf("Start during another release: got %v, want ErrInProgress", err)
 	}
 }
 
 func TestCommandsWithoutReleaseAreErrors(t *testing.T) {
 	f := newFleet(20)
 	if err := f.ledger.Rollback(f.now, ""); !errors.Is(err, ErrNoRelease) {
-		t.Errorf("a rollback without a release: %v", err)
+		t.Errorf("Rollback without a release: got %v, want ErrNoRelease", err)
 	}
-	if err := f.ledger.Start(f.now, Plan{ID: "t", Target: "nobody has this"}); !errors.Is(err, ErrUnknownConfig) {
-		t.Errorf("a configuration that is not stored: %v", err)
+	if err := f.ledger.Start(f.now, Plan{ID: "t", Target: "not a stored digest"}); !errors.Is(err, ErrUnknownConfig) {
+		t.Errorf("Start with a configuration that is not stored: got %v, want ErrUnknownConfig", err)
 	}
 }
 
-// TestOperatorCommands halts, resumes and rolls back a release, and stops the next one; the calls may be repeated.
+// TestOperatorCommands halts, resumes and rolls back one release, and halts and stops the next. Repeated calls must have no effect.
 func TestOperatorCommands(t *testing.T) {
 	f := newFleet(20)
 	l := f.ledger
@@ -233,32 +237,32 @@
 	}
 	f.runToWave(1)
 	before := f.countWith("new")
-	twice(t, func() error { return l.Halt(f.now, "by hand") })
+	callTwice(t, func() error { return l.Halt(f.now, "by hand") })
 	for range 20 {
 		f.round()
 	}
 	if n := f.countWith("new"); n < before || l.Current.State != Halted {
-		t.Errorf("%d have it, %d had, %v", n, before, l.Current)
+		t.Errorf("halted release: %d gateways use the new configuration, want at least %d; release %v", n, before, l.Current)
 	}
 
 	_ = l.Resume(f.now)
 	f.runToWave(2)
-	twice(t, func() error { return l.Rollback(f.now, "by hand") })
+	callTwice(t, func() error { return l.Rollback(f.now, "by hand") })
 	for l.Current != nil {
 		before := f.countWith("new")
 		f.round()
 		if n := f.countWith("new"); n > before {
-			t.Fatalf("%d have it during the rollback, %d had", n, before)
+			t.Fatalf("rollback: %d gateways use the new configuration, want at most %d", n, before)
 		}
 	}
 	f.round()
 	if f.countWith("") != 20 || l.Ended[0].State != RolledBack {
-		t.Errorf("%d have what they had: %+v", f.countWith(""), l.Ended)
+		t.Errorf("after the rollback %d gateways use their previous configuration, want 20; ended releases %+v", f.countWith(""), l.Ended)
 	}
 
-	again := configPlan(false)
-	again.ID = "again"
-	_ = l.Start(f.now, again)
+	nextPlan := configPlan(false)
+	nextPlan.ID = "again"
+	_ = l.Start(f.now, nextPlan)
 	f.round()
 	_ = l.Halt(f.now, "")
 	if err := l.Stop(f.now, "enough"); err != nil {
@@ -266,15 +270,16 @@
 	}
 	f.round()
 	if f.countWith("new") != 2 || l.Ended[1].State != Stopped {
-		t.Errorf("stopped: %d have it", f.countWith("new"))
+		t.Errorf("stopped release: %d gateways use the new configuration, want 2; ended releases %+v", f.countWith("new"), l.Ended)
 	}
 	if err := l.Rollback(f.now, ""); !errors.Is(err, ErrNoRelease) {
-		t.Errorf("a rollback of a stopped release: %v", err)
+		t.Errorf("Rollback of a stopped release: got %v, want ErrNoRelease", err)
 	}
 }
 
-// TestAnyEventSequenceEnds makes calls in any order, with changes of leader and storing in between: each gateway is to have the new
-// configuration or the former one, waves only grow on the way forward and shrink in a rollback, and without faults the release ends.
+// TestAnyEventSequenceEnds makes calls in any order, with leader changes and restores of the ledger in between. The desired configuration of
+// each gateway must be the new or the previous one, the number of gateways that are to use the new one must only grow while the release
+// runs and only shrink during a rollback, and once there are no more faults the release must end.
 func TestAnyEventSequenceEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 9).Draw(t, "gateways"))
@@ -287,7 +292,7 @@
 					n++
 				case "":
 				default:
-					t.Fatalf("%s is to have %q", name, digest)
+					t.Fatalf("DesiredConfig(%s) = %q, want \"new\" or none", name, digest)
 				}
 			}
 			return n
@@ -303,7 +308,7 @@
 			if r := f.ledger.Current; r != nil && r.State == state {
 				n := countDesired()
 				if state == Running && n < before || state == RollingBack && n > before || state == Halted && n != before {
-					t.Fatalf("%s: %d were to have it, now %d (event %d)", state, before, n, event)
+					t.Fatalf("release is %q: number of gateways that are to use the new configuration changed from %d to %d (event %d)", state, before, n, event)
 				}
 			}
 		}
@@ -318,12 +323,12 @@
 			f.round()
 		}
 		if r := f.ledger.Current; r != nil && r.State != Halted {
-			t.Fatalf("it does not end: %v", r)
+			t.Fatalf("release has not ended: %v", r)
 		}
 	})
 }
 
-// apply makes one of twelve events happen, some of them to the gateway.
+// apply performs the event with a number from 0 to 11, which may affect the given gateway.
 func (f *fleet) apply(t *rapid.T, event int, gateway *Gateway) {
 	l := f.ledger
 	switch event {
@@ -360,7 +365,7 @@
 	}
 }
 
-// FuzzRestore restores any text: it is an error, or a ledger that can be used.
+// FuzzRestore restores arbitrary text. Restore must return an error or a ledger that can be used.
 func FuzzRestore(f *testing.F) {
 	seed := newFleet(4)
 	_ = seed.ledger.Start(seed.now, configPlan(true))
--- a/internal/release/steps.go
+++ b/internal/release/steps.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Observe replaces what is known of the gateways by a complete observation, and takes the release's next step.
+// Observe replaces the known gateways with a complete observation and takes the next step of the release in progress.
 func (l *Ledger) Observe(now time.Duration, gateways []Gateway) {
 	l.advance(now)
 	clear(l.Gateways)
@@ -27,15 +27,15 @@
 	}
 }
 
-// action is what a check of the present wave asks for.
+// action is the result of a check of the current wave.
 type action int
 
 const (
-	proceed     action = iota // nothing speaks against the next check
-	keepSoaking               // the wave goes on to be observed
-	wait                      // something is missing, which the reason names
-	halt                      // the release halts, whatever its plan says
-	fail                      // the gate fails
+	proceed     action = iota // continue with the next check
+	keepSoaking               // continue to observe the wave
+	wait                      // wait for the condition that the reason describes
+	halt                      // halt the release, even if its plan has RollBackOnFailure
+	fail                      // the gate has failed
 	pass                      // the wave has passed
 )
 
@@ -45,7 +45,7 @@
 	reason string
 }
 
-// stepForward checks the present wave: first that its gateways have the target and live, and once they do how they serve.
+// stepForward checks the current wave: first that its gateways have the target and respond and, once they do, how they serve requests.
 func (l *Ledger) stepForward(r *Release) {
 	if next := l.checkWave(r); next.action != proceed {
 		l.apply(r, next)
@@ -55,7 +55,7 @@
 		l.beginSoak(r)
 		return
 	}
-	l.adoptReturned(r)
+	l.includeReturned(r)
 	l.apply(r, l.checkSoak(r))
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// checkWave returns whether the present wave's gateways have the target and live, and those of earlier waves still do.
+// checkWave checks that the gateways of the current wave have the target and respond, and that those of earlier waves have not regressed.
 func (l *Ledger) checkWave(r *Release) step {
 	if reason := l.lostZone(r); reason != "" {
 		return step{halt, reason}
@@ -96,21 +96,21 @@
 	return step{action: proceed}
 }
 
-// maxLosses returns how many gateways of a wave may be missing or restart, since in a large wave some do so by chance.
+// maxLosses returns how many gateways of a wave may be missing or have restarted. In a large wave some do so for unrelated reasons.
 func maxLosses(wave []string) int { return len(wave) / 20 }
 
 func joinNames(names []string) string { return strings.Join(firstNames(names), ", ") }
 
-// waveMembers are the gateways of a wave by what keeps them from being ready.
+// waveMembers lists the gateways of a wave by what keeps the wave from being ready or passing.
 type waveMembers struct {
-	rejection string   // of the first one that rejects the target, with its reason
+	rejection string   // name and reason of the first gateway that rejects the target
 	missing   []string // do not respond
 	waiting   []string // do not have the target, or do not serve yet
-	restarted []string // since the wave was ready
+	restarted []string // have restarted since the wave was ready
 }
 
-// inspectWave returns what its gateways report. One that has left the fleet is not counted: the next one that comes under its name is
-// assigned the target.
+// inspectWave sorts the gateways of the current wave by what they reported. A gateway that has left the fleet is not counted: a successor
+// with the same name is assigned the target.
 func (l *Ledger) inspectWave(r *Release) waveMembers {
 	var members waveMembers
 	for _, name := range r.wave() {
@@ -133,8 +133,8 @@
 	return members
 }
 
-// earlierWavesRegressed returns which gateways of earlier waves have restarted since they have the target, where that is more than one
-// and more than a tenth of them. A canary's restart counts by itself in the wave right after its own.
+// earlierWavesRegressed returns a reason if more than one and more than a tenth of the gateways of earlier waves have restarted since they
+// got the target, and "" otherwise. During the second wave, the restart of a single gateway of the first wave is enough.
 func (l *Ledger) earlierWavesRegressed(r *Release) string {
 	var restarted []string
 	total := 0
@@ -157,8 +157,8 @@
 	return joinNames(restarted) + ": started anew while they had it"
 }
 
-// lostZone returns which zone has lost all of its gateways, of two or more that responded at the start of the release; empty: none, or
-// the fleet has a single zone. Gateways that restart in their wave are not lost.
+// lostZone returns a reason if a zone with two or more gateways that responded at the start of the release has lost all of them, and ""
+// otherwise or if the fleet has a single zone. Gateways that restart for the current wave are not counted as lost.
 func (l *Ledger) lostZone(r *Release) string {
 	type zone struct{ site, name string }
 	total, lost := map[zone]int{}, map[zone]int{}
@@ -185,7 +185,7 @@
 	return ""
 }
 
-// beginSoak records that the wave is ready, and what all gateways have counted until now.
+// beginSoak records that the wave is ready, with the figures of all gateways and the incarnations of the wave's gateways.
 func (l *Ledger) beginSoak(r *Release) {
 	r.WaveReadyAt = positive(l.Now)
 	r.StateReason = ""
@@ -201,8 +201,8 @@
 	}
 }
 
-// adoptReturned begins to judge gateways that were missing when their wave became ready and respond now.
-func (l *Ledger) adoptReturned(r *Release) {
+// includeReturned begins to judge gateways that were missing when their wave became ready and respond now.
+func (l *Ledger) includeReturned(r *Release) {
 	for _, name := range r.wave() {
 		gateway := l.Gateways[name]
 		if gateway.Responding && r.Incarnations[name] == 0 {
@@ -212,7 +212,7 @@
 	}
 }
 
-// checkSoak judges a wave that is ready. A failure counts at once, a pass at the end of the soak.
+// checkSoak judges a wave that is ready. A failure takes effect immediately, a pass only at the end of the soak.
 func (l *Ledger) checkSoak(r *Release) step {
 	judged := l.judge(r)
 	switch {
@@ -226,7 +226,7 @@
 	return step{action: pass}
 }
 
-// finishWave begins the next wave, or ends the release behind its last one.
+// finishWave begins the next wave, or ends the release after its last wave.
 func (l *Ledger) finishWave(r *Release) {
 	if r.Wave+1 == len(r.Waves) {
 		l.finish(Done, "")
@@ -238,7 +238,7 @@
 	l.beginWave(r)
 }
 
-// beginWave records the baseline of the present wave's gateways: what they have counted since the start of the release.
+// beginWave records the baseline of the current wave's gateways: what they have counted since the start of the release.
 func (l *Ledger) beginWave(r *Release) {
 	r.WaveReadyAt = 0
 	clear(r.AtWaveReady)
@@ -249,8 +249,8 @@
 	}
 }
 
-// stepBack rolls the waves back, the last one first. Each waits until its gateways have what they had before, and then for a part of
-// the soak.
+// stepBack rolls the waves back in reverse order. A wave is complete when its gateways have what they had before the release, and the next
+// one begins after Soak divided by RollbackSpeedup.
 func (l *Ledger) stepBack(r *Release) {
 	for _, name := range r.wave() {
 		if gateway, known := l.Gateways[name]; known && r.awaitsRollback(&gateway) {
@@ -272,8 +272,8 @@
 	}
 }
 
-// awaitsRollback reports whether a gateway responds and does not have again what it had before. One that rejects its former version is
-// not waited for.
+// awaitsRollback reports whether a gateway responds but does not have what it had before the release. The rollback does not wait for a
+// gateway that rejects its previous version.
 func (r *Release) awaitsRollback(g *Gateway) bool {
 	if !g.Responding {
 		return false
--- a/internal/release/waves.go
+++ b/internal/release/waves.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// Waves returns the names of the gateways in the waves of a release: one canary of each site, then a tenth of all, half, and all. No
-// wave has two zones of a site, so that a bad release affects one zone at a time.
+// Waves divides gateways into the waves of a release and returns their names: first one canary per site, then up to a tenth of all
+// gateways, up to half, and up to all. A wave contains gateways of only one zone per site, so that a bad release affects one zone of a
+// site at a time.
 func Waves(gateways []Gateway) [][]string {
 	planner := wavePlanner{
 		total: len(gateways),
@@ -28,11 +29,11 @@
 // wavePlanner assigns gateways to waves.
 type wavePlanner struct {
 	total     int
-	remaining []Gateway // not in a wave yet
+	remaining []Gateway // not assigned to a wave yet
 	waves     [][]string
 }
 
-// planned returns how many gateways are in a wave.
+// planned returns how many gateways are assigned to waves.
 func (p *wavePlanner) planned() int { return p.total - len(p.remaining) }
 
 // addWaveUpTo adds a wave that brings the number of planned gateways up to at most total.
@@ -40,7 +41,7 @@
 	p.addWave(total-p.planned(), p.total)
 }
 
-// addWave adds a wave of at most size gateways, of one zone and at most maxPerSite of them at each site. It adds no empty wave.
+// addWave adds a wave of at most size gateways, with one zone and at most maxPerSite gateways per site. It adds no empty wave.
 func (p *wavePlanner) addWave(size, maxPerSite int) {
 	var wave []string
 	var skipped []Gateway
