--- a/internal/config/class.go
+++ b/internal/config/class.go
@@ -9,24 +9,24 @@
 	"robindrum/balancer"
 )
 
-// The classes of requests whose route names none, for methods that are safe and for others.
+// The default classes of requests whose route sets no class, for safe methods and for all others.
 const (
 	DefaultSafeClass   = "default-safe"
 	DefaultUnsafeClass = "default-unsafe"
 )
 
-// maxPriorityWeight bounds the weight of a class.
+// maxPriorityWeight is the upper bound of a class's priority weight.
 const maxPriorityWeight = 1e6
 
-// Class is a class of requests.
+// Class is a class of requests with the same latency objective, deadline, priority weight and retry rules.
 type Class struct {
 	Name             string   `yaml:"name"`
 	LatencyObjective Duration `yaml:"wanted"`
-	Deadline         Duration `yaml:"deadline"` // over all attempts
+	Deadline         Duration `yaml:"deadline"` // of all attempts together
 	PriorityWeight   float64  `yaml:"worth"`
 	Effect           Effect   `yaml:"effect"`
-	Group            Group    `yaml:"group"`  // keyed only
-	Window           Duration `yaml:"window"` // keyed only: how long the servers drop repeats
+	Group            Group    `yaml:"group"`  // which servers drop repeated requests together; keyed only
+	Window           Duration `yaml:"window"` // how long the servers drop repeated requests; keyed only
 }
 
 func (c *Class) setDefaults() {
@@ -35,7 +35,7 @@
 	setDefault(&c.PriorityWeight, 1)
 }
 
-// setClassDefaults sets what was left out of the classes, and adds the default classes.
+// setClassDefaults sets the defaults of the classes' fields and adds each default class that the file does not define.
 func (f *File) setClassDefaults() {
 	for i := range f.Classes {
 		f.Classes[i].setDefaults()
@@ -66,19 +66,19 @@
 
 func (c *Class) check(d *decoder, field string) {
 	if strings.Contains(c.Name, "!") {
-		d.errorAt(field+".name", "%q: ! is not for names", c.Name)
+		d.errorAt(field+".name", "must not contain !, got %q", c.Name)
 	}
 	if c.LatencyObjective > c.Deadline {
-		d.errorAt(field+".wanted", "%v is longer than the deadline, %v", c.LatencyObjective.D(), c.Deadline.D())
+		d.errorAt(field+".wanted", "must be at most the deadline of %[2]v, got %[1]v", c.LatencyObjective.D(), c.Deadline.D())
 	}
 	if c.PriorityWeight <= 0 || c.PriorityWeight > maxPriorityWeight {
-		d.errorAt(field+".worth", "want more than 0 and at most 1000000, not %v", c.PriorityWeight)
+		d.errorAt(field+".worth", "must be greater than 0 and at most 1000000, got %v", c.PriorityWeight)
 	}
 	keyed := balancer.Effect(c.Effect) == balancer.IdempotentWithKey
 	if !keyed && (c.Window != 0 || c.Group != 0) {
-		d.errorAt(field+".effect", "group and window are for keyed classes")
+		d.errorAt(field+".effect", "must be keyed if group or window is set")
 	}
 	if keyed && c.Window == 0 {
-		d.errorAt(field+".window", "a keyed class needs it: how long its servers drop repeats")
+		d.errorAt(field+".window", "is required for keyed classes; it sets how long the servers drop repeated requests")
 	}
 }
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -10,72 +10,72 @@
 	maxConnectTimeout = 10 * time.Second
 	maxWeight         = 1e9
 	maxPriority       = 128
-	maxCount          = 1e6 // of requests, connections and retries
-	maxFloor          = 0.5
-	defaultPending    = 1024
+	maxCount          = 1e6 // upper bound of settings that count requests, connections or retries
+	maxFloor          = 0.5 // upper bound of the floor of a class
+	defaultMaxPending = 1024
 )
 
-// Cluster is a set of endpoints that serve the same requests. Exactly one of Endpoints, File and XDS is set.
+// Cluster is a set of endpoints that serve the same requests. Exactly one of Endpoints, File and XDS must be set.
 type Cluster struct {
 	Name      string      `yaml:"name"`
 	Endpoints []Endpoint  `yaml:"endpoints,omitempty"`
 	File      *FileSource `yaml:"file,omitempty"`
 	XDS       *XDSSource  `yaml:"xds,omitempty"`
-	Quota     *Quota      `yaml:"limits,omitempty"` // nil: Limits.PerCluster
+	Quota     *Quota      `yaml:"limits,omitempty"` // nil: Limits.PerCluster applies
 
 	ConnectTimeout Duration `yaml:"connect_timeout"`
-	IdleTimeout    Duration `yaml:"idle_timeout"` // of a connection to an endpoint
-	Attempts       int      `yaml:"attempts"`     // of one request, the first one included
-	Hedge          *bool    `yaml:"hedge"`        // hedge requests that are overdue
+	IdleTimeout    Duration `yaml:"idle_timeout"` // after which an idle connection to an endpoint is closed
+	Attempts       int      `yaml:"attempts"`     // maximum per request, including the first
+	Hedge          *bool    `yaml:"hedge"`        // send hedged requests for overdue requests
 	WarmUp         WarmUp   `yaml:"warm_up"`
-	CrossZone      *float64 `yaml:"cross_zone_price"` // of a request to another zone, as a part of its priority weight
+	CrossZone      *float64 `yaml:"cross_zone_price"` // cross-zone penalty, as a fraction of a request's priority weight
 	DrainGrace     Duration `yaml:"drain_grace"`
 
 	Overload Overload `yaml:"overload"`
 	Breakers Breakers `yaml:"circuit_breakers"`
 }
 
-// Overload are the settings of a cluster's admission; see package admission.
+// Overload holds the admission settings of a cluster; see package admission.
 type Overload struct {
 	Mode        Mode           `yaml:"mode"`         // adaptive, fixed or off
-	PerEndpoint int            `yaml:"per_endpoint"` // requests in flight for each endpoint with which an adaptive limit begins
-	Limit       int            `yaml:"limit"`        // requests in flight, of a fixed limit
-	MaxWait     Duration       `yaml:"max_wait"`     // of a request before it starts; 0: what its latency objective leaves
-	MaxWaiting  Size           `yaml:"max_waiting"`  // of the bodies of waiting requests; 0: the cluster's quota alone
-	Floor       *float64       `yaml:"floor"`        // the part of starts for each class with waiting requests, whatever its weight
+	PerEndpoint int            `yaml:"per_endpoint"` // initial adaptive limit on requests in flight per endpoint
+	Limit       int            `yaml:"limit"`        // limit on requests in flight in fixed mode
+	MaxWait     Duration       `yaml:"max_wait"`     // in the queue; 0: limited only by the latency objective and the client's remaining time
+	MaxWaiting  Size           `yaml:"max_waiting"`  // total size of the bodies of queued requests; 0: limited only by the cluster's quota
+	Floor       *float64       `yaml:"floor"`        // guaranteed fraction of the starts for each class that has queued requests, whatever its weight
 	Retries     RetryAllowance `yaml:"retries"`
 }
 
-// RetryAllowance is how many retries, hedges included, a cluster's requests allow.
+// RetryAllowance limits the retries of a cluster, including hedged requests.
 type RetryAllowance struct {
-	Ratio *float64 `yaml:"ratio"` // for each request
-	Rate  *float64 `yaml:"rate"`  // a second, in any case
-	TTL   Duration `yaml:"ttl"`   // of an allowed retry that is not made
+	Ratio *float64 `yaml:"ratio"` // retries that each request adds to the allowance
+	Rate  *float64 `yaml:"rate"`  // retries per second that are added to the allowance regardless of requests
+	TTL   Duration `yaml:"ttl"`   // after which an unused retry expires
 }
 
-// Breakers are Envoy's circuit breakers, with their meaning. 0: no limit.
+// Breakers holds Envoy's circuit breakers, with the same semantics. 0: unlimited.
 type Breakers struct {
 	MaxConnections int          `yaml:"max_connections"`
 	MaxRequests    int          `yaml:"max_requests"`
-	MaxPending     int          `yaml:"max_pending_requests"` // requests that wait to start
+	MaxPending     int          `yaml:"max_pending_requests"` // queued requests
 	MaxRetries     int          `yaml:"max_retries"`          // in flight
 	RetryBudget    *RetryBudget `yaml:"retry_budget,omitempty"`
-	// High is for requests on routes of high priority, which are counted separately; nil: only the default of MaxPending.
-	// Its MaxConnections is not used, as both priorities share connections.
+	// High applies to requests on routes of high priority, which are counted separately. If it is nil, only the default of
+	// MaxPending applies to them. High.MaxConnections is not used, because both priorities share connections.
 	High *Breakers `yaml:"high,omitempty"`
 }
 
-// RetryBudget limits the retries in flight to a part of the requests in flight or waiting, in place of MaxRetries.
+// RetryBudget replaces MaxRetries: it limits the retries in flight to a percentage of the requests in flight or queued.
 type RetryBudget struct {
 	Percent        float64 `yaml:"budget_percent"`
 	MinConcurrency int     `yaml:"min_retry_concurrency"`
 }
 
-// WarmUp is the slow start of an endpoint.
+// WarmUp configures the slow start of an endpoint.
 type WarmUp struct {
 	Time             Duration `yaml:"time"`
-	InitialShare     float64  `yaml:"share"` // the part of its capacity with which it starts
-	OverloadMultiple float64  `yaml:"most"`  // the multiple of its current share above which it is overloaded
+	InitialShare     float64  `yaml:"share"` // fraction of its capacity that the endpoint has when it starts
+	OverloadMultiple float64  `yaml:"most"`  // multiple of its current capacity above which it is overloaded
 }
 
 // Endpoint is an endpoint of a static cluster.
@@ -88,18 +88,18 @@
 	Priority int     `yaml:"priority,omitempty"`
 }
 
-// FileSource is a file of xDS resources, in JSON or YAML, with the endpoints of a cluster.
+// FileSource is a file of xDS resources, in JSON or YAML, that contains the endpoints of a cluster.
 type FileSource struct {
 	Path    string `yaml:"path"`
 	Service string `yaml:"service,omitempty"` // cluster_name of the ClusterLoadAssignment; empty: the cluster's name
 }
 
-// XDSSource is the control plane as the source of a cluster's endpoints.
+// XDSSource makes the control plane the source of a cluster's endpoints.
 type XDSSource struct {
 	Service string `yaml:"service,omitempty"` // cluster_name of the ClusterLoadAssignment; empty: the cluster's name
 }
 
-// SetDefaults sets what was left out of a cluster, which may be one of a control plane.
+// SetDefaults sets the defaults of fields that are not set. The cluster may come from the file or from a control plane.
 func (c *Cluster) SetDefaults() {
 	setDefault(&c.ConnectTimeout, Duration(250*time.Millisecond))
 	setDefault(&c.IdleTimeout, Duration(10*time.Second))
@@ -128,9 +128,9 @@
 	setDefaultPointer(&o.Retries.Rate, 10)
 }
 
-// setDefaults sets what was left out. The defaults of a retry budget are Envoy's.
+// setDefaults sets the defaults of fields that are not set. Those of a retry budget are Envoy's.
 func (b *Breakers) setDefaults() {
-	setDefault(&b.MaxPending, defaultPending)
+	setDefault(&b.MaxPending, defaultMaxPending)
 	if b.RetryBudget != nil {
 		setDefault(&b.RetryBudget.Percent, 20)
 		setDefault(&b.RetryBudget.MinConcurrency, 3)
@@ -149,7 +149,7 @@
 	}
 }
 
-// checkSource checks the endpoints of a cluster, and that they have exactly one source.
+// checkSource checks that a cluster has exactly one source of endpoints, and that the source is valid.
 func (f *File) checkSource(d *decoder, field string, c *Cluster) {
 	sources := 0
 	if c.Endpoints != nil {
@@ -165,51 +165,51 @@
 	if c.XDS != nil {
 		sources++
 		if f.XDS == nil {
-			d.errorAt(field+".xds", "there is no control plane: xds is missing")
+			d.errorAt(field+".xds", "requires a control plane, but the xds section is missing")
 		}
 	}
 	if sources != 1 {
-		d.errorAt(field, "want one of endpoints, file and xds, not %d", sources)
+		d.errorAt(field, "exactly one of endpoints, file and xds must be set, got %d", sources)
 	}
 }
 
 func checkEndpoints(d *decoder, cluster string, endpoints []Endpoint) {
-	first := map[string]int{} // index of each address
+	indexes := map[string]int{} // by address
 	for i := range endpoints {
 		e := &endpoints[i]
 		field := fmt.Sprintf("%s.endpoints[%d]", cluster, i)
 		checkAddress(d, field+".address", e.Address, false)
-		if j, ok := first[e.Address]; ok && e.Address != "" {
-			d.errorAt(field+".address", "%s is endpoints[%d] already", e.Address, j)
+		if other, ok := indexes[e.Address]; ok && e.Address != "" {
+			d.errorAt(field+".address", "%s is already the address of endpoints[%d]", e.Address, other)
 		}
-		first[e.Address] = i
+		indexes[e.Address] = i
 		if e.Weight <= 0 || e.Weight > maxWeight {
-			d.errorAt(field+".weight", "want more than 0 and at most 1000000000, not %v", e.Weight)
+			d.errorAt(field+".weight", "must be greater than 0 and at most 1000000000, got %v", e.Weight)
 		}
 		if e.Priority < 0 || e.Priority > maxPriority {
-			d.errorAt(field+".priority", "want 0 to %d, not %d", maxPriority, e.Priority)
+			d.errorAt(field+".priority", "must be from 0 to %d, got %d", maxPriority, e.Priority)
 		}
 	}
 }
 
 func (c *Cluster) check(d *decoder, field string) {
 	if c.Attempts < 1 || c.Attempts > maxAttempts {
-		d.errorAt(field+".attempts", "want 1 to %d, not %d", maxAttempts, c.Attempts)
+		d.errorAt(field+".attempts", "must be from 1 to %d, got %d", maxAttempts, c.Attempts)
 	}
 	if c.WarmUp.InitialShare <= 0 || c.WarmUp.InitialShare > 1 {
-		d.errorAt(field+".warm_up.share", "want more than 0 and at most 1, not %v", c.WarmUp.InitialShare)
+		d.errorAt(field+".warm_up.share", "must be greater than 0 and at most 1, got %v", c.WarmUp.InitialShare)
 	}
 	if c.WarmUp.OverloadMultiple < 1 || c.WarmUp.OverloadMultiple > 100 {
-		d.errorAt(field+".warm_up.most", "want 1 to 100, not %v", c.WarmUp.OverloadMultiple)
+		d.errorAt(field+".warm_up.most", "must be from 1 to 100, got %v", c.WarmUp.OverloadMultiple)
 	}
 	if *c.CrossZone < 0 || *c.CrossZone > 1 {
-		d.errorAt(field+".cross_zone_price", "want 0 to 1, not %v", *c.CrossZone)
+		d.errorAt(field+".cross_zone_price", "must be from 0 to 1, got %v", *c.CrossZone)
 	}
 	if c.ConnectTimeout == 0 || c.ConnectTimeout.D() > maxConnectTimeout {
-		d.errorAt(field+".connect_timeout", "want more than 0 and at most %v, not %v", maxConnectTimeout, c.ConnectTimeout.D())
+		d.errorAt(field+".connect_timeout", "must be greater than 0 and at most %v, got %v", maxConnectTimeout, c.ConnectTimeout.D())
 	}
 	if c.IdleTimeout == 0 {
-		d.errorAt(field+".idle_timeout", "want more than 0")
+		d.errorAt(field+".idle_timeout", "must be greater than 0")
 	}
 }
 
@@ -221,7 +221,7 @@
 	checkNumber(d, prefix+"retries.rate", *o.Retries.Rate, 0, maxCount)
 	ttl := o.Retries.TTL.D()
 	if ttl < 100*time.Millisecond || ttl > time.Hour {
-		d.errorAt(prefix+"retries.ttl", "want 100ms to 1h, not %v", ttl)
+		d.errorAt(prefix+"retries.ttl", "must be from 100ms to 1h, got %v", ttl)
 	}
 }
 
@@ -234,10 +234,10 @@
 	prefix := field + ".circuit_breakers.high."
 	high.check(d, prefix)
 	if high.MaxConnections > 0 {
-		d.errorAt(prefix+"max_connections", "connections are shared by both priorities, set it for the cluster")
+		d.errorAt(prefix+"max_connections", "cannot be set: both priorities share connections, set circuit_breakers.max_connections instead")
 	}
 	if high.High != nil {
-		d.errorAt(prefix+"high", "there are two priorities")
+		d.errorAt(prefix+"high", "cannot be nested: there are only two priorities")
 	}
 }
 
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -18,19 +18,19 @@
 	maxFileBytes = 64 << 20
 )
 
-// position is a position in a file, from 1.
+// position is a line and a column of a file, both counted from 1. The zero position is unknown.
 type position struct {
 	line   int
 	column int
 }
 
-// decoder decodes YAML into Go values by their `yaml` tags. It goes on after an error, so that all are returned together,
-// and records the position of each field. It rejects aliases, by which a small file could expand without bound.
+// decoder decodes YAML into Go values by their `yaml` tags. It continues after an error, so that all errors are returned
+// together, and records the position of each field. It rejects aliases, because they let a small file expand without bound.
 type decoder struct {
 	file      string
 	errs      Errors
-	positions map[string]position // by path
-	depth     int
+	positions map[string]position // by field path
+	depth     int                 // nesting depth of the value that is being decoded
 }
 
 // errorAtNode adds an error about a node. A nil node has no position.
@@ -43,13 +43,14 @@
 	d.errs = append(d.errs, e)
 }
 
-// errorAt adds an error about a field. If the file does not contain the field, the position is that of its parent.
+// errorAt adds an error about a field. If the file does not contain the field, the position is that of its nearest ancestor.
 func (d *decoder) errorAt(field, reason string, args ...any) {
 	p := d.positionOf(field)
 	e := &Error{File: d.file, Line: p.line, Column: p.column, Field: field, Reason: fmt.Sprintf(reason, args...)}
 	d.errs = append(d.errs, e)
 }
 
+// positionOf returns the position of the field at path, or that of its nearest ancestor in the file.
 func (d *decoder) positionOf(path string) position {
 	for {
 		p, ok := d.positions[path]
@@ -60,7 +61,7 @@
 	}
 }
 
-// err returns the errors sorted by position, as Errors; nil if there are none.
+// err returns the errors as Errors, sorted by position, or nil if there are none.
 func (d *decoder) err() error {
 	if len(d.errs) == 0 {
 		return nil
@@ -85,7 +86,7 @@
 func (d *decoder) decode(text []byte, target any) {
 	d.positions = map[string]position{}
 	if len(text) > maxFileBytes {
-		d.errorAtNode(nil, "", "%d bytes, %d at most", len(text), maxFileBytes)
+		d.errorAtNode(nil, "", "the file has %d bytes, at most %d are accepted", len(text), maxFileBytes)
 		return
 	}
 	var document yaml.Node
@@ -100,7 +101,7 @@
 	d.decodeValue(document.Content[0], "", reflect.ValueOf(target).Elem())
 }
 
-// addSyntaxError adds an error of the YAML library, whose text begins with the line, if it is known.
+// addSyntaxError adds an error of the YAML library. Its text begins with the line number if the library knows it.
 func (d *decoder) addSyntaxError(err error) {
 	e := &Error{File: d.file, Column: 1}
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
@@ -110,7 +111,7 @@
 			text = reason
 		}
 	}
-	e.Reason = "not YAML: " + text
+	e.Reason = "invalid YAML: " + text
 	d.errs = append(d.errs, e)
 }
 
@@ -120,12 +121,12 @@
 	d.depth++
 	defer func() { d.depth-- }()
 	if d.depth > maxDepth {
-		d.errorAtNode(node, path, "nested too deep")
+		d.errorAtNode(node, path, "nested too deeply")
 		return
 	}
 	d.positions[path] = position{line: node.Line, column: node.Column}
 	if node.Kind == yaml.AliasNode || node.Anchor != "" {
-		d.errorAtNode(node, path, "anchors and aliases are not read")
+		d.errorAtNode(node, path, "anchors and aliases are not supported")
 		return
 	}
 	if node.Kind == yaml.ScalarNode && node.Tag == "!!null" {
@@ -154,12 +155,12 @@
 // decodeText decodes into an encoding.TextUnmarshaler.
 func (d *decoder) decodeText(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.ScalarNode {
-		d.errorAtNode(node, path, "want one value")
+		d.errorAtNode(node, path, "must be a single value")
 		return
 	}
 	unmarshaler, ok := target.Addr().Interface().(encoding.TextUnmarshaler)
 	if !ok {
-		return // cannot happen: the caller has checked it
+		return // cannot happen: decodeValue has checked the type
 	}
 	if err := unmarshaler.UnmarshalText([]byte(node.Value)); err != nil {
 		d.errorAtNode(node, path, "%v", err)
@@ -168,7 +169,7 @@
 
 func (d *decoder) decodeSlice(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.SequenceNode {
-		d.errorAtNode(node, path, "want a list")
+		d.errorAtNode(node, path, "must be a list")
 		return
 	}
 	target.Set(reflect.MakeSlice(target.Type(), len(node.Content), len(node.Content)))
@@ -180,7 +181,7 @@
 // decodeMap decodes into a map with string keys.
 func (d *decoder) decodeMap(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		d.errorAtNode(node, path, "want names with values")
+		d.errorAtNode(node, path, "must be a mapping of names to values")
 		return
 	}
 	target.Set(reflect.MakeMap(target.Type()))
@@ -189,7 +190,7 @@
 		name := join(path, keyNode.Value)
 		key := reflect.ValueOf(keyNode.Value)
 		if target.MapIndex(key).IsValid() {
-			d.errorAtNode(keyNode, name, "stands twice")
+			d.errorAtNode(keyNode, name, "duplicate key")
 			continue
 		}
 		value := reflect.New(target.Type().Elem()).Elem()
@@ -200,7 +201,7 @@
 
 func (d *decoder) decodeStruct(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.MappingNode {
-		d.errorAtNode(node, path, "want fields")
+		d.errorAtNode(node, path, "must be a mapping of fields")
 		return
 	}
 	fields := fieldIndexes(target.Type())
@@ -213,7 +214,7 @@
 		case !ok:
 			d.errorAtNode(keyNode, name, "there is no such field")
 		case seen[keyNode.Value]:
-			d.errorAtNode(keyNode, name, "stands twice")
+			d.errorAtNode(keyNode, name, "duplicate field")
 		default:
 			seen[keyNode.Value] = true
 			d.decodeValue(node.Content[i+1], name, target.FieldByIndex(index))
@@ -221,7 +222,7 @@
 	}
 }
 
-// fieldIndexes returns the fields of a struct by their names in YAML, including those of embedded structs.
+// fieldIndexes returns the index of each field of a struct by its name in YAML, including the fields of embedded structs.
 func fieldIndexes(t reflect.Type) map[string][]int {
 	fields := map[string][]int{}
 	for _, field := range reflect.VisibleFields(t) {
@@ -234,19 +235,19 @@
 }
 
 var (
-	errNotBool   = errors.New("want true or false")
-	errNotInt    = errors.New("want a whole number")
-	errNotUint32 = errors.New("want a whole number from 0 to 4294967295")
-	errNotNumber = errors.New("want a number")
+	errNotBool   = errors.New("must be true or false")
+	errNotInt    = errors.New("must be a whole number")
+	errNotUint32 = errors.New("must be a whole number from 0 to 4294967295")
+	errNotNumber = errors.New("must be a number")
 )
 
 func (d *decoder) decodeScalar(node *yaml.Node, path string, target reflect.Value) {
 	if node.Kind != yaml.ScalarNode {
-		d.errorAtNode(node, path, "want one value")
+		d.errorAtNode(node, path, "must be a single value")
 		return
 	}
 	if err := setScalar(target, node); err != nil {
-		d.errorAtNode(node, path, "%v, not %q", err, node.Value)
+		d.errorAtNode(node, path, "%v, got %q", err, node.Value)
 	}
 }
 
@@ -279,7 +280,7 @@
 		}
 		target.SetFloat(value)
 	default:
-		return fmt.Errorf("a %v cannot be read", target.Type())
+		return fmt.Errorf("unsupported type %v", target.Type())
 	}
 	return nil
 }
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// setDefault sets a value that was left out, which is then zero.
+// setDefault sets a field that the file does not set. A zero value counts as not set.
 func setDefault[T cmp.Ordered](target *T, value T) {
 	var zero T
 	if *target == zero {
@@ -13,23 +13,23 @@
 	}
 }
 
-// setDefaultPointer sets a value that was left out, where zero is a value as well.
+// setDefaultPointer sets a field that the file does not set. The field is a pointer because zero is a valid value of it.
 func setDefaultPointer[T any](target **T, value T) {
 	if *target == nil {
 		*target = new(value)
 	}
 }
 
-// checkNumber checks that a number is within bounds; NaN is not.
+// checkNumber checks that minimum <= value <= maximum. NaN is rejected.
 func checkNumber(d *decoder, field string, value, minimum, maximum float64) {
 	if !(value >= minimum && value <= maximum) {
-		d.errorAt(field, "want %v to %v, not %v", minimum, maximum, value)
+		d.errorAt(field, "must be from %v to %v, got %v", minimum, maximum, value)
 	}
 }
 
-// checkRange checks that a duration is within bounds.
+// checkRange checks that minimum <= value <= maximum.
 func checkRange(d *decoder, field string, value Duration, minimum, maximum time.Duration) {
 	if value.D() < minimum || value.D() > maximum {
-		d.errorAt(field, "want %v to %v, not %v", minimum, maximum, value.D())
+		d.errorAt(field, "must be from %v to %v, got %v", minimum, maximum, value.D())
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Error is one error in a file.
+// Error is an error in a file, with its position.
 type Error struct {
 	File   string
-	Line   int // from 1; 0 if the position is not known
-	Column int // from 1
-	Field  string
+	Line   int    // counted from 1; 0 if the position is unknown
+	Column int    // counted from 1
+	Field  string // path of the field, such as clusters[0].name; empty if the error is about the whole file
 	Reason string
 }
 
-// Error returns file:line:column: field: reason.
+// Error returns "file:line:column: field: reason", without the parts that are unknown.
 func (e *Error) Error() string {
 	position := e.File
 	if e.Line > 0 {
@@ -26,19 +26,19 @@
 	return position + ": " + e.Field + ": " + e.Reason
 }
 
-// Errors are all errors in a file, in the order of its lines.
+// Errors holds all errors in a file, sorted by position.
 type Errors []*Error
 
-// Error returns the errors one a line.
-func (l Errors) Error() string {
-	lines := make([]string, len(l))
-	for i, e := range l {
+// Error returns the errors, one per line.
+func (errs Errors) Error() string {
+	lines := make([]string, len(errs))
+	for i, e := range errs {
 		lines[i] = e.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// joinedErrors returns the errors of errors.Join, or the error itself.
+// joinedErrors returns the errors that errors.Join has joined, err alone if it is not joined, or nothing if it is nil.
 func joinedErrors(err error) []error {
 	if err == nil {
 		return nil
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,5 +1,5 @@
-// Package config reads the gateway's configuration file: its schema, its defaults and its checks. A file is read and
-// checked completely before it is used. All errors are returned together, each with file, line, column and field.
+// Package config reads the gateway's configuration file. It defines the schema, the defaults and the checks. A file is read
+// and checked completely before it is used. All errors are returned together, each with file, line, column and field.
 package config
 
 import (
@@ -13,8 +13,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// File is the configuration of a gateway. Print depends on the order of its fields, as on that of all types of this
-// package: gateways of a fleet compare the text.
+// File is the configuration of a gateway. The order of the fields, here and in the other types of this package, must not
+// change: Print writes them in this order, and the gateways of a fleet compare the printed text.
 type File struct {
 	Zone      string     `yaml:"zone"` // of this gateway
 	Gateway   Gateway    `yaml:"gateway"`
@@ -33,11 +33,11 @@
 	RateLimits []RateLimit `yaml:"rate_limits,omitempty"`
 
 	path string
-	dir  string
-	text []byte
+	dir  string // against which Resolve resolves relative names
+	text []byte // without the sections of a release
 }
 
-// Load reads and checks a file. The error is of type Errors.
+// Load reads and checks a configuration file. The error is of type Errors.
 func Load(path string) (*File, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -54,7 +54,8 @@
 	return text, nil
 }
 
-// Parse checks the text of a file and sets the defaults. The error is of type Errors.
+// Parse parses and checks the text of a file and sets the defaults. The path is only used for errors and for resolving
+// relative file names. The error is of type Errors.
 func Parse(path string, text []byte) (*File, error) {
 	d := &decoder{file: path}
 	f := &File{path: path, dir: filepath.Dir(path), text: text}
@@ -70,34 +71,35 @@
 	return f, nil
 }
 
-// releaseSections are the sections that a release may replace. The others belong to each process.
+// releaseSections are the sections that a release may replace. The other sections are specific to each process.
 var releaseSections = []string{"classes", "clusters", "routes", "rate_limits", "zones", "xds"}
 
-var errNoSections = errors.New("the release: want sections by name")
+var errNoSections = errors.New("release: must be a mapping of sections")
 
-// With returns the file with a release's sections in place of its own.
+// With returns the configuration in which the sections of a release replace those of the file. Earlier releases have no
+// effect on the result.
 func (f *File) With(release string) (*File, error) {
-	var own, replacement yaml.Node
-	if err := yaml.Unmarshal(f.text, &own); err != nil {
+	var base, replacement yaml.Node
+	if err := yaml.Unmarshal(f.text, &base); err != nil {
 		return nil, err
 	}
 	if err := yaml.Unmarshal([]byte(release), &replacement); err != nil {
-		return nil, fmt.Errorf("the release: %w", err)
+		return nil, fmt.Errorf("release: %w", err)
 	}
-	if !isMapping(&own) || !isMapping(&replacement) {
+	if !isMapping(&base) || !isMapping(&replacement) {
 		return nil, errNoSections
 	}
 	sections := replacement.Content[0].Content
 	for i := 0; i+1 < len(sections); i += 2 {
 		name := sections[i].Value
 		if !slices.Contains(releaseSections, name) {
-			return nil, fmt.Errorf("the release: %s is each process's own; a release brings %s", name, strings.Join(releaseSections, ", "))
+			return nil, fmt.Errorf("release: %s is each process's own; a release may contain only %s", name, strings.Join(releaseSections, ", "))
 		}
-		replaceSection(own.Content[0], sections[i], sections[i+1])
+		replaceSection(base.Content[0], sections[i], sections[i+1])
 	}
-	text, err := yaml.Marshal(&own)
+	text, err := yaml.Marshal(&base)
 	if err != nil {
-		return nil, fmt.Errorf("the release: %w", err)
+		return nil, fmt.Errorf("release: %w", err)
 	}
 	combined, err := Parse(f.path+" with the release", text)
 	if err != nil {
@@ -112,7 +114,7 @@
 	return len(document.Content) == 1 && document.Content[0].Kind == yaml.MappingNode
 }
 
-// replaceSection sets the value of a key in a mapping, and adds the key if the mapping lacks it.
+// replaceSection sets the value of a key in a mapping, and adds the key if the mapping does not contain it.
 func replaceSection(mapping, key, value *yaml.Node) {
 	for i := len(mapping.Content) - 2; i >= 0; i -= 2 {
 		if mapping.Content[i].Value == key.Value {
@@ -123,10 +125,10 @@
 	mapping.Content = append(mapping.Content, key, value)
 }
 
-// Path returns the name of the file.
+// Path returns the path that was passed to Load or Parse.
 func (f *File) Path() string { return f.path }
 
-// Resolve returns a file name of the configuration relative to the configuration's directory.
+// Resolve resolves a relative file name in the configuration against the directory of the configuration file.
 func (f *File) Resolve(name string) string { return resolveIn(f.dir, name) }
 
 func resolveIn(dir, name string) string {
@@ -136,7 +138,7 @@
 	return filepath.Join(dir, name)
 }
 
-// Print returns the text of the file with all defaults.
+// Print returns the configuration as YAML, including all defaults.
 func (f *File) Print() ([]byte, error) {
 	var text strings.Builder
 	encoder := yaml.NewEncoder(&text)
@@ -147,7 +149,7 @@
 	return []byte(text.String()), nil
 }
 
-// Warnings returns what is valid and should be looked at.
+// Warnings describes settings that are valid but questionable.
 func (f *File) Warnings() []string {
 	if f.Fleet == nil {
 		return nil
@@ -155,7 +157,7 @@
 	return f.Fleet.warnings()
 }
 
-// setDefaults sets what was left out. `robindrum check --print` shows the result.
+// setDefaults sets the defaults of fields that are not set. `robindrum check --print` prints the result.
 func (f *File) setDefaults() {
 	setDefault(&f.Gateway.Count, 1)
 	setDefault(&f.Admin.Address, "127.0.0.1:9901")
@@ -187,7 +189,7 @@
 	}
 }
 
-// check adds all that is wrong with the file to d.
+// check adds all errors in the file to d.
 func (f *File) check(d *decoder) {
 	names := uniqueNames{decoder: d, fields: map[nameKey]string{}}
 	f.checkListeners(d, &names)
@@ -204,7 +206,7 @@
 	if f.Fleet != nil {
 		f.Fleet.check(d)
 		if f.Fleet.Subscription != nil && (f.XDS == nil || len(f.XDS.Servers) == 0) {
-			d.errorAt("fleet.subscription", "there are no xds.servers to subscribe to")
+			d.errorAt("fleet.subscription", "requires xds.servers to subscribe to")
 		}
 	}
 	f.checkLimits(d)
@@ -212,18 +214,19 @@
 	f.checkRoutes(d)
 }
 
-// uniqueNames checks that names are set and unique.
+// uniqueNames checks that names are set, and unique among the names of their kind.
 type uniqueNames struct {
 	decoder *decoder
-	fields  map[nameKey]string // the first field of each name
+	fields  map[nameKey]string // first field in which each name occurs
 }
 
-// nameKey identifies a name among those of its kind.
+// nameKey is a name together with its kind, such as "cluster".
 type nameKey struct {
 	kind string
 	name string
 }
 
+// add records the name in a field, or adds an error if the name is empty or already used.
 func (u *uniqueNames) add(kind, field, name string) {
 	if name == "" {
 		u.decoder.errorAt(field, "is missing")
@@ -231,7 +234,7 @@
 	}
 	key := nameKey{kind: kind, name: name}
 	if first, ok := u.fields[key]; ok {
-		u.decoder.errorAt(field, "%q is taken by %s", name, first)
+		u.decoder.errorAt(field, "%q is already used by %s", name, first)
 		return
 	}
 	u.fields[key] = field
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -6,25 +6,25 @@
 	"strconv"
 )
 
-// Gateway identifies this gateway among those in front of the same servers.
+// Gateway identifies this gateway among the gateways in front of the same servers.
 type Gateway struct {
-	Index int `yaml:"number"` // from 0
-	Count int `yaml:"of"`
+	Index int `yaml:"number"` // from 0 to Count - 1
+	Count int `yaml:"of"`     // number of gateways, including this one
 }
 
-// Listener is an address for clients, over HTTP/1.1.
+// Listener is an address at which the gateway accepts HTTP/1.1 connections from clients.
 type Listener struct {
 	Name    string `yaml:"name"`
 	Address string `yaml:"address"`
 }
 
-// Admin is the operators' listener.
+// Admin configures the listener for operators, which has no access control.
 type Admin struct {
 	Address     string `yaml:"address"` // "none": no listener
-	AllowRemote bool   `yaml:"remote"`  // allows an address that is not on loopback, although the listener is not protected
+	AllowRemote bool   `yaml:"remote"`  // allow an address that is not a loopback address
 }
 
-// Log is the form of log lines.
+// Log configures the log output.
 type Log struct {
 	Format string `yaml:"format"` // text or json
 	Level  string `yaml:"level"`  // debug, info, warn or error
@@ -47,7 +47,7 @@
 func (f *File) checkGateway(d *decoder) {
 	g := f.Gateway
 	if g.Count < 1 || g.Index < 0 || g.Index >= g.Count {
-		d.errorAt("gateway", "number %d of %d: it counts from 0 and is below of", g.Index, g.Count)
+		d.errorAt("gateway", "number must be from 0 to of-1, got number %d of %d", g.Index, g.Count)
 	}
 }
 
@@ -55,12 +55,12 @@
 	switch f.Log.Format {
 	case "text", "json":
 	default:
-		d.errorAt("log.format", "want text or json, not %q", f.Log.Format)
+		d.errorAt("log.format", "must be text or json, got %q", f.Log.Format)
 	}
 	switch f.Log.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		d.errorAt("log.level", "want debug, info, warn or error, not %q", f.Log.Level)
+		d.errorAt("log.level", "must be debug, info, warn or error, got %q", f.Log.Level)
 	}
 }
 
@@ -73,7 +73,7 @@
 	ip := net.ParseIP(host)
 	onLoopback := host == "localhost" || ip != nil && ip.IsLoopback()
 	if !onLoopback && !f.Admin.AllowRemote {
-		d.errorAt("admin.address", "%s is not on loopback; what answers there is not protected, say admin.remote: true if that is meant", address)
+		d.errorAt("admin.address", "%s is not a loopback address: the admin listener has no access control; set admin.remote: true to allow it", address)
 	}
 }
 
@@ -85,12 +85,12 @@
 	}
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		d.errorAt(field, "%q is not host:port", address)
+		d.errorAt(field, "must be host:port, got %q", address)
 		return false
 	}
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 && !allowZeroPort {
-		d.errorAt(field, "%q is not a port", port)
+		d.errorAt(field, "invalid port %q", port)
 		return false
 	}
 	return true
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -12,19 +12,19 @@
 	priorityHigh    = "high"
 )
 
-// Route is a route; see package route for the order of precedence.
+// Route sends the requests that match to a cluster; see package route for the order of precedence.
 type Route struct {
-	Name     string     `yaml:"name"`
-	Match    Match      `yaml:"match"`
-	Cluster  string     `yaml:"cluster,omitempty"`
-	Clusters []Weighted `yaml:"clusters,omitempty"`
-	Class    string     `yaml:"class,omitempty"` // empty: default-safe for GET, HEAD and OPTIONS, otherwise default-unsafe
-	Key      Key        `yaml:"key,omitempty"`
-	Tenant   Key        `yaml:"tenant,omitempty"`   // waiting requests of different tenants start in turn
-	Priority string     `yaml:"priority,omitempty"` // default or high: which circuit breakers apply
+	Name     string            `yaml:"name"`
+	Match    Match             `yaml:"match"`
+	Cluster  string            `yaml:"cluster,omitempty"`
+	Clusters []WeightedCluster `yaml:"clusters,omitempty"`
+	Class    string            `yaml:"class,omitempty"`    // default: default-safe for GET, HEAD and OPTIONS, default-unsafe for other methods
+	Key      Key               `yaml:"key,omitempty"`      // where a request contains its idempotency key
+	Tenant   Key               `yaml:"tenant,omitempty"`   // where a request contains its tenant; queued requests are started fairly among tenants
+	Priority string            `yaml:"priority,omitempty"` // default or high; selects the circuit breakers that apply
 }
 
-// Match is what a route requires of a request.
+// Match holds the conditions that a request must satisfy.
 type Match struct {
 	Hosts    []string    `yaml:"hosts,omitempty"`
 	Path     string      `yaml:"path,omitempty"`
@@ -35,7 +35,8 @@
 	Query    []Condition `yaml:"query,omitempty"`
 }
 
-// Condition requires that the named value exists and equals, begins with, ends with or contains what is set.
+// Condition requires that the header or query parameter with the name exists and matches the operator that is set, if any.
+// Not inverts the condition.
 type Condition struct {
 	Name     string  `yaml:"name"`
 	Exact    *string `yaml:"exact,omitempty"`
@@ -45,13 +46,13 @@
 	Not      bool    `yaml:"not,omitempty"`
 }
 
-// Weighted is a cluster with its part of a route's requests.
-type Weighted struct {
+// WeightedCluster is a cluster that gets a share of a route's requests in proportion to its weight.
+type WeightedCluster struct {
 	Name   string `yaml:"name"`
 	Weight uint32 `yaml:"weight"`
 }
 
-// Key is where a request contains its key.
+// Key is the place in a request that contains a value, such as the idempotency key. At most one field may be set.
 type Key struct {
 	Header string `yaml:"header,omitempty"`
 	Query  string `yaml:"query,omitempty"`
@@ -64,7 +65,7 @@
 	}
 }
 
-// Table returns the routes in the form of package route.
+// Table returns the routes as package route expects them.
 func (f *File) Table() []route.Route {
 	routes := make([]route.Route, len(f.Routes))
 	for i := range f.Routes {
@@ -116,7 +117,7 @@
 	return converted
 }
 
-// operand is an operator of a condition with its value, or nil where it is not set.
+// operand is an operator of a condition and its value. The value is nil if the operator is not set.
 type operand struct {
 	op    route.Op
 	value *string
@@ -138,7 +139,7 @@
 	}
 	classes := f.classNames()
 	clusters := f.clusterNames()
-	if f.XDS != nil && f.XDS.Clusters { // a control plane may have the cluster
+	if f.XDS != nil && f.XDS.Clusters { // the cluster may come from the control plane
 		clusters = nil
 	}
 	for i := range f.Routes {
@@ -151,7 +152,7 @@
 			d.errorAt(field+".class", "there is no class %q", r.Class)
 		}
 		if r.Priority != "" && r.Priority != priorityDefault && r.Priority != priorityHigh {
-			d.errorAt(field+".priority", "want default or high, not %q", r.Priority)
+			d.errorAt(field+".priority", "must be default or high, got %q", r.Priority)
 		}
 		if clusters != nil {
 			r.checkClusters(d, field, clusters)
@@ -204,7 +205,7 @@
 	}
 }
 
-// compileRoutes adds what package route finds wrong with the routes.
+// compileRoutes compiles the routes with package route and adds its errors to d.
 func (f *File) compileRoutes(d *decoder) {
 	_, err := route.Compile(f.Table(), route.Options{})
 	for _, err := range joinedErrors(err) {
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -8,39 +8,39 @@
 	"robindrum/internal/failoverplan"
 )
 
-// Sites is the plan of what becomes of a site's load when the site is lost. It has no effect at run time; see robindrum
-// sites plan.
+// Sites is the plan of where the load of a site goes when the site is lost. It has no effect at run time; the command
+// `robindrum sites plan` evaluates it.
 type Sites struct {
-	// Floors are the parts of each class's load that are served before any class gets more than its floor.
+	// Floors holds, by class, the fraction of the load that is served before any class gets more than its floor.
 	Floors map[string]float64 `yaml:"floors,omitempty"`
 	List   []SitePlan         `yaml:"list"`
 }
 
-// SitePlan is the plan of one site. Capacity and load are in requests a second, by class.
+// SitePlan is the plan of one site. Capacity and load are in requests per second, by class.
 type SitePlan struct {
-	Name       string             `yaml:"name"`
-	Capacity   map[string]float64 `yaml:"capacity"` // of each class, if it served no other one
-	Load       map[string]float64 `yaml:"load,omitempty"`
-	To         []FailoverTarget   `yaml:"to,omitempty"` // where its load may go, in this order
-	MaxCrossed *float64           `yaml:"most_crossed"` // the part of its capacity that other sites' load may use
+	Name                 string             `yaml:"name"`
+	Capacity             map[string]float64 `yaml:"capacity"` // of each class if the site served only that class
+	Load                 map[string]float64 `yaml:"load,omitempty"`
+	FailoverTargets      []FailoverTarget   `yaml:"to,omitempty"` // sites that take over its load, in order of preference
+	MaxSpilloverFraction *float64           `yaml:"most_crossed"` // fraction of its capacity that load of other sites may use
 }
 
-// FailoverTarget is how much of a lost site's load another site may get.
+// FailoverTarget is a site that takes over load of a lost site.
 type FailoverTarget struct {
-	Site string  `yaml:"site"`
-	Part float64 `yaml:"part"`
+	Site         string  `yaml:"site"`
+	LoadFraction float64 `yaml:"part"` // maximum fraction of the load
 }
 
-// defaultMaxCrossed is the default of SitePlan.MaxCrossed.
-const defaultMaxCrossed = 0.5
+// defaultMaxSpilloverFraction is the default of SitePlan.MaxSpilloverFraction.
+const defaultMaxSpilloverFraction = 0.5
 
 func (s *Sites) setDefaults() {
 	for i := range s.List {
-		setDefaultPointer(&s.List[i].MaxCrossed, defaultMaxCrossed)
+		setDefaultPointer(&s.List[i].MaxSpilloverFraction, defaultMaxSpilloverFraction)
 	}
 }
 
-// SitePlan returns the plan, or nil if the file has none.
+// SitePlan returns the plan as package failoverplan expects it, or nil if the file has none.
 func (f *File) SitePlan() *failoverplan.Plan {
 	if f.Sites == nil {
 		return nil
@@ -51,9 +51,9 @@
 		plan.Classes = append(plan.Classes, failoverplan.Class{Name: c.Name, PriorityWeight: c.PriorityWeight, Floor: f.Sites.Floors[c.Name]})
 	}
 	for _, s := range f.Sites.List {
-		site := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxSpillover: *s.MaxCrossed}
-		for _, target := range s.To {
-			site.Targets = append(site.Targets, failoverplan.FailoverTarget{Site: target.Site, Fraction: target.Part})
+		site := failoverplan.Site{Name: s.Name, Capacity: s.Capacity, Load: s.Load, MaxSpillover: *s.MaxSpilloverFraction}
+		for _, target := range s.FailoverTargets {
+			site.Targets = append(site.Targets, failoverplan.FailoverTarget{Site: target.Site, Fraction: target.LoadFraction})
 		}
 		plan.Sites = append(plan.Sites, site)
 	}
@@ -68,7 +68,7 @@
 		}
 	}
 	if f.Fleet != nil && f.Fleet.Site != "" && !f.Sites.contains(f.Fleet.Site) {
-		d.errorAt("sites.list", "this gateway's site %q is not in it", f.Fleet.Site)
+		d.errorAt("sites.list", "does not contain this gateway's site %q", f.Fleet.Site)
 	}
 	for _, err := range joinedErrors(f.SitePlan().Validate()) {
 		var planErr *failoverplan.FieldError
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -12,17 +12,17 @@
 	"robindrum/internal/admission"
 )
 
-// Duration is a duration that is written with its unit, as in "150ms" or "1m30s".
+// Duration is a duration that is written with its unit, such as "150ms" or "1m30s". It is not negative.
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("want a duration with its unit, as 150ms, not %q", text)
+		return fmt.Errorf("must be a duration with a unit, such as 150ms, got %q", text)
 	}
 	if v < 0 {
-		return fmt.Errorf("%q is negative", text)
+		return fmt.Errorf("must not be negative, got %q", text)
 	}
 	*d = Duration(v)
 	return nil
@@ -31,22 +31,22 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// D returns the time.Duration.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Size is a number of bytes that is written with its unit, as in "64MiB", "512KiB" or "1024B".
+// Size is a number of bytes that is written with its unit, such as "64MiB", "512KiB" or "1024B". It is not negative.
 type Size int64
 
-// sizeUnit is a unit of Size.
+// sizeUnit is a unit in which a Size is written.
 type sizeUnit struct {
 	name  string
 	bytes int64
 }
 
-// binaryUnits are the units that sizes are written in.
+// binaryUnits are the units that MarshalText uses, besides B.
 var binaryUnits = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}}
 
-// units are the units that sizes are read in. A unit comes before those that are its suffix.
+// units are the units that UnmarshalText accepts. A unit precedes every unit that is a suffix of it, as B is of all others.
 var units = slices.Concat(binaryUnits, []sizeUnit{{"GB", 1e9}, {"MB", 1e6}, {"kB", 1e3}, {"B", 1}})
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -63,7 +63,7 @@
 		*s = Size(v * unit.bytes)
 		return nil
 	}
-	return fmt.Errorf("want a size with its unit, as 64MiB, not %q", text)
+	return fmt.Errorf("must be a size with a unit, such as 64MiB, got %q", text)
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -76,7 +76,7 @@
 	return fmt.Appendf(nil, "%dB", int64(s)), nil
 }
 
-// Mode is a mode of admission.
+// Mode is the admission mode: adaptive, fixed or off.
 type Mode admission.Mode
 
 var modes = []admission.Mode{admission.Adaptive, admission.Fixed, admission.Off}
@@ -89,13 +89,13 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("want adaptive, fixed or off, not %q", text)
+	return fmt.Errorf("must be adaptive, fixed or off, got %q", text)
 }
 
 // MarshalText implements encoding.TextMarshaler.
 func (m Mode) MarshalText() ([]byte, error) { return []byte(admission.Mode(m).String()), nil }
 
-// Effect is the effect of running a request twice.
+// Effect is the effect of executing a request twice: safe, keyed (idempotent with an idempotency key) or unsafe.
 type Effect balancer.Effect
 
 var effects = []string{"safe", "keyed", "unsafe"}
@@ -106,7 +106,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(effects[e]), nil }
 
-// Group is the group of servers that together drop the repeats of a keyed request.
+// Group is the group of servers that together drop the repetitions of a keyed request: all, zone or cell.
 type Group balancer.Group
 
 var groups = []string{"all", "zone", "cell"}
@@ -117,7 +117,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (g Group) MarshalText() ([]byte, error) { return []byte(groups[g]), nil }
 
-// Variant is a variant of the xDS protocol.
+// Variant is a variant of the xDS protocol: sotw (state of the world) or delta.
 type Variant uint8
 
 // The values of Variant.
@@ -134,7 +134,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (v Variant) MarshalText() ([]byte, error) { return []byte(variants[v]), nil }
 
-// unmarshalName sets target to the index of a name.
+// unmarshalName sets target to the index of the name in text.
 func unmarshalName(names []string, text []byte, target *uint8) error {
 	for i, name := range names {
 		if name == string(text) {
@@ -142,5 +142,5 @@
 			return nil
 		}
 	}
-	return errors.New("want one of " + strings.Join(names, ", ") + fmt.Sprintf(", not %q", text))
+	return errors.New("must be one of " + strings.Join(names, ", ") + fmt.Sprintf(", got %q", text))
 }
--- a/internal/config/witness.go
+++ b/internal/config/witness.go
@@ -2,14 +2,14 @@
 
 import "path/filepath"
 
-// WitnessFile is the configuration of a process that votes and serves no traffic.
+// WitnessFile is the configuration of a witness, a voter that serves no traffic.
 type WitnessFile struct {
 	Fleet Fleet `yaml:"fleet"`
 	Admin Admin `yaml:"admin"`
 	Log   Log   `yaml:"log"`
 }
 
-// LoadWitness reads and checks the file of a witness. The error is of type Errors.
+// LoadWitness reads and checks the configuration file of a witness. The error is of type Errors.
 func LoadWitness(path string) (*WitnessFile, error) {
 	text, err := readFile(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	if err := d.err(); err != nil {
 		return nil, err
 	}
-	// The sections that it shares with a gateway have the same defaults and checks.
+	// The sections that a witness shares with a gateway have the same defaults and checks.
 	f := &File{Admin: w.Admin, Log: w.Log}
 	f.setDefaults()
 	w.Admin = f.Admin
@@ -38,14 +38,15 @@
 	return w, nil
 }
 
+// checkRole checks that the witness is a voter and has no settings for other tasks.
 func (w *WitnessFile) checkRole(d *decoder) {
 	if !w.Fleet.IsVoter() {
-		d.errorAt("fleet.member", "%q is not among fleet.quorum.voters: a witness votes and does nothing else", w.Fleet.Member)
+		d.errorAt("fleet.member", "must be one of fleet.quorum.voters, because a witness only votes, got %q", w.Fleet.Member)
 	}
 	if w.Fleet.Subscription != nil || len(w.Fleet.Posts) > 0 {
-		d.errorAt("fleet", "a witness has no duties: leave subscription and posts out")
+		d.errorAt("fleet", "subscription and posts must not be set: a witness only votes")
 	}
 }
 
-// Warnings returns what is valid and should be looked at.
+// Warnings describes settings that are valid but questionable.
 func (w *WitnessFile) Warnings() []string { return w.Fleet.warnings() }
--- a/internal/config/xds.go
+++ b/internal/config/xds.go
@@ -7,26 +7,26 @@
 
 const minMessageBytes = 1 << 10
 
-// XDS are the control planes, or the file in their place.
+// XDS configures the source of xDS resources: control planes, or a file.
 type XDS struct {
-	Servers         []string `yaml:"servers,omitempty"` // tried in this order
-	Path            string   `yaml:"path,omitempty"`    // a file of resources in place of servers
+	Servers         []string `yaml:"servers,omitempty"` // control planes, tried in this order
+	Path            string   `yaml:"path,omitempty"`    // file of resources that replaces the servers
 	Variant         Variant  `yaml:"variant"`
 	Node            Node     `yaml:"node"`
 	Clusters        bool     `yaml:"clusters"`                      // use all clusters of the control plane (CDS)
-	RouteConfigName string   `yaml:"route_configuration,omitempty"` // use the routes of this RouteConfiguration where no configured one matches
+	RouteConfigName string   `yaml:"route_configuration,omitempty"` // use the routes of this RouteConfiguration for requests that no route of the file matches
 
-	ListenerName string `yaml:"listener,omitempty"` // use the routes of this Listener
+	ListenerName string `yaml:"listener,omitempty"` // like RouteConfigName, with the routes of this Listener
 
 	InitialFetchTimeout Duration `yaml:"initial_fetch_timeout"`
 	ConnectTimeout      Duration `yaml:"connect_timeout"`
 	BackoffBase         Duration `yaml:"backoff_base"`
 	MaxBackoff          Duration `yaml:"backoff_most"`
-	Keepalive           Duration `yaml:"keepalive"` // a control plane that is silent for twice as long is disconnected
+	Keepalive           Duration `yaml:"keepalive"` // interval of pings; the connection is closed after twice this time without an answer
 	MaxMessageBytes     Size     `yaml:"message"`
 }
 
-// Node identifies the gateway to control planes.
+// Node identifies this gateway to control planes.
 type Node struct {
 	ID      string `yaml:"id"`
 	Cluster string `yaml:"cluster"`
@@ -48,7 +48,7 @@
 		return
 	}
 	if len(x.Servers) == 0 && x.Path == "" {
-		d.errorAt("xds.servers", "none is given, and no path")
+		d.errorAt("xds.servers", "none is given, and path is not set either")
 	}
 	if len(x.Servers) > 0 && x.Path != "" {
 		d.errorAt("xds.path", "only one of servers and path can be set")
@@ -60,11 +60,11 @@
 		d.errorAt("xds.listener", "only one of route_configuration and listener can be set")
 	}
 	if x.Node.ID == "" && x.Path == "" {
-		d.errorAt("xds.node.id", "is missing: control planes tell gateways apart by it")
+		d.errorAt("xds.node.id", "is missing: control planes use it to identify this gateway")
 	}
 	x.checkTimes(d)
 	if x.MaxMessageBytes < minMessageBytes {
-		d.errorAt("xds.message", "want 1KiB at least")
+		d.errorAt("xds.message", "must be at least 1KiB")
 	}
 }
 
@@ -76,10 +76,10 @@
 		"keepalive":       x.Keepalive,
 	} {
 		if value == 0 {
-			d.errorAt("xds."+name, "want more than 0")
+			d.errorAt("xds."+name, "must be greater than 0")
 		}
 	}
 	if x.MaxBackoff < x.BackoffBase {
-		d.errorAt("xds.backoff_most", "%v is shorter than backoff_base, %v", x.MaxBackoff.D(), x.BackoffBase.D())
+		d.errorAt("xds.backoff_most", "must be at least backoff_base (%[2]v), got %[1]v", x.MaxBackoff.D(), x.BackoffBase.D())
 	}
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Zones balances localities: zones and priorities are tiers of preference, with a limit on what crosses to another zone
-// and a gradual recovery. Without it, another zone is only weighed by Cluster.CrossZone.
+// Zones configures balancing between localities; see package locality. Zones and priorities form tiers of preference, the
+// load that goes to another zone is limited, and a zone that recovers gets its load back gradually. Without this section,
+// Cluster.CrossZone alone determines whether requests go to another zone.
 type Zones struct {
-	Tiers           [][]string `yaml:"tiers,omitempty"` // zones in order of preference; "*": all others; empty: the own one before all others
+	Tiers           [][]string `yaml:"tiers,omitempty"` // zones in order of preference; "*" stands for all others; default: the own zone, then all others
 	Overprovision   float64    `yaml:"overprovisioning_factor"`
-	PanicThreshold  *float64   `yaml:"panic_threshold"` // as a part of a tier's endpoints
-	FailHold        Duration   `yaml:"fail_hold"`       // how long evidence must be bad before a zone is failing
-	DarkHold        Duration   `yaml:"dark_hold"`       // how long evidence must be worse before a zone is dark
-	UpHold          Duration   `yaml:"up_hold"`         // how long evidence must be good before a zone is up
-	MinHold         Duration   `yaml:"hold"`            // how long a zone is dark at least; doubled each time
-	MaxHold         Duration   `yaml:"most_hold"`
-	ProbeInterval   Duration   `yaml:"probe"`         // between probes of a dark zone
-	Step            Duration   `yaml:"step"`          // of the recovery, at least
-	InitialShare    float64    `yaml:"first_share"`   // the part of its load with which a zone recovers; doubled each step
-	InitialCapacity float64    `yaml:"first_room"`    // requests in flight, over all gateways, to a zone of unknown capacity
-	Tolerance       float64    `yaml:"tolerance"`     // multiple of its best latency at which another zone is busy
-	OwnTolerance    float64    `yaml:"own_tolerance"` // the same of the own zone
-	Floor           *float64   `yaml:"floor"`         // the part of a zone's capacity for each class, whatever its weight
-	RetryBudget     *float64   `yaml:"retry_budget"`  // retries in flight at a zone, as a part of all requests in flight there
-	MinRetries      int        `yaml:"retry_least"`   // in flight, in any case
+	PanicThreshold  *float64   `yaml:"panic_threshold"` // as a fraction of a tier's endpoints
+	FailHold        Duration   `yaml:"fail_hold"`       // how long there must be evidence that a zone is failing before it is Failing
+	DarkHold        Duration   `yaml:"dark_hold"`       // how long there must be evidence that a Failing zone is down before it is Dark
+	UpHold          Duration   `yaml:"up_hold"`         // how long there must be no evidence against a Failing zone before it is Up
+	MinHold         Duration   `yaml:"hold"`            // shortest time in Dark; doubled with each consecutive outage
+	MaxHold         Duration   `yaml:"most_hold"`       // upper bound of the doubled MinHold
+	ProbeInterval   Duration   `yaml:"probe"`           // interval between probes of a Dark zone
+	Step            Duration   `yaml:"step"`            // shortest step of a recovery
+	InitialShare    float64    `yaml:"first_share"`     // fraction of its load that a zone gets when its recovery begins; doubled at each step
+	InitialCapacity float64    `yaml:"first_room"`      // initial limit on requests in flight to another zone, over all gateways, while its capacity is unknown
+	Tolerance       float64    `yaml:"tolerance"`       // multiple of its best latency above which another zone is busy
+	OwnTolerance    float64    `yaml:"own_tolerance"`   // like Tolerance, for the own zone
+	Floor           *float64   `yaml:"floor"`           // fraction of a zone's capacity that each class may always use, whatever its weight
+	RetryBudget     *float64   `yaml:"retry_budget"`    // retries in flight in a zone, as a fraction of all requests in flight there
+	MinRetries      int        `yaml:"retry_least"`     // retries in flight that are always allowed
 }
 
 func (z *Zones) setDefaults() {
@@ -51,7 +52,7 @@
 		return
 	}
 	if f.Zone == "" {
-		d.errorAt("zones", "zone is missing: where the gateway stands")
+		d.errorAt("zones", "requires zone, the zone of this gateway")
 	}
 	f.Zones.checkTiers(d)
 	f.Zones.checkNumbers(d)
@@ -59,14 +60,14 @@
 }
 
 func (z *Zones) checkTiers(d *decoder) {
-	firstField := map[string]string{}
+	fieldOfZone := map[string]string{} // a field that lists the zone
 	for i, tier := range z.Tiers {
 		for j, zone := range tier {
 			field := fmt.Sprintf("zones.tiers[%d][%d]", i, j)
-			if first, ok := firstField[zone]; ok {
-				d.errorAt(field, "%q is %s already", zone, first)
+			if other, ok := fieldOfZone[zone]; ok {
+				d.errorAt(field, "%q is already listed at %s", zone, other)
 			}
-			firstField[zone] = field
+			fieldOfZone[zone] = field
 		}
 	}
 }
@@ -86,10 +87,10 @@
 func (z *Zones) checkTimes(d *decoder) {
 	for name, value := range map[string]Duration{"probe": z.ProbeInterval, "step": z.Step, "hold": z.MinHold} {
 		if value.D() < 10*time.Millisecond || value.D() > time.Hour {
-			d.errorAt("zones."+name, "want 10ms to 1h, not %v", value.D())
+			d.errorAt("zones."+name, "must be from 10ms to 1h, got %v", value.D())
 		}
 	}
 	if z.MaxHold < z.MinHold {
-		d.errorAt("zones.most_hold", "%v is shorter than hold, %v", z.MaxHold.D(), z.MinHold.D())
+		d.errorAt("zones.most_hold", "must be at least hold (%[2]v), got %[1]v", z.MaxHold.D(), z.MinHold.D())
 	}
 }
