--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,6 +1,7 @@
-// Package endpoints turns the endpoint lists of a cluster's source into updates for the balancer. Every source (the
-// configuration, a file, xDS) gives complete lists in one form. A View caches the last list, computes the difference, and
-// records for each endpoint why it gets no requests. The package is pure: time is an argument.
+// Package endpoints converts the endpoint lists of a cluster's source into updates for the balancer. Every source (the
+// configuration, a file, xDS) provides complete lists in the same form. A View stores the last list, computes what has changed
+// and records for each excluded endpoint why it gets no new requests. The package does no I/O and does not read the clock:
+// functions get the time as an argument.
 package endpoints
 
 import (
@@ -14,11 +15,11 @@
 	"robindrum/internal/discovery"
 )
 
-// Health is the health that a source gives an endpoint, with the values of Envoy's HealthStatus.
+// Health is the health status that a source reports for an endpoint. The values correspond to Envoy's HealthStatus.
 type Health uint8
 
-// The values of Health. Unknown counts as healthy and Timeout (of a health check) as unhealthy. Degraded endpoints are
-// used only where the priority in use has no healthy one.
+// The values of Health. Unknown counts as healthy, and Timeout (of a health check) as unhealthy. Degraded endpoints are used
+// only if the priority in use has no healthy endpoint.
 const (
 	Unknown Health = iota
 	Healthy
@@ -28,7 +29,7 @@
 	Timeout
 )
 
-// String returns the name in lower case, as in /status.
+// String returns the name in lower case, as /status shows it.
 func (h Health) String() string {
 	return [...]string{"unknown", "healthy", "degraded", "draining", "unhealthy", "timeout"}[h]
 }
@@ -41,46 +42,47 @@
 	SubZone  string
 	Kind     string
 	Cell     int
-	Weight   float64 // above 0; 1 is the default
-	Priority int     // 0 is the highest; only the first priority with a usable endpoint gets requests
+	Weight   float64 // greater than 0; default 1
+	Priority int     // 0 is the highest; only the highest priority that has a usable endpoint gets requests
 	Health   Health
-	// DrainedByFleet marks an endpoint that a drain request has taken out of service. It gets no new requests, and it
-	// counts as newly added once the request has ended.
+	// DrainedByFleet marks an endpoint that a drain request has taken out of service. It gets no new requests. When the drain
+	// request ends, the endpoint counts as newly added.
 	DrainedByFleet bool
 }
 
-// identity returns what makes it a different endpoint at an unchanged address.
+// identity returns the properties that identify an endpoint besides its address. If they change, the endpoint at the address is
+// a new one.
 func (e *Endpoint) identity() string {
 	return strings.Join([]string{e.Hostname, e.Zone, e.SubZone, e.Kind}, "\x00")
 }
 
-// isHealthy reports whether the endpoint may get requests beside other healthy ones.
+// isHealthy reports whether the endpoint is in service and its health is Healthy or Unknown.
 func (e *Endpoint) isHealthy() bool {
 	return !e.DrainedByFleet && (e.Health == Unknown || e.Health == Healthy)
 }
 
-// isUsable reports whether the endpoint is healthy, or degraded and in service.
+// isUsable reports whether the endpoint is in service and its health is Healthy, Unknown or Degraded.
 func (e *Endpoint) isUsable() bool {
 	return e.isHealthy() || !e.DrainedByFleet && e.Health == Degraded
 }
 
-// Update is a source's complete endpoint list at one time.
+// Update is the complete endpoint list of a source at one time.
 type Update struct {
 	Source    string // "static", "file", "xds", ...
 	Version   string
 	Endpoints []Endpoint
-	// Stale is the reason why the list may no longer be used; empty where it may. No endpoint of a stale list is used.
+	// Stale is the reason why the list must no longer be used, or empty. A stale list excludes all its endpoints.
 	Stale string
 }
 
-// Server is an endpoint with what the View knows of it.
+// Server is an endpoint together with its state in a View.
 type Server struct {
 	Endpoint
-	AddedAt        time.Duration // Unix time at which it was added; 0: with the first list
-	ExcludedReason string        // why it gets no new requests; empty where it does
+	AddedAt        time.Duration // Unix time at which it was added; 0: it was in the first list
+	ExcludedReason string        // why it gets no new requests; empty if it is not excluded
 }
 
-// balancerServer returns the endpoint in the balancer's form, with its priority where the balancer is to see it.
+// balancerServer converts the endpoint for the balancer. The priority is left out unless withPriority is set.
 func (s *Server) balancerServer(withPriority bool) balancer.Server {
 	server := balancer.Server{
 		ID:     s.Address,
@@ -99,22 +101,23 @@
 	return server
 }
 
-// View caches the last endpoint list of one cluster. The zero View has none. It is not safe for concurrent use.
+// View stores the last endpoint list of one cluster. The zero View has no list. A View is not safe for concurrent use.
 type View struct {
-	// SendPriorities passes priorities on to the balancer, which then chooses among them: endpoints behind the priority
-	// in use are not excluded.
+	// SendPriorities passes the priorities to the balancer, which then selects the priority to use. Endpoints of other
+	// priorities than the one in use are then not excluded. Recompute must be called after a change of SendPriorities.
 	SendPriorities bool
 
-	known   bool
+	known   bool // whether there was an update
 	last    Update
-	lastAt  time.Duration // of the last update, also of one that changed nothing
-	servers map[string]*Server
-	sent    map[string]balancer.Server
-	usable  int
+	lastAt  time.Duration              // time of the last update, even if it changed nothing
+	servers map[string]*Server         // by address
+	sent    map[string]balancer.Server // as last sent to the balancer, by ID
+	usable  int                        // number of servers that are not excluded
 }
 
-// Apply takes a source's list at now (Unix time) and returns the difference, or nil if nothing has changed. The endpoints
-// of the first list count as warmed up. Those that are added later, come back or differ at the same address are new.
+// Apply applies a source's list at now (Unix time) and returns the changes for the balancer, or nil if there are none. For the
+// first list, it returns a snapshot. The endpoints of the first list count as warmed up. An endpoint counts as new if it is added
+// later, is back in service after a drain request, or has another identity at the same address.
 func (v *View) Apply(now time.Duration, update Update) *discovery.Update {
 	first := !v.known
 	v.known = true
@@ -133,7 +136,8 @@
 	return changes
 }
 
-// replaceServers takes over the endpoints of a new list. It never changes a former Server, as a List may share it.
+// replaceServers replaces the servers by the endpoints of a new list. It never modifies an existing Server, because a List may
+// refer to it.
 func (v *View) replaceServers(now time.Duration, list []Endpoint, first bool) {
 	servers := make(map[string]*Server, len(list))
 	for _, endpoint := range list {
@@ -152,7 +156,7 @@
 	v.servers = servers
 }
 
-// replaceSent computes the servers as the balancer is to have them, and returns the difference to what it has.
+// replaceSent computes the servers for the balancer and returns the difference from those that were last sent to it.
 func (v *View) replaceSent(first bool) *discovery.Update {
 	changes := &discovery.Update{Endpoints: map[string]string{}}
 	changes.Kind = balancer.UpdateDelta
@@ -167,7 +171,7 @@
 		sent[server.ID] = server
 	}
 	for id, server := range v.sent {
-		if _, stays := sent[id]; !stays {
+		if _, listed := sent[id]; !listed {
 			server.State = balancer.Removed
 			changes.Servers = append(changes.Servers, server)
 		}
@@ -176,7 +180,7 @@
 	return changes
 }
 
-// Recompute takes over a changed SendPriorities. Snapshot returns the result.
+// Recompute applies a changed SendPriorities. Snapshot then returns the result.
 func (v *View) Recompute() {
 	if !v.known {
 		return
@@ -189,10 +193,10 @@
 	}
 }
 
-// drainedReason is the ExcludedReason of an endpoint with DrainedByFleet.
+// drainedReason is the ExcludedReason of an endpoint with DrainedByFleet set.
 const drainedReason = "drained by an order of the fleet"
 
-// updateExclusions determines which endpoints get requests.
+// updateExclusions sets ExcludedReason of all servers and counts the usable ones.
 func (v *View) updateExclusions() {
 	priority := v.priorityInUse()
 	hasHealthy := map[int]bool{} // by priority
@@ -208,7 +212,7 @@
 	}
 }
 
-// priorityInUse returns the lowest number of a priority that has a usable endpoint; 0 if none has.
+// priorityInUse returns the highest priority, which is the lowest number, that has a usable endpoint, or 0 if none has.
 func (v *View) priorityInUse() int {
 	lowest, found := 0, false
 	for _, s := range v.servers {
@@ -219,7 +223,8 @@
 	return lowest
 }
 
-// exclusion returns why an endpoint gets no new requests; empty if it does. hasHealthy is of the endpoint's priority.
+// exclusion returns why an endpoint gets no new requests, or "" if it is not excluded. hasHealthy reports whether the endpoint's priority
+// has a healthy endpoint.
 func (v *View) exclusion(s *Server, priorityInUse int, hasHealthy bool) string {
 	switch {
 	case v.last.Stale != "":
@@ -236,7 +241,7 @@
 	return ""
 }
 
-// Snapshot returns the last list in full, for a balancer that starts, or nil if there is none.
+// Snapshot returns the last list as a snapshot for a new balancer, or nil if there was no update.
 func (v *View) Snapshot() *discovery.Update {
 	if !v.known {
 		return nil
@@ -250,10 +255,10 @@
 	return snapshot
 }
 
-// Known reports whether there was any update.
+// Known reports whether there was an update.
 func (v *View) Known() bool { return v.known }
 
-// Usable returns the number of endpoints that get requests.
+// Usable returns the number of endpoints that are not excluded.
 func (v *View) Usable() int { return v.usable }
 
 // LastUpdate returns the last update and its Unix time.
@@ -262,10 +267,10 @@
 // Servers returns the endpoints sorted by address.
 func (v *View) Servers() []Server { return v.List().Sorted() }
 
-// List returns the endpoints as they are now. It costs the same whatever their number.
+// List returns the current endpoints in constant time.
 func (v *View) List() List { return List{v.servers} }
 
-// List is an immutable list of endpoints, which may be read while its View takes updates.
+// List is a list of endpoints that does not change. It may be read while its View applies updates.
 type List struct {
 	servers map[string]*Server
 }
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -10,12 +10,13 @@
 	"pgregory.net/rapid"
 )
 
+// exclusions returns the ExcludedReason of each endpoint by address.
 func exclusions(v *View) map[string]string {
-	m := map[string]string{}
+	reasons := map[string]string{}
 	for _, s := range v.Servers() {
-		m[s.Address] = s.ExcludedReason
+		reasons[s.Address] = s.ExcludedReason
 	}
-	return m
+	return reasons
 }
 
 func TestUsableEndpointsByHealthAndPriority(t *testing.T) {
@@ -37,72 +38,73 @@
 		"stale":        {"stale for 5s", []Endpoint{{Address: "a"}}, map[string]string{"a": "stale for 5s"}},
 	} {
 		var v View
-		u := v.Apply(1, Update{Endpoints: c.list, Stale: c.stale})
+		changes := v.Apply(1, Update{Endpoints: c.list, Stale: c.stale})
 		got := exclusions(&v)
 		if fmt.Sprint(got) != fmt.Sprint(c.want) {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: got excluded reasons %v, want %v", name, got, c.want)
 		}
 		usable := 0
-		for _, s := range u.Servers {
+		for _, s := range changes.Servers {
 			if s.State == balancer.Running {
 				usable++
 			}
 			if (s.State == balancer.Running) != (c.want[s.ID] == "") {
-				t.Errorf("%s: %s is sent as %d", name, s.ID, s.State)
+				t.Errorf("%s: server %s: got state %d, want it to be Running only if the endpoint is not excluded", name, s.ID, s.State)
 			}
 		}
 		if usable != v.Usable() {
-			t.Errorf("%s: %d usable, sent %d", name, v.Usable(), usable)
+			t.Errorf("%s: Usable: got %d, want %d, the number of Running servers", name, v.Usable(), usable)
 		}
 	}
 }
 
-// Endpoints of the first list are warmed up; those added later, back again or changed in identity are new.
-func TestNewEndpointsAreTimed(t *testing.T) {
+// Endpoints of the first list count as warmed up. Endpoints that are added later, are listed again after a removal, or have another
+// identity count as new.
+func TestAddedAtOfNewEndpoints(t *testing.T) {
 	var v View
 	if v.Known() || v.Snapshot() != nil {
-		t.Error("the zero view has had an update")
+		t.Error("zero View: got a list, want none")
 	}
-	since := func() map[string]time.Duration {
-		m := map[string]time.Duration{}
+	addedAt := func() map[string]time.Duration {
+		times := map[string]time.Duration{}
 		for _, s := range v.Servers() {
-			m[s.Address] = s.AddedAt
+			times[s.Address] = s.AddedAt
 		}
-		return m
+		return times
 	}
 	a, b := Endpoint{Address: "a", Zone: "z"}, Endpoint{Address: "b", Zone: "z"}
 	v.Apply(10, Update{Endpoints: []Endpoint{a}})
-	u := v.Apply(20, Update{Endpoints: []Endpoint{a, b}})
-	if len(u.Servers) != 1 || u.Kind != balancer.UpdateDelta || u.Servers[0].ID != "b" {
-		t.Errorf("%+v", u)
+	changes := v.Apply(20, Update{Endpoints: []Endpoint{a, b}})
+	if len(changes.Servers) != 1 || changes.Kind != balancer.UpdateDelta || changes.Servers[0].ID != "b" {
+		t.Errorf("Apply with the additional endpoint b: got %+v, want a delta with b", changes)
 	}
-	if m := since(); m["a"] != 0 || m["b"] != 20 {
-		t.Errorf("%v", m)
+	if times := addedAt(); times["a"] != 0 || times["b"] != 20 {
+		t.Errorf("AddedAt: got %v, want 0 for a, 20 for b", times)
 	}
-	if u := v.Apply(25, Update{Endpoints: []Endpoint{b, a}, Version: "2"}); u != nil {
-		t.Errorf("the same list again is a change: %+v", u)
+	if changes := v.Apply(25, Update{Endpoints: []Endpoint{b, a}, Version: "2"}); changes != nil {
+		t.Errorf("Apply with the same endpoints: got %+v, want nil", changes)
 	}
 	if last, at := v.LastUpdate(); last.Version != "2" || at != 25 {
-		t.Errorf("last update %q at %d", last.Version, at)
+		t.Errorf("LastUpdate: got version %q at %d, want version 2 at 25", last.Version, at)
 	}
-	a.Weight = 3 // not part of its identity
-	if v.Apply(30, Update{Endpoints: []Endpoint{a, b}}); since()["a"] != 0 {
-		t.Error("a new weight makes it a new endpoint")
+	a.Weight = 3 // not part of the identity
+	if v.Apply(30, Update{Endpoints: []Endpoint{a, b}}); addedAt()["a"] != 0 {
+		t.Error("endpoint with another weight: counts as new, want the same endpoint")
 	}
 	a.Zone = "y"
-	if v.Apply(40, Update{Endpoints: []Endpoint{a, b}}); since()["a"] != 40 {
-		t.Error("one in another zone counts as the former one")
+	if v.Apply(40, Update{Endpoints: []Endpoint{a, b}}); addedAt()["a"] != 40 {
+		t.Error("endpoint in another zone: counts as the same endpoint, want a new one")
 	}
-	u = v.Apply(50, Update{Endpoints: []Endpoint{a}})
-	if len(u.Servers) != 1 || u.Servers[0].State != balancer.Removed || len(u.Endpoints) != 0 {
-		t.Errorf("%+v", u)
+	changes = v.Apply(50, Update{Endpoints: []Endpoint{a}})
+	if len(changes.Servers) != 1 || changes.Servers[0].State != balancer.Removed || len(changes.Endpoints) != 0 {
+		t.Errorf("Apply without b: got %+v, want one Removed server", changes)
 	}
-	if v.Apply(60, Update{Endpoints: []Endpoint{a, b}}); since()["b"] != 60 {
-		t.Error("one that comes back counts as warmed up")
+	if v.Apply(60, Update{Endpoints: []Endpoint{a, b}}); addedAt()["b"] != 60 {
+		t.Error("endpoint listed again after a removal: counts as warmed up, want a new one")
 	}
 }
 
-// After any sequence of updates, the accumulated deltas equal the snapshot, which is the last list.
+// After any sequence of updates, the accumulated changes equal the snapshot, which contains the last list.
 func TestDeltasAddUpToSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var v View
@@ -117,30 +119,31 @@
 						Priority: rapid.IntRange(0, 2).Draw(t, "priority")})
 				}
 			}
-			if u := v.Apply(time.Duration(step+1), update); u != nil {
-				for _, s := range u.Servers {
+			if changes := v.Apply(time.Duration(step+1), update); changes != nil {
+				for _, s := range changes.Servers {
 					if s.State == balancer.Removed {
 						delete(servers, s.ID)
 						delete(addresses, s.ID)
 					} else {
-						servers[s.ID], addresses[s.ID] = s, u.Endpoints[s.ID]
+						servers[s.ID], addresses[s.ID] = s, changes.Endpoints[s.ID]
 					}
 				}
 			}
 			snapshot := v.Snapshot()
 			if len(snapshot.Servers) != len(update.Endpoints) || len(servers) != len(update.Endpoints) {
-				t.Fatalf("%d in the snapshot, %d by deltas, want %d", len(snapshot.Servers), len(servers), len(update.Endpoints))
+				t.Fatalf("got %d servers in the snapshot and %d from the deltas, want %d", len(snapshot.Servers), len(servers), len(update.Endpoints))
 			}
 			for _, s := range snapshot.Servers {
 				if servers[s.ID] != s || addresses[s.ID] != snapshot.Endpoints[s.ID] {
-					t.Fatalf("%+v by deltas, %+v in the snapshot", servers[s.ID], s)
+					t.Fatalf("server from the deltas: got %+v at %q, want %+v at %q as in the snapshot", servers[s.ID], addresses[s.ID], s, snapshot.Endpoints[s.ID])
 				}
 			}
 		}
 	})
 }
 
-// An endpoint drained by the fleet gets no requests, whatever its health, and is new when it is back; others are unaffected.
+// An endpoint that a drain request has taken out of service gets no requests, whatever its health, and counts as new when it is back.
+// Other endpoints are not affected.
 func TestDrainedEndpointIsExcludedAndNewAfterwards(t *testing.T) {
 	var v View
 	list := func(drained bool) Update {
@@ -149,15 +152,15 @@
 	v.Apply(1, list(false))
 	v.Apply(2, list(true))
 	if s := v.Servers(); s[0].ExcludedReason != drainedReason || s[1].ExcludedReason != "" || v.Usable() != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("a drained: got %+v, want a excluded as drained, b usable", s)
 	}
 	v.Apply(3, list(true))
 	v.Apply(9, list(false))
 	if s := v.Servers(); s[0].AddedAt != 9 || s[1].AddedAt != 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("a back in service at 9: got %+v, want AddedAt 9 for a, 0 for b", s)
 	}
 	v.Apply(12, list(false))
 	if s := v.Servers(); s[0].AddedAt != 9 {
-		t.Errorf("warming up once more: %+v", s)
+		t.Errorf("a still in service at 12: got %+v, want AddedAt 9 for a", s)
 	}
 }
