--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -24,7 +24,7 @@
 	maxConcurrentScrapes   = 4
 )
 
-// adminServer is the operators' listener with its server.
+// adminServer is the HTTP server for operators and its listener.
 type adminServer struct {
 	listener          net.Listener
 	configuredAddress string
@@ -32,8 +32,8 @@
 	done              chan struct{} // closed when the server has ended
 }
 
-// listenAdmin opens the admin listener of a configuration, or returns the one in use where its address is unchanged. It
-// returns nil where the configuration wants none.
+// listenAdmin opens the admin listener of a configuration, or returns the current one if its address is unchanged. It returns
+// nil if the configuration disables the admin listener.
 func (g *Gateway) listenAdmin(f *config.File) (*adminServer, error) {
 	if f.Admin.Address == "none" {
 		return nil, nil
@@ -43,12 +43,13 @@
 	}
 	l, err := net.Listen("tcp", f.Admin.Address)
 	if err != nil {
-		return nil, fmt.Errorf("admin: %w", err)
+		return nil, fmt.Errorf("admin listener: %w", err)
 	}
 	return &adminServer{listener: l, configuredAddress: f.Admin.Address, done: make(chan struct{})}, nil
 }
 
-// replaceAdmin serves on a new admin listener, if it is new, and closes the former one in the background.
+// replaceAdmin starts a new admin server and closes the previous one in the background. It does nothing if the server is
+// unchanged.
 func (g *Gateway) replaceAdmin(a *adminServer) {
 	if a == g.admin {
 		return
@@ -72,7 +73,7 @@
 	}()
 }
 
-// close shuts the server down, waits for it, and cuts off requests that take too long.
+// close shuts the server down and waits until it has ended. It aborts requests that take longer than adminShutdownTimeout.
 func (a *adminServer) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), adminShutdownTimeout)
 	defer cancel()
@@ -82,8 +83,8 @@
 	<-a.done
 }
 
-// Admin returns the handler of the operators' paths: /health/live, /health/ready, /metrics, POST /capture, /status (with
-// ?endpoints=N at most N endpoints of each cluster are listed) and, in a fleet, /fleet.
+// Admin returns the handler of the admin listener. It serves /health/live, /health/ready, /metrics, /status, POST /capture
+// and, in a fleet, /fleet. /status?endpoints=N lists at most N endpoints of each cluster; 0 means all.
 func (g *Gateway) Admin() http.Handler {
 	registry := prometheus.NewRegistry()
 	processCollector := collectors.NewProcessCollector(collectors.ProcessCollectorOpts{})
@@ -124,5 +125,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	_ = encoder.Encode(g.Status(maxEndpoints)) // fails where the client has left
+	_ = encoder.Encode(g.Status(maxEndpoints)) // fails only if the client has left
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,7 +8,7 @@
 	"robindrum/internal/config"
 )
 
-// overloadCheckInterval is how often an overloaded cluster is checked for its recovery.
+// overloadCheckInterval is how often an overloaded cluster is checked for recovery.
 const overloadCheckInterval = time.Second
 
 // admissionOptions returns the options of the admission controller of a cluster's core.
@@ -50,8 +50,8 @@
 	return breakers
 }
 
-// newAdmissionController returns the admission controller of a cluster's new core. It inherits what the current core's
-// has learned.
+// newAdmissionController returns the admission controller of a cluster's new core. It inherits the learned state of the
+// current core's controller.
 func (g *Gateway) newAdmissionController(c *cluster) *admission.Controller {
 	options := c.spec.admissionOptions()
 	options.Notify = func(change admission.Change) { g.logOverload(c, change) }
@@ -65,7 +65,7 @@
 	return controller
 }
 
-// logOverload logs that a cluster is overloaded, or no longer. It is called with the core's lock held.
+// logOverload logs that a cluster is overloaded or has recovered. It is called with the core's lock held.
 func (g *Gateway) logOverload(c *cluster, change admission.Change) {
 	if !change.Overloaded {
 		g.log.Info("cluster no longer overloaded", "cluster", c.name, "limit", change.Limit)
@@ -75,7 +75,8 @@
 	time.AfterFunc(overloadCheckInterval, func() { g.watchOverload(c) })
 }
 
-// watchOverload checks an overloaded cluster until it has recovered, which its controller notices only when it is asked.
+// watchOverload polls an overloaded cluster until it has recovered, because its controller detects and reports the recovery
+// only when it is called.
 func (g *Gateway) watchOverload(c *cluster) {
 	if g.ctx.Err() != nil {
 		return
@@ -93,13 +94,13 @@
 // AdmissionStatus describes the admission of a cluster's requests.
 type AdmissionStatus struct {
 	Mode             string            `json:"mode"`
-	Limit            int               `json:"limit,omitempty"` // of requests in flight; 0: none
+	Limit            int               `json:"limit,omitempty"` // of requests in flight; 0: no limit
 	InFlight         int               `json:"in_flight"`
 	Waiting          int               `json:"waiting"`
 	WaitingBytes     int64             `json:"waiting_bytes"`
-	Throughput       float64           `json:"endpoints_do_per_second,omitempty"` // 0: not known
+	Throughput       float64           `json:"endpoints_do_per_second,omitempty"` // estimate; 0: not known
 	Overloaded       bool              `json:"short"`
-	Evidence         string            `json:"evidence,omitempty"` // of the last decrease of the limit
+	Evidence         string            `json:"evidence,omitempty"` // for the last decrease of the limit
 	Started          uint64            `json:"started"`
 	StartedAfterWait uint64            `json:"started_after_a_wait"`
 	Rejected         map[string]uint64 `json:"refused"` // by reason
@@ -108,12 +109,12 @@
 	Classes          []ClassAdmission  `json:"classes"`
 }
 
-// ClassAdmission describes the admission of one class's requests.
+// ClassAdmission describes the admission of the requests of one class.
 type ClassAdmission struct {
 	Name     string  `json:"name"`                  // with the suffix @high for routes of high priority
-	Baseline float64 `json:"baseline_ms,omitempty"` // of its faster responses without queueing
+	Baseline float64 `json:"baseline_ms,omitempty"` // lower-quartile latency without queueing
 	Mean     float64 `json:"mean_ms,omitempty"`
-	Target   float64 `json:"target_ms"` // above which its faster responses indicate queueing
+	Target   float64 `json:"target_ms"` // lower-quartile latency above which responses are considered queued
 	Waiting  int     `json:"waiting"`
 	Rejected uint64  `json:"refused"`
 }
--- a/internal/gateway/capture.go
+++ b/internal/gateway/capture.go
@@ -18,11 +18,12 @@
 	defaultCaptureTime = time.Minute
 	maxCaptureSeconds  = 1e6
 	maxCaptureRecords  = 1e9
-	// captureWriteTimeout ends a capture whose client stops reading, as the Recorder's buffer is bounded.
+	// captureWriteTimeout is the timeout of a write. It ends a capture whose client stops reading, because the Recorder's
+	// buffer is bounded.
 	captureWriteTimeout = 10 * time.Second
 )
 
-// captureOutcomes are the outcomes of requests in the form of a capture.
+// captureOutcomes maps the outcomes of requests to those in a capture. All others are capture.Failed.
 var captureOutcomes = map[proxy.RequestOutcome]capture.Outcome{
 	proxy.OutcomeServed:     capture.Served,
 	proxy.OutcomeRejected:   capture.Rejected,
@@ -32,7 +33,7 @@
 // recordCompleted counts a completed request and adds it to the capture, if one is running. It is called with a core's
 // lock held and never blocks.
 func (g *Gateway) recordCompleted(completed proxy.Completed) {
-	class := strings.TrimSuffix(completed.Attributes.Class, withoutKey)
+	class := strings.TrimSuffix(completed.Attributes.Class, withoutKeySuffix)
 	if g.fleet != nil {
 		objective, known := g.routing.Load().latencyObjectives[class]
 		g.outcomes.add(class, completed.Outcome, completed.Latency, known && completed.Latency <= objective)
@@ -52,8 +53,8 @@
 	recorder.Add(class, key, completed.Method, completed.Attributes.Size, completed.Latency, outcome)
 }
 
-// serveCapture streams a capture of the load: POST /capture?seconds=60&sample=1&records=1000000. Only one may run at a
-// time.
+// serveCapture streams a capture of the load, as in POST /capture?seconds=60&sample=1&records=1000000. Only one capture can
+// run at a time.
 func (g *Gateway) serveCapture(w http.ResponseWriter, r *http.Request) {
 	options, optionsErr := captureOptions(r.URL.Query())
 	g.mu.Lock()
@@ -77,7 +78,8 @@
 	}
 }
 
-// captureOptions reads the options of a capture. Numbers out of range are clamped.
+// captureOptions parses the options of a capture. It clamps seconds and records only so far that their conversion does not
+// overflow; capture.NewRecorder rejects values that are out of range.
 func captureOptions(query url.Values) (capture.Options, error) {
 	options := capture.Options{Duration: defaultCaptureTime, SampleRate: 1}
 	var errs []error
@@ -101,7 +103,7 @@
 	return options, errors.Join(errs...)
 }
 
-// flushingWriter flushes each write of a Recorder, which come in large parts.
+// flushingWriter flushes after each write. A Recorder writes large chunks, so this costs little.
 type flushingWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -20,49 +20,51 @@
 	"robindrum/internal/resource"
 )
 
-// cluster is a cluster in use. Its view outlives its cores: a core that a reload brings starts with the last endpoint
-// list, and one that a reload retires gets updates until its last request is answered.
+// cluster is a cluster in use. Its view outlives its cores: a core created by a reload starts with the latest endpoint
+// list, and a core retired by a reload receives updates until its last request is answered.
 type cluster struct {
 	name    string
 	spec    clusterSpec
 	view    endpoints.View
 	current *coreInstance
-	core    atomic.Pointer[proxy.Core] // current's, for requests
+	core    atomic.Pointer[proxy.Core] // the core of current, for requests, which do not hold Gateway.mu
 
-	// Quotas of the shared limits, of all cores of the cluster together.
+	// Quotas of the shared limits. All cores of the cluster use the same quotas.
 	connectionQuota *backend.Share
 	memoryQuota     *resource.Share
 	requestQuota    *resource.Share
-	reserved        config.Amount // the guaranteed part of the quotas
+	reserved        config.Amount // the guaranteed amounts that are reserved
 
-	overprovision float64       // the control plane's factor in place of the configuration's; 0: none
-	dropThreshold atomic.Uint64 // of dropScale requests, how many are dropped
+	overprovision float64       // control plane's overprovisioning factor, which overrides the configured one; 0 if not set
+	dropThreshold atomic.Uint64 // number of requests to drop out of dropScale
 	totals        *clusterTotals
-	staleTimer    *time.Timer // runs until the assignment is stale
-	removalTimer  *time.Timer // runs while the cluster is to be removed but routes still lead to it
-	rejection     string      // why the newest update was rejected
+	staleTimer    *time.Timer // fires when the assignment becomes stale
+	removalTimer  *time.Timer // non-nil while the removal of the cluster is scheduled
+	rejection     string      // why the latest update was rejected; empty if it was accepted
 	warnings      []string
 }
 
-// coreInstance is a core of a cluster.
+// coreInstance is a core of a cluster with the picker and the controller that its balancer uses.
 type coreInstance struct {
 	core    *proxy.Core
 	cluster *cluster
-	// Both belong to the core and are read in its Inspect only.
-	localities *locality.Picker // nil: localities are not balanced
+	// Both are guarded by the core's lock and must be used only within core.Inspect.
+	localities *locality.Picker // nil if localities are not balanced
 	admission  *admission.Controller
 }
 
-// clusterTotals are the counters of the cores that clusters of one name no longer have.
+// clusterTotals accumulates the counters of the closed cores of all clusters that had the same name.
 type clusterTotals struct {
 	proxy.Stats
-	dropped atomic.Uint64 // requests dropped for the control plane
+	dropped atomic.Uint64 // requests dropped because of the control plane's drop_overloads
 }
 
-// maxClusterTotals is the number of names whose counters are retained, as a control plane may bring ever new names.
+// maxClusterTotals bounds the number of cluster names whose counters are retained, because a control plane may keep sending
+// new names.
 const maxClusterTotals = 1024
 
-// totalsOf returns the counters of a name. A cluster that comes back continues its counters, which never decrease.
+// totalsOf returns the counters of a cluster name. A cluster that is removed and added again continues its counters, so
+// that they do not decrease.
 func (g *Gateway) totalsOf(name string) *clusterTotals {
 	totals := g.totals[name]
 	if totals == nil {
@@ -86,15 +88,15 @@
 	maps.DeleteFunc(g.totals, func(_ string, totals *clusterTotals) bool { return !used[totals] })
 }
 
-// newCluster returns a cluster without quotas, endpoints and core.
+// newCluster returns a cluster without quotas, endpoints or a core.
 func (g *Gateway) newCluster(name string) *cluster {
 	c := &cluster{name: name, totals: g.totalsOf(name), connectionQuota: g.descriptorBudget.Share(0, 0)}
-	c.memoryQuota, _ = g.memoryPool.Share(0, 0) // an empty share is always granted
+	c.memoryQuota, _ = g.memoryPool.Share(0, 0) // a share of 0 is always granted
 	c.requestQuota, _ = g.requestPool.Share(0, 0)
 	return c
 }
 
-// reconcileClusters adds, changes and removes clusters.
+// reconcileClusters adds, updates and removes clusters to match the current specs.
 func (g *Gateway) reconcileClusters() {
 	specs := g.clusterSpecs()
 	for _, name := range slices.Sorted(maps.Keys(g.clusters)) {
@@ -111,10 +113,10 @@
 			g.clusters[name] = c
 		}
 		c.cancelRemoval()
-		former := c.spec
+		previous := c.spec
 		c.spec = *specs[name]
 		c.warnings = c.spec.warnings
-		if c.current == nil || !c.spec.sameCore(&former) {
+		if c.current == nil || !c.spec.sameCore(&previous) {
 			changed = append(changed, c)
 		}
 		all = append(all, c)
@@ -128,8 +130,8 @@
 	}
 }
 
-// reserveQuotas reserves the guaranteed quota of each cluster: first of those that shrink, which makes room for those
-// that grow. A cluster that is leaving retains its own until it is removed.
+// reserveQuotas reserves the guaranteed quota of each cluster. It first reduces the quotas that shrink, which frees what
+// the growing ones need. A cluster that is leaving keeps its quota until it is removed.
 func (g *Gateway) reserveQuotas() {
 	g.quotasMissing = false
 	var staying []*cluster
@@ -140,7 +142,7 @@
 	}
 	for _, c := range staying {
 		quota := &c.spec.quota
-		_ = c.reserve(smaller(c.reserved, quota.Guaranteed), quota.Max) // less is always granted
+		_ = c.reserve(minAmount(c.reserved, quota.Guaranteed), quota.Max) // a reduction is always granted
 	}
 	for _, c := range staying {
 		quota := &c.spec.quota
@@ -152,8 +154,8 @@
 	}
 }
 
-// smaller returns the smaller one of two amounts, field by field.
-func smaller(a, b config.Amount) config.Amount {
+// minAmount returns the minimum of two amounts, field by field.
+func minAmount(a, b config.Amount) config.Amount {
 	return config.Amount{
 		Descriptors: min(a.Descriptors, b.Descriptors),
 		Memory:      min(a.Memory, b.Memory),
@@ -161,7 +163,7 @@
 	}
 }
 
-// reserve changes the quotas of a cluster. A quota that is not available stays as it was.
+// reserve resizes the quotas of a cluster. A quota that cannot be granted keeps its size, and the error says which.
 func (c *cluster) reserve(guaranteed, maximum config.Amount) error {
 	c.connectionQuota.Resize(guaranteed.Descriptors, maximum.Descriptors)
 	c.reserved.Descriptors = guaranteed.Descriptors
@@ -176,11 +178,12 @@
 	return errors.Join(errMemory, errRequests)
 }
 
-// removalDelay is how long a removed cluster goes on while routes still lead to it, as new routes may be on their way. It
-// is well within the second after which a removed endpoint must get no more requests.
+// removalDelay is how long a removed cluster keeps serving while routes still refer to it, because the update of the routes
+// may arrive later than that of the clusters. It is well below 1 s, after which a removed endpoint must not get requests.
 const removalDelay = 500 * time.Millisecond
 
-// scheduleRemoval removes a cluster after removalDelay, or earlier once no route in use leads to it.
+// scheduleRemoval schedules the removal of a cluster after removalDelay. useRouting removes the cluster earlier if no route
+// refers to it.
 func (g *Gateway) scheduleRemoval(c *cluster) {
 	c.removalTimer = time.AfterFunc(removalDelay, func() {
 		g.mu.Lock()
@@ -199,7 +202,7 @@
 	})
 }
 
-// isLeaving reports whether the cluster is to be removed.
+// isLeaving reports whether the removal of the cluster is scheduled.
 func (c *cluster) isLeaving() bool { return c.removalTimer != nil }
 
 func (c *cluster) cancelRemoval() {
@@ -209,14 +212,14 @@
 	}
 }
 
-// removeCluster removes a cluster. Its requests in flight go on, but after the delay none of them is sent to an endpoint
-// any more, not even as a retry.
+// removeCluster removes a cluster. Its requests in flight continue, but after delay no further attempts, not even retries,
+// are sent to its endpoints.
 func (g *Gateway) removeCluster(c *cluster, delay time.Duration) {
 	delete(g.clusters, c.name)
 	c.cancelRemoval()
 	c.stopStaleTimer()
-	g.retireCore(c.current)                          // first: new requests are routed again
-	_ = c.reserve(config.Amount{}, c.spec.quota.Max) // less is always granted; what is in use goes back as it ends
+	g.retireCore(c.current)                          // done first, so that new requests are routed again
+	_ = c.reserve(config.Amount{}, c.spec.quota.Max) // a reduction is always granted; amounts in use are returned later
 	if g.quotasMissing && !g.stopping {
 		g.reserveQuotas()
 	}
@@ -244,13 +247,13 @@
 }
 
 const (
-	// responsePause is how long a response may stall before its client gets any of it.
-	responsePause = time.Minute
-	// responseStall is how long a response may stall that is being forwarded.
-	responseStall = 5 * time.Minute
+	// responsePauseTimeout is the maximum pause within a response before any of it is forwarded.
+	responsePauseTimeout = time.Minute
+	// streamStallTimeout is the maximum pause within a response that is being streamed.
+	streamStallTimeout = 5 * time.Minute
 )
 
-// startCore gives a cluster a new core. The former one is retired.
+// startCore creates a new core for a cluster and retires the previous core.
 func (g *Gateway) startCore(c *cluster) {
 	instance := &coreInstance{cluster: c}
 	settings := c.spec.balancerSettings()
@@ -288,22 +291,22 @@
 	c.core.Store(core)
 }
 
-// newPool returns the connection pool of a new core. The size and the pauses of responses are left to the upstream, within
-// the deadline of the request.
+// newPool returns the connection pool of a new core. Its limits allow for large and slow responses: what bounds a response
+// is the deadline of its request.
 func (c *cluster) newPool() *backend.Pool {
 	options := backend.Options{
 		ConnectTimeout:   c.spec.config.ConnectTimeout.D(),
 		IdleTimeout:      c.spec.config.IdleTimeout.D(),
 		IsAnswer:         func(status int) bool { return status < http.StatusInternalServerError },
-		PauseTimeout:     responsePause,
-		StallTimeout:     responseStall,
+		PauseTimeout:     responsePauseTimeout,
+		StallTimeout:     streamStallTimeout,
 		MaxResponseBytes: math.MaxInt64,
 		StreamResponse:   isEventStream,
 	}
 	return backend.NewPool(options, c.connectionQuota)
 }
 
-// retireCore lets a core finish its requests in flight, and closes it then.
+// retireCore retires a core, which still finishes its requests in flight, and closes it in the background afterwards.
 func (g *Gateway) retireCore(instance *coreInstance) {
 	g.retired[instance] = struct{}{}
 	idle := instance.core.Retire()
@@ -311,7 +314,7 @@
 		select {
 		case <-idle:
 		case <-g.ctx.Done():
-			return // Close closes it
+			return // Gateway.Close closes the core
 		}
 		instance.core.Close()
 		g.mu.Lock()
@@ -321,7 +324,7 @@
 	})
 }
 
-// isEventStream reports whether a response is a stream of server-sent events, which must be forwarded as they come.
+// isEventStream reports whether a response is a stream of server-sent events, which must be forwarded as they arrive.
 func isEventStream(header http.Header) bool {
 	mediaType, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	return strings.EqualFold(strings.TrimSpace(mediaType), "text/event-stream")
--- a/internal/gateway/clusterspec.go
+++ b/internal/gateway/clusterspec.go
@@ -13,25 +13,25 @@
 // sourceStatic is the source of clusters whose endpoints the configuration lists.
 const sourceStatic = "static"
 
-// clusterSpec is what the configuration or a control plane wants a cluster to be.
+// clusterSpec is the desired state of a cluster, from the configuration or a control plane.
 type clusterSpec struct {
 	config  config.Cluster
 	quota   config.Quota
 	classes []config.Class
 	zone    string
 	gateway config.Gateway
-	zones   *config.Zones // nil: localities are not balanced
+	zones   *config.Zones // nil if localities are not balanced
 
 	source          string // sourceStatic, or the name of a watch
-	service         string // the name by which the source knows the endpoints
+	service         string // name of the endpoint list at the source
 	staticEndpoints []config.Endpoint
-	inline          *xds.Assignment // endpoints that are part of a control plane's cluster
+	inline          *xds.Assignment // endpoints that the control plane sends as part of the cluster; nil if none
 	version         string
-	localityWeights bool // the weights of localities count
+	localityWeights bool // the weights of localities are applied
 	warnings        []string
 }
 
-// sameCore reports whether the core of one spec can serve for the other. Endpoints and quotas may differ.
+// sameCore reports whether a core created for one spec can be used for the other. Endpoints and quotas may differ.
 func (s *clusterSpec) sameCore(other *clusterSpec) bool {
 	a, b := s.config, other.config
 	for _, c := range []*config.Cluster{&a, &b} {
@@ -47,8 +47,8 @@
 		reflect.DeepEqual(s.zones, other.zones)
 }
 
-// clusterSpecs returns the specs of all clusters by name. The configuration's clusters come before a control plane's of
-// the same name.
+// clusterSpecs returns the specs of all clusters by name. A cluster of the configuration takes precedence over a control
+// plane's cluster of the same name.
 func (g *Gateway) clusterSpecs() map[string]*clusterSpec {
 	specs := map[string]*clusterSpec{}
 	for i := range g.config.Clusters {
@@ -65,7 +65,7 @@
 	return specs
 }
 
-// configuredSpec returns the spec of a cluster of the configuration.
+// configuredSpec returns the spec of a cluster in the configuration.
 func (g *Gateway) configuredSpec(c *config.Cluster) *clusterSpec {
 	spec := &clusterSpec{config: *c, quota: g.config.QuotaOf(c), source: sourceStatic, staticEndpoints: c.Endpoints}
 	if c.Breakers.MaxConnections > 0 {
@@ -82,8 +82,8 @@
 	return spec
 }
 
-// addDynamicSpecs adds the control plane's clusters that the configuration does not have. They share the quota that the
-// configuration leaves for them evenly.
+// addDynamicSpecs adds the control plane's clusters that are not in the configuration. They evenly divide the quota that
+// the limits leave for such clusters.
 func (g *Gateway) addDynamicSpecs(specs map[string]*clusterSpec) {
 	w := g.watches[xdsWatch]
 	if w == nil || !g.config.XDS.Clusters {
@@ -134,7 +134,7 @@
 	return spec
 }
 
-// dynamicQuota returns the quota of each of the control plane's clusters.
+// dynamicQuota returns the quota of one of the control plane's clusters, given their number.
 func dynamicQuota(limits *config.Limits, clusters int) config.Quota {
 	guaranteed := config.Amount{
 		Descriptors: limits.Descriptors / 8 / clusters,
@@ -157,34 +157,34 @@
 	overloadWindow      = time.Second
 )
 
-// balancerSettings returns the settings of a cluster's balancer, but for its admission and localities.
+// balancerSettings returns the settings of a cluster's balancer, except for Admission and Localities.
 func (s *clusterSpec) balancerSettings() balancer.Settings {
-	c := &s.config
+	cluster := &s.config
 	return balancer.Settings{
 		Zone:             s.zone,
 		Index:            s.gateway.Index,
 		Proxies:          s.gateway.Count,
-		MaxAttempts:      c.Attempts,
-		ParallelAttempts: *c.Hedge,
+		MaxAttempts:      cluster.Attempts,
+		ParallelAttempts: *cluster.Hedge,
 		MayCancel:        true,
 		RetryAfter:       true,
 		MaxRetryAfter:    maxServerRetryAfter,
-		ConnectTimeout:   c.ConnectTimeout.D(),
-		ConnIdle:         c.IdleTimeout.D(),
+		ConnectTimeout:   cluster.ConnectTimeout.D(),
+		ConnIdle:         cluster.IdleTimeout.D(),
 		Multiplex:        1,
-		DrainGrace:       c.DrainGrace.D(),
-		WarmUpTime:       c.WarmUp.Time.D(),
-		WarmUpShare:      c.WarmUp.InitialShare,
-		OverloadMultiple: c.WarmUp.OverloadMultiple,
+		DrainGrace:       cluster.DrainGrace.D(),
+		WarmUpTime:       cluster.WarmUp.Time.D(),
+		WarmUpShare:      cluster.WarmUp.InitialShare,
+		OverloadMultiple: cluster.WarmUp.OverloadMultiple,
 		OverloadWindow:   overloadWindow,
-		Price:            balancer.Prices{CrossZone: *c.CrossZone},
+		Price:            balancer.Prices{CrossZone: *cluster.CrossZone},
 		Weights:          balancer.WeightNominal,
 		Classes:          s.balancerClasses(),
 	}
 }
 
-// balancerClasses returns the classes of requests. Behind each that is idempotent with a key only stands one for its
-// requests without a key.
+// balancerClasses returns the classes of requests. Each class that is idempotent only with a key is followed by a class for
+// its requests without a key.
 func (s *clusterSpec) balancerClasses() []balancer.Class {
 	var classes []balancer.Class
 	for i := range s.classes {
@@ -200,7 +200,7 @@
 		}
 		classes = append(classes, converted)
 		if needsKey(class) {
-			converted.Name += withoutKey
+			converted.Name += withoutKeySuffix
 			converted.Effect = balancer.NonIdempotent
 			converted.Window = 0
 			converted.Group = 0
--- a/internal/gateway/controlplane_test.go
+++ b/internal/gateway/controlplane_test.go
@@ -17,299 +17,303 @@
 	"robindrum/internal/xds"
 )
 
-// Updates of the control plane are applied under load: draining, unhealthy or removed endpoints get no new requests, with an
-// empty list requests are rejected at once, and the endpoints of the next list warm up.
+// Updates of the control plane are applied under load: draining, unhealthy or removed endpoints get no new requests,
+// requests are rejected immediately while the list is empty, and the endpoints of the next list warm up.
 func TestEndpointsFollowTheControlPlane(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := newControlPlane(t)
-			a, b, c := newOrigin(t), newOrigin(t), newOrigin(t)
-			push(t, s, "0", false, cds("c"), eds("c", a, b, c), rds("r", [2]string{"/", "c"}))
-			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ", variant: "+variant))
+			server := newControlPlane(t)
+			originA, originB, originC := newOrigin(t), newOrigin(t), newOrigin(t)
+			pushResources(t, server, "0", false, cds("c"), eds("c", originA, originB, originC), rds("r", [2]string{"/", "c"}))
+			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ", variant: "+variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			l := startLoad(t, g, 8, "/x")
-			testbed.Eventually(t, "load on all", func() bool { return a.Requests() > 50 && b.Requests() > 50 && c.Requests() > 50 })
+			load := startLoad(t, g, 8, "/x")
+			testbed.Eventually(t, "requests to all origins", func() bool { return originA.Requests() > 50 && originB.Requests() > 50 && originC.Requests() > 50 })
 			version := 0
-			out := func(what string, o *origin.Origin, r controlplane.Resource, usable int) {
+			// checkExcluded pushes an endpoint list r without o, or with o out of service, and checks that o gets no requests later
+			// than 1 s after the push.
+			checkExcluded := func(reason string, o *origin.Origin, r controlplane.Resource, usableEndpoints int) {
 				t.Helper()
 				version++
-				at := push(t, s, fmt.Sprint(version), false, r)
-				testbed.Eventually(t, what, func() bool { return g.usable("c") == usable })
-				n := l.ok.Load()
-				testbed.Eventually(t, "more load", func() bool { return l.ok.Load() > n+300 })
-				if late := o.RequestsAfter(at.Add(time.Second)); late != 0 {
-					t.Errorf("%s: %d requests later than 1 s after it was told", what, late)
+				pushedAt := pushResources(t, server, fmt.Sprint(version), false, r)
+				testbed.Eventually(t, reason, func() bool { return g.usableEndpoints("c") == usableEndpoints })
+				before := load.served.Load()
+				testbed.Eventually(t, "more served requests", func() bool { return load.served.Load() > before+300 })
+				if lateRequests := o.RequestsAfter(pushedAt.Add(time.Second)); lateRequests != 0 {
+					t.Errorf("%s endpoint: got %d requests more than 1 s after the push, want 0", reason, lateRequests)
 				}
-				if d := o.LastRequest().Sub(at); d > time.Second {
-					t.Errorf("%s: the last request %v after it was told", what, d)
+				if d := o.LastRequest().Sub(pushedAt); d > time.Second {
+					t.Errorf("%s endpoint: got the last request %v after the push, want at most 1s", reason, d)
 				}
 			}
-			of := func(o *origin.Origin, h corev3.HealthStatus) controlplane.Endpoint {
-				return controlplane.Endpoint{Addr: o.Addr, Zone: "a", Health: h}
+			withHealth := func(o *origin.Origin, health corev3.HealthStatus) controlplane.Endpoint {
+				return controlplane.Endpoint{Addr: o.Addr, Zone: "a", Health: health}
 			}
-			out("draining", a, eds("c", of(a, corev3.HealthStatus_DRAINING), b, c), 2)
-			out("unhealthy", a, eds("c", of(a, corev3.HealthStatus_UNHEALTHY), b, c), 2)
-			out("removed", b, eds("c", a, c), 2)
-			// All at once.
+			checkExcluded("draining", originA, eds("c", withHealth(originA, corev3.HealthStatus_DRAINING), originB, originC), 2)
+			checkExcluded("unhealthy", originA, eds("c", withHealth(originA, corev3.HealthStatus_UNHEALTHY), originB, originC), 2)
+			checkExcluded("removed", originB, eds("c", originA, originC), 2)
+			// Remove all endpoints at once.
 			version++
-			at := push(t, s, fmt.Sprint(version), false, eds("c"))
-			testbed.Eventually(t, "the empty list", func() bool { return g.usable("c") == 0 })
-			began := time.Now()
-			if r := newUser(t, g).get(t, "/x"); r.status != 503 {
-				t.Errorf("%d with no endpoint", r.status)
+			pushedAt := pushResources(t, server, fmt.Sprint(version), false, eds("c"))
+			testbed.Eventually(t, "the empty list to be applied", func() bool { return g.usableEndpoints("c") == 0 })
+			start := time.Now()
+			if r := newTestClient(t, g).get(t, "/x"); r.status != 503 {
+				t.Errorf("GET /x without endpoints: got status %d, want 503", r.status)
 			}
-			if d := time.Since(began); d > time.Second { // the class has 15 s
-				t.Errorf("refused after %v", d)
+			if d := time.Since(start); d > time.Second { // the deadline of the class is 15 s
+				t.Errorf("GET /x without endpoints was rejected after %v, want at most 1s", d)
 			}
-			n := l.no.Load()
-			testbed.Eventually(t, "refusals", func() bool { return l.no.Load() > n+100 })
-			for _, o := range []*origin.Origin{a, b, c} {
-				if late := o.RequestsAfter(at.Add(time.Second)); late != 0 {
-					t.Errorf("%d requests to one that was removed", late)
+			before := load.rejected.Load()
+			testbed.Eventually(t, "refusals", func() bool { return load.rejected.Load() > before+100 })
+			for _, o := range []*origin.Origin{originA, originB, originC} {
+				if lateRequests := o.RequestsAfter(pushedAt.Add(time.Second)); lateRequests != 0 {
+					t.Errorf("removed endpoint %s: got %d requests more than 1 s after the push, want 0", o.Addr, lateRequests)
 				}
 			}
 			version++
-			push(t, s, fmt.Sprint(version), false, eds("c", a, b))
-			testbed.Eventually(t, "the list to be back", func() bool { return g.usable("c") == 2 })
-			n = l.ok.Load()
-			testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+10 })
-			for _, e := range g.Status(0).Clusters[0].Endpoints {
-				if e.Age <= 0 {
-					t.Errorf("%s is not cold", e.Address)
+			pushResources(t, server, fmt.Sprint(version), false, eds("c", originA, originB))
+			testbed.Eventually(t, "the next list to be applied", func() bool { return g.usableEndpoints("c") == 2 })
+			before = load.served.Load()
+			testbed.Eventually(t, "service", func() bool { return load.served.Load() > before+10 })
+			for _, endpoint := range g.Status(0).Clusters[0].Endpoints {
+				if endpoint.Age <= 0 {
+					t.Errorf("endpoint %s: got age %v, want more than 0, as it was added again", endpoint.Address, endpoint.Age)
 				}
 			}
-			l.stop()
-			l.checkNoneLost(t)
+			load.stop()
+			load.checkNoneLost(t)
 		})
 	}
 }
 
-// While the control plane is disconnected the last list stays in use, and the status shows its age. When it returns with an
-// older version and a smaller list, that is used.
+// While the control plane is disconnected, the last endpoint list stays in use and the status shows its age. If the control
+// plane returns with an older version and a smaller list, that list is used.
 func TestControlPlaneDisconnectsAndReturns(t *testing.T) {
 	testbed.Leaks(t)
-	s := newControlPlane(t)
-	a, b := newOrigin(t), newOrigin(t)
-	push(t, s, "9", false, cds("c"), eds("c", a, b), rds("r", [2]string{"/", "c"}))
-	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
+	server := newControlPlane(t)
+	originA, originB := newOrigin(t), newOrigin(t)
+	pushResources(t, server, "9", false, cds("c"), eds("c", originA, originB), rds("r", [2]string{"/", "c"}))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := startLoad(t, g, 4, "/x")
-	s.Stop()
-	testbed.Eventually(t, "the loss to show", func() bool { src := g.Status(0).Sources[0]; return src.Connected == "" && src.Error != "" })
-	n := l.ok.Load()
-	testbed.Eventually(t, "service without it", func() bool { return l.ok.Load() > n+200 })
-	first := *g.Status(0).Clusters[0].UpdateAge
-	testbed.Eventually(t, "the list to age", func() bool { return *g.Status(0).Clusters[0].UpdateAge > first+0.01 })
-	if !g.Ready() || g.usable("c") != 2 {
-		t.Error("the list is gone with the control plane")
+	load := startLoad(t, g, 4, "/x")
+	server.Stop()
+	testbed.Eventually(t, "the status to show the lost connection", func() bool { source := g.Status(0).Sources[0]; return source.Connected == "" && source.Error != "" })
+	before := load.served.Load()
+	testbed.Eventually(t, "served requests without the control plane", func() bool { return load.served.Load() > before+200 })
+	firstAge := *g.Status(0).Clusters[0].UpdateAge
+	testbed.Eventually(t, "the age of the list to increase", func() bool { return *g.Status(0).Clusters[0].UpdateAge > firstAge+0.01 })
+	if !g.Ready() || g.usableEndpoints("c") != 2 {
+		t.Error("without the control plane: want a ready gateway with 2 usable endpoints, got ready", g.Ready(), "usable", g.usableEndpoints("c"))
 	}
-	s.ClearAll()
-	push(t, s, "3", false, cds("c"), eds("c", b), rds("r", [2]string{"/", "c"}))
-	if err := s.Restart(); err != nil {
+	server.ClearAll()
+	pushResources(t, server, "3", false, cds("c"), eds("c", originB), rds("r", [2]string{"/", "c"}))
+	if err := server.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	testbed.Eventually(t, "the smaller list", func() bool { return g.usable("c") == 1 })
-	l.stop()
-	l.checkNoneLost(t)
-	if l.no.Load() != 0 {
-		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
+	testbed.Eventually(t, "the smaller list to be applied", func() bool { return g.usableEndpoints("c") == 1 })
+	load.stop()
+	load.checkNoneLost(t)
+	if load.rejected.Load() != 0 {
+		t.Errorf("%d requests were rejected, want 0; the last answer: %q", load.rejected.Load(), *load.lastRejection.Load())
 	}
 }
 
-// A route changes to a cluster whose endpoints come later: until then it leads to the former cluster.
+// A route changes to a cluster whose endpoints arrive later. Until then it still leads to the previous cluster.
 func TestRoutesWaitForEndpoints(t *testing.T) {
 	testbed.Leaks(t)
-	s := newControlPlane(t)
-	a, b := newOrigin(t), newOrigin(t)
-	push(t, s, "1", false, cds("old"), eds("old", a), rds("r", [2]string{"/", "old"}))
-	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
+	server := newControlPlane(t)
+	originOld, originNew := newOrigin(t), newOrigin(t)
+	pushResources(t, server, "1", false, cds("old"), eds("old", originOld), rds("r", [2]string{"/", "old"}))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := startLoad(t, g, 4, "/x")
-	push(t, s, "2", false, cds("new"), rds("r", [2]string{"/", "new"}))
-	testbed.Eventually(t, "the flip to wait", func() bool { return g.Status(0).Routes.Pending })
-	n := a.Requests()
-	testbed.Eventually(t, "service by the old one", func() bool { return a.Requests() > n+100 })
-	push(t, s, "3", false, eds("new", b))
-	testbed.Eventually(t, "the flip", func() bool { return !g.Status(0).Routes.Pending && b.Requests() > 100 })
-	n = a.Requests()
-	m := b.Requests()
-	testbed.Eventually(t, "service by the new one", func() bool { return b.Requests() > m+100 })
-	if a.Requests() > n+8 {
-		t.Errorf("%d requests to the old one after the flip", a.Requests()-n)
+	load := startLoad(t, g, 4, "/x")
+	pushResources(t, server, "2", false, cds("new"), rds("r", [2]string{"/", "new"}))
+	testbed.Eventually(t, "the new routes to be pending", func() bool { return g.Status(0).Routes.Pending })
+	oldRequests := originOld.Requests()
+	testbed.Eventually(t, "requests served by the old cluster", func() bool { return originOld.Requests() > oldRequests+100 })
+	pushResources(t, server, "3", false, eds("new", originNew))
+	testbed.Eventually(t, "the new routes to be used", func() bool { return !g.Status(0).Routes.Pending && originNew.Requests() > 100 })
+	oldRequests = originOld.Requests()
+	newRequests := originNew.Requests()
+	testbed.Eventually(t, "requests served by the new cluster", func() bool { return originNew.Requests() > newRequests+100 })
+	if originOld.Requests() > oldRequests+8 {
+		t.Errorf("old cluster: got %d requests after the change of routes, want at most 8", originOld.Requests()-oldRequests)
 	}
-	l.stop()
-	l.checkNoneLost(t)
-	if l.no.Load() != 0 {
-		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
+	load.stop()
+	load.checkNoneLost(t)
+	if load.rejected.Load() != 0 {
+		t.Errorf("%d requests were rejected, want 0; the last answer: %q", load.rejected.Load(), *load.lastRejection.Load())
 	}
 }
 
-// A cluster is renamed under load in the order of a control plane: the new name replaces the former one before the routes
-// change.
+// A cluster is renamed under load. As usual for a control plane, the cluster with the new name replaces the one with the old
+// name before the routes change.
 func TestClusterRenamedUnderLoad(t *testing.T) {
 	testbed.Leaks(t)
-	s := newControlPlane(t)
-	a := newOrigin(t)
-	push(t, s, "1", false, cds("n0"), eds("n0", a), rds("r", [2]string{"/", "n0"}))
-	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
+	server := newControlPlane(t)
+	backend := newOrigin(t)
+	pushResources(t, server, "1", false, cds("n0"), eds("n0", backend), rds("r", [2]string{"/", "n0"}))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	l := startLoad(t, g, 4, "/x")
+	load := startLoad(t, g, 4, "/x")
 	for i := 1; i <= 10; i++ {
 		name := fmt.Sprint("n", i)
-		push(t, s, fmt.Sprint("v", i), true, eds(name, a), cds(name))
-		push(t, s, fmt.Sprint("w", i), true, rds("r", [2]string{"/", name}))
-		testbed.Eventually(t, "the new name", func() bool { return g.usable(name) == 1 && len(g.Status(0).Clusters) == 1 })
-		n := l.ok.Load()
-		testbed.Eventually(t, "service", func() bool { return l.ok.Load() > n+50 })
+		pushResources(t, server, fmt.Sprint("v", i), true, eds(name, backend), cds(name))
+		pushResources(t, server, fmt.Sprint("w", i), true, rds("r", [2]string{"/", name}))
+		testbed.Eventually(t, "the renamed cluster to be the only one", func() bool { return g.usableEndpoints(name) == 1 && len(g.Status(0).Clusters) == 1 })
+		before := load.served.Load()
+		testbed.Eventually(t, "service", func() bool { return load.served.Load() > before+50 })
 	}
-	l.stop()
-	l.checkNoneLost(t)
-	if l.no.Load() != 0 {
-		t.Errorf("%d requests were refused: %q", l.no.Load(), *l.refused.Load())
+	load.stop()
+	load.checkNoneLost(t)
+	if load.rejected.Load() != 0 {
+		t.Errorf("%d requests were rejected, want 0; the last answer: %q", load.rejected.Load(), *load.lastRejection.Load())
 	}
-	testbed.Eventually(t, "the old cores to end", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.retired) == 0 })
+	testbed.Eventually(t, "the retired cores to be closed", func() bool { g.mu.Lock(); defer g.mu.Unlock(); return len(g.retired) == 0 })
 }
 
-// Requests to a withdrawn cluster are soon rejected, and served again when the cluster is back.
+// Requests to a withdrawn cluster are rejected within 1.5 s, and served again once the cluster is restored.
 func TestClusterWithdrawnAndRestored(t *testing.T) {
 	testbed.Leaks(t)
-	s := newControlPlane(t)
-	a, b := newOrigin(t), newOrigin(t)
-	push(t, s, "1", false, cds("c"), cds("d"), eds("c", a), eds("d", b), rds("r", [2]string{"/c", "c"}, [2]string{"/d", "d"}))
-	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
+	server := newControlPlane(t)
+	originC, originD := newOrigin(t), newOrigin(t)
+	pushResources(t, server, "1", false, cds("c"), cds("d"), eds("c", originC), eds("d", originD), rds("r", [2]string{"/c", "c"}, [2]string{"/d", "d"}))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	u := newUser(t, g)
-	if r := u.get(t, "/c"); r.status != 200 {
+	client := newTestClient(t, g)
+	if r := client.get(t, "/c"); r.status != 200 {
 		t.Fatal(r.status)
 	}
-	at := push(t, s, "2", true, cds("d"))
-	testbed.Eventually(t, "refusals", func() bool { return u.get(t, "/c").status == 503 })
-	if d := time.Since(at); d > time.Second+500*time.Millisecond {
-		t.Errorf("refused after %v", d)
+	pushedAt := pushResources(t, server, "2", true, cds("d"))
+	testbed.Eventually(t, "refusals", func() bool { return client.get(t, "/c").status == 503 })
+	if d := time.Since(pushedAt); d > time.Second+500*time.Millisecond {
+		t.Errorf("GET /c was rejected %v after the cluster was withdrawn, want at most 1.5s", d)
 	}
-	if a.RequestsAfter(at.Add(time.Second)) != 0 {
-		t.Error("requests reach a cluster that is withdrawn")
+	if originC.RequestsAfter(pushedAt.Add(time.Second)) != 0 {
+		t.Error("withdrawn cluster: got requests more than 1 s after the push, want none")
 	}
-	if r := u.get(t, "/d"); r.status != 200 {
-		t.Errorf("the other one: %d", r.status)
+	if r := client.get(t, "/d"); r.status != 200 {
+		t.Errorf("GET /d: got status %d, want 200", r.status)
 	}
-	if m := g.Status(0).Routes.MissingClusters; len(m) != 1 || m[0] != "c" {
-		t.Errorf("missing: %v", m)
+	if missing := g.Status(0).Routes.MissingClusters; len(missing) != 1 || missing[0] != "c" {
+		t.Errorf("missing clusters: got %v, want [c]", missing)
 	}
-	push(t, s, "3", false, cds("c"), eds("c", a))
-	testbed.Eventually(t, "service", func() bool { return u.get(t, "/c").status == 200 })
+	pushResources(t, server, "3", false, cds("c"), eds("c", originC))
+	testbed.Eventually(t, "service", func() bool { return client.get(t, "/c").status == 200 })
 }
 
-// Requests follow a listener that names routes, then other ones, and is withdrawn.
+// Requests follow the RouteConfiguration that a listener refers to, also when the listener changes to another one, and get
+// 404 once the listener is withdrawn.
 func TestListenerNamesTheRoutes(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := newControlPlane(t)
-			a, b := newOrigin(t), newOrigin(t)
-			lds := func(routes string) controlplane.Resource {
+			server := newControlPlane(t)
+			originA, originB := newOrigin(t), newOrigin(t)
+			listener := func(routes string) controlplane.Resource {
 				return controlplane.Resource{Name: "l", Body: controlplane.Listener("l", routes)}
 			}
-			push(t, s, "1", false, cds("ca"), cds("cb"), eds("ca", a), eds("cb", b), rds("ra", [2]string{"/", "ca"}), rds("rb", [2]string{"/", "cb"}), lds("ra"))
-			g := runGateway(t, fmt.Sprintf("clusters: []\nroutes: []\nxds: {servers: [%q], node: {id: gw}, clusters: true, listener: l, variant: %s}\n", s.Addr, variant))
+			pushResources(t, server, "1", false, cds("ca"), cds("cb"), eds("ca", originA), eds("cb", originB), rds("ra", [2]string{"/", "ca"}), rds("rb", [2]string{"/", "cb"}), listener("ra"))
+			g := runGateway(t, fmt.Sprintf("clusters: []\nroutes: []\nxds: {servers: [%q], node: {id: gw}, clusters: true, listener: l, variant: %s}\n", server.Addr, variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
-			u := newUser(t, g)
-			if r := u.get(t, "/x"); r.header.Get("X-Origin") != a.Addr {
-				t.Errorf("%+v", r)
+			client := newTestClient(t, g)
+			if r := client.get(t, "/x"); r.header.Get("X-Origin") != originA.Addr {
+				t.Errorf("GET /x: got %+v, want an answer of origin %s", r, originA.Addr)
 			}
-			push(t, s, "2", false, lds("rb"))
-			testbed.Eventually(t, "the other routes", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
-			push(t, s, "3", false, controlplane.Resource{Name: "l"})
-			testbed.Eventually(t, "no routes", func() bool { return u.get(t, "/x").status == 404 })
-			if why := g.Status(0).Routes.Rejection; why != "the control plane withdrew it" {
-				t.Errorf("%q", why)
+			pushResources(t, server, "2", false, listener("rb"))
+			testbed.Eventually(t, "requests to follow the other routes", func() bool { return client.get(t, "/x").header.Get("X-Origin") == originB.Addr })
+			pushResources(t, server, "3", false, controlplane.Resource{Name: "l"})
+			testbed.Eventually(t, "requests to be answered with 404", func() bool { return client.get(t, "/x").status == 404 })
+			if rejection := g.Status(0).Routes.Rejection; rejection != "the control plane withdrew it" {
+				t.Errorf("rejection of the routes: got %q, want %q", rejection, "the control plane withdrew it")
 			}
 		})
 	}
 }
 
-// Ever new cluster names, zones and endpoints leave nothing behind in the gateway, its sources and its cores.
+// A control plane that keeps sending new cluster names, zones and endpoints leaves no state of the removed ones in the
+// gateway, its sources and its cores.
 func TestChangingNamesLeaveNothingBehind(t *testing.T) {
 	for _, variant := range []string{"sotw", "delta"} {
 		t.Run(variant, func(t *testing.T) {
 			testbed.Leaks(t)
-			s := newControlPlane(t)
-			a := newOrigin(t)
-			push(t, s, "0", false, cds("fixed"), eds("fixed", a), rds("r", [2]string{"/", "fixed"}))
-			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ", variant: "+variant))
+			server := newControlPlane(t)
+			backend := newOrigin(t)
+			pushResources(t, server, "0", false, cds("fixed"), eds("fixed", backend), rds("r", [2]string{"/", "fixed"}))
+			g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ", variant: "+variant))
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			const rounds = 300
 			for i := range rounds {
 				name := fmt.Sprint("c", i)
-				zone := controlplane.Endpoint{Addr: a.Addr, Zone: fmt.Sprint("z", i), Kind: fmt.Sprint("k", i)}
-				push(t, s, fmt.Sprint("v", i), true, cds("fixed"), cds(name), eds("fixed", zone), eds(name, zone))
+				endpoint := controlplane.Endpoint{Addr: backend.Addr, Zone: fmt.Sprint("z", i), Kind: fmt.Sprint("k", i)}
+				pushResources(t, server, fmt.Sprint("v", i), true, cds("fixed"), cds(name), eds("fixed", endpoint), eds(name, endpoint))
 			}
-			testbed.Eventually(t, "the last names", func() bool { return g.usable(fmt.Sprint("c", rounds-1)) == 1 })
-			testbed.Eventually(t, "the former ones to be gone", func() bool {
+			testbed.Eventually(t, "the last cluster to be usable", func() bool { return g.usableEndpoints(fmt.Sprint("c", rounds-1)) == 1 })
+			testbed.Eventually(t, "the state of removed clusters to be dropped", func() bool {
 				g.mu.Lock()
 				defer g.mu.Unlock()
-				f := g.watches[xdsWatch]
-				return len(g.clusters) == 2 && len(g.retired) == 0 && len(f.resources[xds.ClusterType]) == 2 && len(f.resources[xds.EndpointType]) == 2
+				watched := g.watches[xdsWatch]
+				return len(g.clusters) == 2 && len(g.retired) == 0 && len(watched.resources[xds.ClusterType]) == 2 && len(watched.resources[xds.EndpointType]) == 2
 			})
-			if n := g.Status(0).Limits.Requests; n != 2*(4096/4/2) {
-				t.Errorf("%d requests are kept for two clusters", n)
+			if reserved := g.Status(0).Limits.Requests; reserved != 2*(4096/4/2) {
+				t.Errorf("got %d requests reserved for two clusters, want %d", reserved, 2*(4096/4/2))
 			}
-			if r := newUser(t, g).get(t, "/x"); r.status != 200 {
-				t.Errorf("%d", r.status)
+			if r := newTestClient(t, g).get(t, "/x"); r.status != 200 {
+				t.Errorf("GET /x: got status %d, want 200", r.status)
 			}
 		})
 	}
 }
 
-// drop_overloads rejects its fraction of requests, and endpoint_stale_after ends a list that is not renewed.
+// drop_overloads rejects the configured fraction of requests, and endpoint_stale_after expires a list that is not renewed.
 func TestDropOverloadsAndStaleAssignment(t *testing.T) {
 	testbed.Leaks(t)
-	s := newControlPlane(t)
-	a := newOrigin(t)
-	as := eds("c", a)
-	if err := xdsPolicy(as, `{"policy":{"drop_overloads":[{"category":"x","drop_percentage":{"numerator":50}}]}}`); err != nil {
+	server := newControlPlane(t)
+	backend := newOrigin(t)
+	assignment := eds("c", backend)
+	if err := mergeJSON(assignment, `{"policy":{"drop_overloads":[{"category":"x","drop_percentage":{"numerator":50}}]}}`); err != nil {
 		t.Fatal(err)
 	}
-	push(t, s, "1", false, cds("c"), as, rds("r", [2]string{"/", "c"}))
-	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(s, ""))
+	pushResources(t, server, "1", false, cds("c"), assignment, rds("r", [2]string{"/", "c"}))
+	g := runGateway(t, "clusters: []\nroutes: []\n"+adsConfig(server, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	u := newUser(t, g)
+	client := newTestClient(t, g)
 	dropped := 0
 	for range 200 {
-		if u.get(t, "/x").status == 503 {
+		if client.get(t, "/x").status == 503 {
 			dropped++
 		}
 	}
 	if dropped < 50 || dropped > 150 {
-		t.Errorf("%d of 200 are dropped", dropped)
+		t.Errorf("drop_overloads of 50 %%: got %d of 200 requests dropped, want 50 to 150", dropped)
 	}
-	as = eds("c", a)
-	if err := xdsPolicy(as, `{"policy":{"endpoint_stale_after":"0.3s"}}`); err != nil {
+	assignment = eds("c", backend)
+	if err := mergeJSON(assignment, `{"policy":{"endpoint_stale_after":"0.3s"}}`); err != nil {
 		t.Fatal(err)
 	}
-	push(t, s, "2", false, as)
-	testbed.Eventually(t, "the list to be stale", func() bool { return g.Status(0).Clusters[0].Stale != "" })
-	if r := u.get(t, "/x"); r.status != 503 {
-		t.Errorf("%d from a stale list", r.status)
+	pushResources(t, server, "2", false, assignment)
+	testbed.Eventually(t, "the list to become stale", func() bool { return g.Status(0).Clusters[0].Stale != "" })
+	if r := client.get(t, "/x"); r.status != 503 {
+		t.Errorf("GET /x with a stale list: got status %d, want 503", r.status)
 	}
-	push(t, s, "3", false, eds("c", a))
-	testbed.Eventually(t, "a list that lasts", func() bool { return g.usable("c") == 1 })
-	testbed.Eventually(t, "service", func() bool { return u.get(t, "/x").status == 200 })
+	pushResources(t, server, "3", false, eds("c", backend))
+	testbed.Eventually(t, "a list that does not expire", func() bool { return g.usableEndpoints("c") == 1 })
+	testbed.Eventually(t, "service", func() bool { return client.get(t, "/x").status == 200 })
 }
 
-// A file of resources provides clusters and routes like a control plane; an invalid one at the start is an error.
+// A resource file provides endpoints like a control plane. An invalid file is an error at the start and is rejected later.
 func TestResourceFileSource(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := newOrigin(t), newOrigin(t)
+	originA, originB := newOrigin(t), newOrigin(t)
 	dir := t.TempDir()
-	write := func(l ...*origin.Origin) {
+	write := func(origins ...*origin.Origin) {
 		text := "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  cluster_name: c\n  endpoints:\n  - lb_endpoints:\n"
-		for _, o := range l {
+		for _, o := range origins {
 			host, port, _ := net.SplitHostPort(o.Addr)
 			text += fmt.Sprintf("    - endpoint: {address: {socket_address: {address: %s, port_value: %s}}}\n", host, port)
 		}
-		if len(l) == 0 {
+		if len(origins) == 0 {
 			text = "resources: ["
 		}
 		if err := os.WriteFile(dir+"/new", []byte(text), 0o600); err != nil {
@@ -321,26 +325,26 @@
 	}
 	rest := fmt.Sprintf("clusters: [{name: c, file: {path: %q}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n", dir+"/r.yaml")
 	write()
-	if _, err := New(parse(t, head+rest), slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "r.yaml") {
-		t.Errorf("%v", err)
+	if _, err := New(parseConfig(t, configHead+rest), slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "r.yaml") {
+		t.Errorf("New with an invalid file: got error %v, want one that names r.yaml", err)
 	}
-	if err := CheckFiles(parse(t, head+rest)); err == nil {
-		t.Error("checked, and found good")
+	if err := CheckFiles(parseConfig(t, configHead+rest)); err == nil {
+		t.Error("CheckFiles with an invalid file: got no error, want one")
 	}
-	write(a)
-	if err := CheckFiles(parse(t, head+rest)); err != nil {
+	write(originA)
+	if err := CheckFiles(parseConfig(t, configHead+rest)); err != nil {
 		t.Error(err)
 	}
 	g := runGateway(t, rest)
-	u := newUser(t, g)
-	if r := u.get(t, "/x"); r.header.Get("X-Origin") != a.Addr {
-		t.Errorf("%+v", r)
+	client := newTestClient(t, g)
+	if r := client.get(t, "/x"); r.header.Get("X-Origin") != originA.Addr {
+		t.Errorf("GET /x: got %+v, want an answer of origin %s", r, originA.Addr)
 	}
-	write(b)
-	testbed.Eventually(t, "the new file", func() bool { return u.get(t, "/x").header.Get("X-Origin") == b.Addr })
+	write(originB)
+	testbed.Eventually(t, "the new file to be applied", func() bool { return client.get(t, "/x").header.Get("X-Origin") == originB.Addr })
 	write()
-	testbed.Eventually(t, "the refusal", func() bool { return g.Status(0).Sources[0].Error != "" })
-	if r := u.get(t, "/x"); r.status != 200 {
-		t.Errorf("%d after a file that cannot be read", r.status)
+	testbed.Eventually(t, "the invalid file to be rejected", func() bool { return g.Status(0).Sources[0].Error != "" })
+	if r := client.get(t, "/x"); r.status != 200 {
+		t.Errorf("GET /x after an invalid file: got status %d, want 200", r.status)
 	}
 }
--- a/internal/gateway/destination.go
+++ b/internal/gateway/destination.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// timeoutHeader carries the number of milliseconds that the client waits for its answer.
+	// timeoutHeader contains the number of milliseconds that the client waits for the answer.
 	timeoutHeader = "X-Expires-In-Ms"
-	// drainRetryAfter is the Retry-After of requests that a draining gateway rejects.
+	// drainRetryAfter is the Retry-After in answers to requests that a draining gateway rejects.
 	drainRetryAfter = time.Second
-	// dropScale is the denominator of the fraction of requests that a control plane wants dropped.
+	// dropScale is the denominator of the fraction of requests to drop for a control plane's drop_overloads.
 	dropScale = 1 << 32
 )
 
-// Route returns the core that takes a request, or the answer where none does. It implements proxy.Router.
+// Route returns the core that handles a request, or the answer if no core does. It implements proxy.Router.
 func (g *Gateway) Route(r *http.Request, from proxy.Peer) proxy.Destination {
 	destination := g.destination(r, from)
 	if destination.Core == nil {
@@ -32,7 +32,7 @@
 }
 
 func (g *Gateway) destination(r *http.Request, from proxy.Peer) proxy.Destination {
-	if g.rejectsNew.Load() {
+	if g.rejectingRequests.Load() {
 		return proxy.Destination{
 			Status:     http.StatusServiceUnavailable,
 			Text:       "this gateway is taken out of service",
@@ -62,11 +62,11 @@
 		return *rejected
 	}
 	if routing.keyRequired[attributes.Class] && attributes.Key == "" {
-		attributes.Class += withoutKey
+		attributes.Class += withoutKeySuffix
 	}
 	core := c.core.Load()
 	deadline := core.Deadline(attributes.Class)
-	if deadline <= 0 { // a class that the last reload has removed
+	if deadline <= 0 { // the last reload removed the class
 		return unavailable("class " + found.Class + " is not known")
 	}
 	attributes.TimeLeft = clientDeadline(r, deadline)
@@ -77,7 +77,7 @@
 	return proxy.Destination{Status: http.StatusServiceUnavailable, Text: text}
 }
 
-// find returns the route of a request: a configured one, or else one of the control plane.
+// find returns the route of a request. Configured routes take precedence over those of the control plane.
 func (r *routing) find(request *http.Request, path string) (route.Result, bool) {
 	query := route.Request{
 		Host:     request.Host,
@@ -93,7 +93,7 @@
 	return found, ok
 }
 
-// attributes returns what the balancer is to know of a request, except for its deadline.
+// attributes returns the balancer's view of a request, except for its deadline.
 func (g *Gateway) attributes(method string, found *route.Result) balancer.Request {
 	attributes := balancer.Request{
 		ID:           strconv.FormatUint(g.lastRequestID.Add(1), 36),
@@ -115,7 +115,8 @@
 	return attributes
 }
 
-// clientDeadline returns the time that the client gives its request, but at most the deadline of its class.
+// clientDeadline returns the timeout that the client sets in timeoutHeader, or the deadline of the class if that is shorter
+// or the header is missing or invalid.
 func clientDeadline(r *http.Request, deadline time.Duration) time.Duration {
 	milliseconds, err := strconv.ParseInt(r.Header.Get(timeoutHeader), 10, 64)
 	if err != nil || milliseconds <= 0 || milliseconds >= deadline.Milliseconds() {
--- a/internal/gateway/drains.go
+++ b/internal/gateway/drains.go
@@ -13,24 +13,24 @@
 	"robindrum/internal/proxy"
 )
 
-// drainFetchTimeout is how long a gateway that starts waits for the drain requests. It then serves without them: a fleet
-// whose quorum does not answer must be able to come up.
+// drainFetchTimeout is how long a starting gateway waits for the drain requests. It then serves without them, so that a fleet
+// can start while its quorum does not answer.
 const drainFetchTimeout = 5 * time.Second
 
-// awaitDrains fetches the drain requests before the gateway becomes ready: one that was drained, killed and started again
-// must not serve.
+// awaitDrains fetches the drain requests before the gateway becomes ready, because a gateway that is restarted while it is
+// drained must not serve.
 func (g *Gateway) awaitDrains() {
 	known := g.fleet.FetchDrains(g.ctx, drainFetchTimeout)
 	if !known && g.ctx.Err() == nil {
-		g.log.Warn("drain requests not available, serving without them", "timeout", drainFetchTimeout)
+		g.log.Warn("drain requests unavailable, serving without them", "timeout", drainFetchTimeout)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.drainsKnown = true
 }
 
-// ApplyDrains applies the drain requests of the fleet and returns the state of the gateway after that. With full, the
-// report contains all endpoints, otherwise only those that are not healthy. It implements fleet.Agent.
+// ApplyDrains applies the drain requests of the fleet and returns the resulting state of the gateway. If full is set, the
+// report lists all endpoints, otherwise only those that are not healthy. It implements fleet.Agent.
 func (g *Gateway) ApplyDrains(view drain.View, full bool) fleet.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,14 +41,14 @@
 func (g *Gateway) applyDrains(view drain.View) {
 	own, targets := g.activeDrains(view)
 	g.applyOwnDrain(own)
-	former := g.drainedTargets
+	previous := g.drainedTargets
 	g.drainedTargets = targets
-	if slices.Equal(former, targets) {
+	if slices.Equal(previous, targets) {
 		return
 	}
 	for name, c := range g.clusters {
-		concerned := func(target drain.Target) bool { return target.Cluster == name }
-		if !slices.ContainsFunc(former, concerned) && !slices.ContainsFunc(targets, concerned) {
+		inCluster := func(target drain.Target) bool { return target.Cluster == name }
+		if !slices.ContainsFunc(previous, inCluster) && !slices.ContainsFunc(targets, inCluster) {
 			continue
 		}
 		if c.view.Known() {
@@ -58,8 +58,8 @@
 	}
 }
 
-// activeDrains returns the drain request that takes this gateway out of service, or nil, and the endpoints and zones of
-// clusters that others do.
+// activeDrains returns the drain request that takes this gateway out of service, or nil if there is none, and the endpoints
+// and zones of clusters that other drain requests take out of service.
 func (g *Gateway) activeDrains(view drain.View) (own *drain.Request, targets []drain.Target) {
 	for i := range view.Requests {
 		request := &view.Requests[i]
@@ -76,7 +76,7 @@
 	return own, targets
 }
 
-// applyOwnDrain takes the gateway out of service, or puts it into service again where own is nil.
+// applyOwnDrain takes the gateway out of service, or returns it to service if own is nil.
 func (g *Gateway) applyOwnDrain(own *drain.Request) {
 	if g.drainRequest == nil && own != nil {
 		g.drainedAt = g.Now()
@@ -91,16 +91,16 @@
 	}
 	g.drainRequest = own
 	g.front.SetClosing(own != nil)
-	g.updateRejectsNew()
+	g.updateRejectingRequests()
 }
 
-// updateRejectsNew rejects new requests once the notice period of the own drain request is over.
-func (g *Gateway) updateRejectsNew() {
+// updateRejectingRequests makes the gateway reject new requests once the notice period of its own drain request is over.
+func (g *Gateway) updateRejectingRequests() {
 	own := g.drainRequest
-	g.rejectsNew.Store(own != nil && g.Now()-g.drainedAt >= own.Notice)
+	g.rejectingRequests.Store(own != nil && g.Now()-g.drainedAt >= own.Notice)
 }
 
-// withoutDrains returns an endpoint list without the marks of earlier drain requests.
+// withoutDrains returns a copy of an endpoint list in which no endpoint is marked as drained.
 func withoutDrains(update endpoints.Update) endpoints.Update {
 	update.Endpoints = slices.Clone(update.Endpoints)
 	for i := range update.Endpoints {
@@ -109,16 +109,17 @@
 	return update
 }
 
-// matchesSelf reports whether a drain request is about this gateway.
+// matchesSelf reports whether the target of a drain request includes this gateway.
 func (g *Gateway) matchesSelf(request *drain.Request) bool {
 	settings := g.fleet.Config()
 	return request.Target.MatchesGateway(settings.Member, settings.Site, g.fleet.Zone())
 }
 
-// advanceOwnDrain applies what the time does to the own drain request: the end of its notice and of its grace period.
+// advanceOwnDrain checks whether the notice period or the grace period of the gateway's own drain request is over. At the
+// end of the grace period it answers the requests in flight, unless the request waits for all of them.
 func (g *Gateway) advanceOwnDrain() {
 	g.mu.Lock()
-	g.updateRejectsNew()
+	g.updateRejectingRequests()
 	own := g.drainRequest
 	expires := own != nil && !own.WaitForAll && !g.graceExpired && g.Now()-g.drainedAt >= own.Grace
 	if !expires {
@@ -149,14 +150,16 @@
 	return cores
 }
 
-// finalAnswers returns a function for the answer of a request that exceeds the grace period, depending on its class.
+// finalAnswers returns a function that returns the answer to a request that is in flight at the end of the grace period.
+// sent is set if the request was sent to an endpoint.
 func finalAnswers(f *config.File) func(balancer.Request, bool) proxy.Answer {
 	effects := map[string]string{}
 	for _, class := range f.Classes {
 		effects[class.Name] = effectName(class.Effect)
 	}
 	return func(request balancer.Request, sent bool) proxy.Answer {
-		// An unknown class, as one without its key, has no effect here, which counts as not idempotent.
+		// effects has no entry for an unknown class or a class with withoutKeySuffix. The empty effect counts as not
+		// idempotent.
 		status, retryable := drain.FinalAnswer(effects[request.Class], sent)
 		answer := proxy.Answer{Status: status, Header: http.Header{}, Body: []byte("this gateway is taken out of service\n")}
 		if retryable {
@@ -166,7 +169,7 @@
 	}
 }
 
-// effectName returns the name of an effect in the configuration.
+// effectName returns the name that an effect has in the configuration.
 func effectName(effect config.Effect) string {
 	switch balancer.Effect(effect) {
 	case balancer.Idempotent:
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// fleetLeaveTimeout bounds how long a process that ends tries to tell its fleet.
+	// fleetLeaveTimeout is how long an exiting process tries to announce to the fleet that it leaves.
 	fleetLeaveTimeout = 500 * time.Millisecond
 	announceInterval  = 100 * time.Millisecond
 )
 
-// joinFleet opens the fleet's address, if the configuration has one, and registers what the gateway does for the fleet.
-// Nothing is sent or received before the fleet's Start.
+// joinFleet creates g.fleet, if the configuration has a fleet, and registers the gateway's handlers and tasks with it. Nothing
+// is sent or received before g.fleet.Start is called.
 func (g *Gateway) joinFleet(f *config.File) error {
 	if f.Fleet == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// handlePush receives a push of the leader of the site's subscription.
+// handlePush handles a push from the leader of the site's subscription.
 func (g *Gateway) handlePush(_ context.Context, body []byte) (any, error) {
 	source := g.sharedSource.Load()
 	if source == nil {
@@ -61,8 +61,8 @@
 	source.lead(ctx, leadership, isCurrent)
 }
 
-// configVersion returns the version of what the gateways of a fleet have in common in their configurations; empty if it
-// cannot be determined.
+// configVersion returns the version of the settings that all gateways of a fleet have in common, or "" if it cannot be
+// determined.
 func configVersion(f *config.File) string {
 	common := *f
 	common.Fleet = nil
@@ -75,7 +75,8 @@
 	return fleet.ConfigVersion(text)
 }
 
-// announceState tells the fleet, until the gateway stops, whether it serves, and lets its own drain request proceed.
+// announceState periodically announces the gateway's state and configuration version to the fleet and advances the gateway's
+// own drain request, until the gateway stops.
 func (g *Gateway) announceState() {
 	tick := time.NewTicker(announceInterval)
 	defer tick.Stop()
--- a/internal/gateway/fleetreport.go
+++ b/internal/gateway/fleetreport.go
@@ -10,7 +10,7 @@
 	"robindrum/internal/release"
 )
 
-// report returns the state of the gateway and its endpoints. With full it contains all endpoints, otherwise only those
+// report returns the state of the gateway and its endpoints. If full is set, it contains all endpoints, otherwise only those
 // that are not healthy.
 func (g *Gateway) report(view drain.View, full bool) fleet.Report {
 	report := fleet.Report{
@@ -44,7 +44,7 @@
 	return g.allClustersKnown(g.routing.Load())
 }
 
-// countInFlight adds the requests in flight at the cluster's endpoints to inFlight, which is by endpoint, and returns the
+// countInFlight adds the number of requests in flight at each endpoint of a cluster to inFlight, and returns the IDs of the
 // endpoints that the current core has ejected.
 func (g *Gateway) countInFlight(c *cluster, inFlight map[drain.Target]int) map[string]bool {
 	ejectedIDs := map[string]bool{}
@@ -65,7 +65,7 @@
 	return ejectedIDs
 }
 
-// endpointReports returns the state of a cluster's endpoints.
+// endpointReports returns the state of a cluster's endpoints, without the healthy ones unless full is set.
 func (g *Gateway) endpointReports(c *cluster, ejected map[string]bool, full bool) []drain.Endpoint {
 	warmUp := c.spec.config.WarmUp.Time.D()
 	var reports []drain.Endpoint
@@ -79,7 +79,7 @@
 	return reports
 }
 
-// inFlightAt returns the requests in flight at a target: an endpoint or a zone of a cluster.
+// inFlightAt returns the number of requests in flight at a target, which is an endpoint or a zone of a cluster.
 func (g *Gateway) inFlightAt(target drain.Target, inFlight map[drain.Target]int) int {
 	c := g.clusters[target.Cluster]
 	if c == nil || target.Zone == "" {
@@ -94,19 +94,20 @@
 	return total
 }
 
-// ownInFlight returns the requests in flight at this gateway. While new ones may come, there is one more.
+// ownInFlight returns the number of requests in flight at this gateway. While the gateway still accepts new requests, the
+// number is one higher, so that it is not 0.
 func (g *Gateway) ownInFlight() int {
 	total := 0
 	for _, core := range g.cores() {
 		total += core.InFlight()
 	}
-	if !g.rejectsNew.Load() {
+	if !g.rejectingRequests.Load() {
 		total++
 	}
 	return total
 }
 
-// figures returns the outcomes of all requests of this process, including those of removed clusters.
+// figures returns the outcomes of all requests since this process started, including those to removed clusters.
 func (g *Gateway) figures() release.Figures {
 	var stats proxy.Stats
 	for _, totals := range g.totals {
@@ -127,7 +128,7 @@
 	}
 }
 
-// residentMemory returns this process's resident memory in bytes, or 0 where the system does not tell.
+// residentMemory returns the resident memory of this process in bytes, or 0 if it is not available.
 func residentMemory() int64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway runs a configuration: it opens listeners, routes requests to clusters, applies the updates of endpoint
-// sources, takes over new configurations under load, takes part in a fleet, and shuts down gracefully.
+// Package gateway runs the gateway that a configuration describes. It opens the listeners, routes requests to clusters,
+// applies endpoint updates, reloads its configuration under load, participates in a fleet, and shuts down gracefully.
 package gateway
 
 import (
@@ -23,7 +23,7 @@
 	"robindrum/internal/supervisor"
 )
 
-// Gateway is one running gateway. Its exported methods may be called concurrently, unless they say otherwise.
+// Gateway is a running gateway. Its exported methods are safe for concurrent use unless documented otherwise.
 type Gateway struct {
 	log              *slog.Logger
 	startedAt        time.Time
@@ -32,56 +32,57 @@
 	memoryPool       *resource.Pool
 	requestPool      *resource.Pool
 	front            *proxy.Front
-	fleet            *fleet.Fleet // nil: not part of a fleet
+	fleet            *fleet.Fleet // nil if the gateway is not part of a fleet
 	ctx              context.Context
 	cancel           context.CancelFunc
 	background       sync.WaitGroup
 
-	lastRequestID atomic.Uint64
-	routing       atomic.Pointer[routing]
-	recorder      atomic.Pointer[capture.Recorder] // nil: no capture is running
-	sharedSource  atomic.Pointer[sharedSource]     // nil: the site shares no subscription
-	rejectsNew    atomic.Bool                      // a drain request lets no new request in
-	unrouted      atomic.Uint64                    // requests that no core got: no route, a rate limit, out of service
-	outcomes      outcomeCounters
+	lastRequestID     atomic.Uint64
+	routing           atomic.Pointer[routing]
+	recorder          atomic.Pointer[capture.Recorder] // nil if no capture is running
+	sharedSource      atomic.Pointer[sharedSource]     // nil if the site does not share a subscription
+	rejectingRequests atomic.Bool                      // new requests are rejected because of a drain request
+	unrouted          atomic.Uint64                    // requests answered without a core: no route, rate limit, draining, ...
+	outcomes          outcomeCounters
 
-	// Used by announceState alone.
+	// Used only by announceState.
 	announced        *config.File
 	announcedVersion string
 
-	// mu serializes updates of sources and of the configuration, and guards all below.
+	// mu serializes source updates and configuration changes, and guards all fields below.
 	mu        sync.Mutex
 	stopping  bool
 	listeners map[string]*listener // by name
 	admin     *adminServer
 
 	config          *config.File // in use
-	localConfig     *config.File // the process's own, without a release's sections
-	releaseSections string       // the sections that a release brings; empty: none
+	localConfig     *config.File // the process's own configuration, without the sections of a release
+	releaseSections string       // configuration sections set by a release; empty if none
 	reloadedAt      time.Duration
-	rejection       string // why the last configuration was rejected; empty if it was not
+	rejection       string // why the latest configuration was rejected; empty if it was accepted
 	rejectedAt      time.Duration
 
 	watches        map[string]*watch
 	clusters       map[string]*cluster
-	retired        map[*coreInstance]struct{} // with requests in flight
+	retired        map[*coreInstance]struct{} // retired cores that still have requests in flight
 	quotasMissing  bool                       // some cluster has less than its guaranteed quota
-	totals         map[string]*clusterTotals  // by cluster name, also of removed clusters
+	totals         map[string]*clusterTotals  // by cluster name, including removed clusters
 	rateLimits     []*rateLimit
 	pendingRouting *pendingRouting
 
-	drainedTargets []drain.Target // endpoints, and zones of clusters, that drain requests have taken out of service
-	drainRequest   *drain.Request // the one that has taken this gateway out of service; nil: none
+	drainedTargets []drain.Target // endpoints, and zones of clusters, taken out of service by drain requests
+	drainRequest   *drain.Request // the request that took this gateway out of service; nil if none
 	drainedAt      time.Duration  // when drainRequest was received
 	graceExpired   bool           // the requests in flight were answered at the end of the grace period
-	drainsKnown    bool           // the drain requests were fetched, or the time for it has passed
+	drainsKnown    bool           // the drain requests were fetched, or fetching them timed out
 }
 
-// New checks that a configuration can be run and opens its listeners. It serves once it returns; Close ends it.
+// New starts a gateway and returns once its listeners are open and served. It returns an error if the configuration cannot
+// be applied. The caller must call Close when done.
 func New(f *config.File, log *slog.Logger) (*Gateway, error) { return NewSupervised(f, log, nil) }
 
-// NewSupervised is New for a process whose supervisor starts other versions of the program for releases. A nil child
-// means that there is no supervisor.
+// NewSupervised is like New, for a process whose supervisor starts other versions of the program during releases. A nil
+// child means that there is no supervisor.
 func NewSupervised(f *config.File, log *slog.Logger, child *supervisor.Child) (*Gateway, error) {
 	g := newGateway(f, log)
 	err := g.start(f, child)
@@ -121,7 +122,7 @@
 	return g
 }
 
-// start joins the fleet, applies the first configuration and starts the tasks in the background.
+// start joins the fleet, applies the first configuration and starts the background tasks.
 func (g *Gateway) start(f *config.File, child *supervisor.Child) error {
 	err := g.joinFleet(f)
 	if err != nil {
@@ -144,10 +145,10 @@
 	return nil
 }
 
-// Now returns the Unix time by a clock that never goes back.
+// Now returns the time since the Unix epoch. It is monotonic: it does not follow adjustments of the wall clock.
 func (g *Gateway) Now() time.Duration { return g.startUnix + time.Since(g.startedAt) }
 
-// Addr returns the address of the listener of that name, or nil if there is none.
+// Addr returns the address of the listener with the given name, or nil if there is none.
 func (g *Gateway) Addr(name string) net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -167,8 +168,9 @@
 	return g.admin.listener.Addr()
 }
 
-// Ready reports whether requests can be served: for every cluster that a route names the endpoints are known, or known to
-// be none, and the gateway is neither draining nor shutting down.
+// Ready reports whether the gateway can serve requests: it has routes, the endpoint list of every cluster that a route
+// refers to is known, even if it is empty, and the gateway is neither draining nor shutting down. In a fleet, it must also
+// have fetched the drain requests, or fetching them must have timed out.
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -185,7 +187,7 @@
 	return routing.configured.Len() > 0 || routing.dynamic != nil
 }
 
-// allClustersKnown reports whether every cluster that a route names has had an update of its endpoints.
+// allClustersKnown reports whether the endpoint list of every cluster that a route refers to is known.
 func (g *Gateway) allClustersKnown(r *routing) bool {
 	for name := range r.clusterNames() {
 		c := g.clusters[name]
@@ -196,8 +198,8 @@
 	return true
 }
 
-// Stop shuts down gracefully: it goes on accepting connections for a moment, answers the requests in flight, and returns
-// when all are answered or ctx ends. Close must be called after it.
+// Stop shuts the gateway down gracefully. It keeps accepting connections for a short time, answers the requests in flight,
+// and returns when all are answered or ctx is done. The caller must call Close after Stop.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.mu.Lock()
 	g.stopping = true
@@ -215,7 +217,7 @@
 	g.front.Stop(ctx, listeners...)
 }
 
-// Close ends everything that still runs and waits for it. Requests without an answer are lost.
+// Close stops everything that is still running and waits until it has ended. Requests in flight are dropped.
 func (g *Gateway) Close() {
 	g.mu.Lock()
 	g.stopping = true
@@ -227,7 +229,7 @@
 	admin := g.admin
 	g.mu.Unlock()
 	g.cancel()
-	for _, w := range watches { // without the lock, which their sources may wait for
+	for _, w := range watches { // without holding mu, which their sources may be waiting for
 		w.stop()
 	}
 	if admin != nil {
@@ -244,7 +246,7 @@
 	}
 }
 
-// allInstances returns the current and the retired cores of all clusters, and stops the clusters' timers.
+// allInstances returns the current and the retired cores of all clusters. It also stops the stale timers of the clusters.
 func (g *Gateway) allInstances() []*coreInstance {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -25,16 +25,18 @@
 	"robindrum/internal/testbed/origin"
 )
 
-func parse(t testing.TB, text string) *config.File {
+// parseConfig parses a configuration, and fails the test if it is invalid.
+func parseConfig(t testing.TB, text string) *config.File {
 	t.Helper()
-	f, err := config.Parse(filepath.Join(t.TempDir(), "gateway.yaml"), []byte(text))
+	file, err := config.Parse(filepath.Join(t.TempDir(), "gateway.yaml"), []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return file
 }
 
-const head = `zone: a
+// configHead is the first part of most configurations in these tests.
+const configHead = `zone: a
 listeners: [{name: web, address: "127.0.0.1:0"}]
 admin: {address: "127.0.0.1:0"}
 limits: {descriptors: 512, drain: 5s}
@@ -42,10 +44,10 @@
   - {name: hold, wanted: 100ms, deadline: 2s, effect: keyed, group: all, window: 4s}
 `
 
-// runGateway runs a gateway with the usual head and the given rest of a configuration.
+// runGateway runs a gateway with a configuration that consists of configHead and rest.
 func runGateway(t testing.TB, rest string) *Gateway {
 	t.Helper()
-	g, err := New(parse(t, head+rest), slog.New(slog.DiscardHandler))
+	g, err := New(parseConfig(t, configHead+rest), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,35 +75,37 @@
 	return s
 }
 
-type reply struct {
+// response is a response of the gateway with its complete body.
+type response struct {
 	status int
 	body   string
 	header http.Header
 }
 
-// user is a client of the gateway with connections of its own.
-type user struct {
+// testClient is an HTTP client of the gateway with its own connections.
+type testClient struct {
 	*http.Client
 	base string
 }
 
-func newUser(t testing.TB, g *Gateway) *user {
+func newTestClient(t testing.TB, g *Gateway) *testClient {
 	t.Helper()
-	tr := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
-	t.Cleanup(tr.CloseIdleConnections)
-	return &user{&http.Client{Transport: tr, Timeout: testbed.WaitTimeout, CheckRedirect: func(*http.Request, []*http.Request) error {
+	transport := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
+	t.Cleanup(transport.CloseIdleConnections)
+	return &testClient{&http.Client{Transport: transport, Timeout: testbed.WaitTimeout, CheckRedirect: func(*http.Request, []*http.Request) error {
 		return http.ErrUseLastResponse
 	}}, "http://" + g.Addr("web").String()}
 }
 
-func (u *user) do(method, path string, header ...string) (reply, error) {
+// do sends a request and returns the response. header contains pairs of field names and values. POST requests have a body.
+func (u *testClient) do(method, path string, header ...string) (response, error) {
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("body")
 	}
 	r, err := http.NewRequest(method, u.base+path, body)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	for i := 0; i+1 < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -111,14 +115,15 @@
 	}
 	resp, err := u.Do(r)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
-	return reply{resp.StatusCode, string(b), resp.Header}, err
+	content, err := io.ReadAll(resp.Body)
+	return response{resp.StatusCode, string(content), resp.Header}, err
 }
 
-func (u *user) get(t testing.TB, path string, header ...string) reply {
+// get is like do for the method GET, and fails the test on an error.
+func (u *testClient) get(t testing.TB, path string, header ...string) response {
 	t.Helper()
 	r, err := u.do(http.MethodGet, path, header...)
 	if err != nil {
@@ -127,37 +132,44 @@
 	return r
 }
 
-func push(t testing.TB, s *controlplane.Server, version string, all bool, l ...controlplane.Resource) time.Time {
+// pushResources makes the control plane send resources, and returns when it has sent the last response. If replace is set, all
+// other resources of the same types are removed.
+func pushResources(t testing.TB, server *controlplane.Server, version string, replace bool, resources ...controlplane.Resource) time.Time {
 	t.Helper()
-	at, err := s.Push(version, all, l...)
+	at, err := server.Push(version, replace, resources...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return at
 }
 
+// cds returns a Cluster resource.
 func cds(name string) controlplane.Resource {
 	return controlplane.Resource{Name: name, Body: controlplane.Cluster(name, "")}
 }
 
-func eds(name string, l ...any) controlplane.Resource {
-	var e []controlplane.Endpoint
-	for _, x := range l {
-		switch x := x.(type) {
+// eds returns a ClusterLoadAssignment resource. Each source is an *origin.Origin, which is in zone a, or a
+// controlplane.Endpoint.
+func eds(name string, sources ...any) controlplane.Resource {
+	var endpoints []controlplane.Endpoint
+	for _, source := range sources {
+		switch source := source.(type) {
 		case *origin.Origin:
-			e = append(e, controlplane.Endpoint{Addr: x.Addr, Zone: "a"})
+			endpoints = append(endpoints, controlplane.Endpoint{Addr: source.Addr, Zone: "a"})
 		case controlplane.Endpoint:
-			e = append(e, x)
+			endpoints = append(endpoints, source)
 		}
 	}
-	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, e...)}
+	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, endpoints...)}
 }
 
-func rds(name string, l ...[2]string) controlplane.Resource {
-	return controlplane.Resource{Name: name, Body: controlplane.Routes(name, l...)}
+// rds returns a RouteConfiguration resource with pairs of path prefixes and clusters.
+func rds(name string, routes ...[2]string) controlplane.Resource {
+	return controlplane.Resource{Name: name, Body: controlplane.Routes(name, routes...)}
 }
 
-func (g *Gateway) usable(name string) int {
+// usableEndpoints returns the number of usable endpoints of a cluster, or -1 if its endpoint list is not known.
+func (g *Gateway) usableEndpoints(name string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c := g.clusters[name]; c != nil && c.view.Known() {
@@ -166,78 +178,82 @@
 	return -1
 }
 
-// adsConfig returns a configuration that gets clusters and routes from a control plane.
-func adsConfig(s *controlplane.Server, rest string) string {
-	return fmt.Sprintf("xds: {servers: [%q], node: {id: gw}, clusters: true, route_configuration: r, backoff_base: 5ms, backoff_most: 20ms%s}\n", s.Addr, rest)
+// adsConfig returns the part of a configuration that gets clusters and routes from a control plane. rest is appended to the
+// settings of the control plane.
+func adsConfig(server *controlplane.Server, rest string) string {
+	return fmt.Sprintf("xds: {servers: [%q], node: {id: gw}, clusters: true, route_configuration: r, backoff_base: 5ms, backoff_most: 20ms%s}\n", server.Addr, rest)
 }
 
-// load sends requests with some clients until it is ended.
-type load struct {
-	end      chan struct{}
-	all      sync.WaitGroup
-	ok, no   atomic.Int64 // 200; 503
-	other    atomic.Int64 // any other answer, or none
-	why      atomic.Pointer[string]
-	refused  atomic.Pointer[string] // what the last refusal said
-	requests atomic.Int64
+// loadGenerator sends requests with several clients until it is stopped.
+type loadGenerator struct {
+	done             chan struct{}
+	running          sync.WaitGroup
+	served, rejected atomic.Int64           // requests answered with 200 and with 503
+	other            atomic.Int64           // requests with any other answer or none
+	lastFailure      atomic.Pointer[string] // the last other answer or error
+	lastRejection    atomic.Pointer[string] // body of the last answer with 503
+	requests         atomic.Int64
 }
 
-func startLoad(t testing.TB, g *Gateway, clients int, path string) *load {
-	l := &load{end: make(chan struct{})}
+// startLoad starts clients that send GET requests for path, one at a time each, until stop is called.
+func startLoad(t testing.TB, g *Gateway, clients int, path string) *loadGenerator {
+	load := &loadGenerator{done: make(chan struct{})}
 	for range clients {
-		u := newUser(t, g)
-		l.all.Go(func() {
+		client := newTestClient(t, g)
+		load.running.Go(func() {
 			for {
 				select {
-				case <-l.end:
+				case <-load.done:
 					return
 				default:
 				}
-				l.requests.Add(1)
-				r, err := u.do(http.MethodGet, path)
+				load.requests.Add(1)
+				answer, err := client.do(http.MethodGet, path)
 				switch {
-				case err == nil && r.status == http.StatusOK:
-					l.ok.Add(1)
-				case err == nil && r.status == http.StatusServiceUnavailable:
-					l.no.Add(1)
-					l.refused.Store(new(r.body))
+				case err == nil && answer.status == http.StatusOK:
+					load.served.Add(1)
+				case err == nil && answer.status == http.StatusServiceUnavailable:
+					load.rejected.Add(1)
+					load.lastRejection.Store(new(answer.body))
 				default:
-					l.other.Add(1)
-					l.why.Store(new(fmt.Sprint(r.status, " ", err)))
+					load.other.Add(1)
+					load.lastFailure.Store(new(fmt.Sprint(answer.status, " ", err)))
 				}
 			}
 		})
 	}
-	return l
+	return load
 }
 
-func (l *load) stop() {
-	close(l.end)
-	l.all.Wait()
+func (l *loadGenerator) stop() {
+	close(l.done)
+	l.running.Wait()
 }
 
 // checkNoneLost fails the test if a request was neither served nor rejected.
-func (l *load) checkNoneLost(t testing.TB) {
+func (l *loadGenerator) checkNoneLost(t testing.TB) {
 	t.Helper()
 	if n := l.other.Load(); n != 0 {
-		t.Errorf("%d of %d requests had neither a good answer nor a refusal: %s", n, l.requests.Load(), *l.why.Load())
+		t.Errorf("%d of %d requests were neither served nor rejected, want 0; the last one: %s", n, l.requests.Load(), *l.lastFailure.Load())
 	}
 }
 
-// configWithOrigins returns a configuration of four lines with the given endpoints in cluster c.
-func configWithOrigins(t *testing.T, rest string, all ...*origin.Origin) string {
+// configWithOrigins returns a configuration that routes all requests to cluster c, whose endpoints are the given origins.
+// clusterSettings is inserted into the settings of the cluster.
+func configWithOrigins(t *testing.T, clusterSettings string, origins ...*origin.Origin) string {
 	t.Helper()
-	var l []string
-	for _, o := range all {
-		l = append(l, fmt.Sprintf("{address: %q}", o.Addr))
+	var endpoints []string
+	for _, o := range origins {
+		endpoints = append(endpoints, fmt.Sprintf("{address: %q}", o.Addr))
 	}
 	return fmt.Sprintf("listeners: [{name: web, address: \"127.0.0.1:0\"}]\nadmin: {address: none}\nclusters: [{name: c, %sendpoints: [%s]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n",
-		rest, strings.Join(l, ", "))
+		clusterSettings, strings.Join(endpoints, ", "))
 }
 
-func run(t *testing.T, conf string) *Gateway {
+// runGatewayWithConfig runs a gateway with a complete configuration, and waits until it is ready.
+func runGatewayWithConfig(t *testing.T, text string) *Gateway {
 	t.Helper()
-	g, err := New(parse(t, conf), discardLogger())
+	g, err := New(parseConfig(t, text), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,23 +262,23 @@
 	return g
 }
 
-// xdsPolicy merges text, in protobuf JSON, into a resource.
-func xdsPolicy(r controlplane.Resource, text string) error {
-	m := r.Body.ProtoReflect().New().Interface()
-	if err := protojson.Unmarshal([]byte(text), m); err != nil {
+// mergeJSON merges a message in protobuf JSON into a resource.
+func mergeJSON(r controlplane.Resource, text string) error {
+	message := r.Body.ProtoReflect().New().Interface()
+	if err := protojson.Unmarshal([]byte(text), message); err != nil {
 		return err
 	}
-	proto.Merge(r.Body, m)
+	proto.Merge(r.Body, message)
 	return nil
 }
 
-// xdsHigh sets the priority HIGH on the first route of a RouteConfiguration.
-func xdsHigh(r controlplane.Resource) error {
-	m, ok := r.Body.(*routev3.RouteConfiguration)
+// setHighPriority sets the priority of the first route of a RouteConfiguration to HIGH.
+func setHighPriority(r controlplane.Resource) error {
+	routes, ok := r.Body.(*routev3.RouteConfiguration)
 	if !ok {
-		return fmt.Errorf("%T has no routes", r.Body)
+		return fmt.Errorf("resource is a %T, want a RouteConfiguration", r.Body)
 	}
-	m.VirtualHosts[0].Routes[0].GetRoute().Priority = corev3.RoutingPriority_HIGH
+	routes.VirtualHosts[0].Routes[0].GetRoute().Priority = corev3.RoutingPriority_HIGH
 	return nil
 }
 
--- a/internal/gateway/listeners.go
+++ b/internal/gateway/listeners.go
@@ -7,13 +7,14 @@
 	"robindrum/internal/config"
 )
 
-// listener is an open listener with the address that it was configured with.
+// listener is an open listener and its address in the configuration.
 type listener struct {
 	net.Listener
 	configuredAddress string
 }
 
-// openListeners opens the listeners of a configuration that are new. One whose name and address are in use already stays.
+// openListeners opens the new listeners of a configuration, and returns them by name. A listener whose name and configured
+// address are unchanged stays open.
 func (g *Gateway) openListeners(f *config.File) (map[string]*listener, error) {
 	opened := map[string]*listener{}
 	for _, c := range f.Listeners {
@@ -37,7 +38,7 @@
 	}
 }
 
-// replaceListeners closes the listeners that a configuration no longer has and serves on those that are new.
+// replaceListeners closes the listeners that are replaced or no longer in the configuration, and serves the opened ones.
 func (g *Gateway) replaceListeners(f *config.File, opened map[string]*listener) {
 	configured := map[string]bool{}
 	for _, c := range f.Listeners {
--- a/internal/gateway/locality.go
+++ b/internal/gateway/locality.go
@@ -9,7 +9,7 @@
 	"robindrum/internal/locality"
 )
 
-// explicitZero converts a configured value for options that take 0 for "use the default" and -1 for zero.
+// explicitZero converts a configured value to the value of an option for which 0 means the default and -1 means zero.
 func explicitZero(value float64) float64 {
 	if value == 0 {
 		return -1
@@ -19,27 +19,27 @@
 
 // localityOptions returns the options of the locality picker of a cluster's core.
 func (s *clusterSpec) localityOptions() locality.Options {
-	z := s.zones
+	settings := s.zones
 	options := locality.Options{
 		OwnZone:       s.zone,
-		Tiers:         z.Tiers,
+		Tiers:         settings.Tiers,
 		Gateways:      s.gateway.Count,
-		Overprovision: z.Overprovision,
-		Panic:         explicitZero(*z.PanicThreshold),
-		FailHold:      z.FailHold.D(),
-		DarkHold:      z.DarkHold.D(),
-		UpHold:        z.UpHold.D(),
-		Hold:          z.MinHold.D(),
-		MaxHold:       z.MaxHold.D(),
-		ProbeInterval: z.ProbeInterval.D(),
-		Step:          z.Step.D(),
-		Floor:         explicitZero(*z.Floor),
-		FirstShare:    z.InitialShare,
-		FirstRoom:     z.InitialCapacity,
-		Tolerance:     z.Tolerance,
-		OwnTolerance:  z.OwnTolerance,
-		RetryShare:    explicitZero(*z.RetryBudget),
-		MinRetries:    z.MinRetries,
+		Overprovision: settings.Overprovision,
+		Panic:         explicitZero(*settings.PanicThreshold),
+		FailHold:      settings.FailHold.D(),
+		DarkHold:      settings.DarkHold.D(),
+		UpHold:        settings.UpHold.D(),
+		Hold:          settings.MinHold.D(),
+		MaxHold:       settings.MaxHold.D(),
+		ProbeInterval: settings.ProbeInterval.D(),
+		Step:          settings.Step.D(),
+		Floor:         explicitZero(*settings.Floor),
+		FirstShare:    settings.InitialShare,
+		FirstRoom:     settings.InitialCapacity,
+		Tolerance:     settings.Tolerance,
+		OwnTolerance:  settings.OwnTolerance,
+		RetryShare:    explicitZero(*settings.RetryBudget),
+		MinRetries:    settings.MinRetries,
 		OwnFree:       admission.Mode(s.config.Overload.Mode) != admission.Off,
 	}
 	for _, class := range s.balancerClasses() {
@@ -53,7 +53,7 @@
 	return options
 }
 
-// newLocalityPicker returns the locality picker of a cluster's new core. It inherits the state of the current core's.
+// newLocalityPicker returns the locality picker of a cluster's new core. It inherits the state of the current core's picker.
 func (g *Gateway) newLocalityPicker(c *cluster) *locality.Picker {
 	options := c.spec.localityOptions()
 	options.Notify = func(t locality.Transition) { g.logTransition(c.name, t) }
@@ -62,9 +62,9 @@
 		panic(fmt.Sprintf("cluster %s: %v", c.name, err))
 	}
 	if c.current != nil && c.current.localities != nil {
-		var former []locality.Report
-		c.current.core.Inspect(func(now time.Duration) { former = c.current.localities.Report(now) })
-		picker.Inherit(g.Now(), former)
+		var reports []locality.Report
+		c.current.core.Inspect(func(now time.Duration) { reports = c.current.localities.Report(now) })
+		picker.Inherit(g.Now(), reports)
 	}
 	return picker
 }
@@ -84,7 +84,8 @@
 	g.log.Warn("zone", attributes...)
 }
 
-// updateOverprovision applies the overprovisioning factor of the control plane or else of the configuration.
+// updateOverprovision applies the overprovisioning factor of the control plane, or that of the configuration if the control
+// plane sets none.
 func (in *coreInstance) updateOverprovision() {
 	if in.localities == nil {
 		return
@@ -101,10 +102,10 @@
 	State              string  `json:"state"`
 	StateSeconds       float64 `json:"state_seconds"`
 	Evidence           string  `json:"evidence,omitempty"`
-	Health             float64 `json:"health"` // the ready part of its endpoints' weight
+	Health             float64 `json:"health"` // fraction of its endpoints' weight that is ready
 	Panic              bool    `json:"panic,omitempty"`
-	Share              float64 `json:"share"` // its part of the load
-	Step               float64 `json:"step"`  // the part of its share that its state allows
+	Share              float64 `json:"share"` // fraction of the cluster's load
+	Step               float64 `json:"step"`  // fraction of its share that the locality gets in its state
 	InFlight           int     `json:"in_flight"`
 	MaxInFlight        float64 `json:"room,omitempty"` // 0: no limit
 	Sent               uint64  `json:"sent"`
--- a/internal/gateway/locality_test.go
+++ b/internal/gateway/locality_test.go
@@ -22,22 +22,23 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// quick are zones whose way back takes a test's time.
-const quick = "zones: {tiers: [[a], [b]], hold: 100ms, most_hold: 400ms, probe: 50ms, step: 100ms, first_share: 0.25}\n"
+// fastRecovery is a zones section with times that are short enough for a zone to recover within a test.
+const fastRecovery = "zones: {tiers: [[a], [b]], hold: 100ms, most_hold: 400ms, probe: 50ms, step: 100ms, first_share: 0.25}\n"
 
-// lines collects the log.
-type lines struct {
+// logBuffer is a writer that collects log lines. It is safe for concurrent use.
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) has(parts ...string) bool {
+// containsLine reports whether any line contains all parts.
+func (l *logBuffer) containsLine(parts ...string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for line := range strings.SplitSeq(l.b.String(), "\n") {
@@ -52,23 +53,24 @@
 	return false
 }
 
-func (g *Gateway) zone(t testing.TB, name string) ZoneStatus {
+// zoneStatusOf returns the status of a zone of the first cluster.
+func (g *Gateway) zoneStatusOf(t testing.TB, name string) ZoneStatus {
 	t.Helper()
-	for _, z := range g.Status(1).Clusters[0].Zones {
-		if z.Zone == name {
-			return z
+	for _, zone := range g.Status(1).Clusters[0].Zones {
+		if zone.Zone == name {
+			return zone
 		}
 	}
 	return ZoneStatus{State: "not known"}
 }
 
-// A zone that fails gets no requests, is probed and recovers in steps, whatever the source of its endpoints.
+// A zone that fails gets no requests, is probed and recovers in steps, with every kind of source of its endpoints.
 func TestZoneFailsAndRecovers(t *testing.T) {
 	for _, source := range []string{"static", "file", "xds", "xds by priority"} {
 		t.Run(source, func(t *testing.T) {
 			testbed.Leaks(t)
 			ledger := origin.NewLedger()
-			var all []*origin.Origin
+			var origins []*origin.Origin
 			for range 4 {
 				o, err := origin.Start("", ledger)
 				if err != nil {
@@ -76,19 +78,19 @@
 				}
 				t.Cleanup(o.Kill)
 				o.SetDelay(2 * time.Millisecond)
-				all = append(all, o)
+				origins = append(origins, o)
 			}
 			zones := []string{"a", "a", "b", "b"}
 			rest := ""
 			switch source {
 			case "static":
 				rest = "routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints:\n"
-				for i, o := range all {
+				for i, o := range origins {
 					rest += fmt.Sprintf("      - {address: %q, zone: %s}\n", o.Addr, zones[i])
 				}
 			case "file":
 				text := "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  cluster_name: c\n  endpoints:\n"
-				for i, o := range all {
+				for i, o := range origins {
 					host, port, _ := net.SplitHostPort(o.Addr)
 					text += fmt.Sprintf("  - locality: {zone: %s, sub_zone: \"%d\"}\n    lb_endpoints: [{endpoint: {address: {socket_address: {address: %s, port_value: %s}}}}]\n", zones[i], i, host, port)
 				}
@@ -98,20 +100,20 @@
 				}
 				rest = fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters: [{name: c, file: {path: %q}}]\n", path)
 			default:
-				s := newControlPlane(t)
+				server := newControlPlane(t)
 				var l []any
-				for i, o := range all {
-					e := controlplane.Endpoint{Addr: o.Addr, Zone: zones[i]}
+				for i, o := range origins {
+					endpoint := controlplane.Endpoint{Addr: o.Addr, Zone: zones[i]}
 					if source != "xds" && zones[i] == "b" {
-						e.Priority = 1
+						endpoint.Priority = 1
 					}
-					l = append(l, e)
+					l = append(l, endpoint)
 				}
-				push(t, s, "1", false, cds("c"), eds("c", l...), rds("r", [2]string{"/", "c"}))
-				rest = "clusters: []\nroutes: []\n" + adsConfig(s, "")
+				pushResources(t, server, "1", false, cds("c"), eds("c", l...), rds("r", [2]string{"/", "c"}))
+				rest = "clusters: []\nroutes: []\n" + adsConfig(server, "")
 			}
-			var log lines
-			g, err := New(parse(t, head+quick+rest), slog.New(slog.NewTextHandler(&log, nil)))
+			var log logBuffer
+			g, err := New(parseConfig(t, configHead+fastRecovery+rest), slog.New(slog.NewTextHandler(&log, nil)))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -123,36 +125,36 @@
 			})
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
 			l := startLoad(t, g, 6, "/x")
-			// Where a machine gives it no time for long, a zone that is well looks like one that says nothing and is left until its
-			// way back is done. So what counts is a stretch of load that stays at home, which must come.
-			home, away := 0, 0
-			testbed.Eventually(t, "load that stays at home", func() bool {
-				h, n := all[0].Requests()+all[1].Requests(), all[2].Requests()+all[3].Requests()
-				if n-away > (h-home)/10 || g.zone(t, "a").State != "up" {
-					home, away = h, n
+			// If the machine is busy and the process pauses for long, a healthy zone seems not to answer and gets no requests until
+			// it has recovered. So wait for a period of load in which most requests stay in the gateway's own zone.
+			homeBefore, awayBefore := 0, 0
+			testbed.Eventually(t, "load that stays in the own zone", func() bool {
+				homeRequests, n := origins[0].Requests()+origins[1].Requests(), origins[2].Requests()+origins[3].Requests()
+				if n-awayBefore > (homeRequests-homeBefore)/10 || g.zoneStatusOf(t, "a").State != "up" {
+					homeBefore, awayBefore = homeRequests, n
 				}
-				return h-home > 400
+				return homeRequests-homeBefore > 400
 			})
-			all[0].Kill()
-			all[1].Kill()
-			testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
-			n := l.ok.Load()
-			testbed.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+300 })
-			for _, o := range all[:2] {
+			origins[0].Kill()
+			origins[1].Kill()
+			testbed.Eventually(t, "the zone to be dark", func() bool { return g.zoneStatusOf(t, "a").State == "dark" })
+			n := l.served.Load()
+			testbed.Eventually(t, "requests served by the other zone", func() bool { return l.served.Load() > n+300 })
+			for _, o := range origins[:2] {
 				if err := o.Restart(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			testbed.Eventually(t, "the zone to be up", func() bool { return g.zone(t, "a").State == "up" })
+			testbed.Eventually(t, "the zone to be up", func() bool { return g.zoneStatusOf(t, "a").State == "up" })
 			l.stop()
 			l.checkNoneLost(t)
-			z := g.zone(t, "a")
-			if z.Probes < 2 || z.Transitions < 4 || z.Tier != 0 || g.zone(t, "b").Crossed == 0 || g.zone(t, "b").Tier != 1 {
-				t.Errorf("%+v, %+v", z, g.zone(t, "b"))
+			zoneA := g.zoneStatusOf(t, "a")
+			if zoneA.Probes < 2 || zoneA.Transitions < 4 || zoneA.Tier != 0 || g.zoneStatusOf(t, "b").Crossed == 0 || g.zoneStatusOf(t, "b").Tier != 1 {
+				t.Errorf("got zone a %+v, zone b %+v, want at least 2 probes and 4 transitions of zone a in tier 0, crossed requests to zone b in tier 1", zoneA, g.zoneStatusOf(t, "b"))
 			}
-			for _, turn := range [][2]string{{"up", "failing"}, {"failing", "dark"}, {"dark", "returning"}, {"returning", "up"}} {
-				if !log.has("msg=zone", "zone=a", "from="+turn[0], "to="+turn[1], "evidence=", "cluster=c") {
-					t.Errorf("no line for %v", turn)
+			for _, transition := range [][2]string{{"up", "failing"}, {"failing", "dark"}, {"dark", "returning"}, {"returning", "up"}} {
+				if !log.containsLine("msg=zone", "zone=a", "from="+transition[0], "to="+transition[1], "evidence=", "cluster=c") {
+					t.Errorf("the log has no line for the transition from %s to %s", transition[0], transition[1])
 				}
 			}
 			resp, err := http.Get("http://" + g.AdminAddr().String() + "/metrics")
@@ -165,162 +167,163 @@
 			for _, want := range []string{`robindrum_zone_state{cluster="c",priority="0",state="up",zone="a"} 1`, `robindrum_zone_share{cluster="c"`,
 				`robindrum_zone_events_total{cluster="c",event="crossed"`, "robindrum_zone_room_requests", "robindrum_zone_health", "robindrum_zone_in_flight"} {
 				if !strings.Contains(string(text), want) {
-					t.Errorf("%s is missing", want)
+					t.Errorf("GET /metrics: %s is missing in the response", want)
 				}
 			}
 		})
 	}
 }
 
-// With all zones dark requests are rejected at once with Retry-After, and the zones' states survive a reload.
-func TestAllZonesDarkIsRejectedAndSurvivesReload(t *testing.T) {
+// While all zones are dark, requests are rejected immediately with Retry-After. The states of the zones survive a reload.
+func TestAllZonesDarkRejectsAndSurvivesReload(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := newOrigin(t), newOrigin(t)
-	rest := fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr)
-	slow := strings.Replace(quick, "hold: 100ms, most_hold: 400ms", "hold: 1m, most_hold: 2m", 1)
-	g := runGateway(t, slow+rest)
-	l := startLoad(t, g, 4, "/x")
-	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
-	a.Kill()
-	b.Kill()
-	testbed.Eventually(t, "both to be dark", func() bool { return g.zone(t, "a").State == "dark" && g.zone(t, "b").State == "dark" })
-	l.stop()
-	began := time.Now()
-	r := newUser(t, g).get(t, "/x")
-	if took := time.Since(began); r.status != 503 || r.header.Get("Retry-After") == "" || took > time.Second {
-		t.Errorf("%d, Retry-After %q after %v", r.status, r.header.Get("Retry-After"), took)
+	originA, originB := newOrigin(t), newOrigin(t)
+	rest := fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", originA.Addr, originB.Addr)
+	slowRecovery := strings.Replace(fastRecovery, "hold: 100ms, most_hold: 400ms", "hold: 1m, most_hold: 2m", 1)
+	g := runGateway(t, slowRecovery+rest)
+	load := startLoad(t, g, 4, "/x")
+	testbed.Eventually(t, "load", func() bool { return originA.Requests() > 100 })
+	originA.Kill()
+	originB.Kill()
+	testbed.Eventually(t, "both zones to be dark", func() bool { return g.zoneStatusOf(t, "a").State == "dark" && g.zoneStatusOf(t, "b").State == "dark" })
+	load.stop()
+	start := time.Now()
+	r := newTestClient(t, g).get(t, "/x")
+	if took := time.Since(start); r.status != 503 || r.header.Get("Retry-After") == "" || took > time.Second {
+		t.Errorf("GET /x: got status %d, Retry-After %q after %v, want 503 with Retry-After within 1s", r.status, r.header.Get("Retry-After"), took)
 	}
-	if err := g.Reload(parse(t, head+slow+strings.Replace(rest, "name: c\n", "name: c\n    connect_timeout: 300ms\n", 1))); err != nil {
+	if err := g.Reload(parseConfig(t, configHead+slowRecovery+strings.Replace(rest, "name: c\n", "name: c\n    connect_timeout: 300ms\n", 1))); err != nil {
 		t.Fatal(err)
 	}
-	if z := g.zone(t, "a"); z.State != "dark" {
-		t.Errorf("%s after a reload", z.State)
+	if z := g.zoneStatusOf(t, "a"); z.State != "dark" {
+		t.Errorf("zone a after a reload: got state %s, want dark", z.State)
 	}
-	// Without the section zones are weighed as ever.
-	if err := g.Reload(parse(t, head+rest)); err != nil {
+	// Without the zones section, localities are not balanced.
+	if err := g.Reload(parseConfig(t, configHead+rest)); err != nil {
 		t.Fatal(err)
 	}
 	if z := g.Status(1).Clusters[0].Zones; z != nil {
-		t.Errorf("%+v without tiers", z)
+		t.Errorf("zones without a zones section: got %+v, want none", z)
 	}
 }
 
 // The policy.overprovisioning_factor of an assignment replaces the configuration's.
 func TestControlPlaneOverprovisioningFactor(t *testing.T) {
 	testbed.Leaks(t)
-	s := newControlPlane(t)
-	a, b, c := newOrigin(t), newOrigin(t), newOrigin(t)
-	list := func(policy string) controlplane.Resource {
-		r := eds("c", controlplane.Endpoint{Addr: a.Addr, Zone: "a"}, controlplane.Endpoint{Addr: b.Addr, Zone: "a", Health: 2}, // unhealthy
-			controlplane.Endpoint{Addr: c.Addr, Zone: "b", Priority: 1})
-		if err := xdsPolicy(r, policy); err != nil {
+	server := newControlPlane(t)
+	originA, originB, originC := newOrigin(t), newOrigin(t), newOrigin(t)
+	assignment := func(policy string) controlplane.Resource {
+		r := eds("c", controlplane.Endpoint{Addr: originA.Addr, Zone: "a"}, controlplane.Endpoint{Addr: originB.Addr, Zone: "a", Health: 2}, // unhealthy
+			controlplane.Endpoint{Addr: originC.Addr, Zone: "b", Priority: 1})
+		if err := mergeJSON(r, policy); err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	push(t, s, "1", false, cds("c"), list(`{}`), rds("r", [2]string{"/", "c"}))
-	g := runGateway(t, quick+"clusters: []\nroutes: []\n"+adsConfig(s, ""))
+	pushResources(t, server, "1", false, cds("c"), assignment(`{}`), rds("r", [2]string{"/", "c"}))
+	g := runGateway(t, fastRecovery+"clusters: []\nroutes: []\n"+adsConfig(server, ""))
 	testbed.Eventually(t, "the gateway to be ready", g.Ready)
-	u := newUser(t, g)
-	share := func(want float64) func() bool {
+	client := newTestClient(t, g)
+	hasShare := func(want float64) func() bool {
 		return func() bool {
-			u.get(t, "/x")
-			d := g.zone(t, "a").Share - want
-			return d < 0.01 && d > -0.01
+			client.get(t, "/x")
+			difference := g.zoneStatusOf(t, "a").Share - want
+			return difference < 0.01 && difference > -0.01
 		}
 	}
-	testbed.Eventually(t, "half of a zone times 1.4", share(0.7))
-	push(t, s, "2", false, list(`{"policy":{"overprovisioning_factor":100}}`))
-	testbed.Eventually(t, "half of a zone", share(0.5))
-	push(t, s, "3", false, list(`{"policy":{"overprovisioning_factor":300}}`))
-	testbed.Eventually(t, "the whole", share(1))
-	push(t, s, "4", false, list(`{"policy":{"overprovisioning_factor":0}}`)) // refused
-	testbed.Eventually(t, "the refusal", func() bool { return g.Status(1).Clusters[0].RejectedUpdate != "" })
-	push(t, s, "5", false, list(`{}`))
-	testbed.Eventually(t, "the configuration's again", share(0.7))
+	testbed.Eventually(t, "1.4 times half of the zone", hasShare(0.7))
+	pushResources(t, server, "2", false, assignment(`{"policy":{"overprovisioning_factor":100}}`))
+	testbed.Eventually(t, "half of the zone", hasShare(0.5))
+	pushResources(t, server, "3", false, assignment(`{"policy":{"overprovisioning_factor":300}}`))
+	testbed.Eventually(t, "the whole zone", hasShare(1))
+	pushResources(t, server, "4", false, assignment(`{"policy":{"overprovisioning_factor":0}}`)) // rejected
+	testbed.Eventually(t, "the update to be rejected", func() bool { return g.Status(1).Clusters[0].RejectedUpdate != "" })
+	pushResources(t, server, "5", false, assignment(`{}`))
+	testbed.Eventually(t, "1.4 times half of the zone again, as configured", hasShare(0.7))
 }
 
-// A keyed request that may have run is not sent to another zone, although its own is dark and the other one idle.
+// A request with an idempotency key that may have been executed is not retried in another zone, even if its own zone is dark
+// and the other one is idle.
 func TestKeyedRequestDoesNotCrossZones(t *testing.T) {
 	testbed.Leaks(t)
-	one, two := origin.NewLedger(), origin.NewLedger()
-	var all []*origin.Origin
-	for _, ledger := range []*origin.Ledger{one, one, two, two} {
+	ledgerA, ledgerB := origin.NewLedger(), origin.NewLedger()
+	var origins []*origin.Origin
+	for _, ledger := range []*origin.Ledger{ledgerA, ledgerA, ledgerB, ledgerB} {
 		o, err := origin.Start("", ledger)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(o.Kill)
-		all = append(all, o)
+		origins = append(origins, o)
 	}
-	text := strings.Replace(head, "group: all", "group: zone", 1) + quick + "routes: [{match: {prefix: /}, cluster: c, class: hold, key: {header: Idempotency-Key}}]\nclusters:\n  - name: c\n    endpoints:\n"
-	for i, o := range all {
+	text := strings.Replace(configHead, "group: all", "group: zone", 1) + fastRecovery + "routes: [{match: {prefix: /}, cluster: c, class: hold, key: {header: Idempotency-Key}}]\nclusters:\n  - name: c\n    endpoints:\n"
+	for i, o := range origins {
 		text += fmt.Sprintf("      - {address: %q, zone: %c}\n", o.Addr, "aabb"[i])
 	}
-	g, err := New(parse(t, text), discardLogger())
+	g, err := New(parseConfig(t, text), discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(g.Close)
-	u := newUser(t, g)
-	for _, o := range all[:2] { // it takes the effect, and breaks before its answer
+	client := newTestClient(t, g)
+	for _, o := range origins[:2] { // these execute a request and reset the connection before the answer
 		o.SetHandler(func(w http.ResponseWriter, _ *http.Request) bool {
-			c, _, err := http.NewResponseController(w).Hijack()
+			connection, _, err := http.NewResponseController(w).Hijack()
 			if err == nil {
-				testbed.Reset(c)
+				testbed.Reset(connection)
 			}
 			return true
 		})
 	}
 	status := map[int]int{}
 	for i := range 120 {
-		r, err := u.do(http.MethodPost, "/hold", "Idempotency-Key", fmt.Sprint("k", i))
+		r, err := client.do(http.MethodPost, "/hold", "Idempotency-Key", fmt.Sprint("k", i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		status[r.status]++
 	}
-	if n := origin.DuplicateEffects(one, two); n != 0 {
-		t.Errorf("%d effects taken twice, %v", n, status)
+	if n := origin.DuplicateEffects(ledgerA, ledgerB); n != 0 {
+		t.Errorf("got %d duplicate effects, want 0; answers by status: %v", n, status)
 	}
 	if status[200] == 0 || status[502] == 0 {
-		t.Errorf("%v: some fail at first, and the others are served elsewhere", status)
+		t.Errorf("answers by status: got %v, want some 502 from the failing zone and some 200 from the other zone", status)
 	}
 }
 
 // A gateway that stops while a zone is dark loses no request.
 func TestStopWhileZoneIsDark(t *testing.T) {
 	testbed.Leaks(t)
-	a, b := newOrigin(t), newOrigin(t)
-	b.SetDelay(20 * time.Millisecond)
-	g := runGateway(t, quick+fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", a.Addr, b.Addr))
-	l := startLoad(t, g, 4, "/x")
-	testbed.Eventually(t, "load", func() bool { return a.Requests() > 100 })
-	a.Kill()
-	testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
-	l.stop()
+	originA, originB := newOrigin(t), newOrigin(t)
+	originB.SetDelay(20 * time.Millisecond)
+	g := runGateway(t, fastRecovery+fmt.Sprintf("routes: [{match: {prefix: /}, cluster: c}]\nclusters:\n  - name: c\n    endpoints: [{address: %q, zone: a}, {address: %q, zone: b}]\n", originA.Addr, originB.Addr))
+	load := startLoad(t, g, 4, "/x")
+	testbed.Eventually(t, "load", func() bool { return originA.Requests() > 100 })
+	originA.Kill()
+	testbed.Eventually(t, "the zone to be dark", func() bool { return g.zoneStatusOf(t, "a").State == "dark" })
+	load.stop()
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
 	g.Stop(ctx)
-	l.checkNoneLost(t)
+	load.checkNoneLost(t)
 }
 
-// However a zone fails, the other one serves, no effect happens twice, and no request is lost.
+// In every failure mode of a zone, the other zone serves requests, no effect happens twice, and no request is lost.
 func TestZoneFailureModes(t *testing.T) {
-	ways := map[string]func(w http.ResponseWriter, r *http.Request) bool{
-		"accepts and says nothing": func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true },
+	failureModes := map[string]func(w http.ResponseWriter, r *http.Request) bool{
+		"accepts requests and does not answer": func(_ http.ResponseWriter, r *http.Request) bool { <-r.Context().Done(); return true },
 		"answers 503": func(w http.ResponseWriter, _ *http.Request) bool {
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return true
 		},
-		"resets after the last byte": func(w http.ResponseWriter, _ *http.Request) bool {
+		"resets the connection after the request": func(w http.ResponseWriter, _ *http.Request) bool {
 			if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 				testbed.Reset(c)
 			}
 			return true
 		},
-		"loses four of five answers": func() func(http.ResponseWriter, *http.Request) bool {
+		"does not answer four of five requests": func() func(http.ResponseWriter, *http.Request) bool {
 			var n atomic.Int64
 			return func(_ http.ResponseWriter, r *http.Request) bool {
 				if n.Add(1)%5 == 0 {
@@ -332,74 +335,74 @@
 		}(),
 		"has a link that loses four of five answers": nil,
 	}
-	for name, way := range ways {
+	for name, handler := range failureModes {
 		t.Run(name, func(t *testing.T) {
 			testbed.Leaks(t)
-			one, two := origin.NewLedger(), origin.NewLedger()
-			var all []*origin.Origin
+			ledgerA, ledgerB := origin.NewLedger(), origin.NewLedger()
+			var origins []*origin.Origin
 			var links []*link.Link
-			text := strings.Replace(head, "group: all", "group: zone", 1) + strings.Replace(quick, "hold: 100ms, most_hold: 400ms", "hold: 1m, most_hold: 2m", 1) + `routes:
+			text := strings.Replace(configHead, "group: all", "group: zone", 1) + strings.Replace(fastRecovery, "hold: 100ms, most_hold: 400ms", "hold: 1m, most_hold: 2m", 1) + `routes:
   - {match: {prefix: /, methods: [GET]}, cluster: c}
   - {match: {prefix: /, methods: [POST]}, cluster: c, class: hold, key: {header: Idempotency-Key}}
 clusters:
   - name: c
     endpoints:
 `
-			for i, ledger := range []*origin.Ledger{one, one, two, two} {
+			for i, ledger := range []*origin.Ledger{ledgerA, ledgerA, ledgerB, ledgerB} {
 				o, err := origin.Start("", ledger)
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(o.Kill)
 				o.SetDelay(2 * time.Millisecond)
-				all = append(all, o)
-				at := o.Addr
-				if way == nil {
-					k, err := link.Start(o.Addr, uint64(i))
+				origins = append(origins, o)
+				address := o.Addr
+				if handler == nil {
+					lossyLink, err := link.Start(o.Addr, uint64(i))
 					if err != nil {
 						t.Fatal(err)
 					}
-					t.Cleanup(k.Close)
-					at, links = k.Addr, append(links, k)
+					t.Cleanup(lossyLink.Close)
+					address, links = lossyLink.Addr, append(links, lossyLink)
 				}
-				text += fmt.Sprintf("      - {address: %q, zone: %c}\n", at, "aabb"[i])
+				text += fmt.Sprintf("      - {address: %q, zone: %c}\n", address, "aabb"[i])
 			}
-			g, err := New(parse(t, text), discardLogger())
+			g, err := New(parseConfig(t, text), discardLogger())
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(g.Close)
-			l := startLoad(t, g, 6, "/x")
-			testbed.Eventually(t, "load at home", func() bool { return all[0].Requests() > 200 && all[1].Requests() > 200 })
-			for i, o := range all[:2] {
-				if way == nil {
+			load := startLoad(t, g, 6, "/x")
+			testbed.Eventually(t, "load in the own zone", func() bool { return origins[0].Requests() > 200 && origins[1].Requests() > 200 })
+			for i, o := range origins[:2] {
+				if handler == nil {
 					links[i].SetLoss(0.8)
 					continue
 				}
-				o.SetHandler(way)
+				o.SetHandler(handler)
 			}
-			u := newUser(t, g)
+			client := newTestClient(t, g)
 			var keys atomic.Int64
 			var posts sync.WaitGroup
-			for range 4 { // holds, while it goes dark
+			for range 4 { // requests of class hold while the zone becomes dark
 				posts.Go(func() {
 					for range 10 {
-						if _, err := u.do(http.MethodPost, "/hold", "Idempotency-Key", fmt.Sprint("k", keys.Add(1))); err != nil {
-							t.Errorf("a hold has no answer: %v", err)
+						if _, err := client.do(http.MethodPost, "/hold", "Idempotency-Key", fmt.Sprint("k", keys.Add(1))); err != nil {
+							t.Errorf("POST /hold: got error %v, want an answer", err)
 						}
 					}
 				})
 			}
-			testbed.Eventually(t, "the zone to be dark", func() bool { return g.zone(t, "a").State == "dark" })
-			n := l.ok.Load()
-			testbed.Eventually(t, "service elsewhere", func() bool { return l.ok.Load() > n+200 })
+			testbed.Eventually(t, "the zone to be dark", func() bool { return g.zoneStatusOf(t, "a").State == "dark" })
+			n := load.served.Load()
+			testbed.Eventually(t, "requests served by the other zone", func() bool { return load.served.Load() > n+200 })
 			posts.Wait()
-			l.stop()
-			if n := l.other.Load(); name != "resets after the last byte" && n != 0 { // those are 502 while the retry budget is spent
-				t.Errorf("%d of %d were neither served nor refused: %s", n, l.requests.Load(), *l.why.Load())
+			load.stop()
+			if n := load.other.Load(); name != "resets the connection after the request" && n != 0 { // these are 502 while the retry budget is exhausted
+				t.Errorf("%d of %d requests were neither served nor rejected, want 0; the last one: %s", n, load.requests.Load(), *load.lastFailure.Load())
 			}
-			if n := origin.DuplicateEffects(one, two); n != 0 {
-				t.Errorf("%d effects taken twice", n)
+			if n := origin.DuplicateEffects(ledgerA, ledgerB); n != 0 {
+				t.Errorf("got %d duplicate effects, want 0", n)
 			}
 		})
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,10 +9,10 @@
 	"robindrum/internal/subscription"
 )
 
-// unlimited is the value of a gauge of a limit that is not set.
+// unlimited is the value of a limit's gauge if the limit is not set.
 const unlimited = -1
 
-// A metric is one family of values: its description and whether it is a counter or a gauge.
+// metric is a metric family: its description and whether it is a counter or a gauge.
 type metric struct {
 	description *prometheus.Desc
 	kind        prometheus.ValueType
@@ -30,7 +30,7 @@
 	}
 }
 
-// descriptions collects the descriptions of all metrics as they are made.
+// descriptions collects the descriptions of all metrics that are created with its methods.
 type descriptions []*prometheus.Desc
 
 func (d *descriptions) metric(kind prometheus.ValueType, name, help string, labels []string) metric {
@@ -47,8 +47,8 @@
 	return d.metric(prometheus.GaugeValue, name, help, labels)
 }
 
-// collector is a prometheus.Collector that reads a gateway's status when it is asked. Its methods may be called
-// concurrently.
+// collector is a prometheus.Collector that reads a gateway's status on each collection. Its methods are safe for concurrent
+// use.
 type collector struct {
 	gateway      *Gateway
 	descriptions descriptions
@@ -62,7 +62,7 @@
 	subscription subscriptionMetrics
 }
 
-// newCollector returns the collector of a gateway's metrics. Describe needs no gateway.
+// newCollector returns the collector of a gateway's metrics. The gateway may be nil if only Describe is called.
 func newCollector(g *Gateway) *collector {
 	c := &collector{gateway: g}
 	c.process = newProcessMetrics(&c.descriptions)
@@ -108,7 +108,7 @@
 	}
 }
 
-// processMetrics are about the process as a whole, with its limits and rate limits.
+// processMetrics are the metrics of the process as a whole, its limits and its rate limits.
 type processMetrics struct {
 	ready          metric
 	configRejected metric
@@ -147,7 +147,7 @@
 	m.limitMax.send(ch, float64(limits.MaxRequests), "requests")
 }
 
-// clusterMetrics are about a cluster's requests and endpoints.
+// clusterMetrics are the metrics of the requests and endpoints of a cluster.
 type clusterMetrics struct {
 	requests    metric
 	inFlight    metric
@@ -193,7 +193,7 @@
 	}
 }
 
-// localityMetrics are about the zones of a cluster.
+// localityMetrics are the metrics of the zones of a cluster.
 type localityMetrics struct {
 	state       metric
 	share       metric
@@ -242,7 +242,7 @@
 	}
 }
 
-// admissionMetrics are about the admission of a cluster's requests.
+// admissionMetrics are the metrics of the admission of a cluster's requests.
 type admissionMetrics struct {
 	limit            metric
 	inFlight         metric
@@ -289,7 +289,7 @@
 	}
 }
 
-// sourceMetrics are about control planes and files of resources.
+// sourceMetrics are the metrics of control planes and resource files.
 type sourceMetrics struct {
 	connected   metric
 	responseAge metric
@@ -315,7 +315,7 @@
 	}
 }
 
-// subscriptionMetrics are about the site's shared subscription.
+// subscriptionMetrics are the metrics of the gateway's part in the site's shared subscription.
 type subscriptionMetrics struct {
 	mode        metric
 	lastPushAge metric
--- a/internal/gateway/metrics_fleet.go
+++ b/internal/gateway/metrics_fleet.go
@@ -10,7 +10,7 @@
 	"robindrum/internal/release"
 )
 
-// fleetMetrics are about the fleet as this process sees it.
+// fleetMetrics are the metrics of the fleet as seen by this process.
 type fleetMetrics struct {
 	members          metric
 	nameConflicts    metric
@@ -62,7 +62,7 @@
 	}
 }
 
-// collectMembers sends the number of members in each state, also of the usual states that no member is in.
+// collectMembers sends the number of members by state. It sends 0 for the usual states that no member is in.
 func (m *fleetMetrics) collectMembers(ch chan<- prometheus.Metric, status *fleet.Status) {
 	counts := map[membership.State]int{
 		membership.Joining:  0,
@@ -81,7 +81,8 @@
 	}
 }
 
-// collectLedger sends what a voter knows of drains and releases.
+// collectLedger sends the state of drain requests, releases and disruption budgets in a voter's ledger. A process that is
+// not a voter has none.
 func (m *fleetMetrics) collectLedger(ch chan<- prometheus.Metric, status *fleet.Status) {
 	ledger := status.Ledger
 	if ledger == nil {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -11,9 +11,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden file of the metrics")
+var update = flag.Bool("update", false, "rewrite the golden file of the metric descriptions")
 
-// The names, help texts and labels of all metrics are those that operators' dashboards depend on.
+// Operators' dashboards depend on the names, help texts and labels of all metrics, so they must not change.
 func TestMetricDescriptionsAreUnchanged(t *testing.T) {
 	descriptions := make(chan *prometheus.Desc, 1000)
 	newCollector(nil).Describe(descriptions)
@@ -35,6 +35,6 @@
 		t.Fatal(err)
 	}
 	if text != string(want) {
-		t.Errorf("metrics differ from %s:\n%s", path, text)
+		t.Errorf("metric descriptions differ from %s, got:\n%s", path, text)
 	}
 }
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -9,11 +9,11 @@
 	"robindrum/internal/release"
 )
 
-// maxClassNames bounds the classes that are counted, as releases may bring ever new names.
+// maxClassNames bounds the number of classes that are counted, because releases may keep adding new class names.
 const maxClassNames = 64
 
-// outcomeCounters counts the outcomes of requests by class and their latencies, by which releases are judged. Its methods
-// may be called concurrently.
+// outcomeCounters counts the outcomes of requests by class, and their latencies. The gates of releases use these counts. Its
+// methods are safe for concurrent use.
 type outcomeCounters struct {
 	latencies [release.LatencyBuckets]atomic.Uint64
 
@@ -66,7 +66,7 @@
 	return counters
 }
 
-// latencyCounts returns the number of served requests by latency bucket, without the empty buckets at the end.
+// latencyCounts returns the number of served requests by latency bucket, without trailing empty buckets.
 func (o *outcomeCounters) latencyCounts() []uint64 {
 	var counts []uint64
 	for i := range o.latencies {
--- a/internal/gateway/push.go
+++ b/internal/gateway/push.go
@@ -22,14 +22,14 @@
 	minPushTimeout      = time.Second
 )
 
-// pushRequest is what the leader of a subscription sends. Without resources it is a heartbeat.
+// pushRequest is a push from the leader of a subscription to another gateway. A push without resources is a heartbeat.
 type pushRequest struct {
 	subscription.Update
 	Leader string     `json:"holder"`
 	Types  []pushType `json:"types,omitempty"`
 }
 
-// pushType is what a push contains of one type.
+// pushType contains the resources of one type in a push.
 type pushType struct {
 	Type      xds.Type `json:"type"`
 	Version   string   `json:"version,omitempty"`
@@ -40,7 +40,7 @@
 // pushResponse is the response to a push.
 type pushResponse struct {
 	Verdict subscription.Verdict `json:"verdict"`
-	Highest uint64               `json:"highest"` // the highest token that the receiver has seen
+	Highest uint64               `json:"highest"` // highest fencing token that the receiver has seen
 }
 
 // bundle decodes the resources of a push.
@@ -51,7 +51,7 @@
 		for i, encoded := range t.Resources {
 			var r discoveryv3.Resource
 			if err := proto.Unmarshal(encoded, &r); err != nil {
-				return nil, fmt.Errorf("%s %d: %w", t.Type.Short(), i, err)
+				return nil, fmt.Errorf("decoding %s resource %d: %w", t.Type.Short(), i, err)
 			}
 			bundle.Resources[t.Type] = append(bundle.Resources[t.Type], &r)
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-// encodeBundle returns the types of a push that contains a bundle.
+// encodeBundle encodes a bundle as the Types of a push. It omits types of which the bundle has no version.
 func encodeBundle(bundle *xds.Bundle) []pushType {
 	var types []pushType
 	for _, t := range []xds.Type{xds.ClusterType, xds.EndpointType, xds.ListenerType, xds.RouteType} {
@@ -80,7 +80,7 @@
 		encoded := pushType{Type: t, Version: version, Removed: bundle.Removed[t]}
 		for _, r := range bundle.Resources[t] {
 			raw, err := proto.Marshal(r)
-			if err == nil { // cannot fail: it was decoded from the same form
+			if err == nil { // cannot fail: the resource was decoded from this format
 				encoded.Resources = append(encoded.Resources, raw)
 			}
 		}
@@ -89,26 +89,26 @@
 	return types
 }
 
-// publisher pushes the resources of a leader to the other gateways of the site.
+// publisher pushes the leader's resources to the other gateways of the site.
 type publisher struct {
 	source     *sharedSource
 	leadership *leaderelection.Leadership
-	slots      chan struct{} // one is taken by each push under way
+	slots      chan struct{} // limits concurrent pushes; each push in flight occupies one slot
 	pushes     sync.WaitGroup
-	// ready means that the resources in use are the control plane's. Until then the pushes are heartbeats.
+	// ready is set once the resources in use are the control plane's current ones. Before that, all pushes are heartbeats.
 	ready bool
 
 	mu       sync.Mutex
 	peers    map[string]peerState // by name
-	snapshot *pushRequest         // the last one made, of its Seq
+	snapshot *pushRequest         // latest snapshot, valid for its Seq
 }
 
-// peerState is what the publisher knows of a gateway.
+// peerState is the publisher's state of another gateway.
 type peerState struct {
 	incarnation uint64
-	seq         uint64 // up to which it has all changes; 0: none
-	sending     bool
-	resend      bool // there were changes while a push was under way
+	seq         uint64 // the gateway has all changes up to this seq; 0 if it has none
+	sending     bool   // a push is in flight
+	resend      bool   // there were changes while a push was in flight
 }
 
 func newPublisher(s *sharedSource, leadership *leaderelection.Leadership) *publisher {
@@ -120,7 +120,7 @@
 	}
 }
 
-// targets returns the gateways to push to.
+// targets returns the other gateways of the site, without those that are dead or gone.
 func (p *publisher) targets() []membership.Member {
 	view := p.source.fleet.Members()
 	self := view.Self()
@@ -140,7 +140,7 @@
 
 func (p *publisher) peerCount() int { return len(p.targets()) }
 
-// pushAll starts a push to each gateway of the site that none is under way to. It blocks while there are too many.
+// pushAll starts a push to each target that has no push in flight. It blocks while maxConcurrentPushes are in flight.
 func (p *publisher) pushAll(ctx context.Context) {
 	for _, member := range p.targets() {
 		if !p.beginPush(member) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// beginPush reports whether a push to a gateway is to be started. If one is under way, that one will push again.
+// beginPush reports whether the caller must start a push to a gateway. If a push is in flight, another one follows it.
 func (p *publisher) beginPush(member membership.Member) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +174,7 @@
 	return begin
 }
 
-// push sends one push and reports whether to push again at once.
+// push sends one push and reports whether another one must follow immediately.
 func (p *publisher) push(ctx context.Context, member membership.Member) (again bool) {
 	request, ok := p.nextPush(p.clearResend(member.Name))
 	var response pushResponse
@@ -188,7 +188,7 @@
 	switch {
 	case !ok, err != nil: // the next pushAll tries again
 	case response.Verdict == subscription.Reject:
-		p.source.log.Warn("push rejected, the subscription has another leader",
+		p.source.log.Warn("push rejected: the subscription has another leader",
 			"gateway", member.Name, "token", request.Token, "highest", response.Highest)
 	case response.Verdict == subscription.NeedSnapshot:
 		again = !request.Full && p.ready
@@ -202,7 +202,8 @@
 	return again
 }
 
-// clearResend notes that the changes so far are about to be pushed, and returns the seq that the gateway has.
+// clearResend clears the resend mark of a gateway, because all changes so far are about to be pushed. It returns the seq up
+// to which the gateway has all changes.
 func (p *publisher) clearResend(name string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,18 +220,18 @@
 	return p.source.fleet.Node().Call(callCtx, address, pushPath, request, response)
 }
 
-// nextPush returns the push for a gateway that has all changes up to a seq: the changes since, a snapshot where they are
-// not known, or a heartbeat where nothing is to be sent. It returns false where the lease has ended.
+// nextPush returns the push for a gateway that has all changes up to the seq have: a delta with the later changes, a snapshot
+// if the later changes are not known, or a heartbeat if there is nothing to send. It returns false if the lease has ended.
 func (p *publisher) nextPush(have uint64) (*pushRequest, bool) {
 	token, _, ok := p.leadership.Token()
 	if !ok {
 		return nil, false
 	}
 	s := p.source
-	link := s.Connection()
+	connection := s.Connection()
 	request := &pushRequest{
 		Leader: s.fleet.Config().Member,
-		Update: subscription.Update{Token: token, Connected: link.Server != ""},
+		Update: subscription.Update{Token: token, Connected: connection.Server != ""},
 	}
 	if !p.ready {
 		return request, true
@@ -244,8 +245,8 @@
 		s.mu.Unlock()
 		request.Seq = seq
 		request.Digest = m.Digest()
-		if link.LastResponseAt > 0 {
-			request.Age = now - link.LastResponseAt
+		if connection.LastResponseAt > 0 {
+			request.Age = now - connection.LastResponseAt
 		}
 		if have < floor || have == 0 {
 			request.Full = true
@@ -260,7 +261,7 @@
 	return request, true
 }
 
-// snapshotOf returns all resources in use, encoded once for each seq. It is called with mu held.
+// snapshotOf returns all resources in use. It encodes them once per seq. The caller must hold mu.
 func (p *publisher) snapshotOf(m *xds.Machine, now time.Duration, seq uint64) []pushType {
 	if p.snapshot == nil || p.snapshot.Seq != seq {
 		p.snapshot = &pushRequest{Types: encodeBundle(m.Export(now))}
@@ -269,7 +270,7 @@
 	return p.snapshot.Types
 }
 
-// changesSince returns what has changed in all resources in use after a seq.
+// changesSince returns the resources that were changed or removed after a seq. all contains all resources in use.
 func (s *sharedSource) changesSince(seq uint64, all *xds.Bundle) *xds.Bundle {
 	changes := newBundle()
 	changes.Versions = all.Versions
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -18,10 +18,10 @@
 	"robindrum/internal/ratelimit"
 )
 
-// rateLimit is a rate limit of the configuration. It outlives reloads that do not change it.
+// rateLimit is a rate limit of the configuration. It is kept across reloads that do not change it.
 type rateLimit struct {
 	config   config.RateLimit
-	gateways int // that share the limit
+	gateways int // number of gateways that share the limit
 	seed     maphash.Seed
 	table    *ratelimit.Table
 	policy   string // value of the RateLimit-Policy header
@@ -29,15 +29,15 @@
 	rejected atomic.Uint64
 }
 
-// newRateLimits returns the rate limits of a configuration. Unchanged ones continue with what they have counted.
-func newRateLimits(f *config.File, former []*rateLimit) []*rateLimit {
+// newRateLimits returns the rate limits of a configuration. Unchanged ones keep their counts.
+func newRateLimits(f *config.File, previous []*rateLimit) []*rateLimit {
 	var limits []*rateLimit
 	for _, settings := range f.RateLimits {
 		unchanged := func(l *rateLimit) bool {
 			return l.gateways == f.Gateway.Count && reflect.DeepEqual(l.config, settings)
 		}
-		if i := slices.IndexFunc(former, unchanged); i >= 0 {
-			limits = append(limits, former[i])
+		if i := slices.IndexFunc(previous, unchanged); i >= 0 {
+			limits = append(limits, previous[i])
 			continue
 		}
 		limits = append(limits, newRateLimit(settings, f.Gateway.Count))
@@ -45,7 +45,8 @@
 	return limits
 }
 
-// newRateLimit returns a gateway's part of a rate limit. Gateways do not share their counts: each allows an equal part.
+// newRateLimit returns this gateway's part of a rate limit. Gateways do not share their counts: each allows an equal part of
+// the limit.
 func newRateLimit(settings config.RateLimit, gateways int) *rateLimit {
 	rate := settings.Rate / float64(gateways)
 	burst := max(settings.Burst/gateways, 1)
@@ -62,11 +63,11 @@
 	}
 }
 
-// ceilSeconds returns the whole seconds that are not shorter than a duration.
+// ceilSeconds returns a duration in seconds, rounded up.
 func ceilSeconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
 
-// checkRateLimits counts a request against all limits that apply to it. It returns the answer where one rejects the
-// request, and nil otherwise.
+// checkRateLimits counts a request against the limits that apply to it, up to the first that rejects it. It returns the
+// answer if the request is rejected, and nil otherwise.
 func (r *routing) checkRateLimits(now time.Duration, request *http.Request, from proxy.Peer, route, class string) *proxy.Destination {
 	for _, limit := range r.rateLimits {
 		if !limit.applies(from.Listener, route, class) {
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// rejection returns the answer of a rejected request, with the header fields of draft-ietf-httpapi-ratelimit-headers. Its
-// Retry-After is spread, so that the clients that share a key do not come back at the same moment.
+// rejection returns the answer to a rejected request, with the header fields of draft-ietf-httpapi-ratelimit-headers. Its
+// Retry-After is randomized, so that clients that share a key do not retry at the same time.
 func (l *rateLimit) rejection(decision ratelimit.Decision) *proxy.Destination {
 	remaining := fmt.Sprintf("%q;r=%d;t=%d", l.config.Name, decision.Remaining, ceilSeconds(decision.Reset))
 	return &proxy.Destination{
@@ -97,11 +98,11 @@
 
 // applies reports whether the limit counts requests of a listener, route and class.
 func (l *rateLimit) applies(listener, route, class string) bool {
-	in := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
-	return in(l.config.Listeners, listener) && in(l.config.Routes, route) && in(l.config.Classes, class)
+	matches := func(names []string, name string) bool { return len(names) == 0 || slices.Contains(names, name) }
+	return matches(l.config.Listeners, listener) && matches(l.config.Routes, route) && matches(l.config.Classes, class)
 }
 
-// hash returns the hash of the request's key. Requests without a key share one.
+// hash returns the hash of the request's key. All requests without a key have the same hash.
 func (l *rateLimit) hash(r *http.Request, from netip.Addr) uint64 {
 	key := &l.config.Key
 	switch {
@@ -122,7 +123,7 @@
 	Name            string `json:"name"`
 	Allowed         uint64 `json:"allowed"`
 	Rejected        uint64 `json:"refused"`
-	CountedTogether uint64 `json:"counted_together"` // requests whose keys the table has no space for
+	CountedTogether uint64 `json:"counted_together"` // requests counted under a shared key because the table is full
 }
 
 func (g *Gateway) rateLimitStatus() []RateLimitStatus {
@@ -138,18 +139,18 @@
 	return limits
 }
 
-// reservedFiles is the number of descriptors that the process needs beside connections.
-const reservedFiles = 64
+// reservedDescriptors is the number of descriptors that the process needs for other purposes than connections.
+const reservedDescriptors = 64
 
-// maxDescriptors returns the number of descriptors for connections: the configured one, or less if the system allows the
-// process less.
+// maxDescriptors returns the number of descriptors for connections: the configured number, or less if the open files limit of
+// the process requires it.
 func maxDescriptors(configured int, log *slog.Logger) int {
 	var limit syscall.Rlimit
 	err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit)
-	if err != nil || limit.Cur > uint64(configured+reservedFiles) {
+	if err != nil || limit.Cur > uint64(configured+reservedDescriptors) {
 		return configured
 	}
-	allowed := max(int(limit.Cur)-reservedFiles, int(limit.Cur)/2)
+	allowed := max(int(limit.Cur)-reservedDescriptors, int(limit.Cur)/2)
 	log.Warn("open files limit below limits.descriptors", "descriptors", configured, "used", allowed)
 	return allowed
 }
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -9,12 +9,12 @@
 	"robindrum/internal/route"
 )
 
-// ErrStopping is returned where the gateway is shutting down and takes no configuration any more.
+// ErrStopping is returned if the gateway is shutting down and no longer accepts a configuration.
 var ErrStopping = errors.New("the gateway is stopping")
 
-// Reload takes over a new configuration: clusters, routes, classes and listeners. Requests in flight end where they are.
-// The limits of the process and the fleet change with the next start only. On an error nothing changes, and the status
-// says that the configuration was rejected.
+// Reload applies a new configuration: clusters, routes, classes and listeners. Requests in flight complete with the previous
+// one. Changed process limits and fleet settings take effect only after a restart. On an error nothing changes, and the
+// status shows that the configuration was rejected.
 func (g *Gateway) Reload(f *config.File) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Configure replaces sections of the process's own configuration by those of a release, or removes the former release's
-// where text is empty. On an error nothing changes. It implements fleet.Agent.
+// Configure replaces sections of the process's own configuration with the sections in text, which a release sets. An empty
+// text removes the sections of the previous release. On an error nothing changes. It implements fleet.Agent.
 func (g *Gateway) Configure(_, text string) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// applyWithRelease applies a configuration with the sections of a release in place of its own, if there are any.
+// applyWithRelease applies a configuration after replacing sections of it with those of a release, if there are any.
 func (g *Gateway) applyWithRelease(f *config.File, sections string) error {
 	if sections != "" {
 		var err error
@@ -58,7 +58,7 @@
 	return g.apply(f, false)
 }
 
-// RecordRejection records that a new configuration could not even be read.
+// RecordRejection records that a new configuration could not be read, so that the status shows it.
 func (g *Gateway) RecordRejection(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,10 +68,10 @@
 func (g *Gateway) recordRejection(err error) {
 	g.rejection = err.Error()
 	g.rejectedAt = g.Now()
-	g.log.Error("configuration rejected, keeping the former one", "error", err)
+	g.log.Error("configuration rejected, keeping the current one", "error", err)
 }
 
-// apply takes over a configuration: it first prepares all that can fail, and changes nothing where something does.
+// apply applies a configuration. It performs all steps that can fail first, and changes nothing if one of them does.
 func (g *Gateway) apply(f *config.File, first bool) error {
 	table, err := route.Compile(f.Table(), route.Options{})
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 
 	if g.config != nil {
-		g.warnOfFixedSettings(g.config, f)
+		g.warnIfRestartRequired(g.config, f)
 	}
 	g.config = f
 	g.reloadedAt = g.Now()
@@ -109,13 +109,13 @@
 	return nil
 }
 
-// warnOfFixedSettings logs which differences take effect at the next start only.
-func (g *Gateway) warnOfFixedSettings(old, updated *config.File) {
+// warnIfRestartRequired logs which changes take effect only after a restart.
+func (g *Gateway) warnIfRestartRequired(old, updated *config.File) {
 	a, b := &old.Limits, &updated.Limits
 	if a.Descriptors != b.Descriptors || a.Memory != b.Memory || a.Requests != b.Requests || a.Body != b.Body {
-		g.log.Warn("changed limits of the process take effect at the next start")
+		g.log.Warn("changed process limits take effect after a restart")
 	}
 	if !reflect.DeepEqual(old.Fleet, updated.Fleet) {
-		g.log.Warn("changed fleet settings take effect at the next start")
+		g.log.Warn("changed fleet settings take effect after a restart")
 	}
 }
--- a/internal/gateway/routing.go
+++ b/internal/gateway/routing.go
@@ -9,29 +9,29 @@
 	"robindrum/internal/route"
 )
 
-// withoutKey is appended to the class of a request that needs an idempotency key and has none. Such a class is never
-// retried.
-const withoutKey = "!unkeyed"
+// withoutKeySuffix is appended to the class of a request that needs an idempotency key and has none. Requests of such a
+// class are not idempotent.
+const withoutKeySuffix = "!unkeyed"
 
-// routing is an immutable snapshot of what requests need.
+// routing is an immutable snapshot of the state that is needed to route requests.
 type routing struct {
 	configured        *route.Table
-	dynamic           *route.Table // of a control plane, used where configured has no route; nil: none
+	dynamic           *route.Table // of a control plane, used if no route in configured matches; nil if none
 	clusters          map[string]*cluster
-	keyRequired       map[string]bool // classes that are idempotent with a key only
+	keyRequired       map[string]bool // classes that are idempotent only with a key
 	rateLimits        []*rateLimit
 	latencyObjectives map[string]time.Duration // by class
 }
 
-// pendingRouting is a routing that waits until the clusters that it names anew have endpoints.
+// pendingRouting is a routing that is not used before the clusters that it newly refers to have endpoints.
 type pendingRouting struct {
 	routing *routing
-	since   time.Duration
+	since   time.Duration // when the first routing started to wait
 	timer   *time.Timer
 }
 
-// reconcile brings clusters and routes up to date with the configuration and its sources. A nil table means that the
-// configured routes are unchanged.
+// reconcile updates clusters and routes to match the configuration and its sources. A nil table means that the configured
+// routes are unchanged.
 func (g *Gateway) reconcile(table *route.Table) {
 	g.reconcileClusters()
 	if table == nil {
@@ -40,7 +40,7 @@
 	g.proposeRouting(g.newRouting(table))
 }
 
-// latestRouting returns the routing that waits for endpoints, or the one in use where none does.
+// latestRouting returns the pending routing, or the routing in use if none is pending.
 func (g *Gateway) latestRouting() *routing {
 	if g.pendingRouting != nil {
 		return g.pendingRouting.routing
@@ -67,13 +67,13 @@
 	return r
 }
 
-// needsKey reports whether requests of a class are idempotent only with an idempotency key.
+// needsKey reports whether the requests of a class are idempotent only if they have an idempotency key.
 func needsKey(class *config.Class) bool {
 	return balancer.Effect(class.Effect) == balancer.IdempotentWithKey
 }
 
-// dynamicRoutes returns the routes of the control plane. Until it has sent those that are subscribed to now, the former
-// ones stay in use.
+// dynamicRoutes returns the routes of the control plane. The routes in use are kept until it has sent those that the gateway
+// is now subscribed to.
 func (g *Gateway) dynamicRoutes() *route.Table {
 	w := g.watches[xdsWatch]
 	if w == nil {
@@ -89,13 +89,13 @@
 	return nil
 }
 
-// proposeRouting uses a routing at once, or once the clusters that it names anew have endpoints or the time for that has
-// passed.
+// proposeRouting puts a routing into use. If the routing newly refers to clusters without endpoints, it is pending until
+// they have endpoints, at most for maxRoutingWait.
 func (g *Gateway) proposeRouting(r *routing) {
 	now := g.Now()
 	since := now
-	if former := g.takePendingRouting(); former != nil {
-		since = former.since
+	if previous := g.takePendingRouting(); previous != nil {
+		since = previous.since
 	}
 	wait := g.maxRoutingWait() - (now - since)
 	if wait <= 0 || g.stopping || !g.mustWaitForEndpoints(r) {
@@ -115,7 +115,7 @@
 	g.pendingRouting = pending
 }
 
-// takePendingRouting stops the routing that waits, if there is one, and returns it.
+// takePendingRouting cancels the pending routing and returns it, or nil if there is none.
 func (g *Gateway) takePendingRouting() *pendingRouting {
 	pending := g.pendingRouting
 	if pending != nil {
@@ -125,7 +125,7 @@
 	return pending
 }
 
-// updateAllButRoutes takes over clusters and classes of a routing whose routes have to wait.
+// updateAllButRoutes puts the clusters, classes and rate limits of a routing into use while its routes are pending.
 func (g *Gateway) updateAllButRoutes(r *routing) {
 	updated := *r
 	current := g.routing.Load()
@@ -134,7 +134,7 @@
 	g.routing.Store(&updated)
 }
 
-// maxRoutingWait returns how long new routes wait for endpoints of their clusters.
+// maxRoutingWait returns the maximum time for which a routing is pending.
 func (g *Gateway) maxRoutingWait() time.Duration {
 	if g.config.XDS == nil {
 		return 0
@@ -142,7 +142,7 @@
 	return g.config.XDS.InitialFetchTimeout.D()
 }
 
-// useRouting puts a routing into use, and removes the clusters that only waited for their routes to go.
+// useRouting puts a routing into use, and removes leaving clusters that it does not refer to.
 func (g *Gateway) useRouting(r *routing) {
 	named := r.clusterNames()
 	var unused []*cluster
@@ -152,7 +152,7 @@
 		}
 	}
 	if len(unused) > 0 {
-		r.clusters = maps.Clone(r.clusters) // requests may be reading it already
+		r.clusters = maps.Clone(r.clusters) // requests may already be reading the map
 		for _, c := range unused {
 			delete(r.clusters, c.name)
 		}
@@ -163,15 +163,15 @@
 	}
 }
 
-// mustWaitForEndpoints reports whether a routing names a cluster that the one in use does not and that has no endpoints
-// yet, while the one in use still works.
+// mustWaitForEndpoints reports whether a routing newly refers to a cluster that has no usable endpoints yet, while a cluster
+// of the routing in use has some.
 func (g *Gateway) mustWaitForEndpoints(r *routing) bool {
 	current := g.routing.Load().clusterNames()
-	works := false
+	currentUsable := false
 	for name := range current {
-		works = works || g.hasUsableEndpoints(name)
+		currentUsable = currentUsable || g.hasUsableEndpoints(name)
 	}
-	if !works {
+	if !currentUsable {
 		return false
 	}
 	for name := range r.clusterNames() {
@@ -187,7 +187,7 @@
 	return c != nil && c.view.Usable() > 0
 }
 
-// clusterNames returns the clusters that any route names.
+// clusterNames returns the names of the clusters that the routes refer to.
 func (r *routing) clusterNames() map[string]bool {
 	names := map[string]bool{}
 	for _, table := range []*route.Table{r.configured, r.dynamic} {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -12,7 +12,7 @@
 	"robindrum/internal/proxy"
 )
 
-// Status is the state of a gateway as served, in JSON, under /status. Ages are in seconds.
+// Status is the state of a gateway, which /status serves as JSON. Ages are in seconds.
 type Status struct {
 	Ready     bool              `json:"ready"`
 	Stopping  bool              `json:"stopping"`
@@ -28,7 +28,7 @@
 
 	Fleet        *fleet.Status       `json:"fleet,omitempty"`
 	Subscription *SubscriptionStatus `json:"subscription,omitempty"`
-	DrainID      string              `json:"drained,omitempty"` // the drain request that has taken this gateway out of service
+	DrainID      string              `json:"drained,omitempty"` // the drain request that took this gateway out of service
 }
 
 // ConfigStatus describes the configuration file in use.
@@ -39,18 +39,18 @@
 	RejectionAge float64 `json:"refused_age_seconds,omitempty"`
 }
 
-// SourceStatus describes a control plane or a file of resources.
+// SourceStatus describes a control plane or a resource file.
 type SourceStatus struct {
 	Name             string       `json:"name"`
-	Connected        string       `json:"connected"` // address of the control plane, or the file; empty: not connected
+	Connected        string       `json:"connected"` // address of the control plane, or path of the file; empty if not connected
 	ConnectedSeconds float64      `json:"connected_seconds,omitempty"`
-	LastResponseAge  *float64     `json:"last_word_age_seconds"` // null: never
+	LastResponseAge  *float64     `json:"last_word_age_seconds"` // null if there was none
 	Streams          int          `json:"streams"`
 	Error            string       `json:"error,omitempty"`
 	Types            []TypeStatus `json:"types"`
 }
 
-// TypeStatus describes all resources of one type.
+// TypeStatus describes the resources of one type from a source.
 type TypeStatus struct {
 	Type      string `json:"type"`
 	Version   string `json:"version,omitempty"`
@@ -64,9 +64,9 @@
 type RoutesStatus struct {
 	FromConfig      int      `json:"from_config"`
 	FromXDS         int      `json:"from_xds"`
-	Pending         bool     `json:"waiting_for_endpoints"` // new routes wait for endpoints of their clusters
+	Pending         bool     `json:"waiting_for_endpoints"` // new routes are not used before their clusters have endpoints
 	Rejection       string   `json:"refused,omitempty"`
-	MissingClusters []string `json:"missing_clusters,omitempty"` // clusters that a route names and no source has
+	MissingClusters []string `json:"missing_clusters,omitempty"` // clusters that a route refers to and that do not exist
 }
 
 // ClusterStatus describes one cluster.
@@ -75,7 +75,7 @@
 	Source          string           `json:"source"`
 	Service         string           `json:"service,omitempty"`
 	Version         string           `json:"version,omitempty"`
-	UpdateAge       *float64         `json:"last_word_age_seconds"` // null: no update yet
+	UpdateAge       *float64         `json:"last_word_age_seconds"` // null if there was none yet
 	Stale           string           `json:"stale,omitempty"`
 	RejectedUpdate  string           `json:"refused_update,omitempty"`
 	Warnings        []string         `json:"warnings,omitempty"`
@@ -99,8 +99,8 @@
 	Priority       int     `json:"priority,omitempty"`
 	Weight         float64 `json:"weight"`
 	Health         string  `json:"health"`
-	Age            float64 `json:"age_seconds,omitempty"` // since it was added; 0: with the first list
-	ExcludedReason string  `json:"out,omitempty"`         // why it gets no new requests
+	Age            float64 `json:"age_seconds,omitempty"` // since it was added; 0 if it was in the first list
+	ExcludedReason string  `json:"out,omitempty"`         // why it gets no new requests; empty if it does
 }
 
 // RequestStatus counts the requests and attempts of a cluster.
@@ -116,14 +116,14 @@
 	MeanMS     float64           `json:"mean_served_ms"`
 }
 
-// UsageStatus is what a cluster uses of the shared limits.
+// UsageStatus describes how much of the shared limits a cluster uses.
 type UsageStatus struct {
 	Descriptors int   `json:"descriptors"`
 	Memory      int64 `json:"memory_bytes"`
 	Requests    int64 `json:"requests"`
 }
 
-// LimitsStatus is what is in use or reserved of the limits of the process.
+// LimitsStatus describes the limits of the process and how much of them is in use or reserved.
 type LimitsStatus struct {
 	Descriptors       int   `json:"descriptors"`
 	MaxDescriptors    int   `json:"descriptors_most"`
@@ -145,10 +145,10 @@
 	balancer.NotSent:        "not_sent",
 }
 
-// Status returns the state of the gateway, with at most maxEndpoints endpoints of each cluster; 0: with all.
+// Status returns the state of the gateway, with at most maxEndpoints endpoints of each cluster; 0 means all.
 func (g *Gateway) Status(maxEndpoints int) Status {
 	status, lists := g.statusWithoutEndpoints()
-	// Without the lock, which updates need: there may be many endpoints.
+	// There may be many endpoints. They are processed without holding mu, so that updates are not delayed.
 	now := g.Now()
 	for i, list := range lists {
 		sorted := list.Sorted()
@@ -178,7 +178,8 @@
 	return status
 }
 
-// statusWithoutEndpoints returns the state of the gateway without endpoints, and the endpoint list of each cluster.
+// statusWithoutEndpoints returns the state of the gateway without endpoints, and the endpoint lists of its clusters in the
+// order of Status.Clusters.
 func (g *Gateway) statusWithoutEndpoints() (Status, []endpoints.List) {
 	status := Status{Ready: g.Ready(), Uptime: time.Since(g.startedAt).Seconds()}
 	if g.fleet != nil {
@@ -214,7 +215,7 @@
 	return status, lists
 }
 
-// secondsBetween returns the seconds from a time to now; 0 if the time has yet to come.
+// secondsBetween returns the seconds from at to now, or 0 if at is in the future.
 func secondsBetween(at, now time.Duration) float64 { return max(now-at, 0).Seconds() }
 
 func (g *Gateway) configStatus(now time.Duration) ConfigStatus {
@@ -226,13 +227,13 @@
 }
 
 func (w *watch) status(now time.Duration) SourceStatus {
-	link := w.source.Connection()
-	status := SourceStatus{Name: w.name, Connected: link.Server, Streams: link.Streams, Error: link.LastError}
-	if link.LastResponseAt != 0 {
-		status.LastResponseAge = new(secondsBetween(link.LastResponseAt, now))
+	connection := w.source.Connection()
+	status := SourceStatus{Name: w.name, Connected: connection.Server, Streams: connection.Streams, Error: connection.LastError}
+	if connection.LastResponseAt != 0 {
+		status.LastResponseAge = new(secondsBetween(connection.LastResponseAt, now))
 	}
-	if link.ConnectedAt > 0 && link.Server != "" {
-		status.ConnectedSeconds = secondsBetween(link.ConnectedAt, now)
+	if connection.ConnectedAt > 0 && connection.Server != "" {
+		status.ConnectedSeconds = secondsBetween(connection.ConnectedAt, now)
 	}
 	for _, summary := range w.source.Summaries() {
 		status.Types = append(status.Types, TypeStatus{
@@ -304,9 +305,9 @@
 	if c.view.Known() {
 		status.UpdateAge = new(secondsBetween(updatedAt, now))
 	}
-	for in := range g.retired {
-		if in.cluster == c {
-			status.InFlightRetired += in.core.InFlight()
+	for instance := range g.retired {
+		if instance.cluster == c {
+			status.InFlightRetired += instance.core.InFlight()
 		}
 	}
 	return status
@@ -334,19 +335,19 @@
 	return status
 }
 
-// statsOf returns the counters of all cores that clusters of this name have had.
+// statsOf returns the counters of all cores, including closed ones, of clusters with the same name.
 func (g *Gateway) statsOf(c *cluster) proxy.Stats {
 	stats := c.totals.Stats
 	stats.Add(c.current.core.Stats())
-	for in := range g.retired {
-		if in.cluster.totals == c.totals {
-			stats.Add(in.core.Stats())
+	for instance := range g.retired {
+		if instance.cluster.totals == c.totals {
+			stats.Add(instance.core.Stats())
 		}
 	}
 	return stats
 }
 
-// endpointState returns the "state" label of an endpoint: one of a few values, unlike its ExcludedReason.
+// endpointState returns the value of the "state" label for an endpoint. Unlike ExcludedReason, it has few possible values.
 func endpointState(s *endpoints.Server) string {
 	switch {
 	case s.ExcludedReason == "":
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -19,29 +19,30 @@
 	"robindrum/internal/xds"
 )
 
-// maxChangedNames bounds the changes that are recorded by name. With more, the next push of each is a snapshot.
+// maxChangedNames bounds the number of changes that are recorded by name. If there are more, the next push to each gateway is
+// a snapshot.
 const maxChangedNames = 10_000
 
-// sharedSource is a source that follows the leader of the site's subscription, and the control plane itself where there is
-// no leader.
+// sharedSource is a source that gets its resources from the leader of the site's subscription, or from a direct stream to the
+// control plane if there is no leader.
 type sharedSource struct {
 	*xds.Client
 	sink      xds.Sink
 	fleet     *fleet.Fleet
 	config    *config.Subscription
 	log       *slog.Logger
-	wake      chan struct{} // wakes the leader: the resources in use have changed
-	receiving sync.Mutex    // held while a push is applied
+	wake      chan struct{} // wakes lead after the resources in use have changed
+	receiveMu sync.Mutex    // held while a push is applied
 
 	mu           sync.Mutex
 	subscription *subscription.Subscription
-	leader       string                 // the member that sent the last push
-	seq          uint64                 // of the last change
-	changedAt    map[resourceKey]uint64 // the seq of the last change of each resource
-	floor        uint64                 // changes up to this seq are not in changedAt
+	leader       string                 // member that sent the last push that was not rejected
+	seq          uint64                 // seq of the last change
+	changedAt    map[resourceKey]uint64 // seq of the last change of each resource
+	floor        uint64                 // changes up to this seq are not recorded in changedAt
 }
 
-// resourceKey identifies a resource.
+// resourceKey identifies a resource by type and name.
 type resourceKey struct {
 	Type xds.Type
 	Name string
@@ -70,7 +71,7 @@
 	return s
 }
 
-// Changed implements xds.Sink: it records changes, from a stream or from a push, and passes them on.
+// Changed records changes, from a stream or from a push, and passes them on to the sink. It implements xds.Sink.
 func (s *sharedSource) Changed(changes []xds.Change) {
 	s.sink.Changed(changes)
 	s.mu.Lock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// Run follows the leader, or the control plane, until ctx ends.
+// Run keeps the resources up to date until ctx is done.
 func (s *sharedSource) Run(ctx context.Context) {
 	var client sync.WaitGroup
 	defer client.Wait()
@@ -120,23 +121,24 @@
 	})
 }
 
-// update changes the subscription, and opens or closes the client's own stream as the mode then is.
+// update calls change with the subscription, and then opens or closes the direct stream as the new mode requires.
 func (s *sharedSource) update(change func(current *subscription.Subscription)) {
 	s.mu.Lock()
-	former, _ := s.subscription.Mode()
+	previous, _ := s.subscription.Mode()
 	change(s.subscription)
 	s.mu.Unlock()
-	s.applyMode(former)
+	s.applyMode(previous)
 }
 
-func (s *sharedSource) applyMode(former subscription.Mode) {
+// applyMode opens or closes the direct stream as the mode requires, and logs a change from the previous mode.
+func (s *sharedSource) applyMode(previous subscription.Mode) {
 	s.mu.Lock()
 	mode, _ := s.subscription.Mode()
 	s.Pause(!s.subscription.WantsStream())
 	token, seq, _, _ := s.subscription.LastUpdate(0)
 	s.mu.Unlock()
-	if mode != former {
-		s.log.Info("subscription", "from", string(former), "to", string(mode), "token", token, "number", seq)
+	if mode != previous {
+		s.log.Info("subscription", "from", string(previous), "to", string(mode), "token", token, "number", seq)
 	}
 }
 
@@ -151,8 +153,8 @@
 	if err != nil {
 		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
-	s.receiving.Lock()
-	defer s.receiving.Unlock()
+	s.receiveMu.Lock()
+	defer s.receiveMu.Unlock()
 	var response pushResponse
 	inUse := s.inUse(&push, bundle)
 	s.update(func(current *subscription.Subscription) {
@@ -165,17 +167,17 @@
 	if response.Verdict == subscription.Accept {
 		err := s.Import(bundle)
 		if err != nil {
-			s.log.Warn("push accepted in part", "leader", push.Leader, "error", err)
+			s.log.Warn("push only partially applied", "leader", push.Leader, "error", err)
 		}
 	}
 	return response, nil
 }
 
-// inUseResources describes the resources in use when a push arrives.
+// inUseResources describes the resources that are in use when a push arrives.
 type inUseResources struct {
 	digest     uint64
-	streamOpen bool // the client has a stream of its own
-	covered    bool // the push is a snapshot that contains all of them
+	streamOpen bool // the direct stream is open
+	covered    bool // the push is a snapshot that contains all resources in use
 }
 
 func (s *sharedSource) inUse(push *pushRequest, bundle *xds.Bundle) inUseResources {
@@ -188,7 +190,7 @@
 	return r
 }
 
-// verdict decides on a push. A snapshot that contains what is in use is adopted without applying it.
+// verdict decides what to do with a push. A snapshot that contains all resources in use is adopted without being applied.
 func verdict(current *subscription.Subscription, push *pushRequest, inUse inUseResources) subscription.Verdict {
 	if inUse.streamOpen && !current.WantsStream() { // the stream is about to be closed
 		return subscription.NeedSnapshot
@@ -203,8 +205,8 @@
 	return subscription.Diverged
 }
 
-// lead follows the control plane and pushes what it accepts to the other gateways of the site, while isCurrent. It returns
-// early where it does not reach the control plane and another gateway may.
+// lead subscribes to the control plane and pushes accepted resources to the other gateways of the site while isCurrent
+// returns true. It returns early if it cannot reach the control plane and the site has other gateways, which may reach it.
 func (s *sharedSource) lead(ctx context.Context, leadership *leaderelection.Leadership, isCurrent func() bool) {
 	token, _, ok := leadership.Token()
 	if !ok {
@@ -224,16 +226,16 @@
 	lastConnected := fleet.Clock()
 	for isCurrent() {
 		now := fleet.Clock()
-		link := s.Connection()
-		connected := link.Server != ""
+		connection := s.Connection()
+		connected := connection.Server != ""
 		if connected {
 			lastConnected = now
 		} else if now-lastConnected > s.config.DirectAfter.D() && p.peerCount() > 0 {
-			s.log.Warn("control plane not reachable, resigning as leader of the subscription", "error", link.LastError)
+			s.log.Warn("control plane unreachable, resigning as leader of the subscription", "error", connection.LastError)
 			return
 		}
 		if connected && !p.ready {
-			p.ready = s.isUpToDate(link)
+			p.ready = s.isUpToDate(connection)
 		}
 		p.pushAll(ctx)
 		select {
@@ -245,25 +247,26 @@
 	}
 }
 
-// isUpToDate reports whether the resources in use are the control plane's current ones. A control plane that has nothing
-// newer than the versions that it was sent does not answer, so a heartbeat without a response counts as one.
-func (s *sharedSource) isUpToDate(link xds.Connection) bool {
+// isUpToDate reports whether the resources in use are the control plane's current ones. A control plane does not respond if
+// it has nothing newer than the versions in the requests. Therefore resources also count as up to date if there was no
+// response for a heartbeat interval after the stream was opened.
+func (s *sharedSource) isUpToDate(connection xds.Connection) bool {
 	upToDate := false
 	s.Inspect(func(m *xds.Machine, now time.Duration) {
-		upToDate = m.Answered() || m.StreamOpen() && now-link.ConnectedAt > s.config.Heartbeat.D()
+		upToDate = m.Answered() || m.StreamOpen() && now-connection.ConnectedAt > s.config.Heartbeat.D()
 	})
 	return upToDate
 }
 
-// SubscriptionStatus describes a gateway's part in the site's subscription. Times are in seconds.
+// SubscriptionStatus describes a gateway's part in the site's shared subscription. Times are in seconds.
 type SubscriptionStatus struct {
 	Mode            subscription.Mode `json:"mode"`
 	ModeSeconds     float64           `json:"seconds"`
-	Leader          string            `json:"holder,omitempty"` // the member that sent the last accepted push
+	Leader          string            `json:"holder,omitempty"` // member that sent the last push that was not rejected
 	Token           uint64            `json:"token,omitempty"`
 	Sequence        uint64            `json:"number,omitempty"`
 	LastPushAge     float64           `json:"heard_seconds"`
-	ControlPlaneAge float64           `json:"control_plane_seconds"` // of the control plane's last response, at the last push
+	ControlPlaneAge float64           `json:"control_plane_seconds"` // age of the control plane's last response when the last push arrived
 	Stale           string            `json:"stale,omitempty"`
 }
 
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -11,7 +11,7 @@
 	"robindrum/internal/xds"
 )
 
-// refreshCluster brings the endpoints of a cluster up to date with its source.
+// refreshCluster applies the current endpoint list of a cluster's source.
 func (g *Gateway) refreshCluster(c *cluster) {
 	spec := &c.spec
 	switch {
@@ -26,7 +26,7 @@
 	}
 }
 
-// staticUpdate returns the endpoints that the configuration lists.
+// staticUpdate returns the endpoint list of a cluster whose endpoints are in the configuration.
 func staticUpdate(spec *clusterSpec) endpoints.Update {
 	update := endpoints.Update{Source: sourceStatic}
 	for i := range spec.staticEndpoints {
@@ -43,7 +43,7 @@
 	return update
 }
 
-// refreshFromWatch applies the endpoint resource of a cluster, if the watch has had it.
+// refreshFromWatch applies the endpoint resource of a cluster if the watch has received it.
 func (g *Gateway) refreshFromWatch(c *cluster, w *watch) {
 	r, ok := w.get(xds.EndpointType, c.spec.service)
 	if !ok {
@@ -62,7 +62,8 @@
 	}
 }
 
-// applyAssignment applies an assignment of a control plane, and has it expire if it is to.
+// applyAssignment applies an assignment from a control plane or a file. If the assignment sets StaleAfter, it is marked stale
+// after that time.
 func (g *Gateway) applyAssignment(c *cluster, assignment *xds.Assignment, version string, updatedAt time.Duration) {
 	c.stopStaleTimer()
 	c.dropThreshold.Store(uint64(math.Round(assignment.DropFraction * dropScale)))
@@ -88,7 +89,8 @@
 	}
 }
 
-// applyUpdate passes an endpoint list on to the current and the retired cores of a cluster.
+// applyUpdate marks the drained endpoints of an endpoint list, and applies the list to the view and to the current and the
+// retired cores of a cluster.
 func (g *Gateway) applyUpdate(c *cluster, update endpoints.Update) {
 	if len(g.drainedTargets) > 0 {
 		update.Endpoints = slices.Clone(update.Endpoints)
@@ -109,7 +111,7 @@
 	}
 }
 
-// isDrained reports whether a drain request has taken an endpoint out of service.
+// isDrained reports whether an endpoint is out of service because of a drain request.
 func (g *Gateway) isDrained(cluster string, e *endpoints.Endpoint) bool {
 	return slices.ContainsFunc(g.drainedTargets, func(target drain.Target) bool {
 		return target.MatchesEndpoint(cluster, e.Address, e.Zone)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,21 +14,21 @@
 	"robindrum/internal/xds"
 )
 
-// xdsWatch is the watch of the configured control planes, or of the file in their place.
+// xdsWatch is the name of the watch of the configured control planes, or of the file that is configured instead of them.
 const xdsWatch = "xds"
 
 const fileWatchPrefix = "file:"
 
-// fileWatch returns the name of the watch of a file of resources.
+// fileWatch returns the name of the watch of a resource file.
 func fileWatch(path string) string { return fileWatchPrefix + path }
 
-// sourceName returns the kind of a watch, as the status shows it.
+// sourceName returns the kind of source of a watch as shown in /status.
 func sourceName(watch string) string {
 	kind, _, _ := strings.Cut(watch, ":")
 	return kind
 }
 
-// source is a Client, a FileSource or a sharedSource.
+// source is an xds.Client, an xds.FileSource or a sharedSource.
 type source interface {
 	Run(ctx context.Context)
 	Subscribe(names []string, classes map[string]bool)
@@ -40,19 +40,19 @@
 type watch struct {
 	gateway   *Gateway
 	name      string
-	configKey string // of the settings that the source was made with
+	configKey string // identifies the settings of the source
 	source    source
-	cancel    context.CancelFunc // nil: not started
+	cancel    context.CancelFunc // nil if not started
 	running   sync.WaitGroup
 
 	// Guarded by the gateway's mu.
-	subscription string // what the source is subscribed to, as text
+	subscription string // textual form of what the source is subscribed to
 	resources    map[xds.Type]map[string]xds.Resource
 	stopped      bool
-	loading      bool // it is being made, and nothing else refers to it
+	loading      bool // being created; nothing else refers to the watch
 }
 
-// Changed implements xds.Sink.
+// Changed applies changed resources. It implements xds.Sink.
 func (w *watch) Changed(changes []xds.Change) {
 	if w.loading {
 		w.store(changes)
@@ -63,7 +63,8 @@
 	w.applyChanges(changes)
 }
 
-// store caches changed resources. It returns the changed endpoint resources and whether others changed as well.
+// store caches changed resources. It returns the names of the changed endpoint resources, and whether resources of other
+// types have changed.
 func (w *watch) store(changes []xds.Change) (services map[string]bool, otherTypes bool) {
 	services = map[string]bool{}
 	for _, change := range changes {
@@ -86,7 +87,7 @@
 	return services, otherTypes
 }
 
-// applyChanges caches changed resources and brings clusters and routes up to date with them.
+// applyChanges caches changed resources and updates clusters and routes accordingly.
 func (w *watch) applyChanges(changes []xds.Change) {
 	g := w.gateway
 	services, otherTypes := w.store(changes)
@@ -109,8 +110,8 @@
 	}
 }
 
-// prune drops endpoint resources that no cluster uses. A cluster that comes back must not start with the state "not
-// subscribed", by which it would reject requests that are to wait for its endpoints.
+// prune removes cached endpoint resources that no cluster uses. Otherwise a cluster that is added again would start in the
+// state "not subscribed" and reject requests that must wait for its endpoints.
 func (w *watch) prune() {
 	used := map[string]bool{}
 	for _, c := range w.gateway.clusters {
@@ -135,7 +136,7 @@
 	return resources
 }
 
-// routes returns the routes of the source and why the newest are not used. Routes are nil where there are none.
+// routes returns the routes of the source, or nil if there are none, and the reason why the newest routes are not used.
 func (w *watch) routes(settings *config.XDS) (routes *xds.Routes, reason string) {
 	name := settings.RouteConfigName
 	if settings.ListenerName != "" {
@@ -157,15 +158,15 @@
 	return routes, cmp.Or(r.RejectedReason, r.AbsentReason)
 }
 
-// start runs the source until stop, or until parent ends.
+// start runs the source in the background until stop is called or parent is done.
 func (w *watch) start(parent context.Context) {
 	ctx, cancel := context.WithCancel(parent)
 	w.cancel = cancel
 	w.running.Go(func() { w.source.Run(ctx) })
 }
 
-// stop ends the source and waits for it. It must not be called with the gateway's lock held, which the source may wait
-// for.
+// stop stops the source and waits until it has ended. The caller must not hold the gateway's mu, which the source may be
+// waiting for.
 func (w *watch) stop() {
 	if w.cancel != nil {
 		w.cancel()
@@ -173,7 +174,7 @@
 	}
 }
 
-// CheckFiles reads the files of resources that a configuration names and returns what is wrong with them.
+// CheckFiles reads the resource files of a configuration and returns an error if one of them is invalid.
 func CheckFiles(f *config.File) error {
 	g := &Gateway{log: slog.New(slog.DiscardHandler), watches: map[string]*watch{}, startedAt: time.Now()}
 	_, err := g.openWatches(f, true)
--- a/internal/gateway/watchset.go
+++ b/internal/gateway/watchset.go
@@ -11,21 +11,21 @@
 	"robindrum/internal/xds"
 )
 
-// watchSpec is what a configuration needs of a watch.
+// watchSpec is the desired state of a watch according to a configuration.
 type watchSpec struct {
 	name         string
-	configKey    string // a source made with other settings cannot be used on
-	subscription string // the services and classes, as text
+	configKey    string // identifies the settings of the source; if it changes, a new source is needed
+	subscription string // textual form of services and classes
 	services     []string
 	options      xds.Options
 	isFile       bool
-	path         string // of a file
+	path         string // of the file, if isFile is set
 }
 
-// watchSet is the watches of a configuration that is about to be used.
+// watchSet is the set of watches of a configuration that is being applied.
 type watchSet struct {
 	watches     map[string]*watch
-	resubscribe []func() // changes the subscriptions of watches that stay
+	resubscribe []func() // functions that change the subscriptions of watches that are kept
 }
 
 // watchSpecs returns the specs of a configuration's watches by name.
@@ -50,7 +50,7 @@
 	return specs
 }
 
-// servicesByWatch returns the services that each watch is to subscribe to.
+// servicesByWatch returns the services that each watch must subscribe to, by the name of the watch.
 func servicesByWatch(f *config.File) map[string][]string {
 	services := map[string][]string{}
 	if f.XDS != nil {
@@ -77,7 +77,7 @@
 	return names
 }
 
-// applyXDS takes over the settings of the control planes.
+// applyXDS sets the spec according to the xds section of a configuration.
 func (s *watchSpec) applyXDS(f *config.File) {
 	settings := f.XDS
 	s.configKey = fmt.Sprintf("%+v %s", *settings, f.Zone)
@@ -92,8 +92,9 @@
 	}
 }
 
-// openWatches returns the watches of a configuration: those in use where their settings are unchanged, new ones else. At
-// the first start a file that cannot be used is an error; later the status shows it like any other rejection.
+// openWatches returns the watches of a configuration. It keeps the current watches whose settings are unchanged and opens new
+// ones for the others. If first is set, an invalid file is an error; otherwise only the status shows it, like any other
+// rejected update.
 func (g *Gateway) openWatches(f *config.File, first bool) (*watchSet, error) {
 	set := &watchSet{watches: map[string]*watch{}}
 	specs := watchSpecs(f)
@@ -116,14 +117,14 @@
 	return set, nil
 }
 
-// resubscribe changes the subscription of a watch in use. It does so in the background, as the source delivers changes
-// under the gateway's lock, which is held here.
+// resubscribe changes the subscription of a watch in use. The caller holds the gateway's mu, which the source needs to deliver
+// changes, so the source is changed in the background.
 func (g *Gateway) resubscribe(w *watch, spec *watchSpec) {
 	w.subscription = spec.subscription
 	g.background.Go(func() { w.source.Subscribe(spec.services, spec.options.Classes) })
 }
 
-// openWatch returns a new watch. The error is that of reading its file; the watch can be used all the same.
+// openWatch returns a new watch. If its file cannot be read, openWatch returns both the error and a watch that can be used.
 func (g *Gateway) openWatch(f *config.File, spec *watchSpec) (*watch, error) {
 	w := &watch{
 		gateway:      g,
@@ -144,7 +145,7 @@
 	return w, err
 }
 
-// newClient returns a client of the configured control planes, which the site shares where the fleet is to.
+// newClient returns a client of the configured control planes, or a sharedSource if the fleet shares a subscription per site.
 func (g *Gateway) newClient(f *config.File, spec *watchSpec, sink xds.Sink) source {
 	settings := f.XDS
 	options := xds.ClientOptions{
@@ -165,8 +166,8 @@
 	return xds.NewClient(options, sink)
 }
 
-// replaceWatches uses new watches in place of the current ones: it starts those that are new and stops, in the background,
-// those that are no longer needed.
+// replaceWatches replaces the current watches with those of a set. It starts the new watches, and stops those that are no
+// longer needed in the background.
 func (g *Gateway) replaceWatches(set *watchSet) {
 	for name, current := range g.watches {
 		if set.watches[name] != current {
