--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -1,9 +1,8 @@
-// Package capture records the load of a gateway in a bounded, sampled form and reads it back. A record has the arrival time of a
-// request, its class, its hashed key, its size, its latency and its outcome; never a body, a path, an address, a credential or a plain
-// key.
+// Package capture records a bounded sample of the requests of a gateway and reads it back. A record has the arrival time, class, hashed
+// key, method, size, latency and outcome of a request. It never has a body, a path, an address, a credential or a plain key.
 //
-// The format, version 1, is lines of JSON (UTF-8, each ended by \n). The first is the Header, the last one of a complete capture the
-// Trailer; between them is a Record a line, in the order in which requests ended.
+// Version 1 of the format consists of lines of JSON in UTF-8, each terminated by \n: a Header, a Record for each request in the order in
+// which the requests ended, and a Trailer. An incomplete capture has no Trailer.
 package capture
 
 import (
@@ -12,7 +11,7 @@
 	"time"
 )
 
-// Version is the version of the format, the only one that Read accepts.
+// Version is the version of the format. Read accepts no other version.
 const Version = 1
 
 // Limits of what Read accepts.
@@ -21,14 +20,14 @@
 	maxLineBytes  = 16 << 10
 	maxNameBytes  = 256
 	maxLength     = 30 * 24 * time.Hour
-	maxReordering = 2 * time.Second // between the ends of consecutive records, as many goroutines record them
+	maxReordering = 2 * time.Second // by which a record may end before an earlier one, because goroutines record concurrently
 )
 
 // Header is the first line of a capture.
 type Header struct {
 	Version    int       `json:"robindrum_capture"`
 	StartedAt  time.Time `json:"began"`
-	SampleRate float64   `json:"sample"` // fraction of requests that is recorded, above 0 to 1
+	SampleRate float64   `json:"sample"` // fraction of requests that are recorded, more than 0 and at most 1
 	Gateway    string    `json:"gateway,omitempty"`
 }
 
@@ -39,7 +38,7 @@
 	Key           string  `json:"k,omitempty"` // 64 bits of the HMAC-SHA-256 of the key with a secret of this capture, in hex
 	Method        string  `json:"m,omitempty"`
 	BodyBytes     int64   `json:"s,omitempty"` // of the request
-	LatencyMicros int64   `json:"d"`           // microseconds until the end of the response
+	LatencyMicros int64   `json:"d"`           // from the arrival to the end of the response, in microseconds
 	Outcome       Outcome `json:"o"`
 }
 
@@ -62,17 +61,17 @@
 	End          bool   `json:"end"`
 	LengthMicros int64  `json:"length"`  // microseconds
 	Records      int    `json:"records"` // number of written records
-	Missed       uint64 `json:"missed"`  // not written, because there were too many at once or in all
+	Missed       uint64 `json:"missed"`  // requests that were not recorded because the queue was full or the maximum number of records was reached
 }
 
-// Capture is a capture that was read. Its records are in order of arrival.
+// Capture is a capture that was read. Its records are sorted by arrival.
 type Capture struct {
 	Header
 	Records   []Record
 	Length    time.Duration
 	Missed    uint64
 	Complete  bool // it has a trailer
-	Truncated bool // its last line was incomplete and is left out
+	Truncated bool // its last line is incomplete and was ignored
 }
 
 // Open reads a capture from a file.
--- a/internal/capture/former_test.go
+++ b/internal/capture/former_test.go
@@ -13,13 +13,13 @@
 		t.Fatal(err)
 	}
 	if c.Version != 1 || c.SampleRate != 1 || c.Gateway != "g1" || c.StartedAt.Year() != 2026 || !c.Complete || c.Truncated || c.Missed != 0 || c.Length < 100*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("unexpected capture: %+v", c)
 	}
 	want := []struct {
 		class, method string
-		keyed         bool
-		size          int64
-		took          time.Duration
+		hasKey        bool
+		bodyBytes     int64
+		latency       time.Duration
 		outcome       Outcome
 	}{
 		{"order", "POST", true, 512, 9 * time.Millisecond, Failed},
@@ -28,12 +28,12 @@
 		{"page", "", false, 0, 2 * time.Millisecond, Abandoned},
 	}
 	if len(c.Records) != len(want) {
-		t.Fatalf("%d records, want %d", len(c.Records), len(want))
+		t.Fatalf("got %d records, want %d", len(c.Records), len(want))
 	}
 	for i, w := range want {
 		r := c.Records[i]
-		if r.Class != w.class || r.Method != w.method || (r.Key != "") != w.keyed || r.BodyBytes != w.size || r.LatencyMicros != w.took.Microseconds() || r.Outcome != w.outcome {
-			t.Errorf("record %d: %+v, want %+v", i, r, w)
+		if r.Class != w.class || r.Method != w.method || (r.Key != "") != w.hasKey || r.BodyBytes != w.bodyBytes || r.LatencyMicros != w.latency.Microseconds() || r.Outcome != w.outcome {
+			t.Errorf("record %d: got %+v, want %+v", i, r, w)
 		}
 	}
 }
--- a/internal/capture/read.go
+++ b/internal/capture/read.go
@@ -28,7 +28,7 @@
 type reader struct {
 	capture *Capture
 	lines   *bufio.Reader
-	line    int           // number of the line that is read, from 1
+	line    int           // number of the current line, from 1
 	latest  time.Duration // end of the request that ended last
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// readLine returns the next line, and whether it is the last one because it lacks a line feed. An empty text is the end of the file.
+// readLine returns the next line, and whether it is the last one because it lacks a line feed. At the end of the file the text is empty.
 func (r *reader) readLine() (text []byte, last bool, err error) {
 	text, err = r.lines.ReadSlice('\n')
 	switch {
@@ -74,7 +74,7 @@
 func (r *reader) checkHeader() error {
 	if r.capture.Version == 0 {
 		r.line = 1
-		return errors.New("the header is not whole")
+		return errors.New("the header line is incomplete")
 	}
 	return nil
 }
@@ -83,7 +83,7 @@
 func (r *reader) checkEnd() error {
 	if more, err := r.lines.Peek(1); err == nil {
 		r.line++
-		return fmt.Errorf("something stands behind the end: %q", more)
+		return fmt.Errorf("unexpected data after the trailer: %q", more)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 	}
 	ended := record.Arrival() + time.Duration(record.LatencyMicros)*time.Microsecond
 	if ended < r.latest-maxReordering {
-		return fmt.Errorf("time goes back by %v: are these two captures in one file?", r.latest-ended)
+		return fmt.Errorf("time goes back by %v; the file may contain two captures", r.latest-ended)
 	}
 	r.latest = max(r.latest, ended)
 	r.capture.Records = append(r.capture.Records, record)
@@ -124,11 +124,11 @@
 	maxMicros := maxLength.Microseconds()
 	switch {
 	case r.Class == "" || max(len(r.Class), len(r.Key), len(r.Method)) > maxNameBytes:
-		return errors.New("c: is missing, or a name is too long")
+		return fmt.Errorf("c: is missing, or c, k or m is longer than %d bytes", maxNameBytes)
 	case min(r.ArrivalMicros, r.LatencyMicros, r.BodyBytes) < 0 || max(r.ArrivalMicros, r.LatencyMicros) > maxMicros:
-		return fmt.Errorf("t, d, s: %d, %d, %d: want 0 at least, and no more than %v", r.ArrivalMicros, r.LatencyMicros, r.BodyBytes, maxLength)
+		return fmt.Errorf("t, d, s: %d, %d, %d: must be at least 0, and t and d at most %v", r.ArrivalMicros, r.LatencyMicros, r.BodyBytes, maxLength)
 	case !slices.Contains([]Outcome{Served, Rejected, Failed, Abandoned}, r.Outcome):
-		return fmt.Errorf("o: %q is not known", r.Outcome)
+		return fmt.Errorf("o: unknown outcome %q", r.Outcome)
 	}
 	return nil
 }
@@ -136,7 +136,8 @@
 // setTrailer checks the trailer against the records and takes the length from it.
 func (c *Capture) setTrailer(t Trailer) error {
 	if t.Records != len(c.Records) || t.LengthMicros < 0 || t.LengthMicros > maxLength.Microseconds() {
-		return fmt.Errorf("the end says %d records over %d us, and there are %d", t.Records, t.LengthMicros, len(c.Records))
+		return fmt.Errorf("trailer: got %d records over %d us, want %d records over 0 to %d us",
+			t.Records, t.LengthMicros, len(c.Records), maxLength.Microseconds())
 	}
 	c.Complete = true
 	c.Missed = t.Missed
@@ -150,21 +151,21 @@
 		Version *int `json:"robindrum_capture"`
 	}
 	if err := json.Unmarshal(text, &v); err != nil || v.Version == nil {
-		return errors.New("not a capture: the first line has no robindrum_capture")
+		return errors.New("not a capture: the first line has no field robindrum_capture")
 	}
 	if *v.Version != Version {
-		return fmt.Errorf("robindrum_capture: version %d is not known, only %d", *v.Version, Version)
+		return fmt.Errorf("robindrum_capture: unsupported version %d, want %d", *v.Version, Version)
 	}
 	if err := decodeStrict(text, &c.Header); err != nil {
 		return err
 	}
 	if !(c.SampleRate > 0 && c.SampleRate <= 1) || math.IsNaN(c.SampleRate) {
-		return fmt.Errorf("sample: want more than 0 and 1 at most, not %v", c.SampleRate)
+		return fmt.Errorf("sample: want more than 0 and at most 1, got %v", c.SampleRate)
 	}
 	return nil
 }
 
-// finish sorts the records and sets the length of a capture without a trailer. The last record ended at latest.
+// finish sorts the records and sets the length of a capture without a trailer to latest, the end of the last record.
 func (c *Capture) finish(latest time.Duration) {
 	slices.SortStableFunc(c.Records, func(a, b Record) int { return cmp.Compare(a.ArrivalMicros, b.ArrivalMicros) })
 	if !c.Complete {
@@ -183,7 +184,7 @@
 		return fmt.Errorf("not a line of a capture: %w", err)
 	}
 	if d.More() {
-		return errors.New("more than one value in a line")
+		return errors.New("more than one JSON value in a line")
 	}
 	return nil
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -18,8 +18,8 @@
 
 // Options configures a recording.
 type Options struct {
-	Duration   time.Duration // above 0, an hour at most
-	SampleRate float64       // fraction of requests, above 0 to 1
+	Duration   time.Duration // more than 0 and at most an hour
+	SampleRate float64       // fraction of requests, more than 0 and at most 1
 	MaxRecords int           // 0: defaultMaxRecords
 	Gateway    string        // name for the header
 }
@@ -28,17 +28,17 @@
 func (o *Options) Validate() error {
 	switch {
 	case o.Duration <= 0 || o.Duration > time.Hour:
-		return fmt.Errorf("for: want more than 0 and an hour at most, not %v", o.Duration)
+		return fmt.Errorf("for: want more than 0 and at most an hour, got %v", o.Duration)
 	case !(o.SampleRate > 0 && o.SampleRate <= 1):
-		return fmt.Errorf("sample: want more than 0 and 1 at most, not %v", o.SampleRate)
+		return fmt.Errorf("sample: want more than 0 and at most 1, got %v", o.SampleRate)
 	case o.MaxRecords < 0 || o.MaxRecords > MaxRecords:
-		return fmt.Errorf("records: want 0 to %d, not %d", MaxRecords, o.MaxRecords)
+		return fmt.Errorf("records: want 0 to %d, got %d", MaxRecords, o.MaxRecords)
 	}
 	return nil
 }
 
-// Recorder records requests as they end. Add is safe for concurrent use and does not block: requests for which the queue has no space
-// are counted as missed. Write may be called once.
+// Recorder records requests as they end. Add is safe for concurrent use and does not block; if the queue is full, the request is counted
+// as missed. Write may be called once.
 type Recorder struct {
 	options   Options
 	startedAt time.Time
@@ -60,7 +60,7 @@
 	flushInterval     = time.Second
 )
 
-// NewRecorder returns a recorder whose time begins now. Up to queueSize requests wait for Write.
+// NewRecorder returns a recorder of requests that arrive from now on. Up to queueSize of them are queued until Write writes them.
 func NewRecorder(o Options) (*Recorder, error) {
 	if o.MaxRecords == 0 {
 		o.MaxRecords = defaultMaxRecords
@@ -71,22 +71,22 @@
 	return &Recorder{options: o, startedAt: time.Now(), queue: make(chan entry, queueSize)}, nil
 }
 
-// Add records a request that ends now and took a duration. Its key is hashed before it is written.
-func (r *Recorder) Add(class, key, method string, size int64, took time.Duration, out Outcome) {
+// Add records a request that ends now. Its key is hashed before it is written.
+func (r *Recorder) Add(class, key, method string, size int64, latency time.Duration, outcome Outcome) {
 	if r.options.SampleRate < 1 && mathrand.Float64() >= r.options.SampleRate {
 		return
 	}
-	at := time.Since(r.startedAt) - took
-	if at < 0 {
-		return // it arrived before the recording began
+	arrival := time.Since(r.startedAt) - latency
+	if arrival < 0 {
+		return // the request arrived before the recording started
 	}
 	record := Record{
-		ArrivalMicros: at.Microseconds(),
+		ArrivalMicros: arrival.Microseconds(),
 		Class:         class,
 		Method:        method,
 		BodyBytes:     size,
-		LatencyMicros: took.Microseconds(),
-		Outcome:       out,
+		LatencyMicros: latency.Microseconds(),
+		Outcome:       outcome,
 	}
 	select {
 	case r.queue <- entry{record, key}:
@@ -95,12 +95,12 @@
 	}
 }
 
-// Write writes the recorded requests to out. It blocks until the duration is over, ctx ends, or the maximum of records is reached, and
-// then writes the trailer. A capture whose writing failed has no trailer.
+// Write writes the recorded requests to out. It blocks until the duration is over, ctx ends, or the maximum number of records is reached,
+// and then writes the trailer. If Write returns an error, the capture has no complete trailer.
 func (r *Recorder) Write(ctx context.Context, out io.Writer) error {
 	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
-		return fmt.Errorf("a secret for the capture: %w", err)
+		return fmt.Errorf("generating the secret of the capture: %w", err)
 	}
 	buffer := bufio.NewWriterSize(out, writeBufferBytes)
 	w := &entryWriter{buffer: buffer, encoder: json.NewEncoder(buffer), secret: secret}
@@ -133,7 +133,7 @@
 	})
 }
 
-// writeUntilDone writes entries until ctx ends or the maximum of records is reached.
+// writeUntilDone writes entries until ctx ends or the maximum number of records is reached.
 func (r *Recorder) writeUntilDone(ctx context.Context, w *entryWriter) error {
 	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
@@ -157,9 +157,9 @@
 // entryWriter writes the lines of a capture.
 type entryWriter struct {
 	buffer  *bufio.Writer
-	encoder *json.Encoder // into buffer
+	encoder *json.Encoder // writes to buffer
 	secret  []byte        // for the hashes of keys
-	records int           // written
+	records int           // number of records written
 }
 
 // write writes a record with the hash of its key.
