--- a/internal/compatibility/compatibility_test.go
+++ b/internal/compatibility/compatibility_test.go
@@ -1,4 +1,4 @@
-// Package compatibility tests that the names which other processes, stored data and operators depend on stay as they are.
+// Package compatibility tests that names on which other processes, stored data and operators depend do not change.
 package compatibility
 
 import (
@@ -18,13 +18,13 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// product are the folders whose names are compared; test files and testdata are left out.
-var product = []string{"cmd", "internal"}
+// sourceDirs are the folders whose names are compared. Test files and testdata are skipped.
+var sourceDirs = []string{"cmd", "internal"}
 
-// TestTagsStay compares all JSON and YAML tags, and the set of tags of each struct that has any. An exported field without a tag
-// of its own counts by its Go name, since encoders use that.
+// TestTagsStay compares all JSON and YAML tags, and the set of tags of each struct that has any, with the golden files. An exported field
+// without a tag is compared by its Go name, which is the name that the encoders use.
 func TestTagsStay(t *testing.T) {
 	tags, structs := map[string]bool{}, map[string]bool{}
 	eachFile(t, func(file *ast.File) {
@@ -34,12 +34,12 @@
 				return true
 			}
 			for _, key := range []string{"json", "yaml"} {
-				l := structTags(t, s, key)
-				for _, tag := range l {
+				list := structTags(t, s, key)
+				for _, tag := range list {
 					tags[key+" "+tag] = true
 				}
-				if len(l) > 0 {
-					structs[key+" {"+strings.Join(l, " ")+"}"] = true
+				if len(list) > 0 {
+					structs[key+" {"+strings.Join(list, " ")+"}"] = true
 				}
 			}
 			return true
@@ -49,8 +49,8 @@
 	compare(t, "structs.txt", structs)
 }
 
-// structTags gives the tags of a struct's fields in order, and nothing where no field has one.
-func structTags(t *testing.T, s *ast.StructType, key string) (l []string) {
+// structTags returns the sorted tags of a struct's fields, or nil if no field has a tag.
+func structTags(t *testing.T, s *ast.StructType, key string) (list []string) {
 	t.Helper()
 	tagged := false
 	for _, field := range s.Fields.List {
@@ -66,11 +66,11 @@
 		switch {
 		case value == "-":
 		case found:
-			l = append(l, value)
+			list = append(list, value)
 		default:
 			for _, name := range field.Names {
 				if name.IsExported() {
-					l = append(l, "untagged:"+name.Name)
+					list = append(list, "untagged:"+name.Name)
 				}
 			}
 		}
@@ -78,11 +78,11 @@
 	if !tagged {
 		return nil
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(list)
+	return list
 }
 
-// TestPathsAndMetricsStay compares the literals that look like HTTP paths or names of metrics.
+// TestPathsAndMetricsStay compares the string literals that look like HTTP paths or metric names with the golden file.
 func TestPathsAndMetricsStay(t *testing.T) {
 	paths := map[string]bool{}
 	eachFile(t, func(file *ast.File) {
@@ -106,10 +106,11 @@
 	compare(t, "paths.txt", paths)
 }
 
+// eachFile calls visit with every parsed source file.
 func eachFile(t *testing.T, visit func(*ast.File)) {
 	t.Helper()
-	for _, folder := range product {
-		err := filepath.WalkDir(filepath.Join("..", "..", folder), func(path string, d fs.DirEntry, err error) error {
+	for _, dir := range sourceDirs {
+		err := filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, d fs.DirEntry, err error) error {
 			switch {
 			case err != nil:
 				return err
@@ -131,6 +132,7 @@
 	}
 }
 
+// compare compares got with the lines of a golden file, which it first rewrites if the flag update is set.
 func compare(t *testing.T, name string, got map[string]bool) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -150,12 +152,12 @@
 	}
 	for _, line := range slices.SortedFunc(maps.Keys(want), cmp.Compare[string]) {
 		if !got[line] {
-			t.Errorf("%s: is gone: %s", name, line)
+			t.Errorf("%s: missing in the code: %s", name, line)
 		}
 	}
 	for _, line := range slices.Sorted(maps.Keys(got)) {
 		if !want[line] {
-			t.Errorf("%s: is new: %s", name, line)
+			t.Errorf("%s: missing in the golden file: %s", name, line)
 		}
 	}
 }
