--- a/cmd/robindrum/capture.go
+++ b/cmd/robindrum/capture.go
@@ -19,18 +19,18 @@
 // captureCommand returns the command that records the load of a running gateway.
 func captureCommand() *cobra.Command {
 	var addr, path string
-	var length time.Duration
-	var sample float64
-	var records int
-	c := &cobra.Command{Use: "capture -o FILE", Short: "Record the load of a running gateway, for lab and plan", Args: noArgs,
-		Long: "Record when requests come, their class, hashed key, method, size, time taken and outcome; never bodies, paths, addresses\n" +
-			"or keys as they are. The file appears once it is whole.",
+	var duration time.Duration
+	var sampleRate float64
+	var maxRecords int
+	c := &cobra.Command{Use: "capture -o FILE", Short: "Record the load of a running gateway, as input for lab and plan", Args: noArgs,
+		Long: "Record the arrival time, class, hashed key, method, size, latency and outcome of requests. Bodies, paths, addresses and\n" +
+			"plain keys are never recorded. The output file is created when the capture is complete.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			o := capture.Options{Duration: length, SampleRate: sample, MaxRecords: records}
-			if err := o.Validate(); err != nil {
+			options := capture.Options{Duration: duration, SampleRate: sampleRate, MaxRecords: maxRecords}
+			if err := options.Validate(); err != nil {
 				return fmt.Errorf("%w: %w", err, errUsage)
 			}
-			captured, err := saveCapture(c.Context(), addr, path, &o)
+			captured, err := saveCapture(c.Context(), addr, path, &options)
 			if err != nil {
 				return err
 			}
@@ -38,39 +38,39 @@
 			return nil
 		}}
 	c.Flags().StringVarP(&addr, "admin", "a", "127.0.0.1:9901", "the gateway's admin `address`")
-	c.Flags().StringVarP(&path, "output", "o", "", "the capture's `file`")
-	c.Flags().DurationVar(&length, "for", time.Minute, "how long")
-	c.Flags().Float64Var(&sample, "sample", 1, "the part of requests that is recorded")
-	c.Flags().IntVar(&records, "records", 1_000_000, "records at most")
+	c.Flags().StringVarP(&path, "output", "o", "", "the `file` that the capture is written to")
+	c.Flags().DurationVar(&duration, "for", time.Minute, "how long to record")
+	c.Flags().Float64Var(&sampleRate, "sample", 1, "fraction of the requests to record")
+	c.Flags().IntVar(&maxRecords, "records", 1_000_000, "maximum number of records")
 	must(c.MarkFlagRequired("output"))
 	return c
 }
 
-// maxCaptureBytes is the size beyond which a capture is cut off.
+// maxCaptureBytes is the size at which a downloaded capture is truncated.
 const maxCaptureBytes = 4 << 30
 
 // saveCapture records the load of a gateway into a file. The file has a temporary name until the capture is complete.
-func saveCapture(ctx context.Context, addr, path string, o *capture.Options) (*capture.Capture, error) {
-	part := path + ".part"
-	if err := downloadCapture(ctx, addr, part, o); err != nil {
+func saveCapture(ctx context.Context, addr, path string, options *capture.Options) (*capture.Capture, error) {
+	partPath := path + ".part"
+	if err := downloadCapture(ctx, addr, partPath, options); err != nil {
 		return nil, err
 	}
-	captured, err := capture.Open(part)
+	captured, err := capture.Open(partPath)
 	if err != nil || !captured.Complete {
-		return nil, errors.Join(fmt.Errorf("the capture is not whole, what has come is in %s", part), err)
+		return nil, errors.Join(fmt.Errorf("the capture is incomplete; the received part is in %s", partPath), err)
 	}
-	if err := os.Rename(part, path); err != nil {
-		return nil, fmt.Errorf("the file of the capture: %w", err)
+	if err := os.Rename(partPath, path); err != nil {
+		return nil, fmt.Errorf("renaming the capture file: %w", err)
 	}
 	return captured, nil
 }
 
 // downloadCapture copies the response of the gateway into a file.
-func downloadCapture(ctx context.Context, addr, path string, o *capture.Options) error {
+func downloadCapture(ctx context.Context, addr, path string, options *capture.Options) error {
 	query := url.Values{
-		"seconds": {fmt.Sprint(o.Duration.Seconds())},
-		"sample":  {fmt.Sprint(o.SampleRate)},
-		"records": {fmt.Sprint(o.MaxRecords)},
+		"seconds": {fmt.Sprint(options.Duration.Seconds())},
+		"sample":  {fmt.Sprint(options.SampleRate)},
+		"records": {fmt.Sprint(options.MaxRecords)},
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/capture?"+query.Encode(), nil)
 	if err != nil {
@@ -87,11 +87,11 @@
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		return fmt.Errorf("the file of the capture: %w", err)
+		return fmt.Errorf("creating the capture file: %w", err)
 	}
-	_, copied := io.Copy(f, io.LimitReader(response.Body, maxCaptureBytes))
-	if err := errors.Join(copied, f.Sync(), f.Close()); err != nil {
-		return fmt.Errorf("what has come is in %s: %w", path, err)
+	_, copyErr := io.Copy(f, io.LimitReader(response.Body, maxCaptureBytes))
+	if err := errors.Join(copyErr, f.Sync(), f.Close()); err != nil {
+		return fmt.Errorf("receiving the capture, the received part is in %s: %w", path, err)
 	}
 	return nil
 }
--- a/cmd/robindrum/check.go
+++ b/cmd/robindrum/check.go
@@ -13,30 +13,30 @@
 // checkCommand returns the command that checks a configuration file.
 func checkCommand() *cobra.Command {
 	var path string
-	var show bool
-	c := &cobra.Command{Use: "check -c FILE", Short: "Say whether a configuration can be used", Args: noArgs,
-		Long: "Check the file, and the files of resources that it names, and give every error as file:line:column: field: reason.",
+	var printAll bool
+	c := &cobra.Command{Use: "check -c FILE", Short: "Check a configuration file", Args: noArgs,
+		Long: "Check a configuration file and the resource files that it names. Each error is printed as file:line:column: field: reason.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			f, err := config.Load(path)
+			conf, err := config.Load(path)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), err)
 				return errReported
 			}
-			if err := gateway.CheckFiles(f); err != nil {
+			if err := gateway.CheckFiles(conf); err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), err)
 				return errReported
 			}
-			for _, w := range f.Warnings() {
-				fmt.Fprintf(c.ErrOrStderr(), "%s: warning: %s\n", path, w)
+			for _, warning := range conf.Warnings() {
+				fmt.Fprintf(c.ErrOrStderr(), "%s: warning: %s\n", path, warning)
 			}
-			if show {
-				return printConfig(c.OutOrStdout(), f)
+			if printAll {
+				return printConfig(c.OutOrStdout(), conf)
 			}
-			printSummary(c.OutOrStdout(), path, f)
+			printSummary(c.OutOrStdout(), path, conf)
 			return nil
 		}}
 	c.Flags().StringVarP(&path, "config", "c", "", "the configuration `file`")
-	c.Flags().BoolVar(&show, "print", false, "print the file with all defaults")
+	c.Flags().BoolVar(&printAll, "print", false, "print the configuration with all defaults")
 	must(c.MarkFlagRequired("config"))
 	return c
 }
@@ -51,7 +51,8 @@
 	return err
 }
 
-// printSummary prints the outcome of the loss of sites, where the configuration has a plan, and the size of the configuration.
+// printSummary prints the outcome of each loss of one or two sites, if the configuration has a site plan, and the number of listeners,
+// clusters, routes and classes.
 func printSummary(out io.Writer, path string, f *config.File) {
 	if plan := f.SitePlan(); plan != nil {
 		for _, lost := range append(plan.SingleLosses(), plan.PairLosses()...) {
--- a/cmd/robindrum/drains.go
+++ b/cmd/robindrum/drains.go
@@ -16,7 +16,7 @@
 	"robindrum/internal/quorum"
 )
 
-// Exit codes of drain requests that were waited for.
+// Exit codes of waiting for a drain request.
 const (
 	exitOverdue   = 3 // the deadline has passed with requests in flight
 	exitCancelled = 4
@@ -24,21 +24,21 @@
 
 const (
 	defaultAdmin = "127.0.0.1:9901"
-	adminUsage   = "any process's admin `address`"
+	adminUsage   = "admin `address` of any process of the fleet"
 
 	drainPollInterval = 200 * time.Millisecond
 )
 
-// exitCode is the process's exit code as an error. What the user has to know was printed before.
+// exitCode is an error that sets the exit code of the process. Its cause has already been printed.
 type exitCode int
 
-// Error names the code.
+// Error returns the exit code as text.
 func (c exitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
-// Unwrap returns errReported.
+// Unwrap returns errReported, so that run does not print the error.
 func (c exitCode) Unwrap() error { return errReported }
 
-// drainClient sends drain requests to the admin address of a process of the fleet, and prints what becomes of them.
+// drainClient sends drain requests to the admin address of a process of the fleet, and prints their state.
 type drainClient struct {
 	addr   string
 	wait   bool
@@ -52,61 +52,61 @@
 	}
 	f.StringVarP(&d.addr, "admin", "a", defaultAdmin, adminUsage)
 	f.BoolVar(&d.wait, "wait", false, waitUsage)
-	f.BoolVar(&d.asJSON, "json", false, "print JSON, a line each")
+	f.BoolVar(&d.asJSON, "json", false, "print JSON, one object per line")
 }
 
 func drainCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "drain",
-		Short: "Take gateways or endpoints out of service, as the fleet's budgets allow",
-		Long: "Take a gateway, an endpoint, or a zone of either out of service. The fleet's quorum grants it when the budgets allow, counting what is out by itself;\n" +
-			"until then the request is pending. The target stays out until robindrum undrain, also when it is restarted.\n" +
-			"With --wait, exit codes: 0 nothing is in flight any more, 1 refused or failed, 3 overdue, 4 cancelled.",
+		Short: "Take gateways or endpoints out of service, within the fleet's disruption budgets",
+		Long: "Take a gateway, an endpoint, or all gateways or endpoints of a zone out of service.\n\nThe fleet's quorum grants the request when the disruption budgets allow it; until then the request is pending.\n" +
+			"Targets that are unavailable for other reasons also count against the budgets.\nA drained target stays out of service, even if it is restarted, until robindrum undrain.\n\n" +
+			"Exit codes with --wait: 0 no requests are in flight, 1 rejected or failed, 3 overdue, 4 cancelled.",
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
 	client := &drainClient{}
-	client.addFlags(c, "wait until it is done, and print each change", true)
+	client.addFlags(c, "wait until the target is drained or overdue, and print each change", true)
 	request := &drain.Request{}
 	f := c.PersistentFlags()
-	f.StringVar(&request.ID, "id", "", "the drain request's name; submitted again it is the same request; left out: a random one")
-	f.StringVar(&request.Owner, "owner", os.Getenv("USER"), "who asks")
+	f.StringVar(&request.ID, "id", "", "name of the drain request, random if empty; submitting a name again has no effect")
+	f.StringVar(&request.Owner, "owner", os.Getenv("USER"), "who requests the drain")
 	f.StringVar(&request.Reason, "reason", "", "why")
 	f.DurationVar(&request.Grace, "grace", 30*time.Second, "how long requests in flight may take to finish")
-	f.DurationVar(&request.Notice, "notice", 2*time.Second, "of it, how long a gateway still accepts requests, with its readiness off")
-	f.BoolVar(&request.WaitForAll, "wait-for-all", false, "go on waiting for a gateway's requests in flight when the grace is over; else it answers them then, by class")
+	f.DurationVar(&request.Notice, "notice", 2*time.Second, "first part of the grace period, in which a gateway still accepts requests but reports that it is not ready")
+	f.BoolVar(&request.WaitForAll, "wait-for-all", false, "keep waiting for a gateway's requests in flight when the grace period is over; otherwise the gateway then answers them itself")
 	for _, kind := range drainTargets {
 		c.AddCommand(drainTargetCommand(client, request, kind))
 	}
 	return c
 }
 
-// drainTarget is a subcommand of drain: a kind of target and its arguments.
+// drainTarget describes a subcommand of drain, which drains one kind of target.
 type drainTarget struct {
 	use         string
 	short       string
 	args        cobra.PositionalArgs
-	ofEndpoints bool // their drains have no notice
+	ofEndpoints bool // drains of endpoints have no notice
 	target      func(args []string) drain.Target
 }
 
 var drainTargets = []drainTarget{
 	{
 		use:    "gateway MEMBER",
-		short:  "A gateway, by its member's name",
+		short:  "Drain a gateway, given its member name",
 		args:   cobra.ExactArgs(1),
 		target: func(args []string) drain.Target { return drain.Target{Gateway: args[0]} },
 	},
 	{
 		use:         "endpoint CLUSTER ADDRESS",
-		short:       "An endpoint of a cluster, at every gateway",
+		short:       "Drain an endpoint of a cluster at every gateway",
 		args:        cobra.ExactArgs(2),
 		ofEndpoints: true,
 		target:      func(args []string) drain.Target { return drain.Target{Cluster: args[0], Endpoint: args[1]} },
 	},
 	{
 		use:   "gateways ZONE [SITE]",
-		short: "All gateways of a zone, together or none",
+		short: "Drain all gateways of a zone, or none if they cannot all be drained together",
 		args:  cobra.RangeArgs(1, 2),
 		target: func(args []string) drain.Target {
 			if len(args) == 1 {
@@ -117,7 +117,7 @@
 	},
 	{
 		use:         "zone CLUSTER ZONE",
-		short:       "All endpoints of a zone of a cluster, together or none",
+		short:       "Drain all endpoints of a cluster in a zone, or none if they cannot all be drained together",
 		args:        cobra.ExactArgs(2),
 		ofEndpoints: true,
 		target:      func(args []string) drain.Target { return drain.Target{Cluster: args[0], Zone: args[1]} },
@@ -143,7 +143,7 @@
 	client := &drainClient{}
 	c := &cobra.Command{
 		Use:   "undrain ORDER",
-		Short: "Bring back what a drain request has taken out, or drop a request that has not begun",
+		Short: "Return a drained target to service, or cancel a drain request that has not begun",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			cancelled, err := client.post(c, "undrain", &drain.Request{ID: args[0]})
@@ -153,7 +153,7 @@
 			return client.finish(c, cancelled, drain.Ended)
 		},
 	}
-	client.addFlags(c, "wait until it is in service again", false)
+	client.addFlags(c, "wait until the target is in service again", false)
 	return c
 }
 
@@ -161,11 +161,11 @@
 	client := &drainClient{}
 	c := &cobra.Command{
 		Use:   "orders",
-		Short: "Print the drain requests, what they wait for, and the budgets",
+		Short: "Print the drain requests, their states, and the disruption budgets",
 		Args:  noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if client.asJSON {
-				return ask(c, http.MethodGet, client.addr, "/fleet/orders", c.OutOrStdout())
+				return callAdmin(c, http.MethodGet, client.addr, "/fleet/orders", c.OutOrStdout())
 			}
 			list, err := client.list(c)
 			if err != nil {
@@ -175,10 +175,10 @@
 		},
 	}
 	c.PersistentFlags().StringVarP(&client.addr, "admin", "a", defaultAdmin, adminUsage)
-	c.Flags().BoolVar(&client.asJSON, "json", false, "print the quorum's answer unchanged")
+	c.Flags().BoolVar(&client.asJSON, "json", false, "print the quorum's JSON response unchanged")
 	c.AddCommand(
-		grantingCommand(client, "halt", "Have nothing new taken out; what is out stays, and may come back"),
-		grantingCommand(client, "resume", "Lift a halt"),
+		grantingCommand(client, "halt", "Stop granting drain requests; drained targets stay drained and can be undrained"),
+		grantingCommand(client, "resume", "Resume granting drain requests after a halt"),
 	)
 	return c
 }
@@ -196,7 +196,7 @@
 	}
 }
 
-// drain submits a request, with a random ID where it has none, and waits for it where that is asked for.
+// drain submits a request, with a random ID if it has none, and waits for it if --wait is set.
 func (d *drainClient) drain(c *cobra.Command, request *drain.Request) error {
 	if request.ID == "" {
 		var id [4]byte
@@ -210,7 +210,7 @@
 	return d.finish(c, submitted, drain.Drained, drain.Overdue)
 }
 
-// finish prints the request, or with --wait its changes until it is in one of the states.
+// finish prints the request or, with --wait, its changes until it is in one of the wanted states.
 func (d *drainClient) finish(c *cobra.Command, request drain.Request, wanted ...drain.State) error {
 	if d.wait {
 		return d.watch(c, request, wanted)
@@ -218,19 +218,19 @@
 	return d.print(c.OutOrStdout(), request)
 }
 
-// post posts a request to one of the fleet's operations and returns it as the quorum has it.
+// post sends a request to an operation of the fleet's admin API and returns the request as the quorum has recorded it.
 func (d *drainClient) post(c *cobra.Command, operation string, request *drain.Request) (drain.Request, error) {
 	var answer drain.Request
 	text, err := json.Marshal(request)
 	if err != nil {
 		return answer, err
 	}
-	err = send(c, http.MethodPost, d.addr, "/fleet/"+operation, bytes.NewReader(text), &answer)
+	err = callAdminWithBody(c, http.MethodPost, d.addr, "/fleet/"+operation, bytes.NewReader(text), &answer)
 	return answer, err
 }
 
 func (d *drainClient) list(c *cobra.Command) (quorum.DrainList, error) {
 	var list quorum.DrainList
-	err := ask(c, http.MethodGet, d.addr, "/fleet/orders", &list)
+	err := callAdmin(c, http.MethodGet, d.addr, "/fleet/orders", &list)
 	return list, err
 }
--- a/cmd/robindrum/drains_test.go
+++ b/cmd/robindrum/drains_test.go
@@ -15,11 +15,11 @@
 	"robindrum/internal/release"
 )
 
-// adminServer answers like the admin address of a process of a fleet, and returns that address.
-func adminServer(t *testing.T, answers map[string]any) string {
+// adminServer starts an admin server that returns the given responses, encoded as JSON, by path. It returns the address of the server.
+func adminServer(t *testing.T, responses map[string]any) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if err := json.NewEncoder(w).Encode(answers[r.URL.Path]); err != nil {
+		if err := json.NewEncoder(w).Encode(responses[r.URL.Path]); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -40,10 +40,10 @@
 		t.Run(name, func(t *testing.T) {
 			submitted := drain.Request{ID: "a", Target: drain.Target{Gateway: "g1"}, State: c.state, StateReason: "budget b allows none"}
 			addr := adminServer(t, map[string]any{"/fleet/drain": submitted})
-			var out, errs bytes.Buffer
-			code := run(t.Context(), []string{"drain", "gateway", "g1", "--id", "a", "-a", addr}, &out, &errs)
+			var out, stderr bytes.Buffer
+			code := run(t.Context(), []string{"drain", "gateway", "g1", "--id", "a", "-a", addr}, &out, &stderr)
 			if code != c.exitCode || out.String() != c.want {
-				t.Errorf("exit code %d, want %d: %s%s", code, c.exitCode, out.String(), errs.String())
+				t.Errorf("got exit code %d and output %q, want %d and %q; stderr: %s", code, out.String(), c.exitCode, c.want, stderr.String())
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 	} {
 		reached, err := outcome(c.state, c.wanted)
 		if reached != c.reached || !errors.Is(err, c.err) {
-			t.Errorf("%s, waiting for %v: %v, %v", c.state, c.wanted, reached, err)
+			t.Errorf("outcome(%s, %v): got %v, %v, want %v, %v", c.state, c.wanted, reached, err, c.reached, c.err)
 		}
 	}
 }
@@ -84,12 +84,12 @@
 		{Name: "endpoints", Scope: "cluster c", Total: 3, Allowed: 1},
 	}}
 	addr := adminServer(t, map[string]any{"/fleet/releases": releases, "/fleet/orders": drains})
-	var out, errs bytes.Buffer
-	code := run(t.Context(), []string{"release", "plan", "--program", "v2", "-a", addr}, &out, &errs)
+	var out, stderr bytes.Buffer
+	code := run(t.Context(), []string{"release", "plan", "--program", "v2", "-a", addr}, &out, &stderr)
 	want := "wave 1, 1 of 3: g0\nwave 2, 2 of 3: g1 g2\n" +
 		"budget gateways, all: 0 of 3 may be out at once, 1 are\n" +
 		"it would be refused: budget gateways allows none to be out\n"
 	if code != 1 || out.String() != want {
-		t.Errorf("exit code %d: %s%s", code, out.String(), errs.String())
+		t.Errorf("got exit code %d and output %q, want 1 and %q; stderr: %s", code, out.String(), want, stderr.String())
 	}
 }
--- a/cmd/robindrum/drainstatus.go
+++ b/cmd/robindrum/drainstatus.go
@@ -16,7 +16,7 @@
 	"robindrum/internal/quorum"
 )
 
-// print prints a drain request. For one that was rejected it returns an exit code.
+// print prints a drain request. It returns an exit code if the request was rejected, unless it prints JSON.
 func (d *drainClient) print(out io.Writer, r drain.Request) error {
 	if d.asJSON {
 		return json.NewEncoder(out).Encode(r)
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// watch prints a drain request's changes until it is in one of the wanted states or has ended. While the fleet does not answer it goes
-// on asking.
+// watch prints a drain request's changes until it is in one of the wanted states or has ended. It keeps polling while the fleet does not
+// answer.
 func (d *drainClient) watch(c *cobra.Command, request drain.Request, wanted []drain.State) error {
 	var printed drain.Request
 	for {
@@ -70,7 +70,7 @@
 	}
 }
 
-// outcome reports whether a request that is waited for in one of the wanted states goes no further, and the command's exit code then.
+// outcome reports whether to stop waiting for a request that is in the given state, and returns the command's exit code as an error.
 func outcome(state drain.State, wanted []drain.State) (reached bool, err error) {
 	if slices.Contains(wanted, state) {
 		if state == drain.Overdue {
@@ -85,29 +85,29 @@
 	return false, nil
 }
 
-// printDrains prints all drain requests and the budgets.
+// printDrains prints all drain requests and the disruption budgets.
 func printDrains(out io.Writer, list *quorum.DrainList) error {
 	if !list.Fresh {
-		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last. Nothing new is taken out; what is out stays out\n", list.Voter)
+		fmt.Fprintf(out, "NO LEADER: last state known to voter %s. No drain requests are granted; drained targets stay drained\n", list.Voter)
 	}
 	if list.Halted {
-		fmt.Fprintln(out, "HALTED: nothing new is taken out")
+		fmt.Fprintln(out, "HALTED: no drain requests are granted")
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "ORDER\tTARGET\tSTATE\tFOR\tIN HAND\tTOKEN\tOWNER\tREASON")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "ORDER\tTARGET\tSTATE\tFOR\tIN HAND\tTOKEN\tOWNER\tREASON")
 	for _, r := range list.Requests {
 		age := max(list.Now-r.StateSince, 0)
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\n",
 			r.ID, r.Target, r.State, seconds(age.Seconds()), r.InFlight, r.Token, r.Owner, bothReasons(&r))
 	}
-	fmt.Fprintln(t, "\nBUDGET\tOF\tOUT\tMAY BE OUT\tWHICH")
+	fmt.Fprintln(table, "\nBUDGET\tOF\tOUT\tMAY BE OUT\tWHICH")
 	for _, b := range list.Budgets {
-		fmt.Fprintf(t, "%s, %s\t%d\t%d\t%d\t%s\n", b.Name, b.Scope, b.Total, len(b.Unavailable), b.Allowed, strings.Join(b.Unavailable, " "))
+		fmt.Fprintf(table, "%s, %s\t%d\t%d\t%d\t%s\n", b.Name, b.Scope, b.Total, len(b.Unavailable), b.Allowed, strings.Join(b.Unavailable, " "))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// bothReasons returns the reason that the operator gave, and that of the request's state.
+// bothReasons returns the operator's reason and the reason of the request's state.
 func bothReasons(r *drain.Request) string {
 	if r.StateReason == "" {
 		return r.Reason
@@ -115,7 +115,7 @@
 	return strings.TrimSpace(r.Reason + " (" + r.StateReason + ")")
 }
 
-// sleep waits for a while, or until the context is done, whose error it then returns.
+// sleep waits for a duration. If ctx ends first, it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/cmd/robindrum/fleet_output.go
+++ b/cmd/robindrum/fleet_output.go
@@ -24,7 +24,7 @@
 	membership.Dead,
 }
 
-// showFleet prints how a process stands in its fleet.
+// showFleet prints the state of a process in its fleet.
 func showFleet(out io.Writer, s *fleet.Status) error {
 	fmt.Fprintf(out, "fleet %s, member %s (site %s, %s), birth %d\n", s.Name, s.Self.Name, orNone(s.Self.Site), s.Self.State, s.Self.Incarnation)
 	showMemberCounts(out, s.Members)
@@ -109,7 +109,7 @@
 // showLeases prints a table of the leases.
 func showLeases(out io.Writer, list *quorum.LeaseList) error {
 	if !list.Fresh {
-		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last\n", list.Voter)
+		fmt.Fprintf(out, "NO LEADER: last state known to voter %s\n", list.Voter)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "LEASE\tHOLDER\tTOKEN\tLEFT\tLENGTH\tIN LINE")
@@ -124,7 +124,7 @@
 	return table.Flush()
 }
 
-// showSubscription prints the state of the gateway's part in its site's shared subscription, where it has one.
+// showSubscription prints the state of the site's shared subscription at the gateway, if the gateway takes part in one.
 func showSubscription(out io.Writer, s *gateway.Status) error {
 	subscription := s.Subscription
 	if subscription == nil {
@@ -132,7 +132,7 @@
 	}
 	fmt.Fprintf(out, "subscription: %s for %s", subscription.Mode, seconds(subscription.ModeSeconds))
 	if subscription.Leader != "" {
-		fmt.Fprintf(out, ", last word of %s (token %d, number %d) %s ago", subscription.Leader, subscription.Token, subscription.Sequence, seconds(subscription.LastPushAge))
+		fmt.Fprintf(out, ", last update from %s (token %d, number %d) %s ago", subscription.Leader, subscription.Token, subscription.Sequence, seconds(subscription.LastPushAge))
 	}
 	fmt.Fprintln(out)
 	if subscription.Stale != "" {
--- a/cmd/robindrum/main.go
+++ b/cmd/robindrum/main.go
@@ -1,9 +1,16 @@
-// Robindrum is a load-balancing gateway: it takes a YAML file, serves several clusters behind its listeners, and follows
-// endpoints from the file, from files of resources, or from control planes that speak xDS.
+// Robindrum is a load-balancing gateway. It reads a YAML configuration file, serves several clusters behind its listeners, and takes
+// their endpoints from that file, from resource files, or from xDS control planes.
 //
-// Exit codes: 0 all is well, 1 the command failed or its file cannot be used, 2 the command line cannot be used; of orders that
-// were waited for 3 where they are overdue 4 where they were cancelled, and of releases 5 where they halt or went back; 6 a supervisor gave
-// up, 10 a supervised gateway asks to be started again.
+// Exit codes:
+//
+//	 0  success
+//	 1  the command failed, or its input file is invalid
+//	 2  the command line is invalid
+//	 3  the drain request that the command waited for is overdue
+//	 4  the drain request that the command waited for was cancelled
+//	 5  the release that the command waited for halted, was stopped or was rolled back
+//	 6  the supervisor gave up
+//	10  a supervised gateway requests to be restarted
 package main
 
 import (
@@ -19,11 +26,11 @@
 	"github.com/spf13/cobra"
 )
 
-// errUsage marks errors of the command line.
+// errUsage marks errors in the command line, for which run returns exit code 2.
 var errUsage = errors.New("see -h")
 
-// root returns the program's command with all subcommands.
-func root() *cobra.Command {
+// rootCommand returns the command of the program with all subcommands.
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{Use: "robindrum", Short: "A load-balancing gateway", SilenceUsage: true, SilenceErrors: true,
 		Args: noArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
@@ -42,13 +49,13 @@
 	return nil
 }
 
-// versionCommand returns the command that prints the build.
+// versionCommand returns the command that prints the version of the program.
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Say which build this is", Args: noArgs,
+	return &cobra.Command{Use: "version", Short: "Print the versions of the program and of Go", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			version := "unknown"
-			if i, ok := debug.ReadBuildInfo(); ok {
-				version = i.Main.Version + " " + i.GoVersion
+			if info, ok := debug.ReadBuildInfo(); ok {
+				version = info.Main.Version + " " + info.GoVersion
 			}
 			_, err := fmt.Fprintln(c.OutOrStdout(), "robindrum", version)
 			return err
@@ -56,17 +63,17 @@
 }
 
 // run runs the program with arguments and returns its exit code.
-func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	c := root()
+func run(ctx context.Context, args []string, out, stderr io.Writer) int {
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(out)
-	c.SetErr(errs)
+	c.SetErr(stderr)
 	err := c.ExecuteContext(ctx)
 	switch {
 	case err == nil:
 		return 0
 	case !errors.Is(err, errReported):
-		fmt.Fprintln(errs, "robindrum:", err)
+		fmt.Fprintln(stderr, "robindrum:", err)
 	}
 	var code exitCode
 	switch {
@@ -78,7 +85,7 @@
 	return 1
 }
 
-// errReported marks errors that were printed already.
+// errReported marks errors that have already been printed.
 var errReported = errors.New("reported")
 
 func main() {
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -18,9 +18,9 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// The platform's node stays lean: it links none of what the gateway needs.
+// robindrum-node must not depend on the packages of the gateway or on modules outside the standard library, to stay small.
 func TestNodeLinksNothingOfTheGateway(t *testing.T) {
-	deps := func(program string) string {
+	dependencies := func(program string) string {
 		t.Helper()
 		out, err := exec.Command("go", "list", "-deps", "robindrum/cmd/"+program).Output()
 		if err != nil {
@@ -28,72 +28,75 @@
 		}
 		return string(out)
 	}
-	node := deps("robindrum-node")
+	node := dependencies("robindrum-node")
 	for line := range strings.SplitSeq(node, "\n") {
 		if first, _, _ := strings.Cut(line, "/"); strings.Contains(first, ".") && !strings.HasPrefix(line, "vendor/") {
 			t.Errorf("robindrum-node links %s", line)
 		}
-		if line == "os/exec" { // the platform refuses to start other programs
-			t.Error("robindrum-node can start programs")
+		if line == "os/exec" { // the platform does not permit a node to start other programs
+			t.Error("robindrum-node links os/exec")
 		}
-		for _, p := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/testbed", "internal/demo", "internal/endpoints"} {
-			if strings.HasPrefix(line, "robindrum/"+p) {
+		for _, name := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/testbed", "internal/demo", "internal/endpoints"} {
+			if strings.HasPrefix(line, "robindrum/"+name) {
 				t.Errorf("robindrum-node links %s", line)
 			}
 		}
 	}
 	if !strings.Contains(node, "robindrum/balancer") {
-		t.Error("the list of what is linked is not one")
+		t.Error("the dependencies of robindrum-node lack robindrum/balancer, so the list is not valid")
 	}
-	// The same look at the gateway finds them: the test can fail.
-	for _, p := range []string{"google.golang.org/grpc", "google.golang.org/protobuf/proto", "github.com/spf13/cobra", "robindrum/internal/xds", "os/exec"} {
-		if !strings.Contains(deps("robindrum"), p+"\n") {
-			t.Errorf("robindrum does not link %s", p)
+	// The gateway has such dependencies, which shows that the check can fail.
+	for _, name := range []string{"google.golang.org/grpc", "google.golang.org/protobuf/proto", "github.com/spf13/cobra", "robindrum/internal/xds", "os/exec"} {
+		if !strings.Contains(dependencies("robindrum"), name+"\n") {
+			t.Errorf("robindrum does not link %s", name)
 		}
 	}
 }
 
-type buffer struct {
+// syncBuffer is a bytes.Buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
-func file(t *testing.T, text string) string {
+// writeConfig writes a configuration file to a temporary folder and returns its path.
+func writeConfig(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "gateway.yaml")
-	write(t, path, text)
+	writeFile(t, path, text)
 	return path
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-const least = "listeners: [{name: web, address: %q}]\nadmin: {address: %q}\nclusters: [{name: c, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n"
+// minimalConfig has verbs for the listener, admin and endpoint addresses.
+const minimalConfig = "listeners: [{name: web, address: %q}]\nadmin: {address: %q}\nclusters: [{name: c, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n"
 
 func TestCommands(t *testing.T) {
-	good := file(t, fmt.Sprintf(least, "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1"))
-	bad := file(t, "listeners: []\nroutez: 1\n")
-	noFile := file(t, "listeners: [{name: a, address: \"127.0.0.1:0\"}]\nclusters: [{name: c, file: {path: none.yaml}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n")
+	good := writeConfig(t, fmt.Sprintf(minimalConfig, "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:1"))
+	bad := writeConfig(t, "listeners: []\nroutez: 1\n")
+	noFile := writeConfig(t, "listeners: [{name: a, address: \"127.0.0.1:0\"}]\nclusters: [{name: c, file: {path: none.yaml}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n")
 	for _, c := range []struct {
 		args []string
 		code int
-		want string // on either output
+		want string // in stdout or stderr
 	}{
 		{[]string{"version"}, 0, "robindrum "},
 		{[]string{"check", "-c", good}, 0, "1 listeners, 1 clusters, 1 routes, 2 classes: good"},
@@ -106,88 +109,88 @@
 		{[]string{"check"}, 1, `required flag(s) "config" not set`},
 		{[]string{"check", "--nope"}, 2, "unknown flag: --nope"},
 		{[]string{"nope"}, 2, "unknown command"},
-		{[]string{"try", "--rate", "0"}, 2, "want more than 0"},
+		{[]string{"try", "--rate", "0"}, 2, "must be more than 0"},
 		{[]string{"try", "--length", "0.5s", "--rate", "40"}, 0, "all rules kept"},
 		{[]string{"status", "-a", testbed.RefusingAddress(t)}, 1, "connection refused"},
 		{[]string{"serve", "-h"}, 0, "SIGHUP"},
 	} {
-		var out, errs bytes.Buffer
-		code := run(context.Background(), c.args, &out, &errs)
-		if code != c.code || !strings.Contains(out.String()+errs.String(), c.want) {
-			t.Errorf("%v: exit %d, want %d with %q\n%s%s", c.args, code, c.code, c.want, out.String(), errs.String())
+		var out, stderr bytes.Buffer
+		code := run(context.Background(), c.args, &out, &stderr)
+		if code != c.code || !strings.Contains(out.String()+stderr.String(), c.want) {
+			t.Errorf("run(%v): got exit code %d, want %d and output with %q\n%s%s", c.args, code, c.code, c.want, out.String(), stderr.String())
 		}
 	}
 }
 
-// A gateway is run, asked, given a new file, a bad one, and stopped.
+// Runs a gateway, queries its status, reloads a valid and an invalid configuration file, and stops it.
 func TestServe(t *testing.T) {
 	testbed.Leaks(t)
-	a, err := origin.Start("", nil)
+	serverA, err := origin.Start("", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Kill()
-	b, err := origin.Start("", nil)
+	defer serverA.Kill()
+	serverB, err := origin.Start("", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Kill()
-	web, admin := testbed.RefusingAddress(t), testbed.RefusingAddress(t)
-	path := file(t, fmt.Sprintf(least, web, admin, a.Addr))
-	hup := make(chan os.Signal)
-	var log buffer
+	defer serverB.Kill()
+	webAddr, adminAddr := testbed.RefusingAddress(t), testbed.RefusingAddress(t)
+	path := writeConfig(t, fmt.Sprintf(minimalConfig, webAddr, adminAddr, serverA.Addr))
+	hangup := make(chan os.Signal)
+	var log syncBuffer
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- serve(ctx, path, hup, &log) }()
-	tr := &http.Transport{}
-	defer tr.CloseIdleConnections()
-	client := &http.Client{Transport: tr, Timeout: testbed.WaitTimeout}
-	from := func() string {
-		resp, err := client.Get("http://" + web + "/x")
+	go func() { done <- serve(ctx, path, hangup, &log) }()
+	transport := &http.Transport{}
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport, Timeout: testbed.WaitTimeout}
+	respondingServer := func() string {
+		resp, err := client.Get("http://" + webAddr + "/x")
 		if err != nil {
 			return ""
 		}
 		defer resp.Body.Close()
 		return resp.Header.Get("X-Origin")
 	}
-	testbed.Eventually(t, "the gateway", func() bool { return from() == a.Addr })
+	testbed.Eventually(t, "response through the gateway", func() bool { return respondingServer() == serverA.Addr })
 	status := func() string {
 		var out bytes.Buffer
-		if code := run(context.Background(), []string{"status", "-a", admin}, &out, &out); code != 0 {
-			t.Errorf("status: %d", code)
+		if code := run(context.Background(), []string{"status", "-a", adminAddr}, &out, &out); code != 0 {
+			t.Errorf("run(status): got exit code %d, want 0", code)
 		}
 		return out.String()
 	}
 	if s := status(); !strings.Contains(s, "ready yes") || !strings.Contains(s, "1/1") {
 		t.Error(s)
 	}
-	write(t, path, fmt.Sprintf(least, web, admin, b.Addr))
-	hup <- os.Interrupt
-	testbed.Eventually(t, "the new file", func() bool { return from() == b.Addr })
-	write(t, path, "listeners: []\n")
-	hup <- os.Interrupt
-	testbed.Eventually(t, "the refusal", func() bool { return strings.Contains(status(), "REFUSED") })
-	if from() != b.Addr || !strings.Contains(status(), "gateway.yaml:1:12: listeners: none is given") {
+	writeFile(t, path, fmt.Sprintf(minimalConfig, webAddr, adminAddr, serverB.Addr))
+	hangup <- os.Interrupt
+	testbed.Eventually(t, "use of the new configuration file", func() bool { return respondingServer() == serverB.Addr })
+	writeFile(t, path, "listeners: []\n")
+	hangup <- os.Interrupt
+	testbed.Eventually(t, "rejection of the invalid file", func() bool { return strings.Contains(status(), "REFUSED") })
+	if respondingServer() != serverB.Addr || !strings.Contains(status(), "gateway.yaml:1:12: listeners: none is given") {
 		t.Error(status())
 	}
 	http.DefaultClient.CloseIdleConnections()
-	tr.CloseIdleConnections()
+	transport.CloseIdleConnections()
 	cancel()
-	if err := testbed.Receive(t, "the end", done); err != nil {
+	if err := testbed.Receive(t, "the end of serve", done); err != nil {
 		t.Error(err)
 	}
-	if c, err := net.DialTimeout("tcp", web, time.Second); err == nil {
-		c.Close()
-		t.Error("it still listens")
+	if connection, err := net.DialTimeout("tcp", webAddr, time.Second); err == nil {
+		connection.Close()
+		t.Error("the listener still accepts connections after serve has returned")
 	}
 	if !strings.Contains(log.String(), "stopping") {
 		t.Error(log.String())
 	}
 }
 
-// The plan of two sites is printed by check and by sites plan, with another load, as JSON, and what cannot be is a plain error.
+// The commands check and sites plan print the plan of two sites, also with another load and as JSON, and reject invalid arguments.
 func TestSitesPlan(t *testing.T) {
-	for _, x := range []struct {
+	for _, c := range []struct {
 		args string
 		code int
 		want string
@@ -201,9 +204,9 @@
 		{"sites plan -c ../../deploy/sites.yaml --load 3", 2, "want SITE/CLASS=RATE"},
 		{"sites plan -c ../../deploy/fleet.yaml", 1, "has no section sites"},
 	} {
-		var out, errs bytes.Buffer
-		if code := run(t.Context(), strings.Fields(x.args), &out, &errs); code != x.code || !strings.Contains(out.String()+errs.String(), x.want) {
-			t.Errorf("%s: exit code %d\n%s%s", x.args, code, &out, &errs)
+		var out, stderr bytes.Buffer
+		if code := run(t.Context(), strings.Fields(c.args), &out, &stderr); code != c.code || !strings.Contains(out.String()+stderr.String(), c.want) {
+			t.Errorf("run(%s): got exit code %d, want %d and output with %q\n%s%s", c.args, code, c.code, c.want, &out, &stderr)
 		}
 	}
 }
--- a/cmd/robindrum/names_test.go
+++ b/cmd/robindrum/names_test.go
@@ -12,13 +12,14 @@
 	"github.com/spf13/pflag"
 )
 
-var update = flag.Bool("update", false, "write the golden file of commands and flags anew")
+var update = flag.Bool("update", false, "rewrite the golden file of commands and flags")
 
-// TestCommandsAndFlagsStay compares all commands and flags, with their defaults, with those that operators' scripts were made for.
+// TestCommandsAndFlagsStay compares all commands, flags, types and defaults with the golden file, because operators' scripts depend on
+// them.
 func TestCommandsAndFlagsStay(t *testing.T) {
 	t.Setenv("USER", "somebody")
 	var b strings.Builder
-	describeCommand(&b, root())
+	describeCommand(&b, rootCommand())
 	path := filepath.Join("testdata", "commands.txt")
 	if *update {
 		if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
@@ -34,6 +35,7 @@
 	}
 }
 
+// describeCommand writes a command, its flags and its subcommands to b.
 func describeCommand(b *strings.Builder, c *cobra.Command) {
 	fmt.Fprintf(b, "%s: %s\n", c.CommandPath(), c.Use)
 	describe := func(kind string) func(*pflag.Flag) {
--- a/cmd/robindrum/plan.go
+++ b/cmd/robindrum/plan.go
@@ -13,33 +13,33 @@
 
 // planCommand returns the command that plans capacity from a capture.
 func planCommand() *cobra.Command {
-	var fleet, from string
+	var fleetPath, tracePath string
 	var goals []string
-	var o experiment.PlanOptions
+	var options experiment.PlanOptions
 	var confirm, asJSON bool
-	c := &cobra.Command{Use: "plan -f FLEET -t CAPTURE --goal CLASS=PART", Short: "Say what breaks first, how many servers a goal needs, and what the loss of a zone does", Args: noArgs,
-		Long: "Plan capacity from a captured load and a fleet, which is an experiment's file without load. An analytic bound first, then the\n" +
-			"simulated engine; --confirm replays the load over loopback and prints prediction against measurement.",
+	c := &cobra.Command{Use: "plan -f FLEET -t CAPTURE --goal CLASS=PART", Short: "Plan capacity: what fails first, how many servers a goal needs, and the effect of losing a zone", Args: noArgs,
+		Long: "Plan capacity from a captured load and a fleet, which is an experiment file. The load in that file, if any, is ignored.\nThe plan has an analytic bound and the results of the simulated engine.\n" +
+			"--confirm also replays the load on the loopback engine, and prints the predictions beside the measurements.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, text := range goals {
-				g, err := experiment.ParseGoal(text)
+				goal, err := experiment.ParseGoal(text)
 				if err != nil {
 					return fmt.Errorf("%w: %w", err, errUsage)
 				}
-				o.Goals = append(o.Goals, g)
+				options.Goals = append(options.Goals, goal)
 			}
-			if !(o.Rate >= 0 && o.Rate <= 1e6) || o.Seeds < 1 || o.Seeds > 100 {
-				return fmt.Errorf("--rate wants 0 to 1000000 and --seeds 1 to 100: %w", errUsage)
+			if !(options.Rate >= 0 && options.Rate <= 1e6) || options.Seeds < 1 || options.Seeds > 100 {
+				return fmt.Errorf("--rate must be 0 to 1000000 and --seeds 1 to 100, got %v and %d: %w", options.Rate, options.Seeds, errUsage)
 			}
-			e, err := experiment.OpenFleet(fleet)
+			fleet, err := experiment.OpenFleet(fleetPath)
 			if err != nil {
 				return err
 			}
-			k, err := capture.Open(from)
+			trace, err := capture.Open(tracePath)
 			if err != nil {
 				return err
 			}
-			p, err := experiment.MakePlan(e, k, o)
+			plan, err := experiment.MakePlan(fleet, trace, options)
 			if err != nil {
 				return err
 			}
@@ -47,23 +47,23 @@
 			if confirm {
 				self, err := os.Executable()
 				if err != nil {
-					return fmt.Errorf("this program's own file: %w", err)
+					return fmt.Errorf("finding the executable of this program: %w", err)
 				}
-				confirmed = p.Confirm(c.Context(), experiment.LoopbackOptions{Binary: self})
+				confirmed = plan.Confirm(c.Context(), experiment.LoopbackOptions{Binary: self})
 			}
-			show := p.Print
+			show := plan.Print
 			if asJSON {
-				show = p.JSON
+				show = plan.JSON
 			}
 			return errors.Join(show(c.OutOrStdout()), confirmed)
 		}}
-	c.Flags().StringVarP(&fleet, "fleet", "f", "", "the fleet's `file`")
-	c.Flags().StringVarP(&from, "trace", "t", "", "the capture's `file`")
-	c.Flags().StringArrayVar(&goals, "goal", nil, "the part of a class that is to be in time, as seat-hold=0.99; 0.99 for all classes; may stand several times")
-	c.Flags().Float64Var(&o.Rate, "rate", 0, "requests a second to plan for; 0: the capture's")
-	c.Flags().IntVar(&o.Seeds, "seeds", 3, "how many seeds")
-	c.Flags().BoolVar(&confirm, "confirm", false, "replay the load over loopback as well")
-	c.Flags().BoolVar(&asJSON, "json", false, "for machines")
+	c.Flags().StringVarP(&fleetPath, "fleet", "f", "", "experiment `file` that describes the fleet")
+	c.Flags().StringVarP(&tracePath, "trace", "t", "", "`file` that the command capture has written")
+	c.Flags().StringArrayVar(&goals, "goal", nil, "fraction of a class's requests to answer in time, such as seat-hold=0.99, or 0.99 for all classes together; can be repeated")
+	c.Flags().Float64Var(&options.Rate, "rate", 0, "requests per second to plan for; 0: the rate of the capture")
+	c.Flags().IntVar(&options.Seeds, "seeds", 3, "number of seeds")
+	c.Flags().BoolVar(&confirm, "confirm", false, "also replay the load on the loopback engine")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the plan as JSON")
 	must(c.MarkFlagRequired("fleet"))
 	must(c.MarkFlagRequired("trace"))
 	return c
--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -20,18 +20,18 @@
 	"robindrum/internal/supervisor"
 )
 
-// exitRolledBack is the exit code of a release that was rolled back or stopped, or halts.
+// exitRolledBack is the exit code of waiting for a release that halts, was stopped or was rolled back.
 const exitRolledBack = 5
 
-const releaseWaitUsage = "wait until the release has ended or halts; exit code 0 done, 5 halted or back"
+const releaseWaitUsage = "wait until the release has ended or halts; exit codes: 0 done, 5 halted, stopped or rolled back"
 
 func releaseCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "release",
-		Short: "Release a configuration or a version of the program to the fleet in waves, with a halt and a rollback",
-		Long: "A release brings the sections classes, clusters, routes, rate_limits, zones and xds of a file to every gateway of the fleet; all else stays each\n" +
-			"process's own. With --program it names a version that each gateway's supervisor has: gateways are drained for it within the budgets of all drains.\n" +
-			"It goes in waves: one gateway a site, a tenth, half, all, never two zones of a site in one; each is judged by what it shows.",
+		Short: "Release a configuration or a program version to the fleet in waves",
+		Long: "Release a configuration or, with --program, a program version to every gateway of the fleet.\n\nA configuration replaces the sections classes, clusters, routes, rate_limits, zones and xds of each gateway's own file.\n" +
+			"A program version must be available to each gateway's supervisor. Gateways are drained within the disruption budgets and\nrestarted as the new version.\n\n" +
+			"The gateways change in waves: one at each site, a tenth, half, and all. No wave has two zones of a site.\nEach wave must pass a gate that compares it with the other gateways and with the time before the release;\notherwise the release is rolled back or halted.",
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
@@ -39,10 +39,10 @@
 	c.PersistentFlags().StringVarP(&client.addr, "admin", "a", defaultAdmin, adminUsage)
 	c.AddCommand(releasePlanCommand(client), releaseStartCommand(client), releaseStatusCommand(client))
 	for _, operation := range []releaseOperation{
-		{"halt", "Halt the release; every gateway keeps what it has", quorum.OpHaltRelease},
-		{"resume", "Go on with the wave at which the release was halted", quorum.OpResumeRelease},
-		{"back", "Have every gateway go back to what it had", quorum.OpRollbackRelease},
-		{"stop", "End a halted release; every gateway keeps what it has", quorum.OpStopRelease},
+		{"halt", "Halt the release; every gateway keeps its current configuration and version", quorum.OpHaltRelease},
+		{"resume", "Continue a halted release with the wave at which it was halted", quorum.OpResumeRelease},
+		{"back", "Roll the release back on every gateway", quorum.OpRollbackRelease},
+		{"stop", "End a halted release; every gateway keeps its current configuration and version", quorum.OpStopRelease},
 	} {
 		c.AddCommand(releaseOperationCommand(client, operation))
 	}
@@ -56,7 +56,7 @@
 
 func (r *releaseClient) list(c *cobra.Command) (quorum.ReleaseList, error) {
 	var list quorum.ReleaseList
-	err := ask(c, http.MethodGet, r.addr, "/fleet/releases", &list)
+	err := callAdmin(c, http.MethodGet, r.addr, "/fleet/releases", &list)
 	return list, err
 }
 
@@ -65,13 +65,14 @@
 	if err != nil {
 		return err
 	}
-	return send(c, http.MethodPost, r.addr, "/fleet/release", bytes.NewReader(text), io.Discard)
+	return callAdminWithBody(c, http.MethodPost, r.addr, "/fleet/release", bytes.NewReader(text), io.Discard)
 }
 
-// setReleaseTarget makes the plan one of the file that args name, or of a program version, and returns the file's text.
+// setReleaseTarget sets the plan's target to the program version or, if that is empty, to the digest of the file that args name. It
+// returns the text of the file.
 func setReleaseTarget(plan *release.Plan, args []string, version string) ([]byte, error) {
 	if (len(args) == 0) == (version == "") {
-		return nil, fmt.Errorf("want a file, or --program: %w", errUsage)
+		return nil, fmt.Errorf("want either a file or --program: %w", errUsage)
 	}
 	if version != "" {
 		plan.OfProgram = true
@@ -91,7 +92,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "plan [FILE]",
-		Short: "Print the waves in which a release would go, and what would be refused, without doing it",
+		Short: "Print the waves of a release, and why it would be rejected, without starting it",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			preview, err := client.preview(c, args, version)
@@ -109,25 +110,26 @@
 			return err
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.Flags().StringVar(&version, "program", "", "a `version` of the program")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the preview as JSON")
+	c.Flags().StringVar(&version, "program", "", "program `version`")
 	return c
 }
 
-// releasePreview is what a release would do.
+// releasePreview describes what a release would do.
 type releasePreview struct {
 	waves     [][]string
 	gateways  int                  // in all waves
-	budgets   []drain.BudgetStatus // those of gateways; of a program release only
-	rejection string               // why it could not start; empty: it could
+	budgets   []drain.BudgetStatus // those of gateways; empty for a configuration release
+	rejection string               // why the release could not start; empty: it could
 }
 
-// MarshalJSON encodes what --json prints.
+// MarshalJSON returns the output of --json.
 func (p *releasePreview) MarshalJSON() ([]byte, error) {
 	return json.Marshal(map[string]any{"waves": p.waves, "budgets": p.budgets, "refused": p.rejection})
 }
 
-// preview returns the waves of the fleet's gateways, and where args or version name a target whether a release to it could start.
+// preview returns the waves of a release to the fleet's gateways. If args or version name a target, it also returns why a release to that
+// target could not start.
 func (r *releaseClient) preview(c *cobra.Command, args []string, version string) (*releasePreview, error) {
 	list, err := r.list(c)
 	if err != nil {
@@ -160,7 +162,8 @@
 	return preview, nil
 }
 
-// checkReleaseStart returns why the fleet as it is listed could not start a release. A file counts as stored: it is with the start.
+// checkReleaseStart returns an error if the fleet in the listed state could not start a release. A configuration counts as stored,
+// because it is stored when the release starts.
 func checkReleaseStart(list *quorum.ReleaseList, plan release.Plan) error {
 	ledger := release.NewLedger()
 	ledger.Configs[plan.Target] = ""
@@ -172,10 +175,10 @@
 	return ledger.CheckStart(plan)
 }
 
-// gatewayBudgets returns the budgets that limit how many gateways are drained at a time.
+// gatewayBudgets returns the disruption budgets that limit how many gateways are drained at a time.
 func (r *releaseClient) gatewayBudgets(c *cobra.Command) ([]drain.BudgetStatus, error) {
 	var drains quorum.DrainList
-	if err := ask(c, http.MethodGet, r.addr, "/fleet/orders", &drains); err != nil {
+	if err := callAdmin(c, http.MethodGet, r.addr, "/fleet/orders", &drains); err != nil {
 		return nil, err
 	}
 	budgets := []drain.BudgetStatus{}
@@ -205,7 +208,7 @@
 	plan := release.Plan{}
 	c := &cobra.Command{
 		Use:   "start [FILE]",
-		Short: "Start a release of a file's sections, or of a version of the program",
+		Short: "Start the release of a configuration file or of a program version",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			text, err := setReleaseTarget(&plan, args, version)
@@ -218,36 +221,37 @@
 			if wait {
 				return client.watch(c, plan.ID, asJSON)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "release %s of %s begins\n", plan.ID, plan.Target)
+			fmt.Fprintf(c.OutOrStdout(), "release %s of %s started\n", plan.ID, plan.Target)
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&version, "program", "", "a `version` of the program, in place of a file")
+	f.StringVar(&version, "program", "", "program `version` to release instead of a file")
 	f.BoolVar(&wait, "wait", false, releaseWaitUsage)
-	f.BoolVar(&asJSON, "json", false, "with --wait, print JSON, a line a change")
+	f.BoolVar(&asJSON, "json", false, "with --wait, print JSON, one object per change")
 	addPlanFlags(c, &plan)
 	return c
 }
 
 func addPlanFlags(c *cobra.Command, plan *release.Plan) {
 	f := c.Flags()
-	f.StringVar(&plan.ID, "id", "", "the release's name; left out: the start of the file's digest, or of the version")
+	f.StringVar(&plan.ID, "id", "", "name of the release; if empty, the first 8 characters of the file's digest or of the version")
 	f.StringVar(&plan.Reason, "reason", "", "why")
 	f.DurationVar(&plan.Grace, "grace", 30*time.Second, "with --program, how long requests in flight at a gateway may take to finish")
-	f.DurationVar(&plan.Notice, "notice", 2*time.Second, "with --program, how long a gateway still accepts requests, with its readiness off")
-	f.DurationVar(&plan.Soak, "soak", 30*time.Second, "how long each wave is judged")
-	f.IntVar(&plan.RollbackSpeedup, "faster", 4, "how many times faster it is rolled back")
-	f.BoolVar(&plan.RollBackOnFailure, "back", true, "roll back when a gate fails; else halt")
-	f.IntVar(&plan.Gate.MinRequests, "requests", 200, "that a wave must have had to be judged")
-	f.Float64Var(&plan.Gate.MaxErrorIncrease, "errors", 0.01, "failed or rejected requests that may be more, as a part of all")
-	f.Float64Var(&plan.Gate.MaxMeanRatio, "slower", 1.5, "multiple of the mean latency that is too much")
-	f.Float64Var(&plan.Gate.MaxTailRatio, "tail", 2, "multiple of the others' p99 beyond which three of a hundred answers are too many")
-	f.Float64Var(&plan.Gate.MaxInTimeLoss, "in-time", 0.05, "part of a class's requests that may be less in time")
-	f.Float64Var(&plan.Gate.MaxMemoryRatio, "memory", 1.5, "multiple of a gateway's memory before that is too much")
+	f.DurationVar(&plan.Notice, "notice", 2*time.Second, "with --program, how long a draining gateway still accepts requests but reports that it is not ready")
+	f.DurationVar(&plan.Soak, "soak", 30*time.Second, "how long each wave is observed before the next one")
+	f.IntVar(&plan.RollbackSpeedup, "faster", 4, "factor by which a rollback is faster than the release")
+	f.BoolVar(&plan.RollBackOnFailure, "back", true, "roll back when a wave fails its gate; otherwise halt")
+	f.IntVar(&plan.Gate.MinRequests, "requests", 200, "number of requests that a wave must have had to pass its gate")
+	f.Float64Var(&plan.Gate.MaxErrorIncrease, "errors", 0.01, "by how much the fraction of failed or rejected requests may rise")
+	f.Float64Var(&plan.Gate.MaxMeanRatio, "slower", 1.5, "multiple that the mean latency may reach")
+	f.Float64Var(&plan.Gate.MaxTailRatio, "tail", 2, "multiple of the other gateways' p99 latency that at most 3% of the answers may exceed")
+	f.Float64Var(&plan.Gate.MaxInTimeLoss, "in-time", 0.05, "by how much the fraction of a class's requests that are answered in time may fall")
+	f.Float64Var(&plan.Gate.MaxMemoryRatio, "memory", 1.5, "multiple that the memory of a gateway may reach")
 }
 
-// start stores the text of a configuration and starts the release. A plan without an ID is called after its target.
+// start starts a release, and first stores the text if the release is of a configuration. A plan without an ID gets the beginning of its
+// target as its ID.
 func (r *releaseClient) start(c *cobra.Command, plan *release.Plan, text []byte) error {
 	if plan.ID == "" {
 		plan.ID = plan.Target[:min(8, len(plan.Target))]
@@ -266,11 +270,11 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Print the release's state, and which gateway has what",
+		Short: "Print the state of the releases and of each gateway",
 		Args:  noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if asJSON {
-				return ask(c, http.MethodGet, client.addr, "/fleet/releases", c.OutOrStdout())
+				return callAdmin(c, http.MethodGet, client.addr, "/fleet/releases", c.OutOrStdout())
 			}
 			list, err := client.list(c)
 			if err != nil {
@@ -279,7 +283,7 @@
 			return printReleases(c.OutOrStdout(), &list)
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print the quorum's answer unchanged")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the quorum's JSON response unchanged")
 	return c
 }
 
@@ -312,6 +316,6 @@
 		},
 	}
 	c.Flags().BoolVar(&wait, "wait", false, releaseWaitUsage)
-	c.Flags().BoolVar(&asJSON, "json", false, "with --wait, print JSON, a line a change")
+	c.Flags().BoolVar(&asJSON, "json", false, "with --wait, print JSON, one object per change")
 	return c
 }
--- a/cmd/robindrum/releasestatus.go
+++ b/cmd/robindrum/releasestatus.go
@@ -21,7 +21,7 @@
 	notResponding       = "NO ANSWER"
 )
 
-// watch prints a release's changes until it has ended or halts. While the fleet does not answer it goes on asking.
+// watch prints a release's changes until it has ended or halts. It keeps polling while the fleet does not answer.
 func (r *releaseClient) watch(c *cobra.Command, id string, asJSON bool) error {
 	lastLine := ""
 	for {
@@ -46,7 +46,7 @@
 	}
 }
 
-// findRelease returns the release in progress or the last one that has ended with the ID; nil: there is none.
+// findRelease returns the release with the ID, either in progress or the latest that has ended, or nil if there is none.
 func findRelease(list *quorum.ReleaseList, id string) *release.Release {
 	if list.Current != nil && list.Current.ID == id {
 		return list.Current
@@ -67,26 +67,26 @@
 	return err
 }
 
-// printReleases prints the release in progress, the last ones that have ended, and each gateway.
+// printReleases prints the release in progress, the releases that ended last, and each gateway.
 func printReleases(out io.Writer, list *quorum.ReleaseList) error {
 	if !list.Fresh {
-		fmt.Fprintf(out, "NO LEADER: as voter %s knew them last. Nothing goes on\n", list.Voter)
+		fmt.Fprintf(out, "NO LEADER: last state known to voter %s. No release makes progress\n", list.Voter)
 	}
 	if list.Current != nil {
 		fmt.Fprintf(out, "%s\n", list.Current)
 	} else {
-		fmt.Fprintln(out, "no release is under way; requests, bad and mean are as of the end of the last one, or of the last change")
+		fmt.Fprintln(out, "no release is under way; requests, bad and mean are as of the end of the last release, or of the last change")
 	}
 	for i := len(list.Ended) - 1; i >= max(0, len(list.Ended)-maxEndedShown); i-- {
 		age := list.Now - list.Ended[i].StateSince
 		fmt.Fprintf(out, "  ended %s ago: %s\n", seconds(age.Seconds()), &list.Ended[i])
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "GATEWAY\tSITE\tZONE\tHAS\tIS TO HAVE\tRUNS AS\tIS TO RUN AS\tREQUESTS\tBAD\tMEAN\tMEMORY\tREFUSED")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "GATEWAY\tSITE\tZONE\tHAS\tIS TO HAVE\tRUNS AS\tIS TO RUN AS\tREQUESTS\tBAD\tMEAN\tMEMORY\tREFUSED")
 	for i := range list.Gateways {
-		printGatewayRow(t, &list.Gateways[i], list)
+		printGatewayRow(table, &list.Gateways[i], list)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 func printGatewayRow(out io.Writer, g *release.Gateway, list *quorum.ReleaseList) {
@@ -105,7 +105,7 @@
 		g.Name, g.Site, g.Zone, config, desiredConfig, version, desiredVersion, g.Accepted, g.Failed, meanMillis, g.Memory>>20, rejections)
 }
 
-// configName returns a short name for a released configuration.
+// configName returns a short name for a released configuration, given its digest.
 func configName(digest string) string {
 	if digest == "" {
 		return "its own file"
--- a/cmd/robindrum/serve.go
+++ b/cmd/robindrum/serve.go
@@ -15,10 +15,10 @@
 	"robindrum/internal/supervisor"
 )
 
-// logger returns a logger with the level and the format of the configuration.
+// logger returns a logger with the level and format of a configuration.
 func logger(c config.Log, w io.Writer) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(c.Level)) // the configuration was checked
+	_ = level.UnmarshalText([]byte(c.Level)) // valid: checked when the configuration was loaded
 	opt := &slog.HandlerOptions{Level: level}
 	if c.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, opt))
@@ -29,30 +29,31 @@
 // serveCommand returns the command that runs the gateway.
 func serveCommand() *cobra.Command {
 	var path string
-	var parent bool
+	var withParent bool
 	c := &cobra.Command{Use: "serve -c FILE", Short: "Run the gateway", Args: noArgs,
-		Long: "Run the gateway until SIGTERM or an interrupt, then answer what is in hand.\nSIGHUP takes over the file anew; one that cannot be used changes nothing and shows in /status.",
+		Long: "Run the gateway until SIGTERM or an interrupt, then answer the requests in flight.\nSIGHUP reloads the configuration file. If the file is invalid, the gateway keeps its configuration and reports the error in /status.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			hup := make(chan os.Signal, 1)
-			signal.Notify(hup, syscall.SIGHUP)
-			defer signal.Stop(hup)
+			hangup := make(chan os.Signal, 1)
+			signal.Notify(hangup, syscall.SIGHUP)
+			defer signal.Stop(hangup)
 			ctx := c.Context()
-			if parent || supervisor.FromEnv() != nil {
+			if withParent || supervisor.FromEnv() != nil {
 				var cancel context.CancelFunc
-				ctx, cancel = untilParent(ctx, c.InOrStdin())
+				ctx, cancel = cancelOnEOF(ctx, c.InOrStdin())
 				defer cancel()
 			}
-			return serve(ctx, path, hup, c.ErrOrStderr())
+			return serve(ctx, path, hangup, c.ErrOrStderr())
 		}}
 	c.Flags().StringVarP(&path, "config", "c", "", "the configuration `file`")
-	c.Flags().BoolVar(&parent, "with-parent", false, "end, as with SIGTERM, when standard input ends")
+	c.Flags().BoolVar(&withParent, "with-parent", false, "stop, as on SIGTERM, when standard input is closed")
 	must(c.Flags().MarkHidden("with-parent"))
 	must(c.MarkFlagRequired("config"))
 	return c
 }
 
-// untilParent returns a context that ends with standard input, and so also when the parent process is killed.
-func untilParent(ctx context.Context, in io.Reader) (context.Context, context.CancelFunc) {
+// cancelOnEOF returns a context that is cancelled when in ends. For a standard input that is a pipe from the parent process, this also
+// happens when the parent is killed.
+func cancelOnEOF(ctx context.Context, in io.Reader) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		_, _ = io.Copy(io.Discard, in)
@@ -61,32 +62,33 @@
 	return ctx, cancel
 }
 
-// must panics on an error that only a mistake in this program can cause.
+// must panics if err is not nil. It is for errors that only a bug in this program can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// serve runs the gateway until ctx ends or its supervisor wants a restart, and drains it. A signal on hup reloads the configuration.
-func serve(ctx context.Context, path string, hup <-chan os.Signal, errs io.Writer) error {
-	f, err := config.Load(path)
+// serve runs the gateway until ctx ends or its supervisor requests a restart, and then drains it. A signal on hangup reloads the
+// configuration file.
+func serve(ctx context.Context, path string, hangup <-chan os.Signal, stderr io.Writer) error {
+	conf, err := config.Load(path)
 	if err != nil {
 		return err
 	}
-	log := logger(f.Log, errs)
+	log := logger(conf.Log, stderr)
 	slog.SetDefault(log)
 	child := supervisor.FromEnv()
-	g, err := gateway.NewSupervised(f, log, child)
+	gw, err := gateway.NewSupervised(conf, log, child)
 	if err != nil {
 		return err
 	}
-	defer g.Close()
-	for _, l := range f.Listeners {
-		log.Info("listening", "listener", l.Name, "address", g.Addr(l.Name).String())
+	defer gw.Close()
+	for _, listener := range conf.Listeners {
+		log.Info("listening", "listener", listener.Name, "address", gw.Addr(listener.Name).String())
 	}
-	if a := g.AdminAddr(); a != nil {
-		log.Info("listening for operators", "address", a.String())
+	if adminAddr := gw.AdminAddr(); adminAddr != nil {
+		log.Info("listening for operators", "address", adminAddr.String())
 	}
 	restarting := false
 	for ctx.Err() == nil && !restarting {
@@ -94,22 +96,22 @@
 		case <-ctx.Done():
 		case <-child.Restarting():
 			restarting = true
-		case <-hup:
-			n, err := config.Load(path)
+		case <-hangup:
+			newConf, err := config.Load(path)
 			if err != nil {
-				g.RecordRejection(err)
+				gw.RecordRejection(err)
 				continue
 			}
-			if g.Reload(n) == nil { // which tells why not
-				f = n
-				log.Info("the configuration was taken over", "file", path)
+			if gw.Reload(newConf) == nil { // the gateway logs and reports a rejection
+				conf = newConf
+				log.Info("configuration reloaded", "file", path)
 			}
 		}
 	}
-	log.Info("stopping", "at most", f.Limits.Drain.D())
-	until, cancel := context.WithTimeout(context.WithoutCancel(ctx), f.Limits.Drain.D())
+	log.Info("stopping", "timeout", conf.Limits.Drain.D())
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), conf.Limits.Drain.D())
 	defer cancel()
-	g.Stop(until)
+	gw.Stop(stopCtx)
 	if restarting {
 		return exitCode(supervisor.ExitRestart)
 	}
--- a/cmd/robindrum/sites.go
+++ b/cmd/robindrum/sites.go
@@ -16,40 +16,40 @@
 
 // sitesCommand returns the command sites with its subcommand.
 func sitesCommand() *cobra.Command {
-	c := &cobra.Command{Use: "sites", Short: "What becomes of a site's load when it is lost whole", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
+	c := &cobra.Command{Use: "sites", Short: "Show the effect of losing whole sites", Args: noArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	var path string
 	var loads, lost []string
-	var plain bool
-	plan := &cobra.Command{Use: "plan -c FILE", Short: "Print, for each site lost and each pair, what would be served, cross and be refused", Args: noArgs,
-		Long: "Print what a file's section sites comes to, before it happens: for each site lost, and each pair where there are three or more, what every\n" +
-			"other site would serve of its own and of what crosses, and what would be refused, by class. The load is the file's, or --load.",
+	var asJSON bool
+	plan := &cobra.Command{Use: "plan -c FILE", Short: "Print what would be served, cross sites and be refused if one or two sites were lost", Args: noArgs,
+		Long: "Print the effect of a file's section sites: without a loss, for the loss of each site, and for the loss of each pair of sites if\nthere are at least three. The output has, by class, what each remaining site would serve of its own load and of the load that\n" +
+			"crosses, and what would be refused. The load is that of the file, with the changes of --load.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			f, err := config.Load(path)
+			conf, err := config.Load(path)
 			if err != nil {
 				fmt.Fprintln(c.ErrOrStderr(), err)
 				return errReported
 			}
-			p := f.SitePlan()
-			if p == nil {
+			sitePlan := conf.SitePlan()
+			if sitePlan == nil {
 				return fmt.Errorf("%s has no section sites", path)
 			}
-			load, err := ratesOf(p, loads)
+			load, err := ratesOf(sitePlan, loads)
 			if err != nil {
 				return fmt.Errorf("%w: %w", err, errUsage)
 			}
-			cases := append(append([][]string{nil}, p.SingleLosses()...), p.PairLosses()...)
+			cases := append(append([][]string{nil}, sitePlan.SingleLosses()...), sitePlan.PairLosses()...)
 			if len(lost) > 0 {
 				for _, name := range lost {
-					if !known(p, name) {
+					if !hasSite(sitePlan, name) {
 						return fmt.Errorf("there is no site %q: %w", name, errUsage)
 					}
 				}
 				cases = [][]string{lost}
 			}
-			for i, x := range cases {
-				o := p.Lose(x, load)
-				if plain {
-					if err := json.NewEncoder(c.OutOrStdout()).Encode(o); err != nil {
+			for i, lostSites := range cases {
+				outcome := sitePlan.Lose(lostSites, load)
+				if asJSON {
+					if err := json.NewEncoder(c.OutOrStdout()).Encode(outcome); err != nil {
 						return err
 					}
 					continue
@@ -57,23 +57,23 @@
 				if i > 0 {
 					fmt.Fprintln(c.OutOrStdout())
 				}
-				if err := showOutcome(c.OutOrStdout(), &o); err != nil {
+				if err := showOutcome(c.OutOrStdout(), &outcome); err != nil {
 					return err
 				}
 			}
 			return nil
 		}}
 	plan.Flags().StringVarP(&path, "config", "c", "", "the configuration `file`")
-	plan.Flags().StringArrayVar(&loads, "load", nil, "a load in place of the file's, as `SITE/CLASS=RATE` in requests a second; again for more")
-	plan.Flags().StringArrayVar(&lost, "lost", nil, "a `site` that is lost; again for more; left out: each, and each pair")
-	plan.Flags().BoolVar(&plain, "json", false, "print JSON, a line a loss")
+	plan.Flags().StringArrayVar(&loads, "load", nil, "replace a load of the file, as `SITE/CLASS=RATE` in requests per second; can be repeated")
+	plan.Flags().StringArrayVar(&lost, "lost", nil, "print only the loss of this `site`; can be repeated for the loss of several sites together")
+	plan.Flags().BoolVar(&asJSON, "json", false, "print JSON, one object per loss")
 	must(plan.MarkFlagRequired("config"))
 	c.AddCommand(plan)
 	return c
 }
 
-// known reports whether a plan has a site.
-func known(p *failoverplan.Plan, name string) bool {
+// hasSite reports whether a plan has a site.
+func hasSite(p *failoverplan.Plan, name string) bool {
 	for _, s := range p.Sites {
 		if s.Name == name {
 			return true
@@ -82,7 +82,7 @@
 	return false
 }
 
-// ratesOf returns the load by site of a plan, with the given SITE/CLASS=RATE in place of its own.
+// ratesOf returns the load by site of a plan, with some rates replaced by those given as SITE/CLASS=RATE.
 func ratesOf(p *failoverplan.Plan, given []string) (map[string]failoverplan.Rates, error) {
 	load := map[string]failoverplan.Rates{}
 	capacity := map[string]failoverplan.Rates{}
@@ -93,11 +93,11 @@
 		}
 	}
 	for _, text := range given {
-		where, number, ok := strings.Cut(text, "=")
-		site, class, ok2 := strings.Cut(where, "/")
+		where, number, hasRate := strings.Cut(text, "=")
+		site, class, hasClass := strings.Cut(where, "/")
 		rate, err := strconv.ParseFloat(number, 64)
 		switch {
-		case !ok || !ok2 || err != nil || !(rate >= 0 && rate <= 1e9):
+		case !hasRate || !hasClass || err != nil || !(rate >= 0 && rate <= 1e9):
 			return nil, fmt.Errorf("--load %q: want SITE/CLASS=RATE", text)
 		case load[site] == nil:
 			return nil, fmt.Errorf("--load %q: there is no site %q", text, site)
@@ -112,17 +112,17 @@
 // showOutcome prints an outcome with a table of its allocations.
 func showOutcome(out io.Writer, o *failoverplan.Outcome) error {
 	fmt.Fprintln(out, o)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "  AT\tFROM\tCLASS\tASKED\tSERVED\tREFUSED\tPART")
-	for _, s := range o.Allocations {
-		at, part := s.At, "-"
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "  AT\tFROM\tCLASS\tASKED\tSERVED\tREFUSED\tPART")
+	for _, allocation := range o.Allocations {
+		at, part := allocation.At, "-"
 		if at == "" {
 			at = "nowhere"
 		}
-		if s.Requested > 0 {
-			part = fmt.Sprintf("%.0f%%", 100*s.Served/s.Requested)
+		if allocation.Requested > 0 {
+			part = fmt.Sprintf("%.0f%%", 100*allocation.Served/allocation.Requested)
 		}
-		fmt.Fprintf(t, "  %s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%s\n", at, s.From, s.Class, s.Requested, s.Served, s.Rejected(), part)
+		fmt.Fprintf(table, "  %s\t%s\t%s\t%.0f\t%.0f\t%.0f\t%s\n", at, allocation.From, allocation.Class, allocation.Requested, allocation.Served, allocation.Rejected(), part)
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/cmd/robindrum/status.go
+++ b/cmd/robindrum/status.go
@@ -17,20 +17,20 @@
 // statusCommand returns the command that prints the status of a running gateway.
 func statusCommand() *cobra.Command {
 	var addr string
-	var plain bool
-	c := &cobra.Command{Use: "status", Short: "Ask a running gateway how it stands", Args: noArgs,
+	var asJSON bool
+	c := &cobra.Command{Use: "status", Short: "Print the status of a running gateway", Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if plain {
-				return ask(c, http.MethodGet, addr, "/status", c.OutOrStdout())
+			if asJSON {
+				return callAdmin(c, http.MethodGet, addr, "/status", c.OutOrStdout())
 			}
 			var s gateway.Status
-			if err := ask(c, http.MethodGet, addr, "/status", &s); err != nil {
+			if err := callAdmin(c, http.MethodGet, addr, "/status", &s); err != nil {
 				return err
 			}
 			return showStatus(c.OutOrStdout(), &s)
 		}}
 	c.Flags().StringVarP(&addr, "admin", "a", "127.0.0.1:9901", "the gateway's admin `address`")
-	c.Flags().BoolVar(&plain, "json", false, "print what the gateway says as it is")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the gateway's JSON response unchanged")
 	return c
 }
 
@@ -62,10 +62,10 @@
 
 // showConfig prints whether the gateway is ready and which configuration it uses.
 func showConfig(out io.Writer, s *gateway.Status) {
-	yes := map[bool]string{true: "yes", false: "NO"}
-	fmt.Fprintf(out, "ready %s, up %s, configuration %s taken over %s ago\n", yes[s.Ready], seconds(s.Uptime), s.Config.Path, seconds(s.Config.Age))
+	yesNo := map[bool]string{true: "yes", false: "NO"}
+	fmt.Fprintf(out, "ready %s, up %s, configuration %s loaded %s ago\n", yesNo[s.Ready], seconds(s.Uptime), s.Config.Path, seconds(s.Config.Age))
 	if s.Config.Rejection != "" {
-		fmt.Fprintf(out, "REFUSED %s ago, the one before goes on:\n  %s\n", seconds(s.Config.RejectionAge), strings.ReplaceAll(s.Config.Rejection, "\n", "\n  "))
+		fmt.Fprintf(out, "REFUSED %s ago, the previous configuration stays in use:\n  %s\n", seconds(s.Config.RejectionAge), strings.ReplaceAll(s.Config.Rejection, "\n", "\n  "))
 	}
 }
 
@@ -75,11 +75,11 @@
 	if source.Connected == "" {
 		state = "NOT CONNECTED"
 	}
-	heard := "no word yet"
+	response := "no response yet"
 	if source.LastResponseAge != nil {
-		heard = "last word " + seconds(*source.LastResponseAge) + " ago"
+		response = "last response " + seconds(*source.LastResponseAge) + " ago"
 	}
-	fmt.Fprintf(out, "source %s: %s, %s\n", source.Name, state, heard)
+	fmt.Fprintf(out, "source %s: %s, %s\n", source.Name, state, response)
 	if source.Error != "" {
 		fmt.Fprintf(out, "  last error: %s\n", source.Error)
 	}
@@ -90,84 +90,84 @@
 	}
 }
 
-// showRoutes prints what is wrong with the routes.
+// showRoutes prints the problems of the routes.
 func showRoutes(out io.Writer, s *gateway.Status) {
 	if s.Routes.Pending {
-		fmt.Fprintln(out, "new routes wait for their clusters' endpoints")
+		fmt.Fprintln(out, "new routes are waiting for the endpoints of their clusters")
 	}
 	if s.Routes.Rejection != "" {
 		fmt.Fprintf(out, "routes of the control plane: %s\n", s.Routes.Rejection)
 	}
 	for _, cluster := range s.Routes.MissingClusters {
-		fmt.Fprintf(out, "routes lead to cluster %s, which nobody knows\n", cluster)
+		fmt.Fprintf(out, "routes name cluster %s, which no source has\n", cluster)
 	}
 }
 
 // showClusters prints the clusters with their endpoints and requests.
 func showClusters(out io.Writer, s *gateway.Status) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "CLUSTER\tSOURCE\tVERSION\tLAST WORD\tUSABLE\tIN HAND\tSERVED\tREFUSED\tFAILED\tRETRIES")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "CLUSTER\tSOURCE\tVERSION\tLAST WORD\tUSABLE\tIN HAND\tSERVED\tREFUSED\tFAILED\tRETRIES")
 	for _, c := range s.Clusters {
 		age := "none"
 		if c.UpdateAge != nil {
 			age = seconds(*c.UpdateAge)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Source, c.Version, age, c.Usable, len(c.Endpoints), c.InFlight,
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\n", c.Name, c.Source, c.Version, age, c.Usable, len(c.Endpoints), c.InFlight,
 			c.Requests.Served, c.Requests.Rejected, c.Requests.Failed, c.Requests.Retries)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // showExcluded prints the endpoint lists and updates that are not used, and the endpoints that receive no requests.
 func showExcluded(out io.Writer, s *gateway.Status) {
 	for _, c := range s.Clusters {
 		if c.Stale != "" {
-			fmt.Fprintf(out, "%s: its list is not used: %s\n", c.Name, c.Stale)
+			fmt.Fprintf(out, "%s: its endpoint list is not used: %s\n", c.Name, c.Stale)
 		}
 		if c.RejectedUpdate != "" {
-			fmt.Fprintf(out, "%s: the newest update is refused: %s\n", c.Name, c.RejectedUpdate)
+			fmt.Fprintf(out, "%s: the latest update is refused: %s\n", c.Name, c.RejectedUpdate)
 		}
 		for _, e := range c.Endpoints {
 			if e.ExcludedReason != "" && c.Stale == "" {
-				fmt.Fprintf(out, "%s: %s is out: %s\n", c.Name, e.Address, e.ExcludedReason)
+				fmt.Fprintf(out, "%s: %s receives no requests: %s\n", c.Name, e.Address, e.ExcludedReason)
 			}
 		}
 	}
 }
 
-// showAdmission prints what is admitted, and the rate limits where there are any.
+// showAdmission prints the admission state of each cluster, and the rate limits if there are any.
 func showAdmission(out io.Writer, s *gateway.Status) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "CLUSTER\tADMISSION\tLIMIT\tIN FLIGHT\tWAITING\tREFUSED\tRETRIES LEFT\tSHORT\tEVIDENCE")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "CLUSTER\tADMISSION\tLIMIT\tIN FLIGHT\tWAITING\tREFUSED\tRETRIES LEFT\tSHORT\tEVIDENCE")
 	for _, c := range s.Clusters {
-		a := c.Admission
+		admission := c.Admission
 		limit, refused := "none", uint64(0)
-		if a.Limit > 0 {
-			limit = strconv.Itoa(a.Limit)
+		if admission.Limit > 0 {
+			limit = strconv.Itoa(admission.Limit)
 		}
-		for _, n := range a.Rejected {
+		for _, n := range admission.Rejected {
 			refused += n
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\t%s\n", c.Name, a.Mode, limit, a.InFlight, a.Waiting, refused, a.RetriesLeft, a.Overloaded, a.Evidence)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%v\t%s\n", c.Name, admission.Mode, limit, admission.InFlight, admission.Waiting, refused, admission.RetriesLeft, admission.Overloaded, admission.Evidence)
 	}
 	if len(s.RateLimits) > 0 {
-		fmt.Fprintln(t, "RATE LIMIT\tALLOWED\tREFUSED\tCOUNTED TOGETHER")
+		fmt.Fprintln(table, "RATE LIMIT\tALLOWED\tREFUSED\tCOUNTED TOGETHER")
 	}
-	for _, l := range s.RateLimits {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", l.Name, l.Allowed, l.Rejected, l.CountedTogether)
+	for _, rateLimit := range s.RateLimits {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\n", rateLimit.Name, rateLimit.Allowed, rateLimit.Rejected, rateLimit.CountedTogether)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// showZones prints the tiers, where there are any.
+// showZones prints the zones of the clusters and their tiers, if there are any.
 func showZones(out io.Writer, s *gateway.Status) error {
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	head := false
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	headerPrinted := false
 	for _, c := range s.Clusters {
 		for _, z := range c.Zones {
-			if !head {
-				fmt.Fprintln(t, "CLUSTER\tZONE\tTIER\tSTATE\tFOR\tHEALTH\tSHARE\tIN FLIGHT\tROOM\tCROSSED\tNO ROOM\tEVIDENCE")
-				head = true
+			if !headerPrinted {
+				fmt.Fprintln(table, "CLUSTER\tZONE\tTIER\tSTATE\tFOR\tHEALTH\tSHARE\tIN FLIGHT\tROOM\tCROSSED\tNO ROOM\tEVIDENCE")
+				headerPrinted = true
 			}
 			room := "none set"
 			if z.MaxInFlight > 0 {
@@ -177,11 +177,11 @@
 			if z.Priority > 0 {
 				name += fmt.Sprintf(" (priority %d)", z.Priority)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%.2f\t%.2f\t%d\t%s\t%d\t%d\t%s\n", c.Name, name, z.Tier, z.State, seconds(z.StateSeconds), z.Health, z.Share,
+			fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%.2f\t%.2f\t%d\t%s\t%d\t%d\t%s\n", c.Name, name, z.Tier, z.State, seconds(z.StateSeconds), z.Health, z.Share,
 				z.InFlight, room, z.Crossed, z.RejectedNoCapacity, z.Evidence)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // seconds formats a number of seconds, rounded to tenths.
--- a/cmd/robindrum/supervise.go
+++ b/cmd/robindrum/supervise.go
@@ -15,7 +15,7 @@
 	"robindrum/internal/supervisor"
 )
 
-// exitGaveUp is the exit code of a supervisor after too many crashes.
+// exitGaveUp is the exit code of a supervisor that gave up after too many crashes.
 const exitGaveUp = 6
 
 func superviseCommand() *cobra.Command {
@@ -23,16 +23,16 @@
 	var withParent bool
 	c := &cobra.Command{
 		Use:   "supervise --folder DIR -- serve -c FILE",
-		Short: "Run the version that a link names, and start it again",
+		Short: "Run the current version of the program, and restart it",
 		Args:  cobra.MinimumNArgs(1),
-		Long: "Run the program that DIR/current links to (a file in DIR/versions) with the arguments behind --, and start it again: at once where it ends\n" +
-			"with exit code 10, after a growing pause where it crashed. A version that a release brought and that crashes before the fleet has seen it\n" +
-			"at work is replaced by the one before. SIGTERM ends both, SIGHUP is passed on. Exit code 6: nothing stays up, and nothing is tried any more.",
+		Long: "Run the executable that the link DIR/current points to, a file in DIR/versions, with the arguments after --.\n\nThe process is restarted immediately if it exits with code 10, and after a growing pause if it crashes.\n" +
+			"A version that a release has brought is replaced by the previous one if it keeps crashing before the fleet has seen it serve.\n\n" +
+			"SIGTERM stops the process and the supervisor. SIGHUP is forwarded to the process.\nExit code 6: the process crashed too often, and the supervisor gave up.",
 		RunE: func(c *cobra.Command, args []string) error {
 			ctx := c.Context()
 			if withParent {
 				var cancel context.CancelFunc
-				ctx, cancel = untilParent(ctx, c.InOrStdin())
+				ctx, cancel = cancelOnEOF(ctx, c.InOrStdin())
 				defer cancel()
 			}
 			opt.Args = args
@@ -40,20 +40,20 @@
 		},
 	}
 	flags := c.Flags()
-	flags.StringVar(&opt.Folder.Path, "folder", "", "the `folder` with versions and current")
-	flags.DurationVar(&opt.Rules.MinPause, "pause", 200*time.Millisecond, "before a process that crashed is started again; it doubles")
-	flags.DurationVar(&opt.Rules.MaxPause, "longest-pause", 30*time.Second, "what it doubles to")
-	flags.DurationVar(&opt.Rules.StableAfter, "steady", time.Minute, "a process that ran so long crashed by itself, not in a row")
-	flags.IntVar(&opt.Rules.TrialCrashes, "trial", 3, "crashes in a row at which a new version is replaced by the one before")
-	flags.IntVar(&opt.Rules.GiveUp, "give-up", 10, "crashes in a row at which nothing is tried any more")
-	flags.DurationVar(&opt.Stop, "stop", 90*time.Second, "how long the process has to end when it is told to; then it is killed")
-	flags.BoolVar(&withParent, "with-parent", false, "end, as with SIGTERM, when standard input ends")
+	flags.StringVar(&opt.Folder.Path, "folder", "", "the `folder` that contains versions and current")
+	flags.DurationVar(&opt.Rules.MinPause, "pause", 200*time.Millisecond, "pause before the restart after a crash; doubles with each crash in a row")
+	flags.DurationVar(&opt.Rules.MaxPause, "longest-pause", 30*time.Second, "upper limit of the pause")
+	flags.DurationVar(&opt.Rules.StableAfter, "steady", time.Minute, "run time after which a crash counts as the first one in a row")
+	flags.IntVar(&opt.Rules.TrialCrashes, "trial", 3, "crashes in a row at which a new version is replaced by the previous one")
+	flags.IntVar(&opt.Rules.GiveUp, "give-up", 10, "crashes in a row at which the supervisor gives up")
+	flags.DurationVar(&opt.Stop, "stop", 90*time.Second, "how long the process may take to end after SIGTERM before it is killed")
+	flags.BoolVar(&withParent, "with-parent", false, "stop, as on SIGTERM, when standard input is closed")
 	must(flags.MarkHidden("with-parent"))
 	must(c.MarkFlagRequired("folder"))
 	return c
 }
 
-// supervise runs a supervisor with the command's output and the signals of this process until ctx ends or it gives up.
+// supervise runs a supervisor until ctx ends or it gives up. The supervisor forwards SIGHUP and writes to the command's output.
 func supervise(ctx context.Context, c *cobra.Command, opt supervisor.Options) error {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/cmd/robindrum/witness.go
+++ b/cmd/robindrum/witness.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// voteCheckInterval is the time between two looks at whether a witness still votes.
+	// voteCheckInterval is the interval at which a witness checks that it still votes.
 	voteCheckInterval = 100 * time.Millisecond
 	witnessStopTime   = time.Second
 
@@ -33,13 +33,13 @@
 		Use:   "witness -c FILE",
 		Short: "Vote in a fleet and serve no traffic",
 		Args:  noArgs,
-		Long: "Vote in a fleet and serve no traffic, until SIGTERM: a third place beside two sites, so that a majority outlasts either.\n" +
-			"The file has the sections fleet, admin and log. Ends with exit code 1 where it cannot vote any more.",
+		Long: "Vote in a fleet until SIGTERM, and serve no traffic. A witness in a third location keeps a majority of voters available when\none of two sites fails.\n" +
+			"The file has the sections fleet, admin and log. The exit code is 1 if the witness can no longer vote.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx := c.Context()
 			if withParent {
 				var cancel context.CancelFunc
-				ctx, cancel = untilParent(ctx, c.InOrStdin())
+				ctx, cancel = cancelOnEOF(ctx, c.InOrStdin())
 				defer cancel()
 			}
 			if checkOnly {
@@ -49,34 +49,34 @@
 		},
 	}
 	c.Flags().StringVarP(&path, "config", "c", "", "the configuration `file`")
-	c.Flags().BoolVar(&checkOnly, "check", false, "only say whether the file can be used")
-	c.Flags().BoolVar(&withParent, "with-parent", false, "end, as with SIGTERM, when standard input ends")
+	c.Flags().BoolVar(&checkOnly, "check", false, "only check the configuration file")
+	c.Flags().BoolVar(&withParent, "with-parent", false, "stop, as on SIGTERM, when standard input is closed")
 	must(c.Flags().MarkHidden("with-parent"))
 	must(c.MarkFlagRequired("config"))
 	return c
 }
 
-// checkWitness prints whether a witness's configuration file can be used.
-func checkWitness(path string, out, errs io.Writer) error {
+// checkWitness checks a witness's configuration file and prints the result.
+func checkWitness(path string, out, stderr io.Writer) error {
 	conf, err := config.LoadWitness(path)
 	if err != nil {
-		fmt.Fprintln(errs, err)
+		fmt.Fprintln(stderr, err)
 		return errReported
 	}
 	for _, text := range conf.Warnings() {
-		fmt.Fprintf(errs, "%s: warning: %s\n", path, text)
+		fmt.Fprintf(stderr, "%s: warning: %s\n", path, text)
 	}
 	fmt.Fprintf(out, "%s: voter %s, one of %d: good\n", path, conf.Fleet.Member, len(conf.Fleet.Quorum.Voters))
 	return nil
 }
 
-// runWitness votes until ctx ends; it returns an error when it cannot vote any more.
-func runWitness(ctx context.Context, path string, errs io.Writer) error {
+// runWitness runs a witness until ctx ends. It returns an error if the witness cannot vote or stops voting.
+func runWitness(ctx context.Context, path string, stderr io.Writer) error {
 	conf, err := config.LoadWitness(path)
 	if err != nil {
 		return err
 	}
-	log := logger(conf.Log, errs)
+	log := logger(conf.Log, stderr)
 	for _, text := range conf.Warnings() {
 		log.Warn(text)
 	}
@@ -86,7 +86,7 @@
 	}
 	defer f.Stop(witnessStopTime)
 	if reason := f.NoVote(); reason != "" {
-		return fmt.Errorf("a witness that cannot vote is of no use: %s", reason)
+		return fmt.Errorf("this witness cannot vote: %s", reason)
 	}
 	if conf.Admin.Address != "none" {
 		server, err := serveWitnessAdmin(f, conf.Admin.Address, log)
@@ -119,7 +119,7 @@
 	return server, nil
 }
 
-// awaitVoteLoss returns nil when ctx ends, and an error when the voter stops before.
+// awaitVoteLoss blocks until ctx ends, and returns an error if the witness stops voting before.
 func awaitVoteLoss(ctx context.Context, f *fleet.Fleet) error {
 	ticker := time.NewTicker(voteCheckInterval)
 	defer ticker.Stop()
