--- a/internal/xds/assignment.go
+++ b/internal/xds/assignment.go
@@ -19,20 +19,20 @@
 
 const (
 	maxEndpoints = 100_000
-	maxPriority  = 128 // Envoy's
+	maxPriority  = 128 // the same as Envoy's limit
 	maxPort      = 65535
 )
 
-// Assignment is a ClusterLoadAssignment in the gateway's form: the endpoints of a cluster.
+// Assignment is a ClusterLoadAssignment converted to the gateway's type: the endpoints of a cluster.
 type Assignment struct {
 	Name          string
 	Endpoints     []Endpoint
-	DropFraction  float64       // of requests, 0 to 1
-	StaleAfter    time.Duration // 0: never
-	Overprovision float64       // the factor by which a priority's health counts, if localities are balanced; 0: not set
+	DropFraction  float64       // fraction of requests to drop, 0 to 1
+	StaleAfter    time.Duration // age at which the assignment becomes stale; 0: never
+	Overprovision float64       // overprovisioning factor, which scales the health of a priority in locality balancing; 0: not set
 }
 
-// Endpoint is an endpoint of an assignment. Its weight is within its locality.
+// Endpoint is an endpoint of an assignment. Its weight is relative to the other endpoints of its locality.
 type Endpoint struct {
 	endpoints.Endpoint
 	Locality       string
@@ -64,12 +64,13 @@
 	}
 )
 
-// ParseAssignment checks and converts a ClusterLoadAssignment. It also returns warnings about what is ignored.
+// ParseAssignment checks and converts a ClusterLoadAssignment. It also returns a warning for each ignored field.
 func ParseAssignment(message *endpointv3.ClusterLoadAssignment) (*Assignment, []string, error) {
 	return parseAssignment(message, false)
 }
 
-// parseAssignment is ParseAssignment. An assignment that is part of a cluster needs no name, and nil is an empty one.
+// parseAssignment implements ParseAssignment. With inCluster, the assignment is part of a cluster and needs no name, and a nil
+// message is an empty assignment.
 func parseAssignment(message *endpointv3.ClusterLoadAssignment, inCluster bool) (*Assignment, []string, error) {
 	p := newAssignmentParser(message.GetClusterName())
 	if message.GetClusterName() == "" && !inCluster {
@@ -85,14 +86,14 @@
 	return p.assignment, p.warnings, nil
 }
 
-// assignmentParser converts one ClusterLoadAssignment. It returns the first error.
+// assignmentParser converts one ClusterLoadAssignment. It stops at the first error.
 type assignmentParser struct {
-	assignment  *Assignment
-	warnings    []string
-	pathOf      map[string]string // of each endpoint, by address
-	localities  map[string]bool   // by priority and name, without a separator
-	weights     map[uint32]uint64 // of the localities together, by priority
-	hasPriority map[uint32]bool
+	assignment      *Assignment
+	warnings        []string
+	pathByAddress   map[string]string // field path of each endpoint, by address
+	localities      map[string]bool   // by priority and name, joined without a separator
+	priorityWeights map[uint32]uint64 // sum of the locality weights of each priority
+	hasPriority     map[uint32]bool
 }
 
 // localityKey identifies a locality within an assignment.
@@ -103,11 +104,11 @@
 
 func newAssignmentParser(name string) *assignmentParser {
 	return &assignmentParser{
-		assignment:  &Assignment{Name: name},
-		pathOf:      map[string]string{},
-		localities:  map[string]bool{},
-		weights:     map[uint32]uint64{},
-		hasPriority: map[uint32]bool{},
+		assignment:      &Assignment{Name: name},
+		pathByAddress:   map[string]string{},
+		localities:      map[string]bool{},
+		priorityWeights: map[uint32]uint64{},
+		hasPriority:     map[uint32]bool{},
 	}
 }
 
@@ -126,7 +127,7 @@
 	}
 	for priority := range uint32(len(p.hasPriority)) {
 		if !p.hasPriority[priority] {
-			return fmt.Errorf("endpoints: priority %d is left out", priority)
+			return fmt.Errorf("endpoints: priority %d is missing, priorities must be consecutive", priority)
 		}
 	}
 	return nil
@@ -151,13 +152,13 @@
 		if err != nil {
 			return err
 		}
-		if first, ok := p.pathOf[endpoint.Address]; ok {
-			return fmt.Errorf("%sendpoint.address: %s stands at %s already", endpointPath, endpoint.Address, strings.TrimSuffix(first, "."))
+		if first, ok := p.pathByAddress[endpoint.Address]; ok {
+			return fmt.Errorf("%sendpoint.address: duplicate address %s, already used by %s", endpointPath, endpoint.Address, strings.TrimSuffix(first, "."))
 		}
-		p.pathOf[endpoint.Address] = endpointPath
+		p.pathByAddress[endpoint.Address] = endpointPath
 		weights += uint64(endpoint.Weight)
 		if weights > math.MaxUint32 {
-			return fmt.Errorf("%sload_balancing_weight: the weights add up to more than %d", endpointPath, uint32(math.MaxUint32))
+			return fmt.Errorf("%sload_balancing_weight: the sum of the endpoint weights exceeds %d", endpointPath, uint32(math.MaxUint32))
 		}
 		endpoint.Zone = cmp.Or(locality.GetZone(), locality.GetRegion())
 		endpoint.SubZone = locality.GetSubZone()
@@ -166,32 +167,32 @@
 		endpoint.Priority = int(key.priority)
 		p.assignment.Endpoints = append(p.assignment.Endpoints, endpoint)
 		if len(p.assignment.Endpoints) > maxEndpoints {
-			return fmt.Errorf("endpoints: more than %d", maxEndpoints)
+			return fmt.Errorf("endpoints: more than %d endpoints", maxEndpoints)
 		}
 	}
 	return nil
 }
 
-// addLocality checks a locality's priority, name and weight.
+// addLocality checks the priority, name and weight of a locality, and records them.
 func (p *assignmentParser) addLocality(key localityKey, message *endpointv3.LocalityLbEndpoints, path string) error {
 	priority := key.priority
 	if priority > maxPriority {
-		return fmt.Errorf("%spriority: %d, %d at most", path, priority, maxPriority)
+		return fmt.Errorf("%spriority: %d exceeds the maximum of %d", path, priority, maxPriority)
 	}
-	// Without a separator, priority 1 of region "1" counts as priority 11 of no region.
+	// The key has no separator, so priority 1 with region "1" has the same key as priority 11 without a region.
 	priorityAndName := fmt.Sprint(priority, key.name)
 	if p.localities[priorityAndName] {
-		return fmt.Errorf("%slocality: %s stands twice in priority %d", path, key.name, priority)
+		return fmt.Errorf("%slocality: duplicate locality %s in priority %d", path, key.name, priority)
 	}
 	p.localities[priorityAndName] = true
 	p.hasPriority[priority] = true
 	weight := message.GetLoadBalancingWeight()
 	if weight != nil && weight.GetValue() == 0 {
-		return fmt.Errorf("%sload_balancing_weight: want 1 at least", path)
+		return fmt.Errorf("%sload_balancing_weight: must be at least 1", path)
 	}
-	p.weights[priority] += uint64(weight.GetValue())
-	if p.weights[priority] > math.MaxUint32 {
-		return fmt.Errorf("%sload_balancing_weight: the localities' weights in priority %d add up to more than %d", path, priority, uint32(math.MaxUint32))
+	p.priorityWeights[priority] += uint64(weight.GetValue())
+	if p.priorityWeights[priority] > math.MaxUint32 {
+		return fmt.Errorf("%sload_balancing_weight: the sum of the locality weights in priority %d exceeds %d", path, priority, uint32(math.MaxUint32))
 	}
 	return nil
 }
@@ -208,14 +209,14 @@
 	}
 	if factor := policy.GetOverprovisioningFactor(); factor != nil {
 		if factor.GetValue() == 0 {
-			return errors.New("policy.overprovisioning_factor: is 0")
+			return errors.New("policy.overprovisioning_factor: must be at least 1, got 0")
 		}
 		a.Overprovision = float64(factor.GetValue()) / 100
 	}
 	if staleAfter := policy.GetEndpointStaleAfter(); staleAfter != nil {
 		a.StaleAfter = staleAfter.AsDuration()
 		if staleAfter.CheckValid() != nil || a.StaleAfter < 0 {
-			return errors.New("policy.endpoint_stale_after: is negative")
+			return errors.New("policy.endpoint_stale_after: must be a valid duration and not negative")
 		}
 	}
 	return nil
@@ -227,14 +228,15 @@
 	typev3.FractionalPercent_MILLION:      1e6,
 }
 
-// parseDrops combines the fractions of requests to drop, each of which is of what the former ones leave.
+// parseDrops combines the drop percentages into one fraction. Each percentage applies to the requests that the previous ones
+// do not drop.
 func (a *Assignment) parseDrops(policy *endpointv3.ClusterLoadAssignment_Policy) error {
 	remaining := 1.0
 	for i, drop := range policy.GetDropOverloads() {
 		percentage := drop.GetDropPercentage()
 		denominator, ok := denominators[percentage.GetDenominator()]
 		if !ok {
-			return fmt.Errorf("policy.drop_overloads[%d].drop_percentage.denominator: not known", i)
+			return fmt.Errorf("policy.drop_overloads[%d].drop_percentage.denominator: unknown value", i)
 		}
 		remaining *= 1 - min(float64(percentage.GetNumerator())/denominator, 1)
 	}
@@ -267,25 +269,25 @@
 	}
 	health, ok := healthByStatus[message.GetHealthStatus()]
 	if !ok {
-		return endpoint, fmt.Errorf("%shealth_status: %d is not known", path, message.GetHealthStatus())
+		return endpoint, fmt.Errorf("%shealth_status: unknown value %d", path, message.GetHealthStatus())
 	}
 	endpoint.Hostname = message.GetEndpoint().GetHostname()
 	endpoint.Health = health
 	endpoint.Weight = 1
 	if weight := message.GetLoadBalancingWeight(); weight != nil {
 		if weight.GetValue() == 0 {
-			return endpoint, fmt.Errorf("%sload_balancing_weight: want 1 at least", path)
+			return endpoint, fmt.Errorf("%sload_balancing_weight: must be at least 1", path)
 		}
 		endpoint.Weight = float64(weight.GetValue())
 	}
 	return endpoint, endpoint.parseMetadata(message.GetMetadata(), path)
 }
 
-// parseAddress returns the host:port of an address.
+// parseAddress returns an address as host:port.
 func parseAddress(address *corev3.Address, path string, warnings *[]string) (string, error) {
 	socket := address.GetSocketAddress()
 	if socket == nil {
-		return "", fmt.Errorf("%ssocket_address: is missing, and others are not supported", path)
+		return "", fmt.Errorf("%ssocket_address: is missing, other types of addresses are not supported", path)
 	}
 	path += "socket_address."
 	if err := socketAddressTable.audit(socket, path, warnings); err != nil {
@@ -304,7 +306,7 @@
 	return net.JoinHostPort(socket.GetAddress(), strconv.Itoa(int(port))), nil
 }
 
-// parseMetadata reads the fields that only this gateway knows.
+// parseMetadata reads the metadata fields that are specific to this gateway.
 func (e *Endpoint) parseMetadata(metadata *corev3.Metadata, path string) error {
 	fields := metadata.GetFilterMetadata()[metadataName].GetFields()
 	if fields == nil {
@@ -313,14 +315,14 @@
 	e.Kind = fields["kind"].GetStringValue()
 	cell := fields["cell"].GetNumberValue()
 	if cell < 0 || cell > math.MaxInt32 || cell != math.Trunc(cell) {
-		return fmt.Errorf("%smetadata.%s.cell: want a whole number from 0", path, metadataName)
+		return fmt.Errorf("%smetadata.%s.cell: must be a non-negative integer", path, metadataName)
 	}
 	e.Cell = int(cell)
 	return nil
 }
 
-// Update returns the assignment as an endpoint list. With useLocalityWeights, the weight of a locality is divided among
-// its endpoints in proportion to theirs.
+// Update returns the assignment as an endpoint list. With useLocalityWeights, the weight of each locality is divided among
+// its endpoints in proportion to the endpoint weights.
 func (a *Assignment) Update(source, version string, useLocalityWeights bool) endpoints.Update {
 	update := endpoints.Update{Source: source, Version: version, Endpoints: make([]endpoints.Endpoint, len(a.Endpoints))}
 	weights := map[localityKey]float64{}
--- a/internal/xds/bundle.go
+++ b/internal/xds/bundle.go
@@ -11,17 +11,17 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Bundle is resources of several types, as another process accepted them.
+// Bundle holds resources of several types that another process accepted.
 type Bundle struct {
 	Resources     map[Type][]*discoveryv3.Resource
 	Removed       map[Type][]string
-	Full          bool            // resources in use that are not in it are withdrawn
-	Authoritative bool            // with Full: resources that are subscribed to and not in it do not exist
-	Versions      map[Type]string // of the types, for the state-of-the-world variant
+	Full          bool            // the bundle is complete: resources in use that it does not contain are withdrawn
+	Authoritative bool            // with Full: subscribed resources that the bundle does not contain do not exist
+	Versions      map[Type]string // versions of the types, for the state-of-the-world variant
 }
 
-// Import applies a bundle. There must be no stream. Invalid resources are rejected one by one, as if a control plane had
-// sent them; the error says why.
+// Import applies a bundle. It must not be called while a stream is open. Each invalid resource is rejected individually, as
+// in a response of a control plane, and the error contains the reasons.
 func (m *Machine) Import(now time.Duration, bundle *Bundle) ([]Change, error) {
 	var errs []error
 	_, changes := m.updateSubscriptions(now)
@@ -45,7 +45,7 @@
 	return changes, errors.Join(errs...)
 }
 
-// bundleResponse returns what a bundle contains of a type, as a response of the incremental variant.
+// bundleResponse returns the resources of one type in a bundle as a response of the incremental variant.
 func (m *Machine) bundleResponse(t Type, bundle *Bundle) *discoveryv3.DeltaDiscoveryResponse {
 	response := &discoveryv3.DeltaDiscoveryResponse{
 		TypeUrl:          string(t),
@@ -60,15 +60,15 @@
 		contained[r.GetName()] = true
 	}
 	for _, r := range m.Resources(t) {
-		ends := r.State == Received || bundle.Authoritative && r.State != Absent
-		if ends && !contained[r.Name] {
+		removable := r.State == Received || bundle.Authoritative && r.State != Absent
+		if removable && !contained[r.Name] {
 			response.RemovedResources = append(response.RemovedResources, r.Name)
 		}
 	}
 	return response
 }
 
-// Export returns all resources in use. It needs Options.RetainBodies.
+// Export returns all resources in use, and the names of those known to be absent. It requires Options.RetainBodies.
 func (m *Machine) Export(now time.Duration) *Bundle {
 	bundle := &Bundle{
 		Resources: map[Type][]*discoveryv3.Resource{},
@@ -92,8 +92,8 @@
 	return bundle
 }
 
-// Digest returns a digest of all resources in use. It depends neither on the order in which they came nor on their
-// versions.
+// Digest returns a digest of all resources in use. It does not depend on the order in which they were received or on their
+// versions. It requires Options.RetainBodies.
 func (m *Machine) Digest() uint64 {
 	var sum uint64
 	for _, state := range m.types {
@@ -116,7 +116,8 @@
 	return hash.Sum64()
 }
 
-// CoveredBy reports whether a full bundle contains all resources in use, and with the same contents.
+// CoveredBy reports whether a full bundle contains all resources in use with the same contents. For a wildcard subscription,
+// the bundle must not contain any other resources.
 func (m *Machine) CoveredBy(bundle *Bundle) bool {
 	for _, state := range m.types {
 		digests := map[string]uint64{}
--- a/internal/xds/client.go
+++ b/internal/xds/client.go
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// ErrStreamOpen is returned by Client.Import while the client has a stream of its own.
-var ErrStreamOpen = errors.New("a stream of its own is open")
+// ErrStreamOpen is returned by Client.Import while the client has an open stream.
+var ErrStreamOpen = errors.New("the client has an open stream")
 
 const (
-	// pauseCheck bounds how long a paused client waits for the end of the pause without looking.
-	pauseCheck = time.Minute
-	// noDeadline is the time of a timer that has nothing to wait for.
+	// pauseCheckInterval is how often a paused client checks whether the pause has ended, if no signal wakes it earlier.
+	pauseCheckInterval = time.Minute
+	// noDeadline is the duration of the timer if the machine has no deadline.
 	noDeadline = time.Hour
 )
 
-// ClientOptions are the options of a Client.
+// ClientOptions configure a Client.
 type ClientOptions struct {
 	Options
 	Servers         []string // host:port, tried in this order
 	ConnectTimeout  time.Duration
-	BackoffBase     time.Duration // before the second attempt; doubled with each further one, and half of it random
+	BackoffBase     time.Duration // delay before the second attempt; doubles with each further attempt, and half of it is random
 	MaxBackoff      time.Duration
-	Keepalive       time.Duration // interval of pings, and how long an answer to one may take
-	MaxMessageBytes int           // of a response
+	Keepalive       time.Duration // interval of keepalive pings, and timeout of each
+	MaxMessageBytes int           // maximum size of a response
 	Now             func() time.Duration
 	Log             *slog.Logger
 }
@@ -39,12 +39,12 @@
 	Changed(changes []Change)
 }
 
-// Client follows control planes over one aggregated stream (ADS). While none is connected, the resources stay in use. Its
-// methods may be called concurrently.
+// Client subscribes to control planes over one aggregated stream (ADS). The resources stay in use while no control plane is
+// connected. The methods of Client are safe for concurrent use.
 type Client struct {
 	options       ClientOptions
 	sink          Sink
-	subscriptions chan subscription // the last one that has not been applied yet
+	subscriptions chan subscription // holds the latest subscription that is not applied yet
 	paused        atomic.Bool
 	pauseChanged  chan struct{}
 
@@ -53,21 +53,22 @@
 	connection Connection
 }
 
+// subscription holds the arguments of Client.Subscribe.
 type subscription struct {
 	services []string
 	classes  map[string]bool
 }
 
-// Connection is the state of the connection to a source of resources.
+// Connection is the state of the connection to a source of resources. Times are readings of the clock of the source.
 type Connection struct {
-	Server         string        // that is connected; empty: none
-	ConnectedAt    time.Duration // when the connection was made
+	Server         string        // connected server; empty: none
+	ConnectedAt    time.Duration // when the last stream was opened
 	LastResponseAt time.Duration // 0: never
-	Streams        int           // opened so far
+	Streams        int           // number of streams opened so far
 	LastError      string        // why the last stream ended or could not be opened
 }
 
-// NewClient returns a Client that does nothing before Run.
+// NewClient returns a Client. It does not connect until Run is called.
 func NewClient(options ClientOptions, sink Sink) *Client {
 	return &Client{
 		options:       options,
@@ -78,7 +79,8 @@
 	}
 }
 
-// Subscribe replaces Options.Services and Options.Classes. It does not block; of several calls the last one counts.
+// Subscribe replaces Options.Services and Options.Classes. It does not block, and a later call overrides an earlier one that is
+// not applied yet.
 func (c *Client) Subscribe(services []string, classes map[string]bool) {
 	latest := subscription{services: services, classes: classes}
 	for {
@@ -94,7 +96,8 @@
 	}
 }
 
-// Pause ends the stream and opens none, or follows the control planes again. The resources stay in use. It does not block.
+// Pause pauses or resumes the client. A paused client closes its stream and opens none; its resources stay in use. Pause does
+// not block.
 func (c *Client) Pause(paused bool) {
 	if c.paused.Swap(paused) == paused {
 		return
@@ -105,8 +108,7 @@
 	}
 }
 
-// Import applies resources that another process accepted, as if a control plane had sent them. It returns ErrStreamOpen
-// while a stream is open.
+// Import applies a bundle, see Machine.Import. It returns ErrStreamOpen while a stream is open.
 func (c *Client) Import(bundle *Bundle) error {
 	c.mu.Lock()
 	streamOpen := c.machine.streamOpen
@@ -123,7 +125,7 @@
 	return err
 }
 
-// Inspect calls fn with the machine, which fn must not change, and the current time. It holds the client's lock.
+// Inspect calls fn with the machine and the current time while it holds the client's lock. fn must not modify the machine.
 func (c *Client) Inspect(fn func(m *Machine, now time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +139,7 @@
 	return c.connection
 }
 
-// Summaries returns a Summary of each type.
+// Summaries returns the Summary of each type.
 func (c *Client) Summaries() []Summary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +153,7 @@
 	return c.machine.Resources(t)
 }
 
-// update passes one event to the machine, passes the changes on to the sink, and returns the requests to send.
+// update applies one event to the machine, passes the changes to the sink, and returns the requests to send.
 func (c *Client) update(event func(m *Machine, now time.Duration) ([]Request, []Change)) []Request {
 	c.mu.Lock()
 	requests, changes := event(c.machine, c.options.Now())
@@ -169,13 +171,14 @@
 	})
 }
 
-// Run follows the control planes until ctx ends. It tries them in order. When all have failed, or a stream has ended after
-// a response, it waits before it starts again with the first: longer each time until there is a response.
+// Run keeps the client connected to a control plane until ctx ends. It tries the servers in order. When all servers have
+// failed, or a stream that received a response has ended, it backs off and starts again with the first server. The backoff
+// grows exponentially, and is reset after a response.
 func (c *Client) Run(ctx context.Context) {
 	backoff := c.options.BackoffBase
 	for ctx.Err() == nil {
 		for c.paused.Load() && ctx.Err() == nil {
-			c.wait(ctx, pauseCheck)
+			c.wait(ctx, pauseCheckInterval)
 			backoff = c.options.BackoffBase
 		}
 		responded := c.tryServers(ctx)
@@ -193,11 +196,11 @@
 	}
 }
 
-// tryServers follows one control plane after the other, until one has responded or all have failed. It reports whether one
-// has.
+// tryServers runs a stream to one server after the other, until one has responded or all have failed. It reports whether a
+// server has responded.
 func (c *Client) tryServers(ctx context.Context) (responded bool) {
 	for _, server := range c.options.Servers {
-		responded, err := c.follow(ctx, server)
+		responded, err := c.runStream(ctx, server)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -221,8 +224,8 @@
 	c.connection.LastError = lastError
 }
 
-// wait waits between two streams, until the time is over or a pause begins or ends. Meanwhile resources expire and
-// subscriptions change.
+// wait waits between two streams until d has passed, ctx ends, or a pause begins or ends. Meanwhile it applies deadlines of
+// resources and changes of subscriptions.
 func (c *Client) wait(ctx context.Context, d time.Duration) {
 	end := time.NewTimer(d)
 	defer end.Stop()
@@ -230,7 +233,7 @@
 	}
 }
 
-// waitForEvent handles one event without a stream. It returns false where the wait is over.
+// waitForEvent handles one event while no stream is open. It returns false when the wait is over.
 func (c *Client) waitForEvent(ctx context.Context, end <-chan time.Time) bool {
 	deadline := c.newTimer()
 	defer deadline.Stop()
@@ -249,7 +252,7 @@
 	return true
 }
 
-// newTimer returns a timer until the machine's next deadline.
+// newTimer returns a timer that fires at the machine's next deadline.
 func (c *Client) newTimer() *time.Timer {
 	c.mu.Lock()
 	deadline := c.machine.NextDeadline()
--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -15,289 +15,302 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// recordingSink records the changes of a source.
+// recordingSink is a Sink that records the changes it receives.
 type recordingSink struct {
-	mu  sync.Mutex
-	all map[string]Resource
-	n   int
-	at  map[string][]string // versions by name, in the order of the changes
+	mu        sync.Mutex
+	resources map[string]Resource
+	count     int
+	versions  map[string][]string // versions of each resource by name, in the order of the changes
 }
 
-func (s *recordingSink) Changed(l []Change) {
+func (s *recordingSink) Changed(changes []Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range l {
-		s.n++
-		s.all[c.Type.Short()+" "+c.Name] = c.Resource
-		s.at[c.Name] = append(s.at[c.Name], c.Version)
+	for _, change := range changes {
+		s.count++
+		s.resources[change.Type.Short()+" "+change.Name] = change.Resource
+		s.versions[change.Name] = append(s.versions[change.Name], change.Version)
 	}
 }
 
 func (s *recordingSink) get(name string) Resource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.all[name]
+	return s.resources[name]
 }
 
-func serve(t *testing.T) *controlplane.Server {
+// startControlPlane starts a control plane that is stopped at the end of the test.
+func startControlPlane(t *testing.T) *controlplane.Server {
 	t.Helper()
-	s, err := controlplane.Start("")
+	server, err := controlplane.Start("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Stop)
-	return s
+	t.Cleanup(server.Stop)
+	return server
 }
 
-func run(t *testing.T, shape func(*ClientOptions), servers ...string) (*Client, *recordingSink) {
+// startClient runs a client until the end of the test. If configure is not nil, it changes the default options.
+func startClient(t *testing.T, configure func(*ClientOptions), servers ...string) (*Client, *recordingSink) {
 	t.Helper()
-	began := time.Now()
-	opt := ClientOptions{Servers: servers, ConnectTimeout: testbed.WaitTimeout, BackoffBase: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond,
-		Keepalive: time.Minute, MaxMessageBytes: 16 << 20, Now: func() time.Duration { return time.Since(began) + 1 }, Log: slog.New(slog.DiscardHandler),
+	start := time.Now()
+	options := ClientOptions{Servers: servers, ConnectTimeout: testbed.WaitTimeout, BackoffBase: 5 * time.Millisecond, MaxBackoff: 20 * time.Millisecond,
+		Keepalive: time.Minute, MaxMessageBytes: 16 << 20, Now: func() time.Duration { return time.Since(start) + 1 }, Log: slog.New(slog.DiscardHandler),
 		Options: Options{Clusters: true, Node: Node("gw", "c", "z")}}
-	if shape != nil {
-		shape(&opt)
+	if configure != nil {
+		configure(&options)
 	}
-	s := &recordingSink{all: map[string]Resource{}, at: map[string][]string{}}
-	c := NewClient(opt, s)
+	sink := &recordingSink{resources: map[string]Resource{}, versions: map[string][]string{}}
+	client := NewClient(options, sink)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		c.Run(ctx)
+		client.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		testbed.Receive(t, "the client's end", done)
+		testbed.Receive(t, "the end of the client's Run", done)
 	})
-	return c, s
+	return client, sink
 }
 
-func await(t *testing.T, s *controlplane.Server, from int, fits func(controlplane.Request) bool) (controlplane.Request, int) {
+// awaitRequest waits for a request that matches, beginning with request number from. It returns the request and its number.
+func awaitRequest(t *testing.T, server *controlplane.Server, from int, matches func(controlplane.Request) bool) (controlplane.Request, int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testbed.WaitTimeout)
 	defer cancel()
-	r, n, err := s.Await(ctx, from, fits)
+	request, index, err := server.Await(ctx, from, matches)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, n
+	return request, index
 }
 
-func push(t *testing.T, s *controlplane.Server, version string, l ...controlplane.Resource) {
+func push(t *testing.T, server *controlplane.Server, version string, resources ...controlplane.Resource) {
 	t.Helper()
-	if _, err := s.Push(version, false, l...); err != nil {
+	if _, err := server.Push(version, false, resources...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func eps(name string, addrs ...string) controlplane.Resource {
-	var l []controlplane.Endpoint
-	for _, a := range addrs {
-		l = append(l, controlplane.Endpoint{Addr: a, Zone: "z"})
+func endpointsResource(name string, addresses ...string) controlplane.Resource {
+	var endpoints []controlplane.Endpoint
+	for _, address := range addresses {
+		endpoints = append(endpoints, controlplane.Endpoint{Addr: address, Zone: "z"})
 	}
-	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, l...)}
+	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, endpoints...)}
 }
 
-func cds(name string) controlplane.Resource {
+func clusterResource(name string) controlplane.Resource {
 	return controlplane.Resource{Name: name, Body: controlplane.Cluster(name, "")}
 }
 
-func both(t *testing.T, f func(t *testing.T, delta bool)) {
+// forBothVariants runs a test with the state-of-the-world and the incremental variant of the protocol.
+func forBothVariants(t *testing.T, test func(t *testing.T, delta bool)) {
 	for _, delta := range []bool{false, true} {
-		t.Run(fmt.Sprint("delta=", delta), func(t *testing.T) { f(t, delta) })
+		t.Run(fmt.Sprint("delta=", delta), func(t *testing.T) { test(t, delta) })
 	}
 }
 
-// The control plane disconnects and returns: with an older version and a smaller list, with the same version and other
-// contents, and with a former response under a new nonce. The last response is used, also while it is disconnected.
+// The control plane disconnects and comes back with an older version and a smaller list, then sends other contents under the
+// same version, and then an empty list under an older version. The client must always use the last response, and must keep
+// using it while the control plane is disconnected.
 func TestControlPlaneRestarts(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
-		s := serve(t)
-		push(t, s, "5", cds("a"), cds("b"), eps("a", "127.0.0.1:1", "127.0.0.1:2"), eps("b", "127.0.0.1:3"))
-		c, got := run(t, func(o *ClientOptions) { o.Delta = delta }, s.Addr)
+		server := startControlPlane(t)
+		push(t, server, "5", clusterResource("a"), clusterResource("b"), endpointsResource("a", "127.0.0.1:1", "127.0.0.1:2"), endpointsResource("b", "127.0.0.1:3"))
+		client, sink := startClient(t, func(options *ClientOptions) { options.Delta = delta }, server.Addr)
 		count := func(name string) int {
-			a, _ := got.get("endpoints " + name).Value.(*Assignment)
-			if a == nil {
+			assignment, _ := sink.get("endpoints " + name).Value.(*Assignment)
+			if assignment == nil {
 				return -1
 			}
-			return len(a.Endpoints)
+			return len(assignment.Endpoints)
 		}
-		testbed.Eventually(t, "the first list", func() bool { return count("a") == 2 && count("b") == 1 })
-		if l := c.Connection(); l.Server != s.Addr || l.LastResponseAt == 0 || l.Streams != 1 {
-			t.Errorf("%+v", l)
+		testbed.Eventually(t, "the first endpoint list", func() bool { return count("a") == 2 && count("b") == 1 })
+		if connection := client.Connection(); connection.Server != server.Addr || connection.LastResponseAt == 0 || connection.Streams != 1 {
+			t.Errorf("Connection() = %+v, want server %s, a response and 1 stream", connection, server.Addr)
 		}
-		s.Stop()
-		testbed.Eventually(t, "the loss to show", func() bool { l := c.Connection(); return l.Server == "" && l.LastError != "" })
-		if count("a") != 2 || len(c.Resources(EndpointType)) != 2 {
-			t.Error("what was told is lost with the connection")
+		server.Stop()
+		testbed.Eventually(t, "Connection to report the lost connection", func() bool {
+			connection := client.Connection()
+			return connection.Server == "" && connection.LastError != ""
+		})
+		if count("a") != 2 || len(client.Resources(EndpointType)) != 2 {
+			t.Error("resources were lost with the connection")
 		}
-		s.ClearAll()
-		push(t, s, "3", cds("a"), eps("a", "127.0.0.1:2"))
-		if err := s.Restart(); err != nil {
+		server.ClearAll()
+		push(t, server, "3", clusterResource("a"), endpointsResource("a", "127.0.0.1:2"))
+		if err := server.Restart(); err != nil {
 			t.Fatal(err)
 		}
-		testbed.Eventually(t, "the older, smaller list", func() bool { return count("a") == 1 && got.get("cluster b").State == Absent })
+		testbed.Eventually(t, "the older, smaller list", func() bool { return count("a") == 1 && sink.get("cluster b").State == Absent })
 		if !delta {
-			r, _ := await(t, s, 0, func(r controlplane.Request) bool { return r.Stream == 2 && r.Type() == string(ClusterType) })
-			if r.SotW.GetVersionInfo() != "5" || r.SotW.GetResponseNonce() != "" {
-				t.Errorf("a new stream begins with %v", r.SotW)
+			request, _ := awaitRequest(t, server, 0, func(request controlplane.Request) bool {
+				return request.Stream == 2 && request.Type() == string(ClusterType)
+			})
+			if request.SotW.GetVersionInfo() != "5" || request.SotW.GetResponseNonce() != "" {
+				t.Errorf("first cluster request of the new stream = %v, want version 5 and no nonce", request.SotW)
 			}
-			// Incremental clients are not told of what has the same version: there the version is the contents.
-			push(t, s, "3", eps("a", "127.0.0.1:7", "127.0.0.1:8", "127.0.0.1:9"))
+			// In the incremental variant, a resource with an unchanged version is not sent again.
+			push(t, server, "3", endpointsResource("a", "127.0.0.1:7", "127.0.0.1:8", "127.0.0.1:9"))
 			testbed.Eventually(t, "other contents under the same version", func() bool { return count("a") == 3 })
 		}
-		push(t, s, "2", eps("a"))
+		push(t, server, "2", endpointsResource("a"))
 		testbed.Eventually(t, "the empty list", func() bool { return count("a") == 0 })
 	})
 }
 
-// Control planes are tried in order, beginning with the first one again after a stream has ended.
+// Control planes are tried in order. After a stream has ended, the client starts again with the first one.
 func TestServersAreTriedInOrder(t *testing.T) {
 	testbed.Leaks(t)
-	first, second := serve(t), serve(t)
-	push(t, first, "1", cds("a"))
-	push(t, second, "2", cds("b"))
+	first, second := startControlPlane(t), startControlPlane(t)
+	push(t, first, "1", clusterResource("a"))
+	push(t, second, "2", clusterResource("b"))
 	first.Stop()
-	c, got := run(t, nil, first.Addr, second.Addr)
-	testbed.Eventually(t, "the second one's word", func() bool { return got.get("cluster b").State == Received })
+	client, sink := startClient(t, nil, first.Addr, second.Addr)
+	testbed.Eventually(t, "the resource of the second control plane", func() bool { return sink.get("cluster b").State == Received })
 	if err := first.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	second.Stop()
-	testbed.Eventually(t, "the first one's word", func() bool { return got.get("cluster a").State == Received && c.Connection().Server == first.Addr })
-	testbed.Eventually(t, "the second one's to be withdrawn", func() bool { return got.get("cluster b").State == Absent })
+	testbed.Eventually(t, "the resource of the first control plane", func() bool {
+		return sink.get("cluster a").State == Received && client.Connection().Server == first.Addr
+	})
+	testbed.Eventually(t, "the resource of the second control plane to be withdrawn", func() bool { return sink.get("cluster b").State == Absent })
 }
 
-// A message above the limit ends the stream only, and the resources stay in use.
+// A message that exceeds MaxMessageBytes ends the stream, but the resources stay in use and the client reconnects.
 func TestOversizedMessageEndsStream(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
-		s := serve(t)
-		push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
-		c, got := run(t, func(o *ClientOptions) { o.MaxMessageBytes, o.Delta = 20<<10, delta }, s.Addr)
-		testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
-		var l []string
+		server := startControlPlane(t)
+		push(t, server, "1", clusterResource("a"), endpointsResource("a", "127.0.0.1:1"))
+		client, sink := startClient(t, func(options *ClientOptions) { options.MaxMessageBytes, options.Delta = 20<<10, delta }, server.Addr)
+		testbed.Eventually(t, "the first endpoint list", func() bool { return sink.get("endpoints a").State == Received })
+		var addresses []string
 		for i := range 1000 {
-			l = append(l, fmt.Sprint("127.0.0.1:", i+1))
+			addresses = append(addresses, fmt.Sprint("127.0.0.1:", i+1))
 		}
-		push(t, s, "2", eps("a", l...))
-		testbed.Eventually(t, "the stream to break", func() bool { return c.Connection().Streams > 2 })
-		if r := got.get("endpoints a"); r.Version != "1" {
-			t.Errorf("%q is in use", r.Version)
+		push(t, server, "2", endpointsResource("a", addresses...))
+		testbed.Eventually(t, "a reconnection after the oversized message", func() bool { return client.Connection().Streams > 2 })
+		if resource := sink.get("endpoints a"); resource.Version != "1" {
+			t.Errorf("version in use after the oversized message = %q, want 1", resource.Version)
 		}
-		push(t, s, "3", eps("a", "127.0.0.1:2"))
-		testbed.Eventually(t, "a list that fits", func() bool { return got.get("endpoints a").Version == "3" })
+		push(t, server, "3", endpointsResource("a", "127.0.0.1:2"))
+		testbed.Eventually(t, "a list within the limit", func() bool { return sink.get("endpoints a").Version == "3" })
 	})
 }
 
-// With ten thousand endpoints and updates as fast as they can be sent, the last one is used, and changes are in order.
+// With 10,000 endpoints and updates sent as fast as possible, the last update is used, and Changed is called in the order of
+// the versions.
 func TestManyEndpointsWithRapidUpdates(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
-		s := serve(t)
-		_, got := run(t, func(o *ClientOptions) { o.Delta = delta }, s.Addr)
-		var l []controlplane.Endpoint
+		server := startControlPlane(t)
+		_, sink := startClient(t, func(options *ClientOptions) { options.Delta = delta }, server.Addr)
+		var endpoints []controlplane.Endpoint
 		for i := range 10000 {
-			l = append(l, controlplane.Endpoint{Addr: fmt.Sprintf("127.1.%d.%d:80", i/250, i%250+1), Zone: fmt.Sprint("z", i%3)})
+			endpoints = append(endpoints, controlplane.Endpoint{Addr: fmt.Sprintf("127.1.%d.%d:80", i/250, i%250+1), Zone: fmt.Sprint("z", i%3)})
 		}
-		push(t, s, "0", cds("a"), controlplane.Resource{Name: "a", Body: controlplane.Assignment("a", l...)})
-		testbed.Eventually(t, "all of them", func() bool {
-			a, _ := got.get("endpoints a").Value.(*Assignment)
-			return a != nil && len(a.Endpoints) == 10000
+		push(t, server, "0", clusterResource("a"), controlplane.Resource{Name: "a", Body: controlplane.Assignment("a", endpoints...)})
+		testbed.Eventually(t, "all endpoints", func() bool {
+			assignment, _ := sink.get("endpoints a").Value.(*Assignment)
+			return assignment != nil && len(assignment.Endpoints) == 10000
 		})
-		const n = 500
-		for i := 1; i <= n; i++ {
-			push(t, s, fmt.Sprintf("%04d", i), eps("a", fmt.Sprint("127.0.0.1:", i)))
+		const updates = 500
+		for i := 1; i <= updates; i++ {
+			push(t, server, fmt.Sprintf("%04d", i), endpointsResource("a", fmt.Sprint("127.0.0.1:", i)))
 		}
-		testbed.Eventually(t, "the last update", func() bool { return got.get("endpoints a").Version == fmt.Sprintf("%04d", n) })
-		got.mu.Lock()
-		defer got.mu.Unlock()
+		testbed.Eventually(t, "the last update", func() bool { return sink.get("endpoints a").Version == fmt.Sprintf("%04d", updates) })
+		sink.mu.Lock()
+		defer sink.mu.Unlock()
 		newest := ""
-		for _, v := range got.at["a"] {
-			if v != "" && v < newest {
-				t.Fatalf("%s is told after %s", v, newest)
+		for _, version := range sink.versions["a"] {
+			if version != "" && version < newest {
+				t.Fatalf("Changed received version %s after version %s", version, newest)
 			}
-			newest = max(newest, v)
+			newest = max(newest, version)
 		}
 	})
 }
 
-// While a control plane stalls its resources stay in use, and subscriptions made meanwhile are sent afterwards.
+// While a control plane stalls, its resources stay in use. Subscriptions that are made during the stall are sent afterwards.
 func TestStalledControlPlane(t *testing.T) {
 	testbed.Leaks(t)
-	s := serve(t)
-	push(t, s, "1", eps("a", "127.0.0.1:1"), eps("b", "127.0.0.1:2"))
-	c, got := run(t, func(o *ClientOptions) { o.Clusters, o.Services = false, []string{"a"} }, s.Addr)
-	testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
-	s.Stall()
-	c.Subscribe([]string{"a", "b"}, nil)
-	testbed.Eventually(t, "the wish", func() bool { return len(c.Resources(EndpointType)) == 2 })
-	s.Resume()
-	testbed.Eventually(t, "the second list", func() bool { return got.get("endpoints b").State == Received })
-	c.Subscribe([]string{"b"}, nil)
-	testbed.Eventually(t, "the first one to go", func() bool { return got.get("endpoints a").State == Absent })
+	server := startControlPlane(t)
+	push(t, server, "1", endpointsResource("a", "127.0.0.1:1"), endpointsResource("b", "127.0.0.1:2"))
+	client, sink := startClient(t, func(options *ClientOptions) { options.Clusters, options.Services = false, []string{"a"} }, server.Addr)
+	testbed.Eventually(t, "the first endpoint list", func() bool { return sink.get("endpoints a").State == Received })
+	server.Stall()
+	client.Subscribe([]string{"a", "b"}, nil)
+	testbed.Eventually(t, "the subscription to be applied", func() bool { return len(client.Resources(EndpointType)) == 2 })
+	server.Resume()
+	testbed.Eventually(t, "the second endpoint list", func() bool { return sink.get("endpoints b").State == Received })
+	client.Subscribe([]string{"b"}, nil)
+	testbed.Eventually(t, "the first endpoint list to be removed", func() bool { return sink.get("endpoints a").State == Absent })
 }
 
-// Resources time out also while no control plane is connected, so that requests need not wait for them.
+// Resources time out even if no control plane is connected, so that client requests do not wait for them indefinitely.
 func TestFetchTimeoutWithoutControlPlane(t *testing.T) {
 	testbed.Leaks(t)
-	c, got := run(t, func(o *ClientOptions) {
-		o.Services, o.FetchTimeout = []string{"a"}, 20*time.Millisecond
+	client, sink := startClient(t, func(options *ClientOptions) {
+		options.Services, options.FetchTimeout = []string{"a"}, 20*time.Millisecond
 	}, testbed.RefusingAddress(t), testbed.RefusingAddress(t))
-	c.Subscribe([]string{"a", "b"}, nil)
-	testbed.Eventually(t, "both to be given up", func() bool {
-		return got.get("endpoints a").State == Absent && got.get("endpoints b").State == Absent
+	client.Subscribe([]string{"a", "b"}, nil)
+	testbed.Eventually(t, "both resources to become absent", func() bool {
+		return sink.get("endpoints a").State == Absent && sink.get("endpoints b").State == Absent
 	})
-	if l := c.Connection(); l.Streams != 0 || l.LastError == "" {
-		t.Errorf("%+v", l)
+	if connection := client.Connection(); connection.Streams != 0 || connection.LastError == "" {
+		t.Errorf("Connection() = %+v, want 0 streams and an error", connection)
 	}
 }
 
-// The control plane gets the reason of a rejected response, and the summaries count it.
+// A NACK contains the reason for the rejection, and Summaries counts the rejected response.
 func TestNACKCarriesReason(t *testing.T) {
-	both(t, func(t *testing.T, delta bool) {
+	forBothVariants(t, func(t *testing.T, delta bool) {
 		testbed.Leaks(t)
-		s := serve(t)
-		push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
-		c, got := run(t, func(o *ClientOptions) { o.Delta = delta }, s.Addr)
-		testbed.Eventually(t, "the first list", func() bool { return got.get("endpoints a").State == Received })
-		push(t, s, "2", controlplane.Resource{Name: "a", Body: controlplane.Assignment("a", controlplane.Endpoint{Addr: "127.0.0.1:0", Health: corev3.HealthStatus_HEALTHY})})
-		r, _ := await(t, s, 0, func(r controlplane.Request) bool { return r.Error() != "" })
-		if !strings.Contains(r.Error(), "0 is not a port") || !delta && r.SotW.GetVersionInfo() != "1" {
-			t.Errorf("%v", r)
+		server := startControlPlane(t)
+		push(t, server, "1", clusterResource("a"), endpointsResource("a", "127.0.0.1:1"))
+		client, sink := startClient(t, func(options *ClientOptions) { options.Delta = delta }, server.Addr)
+		testbed.Eventually(t, "the first endpoint list", func() bool { return sink.get("endpoints a").State == Received })
+		push(t, server, "2", controlplane.Resource{Name: "a", Body: controlplane.Assignment("a", controlplane.Endpoint{Addr: "127.0.0.1:0", Health: corev3.HealthStatus_HEALTHY})})
+		received, _ := awaitRequest(t, server, 0, func(received controlplane.Request) bool { return received.Error() != "" })
+		if !strings.Contains(received.Error(), "0 is not a port") || !delta && received.SotW.GetVersionInfo() != "1" {
+			t.Errorf("NACK = %v, want an error about port 0 and version 1", received)
 		}
-		if r := got.get("endpoints a"); r.Version != "1" || r.State != Received || r.RejectedReason == "" {
-			t.Errorf("%+v", r)
+		if received := sink.get("endpoints a"); received.Version != "1" || received.State != Received || received.RejectedReason == "" {
+			t.Errorf("resource after the NACK = %+v, want version 1 received, with a reason of rejection", received)
 		}
-		for _, sum := range c.Summaries() {
-			if sum.Type == EndpointType && (sum.Rejected != 1 || sum.LastError == "") {
-				t.Errorf("%+v", sum)
+		for _, summary := range client.Summaries() {
+			if summary.Type == EndpointType && (summary.Rejected != 1 || summary.LastError == "") {
+				t.Errorf("summary of the endpoints = %+v, want 1 rejected response and an error", summary)
 			}
 		}
 	})
 }
 
-// A client whose context ends while it connects returns at once.
+// Run returns immediately when its context ends while the client connects.
 func TestRunEndsWhileConnecting(t *testing.T) {
 	testbed.Leaks(t)
-	s := serve(t)
-	push(t, s, "1", cds("a"), eps("a", "127.0.0.1:1"))
+	server := startControlPlane(t)
+	push(t, server, "1", clusterResource("a"), endpointsResource("a", "127.0.0.1:1"))
 	for i := range 50 {
-		opt := ClientOptions{Servers: []string{s.Addr}, ConnectTimeout: testbed.WaitTimeout, BackoffBase: time.Millisecond, MaxBackoff: time.Millisecond,
+		options := ClientOptions{Servers: []string{server.Addr}, ConnectTimeout: testbed.WaitTimeout, BackoffBase: time.Millisecond, MaxBackoff: time.Millisecond,
 			Keepalive: time.Minute, MaxMessageBytes: 1 << 20, Now: func() time.Duration { return 1 }, Log: slog.New(slog.DiscardHandler), Options: Options{Clusters: true}}
-		c := NewClient(opt, &recordingSink{all: map[string]Resource{}, at: map[string][]string{}})
+		client := NewClient(options, &recordingSink{resources: map[string]Resource{}, versions: map[string][]string{}})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			c.Run(ctx)
+			client.Run(ctx)
 			close(done)
 		}()
 		if i%2 == 0 {
-			testbed.Eventually(t, "the connection", func() bool { return c.Connection().Streams > 0 })
+			testbed.Eventually(t, "a stream to be opened", func() bool { return client.Connection().Streams > 0 })
 		}
 		cancel()
-		testbed.Receive(t, "the end", done)
+		testbed.Receive(t, "the end of Run", done)
 	}
 }
--- a/internal/xds/cluster.go
+++ b/internal/xds/cluster.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	defaultConnectTimeout = 5 * time.Second // Envoy's
+	defaultConnectTimeout = 5 * time.Second // the same as Envoy's default
 	maxConnectTimeout     = 10 * time.Second
 	maxThreshold          = 1_000_000
-	// noRetriesPercent is the budget of a cluster that allows no retries, as 0 means that there is no budget.
+	// noRetriesPercent is the retry budget of a cluster that allows no retries. It is not 0, as 0 means that no budget is set.
 	noRetriesPercent = 1e-9
-	// The defaults of a retry budget are Envoy's.
+	// The defaults of a retry budget are the same as Envoy's.
 	defaultRetryPercent = 20
 	defaultMinRetries   = 3
 )
 
-// Cluster is a Cluster resource in the gateway's form.
+// Cluster is a Cluster resource converted to the gateway's type.
 type Cluster struct {
 	Name            string
-	Service         string      // of an EDS cluster: the name of its ClusterLoadAssignment
-	Static          *Assignment // of a STATIC cluster
+	Service         string      // EDS cluster: the name of its ClusterLoadAssignment
+	Static          *Assignment // STATIC cluster: its endpoints
 	ConnectTimeout  time.Duration
 	IdleTimeout     time.Duration // 0: not set
-	Breakers                      // of the routing priority DEFAULT
-	HighPriority    Breakers      // of the routing priority HIGH
+	Breakers                      // for routing priority DEFAULT
+	HighPriority    Breakers      // for routing priority HIGH
 	WarmUp          time.Duration // the slow start window; 0: none
-	LocalityWeights bool          // the weights of localities count
+	LocalityWeights bool          // locality weights are used
 }
 
-// Breakers are the circuit breakers of a routing priority; 0: not set.
+// Breakers are the circuit breakers of a routing priority. A limit of 0 is not set.
 type Breakers struct {
 	MaxConnections int
 	MaxRequests    int
@@ -45,7 +45,8 @@
 	RetryBudget    *RetryBudget // nil: not set
 }
 
-// RetryBudget limits the retries in flight to a part of the requests in flight, in place of MaxRetries.
+// RetryBudget limits the retries in flight to a percentage of the requests in flight, and replaces MaxRetries. MinRetries
+// retries are always allowed.
 type RetryBudget struct {
 	Percent    float64
 	MinRetries int
@@ -106,7 +107,7 @@
 	}
 )
 
-// clusterParser converts one Cluster. It collects all errors.
+// clusterParser converts one Cluster. It collects all errors instead of stopping at the first one.
 type clusterParser struct {
 	message  *clusterv3.Cluster
 	cluster  *Cluster
@@ -114,8 +115,8 @@
 	errs     []error
 }
 
-// ParseCluster checks and converts a Cluster. It also returns warnings about what is ignored. The error names each field
-// that is not valid or not supported.
+// ParseCluster checks and converts a Cluster. It also returns a warning for each ignored field. The error contains the name of
+// each field that is invalid or not supported.
 func ParseCluster(message *clusterv3.Cluster) (*Cluster, []string, error) {
 	if message.GetName() == "" {
 		return nil, nil, errNoName
@@ -159,17 +160,18 @@
 	}
 	p.cluster.ConnectTimeout = min(timeout.AsDuration(), maxConnectTimeout)
 	if timeout.CheckValid() != nil || p.cluster.ConnectTimeout <= 0 {
-		p.fail("connect_timeout: want more than 0")
+		p.fail("connect_timeout: must be positive")
 	}
 }
 
-// parsePolicy checks the policy of load balancing. All supported ones become the least loaded of two random endpoints.
+// parsePolicy checks the load balancing policy. All supported policies are replaced by LEAST_REQUEST: the less loaded of two
+// random endpoints.
 func (p *clusterParser) parsePolicy() {
 	policy := p.message.GetLbPolicy()
 	switch policy {
 	case clusterv3.Cluster_LEAST_REQUEST:
 	case clusterv3.Cluster_ROUND_ROBIN, clusterv3.Cluster_RANDOM, clusterv3.Cluster_LOAD_BALANCING_POLICY_CONFIG:
-		p.warn("lb_policy %v: the fewer requests of two servers wins here", policy)
+		p.warn("lb_policy %v: replaced by LEAST_REQUEST of two random servers", policy)
 	default:
 		p.fail("lb_policy: %v is not supported", policy)
 	}
@@ -202,14 +204,14 @@
 		p.fail("eds_cluster_config.eds_config: only ads and self are supported")
 	}
 	if p.message.GetLoadAssignment() != nil {
-		p.fail("load_assignment: is for STATIC clusters")
+		p.fail("load_assignment: only allowed for STATIC clusters")
 	}
 	p.cluster.Service = cmp.Or(eds.GetServiceName(), p.cluster.Name)
 }
 
 func (p *clusterParser) parseStatic() {
 	if p.message.GetEdsClusterConfig() != nil {
-		p.fail("eds_cluster_config: is for EDS clusters")
+		p.fail("eds_cluster_config: only allowed for EDS clusters")
 	}
 	assignment, warnings, err := parseAssignment(p.message.GetLoadAssignment(), true)
 	if err != nil {
@@ -234,10 +236,10 @@
 		case corev3.RoutingPriority_HIGH:
 			target = &p.cluster.HighPriority
 			if thresholds.GetMaxConnections() != nil {
-				p.warn("%smax_connections: connections are shared by both priorities, it is not read for HIGH", path)
+				p.warn("%smax_connections: ignored for priority HIGH, as both priorities share the connections", path)
 			}
 		default:
-			p.fail("%spriority: %d is not known", path, thresholds.GetPriority())
+			p.fail("%spriority: unknown value %d", path, thresholds.GetPriority())
 			continue
 		}
 		if err := target.parse(thresholds); err != nil {
@@ -246,7 +248,7 @@
 	}
 }
 
-// parse takes over the thresholds that are set.
+// parse copies the thresholds that are set.
 func (b *Breakers) parse(thresholds *clusterv3.CircuitBreakers_Thresholds) error {
 	for _, threshold := range []struct {
 		name         string
@@ -264,7 +266,7 @@
 		}
 		*threshold.target = int(min(threshold.value.GetValue(), maxThreshold))
 		if threshold.zeroRejected && threshold.value.GetValue() == 0 {
-			return fmt.Errorf("%s: 0 would refuse all requests", threshold.name)
+			return fmt.Errorf("%s: must be at least 1, as 0 would reject all requests", threshold.name)
 		}
 	}
 	budget := thresholds.GetRetryBudget()
@@ -289,7 +291,7 @@
 }
 
 func (p *clusterParser) parseHTTPOptions() {
-	options := p.message.GetCommonHttpProtocolOptions() //nolint:staticcheck // control planes still send it here
+	options := p.message.GetCommonHttpProtocolOptions() //nolint:staticcheck // deprecated, but control planes still send it
 	if options == nil {
 		return
 	}
--- a/internal/xds/doc.go
+++ b/internal/xds/doc.go
@@ -1,16 +1,17 @@
-// Package xds subscribes to clusters, endpoints, listeners and routes of control planes that speak Envoy's xDS protocol,
-// version 3, and reads the same resources from files.
+// Package xds is a client of Envoy's xDS protocol, version 3. It subscribes to clusters, endpoints, listeners and routes of
+// control planes, and reads the same resources from files.
 //
-// A Client follows control planes over gRPC, and a FileSource a file. Both run a Machine, which is the protocol without a
-// connection, in its state-of-the-world and its incremental variant. The Parse functions convert resources into the
-// gateway's form. Tables list which fields of each message are supported and which are ignored with a warning; a resource
-// that sets any other field is rejected by the name of that field, so that nothing is ignored silently.
+// A Client subscribes to control planes over gRPC. A FileSource watches a file. Both use a Machine, which implements the
+// state-of-the-world and the incremental variant of the protocol independently of the connection. The Parse functions
+// convert resources into the gateway's types. Tables list which fields of each message are supported and which are ignored
+// with a warning. A resource that sets any other field is rejected with an error that contains the name of the field, so
+// that no field is ignored silently.
 package xds
 
 import "errors"
 
-// metadataName is the filter_metadata with what only this gateway knows: kind and cell of an endpoint, class and keys of a
-// route.
+// metadataName is the key in filter_metadata of the fields that are specific to this gateway: kind and cell of an endpoint,
+// class and keys of a route.
 const metadataName = "robindrum"
 
 var errNoName = errors.New("name: is missing")
--- a/internal/xds/fields.go
+++ b/internal/xds/fields.go
@@ -10,18 +10,18 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// maxWarnings bounds the warnings about one resource.
+// maxWarnings limits the warnings about ignored fields of one resource.
 const maxWarnings = 32
 
-// fieldTable lists the fields of a message that are supported and those that are ignored with a warning. A resource that
-// sets another field is rejected.
+// fieldTable lists the fields of a message that are supported and the fields that are ignored with a warning. A resource
+// that sets any other field is rejected.
 type fieldTable struct {
 	supported []string
 	ignored   []string
 }
 
-// audit checks the fields that a message sets. The path is that of the message, with a dot at its end, and begins errors
-// and warnings. With nil warnings none are recorded.
+// audit checks the fields that are set in a message. The path is the field path of the message, empty or with a trailing dot,
+// and is the prefix of errors and warnings. Warnings are discarded if warnings is nil.
 func (t fieldTable) audit(message proto.Message, path string, warnings *[]string) error {
 	var errs []error
 	reflected := message.ProtoReflect()
--- a/internal/xds/fields_test.go
+++ b/internal/xds/fields_test.go
@@ -11,7 +11,7 @@
 
 var writePage = flag.Bool("write-page", false, "rewrite docs/operate/xds-fields.md")
 
-// The page of fields agrees with the tables.
+// The documentation page xds-fields.md lists exactly the fields in the tables.
 func TestFieldsPageMatchesTables(t *testing.T) {
 	const path = "../../docs/operate/xds-fields.md"
 	var b strings.Builder
@@ -48,6 +48,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != b.String() {
-		t.Errorf("%s says something else; write it anew with -write-page", path)
+		t.Errorf("%s does not match the tables; regenerate it with -write-page", path)
 	}
 }
--- a/internal/xds/file.go
+++ b/internal/xds/file.go
@@ -27,62 +27,63 @@
 
 const (
 	maxFileBytes = 64 << 20
-	// pollInterval is how often the file is read where the system does not report its changes.
+	// pollInterval is how often the file is checked, in case the system does not report changes or loses events.
 	pollInterval = 2 * time.Second
-	// settleTime is how long after an event the file is read, as one change may cause several events.
-	settleTime = 20 * time.Millisecond
-	// digestBytes and versionBytes are how much is used of a digest of a file and of a resource.
+	// debounceDelay is the time between an event and reading the file, as one change may cause several events.
+	debounceDelay = 20 * time.Millisecond
+	// digestBytes and versionBytes are the lengths to which the digests of a file and of a resource are truncated.
 	digestBytes  = 8
 	versionBytes = 6
 )
 
-// FileSource reads resources from a file that contains a DiscoveryResponse in JSON or YAML (Envoy's path_config_source). A
-// new file is to be moved over the former one, so that it is never read half written. A file that cannot be read changes
-// nothing. Of one that can, invalid resources keep their former version, as from a control plane, and omitted ones are
-// withdrawn. Its methods may be called concurrently.
+// FileSource reads resources from a file that contains a DiscoveryResponse in JSON or YAML (Envoy's path_config_source). To
+// replace the file, move a new file over it, so that no partially written file is read. If the file cannot be read or parsed,
+// all resources stay as they are. Otherwise each invalid resource keeps its previous version, as in a response of a control
+// plane, and omitted resources are withdrawn. The methods of FileSource are safe for concurrent use.
 type FileSource struct {
 	path string
 	now  func() time.Duration
 	log  *slog.Logger
 	sink Sink
 
-	loading sync.Mutex // held while the file is loaded and its changes are passed on, to keep their order
+	loadMu sync.Mutex // held while the file is loaded and its changes are passed to the sink, to preserve their order
 
 	mu        sync.Mutex
 	machine   *Machine
-	digest    string // of the file in use
+	digest    string // digest of the file in use
 	readAt    time.Duration
 	lastError string
 }
 
-// NewFileSource returns a FileSource that has not read the file yet. It does not use the node and the timeout of options.
+// NewFileSource returns a FileSource that has not read the file yet. Options.Delta, Options.Node and Options.FetchTimeout are
+// ignored.
 func NewFileSource(path string, options Options, now func() time.Duration, log *slog.Logger, sink Sink) *FileSource {
 	options.Delta = true
 	options.FetchTimeout = 0
 	return &FileSource{path: path, now: now, log: log, sink: sink, machine: NewMachine(options)}
 }
 
-// Load reads the file. The error says why it, or some resource in it, is not used.
+// Load reads the file. It returns an error if the file or a resource in it is rejected.
 func (f *FileSource) Load() error { return f.reload(false) }
 
-// reload reads the file, and applies its resources if it has changed or always is set.
-func (f *FileSource) reload(always bool) error {
-	f.loading.Lock()
-	defer f.loading.Unlock()
+// reload reads the file, and applies its resources if the file has changed or force is set.
+func (f *FileSource) reload(force bool) error {
+	f.loadMu.Lock()
+	defer f.loadMu.Unlock()
 	resources, digest, err := readResources(f.path)
-	changes, err := f.apply(resources, digest, err, always)
+	changes, err := f.apply(resources, digest, err, force)
 	if len(changes) > 0 {
 		f.sink.Changed(changes)
 	}
 	return err
 }
 
-// apply applies what was read from the file, or the error of reading it.
-func (f *FileSource) apply(resources map[Type][]*discoveryv3.Resource, digest string, err error, always bool) ([]Change, error) {
+// apply applies the resources that were read from the file, or records the error of reading it.
+func (f *FileSource) apply(resources map[Type][]*discoveryv3.Resource, digest string, err error, force bool) ([]Change, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	defer func() { f.readAt = f.now() }()
-	if err == nil && digest == f.digest && !always {
+	if err == nil && digest == f.digest && !force {
 		return nil, nil
 	}
 	var changes []Change
@@ -101,7 +102,7 @@
 
 // Subscribe replaces Options.Services and Options.Classes, and reads the file again.
 func (f *FileSource) Subscribe(services []string, classes map[string]bool) {
-	f.loading.Lock()
+	f.loadMu.Lock()
 	f.mu.Lock()
 	f.machine.SetClasses(classes)
 	_, changes := f.machine.Subscribe(f.now(), services)
@@ -109,25 +110,25 @@
 	if len(changes) > 0 {
 		f.sink.Changed(changes)
 	}
-	f.loading.Unlock()
-	_ = f.reload(true) // Connection returns the error
+	f.loadMu.Unlock()
+	_ = f.reload(true) // the error is available from Connection
 }
 
-// Connection returns when the file was read and what is wrong with it.
+// Connection returns the path of the file, the time when it was last read, and the error of reading it.
 func (f *FileSource) Connection() Connection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Connection{Server: f.path, LastResponseAt: f.readAt, LastError: f.lastError}
 }
 
-// Summaries returns a Summary of each type.
+// Summaries returns the Summary of each type.
 func (f *FileSource) Summaries() []Summary {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.machine.Summaries()
 }
 
-// Run reads the file whenever it changes, until ctx ends.
+// Run reads the file whenever it changes, until ctx ends. It does not read the file at the start; see Load.
 func (f *FileSource) Run(ctx context.Context) {
 	watcher := f.watch()
 	defer watcher.close()
@@ -139,12 +140,12 @@
 			return
 		case <-poll.C:
 		case err := <-watcher.errors:
-			_ = err // whatever it is, events may be lost
+			_ = err // after any error, events may have been lost
 		case event := <-watcher.events:
 			if filepath.Base(event.Name) != filepath.Base(f.path) {
 				continue
 			}
-			if !watcher.settle(ctx) {
+			if !watcher.debounce(ctx) {
 				return
 			}
 		}
@@ -152,23 +153,23 @@
 	}
 }
 
-// loadAndLog reads the file, and logs an error that is not the former one.
+// loadAndLog reads the file, and logs an error unless it is the same as the last one.
 func (f *FileSource) loadAndLog() {
-	former := f.Connection().LastError
+	previous := f.Connection().LastError
 	err := f.Load()
-	if err != nil && truncate(err.Error()) != former {
-		f.log.Warn("file rejected, its former resources stay in use", "error", err)
+	if err != nil && truncate(err.Error()) != previous {
+		f.log.Warn("file rejected, previous resources stay in use", "error", err)
 	}
 }
 
-// fileWatcher reports changes in a directory. Its channels are nil where the system does not report changes.
+// fileWatcher reports changes in a directory. Its channels are nil if the system does not report changes.
 type fileWatcher struct {
 	events <-chan fsnotify.Event
 	errors <-chan error
 	close  func()
 }
 
-// watch watches the directory of the file, as a file that is moved over another one is a new one.
+// watch watches the directory of the file, as a watch on the file would end when another file is moved over it.
 func (f *FileSource) watch() fileWatcher {
 	watcher, err := fsnotify.NewWatcher()
 	if err == nil {
@@ -178,19 +179,19 @@
 		}
 		_ = watcher.Close()
 	}
-	f.log.Warn("cannot watch the file, polling it", "file", f.path, "error", err)
+	f.log.Warn("cannot watch file, falling back to polling", "file", f.path, "error", err)
 	return fileWatcher{close: func() {}}
 }
 
-// settle waits for settleTime and discards the events meanwhile. It returns false if ctx ends.
-func (w *fileWatcher) settle(ctx context.Context) bool {
-	timer := time.NewTimer(settleTime)
+// debounce waits for debounceDelay and discards the events received meanwhile. It returns false if ctx ends.
+func (w *fileWatcher) debounce(ctx context.Context) bool {
+	timer := time.NewTimer(debounceDelay)
 	defer timer.Stop()
 	for {
 		select {
 		case <-w.events:
 		case err := <-w.errors:
-			_ = err // the file is read in any case
+			_ = err // the file is read regardless of the error
 		case <-timer.C:
 			return true
 		case <-ctx.Done():
@@ -199,14 +200,14 @@
 	}
 }
 
-// readResources reads the resources of a file by type, and returns the digest of the file.
+// readResources reads a file, and returns its resources by type and the digest of the file.
 func readResources(path string) (map[Type][]*discoveryv3.Resource, string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, "", err
 	}
 	if info.Size() > maxFileBytes {
-		return nil, "", fmt.Errorf("%d bytes, %d at most", info.Size(), maxFileBytes)
+		return nil, "", fmt.Errorf("file size of %d bytes exceeds the maximum of %d", info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -217,19 +218,20 @@
 	return resources, hex.EncodeToString(digest[:digestBytes]), err
 }
 
-// ParseFile returns the resources of a DiscoveryResponse in JSON or YAML by type. The version of each is a digest.
+// ParseFile parses a DiscoveryResponse in JSON or YAML, and returns its resources by type. The version of each resource is a
+// digest of its contents.
 func ParseFile(text []byte) (map[Type][]*discoveryv3.Resource, error) {
 	var document any
-	if err := yaml.Unmarshal(text, &document); err != nil { // JSON is YAML
-		return nil, fmt.Errorf("not YAML: %w", err)
+	if err := yaml.Unmarshal(text, &document); err != nil { // JSON is a subset of YAML
+		return nil, fmt.Errorf("invalid YAML: %w", err)
 	}
 	asJSON, err := json.Marshal(document)
 	if err != nil {
-		return nil, fmt.Errorf("not a DiscoveryResponse: %w", err)
+		return nil, fmt.Errorf("invalid DiscoveryResponse: %w", err)
 	}
 	var response discoveryv3.DiscoveryResponse
 	if err := protojson.Unmarshal(asJSON, &response); err != nil {
-		return nil, fmt.Errorf("not a DiscoveryResponse: %w", err)
+		return nil, fmt.Errorf("invalid DiscoveryResponse: %w", err)
 	}
 	resources := map[Type][]*discoveryv3.Resource{}
 	for i, body := range response.GetResources() {
@@ -245,14 +247,14 @@
 	return resources, nil
 }
 
-// resourceName returns the name of a resource.
+// resourceName returns the name of an encoded resource of a supported type.
 func resourceName(body *anypb.Any) (string, error) {
 	unmarshal := func(m proto.Message, name func() string) (string, error) {
 		if err := proto.Unmarshal(body.GetValue(), m); err != nil {
 			return "", err
 		}
 		if name() == "" {
-			return "", errors.New("has no name")
+			return "", errors.New("resource has no name")
 		}
 		return name(), nil
 	}
@@ -270,5 +272,5 @@
 		var m routev3.RouteConfiguration
 		return unmarshal(&m, m.GetName)
 	}
-	return "", fmt.Errorf("a %q is not taken", body.GetTypeUrl())
+	return "", fmt.Errorf("resource type %q is not supported", body.GetTypeUrl())
 }
--- a/internal/xds/file_test.go
+++ b/internal/xds/file_test.go
@@ -13,15 +13,16 @@
 	"robindrum/internal/testbed"
 )
 
-func fileOf(ports ...int) string {
-	s := "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  cluster_name: a\n  endpoints:\n  - locality: {zone: z}\n    lb_endpoints:\n"
-	for _, p := range ports {
-		s += fmt.Sprintf("    - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: %d}}}\n", p)
+// endpointsFile returns a resource file with an assignment named a that has an endpoint on each port.
+func endpointsFile(ports ...int) string {
+	text := "resources:\n- '@type': type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment\n  cluster_name: a\n  endpoints:\n  - locality: {zone: z}\n    lb_endpoints:\n"
+	for _, port := range ports {
+		text += fmt.Sprintf("    - endpoint: {address: {socket_address: {address: 127.0.0.1, port_value: %d}}}\n", port)
 	}
-	return s
+	return text
 }
 
-// replace moves a new file over the former one.
+// replace moves a new file over the file at path.
 func replace(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -32,73 +33,76 @@
 	}
 }
 
-func source(path string, opt Options) (*FileSource, *recordingSink) {
-	s := &recordingSink{all: map[string]Resource{}, at: map[string][]string{}}
-	began := time.Now()
-	return NewFileSource(path, opt, func() time.Duration { return time.Since(began) + 1 }, slog.New(slog.DiscardHandler), s), s
+func newFileSource(path string, options Options) (*FileSource, *recordingSink) {
+	sink := &recordingSink{resources: map[string]Resource{}, versions: map[string][]string{}}
+	start := time.Now()
+	return NewFileSource(path, options, func() time.Duration { return time.Since(start) + 1 }, slog.New(slog.DiscardHandler), sink), sink
 }
 
-// A file is replaced, made invalid, corrected and emptied: a valid one is used within a second, and an invalid one changes
-// nothing and is reported.
+// A file is replaced, made invalid, corrected and emptied. A valid file is applied at the latest one second after the next
+// poll. An invalid file changes no resource, and its error is reported.
 func TestFileChangesAreApplied(t *testing.T) {
 	testbed.Leaks(t)
 	path := filepath.Join(t.TempDir(), "r.yaml")
-	replace(t, path, fileOf(1, 2))
-	f, got := source(path, Options{Services: []string{"a"}})
-	if err := f.Load(); err != nil {
+	replace(t, path, endpointsFile(1, 2))
+	file, sink := newFileSource(path, Options{Services: []string{"a"}})
+	if err := file.Load(); err != nil {
 		t.Fatal(err)
 	}
 	count := func() int {
-		a, _ := got.get("endpoints a").Value.(*Assignment)
-		if a == nil {
+		assignment, _ := sink.get("endpoints a").Value.(*Assignment)
+		if assignment == nil {
 			return -1
 		}
-		return len(a.Endpoints)
+		return len(assignment.Endpoints)
 	}
 	if count() != 2 {
-		t.Fatalf("%d endpoints", count())
+		t.Fatalf("got %d endpoints after Load, want 2", count())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		f.Run(ctx)
+		file.Run(ctx)
 		close(done)
 	}()
 	defer func() {
 		cancel()
-		testbed.Receive(t, "the end", done)
+		testbed.Receive(t, "the end of Run", done)
 	}()
 	for i := range 20 {
-		began := time.Now()
-		replace(t, path, fileOf(10, 11, 12+i)[:len(fileOf(10, 11, 12+i))]+strings.Repeat("#\n", i%2))
+		start := time.Now()
+		replace(t, path, endpointsFile(10, 11, 12+i)[:len(endpointsFile(10, 11, 12+i))]+strings.Repeat("#\n", i%2))
 		want := 3
 		if i%2 == 1 {
-			replace(t, path, fileOf(20+i))
+			replace(t, path, endpointsFile(20+i))
 			want = 1
 		}
-		testbed.Eventually(t, "the new list", func() bool { return count() == want })
-		if d := time.Since(began); d > pollInterval+time.Second {
-			t.Errorf("noticed after %v", d)
+		testbed.Eventually(t, "the new endpoint list", func() bool { return count() == want })
+		if delay := time.Since(start); delay > pollInterval+time.Second {
+			t.Errorf("the change was applied after %v, want at most %v", delay, pollInterval+time.Second)
 		}
 	}
-	for _, bad := range []string{"resources: [", "resources:\n- '@type': type.googleapis.com/google.protobuf.Duration\n  value: 1s\n", fileOf(0), "resourcez: []\n"} {
-		n, before := count(), f.Connection().LastError
-		replace(t, path, bad)
-		testbed.Eventually(t, "the refusal", func() bool { e := f.Connection().LastError; return e != "" && e != before })
-		if count() != n || !strings.Contains(f.Connection().LastError, path) {
-			t.Errorf("%d endpoints, %q", count(), f.Connection().LastError)
+	for _, invalid := range []string{"resources: [", "resources:\n- '@type': type.googleapis.com/google.protobuf.Duration\n  value: 1s\n", endpointsFile(0), "resourcez: []\n"} {
+		endpoints, previousError := count(), file.Connection().LastError
+		replace(t, path, invalid)
+		testbed.Eventually(t, "the error of the invalid file", func() bool {
+			lastError := file.Connection().LastError
+			return lastError != "" && lastError != previousError
+		})
+		if count() != endpoints || !strings.Contains(file.Connection().LastError, path) {
+			t.Errorf("after an invalid file: got %d endpoints and error %q, want %d endpoints and an error that contains the path", count(), file.Connection().LastError, endpoints)
 		}
 	}
-	replace(t, path, fileOf(1, 2))
-	testbed.Eventually(t, "the file put right", func() bool { return count() == 2 && f.Connection().LastError == "" })
+	replace(t, path, endpointsFile(1, 2))
+	testbed.Eventually(t, "the corrected file", func() bool { return count() == 2 && file.Connection().LastError == "" })
 	replace(t, path, "{}\n")
-	testbed.Eventually(t, "the withdrawal", func() bool { return got.get("endpoints a").State == Absent })
-	if s := f.Summaries(); len(s) != 1 || s[0].Type != EndpointType {
-		t.Errorf("%+v", s)
+	testbed.Eventually(t, "the endpoints to be withdrawn", func() bool { return sink.get("endpoints a").State == Absent })
+	if summaries := file.Summaries(); len(summaries) != 1 || summaries[0].Type != EndpointType {
+		t.Errorf("Summaries() = %+v, want only the type of the endpoints", summaries)
 	}
 }
 
-// A file may contain clusters and routes as well, in JSON or YAML; resources without a subscription are ignored.
+// A file may also contain clusters and routes, and may be JSON. Resources without a subscription are ignored.
 func TestFileWithAllResourceTypes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	replace(t, path, `{"version_info":"7","resources":[
@@ -106,45 +110,46 @@
 		{"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"b"},
 		{"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"nobody's"},
 		{"@type":"type.googleapis.com/envoy.config.cluster.v3.Cluster","name":"a","type":"EDS","eds_cluster_config":{"service_name":"b","eds_config":{"ads":{}}}}]}`)
-	f, got := source(path, Options{Clusters: true, RouteConfigName: "r"})
-	if err := f.Load(); err != nil {
+	file, sink := newFileSource(path, Options{Clusters: true, RouteConfigName: "r"})
+	if err := file.Load(); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"cluster a", "endpoints b", "routes r"} {
-		if got.get(name).State != Received {
-			t.Errorf("%s: %v", name, got.get(name).State)
+		if sink.get(name).State != Received {
+			t.Errorf("state of %s = %v, want %v", name, sink.get(name).State, Received)
 		}
 	}
-	if got.get("endpoints nobody's").State == Received {
-		t.Error("what nobody names is taken")
+	if sink.get("endpoints nobody's").State == Received {
+		t.Error("endpoints that are not subscribed to are in use")
 	}
-	f.Subscribe([]string{"nobody's"}, nil)
-	if got.get("endpoints nobody's").State != Received {
-		t.Error("what is named later is not taken")
+	file.Subscribe([]string{"nobody's"}, nil)
+	if sink.get("endpoints nobody's").State != Received {
+		t.Error("endpoints are not in use after Subscribe")
 	}
-	f.Subscribe(nil, nil)
-	if got.get("endpoints nobody's").State != Absent {
-		t.Error("what is named no more is kept")
+	file.Subscribe(nil, nil)
+	if sink.get("endpoints nobody's").State != Absent {
+		t.Error("endpoints are still in use after the subscription was removed")
 	}
 	if _, err := ParseFile(make([]byte, 10)); err == nil {
-		t.Error("zero bytes are read")
+		t.Error("ParseFile accepted a file of NUL bytes, want an error")
 	}
-	g, _ := source(filepath.Join(t.TempDir(), "none"), Options{})
-	if err := g.Load(); err == nil {
-		t.Error("a file that is not there is read")
+	missing, _ := newFileSource(filepath.Join(t.TempDir(), "none"), Options{})
+	if err := missing.Load(); err == nil {
+		t.Error("Load of a missing file returned no error")
 	}
 }
 
+// Any bytes are either rejected by ParseFile or can be applied, without a panic.
 func FuzzFile(f *testing.F) {
-	f.Add([]byte(fileOf(1, 2)))
+	f.Add([]byte(endpointsFile(1, 2)))
 	f.Add([]byte(`{"resources":[{"@type":"type.googleapis.com/envoy.config.cluster.v3.Cluster","name":"a"}]}`))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		set, err := ParseFile(b)
+	f.Fuzz(func(t *testing.T, text []byte) {
+		resources, err := ParseFile(text)
 		if err != nil {
 			return
 		}
 		m := NewMachine(Options{Clusters: true, Delta: true, RouteConfigName: "r", Services: []string{"a"}})
-		s := FileSource{machine: m, now: func() time.Duration { return 1 }}
-		_, _ = s.apply(set, "", nil, true)
+		file := FileSource{machine: m, now: func() time.Duration { return 1 }}
+		_, _ = file.apply(resources, "", nil, true)
 	})
 }
--- a/internal/xds/listener.go
+++ b/internal/xds/listener.go
@@ -10,18 +10,19 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Listener is a Listener resource in the gateway's form: only its routes. The gateway's own listeners are configured.
+// Listener is a Listener resource converted to the gateway's type. It holds only the routes, as the listeners of the gateway
+// are defined in its configuration.
 type Listener struct {
 	Name      string
-	RouteName string  // of the RouteConfiguration to subscribe to
-	Inline    *Routes // or the routes themselves
+	RouteName string  // name of the RouteConfiguration to subscribe to; empty with Inline
+	Inline    *Routes // routes that are part of the listener; nil with RouteName
 }
 
-// hcmURL is the type of the one network filter that is supported.
+// hcmURL is the type URL of the only supported network filter.
 const hcmURL = "type.googleapis.com/envoy.extensions.filters.network.http_connection_manager.v3.HttpConnectionManager"
 
-// routerURL is the type of the one HTTP filter that is supported. Its reference to the type also registers it, which
-// reading files of resources needs.
+// routerURL is the type URL of the only supported HTTP filter. The reference to routerv3 also registers the message type, which
+// is required to parse resource files that contain it.
 var routerURL = "type.googleapis.com/" + string((*routerv3.Router)(nil).ProtoReflect().Descriptor().FullName())
 
 var (
@@ -55,14 +56,14 @@
 	}
 )
 
-// listenerParser converts one Listener. It returns the first error.
+// listenerParser converts one Listener. It stops at the first error.
 type listenerParser struct {
 	listener *Listener
 	classes  map[string]bool
 	warnings []string
 }
 
-// ParseListener checks and converts a Listener. It also returns warnings about what is ignored. See ParseRoutes for
+// ParseListener checks and converts a Listener. It also returns a warning for each ignored field. See ParseRoutes for
 // classes.
 func ParseListener(message *listenerv3.Listener, classes map[string]bool) (*Listener, []string, error) {
 	if message.GetName() == "" {
@@ -94,22 +95,22 @@
 	return p.parseManager(&manager, path)
 }
 
-// managerConfig returns the configuration of the HTTP connection manager and its path: of an API listener, or else of the
-// only filter of the only filter chain.
+// managerConfig returns the configuration of the HTTP connection manager and its field path. The configuration is that of the
+// API listener, if there is one, or else that of the only filter of the only filter chain.
 func (p *listenerParser) managerConfig(message *listenerv3.Listener) (config *anypb.Any, path string, err error) {
 	if config := message.GetApiListener().GetApiListener(); config != nil {
 		return config, "api_listener.api_listener.", nil
 	}
 	chains := message.GetFilterChains()
 	if len(chains) != 1 {
-		return nil, "", fmt.Errorf("filter_chains: want one, not %d", len(chains))
+		return nil, "", fmt.Errorf("filter_chains: must have exactly 1 element, got %d", len(chains))
 	}
 	if err := filterChainTable.audit(chains[0], "filter_chains[0].", &p.warnings); err != nil {
 		return nil, "", err
 	}
 	filters := chains[0].GetFilters()
 	if len(filters) != 1 {
-		return nil, "", fmt.Errorf("filter_chains[0].filters: want one, not %d", len(filters))
+		return nil, "", fmt.Errorf("filter_chains[0].filters: must have exactly 1 element, got %d", len(filters))
 	}
 	return filters[0].GetTypedConfig(), "filter_chains[0].filters[0].typed_config.", nil
 }
@@ -139,10 +140,10 @@
 		p.warnings = append(p.warnings, warnings...)
 		return nil
 	}
-	return fmt.Errorf("%sroute_specifier: one of rds and route_config is needed", path)
+	return fmt.Errorf("%sroute_specifier: one of rds and route_config is required", path)
 }
 
-// parseFilter checks an HTTP filter. Optional filters are ignored with a warning.
+// parseFilter checks an HTTP filter. Optional filters that are not supported are ignored with a warning.
 func (p *listenerParser) parseFilter(filter *hcmv3.HttpFilter, path string) error {
 	if err := httpFilterTable.audit(filter, path, &p.warnings); err != nil {
 		return err
--- a/internal/xds/machine.go
+++ b/internal/xds/machine.go
@@ -11,44 +11,44 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// Options are the options of a Machine.
+// Options configure a Machine.
 type Options struct {
 	Delta           bool // use the incremental variant of the protocol
 	Node            *corev3.Node
 	Clusters        bool            // subscribe to all clusters
-	Services        []string        // ClusterLoadAssignments to subscribe to beside those that clusters name
+	Services        []string        // ClusterLoadAssignments to subscribe to, in addition to those that clusters refer to
 	RouteConfigName string          // the RouteConfiguration to subscribe to; empty: none
-	ListenerName    string          // the Listener to subscribe to, with the RouteConfiguration that it names; empty: none
-	Classes         map[string]bool // the classes that routes may name; nil: any
-	RetainBodies    bool            // retain resources as received, for Export
-	FetchTimeout    time.Duration   // a resource without any response for so long does not exist; 0: it is waited for
+	ListenerName    string          // the Listener to subscribe to, with the RouteConfiguration that it refers to; empty: none
+	Classes         map[string]bool // the classes that routes may refer to; nil: any
+	RetainBodies    bool            // retain the encoded resources, which Export needs
+	FetchTimeout    time.Duration   // a requested resource is marked absent after this time without a response; 0: never
 }
 
 // typeState is the state of one resource type.
 type typeState struct {
 	resourceType Type
-	wildcard     bool                 // subscribed to all
-	resources    map[string]*Resource // subscribed to, or received where wildcard is set
-	version      string               // state of the world: the last accepted one
-	nonce        string               // of the last response on this stream
+	wildcard     bool                 // subscribed to all resources of the type
+	resources    map[string]*Resource // by name: the subscribed resources, or with wildcard the known ones
+	version      string               // state-of-the-world variant: the last accepted version
+	nonce        string               // nonce of the last response on this stream
 	updatedAt    time.Duration
 	accepted     int
 	rejected     int
-	lastError    string // of the last response, if it was rejected
+	lastError    string // error of the last response; empty if it was accepted
 }
 
-// Machine is the client's side of the xDS transport protocol: responses in, requests and changes out. It has no clock, no
-// connection and no goroutine, and is not safe for concurrent use. A response is answered by an ACK with its version or a
-// NACK with the former one. Valid resources of a rejected response are used all the same; each invalid one keeps its former
-// version.
+// Machine implements the client side of the xDS transport protocol. It handles responses, and returns the requests to send
+// and the changes of resources. It has no clock, connection or goroutine, and is not safe for concurrent use. It answers a
+// response with an ACK that contains the new version or with a NACK that contains the previous one. Valid resources of a
+// rejected response are still used; each invalid resource keeps its previous version.
 type Machine struct {
 	options    Options
 	types      []*typeState // in the order of subscription
 	streamOpen bool
-	nodeSent   bool // on this stream, whose first request contains the node
+	nodeSent   bool // the node was sent on this stream; only the first request contains it
 }
 
-// NewMachine returns a Machine without a stream.
+// NewMachine returns a Machine without an open stream.
 func NewMachine(options Options) *Machine {
 	m := &Machine{options: options}
 	add := func(t Type) *typeState {
@@ -69,7 +69,7 @@
 	return m
 }
 
-// stateOf returns the state of a type, or nil if it is not subscribed to.
+// stateOf returns the state of a type, or nil if the Machine does not use the type.
 func (m *Machine) stateOf(t Type) *typeState {
 	for _, state := range m.types {
 		if state.resourceType == t {
@@ -79,16 +79,16 @@
 	return nil
 }
 
-// Subscribe replaces Options.Services.
+// Subscribe replaces Options.Services, and returns the requests and changes that result.
 func (m *Machine) Subscribe(now time.Duration, services []string) ([]Request, []Change) {
 	m.options.Services = services
 	return m.updateSubscriptions(now)
 }
 
-// SetClasses replaces Options.Classes from the next response on.
+// SetClasses replaces Options.Classes. The next response is the first that it affects.
 func (m *Machine) SetClasses(classes map[string]bool) { m.options.Classes = classes }
 
-// StartStream starts a stream. It returns the first request of each type, which contains the versions in use.
+// StartStream handles the start of a stream. It returns the first request of each type, which contains the versions in use.
 func (m *Machine) StartStream(now time.Duration) ([]Request, []Change) {
 	m.streamOpen = false
 	m.nodeSent = false
@@ -126,7 +126,7 @@
 	}}
 }
 
-// addNode adds the node to the first request of a stream.
+// addNode adds the node to the first request of the stream.
 func (m *Machine) addNode(requests []Request) []Request {
 	if len(requests) == 0 || m.nodeSent {
 		return requests
@@ -140,14 +140,14 @@
 	return requests
 }
 
-// EndStream ends the stream. The resources stay in use.
+// EndStream handles the end of the stream. The resources stay in use.
 func (m *Machine) EndStream() { m.streamOpen = false }
 
-// StreamOpen reports whether there is a stream.
+// StreamOpen reports whether a stream is open.
 func (m *Machine) StreamOpen() bool { return m.streamOpen }
 
-// subscribed returns the names that a type subscribes to. A wildcard subscription uses the legacy form without names,
-// which every control plane supports.
+// subscribed returns the names of the subscribed resources, sorted. It returns nil for a wildcard subscription: a request
+// without names is the legacy form, which every control plane supports.
 func (s *typeState) subscribed() []string {
 	if s.wildcard {
 		return nil
@@ -155,7 +155,7 @@
 	return slices.Sorted(maps.Keys(s.resources))
 }
 
-// updateSubscriptions brings the subscriptions up to date with what the options and the resources in use name.
+// updateSubscriptions updates the subscriptions to the resources that the options and the resources in use refer to.
 func (m *Machine) updateSubscriptions(now time.Duration) (requests []Request, changes []Change) {
 	names := m.referencedNames()
 	for _, state := range m.types {
@@ -164,12 +164,12 @@
 		}
 		subscribedNone := len(state.resources) == 0
 		added := state.addMissing(now, names[state.resourceType])
-		removed, absent := state.removeUnnamed(now, names[state.resourceType])
+		removed, absent := state.removeUnreferenced(now, names[state.resourceType])
 		changes = append(changes, absent...)
 		if !m.streamOpen || len(added)+len(removed) == 0 {
 			continue
 		}
-		// An empty list as the first request of a type would subscribe to all resources; later it subscribes to none.
+		// An empty list of names subscribes to all resources in the first request of a type, and to none in later ones.
 		if !m.options.Delta && subscribedNone && len(state.resources) == 0 {
 			continue
 		}
@@ -179,7 +179,7 @@
 	return m.addNode(requests), changes
 }
 
-// referencedNames returns the names that the options and the resources in use name, by type.
+// referencedNames returns, by type, the names of the resources that the options and the resources in use refer to.
 func (m *Machine) referencedNames() map[Type]map[string]bool {
 	services := map[string]bool{}
 	for _, name := range m.options.Services {
@@ -208,7 +208,7 @@
 	return map[Type]map[string]bool{EndpointType: services, ListenerType: listeners, RouteType: routes}
 }
 
-// addMissing adds the resources that are named and not subscribed to, and returns their sorted names.
+// addMissing adds the named resources that are not subscribed yet, and returns their names, sorted.
 func (s *typeState) addMissing(now time.Duration, names map[string]bool) []string {
 	var added []string
 	for name := range names {
@@ -221,9 +221,9 @@
 	return added
 }
 
-// removeUnnamed removes the resources that nothing names any more. It returns their sorted names, and the changes of those
-// that were in use.
-func (s *typeState) removeUnnamed(now time.Duration, names map[string]bool) (removed []string, changes []Change) {
+// removeUnreferenced removes the resources whose names are not in names. It returns the removed names, sorted, and the
+// changes of the resources that were in use.
+func (s *typeState) removeUnreferenced(now time.Duration, names map[string]bool) (removed []string, changes []Change) {
 	for name, r := range s.resources {
 		if names[name] {
 			continue
@@ -231,7 +231,7 @@
 		delete(s.resources, name)
 		removed = append(removed, name)
 		if r.State == Received {
-			absent := Resource{Name: name, State: Absent, AbsentReason: "nothing names it any more", UpdatedAt: now}
+			absent := Resource{Name: name, State: Absent, AbsentReason: "no longer referenced", UpdatedAt: now}
 			changes = append(changes, Change{s.resourceType, absent})
 		}
 	}
@@ -239,7 +239,7 @@
 	return removed, changes
 }
 
-// subscriptionRequest returns the request by which a subscription changes on an open stream.
+// subscriptionRequest returns the request that changes a subscription on an open stream.
 func (m *Machine) subscriptionRequest(state *typeState, added, removed []string) Request {
 	if m.options.Delta {
 		return Request{Delta: &discoveryv3.DeltaDiscoveryRequest{
@@ -262,7 +262,7 @@
 	})
 }
 
-// markAbsent marks a resource as absent. With a wildcard subscription it is removed.
+// markAbsent marks a resource as absent and returns the change. With a wildcard subscription the resource is removed.
 func (s *typeState) markAbsent(now time.Duration, r *Resource, reason string) Change {
 	*r = Resource{Name: r.Name, State: Absent, AbsentReason: reason, UpdatedAt: now, requestedAt: r.requestedAt}
 	if s.wildcard {
@@ -271,7 +271,8 @@
 	return Change{s.resourceType, *r}
 }
 
-// Tick marks resources as absent that have expired or got no response within FetchTimeout.
+// Tick marks the resources as absent that have expired or got no response within FetchTimeout. It returns the requests and
+// changes that result.
 func (m *Machine) Tick(now time.Duration) ([]Request, []Change) {
 	var changes []Change
 	for _, state := range m.types {
@@ -286,7 +287,7 @@
 	return requests, append(changes, unsubscribed...)
 }
 
-// timeoutReason returns why the time of a resource is over; empty if it is not.
+// timeoutReason returns the reason why a resource has timed out; empty if it has not.
 func (m *Machine) timeoutReason(now time.Duration, r *Resource) string {
 	deadline := m.deadline(r)
 	if deadline <= 0 || now < deadline {
@@ -294,14 +295,14 @@
 	}
 	switch {
 	case r.State == Received:
-		return "its time to live is over"
+		return "time to live expired"
 	case r.RejectedReason != "":
-		return "what the control plane said of it was refused: " + r.RejectedReason
+		return "the control plane's response was rejected: " + r.RejectedReason
 	}
-	return fmt.Sprintf("the control plane said nothing of it within %v", m.options.FetchTimeout)
+	return fmt.Sprintf("no response from the control plane within %v", m.options.FetchTimeout)
 }
 
-// deadline returns when the time of a resource is over; 0: never.
+// deadline returns the time when a resource expires or its fetch times out; 0: never.
 func (m *Machine) deadline(r *Resource) time.Duration {
 	switch {
 	case r.State == Received:
@@ -312,7 +313,7 @@
 	return 0
 }
 
-// NextDeadline returns when Tick is to be called next; 0: never.
+// NextDeadline returns the time at which Tick must be called next; 0: never.
 func (m *Machine) NextDeadline() time.Duration {
 	var next time.Duration
 	for _, state := range m.types {
@@ -326,7 +327,7 @@
 	return next
 }
 
-// HasMissing reports whether there was no response yet for some resource that is subscribed to.
+// HasMissing reports whether any subscribed resource is still waiting for its first response.
 func (m *Machine) HasMissing() bool {
 	for _, state := range m.types {
 		for _, r := range state.resources {
@@ -338,7 +339,7 @@
 	return false
 }
 
-// Answered reports whether a response of each type that is subscribed to has come on this stream.
+// Answered reports whether each subscribed type has received a response on the current stream.
 func (m *Machine) Answered() bool {
 	if !m.streamOpen {
 		return false
@@ -365,7 +366,7 @@
 	return resources
 }
 
-// Summaries returns a Summary of each type that is subscribed to.
+// Summaries returns the Summary of each type that the Machine uses.
 func (m *Machine) Summaries() []Summary {
 	var summaries []Summary
 	for _, state := range m.types {
--- a/internal/xds/machine_model_test.go
+++ b/internal/xds/machine_model_test.go
@@ -17,245 +17,253 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// model is a control plane by the protocol's description, with the wires between: what is sent stays in order and is
-// delivered when the test says so.
-type model struct {
-	delta    bool
-	version  int
-	valid    map[Type]map[string]bool
-	all      map[Type]map[string]string // versions by name
-	toClient []any
-	toServer []Request
-	asked    map[Type]map[string]bool
-	known    map[Type]bool
-	has      map[Type]map[string]string
-	nonce    map[Type]string
-	n        int
+// modelControlPlane is a control plane that implements the protocol, together with the connection to the client. Requests and
+// responses are queued in the order in which they are sent, and the test decides when to deliver the next one.
+type modelControlPlane struct {
+	delta          bool
+	version        int
+	valid          map[Type]map[string]bool   // whether the resource is valid, by name
+	versions       map[Type]map[string]string // versions by name
+	responses      []any                      // queued for the client
+	requests       []Request                  // queued for the control plane
+	subscribed     map[Type]map[string]bool   // names on the current stream
+	requested      map[Type]bool              // whether the current stream has a request for the type
+	clientVersions map[Type]map[string]string // incremental variant: versions that the client has, by name
+	lastNonce      map[Type]string            // nonce of the last response on the current stream
+	n              int                        // number of nonces used
 }
 
-func newModel(delta bool) *model {
-	s := &model{delta: delta, valid: map[Type]map[string]bool{}, all: map[Type]map[string]string{}}
+func newModelControlPlane(delta bool) *modelControlPlane {
+	s := &modelControlPlane{delta: delta, valid: map[Type]map[string]bool{}, versions: map[Type]map[string]string{}}
 	for _, t := range []Type{ClusterType, EndpointType} {
-		s.valid[t], s.all[t] = map[string]bool{}, map[string]string{}
+		s.valid[t], s.versions[t] = map[string]bool{}, map[string]string{}
 	}
-	s.hangUp()
+	s.resetStream()
 	return s
 }
 
-func (s *model) hangUp() {
-	s.toClient, s.toServer = nil, nil
-	s.asked, s.known, s.nonce = map[Type]map[string]bool{}, map[Type]bool{}, map[Type]string{}
-	s.has = map[Type]map[string]string{ClusterType: {}, EndpointType: {}}
+// resetStream discards the queues and the state of the stream.
+func (s *modelControlPlane) resetStream() {
+	s.responses, s.requests = nil, nil
+	s.subscribed, s.requested, s.lastNonce = map[Type]map[string]bool{}, map[Type]bool{}, map[Type]string{}
+	s.clientVersions = map[Type]map[string]string{ClusterType: {}, EndpointType: {}}
 }
 
-func (s *model) body(t *rapid.T, typ Type, name string) *anypb.Any {
-	version := s.all[typ][name]
+// encode returns a resource whose contents contain its version, see contentVersion. An invalid resource is one that the client
+// must reject.
+func (s *modelControlPlane) encode(t *rapid.T, typ Type, name string) *anypb.Any {
+	version := s.versions[typ][name]
 	if typ == ClusterType {
-		c := controlplane.Cluster(name, "")
-		ms, _ := time.ParseDuration(version + "ms")
-		c.ConnectTimeout = durationpb.New(ms)
+		cluster := controlplane.Cluster(name, "")
+		timeout, _ := time.ParseDuration(version + "ms")
+		cluster.ConnectTimeout = durationpb.New(timeout)
 		if !s.valid[typ][name] {
-			c.LbPolicy = 99
+			cluster.LbPolicy = 99
 		}
-		return pack(t, c)
+		return marshalAny(t, cluster)
 	}
-	a := controlplane.Assignment(name, controlplane.Endpoint{Addr: "127.0.0.1:" + version, Zone: "z"})
+	assignment := controlplane.Assignment(name, controlplane.Endpoint{Addr: "127.0.0.1:" + version, Zone: "z"})
 	if !s.valid[typ][name] {
-		a.Endpoints[0].Priority = 7
+		assignment.Endpoints[0].Priority = 7
 	}
-	return pack(t, a)
+	return marshalAny(t, assignment)
 }
 
-func (s *model) wants(typ Type, name string) bool { return typ == ClusterType || s.asked[typ][name] }
+func (s *modelControlPlane) isSubscribed(typ Type, name string) bool {
+	return typ == ClusterType || s.subscribed[typ][name]
+}
 
-func (s *model) tell(t *rapid.T, typ Type) {
-	if !s.known[typ] {
+// respond queues a response with the current resources or, in the incremental variant, with the changes. It does nothing before
+// the first request for the type.
+func (s *modelControlPlane) respond(t *rapid.T, typ Type) {
+	if !s.requested[typ] {
 		return
 	}
 	s.n++
-	s.nonce[typ] = fmt.Sprint("n", s.n)
+	s.lastNonce[typ] = fmt.Sprint("n", s.n)
 	if !s.delta {
-		r := &discoveryv3.DiscoveryResponse{TypeUrl: string(typ), VersionInfo: fmt.Sprint(s.version), Nonce: s.nonce[typ]}
-		for _, name := range slices.Sorted(maps.Keys(s.all[typ])) {
-			if s.wants(typ, name) {
-				r.Resources = append(r.Resources, s.body(t, typ, name))
+		response := &discoveryv3.DiscoveryResponse{TypeUrl: string(typ), VersionInfo: fmt.Sprint(s.version), Nonce: s.lastNonce[typ]}
+		for _, name := range slices.Sorted(maps.Keys(s.versions[typ])) {
+			if s.isSubscribed(typ, name) {
+				response.Resources = append(response.Resources, s.encode(t, typ, name))
 			}
 		}
-		s.toClient = append(s.toClient, r)
+		s.responses = append(s.responses, response)
 		return
 	}
-	r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(typ), Nonce: s.nonce[typ]}
-	for _, name := range slices.Sorted(maps.Keys(s.all[typ])) {
-		if s.wants(typ, name) && s.has[typ][name] != s.all[typ][name] {
-			s.has[typ][name] = s.all[typ][name]
-			r.Resources = append(r.Resources, &discoveryv3.Resource{Name: name, Version: s.all[typ][name], Resource: s.body(t, typ, name)})
+	response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(typ), Nonce: s.lastNonce[typ]}
+	for _, name := range slices.Sorted(maps.Keys(s.versions[typ])) {
+		if s.isSubscribed(typ, name) && s.clientVersions[typ][name] != s.versions[typ][name] {
+			s.clientVersions[typ][name] = s.versions[typ][name]
+			response.Resources = append(response.Resources, &discoveryv3.Resource{Name: name, Version: s.versions[typ][name], Resource: s.encode(t, typ, name)})
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.has[typ])) {
-		if _, ok := s.all[typ][name]; !ok {
-			delete(s.has[typ], name)
-			r.RemovedResources = append(r.RemovedResources, name)
+	for _, name := range slices.Sorted(maps.Keys(s.clientVersions[typ])) {
+		if _, ok := s.versions[typ][name]; !ok {
+			delete(s.clientVersions[typ], name)
+			response.RemovedResources = append(response.RemovedResources, name)
 		}
 	}
-	s.toClient = append(s.toClient, r)
+	s.responses = append(s.responses, response)
 }
 
-func (s *model) request(t *rapid.T, m Request) {
-	if d := m.Delta; d != nil {
-		typ := Type(d.GetTypeUrl())
-		first := !s.known[typ]
-		if s.known[typ] = true; s.asked[typ] == nil {
-			s.asked[typ] = map[string]bool{}
+// handleRequest updates the subscription, and responds if the protocol requires it.
+func (s *modelControlPlane) handleRequest(t *rapid.T, request Request) {
+	if delta := request.Delta; delta != nil {
+		typ := Type(delta.GetTypeUrl())
+		first := !s.requested[typ]
+		if s.requested[typ] = true; s.subscribed[typ] == nil {
+			s.subscribed[typ] = map[string]bool{}
 		}
 		if first {
-			maps.Copy(s.has[typ], d.GetInitialResourceVersions())
+			maps.Copy(s.clientVersions[typ], delta.GetInitialResourceVersions())
 		}
-		for _, n := range d.GetResourceNamesSubscribe() {
-			s.asked[typ][n] = true
+		for _, name := range delta.GetResourceNamesSubscribe() {
+			s.subscribed[typ][name] = true
 			if !first {
-				delete(s.has[typ], n)
+				delete(s.clientVersions[typ], name)
 			}
 		}
-		for _, n := range d.GetResourceNamesUnsubscribe() {
-			delete(s.asked[typ], n)
-			delete(s.has[typ], n)
+		for _, name := range delta.GetResourceNamesUnsubscribe() {
+			delete(s.subscribed[typ], name)
+			delete(s.clientVersions[typ], name)
 		}
-		if first || len(d.GetResourceNamesSubscribe()) > 0 {
-			s.tell(t, typ)
+		if first || len(delta.GetResourceNamesSubscribe()) > 0 {
+			s.respond(t, typ)
 		}
 		return
 	}
-	typ := Type(m.SotW.GetTypeUrl())
-	if s.known[typ] && m.SotW.GetResponseNonce() != s.nonce[typ] {
+	typ := Type(request.SotW.GetTypeUrl())
+	if s.requested[typ] && request.SotW.GetResponseNonce() != s.lastNonce[typ] {
 		return
 	}
 	names := map[string]bool{}
-	for _, n := range m.SotW.GetResourceNames() {
-		names[n] = true
+	for _, name := range request.SotW.GetResourceNames() {
+		names[name] = true
 	}
-	changed := !s.known[typ] || !maps.Equal(names, s.asked[typ])
-	s.known[typ], s.asked[typ] = true, names
+	changed := !s.requested[typ] || !maps.Equal(names, s.subscribed[typ])
+	s.requested[typ], s.subscribed[typ] = true, names
 	if changed {
-		s.tell(t, typ)
+		s.respond(t, typ)
 	}
 }
 
-// Any legal interleaving of responses, removals, rejections, disconnects and replays ends in the state of the last accepted
-// versions, in both variants of the protocol.
+// Any legal interleaving of responses, removals, rejections, disconnects and repeated responses ends with the last accepted
+// versions in use, in both variants of the protocol.
 func TestAnyInterleavingEndsInLastAcceptedState(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		t.Run(fmt.Sprint("delta=", delta), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				s := newModel(delta)
-				m := NewMachine(Options{Clusters: true, Delta: delta})
+				server := newModelControlPlane(delta)
+				machine := NewMachine(Options{Clusters: true, Delta: delta})
 				now := sec
-				inUse := map[Type]map[string]Resource{ClusterType: {}, EndpointType: {}} // as of the reported changes
-				note := func(out []Request, changes []Change) {
-					s.toServer = append(s.toServer, out...)
-					for _, c := range changes {
-						if c.State == Received {
-							inUse[c.Type][c.Name] = c.Resource
+				inUse := map[Type]map[string]Resource{ClusterType: {}, EndpointType: {}} // according to the reported changes
+				record := func(sent []Request, changes []Change) {
+					server.requests = append(server.requests, sent...)
+					for _, change := range changes {
+						if change.State == Received {
+							inUse[change.Type][change.Name] = change.Resource
 						} else {
-							delete(inUse[c.Type], c.Name)
+							delete(inUse[change.Type], change.Name)
 						}
 					}
 				}
-				note(m.StartStream(now))
+				record(machine.StartStream(now))
 				var last any
 				deliver := func() {
-					r := s.toClient[0]
-					s.toClient, last = s.toClient[1:], r
+					r := server.responses[0]
+					server.responses, last = server.responses[1:], r
 					if d, ok := r.(*discoveryv3.DeltaDiscoveryResponse); ok {
-						note(m.HandleDelta(now, d))
+						record(machine.HandleDelta(now, d))
 					} else {
-						note(m.HandleSotW(now, r.(*discoveryv3.DiscoveryResponse)))
+						record(machine.HandleSotW(now, r.(*discoveryv3.DiscoveryResponse)))
 					}
 				}
-				name := rapid.SampledFrom([]string{"a", "b", "c"})
-				typ := rapid.SampledFrom([]Type{ClusterType, EndpointType})
+				names := rapid.SampledFrom([]string{"a", "b", "c"})
+				types := rapid.SampledFrom([]Type{ClusterType, EndpointType})
 				for range rapid.IntRange(0, 60).Draw(t, "steps") {
 					now += sec
 					switch rapid.IntRange(0, 9).Draw(t, "step") {
-					case 0, 1, 2: // push, now and then something malformed
-						s.version++
-						ty, n := typ.Draw(t, "type"), name.Draw(t, "name")
-						s.all[ty][n], s.valid[ty][n] = fmt.Sprint(s.version), rapid.IntRange(0, 4).Draw(t, "bad") > 0
-						s.tell(t, ty)
-					case 3: // withdraw; endpoints cannot be withdrawn in the state of the world
-						ty, n := typ.Draw(t, "type"), name.Draw(t, "name")
+					case 0, 1, 2: // change a resource, sometimes to an invalid one
+						server.version++
+						typ, n := types.Draw(t, "type"), names.Draw(t, "name")
+						server.versions[typ][n], server.valid[typ][n] = fmt.Sprint(server.version), rapid.IntRange(0, 4).Draw(t, "bad") > 0
+						server.respond(t, typ)
+					case 3: // withdraw a resource; the state-of-the-world variant cannot withdraw endpoints
+						typ, n := types.Draw(t, "type"), names.Draw(t, "name")
 						if !delta {
-							ty = ClusterType
+							typ = ClusterType
 						}
-						s.version++
-						delete(s.all[ty], n)
-						s.tell(t, ty)
-					case 4:
-						m.EndStream()
-						s.hangUp()
-						note(m.StartStream(now))
+						server.version++
+						delete(server.versions[typ], n)
+						server.respond(t, typ)
+					case 4: // reconnect
+						machine.EndStream()
+						server.resetStream()
+						record(machine.StartStream(now))
 						last = nil
-					case 5: // the last response again, under a new nonce
+					case 5: // repeat the last response under a new nonce
 						if r, ok := last.(*discoveryv3.DiscoveryResponse); ok {
 							r = proto.CloneOf(r)
-							s.n++
-							r.Nonce = fmt.Sprint("n", s.n)
-							s.nonce[Type(r.TypeUrl)] = r.Nonce
-							s.toClient = append(s.toClient, r)
-							s.tell(t, Type(r.TypeUrl)) // followed by the current state
+							server.n++
+							r.Nonce = fmt.Sprint("n", server.n)
+							server.lastNonce[Type(r.TypeUrl)] = r.Nonce
+							server.responses = append(server.responses, r)
+							server.respond(t, Type(r.TypeUrl)) // then send the current state
 						}
-					case 6, 7:
-						if len(s.toServer) > 0 {
-							r := s.toServer[0]
-							s.toServer = s.toServer[1:]
-							s.request(t, r)
+					case 6, 7: // deliver a request
+						if len(server.requests) > 0 {
+							r := server.requests[0]
+							server.requests = server.requests[1:]
+							server.handleRequest(t, r)
 						}
-					default:
-						if len(s.toClient) > 0 {
+					default: // deliver a response
+						if len(server.responses) > 0 {
 							deliver()
 						}
 					}
 				}
-				for len(s.toClient)+len(s.toServer) > 0 {
-					for len(s.toServer) > 0 {
-						r := s.toServer[0]
-						s.toServer = s.toServer[1:]
-						s.request(t, r)
+				for len(server.responses)+len(server.requests) > 0 {
+					for len(server.requests) > 0 {
+						r := server.requests[0]
+						server.requests = server.requests[1:]
+						server.handleRequest(t, r)
 					}
-					if len(s.toClient) > 0 {
+					if len(server.responses) > 0 {
 						deliver()
 					}
 				}
-				for _, ty := range []Type{ClusterType, EndpointType} {
-					got := map[string]Resource{}
-					for _, r := range m.Resources(ty) {
+				for _, typ := range []Type{ClusterType, EndpointType} {
+					received := map[string]Resource{}
+					for _, r := range machine.Resources(typ) {
 						if r.State == Received {
-							got[r.Name] = r
+							received[r.Name] = r
 						}
 					}
-					for n, r := range got {
-						if inUse[ty][n].Version != r.Version {
-							t.Fatalf("%s %s: the changes say %q, the machine has %q", ty.Short(), n, inUse[ty][n].Version, r.Version)
+					for n, r := range received {
+						if inUse[typ][n].Version != r.Version {
+							t.Fatalf("%s %s: version is %q according to the changes and %q according to Resources", typ.Short(), n, inUse[typ][n].Version, r.Version)
 						}
-						if _, ok := s.all[ty][n]; !ok && (ty == ClusterType || delta) {
-							t.Fatalf("%s %s is in use, and withdrawn", ty.Short(), n)
+						if _, ok := server.versions[typ][n]; !ok && (typ == ClusterType || delta) {
+							t.Fatalf("%s %s is in use although it was withdrawn", typ.Short(), n)
 						}
 					}
-					if len(got) != len(inUse[ty]) {
-						t.Fatalf("%s: the changes say %d, the machine has %d", ty.Short(), len(inUse[ty]), len(got))
+					if len(received) != len(inUse[typ]) {
+						t.Fatalf("%s: number of resources in use is %d according to the changes and %d according to Resources", typ.Short(), len(inUse[typ]), len(received))
 					}
-					for n, v := range s.all[ty] {
-						wanted := ty == ClusterType
+					for n, latest := range server.versions[typ] {
+						wanted := typ == ClusterType
 						if !wanted {
 							_, wanted = inUse[ClusterType][n]
 						}
-						r, ok := got[n]
+						r, ok := received[n]
 						switch {
 						case !wanted && ok:
-							t.Fatalf("%s %s is in use though nothing names it", ty.Short(), n)
-						case wanted && s.valid[ty][n] && (!ok || content(r) != v):
-							t.Fatalf("%s %s: %q is in use (%v), the control plane has %q", ty.Short(), n, content(r), ok, v)
-						case ok && !s.valid[ty][n] && content(r) == v:
-							t.Fatalf("%s %s: a malformed version is in use", ty.Short(), n)
+							t.Fatalf("%s %s is in use although no cluster refers to it", typ.Short(), n)
+						case wanted && server.valid[typ][n] && (!ok || contentVersion(r) != latest):
+							t.Fatalf("%s %s: got version %q in use (present: %v), want version %q of the control plane", typ.Short(), n, contentVersion(r), ok, latest)
+						case ok && !server.valid[typ][n] && contentVersion(r) == latest:
+							t.Fatalf("%s %s: an invalid version is in use", typ.Short(), n)
 						}
 					}
 				}
@@ -264,14 +272,14 @@
 	}
 }
 
-// content returns the version that is encoded in the contents of a resource.
-func content(r Resource) string {
-	switch v := r.Value.(type) {
+// contentVersion returns the version that modelControlPlane.encode stored in the contents of a resource.
+func contentVersion(r Resource) string {
+	switch value := r.Value.(type) {
 	case *Assignment:
-		_, port, _ := strings.Cut(v.Endpoints[0].Address, ":")
+		_, port, _ := strings.Cut(value.Endpoints[0].Address, ":")
 		return port
 	case *Cluster:
-		return fmt.Sprint(v.ConnectTimeout.Milliseconds())
+		return fmt.Sprint(value.ConnectTimeout.Milliseconds())
 	}
 	return ""
 }
--- a/internal/xds/machine_response.go
+++ b/internal/xds/machine_response.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	// maxResources bounds the resources of a type.
+	// maxResources limits the resources of a type with a wildcard subscription.
 	maxResources = 100_000
-	// maxErrorBytes bounds the text of an error, as a response can contain any number of invalid resources.
+	// maxErrorBytes limits the text of an error, as a response can contain any number of invalid resources.
 	maxErrorBytes = 4 << 10
-	// wrapperType is the type of resources with a name and a time to live in a state-of-the-world response.
+	// wrapperType is the type that wraps a resource with a name and a time to live in a state-of-the-world response.
 	wrapperType = "type.googleapis.com/envoy.service.discovery.v3.Resource"
 
 	reasonWithdrawn = "the control plane withdrew it"
 )
 
 var (
-	errNotSubscribed = errors.New("this type was not asked for")
-	errDuplicate     = errors.New("stands twice")
+	errNotSubscribed = errors.New("resource type is not subscribed to")
+	errDuplicate     = errors.New("duplicate resource name")
 )
 
 // responseResource is one resource of a response.
 type responseResource struct {
 	name    string
 	version string
-	body    *anypb.Any // nil: only the time to live is renewed
+	body    *anypb.Any // nil: the resource only renews the time to live
 	ttl     time.Duration
 	hasTTL  bool
 }
@@ -67,8 +67,8 @@
 	for i, body := range response.GetResources() {
 		update.applyAny(i, body, response.GetVersionInfo())
 	}
-	// Responses of clusters and listeners are complete; of the other types an omitted resource stays. If one could not be
-	// identified by its name, an omitted resource may be that one.
+	// Responses with clusters or listeners are complete, so omitted resources are removed; omitted resources of other types
+	// are kept. If a resource of the response has no readable name, any omitted resource may be that one, and none is removed.
 	if (state.wildcard || state.resourceType == ListenerType) && !update.hasUnnamed {
 		update.removeOmitted()
 	}
@@ -108,8 +108,8 @@
 	return m.withReply(Request{Delta: reply}, state, requests), changes
 }
 
-// withReply puts the reply before the other requests. In the state-of-the-world variant the reply contains the subscription
-// of its type, so another request of that type is left out.
+// withReply returns the reply followed by the other requests. In the state-of-the-world variant the reply already contains
+// the subscription of its type, so other requests of that type are omitted.
 func (m *Machine) withReply(reply Request, state *typeState, others []Request) []Request {
 	requests := []Request{reply}
 	for _, other := range others {
@@ -128,7 +128,7 @@
 	now        time.Duration
 	errs       []error
 	seen       map[string]bool
-	hasUnnamed bool // a resource could not be identified by its name
+	hasUnnamed bool // the name of at least one resource could not be read
 	changes    map[string]Change
 }
 
@@ -136,7 +136,7 @@
 	return &responseUpdate{machine: m, state: state, now: now, seen: map[string]bool{}, changes: map[string]Change{}}
 }
 
-// reject records an invalid resource. The name is empty if it is not known.
+// reject records an invalid resource. The name is empty if it could not be read or the resource could not be added.
 func (u *responseUpdate) reject(name string, err error) {
 	u.errs = append(u.errs, err)
 	if r := u.state.resources[name]; name != "" && r != nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-// applyAny applies a resource of a state-of-the-world response, which may be wrapped.
+// applyAny applies one resource of a state-of-the-world response. The resource may be wrapped, see wrapperType.
 func (u *responseUpdate) applyAny(i int, body *anypb.Any, version string) {
 	if body.GetTypeUrl() != wrapperType {
 		u.apply(responseResource{version: version, body: body}, i)
@@ -172,7 +172,7 @@
 		name = received.name
 	}
 	if err == nil && received.name != "" && received.name != name {
-		err = fmt.Errorf("its name is %q", name)
+		err = fmt.Errorf("name in the resource is %q", name)
 		name = received.name
 	}
 	if name == "" {
@@ -191,7 +191,7 @@
 	}
 	if u.state.resources[name] == nil {
 		if !u.state.wildcard {
-			return // not subscribed to, as after an unsubscription
+			return // not subscribed; happens after an unsubscription
 		}
 		if !u.addIfWildcard(name) {
 			u.reject("", fmt.Errorf("resources[%d] %q: more than %d resources", i, name, maxResources))
@@ -201,7 +201,8 @@
 	u.accept(u.state.resources[name], received, parsed)
 }
 
-// addIfWildcard adds a resource of a wildcard subscription that is not known yet. It reports whether it is known now.
+// addIfWildcard adds a resource of a wildcard subscription if it is not known yet. It reports whether the resource is known
+// afterwards.
 func (u *responseUpdate) addIfWildcard(name string) bool {
 	if u.state.resources[name] != nil {
 		return true
@@ -213,7 +214,7 @@
 	return true
 }
 
-// accept puts a valid resource into use.
+// accept stores a valid resource, which is then in use.
 func (u *responseUpdate) accept(r *Resource, received responseResource, parsed parsedResource) {
 	r.State = Received
 	r.Version = received.version
@@ -229,17 +230,18 @@
 	u.changes[r.Name] = Change{u.state.resourceType, *r}
 }
 
-// renew applies a resource without a body, which renews the time to live.
+// renew handles a resource without a body, which renews the time to live of the resource in use.
 func (u *responseUpdate) renew(received responseResource, i int) {
 	r := u.state.resources[received.name]
 	if r == nil || r.State != Received {
-		u.reject(received.name, fmt.Errorf("resources[%d] %q: no resource in it", i, received.name))
+		u.reject(received.name, fmt.Errorf("resources[%d] %q: resource body is missing, and no such resource is in use", i, received.name))
 		return
 	}
 	u.seen[received.name] = true
 	r.expiresAt = u.expiry(received)
 }
 
+// expiry returns the time when a received resource expires; 0: never.
 func (u *responseUpdate) expiry(received responseResource) time.Duration {
 	if !received.hasTTL || received.ttl <= 0 {
 		return 0
@@ -247,7 +249,7 @@
 	return u.now + received.ttl
 }
 
-// removeOmitted removes the resources that a complete response does not contain.
+// removeOmitted removes the resources that are not in a complete response.
 func (u *responseUpdate) removeOmitted() {
 	for name, r := range u.state.resources {
 		if !u.seen[name] && r.State != Absent {
@@ -260,7 +262,7 @@
 	u.changes[r.Name] = u.state.markAbsent(u.now, r, reasonWithdrawn)
 }
 
-// finish counts the response, and returns the changes and the requests that they lead to.
+// finish updates the counters of the type. It returns the changes, and the requests for the subscriptions that they change.
 func (u *responseUpdate) finish() ([]Request, []Change) {
 	u.state.updatedAt = u.now
 	u.state.lastError = ""
@@ -276,9 +278,9 @@
 	return requests, append(changes, unsubscribed...)
 }
 
-// parsedResource is a resource in the gateway's form.
+// parsedResource is a resource converted to the gateway's type.
 type parsedResource struct {
-	name     string // also of an invalid resource, if it could be read
+	name     string // also set for an invalid resource whose name could be read
 	value    any
 	warnings []string
 }
@@ -286,7 +288,7 @@
 // parse checks a resource and converts it.
 func (m *Machine) parse(t Type, body *anypb.Any) (parsed parsedResource, err error) {
 	if body.GetTypeUrl() != string(t) {
-		return parsed, fmt.Errorf("is a %q", body.GetTypeUrl())
+		return parsed, fmt.Errorf("unexpected resource type %q", body.GetTypeUrl())
 	}
 	switch t {
 	case ClusterType:
@@ -317,7 +319,7 @@
 	return parsed, err
 }
 
-// truncate returns a text of bounded length and valid UTF-8.
+// truncate shortens a text that is longer than maxErrorBytes, and makes it valid UTF-8.
 func truncate(text string) string {
 	if len(text) > maxErrorBytes {
 		return strings.ToValidUTF8(text[:maxErrorBytes], "") + " ..."
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -17,312 +17,317 @@
 
 const sec = time.Second
 
-func pack(t interface{ Fatal(...any) }, m proto.Message) *anypb.Any {
-	b, err := anypb.New(m)
+// marshalAny packs a message into an Any.
+func marshalAny(t interface{ Fatal(...any) }, message proto.Message) *anypb.Any {
+	body, err := anypb.New(message)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return body
 }
 
-func clusters(t *testing.T, version, nonce string, names ...string) *discoveryv3.DiscoveryResponse {
-	r := &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce, TypeUrl: string(ClusterType)}
-	for _, n := range names {
-		r.Resources = append(r.Resources, pack(t, controlplane.Cluster(n, "")))
+// clusterResponse returns a state-of-the-world response with EDS clusters.
+func clusterResponse(t *testing.T, version, nonce string, names ...string) *discoveryv3.DiscoveryResponse {
+	response := &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce, TypeUrl: string(ClusterType)}
+	for _, name := range names {
+		response.Resources = append(response.Resources, marshalAny(t, controlplane.Cluster(name, "")))
 	}
-	return r
+	return response
 }
 
-func (m *Machine) state(t Type) string {
-	var l []string
-	for _, r := range m.Resources(t) {
-		l = append(l, fmt.Sprintf("%s=%s/%v", r.Name, r.Version, r.State))
+// describe returns the resources of a type as NAME=VERSION/STATE, separated by spaces.
+func (m *Machine) describe(t Type) string {
+	var states []string
+	for _, resource := range m.Resources(t) {
+		states = append(states, fmt.Sprintf("%s=%s/%v", resource.Name, resource.Version, resource.State))
 	}
-	return strings.Join(l, " ")
+	return strings.Join(states, " ")
 }
 
-// The requests of the state-of-the-world variant follow the protocol's description: node, ACKs, NACKs and their versions.
+// The requests of the state-of-the-world variant comply with the protocol: node, ACKs, NACKs and their versions and nonces.
 func TestStateOfTheWorldProtocol(t *testing.T) {
-	m := NewMachine(Options{Clusters: true, Node: Node("gw", "c", "z")})
-	out, _ := m.StartStream(sec)
-	if len(out) != 1 || out[0].SotW.GetTypeUrl() != string(ClusterType) || out[0].SotW.GetNode().GetId() != "gw" || out[0].SotW.GetVersionInfo() != "" {
-		t.Fatalf("%v", out)
+	machine := NewMachine(Options{Clusters: true, Node: Node("gw", "c", "z")})
+	requests, _ := machine.StartStream(sec)
+	if len(requests) != 1 || requests[0].SotW.GetTypeUrl() != string(ClusterType) || requests[0].SotW.GetNode().GetId() != "gw" || requests[0].SotW.GetVersionInfo() != "" {
+		t.Fatalf("StartStream: requests = %v, want one for clusters, with the node and without a version", requests)
 	}
-	out, changes := m.HandleSotW(2*sec, clusters(t, "1", "n1", "a", "b"))
-	if len(out) != 2 || out[0].SotW.GetVersionInfo() != "1" || out[0].SotW.GetResponseNonce() != "n1" || out[0].SotW.GetErrorDetail() != nil {
-		t.Fatalf("no ACK: %v", out)
+	requests, changes := machine.HandleSotW(2*sec, clusterResponse(t, "1", "n1", "a", "b"))
+	if len(requests) != 2 || requests[0].SotW.GetVersionInfo() != "1" || requests[0].SotW.GetResponseNonce() != "n1" || requests[0].SotW.GetErrorDetail() != nil {
+		t.Fatalf("requests after the first response = %v, want an ACK of version 1 and nonce n1, and another request", requests)
 	}
-	if out[1].SotW.GetTypeUrl() != string(EndpointType) || !slices.Equal(out[1].SotW.GetResourceNames(), []string{"a", "b"}) || out[1].SotW.GetNode() != nil {
-		t.Fatalf("the endpoints are not asked for: %v", out[1])
+	if requests[1].SotW.GetTypeUrl() != string(EndpointType) || !slices.Equal(requests[1].SotW.GetResourceNames(), []string{"a", "b"}) || requests[1].SotW.GetNode() != nil {
+		t.Fatalf("second request = %v, want a subscription to endpoints a and b without the node", requests[1])
 	}
 	if len(changes) != 2 || changes[0].Name != "a" || changes[0].State != Received {
-		t.Fatalf("%v", changes)
-	}
-	// One resource is rejected, the others are used, and the NACK names the previous version.
-	bad := clusters(t, "2", "n2", "a", "c")
-	c := controlplane.Cluster("b", "")
-	c.EdsClusterConfig = nil
-	bad.Resources = append(bad.Resources, pack(t, c))
-	out, _ = m.HandleSotW(3*sec, bad)
-	if d := out[0].SotW.GetErrorDetail(); out[0].SotW.GetVersionInfo() != "1" || out[0].SotW.GetResponseNonce() != "n2" || !strings.Contains(d.GetMessage(), `"b": eds_cluster_config: is missing`) {
-		t.Fatalf("no NACK: %v", out[0])
-	}
-	if got := m.state(ClusterType); got != "a=2/received b=1/received c=2/received" {
-		t.Errorf("after a refusal: %s", got)
-	}
-	if r := m.Resources(ClusterType)[1]; !strings.Contains(r.RejectedReason, "eds_cluster_config") {
-		t.Errorf("the refusal does not show: %+v", r)
-	}
-	// One that cannot even be named may be any: nothing is taken as withdrawn.
-	garbage := clusters(t, "3", "n3", "a")
-	garbage.Resources = append(garbage.Resources, &anypb.Any{TypeUrl: string(ClusterType), Value: []byte{0xff}})
-	if out, _ = m.HandleSotW(4*sec, garbage); out[0].SotW.GetErrorDetail() == nil {
-		t.Error("garbage is accepted")
-	}
-	if got := m.state(ClusterType); got != "a=3/received b=1/received c=2/received" {
-		t.Errorf("after garbage: %s", got)
-	}
-	// An older version is accepted as well; resources that it leaves out are removed together with their endpoints.
-	out, changes = m.HandleSotW(5*sec, clusters(t, "1", "n4", "b"))
-	if got := m.state(ClusterType); got != "b=1/received" || out[0].SotW.GetVersionInfo() != "1" {
-		t.Errorf("after an older version: %s", got)
-	}
-	if got := m.state(EndpointType); got != "b=/requested" {
-		t.Errorf("%s", got)
-	}
-	if len(changes) != 3 || changes[0].State != Absent || len(out) != 2 || !slices.Equal(out[1].SotW.GetResourceNames(), []string{"b"}) {
-		t.Errorf("%v\n%v", changes, out)
-	}
-	// A type that is not subscribed to, and a resource of another type than its response.
-	if out, _ = m.HandleSotW(6*sec, &discoveryv3.DiscoveryResponse{TypeUrl: "x", Nonce: "n"}); out[0].SotW.GetErrorDetail() == nil {
-		t.Error("a type that was not asked for is accepted")
-	}
-	other := clusters(t, "4", "n5", "b")
-	other.Resources[0].TypeUrl = string(EndpointType)
-	if out, _ = m.HandleSotW(7*sec, other); out[0].SotW.GetErrorDetail() == nil {
-		t.Error("one type is taken as another")
-	}
-	// The same resources under a new nonce are accepted, and only the version changes.
-	out, _ = m.HandleSotW(8*sec, clusters(t, "1", "n6", "b", "b"))
-	if !strings.Contains(out[0].SotW.GetErrorDetail().GetMessage(), "stands twice") {
-		t.Error("one name twice is accepted")
-	}
-	// A new stream says what is in use, and names no nonce.
-	m.EndStream()
-	out, _ = m.StartStream(9 * sec)
-	if len(out) != 2 || out[0].SotW.GetVersionInfo() != "1" || out[0].SotW.GetResponseNonce() != "" || out[0].SotW.GetNode() == nil || out[1].SotW.GetNode() != nil {
-		t.Errorf("%v", out)
-	}
-	if s := m.Summaries(); s[0].Rejected != 4 || s[0].Accepted != 2 || s[0].LastError == "" || s[0].Version != "1" {
-		t.Errorf("%+v", s)
+		t.Fatalf("changes = %v, want 2, first cluster a received", changes)
+	}
+	// One resource is rejected, the others are used, and the NACK contains the previous version.
+	partlyInvalid := clusterResponse(t, "2", "n2", "a", "c")
+	cluster := controlplane.Cluster("b", "")
+	cluster.EdsClusterConfig = nil
+	partlyInvalid.Resources = append(partlyInvalid.Resources, marshalAny(t, cluster))
+	requests, _ = machine.HandleSotW(3*sec, partlyInvalid)
+	if detail := requests[0].SotW.GetErrorDetail(); requests[0].SotW.GetVersionInfo() != "1" || requests[0].SotW.GetResponseNonce() != "n2" || !strings.Contains(detail.GetMessage(), `"b": eds_cluster_config: is missing`) {
+		t.Fatalf("reply = %v, want a NACK with version 1, nonce n2 and the error of cluster b", requests[0])
+	}
+	if got := machine.describe(ClusterType); got != "a=2/received b=1/received c=2/received" {
+		t.Errorf("after a NACK: got clusters %q, want %q", got, "a=2/received b=1/received c=2/received")
+	}
+	if resource := machine.Resources(ClusterType)[1]; !strings.Contains(resource.RejectedReason, "eds_cluster_config") {
+		t.Errorf("cluster b = %+v, want a RejectedReason that contains eds_cluster_config", resource)
+	}
+	// A resource whose name cannot be read may be any resource, so no omitted resource is removed.
+	unreadable := clusterResponse(t, "3", "n3", "a")
+	unreadable.Resources = append(unreadable.Resources, &anypb.Any{TypeUrl: string(ClusterType), Value: []byte{0xff}})
+	if requests, _ = machine.HandleSotW(4*sec, unreadable); requests[0].SotW.GetErrorDetail() == nil {
+		t.Error("reply to an unreadable resource has no error detail, want a NACK")
+	}
+	if got := machine.describe(ClusterType); got != "a=3/received b=1/received c=2/received" {
+		t.Errorf("after an unreadable resource: got clusters %q, want %q", got, "a=3/received b=1/received c=2/received")
+	}
+	// An older version is accepted as well. Omitted clusters are removed, together with their endpoints.
+	requests, changes = machine.HandleSotW(5*sec, clusterResponse(t, "1", "n4", "b"))
+	if got := machine.describe(ClusterType); got != "b=1/received" || requests[0].SotW.GetVersionInfo() != "1" {
+		t.Errorf("after an older version: got clusters %q and reply %v, want %q and an ACK of version 1", got, requests[0], "b=1/received")
+	}
+	if got := machine.describe(EndpointType); got != "b=/requested" {
+		t.Errorf("after an older version: got endpoints %q, want %q", got, "b=/requested")
+	}
+	if len(changes) != 3 || changes[0].State != Absent || len(requests) != 2 || !slices.Equal(requests[1].SotW.GetResourceNames(), []string{"b"}) {
+		t.Errorf("after an older version:\nchanges = %v, want 3, first absent\nrequests = %v, want 2, second for endpoints b", changes, requests)
+	}
+	// A response of a type that is not subscribed to, and a resource whose type differs from that of its response, are rejected.
+	if requests, _ = machine.HandleSotW(6*sec, &discoveryv3.DiscoveryResponse{TypeUrl: "x", Nonce: "n"}); requests[0].SotW.GetErrorDetail() == nil {
+		t.Error("reply to a type that is not subscribed to has no error detail, want a NACK")
+	}
+	wrongType := clusterResponse(t, "4", "n5", "b")
+	wrongType.Resources[0].TypeUrl = string(EndpointType)
+	if requests, _ = machine.HandleSotW(7*sec, wrongType); requests[0].SotW.GetErrorDetail() == nil {
+		t.Error("reply to a resource of another type than its response has no error detail, want a NACK")
+	}
+	// A response that contains the same resource twice is rejected.
+	requests, _ = machine.HandleSotW(8*sec, clusterResponse(t, "1", "n6", "b", "b"))
+	if !strings.Contains(requests[0].SotW.GetErrorDetail().GetMessage(), "duplicate resource name") {
+		t.Error("reply to a duplicate resource is not a NACK about the duplicate name")
+	}
+	// The first requests of a new stream contain the version in use and no nonce; only the first one contains the node.
+	machine.EndStream()
+	requests, _ = machine.StartStream(9 * sec)
+	if len(requests) != 2 || requests[0].SotW.GetVersionInfo() != "1" || requests[0].SotW.GetResponseNonce() != "" || requests[0].SotW.GetNode() == nil || requests[1].SotW.GetNode() != nil {
+		t.Errorf("requests of the new stream = %v, want 2, first with the node, version 1 and no nonce", requests)
+	}
+	if summaries := machine.Summaries(); summaries[0].Rejected != 4 || summaries[0].Accepted != 2 || summaries[0].LastError == "" || summaries[0].Version != "1" {
+		t.Errorf("Summaries() = %+v, want first 4 rejected and 2 accepted responses, an error and version 1", summaries)
 	}
 }
 
+// The requests of the incremental variant comply with the protocol: subscriptions, ACKs, NACKs and initial versions.
 func TestIncrementalProtocol(t *testing.T) {
-	m := NewMachine(Options{Clusters: true, Delta: true, Services: []string{"fixed"}, Node: Node("gw", "c", "z")})
-	out, _ := m.StartStream(sec)
-	if len(out) != 2 || out[0].Delta.GetResourceNamesSubscribe() != nil || !slices.Equal(out[1].Delta.GetResourceNamesSubscribe(), []string{"fixed"}) {
-		t.Fatalf("%v", out)
+	machine := NewMachine(Options{Clusters: true, Delta: true, Services: []string{"fixed"}, Node: Node("gw", "c", "z")})
+	requests, _ := machine.StartStream(sec)
+	if len(requests) != 2 || requests[0].Delta.GetResourceNamesSubscribe() != nil || !slices.Equal(requests[1].Delta.GetResourceNamesSubscribe(), []string{"fixed"}) {
+		t.Fatalf("StartStream: requests = %v, want 2, first without names and second for endpoints fixed", requests)
 	}
-	res := func(name, version string, m proto.Message) *discoveryv3.Resource {
-		return &discoveryv3.Resource{Name: name, Version: version, Resource: pack(t, m)}
+	resource := func(name, version string, machine proto.Message) *discoveryv3.Resource {
+		return &discoveryv3.Resource{Name: name, Version: version, Resource: marshalAny(t, machine)}
 	}
-	out, _ = m.HandleDelta(2*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n1", Resources: []*discoveryv3.Resource{
-		res("a", "1", controlplane.Cluster("a", "sa")), res("b", "1", controlplane.Cluster("b", "")), res("x", "1", controlplane.Cluster("y", ""))}})
-	if d := out[0].Delta.GetErrorDetail().GetMessage(); !strings.Contains(d, `"x": its name is "y"`) || out[0].Delta.GetResponseNonce() != "n1" {
-		t.Errorf("%v", out[0])
+	requests, _ = machine.HandleDelta(2*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n1", Resources: []*discoveryv3.Resource{
+		resource("a", "1", controlplane.Cluster("a", "sa")), resource("b", "1", controlplane.Cluster("b", "")), resource("x", "1", controlplane.Cluster("y", ""))}})
+	if detail := requests[0].Delta.GetErrorDetail().GetMessage(); !strings.Contains(detail, `"x": name in the resource is "y"`) || requests[0].Delta.GetResponseNonce() != "n1" {
+		t.Errorf("reply = %v, want a NACK with nonce n1 and the mismatched name of x", requests[0])
 	}
-	if len(out) != 2 || !slices.Equal(out[1].Delta.GetResourceNamesSubscribe(), []string{"b", "sa"}) {
-		t.Errorf("%v", out)
+	if len(requests) != 2 || !slices.Equal(requests[1].Delta.GetResourceNamesSubscribe(), []string{"b", "sa"}) {
+		t.Errorf("requests after the first response = %v, want 2, second for endpoints b and sa", requests)
 	}
-	m.HandleDelta(3*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n2", Resources: []*discoveryv3.Resource{
-		res("sa", "5", controlplane.Assignment("sa")), res("stranger", "1", controlplane.Assignment("stranger"))}})
-	if got := m.state(EndpointType); got != "b=/requested fixed=/requested sa=5/received" {
+	machine.HandleDelta(3*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n2", Resources: []*discoveryv3.Resource{
+		resource("sa", "5", controlplane.Assignment("sa")), resource("stranger", "1", controlplane.Assignment("stranger"))}})
+	if got := machine.describe(EndpointType); got != "b=/requested fixed=/requested sa=5/received" {
 		t.Error(got)
 	}
-	out, changes := m.HandleDelta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n3", RemovedResources: []string{"a", "never"}})
-	if len(out) != 2 || !slices.Equal(out[1].Delta.GetResourceNamesUnsubscribe(), []string{"sa"}) || len(changes) != 2 {
-		t.Errorf("%v %v", out, changes)
+	requests, changes := machine.HandleDelta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n3", RemovedResources: []string{"a", "never"}})
+	if len(requests) != 2 || !slices.Equal(requests[1].Delta.GetResourceNamesUnsubscribe(), []string{"sa"}) || len(changes) != 2 {
+		t.Errorf("after the removal of cluster a: requests = %v, want 2, second unsubscribing from sa; changes = %v, want 2", requests, changes)
 	}
-	m.HandleDelta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n4", Resources: []*discoveryv3.Resource{res("b", "9", controlplane.Assignment("b"))}})
-	m.EndStream()
-	out, _ = m.StartStream(5 * sec)
-	if v := out[1].Delta.GetInitialResourceVersions(); len(v) != 1 || v["b"] != "9" {
-		t.Errorf("%v", v)
+	machine.HandleDelta(4*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n4", Resources: []*discoveryv3.Resource{resource("b", "9", controlplane.Assignment("b"))}})
+	machine.EndStream()
+	requests, _ = machine.StartStream(5 * sec)
+	if versions := requests[1].Delta.GetInitialResourceVersions(); len(versions) != 1 || versions["b"] != "9" {
+		t.Errorf("initial resource versions = %v, want b: 9", versions)
 	}
-	// Withdrawn endpoints: known not to exist, still asked for.
-	_, changes = m.HandleDelta(6*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n5", RemovedResources: []string{"b"}})
-	if len(changes) != 1 || changes[0].State != Absent || m.state(EndpointType) != "b=/absent fixed=/requested" {
-		t.Errorf("%v %s", changes, m.state(EndpointType))
+	// Withdrawn endpoints become absent, but stay subscribed.
+	_, changes = machine.HandleDelta(6*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(EndpointType), Nonce: "n5", RemovedResources: []string{"b"}})
+	if len(changes) != 1 || changes[0].State != Absent || machine.describe(EndpointType) != "b=/absent fixed=/requested" {
+		t.Errorf("after the removal of endpoints b: changes = %v, want 1, absent; endpoints = %q, want %q", changes, machine.describe(EndpointType), "b=/absent fixed=/requested")
 	}
-	if out, _ := m.HandleDelta(7*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); out[0].Delta.GetErrorDetail() == nil {
-		t.Error("a type that was not asked for is accepted")
+	if requests, _ := machine.HandleDelta(7*sec, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); requests[0].Delta.GetErrorDetail() == nil {
+		t.Error("reply to a type that is not subscribed to has no error detail, want a NACK")
 	}
 }
 
-// A resource without a response times out, and one with a time to live expires unless a heartbeat renews it.
+// A resource that gets no response times out. A resource with a time to live expires unless a heartbeat renews it.
 func TestFetchTimeoutAndTimeToLive(t *testing.T) {
-	m := NewMachine(Options{Services: []string{"a", "b"}, FetchTimeout: 15 * sec})
-	m.StartStream(sec)
+	machine := NewMachine(Options{Services: []string{"a", "b"}, FetchTimeout: 15 * sec})
+	machine.StartStream(sec)
 	wrap := func(name string, body proto.Message, ttl time.Duration) *anypb.Any {
-		r := &discoveryv3.Resource{Name: name, Ttl: durationpb.New(ttl)}
+		resource := &discoveryv3.Resource{Name: name, Ttl: durationpb.New(ttl)}
 		if body != nil {
-			r.Resource = pack(t, body)
+			resource.Resource = marshalAny(t, body)
 		}
-		return pack(t, r)
+		return marshalAny(t, resource)
 	}
-	say := func(now time.Duration, l ...*anypb.Any) []Request {
-		out, _ := m.HandleSotW(now, &discoveryv3.DiscoveryResponse{TypeUrl: string(EndpointType), VersionInfo: "1", Nonce: "n", Resources: l})
-		return out
+	respond := func(now time.Duration, resources ...*anypb.Any) []Request {
+		requests, _ := machine.HandleSotW(now, &discoveryv3.DiscoveryResponse{TypeUrl: string(EndpointType), VersionInfo: "1", Nonce: "n", Resources: resources})
+		return requests
 	}
-	say(2*sec, wrap("a", controlplane.Assignment("a"), 10*sec))
-	if at := m.NextDeadline(); at != 12*sec {
-		t.Errorf("next at %v", at)
+	respond(2*sec, wrap("a", controlplane.Assignment("a"), 10*sec))
+	if deadline := machine.NextDeadline(); deadline != 12*sec {
+		t.Errorf("NextDeadline() = %v, want 12s", deadline)
 	}
-	if out := say(11*sec, wrap("a", nil, 10*sec)); out[0].SotW.GetErrorDetail() != nil {
-		t.Errorf("a heartbeat is refused: %v", out)
+	if requests := respond(11*sec, wrap("a", nil, 10*sec)); requests[0].SotW.GetErrorDetail() != nil {
+		t.Errorf("reply to a heartbeat = %v, want an ACK", requests)
 	}
-	if _, c := m.Tick(13 * sec); len(c) != 0 {
-		t.Errorf("%v in spite of the heartbeat", c)
+	if _, changes := machine.Tick(13 * sec); len(changes) != 0 {
+		t.Errorf("Tick after a heartbeat: changes = %v, want none", changes)
 	}
-	if _, c := m.Tick(16 * sec); len(c) != 1 || c[0].Name != "b" || !strings.Contains(c[0].AbsentReason, "within 15s") {
-		t.Errorf("%v", c)
+	if _, changes := machine.Tick(16 * sec); len(changes) != 1 || changes[0].Name != "b" || !strings.Contains(changes[0].AbsentReason, "within 15s") {
+		t.Errorf("Tick after the fetch timeout: changes = %v, want b absent, with the timeout as the reason", changes)
 	}
-	if _, c := m.Tick(21 * sec); len(c) != 1 || c[0].Name != "a" || c[0].State != Absent {
-		t.Errorf("%v", c)
+	if _, changes := machine.Tick(21 * sec); len(changes) != 1 || changes[0].Name != "a" || changes[0].State != Absent {
+		t.Errorf("Tick after the time to live: changes = %v, want a absent", changes)
 	}
-	if m.NextDeadline() != 0 {
-		t.Errorf("still something at %v", m.NextDeadline())
+	if machine.NextDeadline() != 0 {
+		t.Errorf("NextDeadline() = %v, want 0", machine.NextDeadline())
 	}
-	if out := say(22*sec, wrap("a", nil, 10*sec)); out[0].SotW.GetErrorDetail() == nil {
-		t.Error("a heartbeat of what is not there is accepted")
+	if requests := respond(22*sec, wrap("a", nil, 10*sec)); requests[0].SotW.GetErrorDetail() == nil {
+		t.Error("reply to a heartbeat of an absent resource has no error detail, want a NACK")
 	}
-	say(23*sec, wrap("b", controlplane.Assignment("b"), 0), wrap("a", controlplane.Assignment("a"), 0))
-	if got := m.state(EndpointType); got != "a=1/received b=1/received" {
+	respond(23*sec, wrap("b", controlplane.Assignment("b"), 0), wrap("a", controlplane.Assignment("a"), 0))
+	if got := machine.describe(EndpointType); got != "a=1/received b=1/received" {
 		t.Error(got)
 	}
 }
 
-// If 1 of 500 resources is malformed, the other 499 are used.
+// If one of 500 resources is invalid, the other 499 are used.
 func TestValidResourcesOfRejectedResponseAreUsed(t *testing.T) {
 	for _, delta := range []bool{false, true} {
-		m := NewMachine(Options{Clusters: true, Delta: delta})
-		m.StartStream(sec)
-		s := clusters(t, "1", "n")
-		d := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n"}
+		machine := NewMachine(Options{Clusters: true, Delta: delta})
+		machine.StartStream(sec)
+		sotwResponse := clusterResponse(t, "1", "n")
+		deltaResponse := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), Nonce: "n"}
 		for i := range 500 {
-			c := controlplane.Cluster(fmt.Sprintf("c%03d", i), "")
+			cluster := controlplane.Cluster(fmt.Sprintf("c%03d", i), "")
 			if i == 250 {
-				c.EdsClusterConfig.ServiceName, c.LbPolicy = "", 99
+				cluster.EdsClusterConfig.ServiceName, cluster.LbPolicy = "", 99
 			}
-			s.Resources = append(s.Resources, pack(t, c))
-			d.Resources = append(d.Resources, &discoveryv3.Resource{Name: c.Name, Version: "1", Resource: pack(t, c)})
+			sotwResponse.Resources = append(sotwResponse.Resources, marshalAny(t, cluster))
+			deltaResponse.Resources = append(deltaResponse.Resources, &discoveryv3.Resource{Name: cluster.Name, Version: "1", Resource: marshalAny(t, cluster)})
 		}
-		var out []Request
+		var requests []Request
 		var changes []Change
 		if delta {
-			out, changes = m.HandleDelta(sec, d)
+			requests, changes = machine.HandleDelta(sec, deltaResponse)
 		} else {
-			out, changes = m.HandleSotW(sec, s)
+			requests, changes = machine.HandleSotW(sec, sotwResponse)
 		}
-		detail := out[0].SotW.GetErrorDetail().GetMessage() + out[0].Delta.GetErrorDetail().GetMessage()
+		detail := requests[0].SotW.GetErrorDetail().GetMessage() + requests[0].Delta.GetErrorDetail().GetMessage()
 		if !strings.Contains(detail, `"c250"`) || strings.Count(detail, "\n") != 0 {
-			t.Errorf("%q", detail)
+			t.Errorf("delta=%v: error detail = %q, want one line about c250", delta, detail)
 		}
 		received := 0
-		for _, c := range changes {
-			if c.State == Received {
+		for _, cluster := range changes {
+			if cluster.State == Received {
 				received++
 			}
 		}
 		if received != 499 {
-			t.Errorf("%d are used", received)
+			t.Errorf("delta=%v: got %d received clusters, want 499", delta, received)
 		}
 	}
 }
 
-// Whatever a response contains, the machine answers it once and stays usable.
+// Whatever a response contains, the first request returned is a reply with its nonce, and the machine does not panic, also not
+// in a later Tick.
 func FuzzResponses(f *testing.F) {
-	r := &discoveryv3.DiscoveryResponse{VersionInfo: "1", Nonce: "n", TypeUrl: string(ClusterType)}
-	b, err := anypb.New(controlplane.Cluster("a", "b"))
+	response := &discoveryv3.DiscoveryResponse{VersionInfo: "1", Nonce: "n", TypeUrl: string(ClusterType)}
+	encoded, err := anypb.New(controlplane.Cluster("a", "b"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	r.Resources = []*anypb.Any{b}
-	one, err := proto.Marshal(r)
+	response.Resources = []*anypb.Any{encoded}
+	sotwSeed, err := proto.Marshal(response)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(one)
-	d := &discoveryv3.DeltaDiscoveryResponse{Nonce: "n", TypeUrl: string(ClusterType), RemovedResources: []string{"x"},
-		Resources: []*discoveryv3.Resource{{Name: "a", Version: "1", Resource: b, Ttl: durationpb.New(sec)}}}
-	two, err := proto.Marshal(d)
+	f.Add(sotwSeed)
+	delta := &discoveryv3.DeltaDiscoveryResponse{Nonce: "n", TypeUrl: string(ClusterType), RemovedResources: []string{"x"},
+		Resources: []*discoveryv3.Resource{{Name: "a", Version: "1", Resource: encoded, Ttl: durationpb.New(sec)}}}
+	deltaSeed, err := proto.Marshal(delta)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(two)
-	f.Fuzz(func(t *testing.T, b []byte) {
-		s, d := NewMachine(Options{Clusters: true, RouteConfigName: "r"}), NewMachine(Options{Clusters: true, RouteConfigName: "r", Delta: true})
-		s.StartStream(sec)
-		d.StartStream(sec)
-		var sr discoveryv3.DiscoveryResponse
-		if proto.Unmarshal(b, &sr) == nil {
-			if out, _ := s.HandleSotW(sec, &sr); len(out) == 0 || out[0].SotW.GetResponseNonce() != sr.GetNonce() {
-				t.Errorf("%v", out)
+	f.Add(deltaSeed)
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		sotwMachine, delta := NewMachine(Options{Clusters: true, RouteConfigName: "r"}), NewMachine(Options{Clusters: true, RouteConfigName: "r", Delta: true})
+		sotwMachine.StartStream(sec)
+		delta.StartStream(sec)
+		var sotwResponse discoveryv3.DiscoveryResponse
+		if proto.Unmarshal(encoded, &sotwResponse) == nil {
+			if requests, _ := sotwMachine.HandleSotW(sec, &sotwResponse); len(requests) == 0 || requests[0].SotW.GetResponseNonce() != sotwResponse.GetNonce() {
+				t.Errorf("HandleSotW: requests = %v, want first a reply with nonce %q", requests, sotwResponse.GetNonce())
 			}
-			s.Tick(sec * 100)
+			sotwMachine.Tick(sec * 100)
 		}
-		var dr discoveryv3.DeltaDiscoveryResponse
-		if proto.Unmarshal(b, &dr) == nil {
-			if out, _ := d.HandleDelta(sec, &dr); len(out) == 0 || out[0].Delta.GetResponseNonce() != dr.GetNonce() {
-				t.Errorf("%v", out)
+		var deltaResponse discoveryv3.DeltaDiscoveryResponse
+		if proto.Unmarshal(encoded, &deltaResponse) == nil {
+			if requests, _ := delta.HandleDelta(sec, &deltaResponse); len(requests) == 0 || requests[0].Delta.GetResponseNonce() != deltaResponse.GetNonce() {
+				t.Errorf("HandleDelta: requests = %v, want first a reply with nonce %q", requests, deltaResponse.GetNonce())
 			}
-			d.Tick(sec * 100)
+			delta.Tick(sec * 100)
 		}
 	})
 }
 
-// An hour of resources with ever new names leaves no state behind.
-func TestChangingNamesLeaveNothingBehind(t *testing.T) {
+// A machine that receives new names for an hour retains no state of the removed resources.
+func TestRemovedResourcesAreNotRetained(t *testing.T) {
 	for _, delta := range []bool{false, true} {
-		m := NewMachine(Options{Clusters: true, Delta: delta})
-		m.StartStream(sec)
-		var before []string
+		machine := NewMachine(Options{Clusters: true, Delta: delta})
+		machine.StartStream(sec)
+		var previous []string
 		for i := range 3600 {
 			now := time.Duration(i+1) * sec
 			names := []string{fmt.Sprint("a", i), fmt.Sprint("b", i)}
 			if !delta {
-				m.HandleSotW(now, clusters(t, fmt.Sprint(i), "n", names...))
+				machine.HandleSotW(now, clusterResponse(t, fmt.Sprint(i), "n", names...))
 			} else {
-				d := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), RemovedResources: before}
-				for _, n := range names {
-					d.Resources = append(d.Resources, &discoveryv3.Resource{Name: n, Version: "1", Resource: pack(t, controlplane.Cluster(n, ""))})
+				response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: string(ClusterType), RemovedResources: previous}
+				for _, name := range names {
+					response.Resources = append(response.Resources, &discoveryv3.Resource{Name: name, Version: "1", Resource: marshalAny(t, controlplane.Cluster(name, ""))})
 				}
-				m.HandleDelta(now, d)
+				machine.HandleDelta(now, response)
 			}
-			before = names
+			previous = names
 		}
-		for _, s := range m.Summaries() {
-			if s.Resources != 2 {
-				t.Errorf("delta %v: %d resources of %s are kept", delta, s.Resources, s.Type.Short())
+		for _, summary := range machine.Summaries() {
+			if summary.Resources != 2 {
+				t.Errorf("delta=%v: got %d resources of type %s, want 2", delta, summary.Resources, summary.Type.Short())
 			}
 		}
 	}
 }
 
-// Clusters whose services form a cycle are subscribed to like others.
+// Clusters that refer to each other's names as their services are subscribed to like any others.
 func TestCyclicClusterReferences(t *testing.T) {
-	m := NewMachine(Options{Clusters: true, RouteConfigName: "a"})
-	m.StartStream(sec)
-	r := &discoveryv3.DiscoveryResponse{TypeUrl: string(ClusterType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
-		pack(t, controlplane.Cluster("a", "b")), pack(t, controlplane.Cluster("b", "a")), pack(t, controlplane.Cluster("c", "c"))}}
-	out, _ := m.HandleSotW(sec, r)
-	if len(out) != 2 || !slices.Equal(out[1].SotW.GetResourceNames(), []string{"a", "b", "c"}) {
-		t.Errorf("%v", out)
-	}
-	out, changes := m.HandleSotW(2*sec, &discoveryv3.DiscoveryResponse{TypeUrl: string(RouteType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
-		pack(t, controlplane.Routes("a", [2]string{"/", "a"}))}})
-	if out[0].SotW.GetErrorDetail() != nil || len(changes) != 1 {
-		t.Errorf("%v", out)
+	machine := NewMachine(Options{Clusters: true, RouteConfigName: "a"})
+	machine.StartStream(sec)
+	response := &discoveryv3.DiscoveryResponse{TypeUrl: string(ClusterType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
+		marshalAny(t, controlplane.Cluster("a", "b")), marshalAny(t, controlplane.Cluster("b", "a")), marshalAny(t, controlplane.Cluster("c", "c"))}}
+	requests, _ := machine.HandleSotW(sec, response)
+	if len(requests) != 2 || !slices.Equal(requests[1].SotW.GetResourceNames(), []string{"a", "b", "c"}) {
+		t.Errorf("requests after the clusters = %v, want 2, second for endpoints a, b and c", requests)
+	}
+	requests, changes := machine.HandleSotW(2*sec, &discoveryv3.DiscoveryResponse{TypeUrl: string(RouteType), VersionInfo: "1", Nonce: "n", Resources: []*anypb.Any{
+		marshalAny(t, controlplane.Routes("a", [2]string{"/", "a"}))}})
+	if requests[0].SotW.GetErrorDetail() != nil || len(changes) != 1 {
+		t.Errorf("after the routes: requests = %v, want first an ACK; changes = %v, want 1", requests, changes)
 	}
 }
--- a/internal/xds/node.go
+++ b/internal/xds/node.go
@@ -4,11 +4,11 @@
 
 const (
 	userAgentName = "robindrum"
-	// wrappedResources is the client feature of accepting resources with a name and a time to live.
+	// wrappedResources is the client feature that announces support for resources wrapped with a name and a time to live.
 	wrappedResources = "xds.config.resource-in-sotw"
 )
 
-// Node returns how the gateway identifies itself to control planes.
+// Node returns the message that identifies the gateway to control planes.
 func Node(id, cluster, zone string) *corev3.Node {
 	return &corev3.Node{
 		Id:             id,
--- a/internal/xds/routematch.go
+++ b/internal/xds/routematch.go
@@ -32,6 +32,7 @@
 	}
 )
 
+// parseMatch sets the path, methods and conditions of a route.
 func (p *routesParser) parseMatch(match *routev3.RouteMatch, path string, parsed *route.Route) error {
 	if err := matchTable.audit(match, path, &p.warnings); err != nil {
 		return err
@@ -44,12 +45,12 @@
 		parsed.Path = specifier.Path
 	case *routev3.RouteMatch_Prefix:
 		parsed.Prefix = specifier.Prefix
-		parsed.Textual = specifier.Prefix != "/" // with which all paths begin
+		parsed.Textual = specifier.Prefix != "/" // all paths begin with "/"
 	case *routev3.RouteMatch_PathSeparatedPrefix:
 		parsed.Prefix = specifier.PathSeparatedPrefix
 	}
 	if parsed.Path == "" && parsed.Prefix == "" {
-		return fmt.Errorf("%spath_specifier: one of prefix, path and path_separated_prefix is needed", path)
+		return fmt.Errorf("%spath_specifier: one of prefix, path and path_separated_prefix is required", path)
 	}
 	for i, header := range match.GetHeaders() {
 		if err := p.parseHeader(header, fmt.Sprintf("%sheaders[%d].", path, i), parsed); err != nil {
@@ -57,7 +58,7 @@
 		}
 	}
 	if len(parsed.Methods) > 1 {
-		return fmt.Errorf("%sheaders: :method stands twice", path)
+		return fmt.Errorf("%sheaders: duplicate :method", path)
 	}
 	for i, parameter := range match.GetQueryParameters() {
 		condition, err := p.parseQueryParameter(parameter, fmt.Sprintf("%squery_parameters[%d].", path, i))
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// parseHeader adds a header matcher to a route: an exact :method to its methods, and any other one to its headers.
+// parseHeader adds a header matcher to a route. An exact match of :method is added to the methods, any other matcher to the
+// headers.
 func (p *routesParser) parseHeader(header *routev3.HeaderMatcher, path string, parsed *route.Route) error {
 	if err := headerTable.audit(header, path, &p.warnings); err != nil {
 		return err
@@ -78,16 +80,16 @@
 	switch specifier := header.GetHeaderMatchSpecifier().(type) {
 	case *routev3.HeaderMatcher_ExactMatch:
 		condition.Op = route.Exact
-		condition.Value = specifier.ExactMatch //nolint:staticcheck // control planes still send it
+		condition.Value = specifier.ExactMatch //nolint:staticcheck // deprecated, but control planes still send it
 	case *routev3.HeaderMatcher_PrefixMatch:
 		condition.Op = route.Prefix
-		condition.Value = specifier.PrefixMatch //nolint:staticcheck // control planes still send it
+		condition.Value = specifier.PrefixMatch //nolint:staticcheck // deprecated, but control planes still send it
 	case *routev3.HeaderMatcher_SuffixMatch:
 		condition.Op = route.Suffix
-		condition.Value = specifier.SuffixMatch //nolint:staticcheck // control planes still send it
+		condition.Value = specifier.SuffixMatch //nolint:staticcheck // deprecated, but control planes still send it
 	case *routev3.HeaderMatcher_ContainsMatch:
 		condition.Op = route.Contains
-		condition.Value = specifier.ContainsMatch //nolint:staticcheck // control planes still send it
+		condition.Value = specifier.ContainsMatch //nolint:staticcheck // deprecated, but control planes still send it
 	case *routev3.HeaderMatcher_PresentMatch:
 		condition.Not = condition.Not == specifier.PresentMatch
 	case *routev3.HeaderMatcher_StringMatch:
@@ -100,7 +102,7 @@
 		return nil
 	}
 	if condition.Name != methodPseudoHeader || condition.Op != route.Exact || condition.Not {
-		return fmt.Errorf("%sname: of %s only an exact :method is supported", path, condition.Name)
+		return fmt.Errorf("%sname: pseudo-header %s: only an exact match of :method is supported", path, condition.Name)
 	}
 	parsed.Methods = append(parsed.Methods, condition.Value)
 	return nil
--- a/internal/xds/routeorder.go
+++ b/internal/xds/routeorder.go
@@ -7,45 +7,46 @@
 	"robindrum/internal/route"
 )
 
-// takesPrecedence reports whether package route would give route r some request that former, which stands before it,
-// matches as well.
-func takesPrecedence(r, former *route.Route) bool {
-	relation := comparePaths(r, former)
+// takesPrecedence reports whether some request matches both r and earlier, a preceding route of the same virtual host, and
+// package route would choose r because it is more specific. Envoy would choose earlier.
+func takesPrecedence(r, earlier *route.Route) bool {
+	relation := comparePaths(r, earlier)
 	if relation == notMoreSpecific {
 		return false
 	}
-	if anyExclusive(r.Headers, former.Headers) || anyExclusive(r.Query, former.Query) || methodsDisjoint(r.Methods, former.Methods) {
+	if anyExclusive(r.Headers, earlier.Headers) || anyExclusive(r.Query, earlier.Query) || methodsDisjoint(r.Methods, earlier.Methods) {
 		return false
 	}
-	return relation == moreSpecific || conditionCount(r) > conditionCount(former)
+	return relation == moreSpecific || conditionCount(r) > conditionCount(earlier)
 }
 
-// pathRelation is how the paths that a route matches relate to those of another one.
+// pathRelation is the relation of the paths that a route matches to the paths that another route matches.
 type pathRelation int
 
 const (
-	notMoreSpecific pathRelation = iota // they have none in common, or the other route comes first
+	notMoreSpecific pathRelation = iota // no common paths, or the other route takes precedence
 	moreSpecific
 	samePaths
 )
 
-func comparePaths(r, former *route.Route) pathRelation {
+// comparePaths returns the relation of the paths of r to those of earlier.
+func comparePaths(r, earlier *route.Route) pathRelation {
 	switch {
-	case former.Path != "" && r.Path != "":
-		if former.Path == r.Path {
+	case earlier.Path != "" && r.Path != "":
+		if earlier.Path == r.Path {
 			return samePaths
 		}
 		return notMoreSpecific
-	case former.Path != "": // an exact path comes before a prefix
+	case earlier.Path != "": // an exact path takes precedence over a prefix
 		return notMoreSpecific
 	case r.Path != "":
-		if prefixMatches(former, r.Path) {
+		if prefixMatches(earlier, r.Path) {
 			return moreSpecific
 		}
 		return notMoreSpecific
-	case former.Prefix == r.Prefix && former.Textual == r.Textual:
+	case earlier.Prefix == r.Prefix && earlier.Textual == r.Textual:
 		return samePaths
-	case prefixMatches(former, r.Prefix) && len(former.Prefix) <= len(r.Prefix):
+	case prefixMatches(earlier, r.Prefix) && len(earlier.Prefix) <= len(r.Prefix):
 		return moreSpecific
 	}
 	return notMoreSpecific
@@ -60,7 +61,8 @@
 	return path == prefix || strings.HasPrefix(path, prefix+"/")
 }
 
-// anyExclusive reports whether two lists have conditions that no request meets together.
+// anyExclusive reports whether a condition of one list and a condition of the other one exclude each other, so that no request
+// meets both lists.
 func anyExclusive(x, y []route.Condition) bool {
 	for i := range x {
 		for j := range y {
@@ -72,7 +74,8 @@
 	return false
 }
 
-// exclusive reports whether two exact conditions require different values, or one requires what the other one excludes.
+// exclusive reports whether no request meets both conditions. It detects this only for two exact conditions of the same name
+// that require different values, or of which one requires the value that the other one excludes.
 func exclusive(a, b *route.Condition) bool {
 	if a.Name != b.Name || a.Op != route.Exact || b.Op != route.Exact {
 		return false
@@ -91,6 +94,7 @@
 	return !slices.ContainsFunc(x, func(method string) bool { return slices.Contains(y, method) })
 }
 
+// conditionCount returns the number of conditions of a route. The methods count as one.
 func conditionCount(r *route.Route) int {
 	count := len(r.Headers) + len(r.Query)
 	if len(r.Methods) > 0 {
--- a/internal/xds/routes.go
+++ b/internal/xds/routes.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// maxRoutes bounds the routes of a RouteConfiguration.
+	// maxRoutes limits the routes of a RouteConfiguration.
 	maxRoutes = 100_000
-	// maxHostRoutes bounds the routes of a virtual host, whose order is checked pair by pair.
+	// maxHostRoutes limits the routes of a virtual host, as each pair of them is compared to check their order.
 	maxHostRoutes = 2_000
 )
 
-// Routes is a RouteConfiguration in the form of package route.
+// Routes is a RouteConfiguration converted to the types of package route.
 type Routes struct {
 	Name   string
 	Routes []route.Route
@@ -60,21 +60,22 @@
 	}
 )
 
-// routesParser converts one RouteConfiguration. It returns the first error.
+// routesParser converts one RouteConfiguration. It stops at the first error.
 type routesParser struct {
 	routes   []route.Route
 	classes  map[string]bool // nil: any
 	warnings []string
 }
 
-// ParseRoutes checks and converts a RouteConfiguration. It also returns warnings about what is ignored. The classes are
-// those that the metadata of routes may name; nil: any. Envoy uses the first route of a virtual host that matches, and
-// package route the most specific one; an order for which the two differ is an error.
+// ParseRoutes checks and converts a RouteConfiguration. It also returns a warning for each ignored field. The metadata of
+// routes may refer only to the given classes, or to any class if classes is nil. Of the matching routes of a virtual host,
+// Envoy uses the first one and package route the most specific one. If the order of the routes makes the two differ,
+// ParseRoutes returns an error.
 func ParseRoutes(message *routev3.RouteConfiguration, classes map[string]bool) (*Routes, []string, error) {
 	return parseRoutes(message, classes, false)
 }
 
-// parseRoutes is ParseRoutes. A RouteConfiguration that is part of a listener needs no name.
+// parseRoutes implements ParseRoutes. With inListener, the RouteConfiguration is part of a listener and needs no name.
 func parseRoutes(message *routev3.RouteConfiguration, classes map[string]bool, inListener bool) (*Routes, []string, error) {
 	if message.GetName() == "" && !inListener {
 		return nil, nil, errNoName
@@ -100,10 +101,10 @@
 		return err
 	}
 	if len(host.GetDomains()) == 0 {
-		return fmt.Errorf("%sdomains: none is given", path)
+		return fmt.Errorf("%sdomains: must not be empty", path)
 	}
 	if len(host.GetRoutes()) > maxHostRoutes {
-		return fmt.Errorf("%sroutes: %d, %d at most", path, len(host.GetRoutes()), maxHostRoutes)
+		return fmt.Errorf("%sroutes: %d routes exceed the maximum of %d", path, len(host.GetRoutes()), maxHostRoutes)
 	}
 	firstOfHost := len(p.routes)
 	for i, message := range host.GetRoutes() {
@@ -112,9 +113,9 @@
 			return err
 		}
 		parsed.Hosts = host.GetDomains()
-		for j, former := range p.routes[firstOfHost:] {
-			if takesPrecedence(&parsed, &former) {
-				return fmt.Errorf("%sroutes[%d]: stands behind routes[%d], which takes some of what it would, but is more specific: put it first",
+		for j, earlier := range p.routes[firstOfHost:] {
+			if takesPrecedence(&parsed, &earlier) {
+				return fmt.Errorf("%sroutes[%d]: is more specific than routes[%d], which precedes it and matches some of the same requests; move it before that route",
 					path, i, j)
 			}
 		}
@@ -131,7 +132,7 @@
 		return parsed, err
 	}
 	if message.GetMatch() == nil || message.GetRoute() == nil {
-		return parsed, fmt.Errorf("%smatch: a match and a route action are needed", path)
+		return parsed, fmt.Errorf("%smatch: a match and a route action are required", path)
 	}
 	parsed.Name = message.GetName()
 	if err := p.parseMatch(message.GetMatch(), path+"match.", &parsed); err != nil {
@@ -162,7 +163,7 @@
 	case corev3.RoutingPriority_HIGH:
 		parsed.High = true
 	default:
-		return fmt.Errorf("%spriority: %d is not known", path, action.GetPriority())
+		return fmt.Errorf("%spriority: unknown value %d", path, action.GetPriority())
 	}
 	return nil
 }
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// parseMetadata reads the fields that only this gateway knows.
+// parseMetadata reads the metadata fields that are specific to this gateway.
 func (p *routesParser) parseMetadata(metadata *corev3.Metadata, path string, parsed *route.Route) error {
 	fields := metadata.GetFilterMetadata()[metadataName].GetFields()
 	if fields == nil {
@@ -192,7 +193,7 @@
 	parsed.Key.Query = fields["key_query"].GetStringValue()
 	parsed.Tenant.Header = fields["tenant_header"].GetStringValue()
 	if parsed.Class != "" && p.classes != nil && !p.classes[parsed.Class] {
-		return fmt.Errorf("%smetadata.%s.class: there is no class %q", path, metadataName, parsed.Class)
+		return fmt.Errorf("%smetadata.%s.class: unknown class %q", path, metadataName, parsed.Class)
 	}
 	return nil
 }
--- a/internal/xds/stream.go
+++ b/internal/xds/stream.go
@@ -14,25 +14,25 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// A client makes one connection attempt a stream, so grpc's own backoff is kept short.
+// Backoff of the reconnection in gRPC. It is short, as a Client makes one connection attempt per stream with its own backoff.
 const (
 	grpcBackoff           = time.Second
 	grpcBackoffMultiplier = 1.6
 )
 
 var (
-	// errPaused is why a stream ended that is no longer wanted.
+	// errPaused is the error of a stream that ended because the client was paused.
 	errPaused         = errors.New("paused")
-	errConnectTimeout = errors.New("no connection in time")
+	errConnectTimeout = errors.New("connect timeout exceeded")
 )
 
-// adsStream is an aggregated stream of either variant.
+// adsStream is an aggregated stream of either variant of the protocol.
 type adsStream interface {
 	send(Request) error
 	recv() (response, error)
 }
 
-// response is a response of either variant, or the error that ended the stream.
+// response is a response of either variant of the protocol, or the error that ended the stream.
 type response struct {
 	sotw  *discoveryv3.DiscoveryResponse
 	delta *discoveryv3.DeltaDiscoveryResponse
@@ -61,8 +61,9 @@
 	return response{delta: r}, err
 }
 
-// follow opens a stream to a control plane and serves it until it ends. It reports whether there was any response.
-func (c *Client) follow(parent context.Context, server string) (responded bool, err error) {
+// runStream opens a stream to a control plane and runs the protocol until the stream ends. It reports whether any response was
+// received.
+func (c *Client) runStream(parent context.Context, server string) (responded bool, err error) {
 	connection, err := c.dial(server)
 	if err != nil {
 		return false, err
@@ -70,7 +71,7 @@
 	defer func() { _ = connection.Close() }()
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	stream, err := c.openInTime(ctx, cancel, connection)
+	stream, err := c.openStreamWithTimeout(ctx, cancel, connection)
 	if err != nil {
 		return false, err
 	}
@@ -82,10 +83,11 @@
 		m.EndStream()
 		return nil, nil
 	})
-	// Unbuffered: one response is read ahead of the one that is applied, and further ones wait with the sender.
+	// The channel is unbuffered: one response is read ahead while another one is applied. Further responses are held back by
+	// the flow control of the stream.
 	responses := make(chan response)
 	reader.Go(func() { readResponses(ctx, stream, responses) })
-	return c.serve(ctx, stream, responses)
+	return c.handleEvents(ctx, stream, responses)
 }
 
 func (c *Client) dial(server string) (*grpc.ClientConn, error) {
@@ -101,8 +103,9 @@
 		}))
 }
 
-// openInTime opens a stream within ConnectTimeout. It calls cancel, which ends ctx, when the time is over.
-func (c *Client) openInTime(ctx context.Context, cancel context.CancelFunc, connection *grpc.ClientConn) (adsStream, error) {
+// openStreamWithTimeout opens a stream. If that takes longer than ConnectTimeout, it calls cancel, which must cancel ctx, and
+// returns an error.
+func (c *Client) openStreamWithTimeout(ctx context.Context, cancel context.CancelFunc, connection *grpc.ClientConn) (adsStream, error) {
 	timeout := time.AfterFunc(c.options.ConnectTimeout, cancel)
 	stream, err := c.openStream(ctx, connection)
 	if !timeout.Stop() && err == nil {
@@ -130,7 +133,8 @@
 	c.options.Log.Info("connected to the control plane", "server", server)
 }
 
-// readResponses passes the responses of a stream on until it or ctx ends. The last one contains the error of the stream.
+// readResponses sends the responses of a stream to a channel until the stream or ctx ends. The last response contains the
+// error that ended the stream.
 func readResponses(ctx context.Context, stream adsStream, responses chan<- response) {
 	for {
 		r, err := stream.recv()
@@ -146,8 +150,8 @@
 	}
 }
 
-// serve runs the protocol on an open stream until it ends. It reports whether there was any response.
-func (c *Client) serve(ctx context.Context, stream adsStream, responses <-chan response) (responded bool, err error) {
+// handleEvents runs the protocol on an open stream until the stream ends. It reports whether any response was received.
+func (c *Client) handleEvents(ctx context.Context, stream adsStream, responses <-chan response) (responded bool, err error) {
 	requests := c.update((*Machine).StartStream)
 	for {
 		if err := sendAll(ctx, stream, requests, responses); err != nil {
@@ -168,7 +172,7 @@
 	isResponse bool
 }
 
-// waitOnStream waits for the next event on a stream and handles it. The error is why the stream ends.
+// waitOnStream waits for the next event on an open stream and handles it. It returns an error if the stream must end.
 func (c *Client) waitOnStream(ctx context.Context, responses <-chan response) (streamEvent, error) {
 	deadline := c.newTimer()
 	defer deadline.Stop()
@@ -192,7 +196,8 @@
 	}
 }
 
-// sendAll sends requests. If that fails, the error is the one that reading gives, which says why the stream ended.
+// sendAll sends requests. If sending fails, it returns the error of reading from the stream if there is one, as only that error
+// contains the reason why the stream ended.
 func sendAll(ctx context.Context, stream adsStream, requests []Request, responses <-chan response) error {
 	for _, request := range requests {
 		err := stream.send(request)
@@ -219,19 +224,20 @@
 		}
 		return m.HandleSotW(now, r.sotw)
 	})
-	c.logRejected(requests)
+	c.logNACKs(requests)
 	return requests
 }
 
-// logRejected logs the NACKs among requests.
-func (c *Client) logRejected(requests []Request) {
+// logNACKs logs the NACKs among requests.
+func (c *Client) logNACKs(requests []Request) {
 	for _, request := range requests {
-		c.logDetail(request.SotW.GetTypeUrl(), request.SotW.GetErrorDetail())
-		c.logDetail(request.Delta.GetTypeUrl(), request.Delta.GetErrorDetail())
+		c.logNACK(request.SotW.GetTypeUrl(), request.SotW.GetErrorDetail())
+		c.logNACK(request.Delta.GetTypeUrl(), request.Delta.GetErrorDetail())
 	}
 }
 
-func (c *Client) logDetail(typeURL string, detail *statuspb.Status) {
+// logNACK logs a NACK. A request without an error detail is not a NACK.
+func (c *Client) logNACK(typeURL string, detail *statuspb.Status) {
 	if detail != nil {
 		c.options.Log.Warn("resources rejected", "type", Type(typeURL).Short(), "error", detail.GetMessage())
 	}
