--- a/tools/measure/capacity_fleet.go
+++ b/tools/measure/capacity_fleet.go
@@ -10,7 +10,7 @@
 	"robindrum/internal/testbed/hollow"
 )
 
-// buildProgram builds the program in a new folder. The caller calls remove.
+// buildProgram builds robindrum in a new temporary folder. The caller must call remove.
 func buildProgram(ctx context.Context) (dir, binary string, remove func(), err error) {
 	if dir, remove, err = cluster.TempDir(); err != nil {
 		return "", "", nil, err
@@ -22,91 +22,92 @@
 	return dir, binary, remove, nil
 }
 
-// resourceUsage returns the CPU time of the nodes that run together, and the resident bytes and the open descriptors of the
-// largest of them.
-func resourceUsage(nodes []*cluster.Node) (cpu time.Duration, resident int64, files int) {
-	for _, n := range nodes {
-		if !n.Up() {
+// nodeUsage returns the total CPU time of the nodes that run, and the maximum over these nodes of the resident bytes and of the open file
+// descriptors.
+func nodeUsage(nodes []*cluster.Node) (cpu time.Duration, resident int64, files int) {
+	for _, node := range nodes {
+		if !node.Up() {
 			continue
 		}
-		pid := n.Process().PID()
-		used, r := usage(pid)
-		cpu += used
-		resident = max(resident, r)
-		if l, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
-			files = max(files, len(l))
+		pid := node.Process().PID()
+		nodeCPU, nodeResident := usage(pid)
+		cpu += nodeCPU
+		resident = max(resident, nodeResident)
+		if descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
+			files = max(files, len(descriptors))
 		}
 	}
 	return cpu, resident, files
 }
 
-// sentBytes returns the bytes that the nodes have sent to all others in calls, streams and packets.
+// sentBytes returns the bytes that the nodes have sent to other members in calls, streams and packets.
 func sentBytes(nodes []*cluster.Node) (bytes int64) {
-	for _, n := range nodes {
-		if s, err := n.Fleet(); err == nil {
-			bytes += s.Traffic.Sent()
+	for _, node := range nodes {
+		if status, err := node.Fleet(); err == nil {
+			bytes += status.Traffic.Sent()
 		}
 	}
 	return bytes
 }
 
-// appliedEntries returns the index of the last log entry that a voter has applied.
-func appliedEntries(c *cluster.Cluster) (n uint64) {
-	for _, v := range c.Nodes {
-		if s, err := v.Fleet(); err == nil && s.Vote != nil {
-			n = max(n, s.Vote.Applied)
+// appliedEntries returns the highest index of a log entry that any voter has applied.
+func appliedEntries(c *cluster.Cluster) (index uint64) {
+	for _, voter := range c.Nodes {
+		if status, err := voter.Fleet(); err == nil && status.Vote != nil {
+			index = max(index, status.Vote.Applied)
 		}
 	}
-	return n
+	return index
 }
 
-// idleFor waits, for as long as the context lasts, and returns its error where that ends first.
-func idleFor(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits for a duration. If the context ends first, it returns the context's error.
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	}
 }
 
-// joinHollowGateways starts hollow gateways beside a cluster and waits until its nodes know them. The caller closes the fleet.
-func joinHollowGateways(ctx context.Context, c *cluster.Cluster, n int, probe, beat, lease time.Duration, site string) (*hollow.Fleet, *hollow.Gateways, error) {
-	g := hollow.NewGateways()
+// joinHollowGateways starts hollow gateways, which join the fleet of a cluster of processes, and waits until all members know each
+// other. The caller must close the returned fleet.
+func joinHollowGateways(ctx context.Context, processes *cluster.Cluster, count int, probe, heartbeat, lease time.Duration, site string) (*hollow.Fleet, *hollow.Gateways, error) {
+	gateways := hollow.NewGateways()
 	var seeds []string
-	for _, v := range c.Nodes[:min(3, len(c.Nodes))] {
-		seeds = append(seeds, v.Address)
+	for _, node := range processes.Nodes[:min(3, len(processes.Nodes))] {
+		seeds = append(seeds, node.Address)
 	}
-	f, err := hollow.New(hollow.Options{Name: "rig", Members: n, Seeds: seeds, Voters: c.Voters(), Sites: []string{site}, ProbeInterval: probe, Heartbeat: beat, LeaseLength: lease, Prepare: g.Prepare})
+	members, err := hollow.New(hollow.Options{Name: "rig", Members: count, Seeds: seeds, Voters: processes.Voters(), Sites: []string{site}, ProbeInterval: probe, Heartbeat: heartbeat, LeaseLength: lease, Prepare: gateways.Prepare})
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := f.Start(ctx); err != nil {
-		f.Close()
+	if err := members.Start(ctx); err != nil {
+		members.Close()
 		return nil, nil, err
 	}
 	if err := cluster.Await(ctx, "all members at every process", 120*probe, func() bool {
-		for _, v := range c.Nodes {
-			if s, err := v.Fleet(); err != nil || len(s.Members) < n+len(c.Nodes) {
+		for _, node := range processes.Nodes {
+			if status, err := node.Fleet(); err != nil || len(status.Members) < count+len(processes.Nodes) {
 				return false
 			}
 		}
 		return true
 	}); err != nil {
-		f.Close()
+		members.Close()
 		return nil, nil, err
 	}
-	// Otherwise the figures would hold the gossip about the joins.
-	allow := n * n / 1000
-	settled, err := f.Settle(ctx, 120*probe, allow)
-	if err == nil && settled.Unknown > allow {
-		err = fmt.Errorf("%d gateways do not come together: %v", n, settled)
+	// Otherwise the figures would include the gossip about the joins.
+	maxUnknown := count * count / 1000
+	settled, err := members.Settle(ctx, 120*probe, maxUnknown)
+	if err == nil && settled.Unknown > maxUnknown {
+		err = fmt.Errorf("%d gateways did not all learn of each other: %v", count, settled)
 	}
 	if err != nil {
-		f.Close()
+		members.Close()
 		return nil, nil, err
 	}
-	return f, g, idleFor(ctx, 4*probe)
+	return members, gateways, sleep(ctx, 4*probe)
 }
--- a/tools/measure/capacity_subscription.go
+++ b/tools/measure/capacity_subscription.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// heartbeatPushBytes is about the size of a push that carries no change.
+	// heartbeatPushBytes is the approximate size of a push without a change.
 	heartbeatPushBytes = 180
-	// settleInterval is how long no further update may arrive before a change counts as complete: it may take several pushes.
+	// settleInterval is the time without a further update after which a change counts as complete. A change may take several pushes.
 	settleInterval = 300 * time.Millisecond
 
 	changeTimeout     = 60 * time.Second
 	nextLeaderTimeout = 90 * time.Second
 )
 
-// subscriptionLoad is what the control plane of the measured site serves.
+// subscriptionLoad describes the resources that the control plane of the measured site serves, and the lease length.
 type subscriptionLoad struct {
 	clusters  int
 	endpoints int // of each cluster
 	lease     time.Duration
 }
 
-// capacitySubscription measures how a site's subscription leader updates hollow gateways beside two processes.
+// capacitySubscription measures how the subscription leader of a site updates hollow gateways and two other processes.
 func capacitySubscription(ctx context.Context, sizes []int, full bool) error {
-	s := newSeries("gateways")
-	defer func() { s.print(targetGateways) }()
+	figures := newSeries("gateways")
+	defer func() { figures.print(targetGateways) }()
 	load := subscriptionLoad{clusters: 72, endpoints: targetEndpointsPerCluster, lease: time.Second}
 	if full {
 		load.clusters, load.lease = targetClusters, 2*time.Second
@@ -43,35 +43,35 @@
 		return err
 	}
 	defer remove()
-	fmt.Printf("3 gateways (processes) with one subscription, the others hollow, in this process; %d clusters of %d endpoints; a sign of life each second\n",
+	fmt.Printf("3 gateways (processes) with a shared subscription, all others hollow, in this process; %d clusters of %d endpoints; a heartbeat every second\n",
 		load.clusters, load.endpoints)
-	for _, n := range sizes {
-		if err := hollow.MembersRequirement(n, 3).Check(); err != nil {
-			return fmt.Errorf("%d gateways: %w", n, err)
+	for _, count := range sizes {
+		if err := hollow.MembersRequirement(count, 3).Check(); err != nil {
+			return fmt.Errorf("%d gateways: %w", count, err)
 		}
-		s.size(n)
+		figures.size(count)
 		for _, variant := range []string{"delta", "sotw"} {
-			if err := measureSubscription(ctx, s, cluster.SiteOptions{Binary: binary, Dir: dir, Variant: variant}, n, load); err != nil {
-				return fmt.Errorf("%d gateways, %s: %w", n, variant, err)
+			if err := measureSubscription(ctx, figures, cluster.SiteOptions{Binary: binary, Dir: dir, Variant: variant}, count, load); err != nil {
+				return fmt.Errorf("%d gateways, %s: %w", count, variant, err)
 			}
 		}
 	}
 	return nil
 }
 
-// assignment returns the endpoints of a cluster, the first of them with a weight.
+// assignment returns the endpoint list of a cluster. The first endpoint has the given weight, the others have weight 1.
 func assignment(index, endpoints, weight int) controlplane.Resource {
-	list := make([]controlplane.Endpoint, endpoints)
-	for j := range list {
-		address := fmt.Sprintf("127.%d.%d.%d:80", 1+index/250, index%250, 1+j)
-		list[j] = controlplane.Endpoint{Addr: address, Zone: fmt.Sprint("z", j%4), Weight: 1}
+	endpointList := make([]controlplane.Endpoint, endpoints)
+	for i := range endpointList {
+		address := fmt.Sprintf("127.%d.%d.%d:80", 1+index/250, index%250, 1+i)
+		endpointList[i] = controlplane.Endpoint{Addr: address, Zone: fmt.Sprint("z", i%4), Weight: 1}
 	}
-	list[0].Weight = uint32(weight)
+	endpointList[0].Weight = uint32(weight)
 	name := fmt.Sprint("k", index)
-	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, list...)}
+	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, endpointList...)}
 }
 
-// allResources returns every cluster of the load with its endpoints.
+// allResources returns all clusters of the load with their endpoint lists.
 func (l subscriptionLoad) allResources() []controlplane.Resource {
 	var resources []controlplane.Resource
 	for i := range l.clusters {
@@ -81,43 +81,43 @@
 	return resources
 }
 
-// subscriptionRig is a site whose gateways share one subscription.
-type subscriptionRig struct {
+// subscriptionSite is a site whose gateways share a subscription.
+type subscriptionSite struct {
 	site     *cluster.Site
 	fleet    *hollow.Fleet
 	gateways *hollow.Gateways
-	count    int // hollow gateways
+	count    int // of hollow gateways
 	version  int // of the last change
 }
 
-// changeCost is when a change reached the gateways and what it cost, without the heartbeats meanwhile.
+// changeCost is the cost of a change, without the heartbeats that were pushed meanwhile.
 type changeCost struct {
-	delays []time.Duration // sorted
+	delays []time.Duration // until it reached the gateways, sorted
 	bytes  float64         // to each gateway
 	cpu    time.Duration   // of the site's processes
 }
 
-// leaderCost is when and with how much the next subscription leader updated the gateways.
+// leaderCost is the cost of the updates by the next subscription leader.
 type leaderCost struct {
-	delays    []time.Duration // sorted
+	delays    []time.Duration // until they reached the gateways, sorted
 	snapshots int
 	bytes     int64
 }
 
-// startCost is when and with how much a gateway that has just started was updated.
+// startCost is the delay and the size of the updates of a gateway that has just started.
 type startCost struct {
 	delay time.Duration
 	bytes int64
 }
 
-// measureSubscription measures one variant of the subscription with a number of hollow gateways.
-func measureSubscription(ctx context.Context, s *series, opt cluster.SiteOptions, count int, load subscriptionLoad) error {
-	opt.Gateways = 3
-	opt.SharedSubscription = true
-	opt.Lease = load.lease
-	opt.DirectAfter = 20 * time.Second
-	opt.Heartbeat = time.Second
-	site, err := cluster.NewSite(ctx, opt)
+// measureSubscription measures one xDS variant of the subscription with a number of hollow gateways.
+func measureSubscription(ctx context.Context, figures *series, options cluster.SiteOptions, count int, load subscriptionLoad) error {
+	options.Gateways = 3
+	options.SharedSubscription = true
+	options.Lease = load.lease
+	options.DirectAfter = 20 * time.Second
+	options.Heartbeat = time.Second
+	site, err := cluster.NewSite(ctx, options)
 	if err != nil {
 		return err
 	}
@@ -127,50 +127,50 @@
 		return err
 	}
 	defer members.Close()
-	rig := &subscriptionRig{site: site, fleet: members, gateways: gateways, count: count, version: 100}
-	all, err := rig.push(ctx, load.allResources()...)
+	measured := &subscriptionSite{site: site, fleet: members, gateways: gateways, count: count, version: 100}
+	all, err := measured.push(ctx, load.allResources()...)
 	if err != nil {
 		return fmt.Errorf("all clusters: %w", err)
 	}
-	one, err := rig.push(ctx, assignment(1, load.endpoints, 7))
+	one, err := measured.push(ctx, assignment(1, load.endpoints, 7))
 	if err != nil {
 		return fmt.Errorf("one endpoint: %w", err)
 	}
-	next, err := rig.replaceLeader(ctx)
+	next, err := measured.replaceLeader(ctx)
 	if err != nil {
 		return err
 	}
-	start, err := rig.startGateway(ctx)
+	start, err := measured.startGateway(ctx)
 	if err != nil {
 		return err
 	}
-	s.put(opt.Variant+", a gateway's start: bytes to it, MB", float64(start.bytes)/1e6, 0)
-	s.put(opt.Variant+", one endpoint: bytes to a gateway", one.bytes, 0)
-	s.put(opt.Variant+", one endpoint: CPU of the site's processes, ms", float64(one.cpu.Milliseconds()), 0)
-	s.put(opt.Variant+", all clusters: bytes to a gateway", all.bytes, 0)
-	s.put(opt.Variant+", all clusters: CPU of the processes, ms", float64(all.cpu.Milliseconds()), 0)
-	s.put(opt.Variant+", a new holder: bytes it sends, MB", float64(next.bytes)/1e6, 0)
-	fmt.Printf("%5d gateways, %s: one endpoint at them after %s; all clusters after %s; a new holder's whole (%d of them) after %s; at one that starts after %v\n",
-		count, opt.Variant, describeDelays(one.delays), describeDelays(all.delays), next.snapshots, describeDelays(next.delays), start.delay.Round(time.Millisecond))
+	figures.put(options.Variant+", a gateway's start: bytes to it, MB", float64(start.bytes)/1e6, 0)
+	figures.put(options.Variant+", one endpoint: bytes to a gateway", one.bytes, 0)
+	figures.put(options.Variant+", one endpoint: CPU of the site's processes, ms", float64(one.cpu.Milliseconds()), 0)
+	figures.put(options.Variant+", all clusters: bytes to a gateway", all.bytes, 0)
+	figures.put(options.Variant+", all clusters: CPU of the processes, ms", float64(all.cpu.Milliseconds()), 0)
+	figures.put(options.Variant+", a new leader: bytes it sends, MB", float64(next.bytes)/1e6, 0)
+	fmt.Printf("%5d gateways, %s: delay of one endpoint change %s; of all clusters %s; of the snapshots (%d) of a new leader %s; of the first update of a starting gateway %v\n",
+		count, options.Variant, describeDelays(one.delays), describeDelays(all.delays), next.snapshots, describeDelays(next.delays), start.delay.Round(time.Millisecond))
 	return nil
 }
 
-// push has the control plane push a change and waits until all gateways have accepted all of it.
-func (r *subscriptionRig) push(ctx context.Context, resources ...controlplane.Resource) (cost changeCost, err error) {
+// push has the control plane push a change and waits until all gateways have accepted it completely.
+func (r *subscriptionSite) push(ctx context.Context, resources ...controlplane.Resource) (cost changeCost, err error) {
 	r.version++
 	before := r.gateways.Updates(0)
-	cpuBefore, _, _ := resourceUsage(r.site.Nodes)
-	at := fleet.Clock()
+	cpuBefore, _, _ := nodeUsage(r.site.Nodes)
+	pushedAt := fleet.Clock()
 	if _, err := r.site.ControlPlane.Push(strconv.Itoa(r.version), false, resources...); err != nil {
 		return cost, err
 	}
-	if err := r.awaitUpdates(ctx, "the change at every gateway", at, changeTimeout); err != nil {
+	if err := r.awaitUpdates(ctx, "the change at every gateway", pushedAt, changeTimeout); err != nil {
 		return cost, err
 	}
-	if cost.delays, err = r.awaitSettled(ctx, at); err != nil {
+	if cost.delays, err = r.awaitSettled(ctx, pushedAt); err != nil {
 		return cost, err
 	}
-	cpuAfter, _, _ := resourceUsage(r.site.Nodes)
+	cpuAfter, _, _ := nodeUsage(r.site.Nodes)
 	cost.cpu = cpuAfter - cpuBefore
 	after := r.gateways.Updates(0)
 	heartbeats := after.Pushes - before.Pushes - r.count
@@ -178,15 +178,15 @@
 	return cost, nil
 }
 
-// awaitUpdates waits until every gateway has accepted an update since a reading of fleet.Clock.
-func (r *subscriptionRig) awaitUpdates(ctx context.Context, what string, since, timeout time.Duration) error {
+// awaitUpdates waits until every gateway has accepted an update since a time of fleet.Clock.
+func (r *subscriptionSite) awaitUpdates(ctx context.Context, what string, since, timeout time.Duration) error {
 	return cluster.Await(ctx, what, timeout, func() bool { return r.gateways.Updates(since).Without == 0 })
 }
 
-// awaitSettled waits until no further update arrives and returns the gateways' delays.
-func (r *subscriptionRig) awaitSettled(ctx context.Context, since time.Duration) ([]time.Duration, error) {
+// awaitSettled waits until no further update arrives and returns the delays of the gateways.
+func (r *subscriptionSite) awaitSettled(ctx context.Context, since time.Duration) ([]time.Duration, error) {
 	for before := -1; ; {
-		if err := idleFor(ctx, settleInterval); err != nil {
+		if err := sleep(ctx, settleInterval); err != nil {
 			return nil, err
 		}
 		delays := r.gateways.Updates(since).Delays
@@ -199,23 +199,23 @@
 }
 
 // replaceLeader kills the subscription leader and waits until the next one has updated every gateway.
-func (r *subscriptionRig) replaceLeader(ctx context.Context) (cost leaderCost, err error) {
+func (r *subscriptionSite) replaceLeader(ctx context.Context) (cost leaderCost, err error) {
 	before := r.gateways.Updates(0)
 	leader := r.site.SubscriptionLeader()
 	if leader == nil {
-		return cost, errors.New("nobody holds the subscription")
+		return cost, errors.New("the subscription has no leader")
 	}
-	at := fleet.Clock()
+	killedAt := fleet.Clock()
 	leader.Kill()
-	if err := r.awaitUpdates(ctx, "the whole from the next holder at every gateway", at, nextLeaderTimeout); err != nil {
+	if err := r.awaitUpdates(ctx, "a snapshot from the next leader at every gateway", killedAt, nextLeaderTimeout); err != nil {
 		return cost, err
 	}
-	after := r.gateways.Updates(at)
+	after := r.gateways.Updates(killedAt)
 	return leaderCost{delays: after.Delays, snapshots: after.Snapshots - before.Snapshots, bytes: after.Bytes - before.Bytes}, nil
 }
 
-// startGateway starts a further hollow gateway and waits until it has accepted its first update.
-func (r *subscriptionRig) startGateway(ctx context.Context) (cost startCost, err error) {
+// startGateway starts another hollow gateway and waits until it has accepted its first update.
+func (r *subscriptionSite) startGateway(ctx context.Context) (cost startCost, err error) {
 	began := fleet.Clock()
 	member, err := r.fleet.AddMember()
 	if err != nil {
@@ -226,7 +226,7 @@
 		first, cost.bytes = r.gateways.FirstUpdate(member.Name)
 		return first > 0
 	}
-	if err := cluster.Await(ctx, "the whole at a gateway that has started", changeTimeout, updated); err != nil {
+	if err := cluster.Await(ctx, "a snapshot at the gateway that was started", changeTimeout, updated); err != nil {
 		return cost, err
 	}
 	cost.delay = first - began
--- a/tools/measure/capacity_test.go
+++ b/tools/measure/capacity_test.go
@@ -17,7 +17,8 @@
 	"robindrum/internal/testbed"
 )
 
-// TestMain runs the program itself where a test starts it as a child or in order to interrupt it.
+// TestMain runs the program itself if the test binary is started with one of its commands, which startProcess and
+// TestCapacityIsInterrupted do.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "child" || os.Args[1] == "capacity") {
 		main()
@@ -26,54 +27,54 @@
 	os.Exit(m.Run())
 }
 
-// TestCapacityIsInterrupted interrupts the command between two sizes: what was measured is printed, all processes end and every
-// file is removed.
+// TestCapacityIsInterrupted interrupts the command between two sizes. The command must print the figures measured so far, end all
+// processes and remove all files.
 func TestCapacityIsInterrupted(t *testing.T) {
 	dir := t.TempDir()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "capacity", "gateway", "-sizes", "1,2,90,100")
 	cmd.Env = append(os.Environ(), "TMPDIR="+dir)
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said bytes.Buffer
-	cmd.Stderr = &said
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	r := bufio.NewReader(out)
+	reader := bufio.NewReader(stdout)
 	for {
-		line, err := r.ReadString('\n')
+		line, err := reader.ReadString('\n')
 		if err != nil {
-			t.Fatalf("it ended by itself: %v, %s", err, said.String())
+			t.Fatalf("the command ended before it was interrupted: %v, stderr %q", err, stderr.String())
 		}
 		if strings.HasPrefix(line, "    2 clusters") {
 			break
 		}
 	}
 	if n := len(children(t, dir)); n == 0 {
-		t.Fatal("no process to end is running")
+		t.Fatal("children() returned no process before the interrupt, want at least one")
 	}
 	if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
 	}
-	rest, err := io.ReadAll(r)
+	rest, err := io.ReadAll(reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Wait(); err == nil || !strings.Contains(said.String(), "context canceled") {
-		t.Errorf("it ended with %v and said %q", err, said.String())
+	if err := cmd.Wait(); err == nil || !strings.Contains(stderr.String(), "context canceled") {
+		t.Errorf("interrupted command: got error %v, stderr %q, want an error and stderr with \"context canceled\"", err, stderr.String())
 	}
 	if !strings.Contains(string(rest), "resident with lists and routes, MB") || !strings.Contains(string(rest), "at 720") {
-		t.Errorf("what was measured is not printed: %s", rest)
+		t.Errorf("output after the interrupt lacks the measured figures:\n%s", rest)
 	}
 	testbed.Eventually(t, "all processes to end", func() bool { return len(children(t, dir)) == 0 })
-	if left, err := os.ReadDir(dir); err != nil || len(left) > 0 {
-		t.Errorf("left behind: %v, %v", left, err)
+	if entries, err := os.ReadDir(dir); err != nil || len(entries) > 0 {
+		t.Errorf("ReadDir(%s) after the interrupt: got %v, %v, want no entries", dir, entries, err)
 	}
 }
 
-// children returns the ids of the processes that were given a file below a folder.
+// children returns the ids of the processes that got an argument @FILE with a file in a folder.
 func children(t *testing.T, dir string) (pids []string) {
 	t.Helper()
 	all, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -88,7 +89,7 @@
 	return pids
 }
 
-// TestChildReportsItsHeap asks a child for its live heap; the child ends with its input.
+// TestChildReportsItsHeap requests the live heap size of a child, and checks that the child ends when its input is closed.
 func TestChildReportsItsHeap(t *testing.T) {
 	p, err := startProcess("robindrum-node", "127.0.0.1:9")
 	if err != nil {
@@ -96,18 +97,19 @@
 	}
 	n, err := p.heap()
 	if err != nil || n < 100_000 || n > 1<<30 {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("heap() = %d, %v, want between 100,000 and 2^30 bytes", n, err)
 	}
 	ended := make(chan struct{})
 	go func() { p.stop(); close(ended) }()
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("it does not end")
+		t.Error("the child did not end within 10 s after its input was closed")
 	}
 }
 
-// TestCapacityRefusesArguments expects invalid arguments to be rejected before anything starts, with what is expected instead.
+// TestCapacityRefusesArguments checks that invalid arguments are rejected before anything starts, with an error that says what is
+// accepted.
 func TestCapacityRefusesArguments(t *testing.T) {
 	for text, want := range map[string]string{
 		"nothing":                  "want one of members",
@@ -119,32 +121,32 @@
 		"-sizes 10,20":             "of one part",
 		"members -sizes 5000,6000": "members",
 	} {
-		if err := capacity(strings.Fields(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", text, err, want)
+		if err := measureCapacity(strings.Fields(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("measureCapacity(%q) = %v, want an error with %q", text, err, want)
 		}
 	}
 }
 
-// TestCapacityParts expects each named part to exist with at least four sizes of its own, and each part to be named.
+// TestCapacityParts checks that each name in partNames is a part with at least four sizes, and that partNames lists all parts.
 func TestCapacityParts(t *testing.T) {
-	all := parts()
+	unnamed := parts()
 	for _, name := range partNames {
-		p, ok := all[name]
+		part, ok := unnamed[name]
 		if !ok {
-			t.Errorf("no part %s", name)
+			t.Errorf("parts() has no part %q", name)
 		}
-		if name != "limits" && (len(p.short) < 4 || len(p.full) < 4) {
-			t.Errorf("%s: %v, %v: a slope is of four sizes at the least", name, p.short, p.full)
+		if name != "limits" && (len(part.short) < 4 || len(part.full) < 4) {
+			t.Errorf("part %q: got sizes %v and %v, want at least four each to fit a slope", name, part.short, part.full)
 		}
-		delete(all, name)
+		delete(unnamed, name)
 	}
-	if len(all) > 0 {
-		t.Errorf("not named: %v", all)
+	if len(unnamed) > 0 {
+		t.Errorf("parts missing in partNames: %v", unnamed)
 	}
 }
 
-// TestDerivedFigures expects a derived figure to follow the fits and to cross its bound where the formula does; without a
-// measurement at every size there is none.
+// TestDerivedFigures checks that a derived figure is computed from the fits and crosses its bound at the size that the formula gives. If
+// a figure was not measured at every size, the derived figure must be NaN.
 func TestDerivedFigures(t *testing.T) {
 	s := newSeries("members")
 	s.derive("square", 100, func(n float64, fit func(string) float64) float64 { return n * fit("a") })
@@ -154,13 +156,13 @@
 		s.put("a", 2*float64(n), 0)
 	}
 	s.put("b", 1, 0)
-	if v := s.more[0].value(s, 100); math.Abs(v-20000) > 1e-6 {
-		t.Errorf("%v", v)
+	if v := s.derivedFigures[0].value(s, 100); math.Abs(v-20000) > 1e-6 {
+		t.Errorf("square at 100: got %v, want 20000", v)
 	}
-	if at := s.more[0].crosses(s); at < 7 || at > 7.2 {
-		t.Errorf("crossed at %v, want 7.07", at)
+	if at := s.derivedFigures[0].crosses(s); at < 7 || at > 7.2 {
+		t.Errorf("crosses() = %v, want 7.07", at)
 	}
-	if v := s.more[1].value(s, 100); !math.IsNaN(v) {
-		t.Errorf("%v of what was not measured", v)
+	if v := s.derivedFigures[1].value(s, 100); !math.IsNaN(v) {
+		t.Errorf("missing at 100: got %v, want NaN", v)
 	}
 }
--- a/tools/measure/child.go
+++ b/tools/measure/child.go
@@ -24,22 +24,22 @@
 	"robindrum/internal/proxy"
 )
 
-// The kinds of measured processes, as the first argument of the child command.
+// The kinds of measured processes: the first argument of the child command.
 const (
-	childReverse   = "reverse"        // net/http/httputil's reverse proxy
+	childReverse   = "reverse"        // httputil.ReverseProxy
 	childNode      = "robindrum-node" // the platform's node
 	childRobindrum = "robindrum"      // the gateway
 )
 
-// runChild is the measured process. It prints where it listens on one line and serves until SIGTERM or the end of its standard
-// input. An argument @FILE stands for the contents of FILE, which can be too long for a command line.
+// runChild runs a measured process. It prints its listen addresses on one line and serves until it receives SIGTERM or its standard
+// input ends. A single argument @FILE is replaced with the contents of FILE, which may be too long for a command line.
 func runChild(kind string, args []string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	inputEnded := make(chan struct{})
 	go func() {
 		defer close(inputEnded)
-		answerHeapQuestions()
+		answerHeapRequests()
 	}()
 	args, err := readArgumentFile(kind, args)
 	if err != nil {
@@ -57,11 +57,11 @@
 	return nil
 }
 
-// answerHeapQuestions prints the size of the live heap for each question on standard input, until that ends.
-func answerHeapQuestions() {
+// answerHeapRequests prints the live heap size for each heap request on standard input, until the input ends.
+func answerHeapRequests() {
 	lines := bufio.NewScanner(os.Stdin)
 	for lines.Scan() {
-		if lines.Text() != heapQuestion {
+		if lines.Text() != heapRequest {
 			continue
 		}
 		var stats runtime.MemStats
@@ -71,7 +71,7 @@
 	}
 }
 
-// readArgumentFile replaces a single argument @FILE by the file's contents, for a node by the words in it.
+// readArgumentFile replaces a single argument @FILE with the contents of the file: one argument, or for a node one argument per word.
 func readArgumentFile(kind string, args []string) ([]string, error) {
 	if len(args) != 1 || !strings.HasPrefix(args[0], "@") {
 		return args, nil
@@ -86,7 +86,7 @@
 	return []string{string(text)}, nil
 }
 
-// startChild starts a server of a kind and prints its addresses. The caller calls shutdown once.
+// startChild starts a server of the given kind and prints its addresses. The caller must call shutdown once.
 func startChild(kind string, args []string) (shutdown func(), err error) {
 	switch kind {
 	case childReverse:
@@ -96,7 +96,7 @@
 	case childRobindrum:
 		return startGateway(args[0])
 	default:
-		return nil, fmt.Errorf("no such child: %s", kind)
+		return nil, fmt.Errorf("unknown kind of child process %q", kind)
 	}
 }
 
--- a/tools/measure/client.go
+++ b/tools/measure/client.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// startFixedResponder listens on loopback and answers each request on its connections with the same bytes, at as little cost as
-// possible. Closing the listener ends it; requests must have no body.
+// startFixedResponder starts a server on loopback that sends the same response to every request, at as little cost as possible.
+// Requests must not have a body. Closing the listener stops the server.
 func startFixedResponder() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	return listener, nil
 }
 
-// respond answers each request of a connection until the client closes it.
+// respond sends the response to each request of a connection until the client closes the connection.
 func respond(conn net.Conn, response []byte) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -47,7 +47,7 @@
 	}
 }
 
-// skipHeader reads up to the empty line that ends a request's header.
+// skipHeader reads a request up to the empty line at the end of its header.
 func skipHeader(reader *bufio.Reader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
@@ -60,8 +60,8 @@
 	}
 }
 
-// drive has n requests served over some connections, one at a time on each. A rejected request is sent again and counted in
-// rejected; the first other failure of a connection is the error.
+// drive sends requests over conns connections, one at a time on each, until n have been served. A rejected request is counted and sent
+// again. Any other failure ends its connection; drive returns the first of these errors.
 func drive(addr string, n, conns int) (took time.Duration, rejected int64, err error) {
 	d := driver{addr: addr, requests: int64(n)}
 	d.left.Store(int64(n))
@@ -84,15 +84,15 @@
 	return took, d.rejected.Load(), err
 }
 
-// driver is what the connections of one call of drive share.
+// driver is the state that the connections of a call of drive share.
 type driver struct {
 	addr     string
-	requests int64 // to be served, and the most that may be rejected
+	requests int64 // to be served; fewer than that may be rejected
 	left     atomic.Int64
 	rejected atomic.Int64
 }
 
-// connection sends requests over one connection until none are left.
+// connection sends requests over a connection until none are left.
 func (d *driver) connection(number int) error {
 	conn, err := net.Dial("tcp", d.addr)
 	if err != nil {
@@ -111,7 +111,7 @@
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		if err == nil && resp.StatusCode == http.StatusServiceUnavailable && d.rejected.Add(1) < d.requests {
-			d.left.Add(1) // sent again: only served requests count
+			d.left.Add(1) // sent again: only served requests are counted
 			continue
 		}
 		if err != nil || resp.StatusCode != http.StatusOK {
--- a/tools/measure/flood.go
+++ b/tools/measure/flood.go
@@ -14,7 +14,7 @@
 	floodInterval = 5 * time.Millisecond
 )
 
-// measureFlood pushes 200 updates a second for 10 s and prints what they cost and how soon the last one is in use.
+// measureFlood pushes 200 updates per second for 10 s and prints their cost in CPU and memory and the delay of the last update.
 func measureFlood() error {
 	printMachine()
 	for _, each := range []int{10, 1000} {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// measureFloodOf measures a flood of endpoint lists of one length.
+// measureFloodOf measures updates of an endpoint list with a given number of endpoints.
 func measureFloodOf(endpoints int) error {
 	plane, err := controlplane.Start("")
 	if err != nil {
@@ -33,44 +33,44 @@
 	}
 	defer plane.Stop()
 	configuration := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], node: {id: m}}\nclusters: [{name: c, xds: {}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n", plane.Addr)
-	p, err := startProcess(childRobindrum, configuration)
+	gateway, err := startProcess(childRobindrum, configuration)
 	if err != nil {
 		return err
 	}
-	defer p.stop()
+	defer gateway.stop()
 	if _, err := plane.Push("first", false, floodAssignment(0, endpoints)); err != nil {
 		return err
 	}
-	if err := await("the first list", func() bool { return p.endpointVersion() == "first" }); err != nil {
+	if err := await("the first endpoint list", func() bool { return gateway.endpointVersion() == "first" }); err != nil {
 		return err
 	}
-	before, resident := p.usage()
+	cpuBefore, resident := gateway.usage()
 	began := time.Now()
-	maxResident, err := pushFlood(plane, p, endpoints, began)
+	maxResident, err := pushFlood(plane, gateway, endpoints, began)
 	if err != nil {
 		return err
 	}
-	took := time.Since(began)
+	pushTime := time.Since(began)
 	lastVersion := strconv.Itoa(floodUpdates - 1)
-	if err := await("the last update", func() bool { return p.endpointVersion() == lastVersion }); err != nil {
+	if err := await("the last update", func() bool { return gateway.endpointVersion() == lastVersion }); err != nil {
 		return err
 	}
-	late := time.Since(began) - took
-	after, _ := p.usage()
-	fmt.Printf("%d endpoints: %d updates in %v, the last in use %v after it was sent; resident %.1f MiB, at most %.1f; %v of CPU an update\n", endpoints, floodUpdates,
-		took.Round(time.Millisecond), late.Round(time.Millisecond), float64(resident)/(1<<20), float64(max(resident, maxResident))/(1<<20), ((after - before) / floodUpdates).Round(time.Microsecond))
+	lag := time.Since(began) - pushTime
+	cpuAfter, _ := gateway.usage()
+	fmt.Printf("%d endpoints: %d updates in %v, the last in use %v after it was sent; resident %.1f MiB, at most %.1f; %v of CPU per update\n", endpoints, floodUpdates,
+		pushTime.Round(time.Millisecond), lag.Round(time.Millisecond), float64(resident)/(1<<20), float64(max(resident, maxResident))/(1<<20), ((cpuAfter - cpuBefore) / floodUpdates).Round(time.Microsecond))
 	return nil
 }
 
-// pushFlood pushes the updates at their times and returns the most resident memory in bytes that it saw.
-func pushFlood(plane *controlplane.Server, p *process, endpoints int, began time.Time) (maxResident int64, err error) {
-	const usageEvery = 50 // updates
+// pushFlood pushes an update every floodInterval and returns the highest resident memory in bytes that was observed.
+func pushFlood(plane *controlplane.Server, gateway *process, endpoints int, began time.Time) (maxResident int64, err error) {
+	const usageInterval = 50 // updates
 	for i := range floodUpdates {
 		if _, err := plane.Push(strconv.Itoa(i), false, floodAssignment(i, endpoints)); err != nil {
 			return 0, err
 		}
-		if i%usageEvery == 0 {
-			_, resident := p.usage()
+		if i%usageInterval == 0 {
+			_, resident := gateway.usage()
 			maxResident = max(maxResident, resident)
 		}
 		next := began.Add(time.Duration(i+1) * floodInterval)
@@ -79,17 +79,18 @@
 	return maxResident, nil
 }
 
-// floodAssignment is the endpoint list of an update; each update changes another endpoint's weight.
+// floodAssignment returns the endpoint list of an update. Consecutive updates change the weight of different endpoints.
 func floodAssignment(update, length int) controlplane.Resource {
 	endpoints := make([]controlplane.Endpoint, length)
-	for j := range endpoints {
-		endpoints[j] = controlplane.Endpoint{Addr: wideAddress(j), Zone: fmt.Sprint("z", j%3)}
+	for i := range endpoints {
+		endpoints[i] = controlplane.Endpoint{Addr: wideAddress(i), Zone: fmt.Sprint("z", i%3)}
 	}
 	endpoints[update%length].Weight = uint32(update + 2)
 	return controlplane.Resource{Name: "c", Body: controlplane.Assignment("c", endpoints...)}
 }
 
-// endpointVersion is the version of the cluster's endpoint list by the gateway's status page; "" if it has none.
+// endpointVersion returns the version of the endpoint list of cluster c as the status page of the gateway reports it, or "" if there is
+// none.
 func (p *process) endpointVersion() string {
 	status, _ := p.adminPage("/status?endpoints=1")
 	_, source, _ := strings.Cut(status, `"service": "c",`)
--- a/tools/measure/herd.go
+++ b/tools/measure/herd.go
@@ -11,7 +11,7 @@
 	"robindrum/internal/testbed/cluster"
 )
 
-// build is a folder with the program's binary, for commands that run the program as processes.
+// build is a temporary folder with the robindrum binary, for commands that run robindrum processes.
 type build struct {
 	dir    string
 	binary string
@@ -19,7 +19,8 @@
 	stop   context.CancelFunc
 }
 
-// newBuild builds the program in a folder of its own. The context ends with SIGTERM or an interrupt. The caller closes the build.
+// newBuild builds robindrum in a temporary folder. The returned context is cancelled by SIGTERM or an interrupt. The caller must close
+// the build.
 func newBuild() (context.Context, *build, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	dir, binary, remove, err := buildProgram(ctx)
@@ -30,33 +31,33 @@
 	return ctx, &build{dir: dir, binary: binary, remove: remove, stop: stop}, nil
 }
 
-// close removes the folder.
+// close removes the folder and cancels the context.
 func (b *build) close() {
 	b.remove()
 	b.stop()
 }
 
-// herd has a control plane away for 10 s and back with a new version, before 20 gateways with a subscription each and with a
-// shared one.
-func herd() error {
+// measureReconnects stops a control plane for 10 s and restarts it with a new version, for 20 gateways with a subscription each and for
+// 20 gateways that share one.
+func measureReconnects() error {
 	ctx, b, err := newBuild()
 	if err != nil {
 		return err
 	}
 	defer b.close()
 	printMachine()
-	fmt.Println("20 gateways, each asked 20 times a second; the control plane is away for 10 s and returns with a new version")
-	fmt.Println("subscription      streams in 1 s  in 3 s  requests  all have it after  asked  failed")
+	fmt.Println("20 gateways, 20 requests per second to each; the control plane is down for 10 s and restarts with a new version")
+	fmt.Println("subscription      streams in 1 s  in 3 s  requests  all updated after   load  failed")
 	for _, shared := range []bool{false, true, false, true} {
-		if err := herdRun(ctx, b, shared); err != nil {
+		if err := measureReconnect(ctx, b, shared); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// herdRun measures one return of the control plane and prints its line.
-func herdRun(ctx context.Context, b *build, shared bool) error {
+// measureReconnect measures one restart of the control plane and prints a line of the table.
+func measureReconnect(ctx context.Context, b *build, shared bool) error {
 	site, err := cluster.NewSite(ctx, cluster.SiteOptions{
 		Binary:             b.binary,
 		Dir:                b.dir,
@@ -74,9 +75,9 @@
 	if err != nil {
 		return err
 	}
-	subscription := "each its own"
+	subscription := "one per gateway"
 	if shared {
-		subscription = "one for all"
+		subscription = "one shared"
 	}
 	fmt.Printf("%-16s %15d %7d %9d %18v %6d %7d  %s\n", subscription, result.FirstSecond, result.Streams, result.Requests,
 		result.Recovery.Round(time.Millisecond), result.LoadRequests, result.LoadFailures, result.FirstFailure)
--- a/tools/measure/path.go
+++ b/tools/measure/path.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	pathClients      = 16
-	withoutQuorum    = time.Minute
-	withoutQuorumGap = 5 * time.Millisecond // between two requests
+	pathClients        = 16
+	quorumLossDuration = time.Minute
+	quorumLossInterval = 5 * time.Millisecond // between requests
 )
 
-// path compares requests through a gateway of a fleet with requests through one without a fleet, and then stops the quorum for a
-// minute. A request that fails for want of a quorum is an error.
-func path(requests, rounds int) error {
+// measurePath compares requests through a gateway of a fleet with requests through a gateway without a fleet. Then it sends requests
+// for a minute while the fleet has no quorum, and returns an error if any of these fails.
+func measurePath(requests, rounds int) error {
 	ctx, b, err := newBuild()
 	if err != nil {
 		return err
@@ -39,12 +39,12 @@
 		return err
 	}
 	defer auditor.Close()
-	alone, err := startPathCluster(b.dir, cluster.Options{Binary: b.binary, Nodes: 1, NoFleet: true}, server.Addr)
+	standalone, err := startPathCluster(b.dir, cluster.Options{Binary: b.binary, Nodes: 1, NoFleet: true}, server.Addr)
 	if err != nil {
 		return err
 	}
-	defer alone.Close()
-	fleet, err := startPathCluster(b.dir, cluster.Options{
+	defer standalone.Close()
+	fleetCluster, err := startPathCluster(b.dir, cluster.Options{
 		Binary:       b.binary,
 		Nodes:        3,
 		Lease:        2 * time.Second,
@@ -56,31 +56,31 @@
 	if err != nil {
 		return err
 	}
-	defer fleet.Close()
-	leads := func() bool {
+	defer fleetCluster.Close()
+	taskRuns := func() bool {
 		last, _ := auditor.Last()
 		return last.Token > 0
 	}
-	if err := cluster.Await(ctx, "a duty that runs", 30*time.Second, leads); err != nil {
+	if err := cluster.Await(ctx, "a leader-only task to run", 30*time.Second, taskRuns); err != nil {
 		return err
 	}
 	printMachine()
-	fmt.Printf("%d rounds of %d requests by %d clients, one process each\n", rounds, requests, pathClients)
-	fmt.Println("fleet   p50 us  p99 us  CPU us a request  memory MB  failed")
+	fmt.Printf("%d rounds of %d requests by %d clients; fleet on or off, through one gateway process each\n", rounds, requests, pathClients)
+	fmt.Println("fleet   p50 us  p99 us  CPU us / request  memory MB  failed")
 	client := newPathClient()
 	for round := range rounds {
 		for _, withFleet := range []bool{round%2 == 0, round%2 != 0} {
 			if withFleet {
-				pathRound(client, "on", fleet.Nodes[0], requests)
+				pathRound(client, "on", fleetCluster.Nodes[0], requests)
 			} else {
-				pathRound(client, "off", alone.Nodes[0], requests)
+				pathRound(client, "off", standalone.Nodes[0], requests)
 			}
 		}
 	}
-	return pathWithoutQuorum(ctx, client, fleet)
+	return pathWithoutQuorum(ctx, client, fleetCluster)
 }
 
-// startPathCluster starts the processes of a cluster whose one route leads to an origin. The caller closes it.
+// startPathCluster starts the processes of a fleet whose only route leads to an origin. The caller must close it.
 func startPathCluster(dir string, options cluster.Options, origin string) (*cluster.Cluster, error) {
 	folder, err := os.MkdirTemp(dir, "path-")
 	if err != nil {
@@ -90,18 +90,18 @@
 	options.ExtraConfig = func(int) string {
 		return fmt.Sprintf("clusters: [{name: c, endpoints: [{address: %q}]}]\nroutes: [{match: {prefix: /}, cluster: c}]\n", origin)
 	}
-	c, err := cluster.New(options)
+	members, err := cluster.New(options)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.Start(); err != nil {
-		c.Close()
+	if err := members.Start(); err != nil {
+		members.Close()
 		return nil, err
 	}
-	return c, nil
+	return members, nil
 }
 
-// pathClient sends requests to gateways. Its methods may be called concurrently.
+// pathClient sends requests to gateways. It is safe for concurrent use.
 type pathClient struct {
 	http http.Client
 }
@@ -110,7 +110,7 @@
 	return &pathClient{http: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 10 * time.Second}}
 }
 
-// pathLatency collects the outcomes of requests.
+// pathLatency records the latencies and failures of requests.
 type pathLatency struct {
 	mu     sync.Mutex
 	took   *hdrhistogram.Histogram // microseconds
@@ -121,7 +121,8 @@
 	return &pathLatency{took: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-// request sends one request to a gateway and records its latency if there was a response, whatever its status.
+// request sends one request to a gateway. It records the latency of any response, whatever its status, and counts a failure if get
+// returns an error.
 func (c *pathClient) request(node *cluster.Node, latency *pathLatency) {
 	began := time.Now()
 	answered, err := c.get("http://" + node.Web + "/")
@@ -135,7 +136,7 @@
 	}
 }
 
-// get reports whether there was a response, and an error if it is not a complete 200.
+// get reports whether there was a response, and returns an error unless it was a complete one with status 200.
 func (c *pathClient) get(url string) (answered bool, err error) {
 	resp, err := c.http.Get(url)
 	if err != nil {
@@ -151,7 +152,7 @@
 	return true, nil
 }
 
-// pathRound sends one round's requests through a gateway and prints its line.
+// pathRound sends the requests of one round through a gateway and prints a line of the table.
 func pathRound(client *pathClient, fleet string, node *cluster.Node, requests int) {
 	latency := newPathLatency()
 	before, _ := usage(node.Process().PID())
@@ -170,7 +171,7 @@
 		float64((after-before).Microseconds())/float64(sent), float64(resident)/(1<<20), latency.failed)
 }
 
-// pathWithoutQuorum kills all processes of a fleet but the first and sends requests through that one for a minute.
+// pathWithoutQuorum kills all processes of a fleet except the first and sends requests through the first one for a minute.
 func pathWithoutQuorum(ctx context.Context, client *pathClient, fleet *cluster.Cluster) error {
 	survivor := fleet.Nodes[0]
 	for _, node := range fleet.Nodes[1:] {
@@ -178,9 +179,9 @@
 	}
 	latency := newPathLatency()
 	requests := 0
-	ticker := time.NewTicker(withoutQuorumGap)
+	ticker := time.NewTicker(quorumLossInterval)
 	defer ticker.Stop()
-	for end := time.Now().Add(withoutQuorum); time.Now().Before(end) && ctx.Err() == nil; <-ticker.C {
+	for end := time.Now().Add(quorumLossDuration); time.Now().Before(end) && ctx.Err() == nil; <-ticker.C {
 		requests++
 		client.request(survivor, latency)
 	}
@@ -188,10 +189,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\na minute without a quorum: %d requests, %d failed, p50 %d us, p99 %d us\n  it says: %s\n", requests, latency.failed,
+	fmt.Printf("\na minute without a quorum: %d requests, %d failed, p50 %d us, p99 %d us\n  reported as stale because: %s\n", requests, latency.failed,
 		latency.took.ValueAtQuantile(50), latency.took.ValueAtQuantile(99), status.Stale)
 	if latency.failed > 0 {
-		return fmt.Errorf("%d requests failed for want of a quorum", latency.failed)
+		return fmt.Errorf("%d requests failed while the fleet had no quorum", latency.failed)
 	}
 	return ctx.Err()
 }
--- a/tools/measure/process.go
+++ b/tools/measure/process.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// printMachine prints the version of Go and the kind of machine that the figures come from.
+// printMachine prints the Go version, the platform and the number of processors of the machine that runs the benchmark.
 func printMachine() {
 	fmt.Printf("%s, %s/%s, %d processors\n", runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
 }
 
-// process is a measured process that listens.
+// process is a child process under measurement.
 type process struct {
 	cmd    *exec.Cmd
-	input  io.WriteCloser // its end is the process's end
+	input  io.WriteCloser // closing it ends the process
 	output *bufio.Reader
-	addr   []string // where it listens: for requests, and for its admin pages if it has any
+	addr   []string // the listener for requests, then the admin listener if there is one
 }
 
-// startProcess runs this program as a child of a kind and waits until it listens. The caller calls stop.
+// startProcess runs this program as a child of the given kind and waits until it listens. The caller must call stop.
 func startProcess(kind string, args ...string) (*process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -59,9 +59,10 @@
 	_ = p.cmd.Wait()
 }
 
-// heap returns the bytes of the process's live heap after a collection. It does not count what the collector holds free.
+// heap returns the size of the live heap of the process in bytes after a garbage collection. Free memory that the Go runtime retains
+// is not counted.
 func (p *process) heap() (int64, error) {
-	if _, err := io.WriteString(p.input, heapQuestion+"\n"); err != nil {
+	if _, err := io.WriteString(p.input, heapRequest+"\n"); err != nil {
 		return 0, err
 	}
 	line, err := p.output.ReadString('\n')
@@ -71,13 +72,14 @@
 	return strconv.ParseInt(strings.TrimSpace(line), 10, 64)
 }
 
-// heapQuestion is the line that asks a child for the size of its live heap.
-const heapQuestion = "heap"
+// heapRequest is the line on standard input that requests the live heap size of a child.
+const heapRequest = "heap"
 
-// usage returns the CPU time that the process has used and its resident memory in bytes.
+// usage returns the CPU time that the process has consumed and its resident memory in bytes.
 func (p *process) usage() (cpu time.Duration, resident int64) { return usage(p.cmd.Process.Pid) }
 
-// The fields of /proc/PID/stat that usage reads, counted from the one that follows the command's name.
+// Indexes of the fields of /proc/PID/stat that usage reads, counted from the field after the command name; clockTick is the unit of the
+// CPU times.
 const (
 	statUserTime   = 11
 	statSystemTime = 12
@@ -85,13 +87,13 @@
 	clockTick      = 10 * time.Millisecond
 )
 
-// usage returns the CPU time and the resident memory in bytes of a process; zeros if there is no such process.
+// usage returns the CPU time and the resident memory in bytes of a process, or zeros if there is no such process.
 func usage(pid int) (cpu time.Duration, resident int64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
-	// The command's name is in parentheses and may hold spaces.
+	// The command name is in parentheses and may contain spaces.
 	nameEnd := strings.LastIndexByte(string(stat), ')')
 	fields := strings.Fields(string(stat[nameEnd+1:]))
 	number := func(i int) int64 {
@@ -102,17 +104,17 @@
 	return time.Duration(ticks) * clockTick, number(statResident) * int64(os.Getpagesize())
 }
 
-// await polls a condition until it holds, for 30 s at most.
+// await polls a condition until it holds and returns an error after 30 s.
 func await(what string, ok func() bool) error {
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("never came: %s", what)
+			return fmt.Errorf("timed out after 30 s waiting for %s", what)
 		}
 	}
 	return nil
 }
 
-// adminPage returns the body of a page of the gateway's admin listener.
+// adminPage returns the body of a page that the admin listener of the gateway serves.
 func (p *process) adminPage(path string) (string, error) {
 	resp, err := http.Get("http://" + p.addr[1] + path)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return string(text), err
 }
 
-// awaitEndpoints waits until so many clusters each have so many usable endpoints.
+// awaitEndpoints waits until the status page shows the given number of usable endpoints for at least the given number of clusters.
 func (p *process) awaitEndpoints(clusters, each int) error {
 	return await("all endpoints", func() bool {
 		status, _ := p.adminPage("/status?endpoints=1")
--- a/tools/measure/proxy.go
+++ b/tools/measure/proxy.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// proxyConnections is the number of the load's connections to a measured proxy.
+// proxyConnections is the number of connections that the load uses to a measured proxy.
 const proxyConnections = 32
 
-// proxyKind is a measured proxy and the arguments of its process.
+// proxyKind is a kind of measured proxy with the arguments of its process.
 type proxyKind struct {
 	name string
 	args []string
 }
 
-// proxyFigure is what one round has measured of a proxy.
+// proxyFigure holds the results of one round with a proxy.
 type proxyFigure struct {
-	rate     float64 // requests a second
-	cpu      float64 // microseconds a request
+	rate     float64 // requests per second
+	cpu      float64 // microseconds per request
 	rejected int64
 }
 
-// measureProxy compares the gateway, the platform's node and net/http/httputil's reverse proxy, in turn.
+// measureProxy compares the gateway, the platform's node and httputil.ReverseProxy. Each round measures them one after another.
 func measureProxy(requests, rounds int) error {
 	printMachine()
 	var origins []string
@@ -52,14 +52,14 @@
 		}
 		fmt.Fprintf(os.Stderr, "round %d of %d\n", round+1, rounds)
 	}
-	fmt.Printf("%d rounds of %d requests over %d connections, in turn; medians (least to most)\n", rounds, requests, proxyConnections)
+	fmt.Printf("%d rounds of %d requests over %d connections, alternating between proxies; medians (minimum to maximum)\n", rounds, requests, proxyConnections)
 	for _, kind := range kinds {
 		printProxyFigures(kind.name, figures[kind.name])
 	}
 	return nil
 }
 
-// measureProxyRound starts a proxy, warms it up with a tenth of the requests and measures the others.
+// measureProxyRound starts a proxy, warms it up with a tenth as many requests and then measures it under all requests.
 func measureProxyRound(kind proxyKind, requests int) (proxyFigure, error) {
 	p, err := startProcess(kind.name, kind.args...)
 	if err != nil {
@@ -90,6 +90,6 @@
 		costs = append(costs, figure.cpu)
 		rejected += figure.rejected
 	}
-	fmt.Printf("%-11s %7.0f requests/s (%.0f to %.0f)  %6.1f us CPU a request (%.1f to %.1f)  %d refused and asked again\n",
+	fmt.Printf("%-11s %7.0f requests/s (%.0f to %.0f)  %6.1f us CPU per request (%.1f to %.1f)  %d rejected and sent again\n",
 		name, median(rates), slices.Min(rates), slices.Max(rates), median(costs), slices.Min(costs), slices.Max(costs), rejected)
 }
--- a/tools/measure/push.go
+++ b/tools/measure/push.go
@@ -16,10 +16,10 @@
 const (
 	pushOrigins  = 3
 	pushClients  = 12
-	pushInterval = 15 * time.Millisecond // between two removals
+	pushInterval = 15 * time.Millisecond // between removals
 )
 
-// measurePushes measures how long after a push a removed endpoint still gets requests, for both variants of xDS.
+// measurePushes measures how long an endpoint still gets requests after the push that removes it, for both variants of xDS.
 func measurePushes(updates int) error {
 	printMachine()
 	plane, err := controlplane.Start("")
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// originsExcept is the cluster's endpoint list without the origin of that index.
+// originsExcept returns the endpoint list of the cluster without the origin at index removed; -1 removes none.
 func originsExcept(origins []*origin.Origin, removed int) controlplane.Resource {
 	var endpoints []controlplane.Endpoint
 	for i, o := range origins {
@@ -60,20 +60,20 @@
 	return controlplane.Resource{Name: "c", Body: controlplane.Assignment("c", endpoints...)}
 }
 
-// measureVariantPushes starts a gateway under load and removes one endpoint after the other.
+// measureVariantPushes starts a gateway, puts it under load and removes one endpoint after another.
 func measureVariantPushes(plane *controlplane.Server, origins []*origin.Origin, variant string, updates int) error {
 	configuration := fmt.Sprintf("zone: a\nlisteners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: %s, node: {id: m}}\nclusters: [{name: c, xds: {}, warm_up: {time: 1ms}}]\nroutes: [{match: {prefix: /}, cluster: c}]\n",
 		plane.Addr, variant)
-	p, err := startProcess(childRobindrum, configuration)
+	gateway, err := startProcess(childRobindrum, configuration)
 	if err != nil {
 		return err
 	}
-	defer p.stop()
-	if err := await("the gateway", p.ready); err != nil {
+	defer gateway.stop()
+	if err := await("the gateway to be ready", gateway.ready); err != nil {
 		return err
 	}
-	load := startPushLoad("http://" + p.addr[0] + "/x")
-	delays, err := removeInTurn(plane, origins, variant, updates)
+	load := startPushLoad("http://" + gateway.addr[0] + "/x")
+	delays, err := removeOneByOne(plane, origins, variant, updates)
 	load.stop()
 	if err != nil {
 		return err
@@ -83,12 +83,12 @@
 		index := min(int(q*float64(updates)), updates-1)
 		return delays[index].Round(time.Microsecond)
 	}
-	fmt.Printf("%s: %d removals under load: last request to the removed endpoint after p50 %v, p99 %v, max %v; %d served, %d otherwise\n",
+	fmt.Printf("%s: %d removals under load: last request to the removed endpoint after p50 %v, p99 %v, max %v; %d served, %d not served\n",
 		variant, updates, quantile(0.5), quantile(0.99), quantile(1), load.served.Load(), load.failed.Load())
 	return nil
 }
 
-// ready reports whether the gateway says that it serves.
+// ready reports whether the readiness check of the gateway succeeds.
 func (p *process) ready() bool {
 	resp, err := http.Get("http://" + p.addr[1] + "/health/ready")
 	if err != nil {
@@ -98,8 +98,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// removeInTurn removes each endpoint for one interval and returns how long after the push its last request came.
-func removeInTurn(plane *controlplane.Server, origins []*origin.Origin, variant string, updates int) ([]time.Duration, error) {
+// removeOneByOne removes one endpoint at a time, each for one interval, and returns the delays from the push to the last request that
+// the removed endpoint got.
+func removeOneByOne(plane *controlplane.Server, origins []*origin.Origin, variant string, updates int) ([]time.Duration, error) {
 	var delays []time.Duration
 	for i := range updates {
 		removed := i % len(origins)
@@ -109,7 +110,7 @@
 		}
 		time.Sleep(pushInterval)
 		last := origins[removed].LastRequest().Sub(pushed)
-		// A request that comes even later is not missed: the endpoint stays away during the next interval.
+		// A request came after the interval: read the time of the last request again.
 		if origins[removed].RequestsAfter(pushed.Add(pushInterval)) > 0 {
 			last = origins[removed].LastRequest().Sub(pushed)
 		}
@@ -118,7 +119,7 @@
 	return delays, nil
 }
 
-// pushLoad is a closed loop of clients.
+// pushLoad is a closed-loop load: each client sends its next request when the previous one has ended.
 type pushLoad struct {
 	client  *http.Client
 	end     chan struct{}
@@ -127,7 +128,7 @@
 	failed  atomic.Int64
 }
 
-// startPushLoad has clients request a URL, one request at a time each, until stop.
+// startPushLoad starts clients that request a URL, one request at a time each, until stop is called.
 func startPushLoad(url string) *pushLoad {
 	l := &pushLoad{
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}, Timeout: 10 * time.Second},
@@ -148,7 +149,7 @@
 	return l
 }
 
-// request sends one request and counts how it ended.
+// request sends one request and counts its outcome.
 func (l *pushLoad) request(url string) {
 	resp, err := l.client.Get(url)
 	if err != nil {
@@ -164,7 +165,7 @@
 	}
 }
 
-// stop ends the clients and waits for them.
+// stop stops the clients and waits for them.
 func (l *pushLoad) stop() {
 	close(l.end)
 	l.workers.Wait()
--- a/tools/measure/quorum.go
+++ b/tools/measure/quorum.go
@@ -28,16 +28,16 @@
 	takeoverTimeout = 30 * time.Second
 )
 
-// mortalClient is a client of the quorum that can be stopped: then it sends no more commands.
-type mortalClient struct {
+// stoppableClient is a quorum client that can be stopped, after which it sends no more commands.
+type stoppableClient struct {
 	*quorum.Client
-	dead     atomic.Bool
+	stopped  atomic.Bool
 	requests *atomic.Int64 // of all members
 }
 
 // Do sends a command; a stopped client blocks until the context ends and returns quorum.ErrNoQuorum.
-func (c *mortalClient) Do(ctx context.Context, command quorum.Command) (quorum.Result, time.Duration, error) {
-	if c.dead.Load() {
+func (c *stoppableClient) Do(ctx context.Context, command quorum.Command) (quorum.Result, time.Duration, error) {
+	if c.stopped.Load() {
 		<-ctx.Done()
 		return quorum.Result{}, 0, quorum.ErrNoQuorum
 	}
@@ -45,27 +45,27 @@
 	return c.Client.Do(ctx, command)
 }
 
-// quorumTraffic has 10, 50 and 200 members compete for one lease: three voters are processes, the members are clients in this
-// process.
-func quorumTraffic() error {
+// measureQuorumTraffic measures 10, 50 and 200 members that compete for one lease. The three voters are processes, the members are
+// clients in this process.
+func measureQuorumTraffic() error {
 	ctx, b, err := newBuild()
 	if err != nil {
 		return err
 	}
 	defer b.close()
 	printMachine()
-	fmt.Println("three voters (processes), members as clients in one process, one lease of 10 s held for 30 s; then its holder dies, 10 times with a lease of 2 s")
-	fmt.Println("members  asks a second  entries a second  bytes a second  voters' CPU  hand-over: p50    max")
+	fmt.Println("three voters (processes), members as clients in one process; one lease of 10 s, held for 30 s; then a lease of 2 s, whose holder is stopped up to 10 times")
+	fmt.Println("members   commands / s       entries / s       bytes / s    voter CPU  hand-over: p50    max")
 	for _, members := range []int{10, 50, 200} {
-		if err := quorumTrafficOf(ctx, b, members); err != nil {
+		if err := measureQuorumTrafficOf(ctx, b, members); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// quorumTrafficOf starts voters, measures them under a number of members and prints a line.
-func quorumTrafficOf(ctx context.Context, b *build, members int) error {
+// measureQuorumTrafficOf starts voters, measures them with a number of members and prints a line of the table.
+func measureQuorumTrafficOf(ctx context.Context, b *build, members int) error {
 	folder, err := os.MkdirTemp(b.dir, "quorum-")
 	if err != nil {
 		return err
@@ -100,23 +100,23 @@
 	return nil
 }
 
-// leadershipStart says which member began to lead and when.
+// leadershipStart records which member became the leader, and when.
 type leadershipStart struct {
 	member int
 	at     time.Duration // by fleet.Clock
 }
 
-// candidates are members that compete for one lease, in this process.
+// candidates are members in this process that compete for a lease.
 type candidates struct {
 	cancel   context.CancelFunc
 	node     *peer.Node
 	electors sync.WaitGroup
-	clients  []*mortalClient
+	clients  []*stoppableClient
 	requests atomic.Int64
 	starts   chan leadershipStart
 }
 
-// startCandidates has members compete for a lease until stop.
+// startCandidates starts members that compete for a lease until stop is called.
 func startCandidates(ctx context.Context, voters *cluster.Cluster, name string, length time.Duration, members int) (*candidates, error) {
 	node, err := peer.Listen(peer.Options{Fleet: "rig", Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	c := &candidates{cancel: cancel, node: node, starts: make(chan leadershipStart, 64)}
 	for i := range members {
-		client := &mortalClient{Client: quorum.NewClient(node, voters.Voters(), 600*time.Millisecond, fleet.Clock), requests: &c.requests}
+		client := &stoppableClient{Client: quorum.NewClient(node, voters.Voters(), 600*time.Millisecond, fleet.Clock), requests: &c.requests}
 		c.clients = append(c.clients, client)
 		elector := leaderelection.NewElector(client, leaderelection.Options{
 			Member: lease.Member{Name: fmt.Sprint("m", i), Incarnation: 1},
@@ -144,14 +144,14 @@
 	return c, nil
 }
 
-// stop ends the members and waits for them.
+// stop stops the members and waits for them.
 func (c *candidates) stop() {
 	c.cancel()
 	c.electors.Wait()
 	c.node.Close()
 }
 
-// measureIdleLease has one lease held for a window and returns what that costs, as the beginning of a line.
+// measureIdleLease measures the traffic and CPU time while one member holds a lease, and returns them as the first columns of a line.
 func measureIdleLease(ctx context.Context, voters *cluster.Cluster, members int) (string, error) {
 	c, err := startCandidates(ctx, voters, "long", idleLease, members)
 	if err != nil {
@@ -163,14 +163,14 @@
 	case <-ctx.Done():
 	}
 	entriesBefore := appliedEntries(voters)
-	cpuBefore, _, _ := resourceUsage(voters.Nodes)
+	cpuBefore, _, _ := nodeUsage(voters.Nodes)
 	requestsBefore, sentBefore, began := c.requests.Load(), c.node.Sent(), time.Now()
 	select {
 	case <-time.After(idleWindow):
 	case <-ctx.Done():
 	}
 	entries := appliedEntries(voters) - entriesBefore
-	cpu, _, _ := resourceUsage(voters.Nodes)
+	cpu, _, _ := nodeUsage(voters.Nodes)
 	cpu -= cpuBefore
 	seconds := time.Since(began).Seconds()
 	requests := c.requests.Load() - requestsBefore
@@ -179,7 +179,7 @@
 		float64(sent)/seconds, 100*cpu.Seconds()/seconds), nil
 }
 
-// measureTakeovers stops the holder of a short lease again and again and returns how long the next one took, in milliseconds.
+// measureTakeovers repeatedly stops the holder of a short lease and returns the times in milliseconds until the next member leads.
 func measureTakeovers(ctx context.Context, voters *cluster.Cluster, members int) (*hdrhistogram.Histogram, error) {
 	c, err := startCandidates(ctx, voters, "short", takeoverLease, members)
 	if err != nil {
@@ -189,17 +189,17 @@
 	times := hdrhistogram.New(1, 60_000, 3)
 	holder := <-c.starts
 	for range min(takeovers, members-1) {
-		if err := idleFor(ctx, time.Second); err != nil {
+		if err := sleep(ctx, time.Second); err != nil {
 			return nil, err
 		}
-		stopped := fleet.Clock()
-		c.clients[holder.member].dead.Store(true)
+		stoppedAt := fleet.Clock()
+		c.clients[holder.member].stopped.Store(true)
 		select {
 		case holder = <-c.starts:
 		case <-time.After(takeoverTimeout):
-			return nil, errors.New("nobody took over within 30 s")
+			return nil, errors.New("no member took over the lease within 30 s")
 		}
-		_ = times.RecordValue((holder.at - stopped).Milliseconds())
+		_ = times.RecordValue((holder.at - stoppedAt).Milliseconds())
 	}
 	return times, nil
 }
--- a/tools/measure/size.go
+++ b/tools/measure/size.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	sizeChanges    = 100
+	sizeChanges    = 100 // of clusters
 	sizeIdle       = 3 * time.Second
 	ackTimeout     = 60 * time.Second
-	hostsPerSubnet = 250 // the addresses of a simulated /24 in use
+	hostsPerSubnet = 250 // addresses in use of each simulated /24 network
 )
 
 // measureSizes measures memory and CPU by the number of clusters and endpoints.
 func measureSizes() error {
 	printMachine()
-	fmt.Println("clusters  endpoints  resident MiB  CPU to take all  CPU a changed cluster  CPU a second idle")
-	for _, c := range []struct{ clusters, each int }{{10, 10}, {100, 10}, {1000, 10}, {1, 10000}} {
-		if err := measureSize(c.clusters, c.each); err != nil {
+	fmt.Println("clusters  endpoints  resident MiB   CPU at startup  CPU per changed cluster  CPU per second idle")
+	for _, size := range []struct{ clusters, each int }{{10, 10}, {100, 10}, {1000, 10}, {1, 10000}} {
+		if err := measureSize(size.clusters, size.each); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// measureSize starts a gateway that gets all clusters by xDS, changes one cluster after the other and prints a line.
+// measureSize starts a gateway that gets all clusters by xDS, changes one cluster after another and prints a line of the table.
 func measureSize(clusters, each int) error {
 	plane, err := controlplane.Start("")
 	if err != nil {
@@ -36,11 +36,11 @@
 	}
 	defer plane.Stop()
 	configuration := fmt.Sprintf("listeners: [{name: web, address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\nxds: {servers: [%q], variant: delta, node: {id: m}, clusters: true, message: 64MiB}\nclusters: []\nroutes: [{match: {prefix: /}, cluster: c0}]\n", plane.Addr)
-	p, err := startProcess(childRobindrum, configuration)
+	gateway, err := startProcess(childRobindrum, configuration)
 	if err != nil {
 		return err
 	}
-	defer p.stop()
+	defer gateway.stop()
 	var resources []controlplane.Resource
 	for i := range clusters {
 		name := fmt.Sprint("c", i)
@@ -52,10 +52,10 @@
 	if err := awaitAcks(context.Background(), plane, 0); err != nil {
 		return err
 	}
-	if err := p.awaitEndpoints(clusters, each); err != nil {
+	if err := gateway.awaitEndpoints(clusters, each); err != nil {
 		return err
 	}
-	started, resident := p.usage()
+	cpuStarted, resident := gateway.usage()
 	for i := range sizeChanges {
 		seen := len(plane.Requests())
 		if _, err := plane.Push(fmt.Sprint("v", i), false, sizeAssignment(i%clusters, each, 2+i)); err != nil {
@@ -65,41 +65,42 @@
 			return err
 		}
 	}
-	changed, _ := p.usage()
+	cpuChanged, _ := gateway.usage()
 	time.Sleep(sizeIdle)
-	idle, _ := p.usage()
-	fmt.Printf("%8d  %9d  %12.1f  %15v  %21v  %17v\n", clusters, clusters*each, float64(resident)/(1<<20), started,
-		((changed - started) / sizeChanges).Round(10*time.Microsecond),
-		((idle - changed) / (sizeIdle / time.Second)).Round(time.Millisecond))
+	cpuIdle, _ := gateway.usage()
+	fmt.Printf("%8d  %9d  %12.1f  %15v  %23v  %19v\n", clusters, clusters*each, float64(resident)/(1<<20), cpuStarted,
+		((cpuChanged - cpuStarted) / sizeChanges).Round(10*time.Microsecond),
+		((cpuIdle - cpuChanged) / (sizeIdle / time.Second)).Round(time.Millisecond))
 	return nil
 }
 
-// sizeAssignment is the endpoint list of a cluster, of which the first endpoint has one more weight than the others.
+// sizeAssignment returns the endpoint list of a cluster; the weight of the first endpoint is higher by 1 than that of the others.
 func sizeAssignment(cluster, each, weight int) controlplane.Resource {
 	name := fmt.Sprint("c", cluster)
 	endpoints := make([]controlplane.Endpoint, each)
-	for j := range endpoints {
-		address := fmt.Sprintf("127.%d.%d.%d:80", 1+cluster/hostsPerSubnet, cluster%hostsPerSubnet, 1+j%hostsPerSubnet)
+	for i := range endpoints {
+		address := fmt.Sprintf("127.%d.%d.%d:80", 1+cluster/hostsPerSubnet, cluster%hostsPerSubnet, 1+i%hostsPerSubnet)
 		if each > hostsPerSubnet {
-			address = wideAddress(j)
+			address = wideAddress(i)
 		}
-		endpoints[j] = controlplane.Endpoint{Addr: address, Zone: fmt.Sprint("z", j%3), Weight: uint32(weight)}
+		endpoints[i] = controlplane.Endpoint{Addr: address, Zone: fmt.Sprint("z", i%3), Weight: uint32(weight)}
 	}
 	endpoints[0].Weight = uint32(weight) + 1
 	return controlplane.Resource{Name: name, Body: controlplane.Assignment(name, endpoints...)}
 }
 
-// wideAddress is the address of an endpoint of a cluster that spans several simulated subnets.
+// wideAddress returns the address of an endpoint of a cluster that spans several simulated subnets.
 func wideAddress(endpoint int) string {
 	return fmt.Sprintf("127.1.%d.%d:80", endpoint/hostsPerSubnet, 1+endpoint%hostsPerSubnet)
 }
 
-// awaitAcks waits until the gateway has acknowledged an endpoint list behind the request of that index: it uses what the list held.
+// awaitAcks waits until the gateway has acknowledged an endpoint list with a request at index from or later: from then on, the gateway
+// uses that list.
 func awaitAcks(ctx context.Context, plane *controlplane.Server, from int) error {
 	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
-	_, _, err := plane.Await(ctx, from, func(r controlplane.Request) bool {
-		return strings.HasSuffix(r.Type(), "ClusterLoadAssignment") && r.Nonce() != ""
+	_, _, err := plane.Await(ctx, from, func(request controlplane.Request) bool {
+		return strings.HasSuffix(request.Type(), "ClusterLoadAssignment") && request.Nonce() != ""
 	})
 	return err
 }
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -15,83 +15,84 @@
 )
 
 const (
-	worthGateways  = 20
-	worthRate      = 10   // requests a second at each gateway
-	worthAlarm     = 0.01 // part of failed requests above which an operator stops
-	worthWindow    = 5 * time.Second
-	worthPause     = 3 * time.Second // of load before a rollout, and behind each gateway of a loop
-	worthAlarmPoll = 50 * time.Millisecond
+	rolloutGateways   = 20
+	rolloutRate       = 10   // requests per second at each gateway
+	alarmThreshold    = 0.01 // fraction of failed requests above which the script stops
+	alarmWindow       = 5 * time.Second
+	rolloutPause      = 3 * time.Second // under load before a rollout, and after each gateway of a loop
+	alarmPollInterval = 50 * time.Millisecond
 )
 
 // The versions of the gateways.
 const (
-	worthOld  = "old"
-	worthGood = "good"
-	worthBad  = "bad"
+	oldVersion  = "old"
+	goodVersion = "good"
+	badVersion  = "bad"
 )
 
-// The ways to bring a version to all gateways, as the table names them.
+// The strategies that update all gateways, as the table shows them.
 const (
-	wayRelease = "release"
-	wayLoop    = "loop"
-	wayAtOnce  = "at once"
+	strategyRelease = "release"
+	strategyLoop    = "loop"
+	strategyAtOnce  = "at once"
 )
 
-// rolloutResult is what one way to bring a version to all gateways came to.
+// rolloutResult is the outcome of updating all gateways with one strategy.
 type rolloutResult struct {
-	took            time.Duration // until all gateways have the version, or all are back
-	stopped         time.Duration // from the beginning until it went no further; 0 if it did not stop
+	took            time.Duration // until all gateways run the version, or all are rolled back
+	stopped         time.Duration // from the start until the rollout stopped; 0 if it did not stop
 	requests        int64
 	failed          int64
-	failedUntilStop int64 // until it went no further; 0 if it did not stop
+	failedUntilStop int64 // until the rollout stopped; 0 if it did not stop
 	maxUpdated      int   // gateways that ran the version at the same time
 	p99             int64 // microseconds
 	end             string
 }
 
-// worth brings a good version and a bad one, of whose requests a tenth fail, to twenty processes under load: as a release, by a
-// loop with pauses, and all at once. The operator of a loop stops it when more than a hundredth of five seconds' requests failed.
-func worth() error {
+// measureRollouts updates twenty processes under load to a good version and to a bad one, which fails a tenth of its requests: by a
+// release, by a loop with pauses, and all at once. The loop and the update at once are rolled back when more than 1% of the requests of
+// the last five seconds failed.
+func measureRollouts() error {
 	ctx, b, err := newBuild()
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	bad, err := cluster.WriteAlteredProgram(b.dir, worthBad, b.binary, cluster.MisrouteTenth)
+	bad, err := cluster.WriteAlteredProgram(b.dir, badVersion, b.binary, cluster.MisrouteTenth)
 	if err != nil {
 		return err
 	}
 	printMachine()
-	fmt.Printf("%d processes, %d requests a second at each; a loop's alarm: more than %.0f%% of %v failed\n", worthGateways, worthRate, 100*worthAlarm, worthWindow)
-	fmt.Println("version  way        end            took  stopped after  requests  failed  until stopped  most had it  p99 us")
-	for _, version := range []string{worthGood, worthBad} {
-		for _, way := range []string{wayRelease, wayLoop, wayAtOnce} {
-			r, err := measureRollout(ctx, b, bad, version, way)
+	fmt.Printf("%d processes, %d requests per second at each; without a release, the rollback threshold is more than %.0f%% of requests failed in %v\n", rolloutGateways, rolloutRate, 100*alarmThreshold, alarmWindow)
+	fmt.Println("version  strategy   end            took  stopped after  requests  failed  until stopped  most at once  p99 us")
+	for _, version := range []string{goodVersion, badVersion} {
+		for _, strategy := range []string{strategyRelease, strategyLoop, strategyAtOnce} {
+			r, err := measureRollout(ctx, b, bad, version, strategy)
 			if err != nil {
-				return fmt.Errorf("%s, %s: %w", version, way, err)
+				return fmt.Errorf("%s, %s: %w", version, strategy, err)
 			}
-			fmt.Printf("%-8s %-10s %-10s %8v %14v %9d %7d %14d %12d %7d\n", version, way, r.end, r.took.Round(100*time.Millisecond), r.stopped.Round(100*time.Millisecond), r.requests, r.failed,
+			fmt.Printf("%-8s %-10s %-10s %8v %14v %9d %7d %14d %13d %7d\n", version, strategy, r.end, r.took.Round(100*time.Millisecond), r.stopped.Round(100*time.Millisecond), r.requests, r.failed,
 				r.failedUntilStop, r.maxUpdated, r.p99)
 		}
 	}
 	return ctx.Err()
 }
 
-// measureRollout brings a version to the gateways of a new site under load.
-func measureRollout(ctx context.Context, b *build, bad, version, way string) (rolloutResult, error) {
+// measureRollout starts a site and updates its gateways to a version under load.
+func measureRollout(ctx context.Context, b *build, bad, version, strategy string) (rolloutResult, error) {
 	site, err := startRolloutSite(ctx, b, bad)
 	if err != nil {
 		return rolloutResult{}, err
 	}
 	defer site.Close()
 	requests := newRequestWindow()
-	load := site.StartObservedLoad(worthRate, requests.record)
-	_ = idleFor(ctx, worthPause)
-	r := &rollout{site: site, load: load, requests: requests, version: version, way: way, began: time.Now()}
-	if way == wayRelease {
+	load := site.StartObservedLoad(rolloutRate, requests.record)
+	_ = sleep(ctx, rolloutPause)
+	r := &rollout{site: site, load: load, requests: requests, version: version, strategy: strategy, began: time.Now()}
+	if strategy == strategyRelease {
 		err = r.byRelease(ctx)
 	} else {
-		err = r.byHand()
+		err = r.byScript()
 	}
 	r.result.took = time.Since(r.began)
 	load.Stop()
@@ -101,7 +102,7 @@
 	return r.result, err
 }
 
-// startRolloutSite starts gateways of the old version that know each other. The caller closes the site.
+// startRolloutSite starts gateways of the old version and waits until all are known. The caller must close the site.
 func startRolloutSite(ctx context.Context, b *build, bad string) (*cluster.Site, error) {
 	folder, err := os.MkdirTemp(b.dir, "worth-")
 	if err != nil {
@@ -110,11 +111,11 @@
 	site, err := cluster.NewSite(ctx, cluster.SiteOptions{
 		Binary:   b.binary,
 		Dir:      folder,
-		Gateways: worthGateways,
+		Gateways: rolloutGateways,
 		Lease:    3 * time.Second,
-		Version:  worthOld,
+		Version:  oldVersion,
 		Sites:    []string{"sapporo", "ishikari"},
-		Versions: map[string]string{worthOld: b.binary, worthGood: b.binary, worthBad: bad},
+		Versions: map[string]string{oldVersion: b.binary, goodVersion: b.binary, badVersion: bad},
 		Budgets:  "[{name: g, each: site, most: 2}]",
 	})
 	if err != nil {
@@ -122,7 +123,7 @@
 	}
 	known := func() bool {
 		releases, err := site.Nodes[0].Releases()
-		return err == nil && len(releases.Gateways) == worthGateways
+		return err == nil && len(releases.Gateways) == rolloutGateways
 	}
 	if err := cluster.Await(ctx, "the gateways to be known", time.Minute, known); err != nil {
 		site.Close()
@@ -131,11 +132,11 @@
 	return site, nil
 }
 
-// requestWindow holds the latencies of all requests and the outcomes of the last seconds' requests.
+// requestWindow records the latencies of all requests and the outcomes of the requests of the last alarmWindow.
 type requestWindow struct {
 	mu       sync.Mutex
 	took     *hdrhistogram.Histogram // microseconds
-	outcomes []requestOutcome        // in order of time
+	outcomes []requestOutcome        // oldest first
 }
 
 type requestOutcome struct {
@@ -147,20 +148,20 @@
 	return &requestWindow{took: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-// record adds one request. It may be called concurrently.
+// record adds one request. It is safe for concurrent use.
 func (w *requestWindow) record(took time.Duration, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_ = w.took.RecordValue(took.Microseconds())
 	now := time.Now()
 	w.outcomes = append(w.outcomes, requestOutcome{at: now, ok: ok})
-	for now.Sub(w.outcomes[0].at) > worthWindow {
+	for now.Sub(w.outcomes[0].at) > alarmWindow {
 		w.outcomes = w.outcomes[1:]
 	}
 }
 
-// alarmed reports whether more of the window's requests failed than an operator accepts.
-func (w *requestWindow) alarmed() bool {
+// thresholdExceeded reports whether the fraction of failed requests in the window is above alarmThreshold.
+func (w *requestWindow) thresholdExceeded() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	failed := 0
@@ -169,28 +170,28 @@
 			failed++
 		}
 	}
-	return float64(failed) > worthAlarm*float64(max(len(w.outcomes), 1))
+	return float64(failed) > alarmThreshold*float64(max(len(w.outcomes), 1))
 }
 
-// awaitAlarm waits until the window is alarmed, for so long at most.
-func (w *requestWindow) awaitAlarm(timeout time.Duration) {
-	for end := time.Now().Add(timeout); time.Now().Before(end) && !w.alarmed(); {
-		time.Sleep(worthAlarmPoll)
+// awaitThreshold waits until thresholdExceeded returns true or the timeout expires.
+func (w *requestWindow) awaitThreshold(timeout time.Duration) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && !w.thresholdExceeded(); {
+		time.Sleep(alarmPollInterval)
 	}
 }
 
-// rollout is one version on its way to all gateways of a site.
+// rollout is the update of all gateways of a site to a version.
 type rollout struct {
 	site     *cluster.Site
 	load     *cluster.Load
 	requests *requestWindow
 	version  string
-	way      string
+	strategy string
 	began    time.Time
 	result   rolloutResult
 }
 
-// markStopped notes when the rollout went no further; only the first call counts.
+// markStopped records when the rollout stopped. Only the first call has an effect.
 func (r *rollout) markStopped() {
 	if r.result.stopped == 0 {
 		r.result.stopped = time.Since(r.began)
@@ -198,7 +199,7 @@
 	}
 }
 
-// byRelease has the gateways' own release bring the version to them, and waits for its end.
+// byRelease updates the gateways with a release of the fleet and waits until it has ended.
 func (r *rollout) byRelease(ctx context.Context) error {
 	plan := &release.Plan{
 		ID:                r.version,
@@ -216,7 +217,7 @@
 	return cluster.Await(ctx, "the release to end", 5*time.Minute, r.releaseEnded)
 }
 
-// releaseEnded reads the state of the release into the result and reports whether the release has ended.
+// releaseEnded updates the result from the state of the release and reports whether the release has ended.
 func (r *rollout) releaseEnded() bool {
 	releases, err := r.site.Nodes[1].Releases()
 	if err != nil {
@@ -241,37 +242,38 @@
 	return false
 }
 
-// byHand is what a script does whose operator watches the failures: an alarm stops it and brings the old version back.
-func (r *rollout) byHand() error {
+// byScript updates the gateways as a script would that watches the failed requests: it stops and restores the old version if the
+// fraction of failed requests exceeds the threshold.
+func (r *rollout) byScript() error {
 	r.result.end = "done"
-	updated, err := r.updateByHand()
+	updated, err := r.updateByScript()
 	if err != nil {
 		return err
 	}
 	r.result.maxUpdated = len(updated)
-	if !r.requests.alarmed() {
+	if !r.requests.thresholdExceeded() {
 		return nil
 	}
 	r.markStopped()
 	r.result.end = "back"
-	if r.way == wayAtOnce {
-		return setVersion(updated, worthOld)
+	if r.strategy == strategyAtOnce {
+		return setVersion(updated, oldVersion)
 	}
 	for _, node := range updated {
-		if err := setVersion([]*cluster.Node{node}, worthOld); err != nil {
+		if err := setVersion([]*cluster.Node{node}, oldVersion); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// updateByHand brings the version to the gateways, until there is an alarm, and returns those that have it.
-func (r *rollout) updateByHand() ([]*cluster.Node, error) {
-	if r.way == wayAtOnce {
+// updateByScript updates the gateways until the threshold is exceeded and returns the updated gateways.
+func (r *rollout) updateByScript() ([]*cluster.Node, error) {
+	if r.strategy == strategyAtOnce {
 		if err := setVersion(r.site.Nodes, r.version); err != nil {
 			return nil, err
 		}
-		r.requests.awaitAlarm(worthWindow)
+		r.requests.awaitThreshold(alarmWindow)
 		return r.site.Nodes, nil
 	}
 	var updated []*cluster.Node
@@ -280,15 +282,15 @@
 			return nil, err
 		}
 		updated = append(updated, node)
-		r.requests.awaitAlarm(worthPause)
-		if r.requests.alarmed() {
+		r.requests.awaitThreshold(rolloutPause)
+		if r.requests.thresholdExceeded() {
 			break
 		}
 	}
 	return updated, nil
 }
 
-// setVersion restarts nodes as a version, all at once, and returns the first node's error.
+// setVersion restarts all nodes concurrently with a version. It returns the error of the first node in the list that failed.
 func setVersion(nodes []*cluster.Node, version string) error {
 	errs := make([]error, len(nodes))
 	var restarts sync.WaitGroup
--- a/tools/measure/zone.go
+++ b/tools/measure/zone.go
@@ -8,50 +8,53 @@
 	"robindrum/internal/testbed/fleet"
 )
 
-// zones plays the loss and the return of a zone on simulated time, side by side: tiers, none, plain failover. The figures
-// are the same on every machine.
-func zones(big bool) error {
+// measureZoneLoss simulates the loss and the return of a zone with each zone routing mode: tiers, none and plain failover. The time is
+// simulated, so the figures are the same on every machine.
+func measureZoneLoss(big bool) error {
 	const s = time.Second
 	modes := []fleet.Mode{fleet.Tiers, fleet.PriceOnly, fleet.Failover}
-	type play struct {
-		name string
-		o    fleet.Options
+	type scenario struct {
+		name    string
+		options fleet.Options
 	}
-	lose := func(how fleet.ServerState) []fleet.Event {
-		return []fleet.Event{{At: 10 * s, Do: func(f *fleet.Fleet) { f.FailServers("sapporo", how, 1) }},
-			{At: 30 * s, Do: func(f *fleet.Fleet) { f.RestartServers("sapporo", 3); f.PublishEndpoints(0) }}}
+	loseZone := func(state fleet.ServerState) []fleet.Event {
+		return []fleet.Event{{At: 10 * s, Do: func(simulated *fleet.Fleet) { simulated.FailServers("sapporo", state, 1) }},
+			{At: 30 * s, Do: func(simulated *fleet.Fleet) { simulated.RestartServers("sapporo", 3); simulated.PublishEndpoints(0) }}}
 	}
 	phases := []time.Duration{10 * s, 13 * s, 30 * s, 50 * s}
-	burst := func(at time.Duration) float64 { // three times the load for a second out of five
+	burst := func(at time.Duration) float64 { // three times the rate during one second of every five, half of it otherwise
 		if at%(5*s) < s {
 			return 3
 		}
 		return 0.5
 	}
-	plays := []play{
-		{"8 gateways, 2 zones of 6 servers (1200/s each); 900/s; refuses connections", fleet.Options{Gateways: 8, Rate: 900, Events: lose(fleet.RefusesConnections)}},
-		{"the same; accepts and says nothing", fleet.Options{Gateways: 8, Rate: 900, Events: lose(fleet.NeverResponds)}},
-		{"the same in bursts of three times the load", fleet.Options{Gateways: 8, Rate: 900, Burst: burst, Events: lose(fleet.RefusesConnections)}},
-		{"the survivor at 85% already: 2040/s", fleet.Options{Gateways: 8, Rate: 2040, Events: lose(fleet.RefusesConnections)}},
-		{"40 gateways, 2 zones of 9 servers; 1500/s", fleet.Options{Gateways: 40, Servers: 9, Rate: 1500, Events: lose(fleet.RefusesConnections)}},
+	scenarios := []scenario{
+		{"8 gateways, 2 zones of 6 servers (1200/s per zone); 900/s; the lost servers refuse connections", fleet.Options{Gateways: 8, Rate: 900, Events: loseZone(fleet.RefusesConnections)}},
+		{"the same; the lost servers accept connections and never respond", fleet.Options{Gateways: 8, Rate: 900, Events: loseZone(fleet.NeverResponds)}},
+		{"refused connections, in bursts of three times the rate", fleet.Options{Gateways: 8, Rate: 900, Burst: burst, Events: loseZone(fleet.RefusesConnections)}},
+		{"refused connections, 2040/s: 85% of the capacity of both zones", fleet.Options{Gateways: 8, Rate: 2040, Events: loseZone(fleet.RefusesConnections)}},
+		{"40 gateways, 2 zones of 9 servers; 1500/s", fleet.Options{Gateways: 40, Servers: 9, Rate: 1500, Events: loseZone(fleet.RefusesConnections)}},
 	}
-	late := func(f *fleet.Fleet) { f.RestartServers("sapporo", 3); f.PublishEndpoints(10 * s) }
-	plays = append(plays, play{"8 gateways; 900/s; the list tells of the return 10 s late", fleet.Options{Gateways: 8, Rate: 900,
-		Events: []fleet.Event{lose(fleet.RefusesConnections)[0], {At: 30 * s, Do: late}}}})
+	publishLate := func(simulated *fleet.Fleet) {
+		simulated.RestartServers("sapporo", 3)
+		simulated.PublishEndpoints(10 * s)
+	}
+	scenarios = append(scenarios, scenario{"8 gateways; 900/s; the endpoint list is updated 10 s after the return", fleet.Options{Gateways: 8, Rate: 900,
+		Events: []fleet.Event{loseZone(fleet.RefusesConnections)[0], {At: 30 * s, Do: publishLate}}}})
 	if big {
-		plays = []play{{"200 gateways, 2 zones of 36 servers (7200/s each); 6000/s", fleet.Options{Gateways: 200, Servers: 36, Rate: 6000, Events: lose(fleet.RefusesConnections)}}}
+		scenarios = []scenario{{"200 gateways, 2 zones of 36 servers (7200/s per zone); 6000/s", fleet.Options{Gateways: 200, Servers: 36, Rate: 6000, Events: loseZone(fleet.RefusesConnections)}}}
 	}
-	for _, p := range plays {
-		fmt.Printf("\n%s: gone at 10 s, back at 30 s with all servers cold, 3 of them under new ids\n", p.name)
-		for _, m := range modes {
-			o := p.o
-			o.Mode, o.Seed, o.Duration, o.Phases = m, 1, 70*s, phases
-			r, err := fleet.Run(o)
+	for _, current := range scenarios {
+		fmt.Printf("\n%s: zone lost at 10 s, back at 30 s with all servers cold, 3 of them with new ids\n", current.name)
+		for _, mode := range modes {
+			options := current.options
+			options.Mode, options.Seed, options.Duration, options.Phases = mode, 1, 70*s, phases
+			result, err := fleet.Run(options)
 			if err != nil {
 				return err
 			}
-			fmt.Printf("\n %v\n", m)
-			r.Print(os.Stdout)
+			fmt.Printf("\n %v\n", mode)
+			result.Print(os.Stdout)
 		}
 	}
 	return nil
