--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo shows the gateway at work on loopback, in bounded time: servers in two zones, a control plane and a load, with a server
-// that is slow, one that drains, one that crashes, and a control plane that stops.
+// Package demo demonstrates the gateway on loopback in bounded time, with servers in two zones, a control plane and a load. Its scenes
+// include a slow server, a draining server, a crashed server, a control plane that stops, the loss of a zone, an overload, the loss of a
+// lease and releases.
 package demo
 
 import (
@@ -21,7 +22,7 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// configuration is the gateway's. Its verb is the control plane's address.
+// configuration is the configuration of the gateway. Its formatting verb is the address of the control plane.
 const configuration = `zone: sapporo
 listeners: [{name: web, address: "127.0.0.1:0"}]
 admin: {address: "127.0.0.1:0"}
@@ -43,30 +44,30 @@
   - {name: pay, match: {path: /pay, methods: [POST]}, cluster: tickets, class: pay}
 `
 
-// zoneLossSections are added to the configuration for the scene of a zone's loss.
+// zoneLossSections is appended to the configuration in the zone loss scene.
 const zoneLossSections = `zones:
   tiers: [[sapporo], [ishikari]]
 `
 
-// The scenes.
+// The names of the scenes.
 const (
 	mainScene     = "main"
 	zoneLossScene = "zone-loss"
 	overloadScene = "overload"
 )
 
-// Scenes are the names of all scenes; the first one is the default.
+// Scenes lists the names of the scenes that Run accepts. The first one is the default.
 var Scenes = []string{mainScene, zoneLossScene, overloadScene}
 
-// Options configure a demonstration.
+// Options configures a demonstration.
 type Options struct {
 	Scene    string        // one of Scenes
-	Duration time.Duration // of the load; 0: 20 s
-	Rate     int           // requests per second; 0: 250
-	// Out is where the progress is written. Redraw has it drawn as a table on a terminal.
+	Duration time.Duration // of the load; default 20 s
+	Rate     int           // requests per second, except in the overload scene; default 250
+	// Out receives the progress. If Redraw is set, the progress is a table that is redrawn on a terminal, otherwise lines.
 	Out    io.Writer
 	Redraw bool
-	// Verbose writes the gateway's log to Out too.
+	// Verbose also writes the log of the gateway to Out.
 	Verbose bool
 }
 
@@ -82,20 +83,20 @@
 	serverDelay     = 4 * time.Millisecond
 	slowServerDelay = 80 * time.Millisecond
 	coldServerDelay = 25 * time.Millisecond
-	maxEvents       = 64 // that wait to be printed
+	maxEvents       = 64 // waiting to be printed
 )
 
-// server is an origin and what the control plane says about it.
+// server is an origin with its state on the endpoint list of the control plane.
 type server struct {
 	*origin.Origin
 	name     string
 	zone     string
 	health   corev3.HealthStatus
 	listed   bool
-	reported int // requests, when the progress was last printed
+	reported int // requests until the progress was last printed
 }
 
-// run is a demonstration that runs.
+// run is the state of a running demonstration.
 type run struct {
 	options      Options
 	began        time.Time
@@ -110,17 +111,17 @@
 	events       chan string // of the gateway's log
 }
 
-// Run runs a demonstration and blocks until it has ended. It returns an error if the options are invalid, something does not start, or
-// ctx ends.
+// Run runs a demonstration and blocks until it has ended. It returns an error if the options are invalid, the control plane, a server or
+// the gateway does not start, or ctx ends.
 func Run(ctx context.Context, options Options) (Summary, error) {
 	options.Duration = cmp.Or(options.Duration, defaultDuration)
 	options.Rate = cmp.Or(options.Rate, defaultRate)
 	options.Scene = cmp.Or(options.Scene, Scenes[0])
 	if requests := options.Duration.Seconds() * float64(options.Rate); requests > maxRequests {
-		return Summary{}, fmt.Errorf("%.0f requests, %d at most", requests, maxRequests)
+		return Summary{}, fmt.Errorf("duration and rate amount to %.0f requests, must be at most %d", requests, maxRequests)
 	}
 	if !slices.Contains(Scenes, options.Scene) {
-		return Summary{}, fmt.Errorf("there is no scene %q, but %s", options.Scene, strings.Join(Scenes, ", "))
+		return Summary{}, fmt.Errorf("unknown scene %q, must be one of %s", options.Scene, strings.Join(Scenes, ", "))
 	}
 	r := &run{options: options, events: make(chan string, maxEvents)}
 	defer r.close()
@@ -209,7 +210,7 @@
 	}
 }
 
-// awaitReady waits until the gateway is ready, and reports whether it was in time.
+// awaitReady waits until the gateway is ready. It returns false if ctx ends or readyTimeout passes first.
 func (r *run) awaitReady(ctx context.Context) bool {
 	timeout := time.NewTimer(readyTimeout)
 	defer timeout.Stop()
@@ -227,7 +228,7 @@
 	return true
 }
 
-// assignment returns the present endpoint list.
+// assignment returns the current endpoint list.
 func (r *run) assignment() *endpointv3.ClusterLoadAssignment {
 	var endpoints []controlplane.Endpoint
 	for _, s := range r.servers {
@@ -238,7 +239,7 @@
 	return controlplane.Assignment("tickets", endpoints...)
 }
 
-// push has the control plane serve the present endpoint list.
+// push has the control plane serve the current endpoint list.
 func (r *run) push() error {
 	r.version++
 	_, err := r.controlPlane.Push(fmt.Sprint(r.version), false,
--- a/internal/demo/display.go
+++ b/internal/demo/display.go
@@ -9,13 +9,13 @@
 	"robindrum/internal/gateway"
 )
 
-// display is the state of the table on a terminal.
+// display is the state of the table that is drawn on a terminal.
 type display struct {
 	events []string
 	lines  int // of the table that was drawn last
 }
 
-// printEvent prints what happened, with the time.
+// printEvent prints an event with the time since the start.
 func (r *run) printEvent(text string) {
 	line := fmt.Sprintf("%5.1f s  %s", time.Since(r.began).Seconds(), text)
 	if r.options.Redraw {
@@ -39,7 +39,7 @@
 func (r *run) printLine(status gateway.Status) {
 	var b strings.Builder
 	c := &r.counts
-	fmt.Fprintf(&b, "%5.1f s  sent %d, served %d, refused %d, failed %d, lost %d | a second by server:", time.Since(r.began).Seconds(),
+	fmt.Fprintf(&b, "%5.1f s  sent %d, served %d, rejected %d, failed %d, lost %d | new requests by server:", time.Since(r.began).Seconds(),
 		c.sent.Load(), c.served.Load(), c.rejected.Load(), c.failed.Load(), c.lost.Load())
 	for _, s := range r.servers {
 		requests := s.Requests()
@@ -51,7 +51,7 @@
 	fmt.Fprintln(r.options.Out, b.String())
 }
 
-// redraw draws the table over the one before.
+// redraw draws the table in place of the previous one.
 func (r *run) redraw(status gateway.Status) {
 	erase := ""
 	if r.display.lines > 0 {
@@ -66,7 +66,7 @@
 	states := endpointStates(status)
 	var b strings.Builder
 	c := &r.counts
-	fmt.Fprintf(&b, "sent %d  served %d  refused %d  failed %d  lost %d\n\n", c.sent.Load(), c.served.Load(), c.rejected.Load(),
+	fmt.Fprintf(&b, "sent %d  served %d  rejected %d  failed %d  lost %d\n\n", c.sent.Load(), c.served.Load(), c.rejected.Load(),
 		c.failed.Load(), c.lost.Load())
 	fmt.Fprintf(&b, "%-12s %-22s %9s %9s  %s\n", "SERVER", "ADDRESS", "REQUESTS", "IN FLIGHT", "ON THE LIST")
 	for _, s := range r.servers {
@@ -80,37 +80,37 @@
 	return b.String()
 }
 
-// endpointStates returns why endpoints are not in use, by address.
+// endpointStates returns for each endpoint address why the endpoint is not in use, or "in use".
 func endpointStates(status gateway.Status) map[string]string {
 	states := map[string]string{}
-	for _, c := range status.Clusters {
-		for _, e := range c.Endpoints {
-			states[e.Address] = cmp.Or(e.ExcludedReason, "in use")
+	for _, cluster := range status.Clusters {
+		for _, endpoint := range cluster.Endpoints {
+			states[endpoint.Address] = cmp.Or(endpoint.ExcludedReason, "in use")
 		}
 	}
 	return states
 }
 
-// describeZones describes the states of the zones; empty if there are none.
+// describeZones returns a description of the states of the zones, or "" if there are none.
 func describeZones(status gateway.Status) string {
-	var b strings.Builder
-	for _, c := range status.Clusters {
-		for _, z := range c.Zones {
-			fmt.Fprintf(&b, " | %s %s, share %.2f, %d in flight", z.Zone, z.State, z.Share, z.InFlight)
+	var text strings.Builder
+	for _, cluster := range status.Clusters {
+		for _, zone := range cluster.Zones {
+			fmt.Fprintf(&text, " | %s %s, share %.2f, %d in flight", zone.Zone, zone.State, zone.Share, zone.InFlight)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-// describeAdmission describes the admission control in the scene of an overload; empty in the others.
+// describeAdmission returns a description of the admission control in the overload scene, or "" in other scenes.
 func (r *run) describeAdmission(status gateway.Status) string {
 	if r.options.Scene != overloadScene {
 		return ""
 	}
-	var b strings.Builder
-	for _, c := range status.Clusters {
-		a := c.Admission
-		fmt.Fprintf(&b, " | limit %d, %d in flight, %d waiting", a.Limit, a.InFlight, a.Waiting)
+	var text strings.Builder
+	for _, cluster := range status.Clusters {
+		admission := cluster.Admission
+		fmt.Fprintf(&text, " | limit %d, %d in flight, %d waiting", admission.Limit, admission.InFlight, admission.Waiting)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/demo/events.go
+++ b/internal/demo/events.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// eventHandler passes on what the gateway logs about zones and clusters. The gateway logs that while it decides, so its methods must not
-// be called from here. It does not block: events that nobody receives in time are dropped.
+// eventHandler sends descriptions of the log records about zones and clusters to a channel. The gateway writes these records during its
+// decisions, so the handler must not call methods of the gateway. It does not block: if the channel is full, the event is dropped.
 type eventHandler struct {
 	slog.Handler
 	events chan<- string
 }
 
-// Enabled returns true for all levels, as events are passed on whatever is logged.
+// Enabled returns true for all levels, because events are sent at any log level.
 func (h *eventHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle passes on an event, and logs the record if the handler that it wraps is enabled.
+// Handle sends the event of a record, if there is one. It passes the record to the wrapped handler if that one is enabled.
 func (h *eventHandler) Handle(ctx context.Context, record slog.Record) error {
 	if text, ok := describeEvent(record); ok {
 		select {
@@ -31,11 +31,11 @@
 	return h.Handler.Handle(ctx, record)
 }
 
-// describeEvent returns the text of a record about a zone or a cluster.
+// describeEvent returns the description of a record about a zone or a cluster. ok is false for other records.
 func describeEvent(record slog.Record) (text string, ok bool) {
 	attributes := map[string]string{}
-	record.Attrs(func(a slog.Attr) bool {
-		attributes[a.Key] = a.Value.String()
+	record.Attrs(func(attribute slog.Attr) bool {
+		attributes[attribute.Key] = attribute.Value.String()
 		return true
 	})
 	if record.Message == "zone" {
--- a/internal/demo/lease.go
+++ b/internal/demo/lease.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// leaseLength is short, so that a takeover can be watched.
+	// leaseLength is short, so that the demonstration does not wait long for a hand-over.
 	leaseLength      = 2 * time.Second
 	leaseGateways    = 3
 	leaseLoad        = 50 // requests per second and gateway
@@ -31,9 +31,10 @@
 	frozen  map[*cluster.Node]bool
 }
 
-// LeaseLoss demonstrates the loss of a lease: three processes of the program share a subscription to a control plane and a leader-only
-// task that posts to a receiver. The task's leader, and if it is the same one that of the subscription, is frozen and continues later.
-// It blocks until all processes have ended, and returns an error that says what went wrong.
+// LeaseLoss demonstrates the loss of a lease. Three processes share a subscription to a control plane and a leader-only task that posts
+// to a receiver. The process that leads the task is frozen and continues later; it may lead the subscription, too. LeaseLoss blocks until
+// all processes have ended. It returns an error if a process does not start, a hand-over takes too long, the audit of the posts finds a
+// violation or a request fails.
 func LeaseLoss(ctx context.Context, binary string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "robindrum-try-")
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 	defer auditor.Close()
 	s := &leaseScene{narrator: narrator{out: out, began: time.Now()}, auditor: auditor}
-	s.say("three gateways start: each votes; one of them is to follow the control plane for all, and one to post to a receiver")
+	s.say("three gateways start, all voters: one of them leads the subscription to the control plane, and one the task that posts to a receiver")
 	s.site, err = cluster.NewSite(ctx, cluster.SiteOptions{
 		Binary:             binary,
 		Dir:                dir,
@@ -79,10 +80,10 @@
 	return s.audit(out)
 }
 
-// awaitLeaders waits until the subscription and the posts have a leader, and returns that of the subscription.
+// awaitLeaders waits until the subscription and the task that posts have a leader, and returns the leader of the subscription.
 func (s *leaseScene) awaitLeaders(ctx context.Context) (*cluster.Node, error) {
 	var leader *cluster.Node
-	err := cluster.Await(ctx, "a holder of the subscription, and posts", leaseTimeout, func() bool {
+	err := cluster.Await(ctx, "a subscription leader, and posts", leaseTimeout, func() bool {
 		leader = s.site.SubscriptionLeader()
 		last, _ := s.auditor.Last()
 		return leader != nil && last.Token > 0
@@ -92,19 +93,19 @@
 	}
 	streams, _ := s.site.ControlPlane.Streams()
 	last, _ := s.auditor.Last()
-	s.say("%s holds the subscription, and all three have its list; the control plane sees %d stream; %s posts under token %d",
+	s.say("%s leads the subscription, and all three have its list; the control plane sees %d stream; %s posts with token %d",
 		leader.Name, streams, last.Member, last.Token)
 	return leader, nil
 }
 
-// awaitPosts waits for some more posts.
+// awaitPosts waits until there are postsBetween more posts.
 func (s *leaseScene) awaitPosts(ctx context.Context) error {
 	target := len(s.auditor.Acts()) + postsBetween
 	return cluster.Await(ctx, "posts", leaseTimeout, func() bool { return len(s.auditor.Acts()) >= target })
 }
 
-// freezeLeaders freezes the leaders and waits until another gateway posts. If two gateways lead, only the one that posts is frozen, as
-// a majority has to run.
+// freezeLeaders freezes the gateway that posts and waits until another one posts. If a different gateway leads the subscription, that
+// one is not frozen, because a majority of the voters must run.
 func (s *leaseScene) freezeLeaders(ctx context.Context, subscriptionLeader *cluster.Node) error {
 	last, _ := s.auditor.Last()
 	poster := subscriptionLeader
@@ -118,9 +119,9 @@
 	}
 	s.frozen = map[*cluster.Node]bool{poster: true}
 	poster.Freeze()
-	s.say("%s is frozen in the middle of what it does (SIGSTOP); the others serve on", poster.Name)
+	s.say("%s is frozen (SIGSTOP) while it works; the others continue to serve", poster.Name)
 	frozenAt := time.Now()
-	err := cluster.Await(ctx, "another poster", leaseTimeout, func() bool {
+	err := cluster.Await(ctx, "another gateway to post", leaseTimeout, func() bool {
 		act, _ := s.auditor.Last()
 		return act.Token > last.Token
 	})
@@ -128,13 +129,14 @@
 		return err
 	}
 	next, _ := s.auditor.Last()
-	s.say("%s posts under token %d, %.1f s later: a lease lasts %v", next.Member, next.Token, time.Since(frozenAt).Seconds(), leaseLength)
+	s.say("%s posts with token %d, %.1f s later; a lease lasts %v", next.Member, next.Token, time.Since(frozenAt).Seconds(), leaseLength)
 	return nil
 }
 
-// observeTakeover waits until a gateway that runs leads the subscription, and pushes an endpoint list.
+// observeTakeover waits until a gateway that is not frozen leads the subscription. Then it pushes an endpoint list and waits until the
+// gateways use it.
 func (s *leaseScene) observeTakeover(ctx context.Context) error {
-	err := cluster.Await(ctx, "a holder of the subscription", leaseTimeout, func() bool {
+	err := cluster.Await(ctx, "a subscription leader that is not frozen", leaseTimeout, func() bool {
 		leader := s.site.SubscriptionLeader()
 		return leader != nil && !s.frozen[leader]
 	})
@@ -149,16 +151,16 @@
 	if err := s.site.AwaitVersion(ctx, leaseTimeout); err != nil {
 		return err
 	}
-	s.say("%s holds the subscription; the control plane removes a server, and every gateway that runs knows after %.2f s",
+	s.say("%s leads the subscription; the control plane removes a server, and all running gateways are updated after %.2f s",
 		leader.Name, time.Since(pushedAt).Seconds())
 	return nil
 }
 
-// thaw has the frozen gateway continue, and waits until all use one stream again.
+// thaw lets the frozen gateway continue and waits until all gateways share one stream again.
 func (s *leaseScene) thaw(ctx context.Context) error {
 	for n := range s.frozen {
 		n.Thaw()
-		s.say("%s goes on; its lease is over by its own clock", n.Name)
+		s.say("%s continues; by its own clock, its lease has expired", n.Name)
 	}
 	if err := s.site.AwaitVersion(ctx, leaseTimeout); err != nil {
 		return err
@@ -170,15 +172,15 @@
 	if err != nil {
 		return err
 	}
-	s.say("all three have the newest list, on one stream again")
+	s.say("all three have the newest list and share one stream again")
 	return s.awaitPosts(ctx)
 }
 
-// audit stops the load, checks the posts and prints the outcome.
+// audit stops the load, checks the posts and prints the result.
 func (s *leaseScene) audit(out io.Writer) error {
 	failure := s.load.Stop()
 	result := cluster.Audit(s.auditor.Acts())
-	fmt.Fprintf(out, "\nrequests %d, failed %d %s\nposts %d under %d tokens: refused by their token %d, accepted out of order %d, begun beyond the lease %d\n",
+	fmt.Fprintf(out, "\nrequests %d, failed %d %s\nposts %d under %d tokens: rejected by token %d, accepted out of order %d, begun after the lease ended %d\n",
 		s.load.Requests.Load(), s.load.Failed.Load(), failure, result.Acts, result.Tokens, result.Rejected, result.StaleAccepted, result.AfterLease)
 	switch {
 	case result.Violated():
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -17,14 +17,14 @@
 	dialTimeout    = 5 * time.Second
 	requestTimeout = 10 * time.Second
 	maxConnections = 1024
-	// requestCycle is after how many requests their classes repeat: one payment, five holds, and reads.
+	// requestCycle is the number of requests after which the sequence of classes repeats: one payment, five holds, then reads.
 	requestCycle  = 20
 	holdsPerCycle = 5
-	// mapPaths is how many paths the reads have.
+	// mapPaths is the number of paths that reads use.
 	mapPaths = 100
 )
 
-// loadCounts counts requests by their result.
+// loadCounts counts requests by result.
 type loadCounts struct {
 	sent     atomic.Int64
 	served   atomic.Int64
@@ -33,7 +33,7 @@
 	lost     atomic.Int64 // without a response
 }
 
-// requestClass is an index of overloadClasses.
+// requestClass is the class of a request, an index of overloadClasses.
 type requestClass int
 
 const (
@@ -42,7 +42,7 @@
 	payClass
 )
 
-// classOf returns the class of the request with a number.
+// classOf returns the class of the request with the given number.
 func classOf(number int) requestClass {
 	position := number % requestCycle
 	switch {
@@ -54,7 +54,7 @@
 	return readClass
 }
 
-// load sends requests at the scene's rate, without waiting for responses, and returns when all have ended.
+// load sends requests at the rate of the scene, without waiting for responses. It returns when all requests have ended.
 func (r *run) load(ctx context.Context) {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: maxConnections,
@@ -65,24 +65,25 @@
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: requestTimeout}
 	base := "http://" + r.gateway.Addr("web").String()
-	var all sync.WaitGroup
-	defer all.Wait()
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	number := 0
 	gap := 0.0 // seconds
-	// Sums of gaps are not exact, so that the last request is half a gap before the end.
+	// Sums of gaps are inexact: the load ends half a gap early, so that rounding does not add a request.
 	for seconds := 0.0; seconds+gap/2 < r.options.Duration.Seconds(); seconds += gap {
 		at := time.Duration(seconds * float64(time.Second))
 		gap = 1 / r.rate(at)
 		if !sleepUntil(ctx, r.began.Add(at)) {
 			return
 		}
-		i := number
-		all.Go(func() { r.send(client, base, i) })
+		current := number
+		requests.Go(func() { r.send(client, base, current) })
 		number++
 	}
 }
 
-// sleepUntil blocks until a time, and reports whether ctx has not ended before. It does not check ctx if the time has passed.
+// sleepUntil blocks until the given time and returns true, or returns false if ctx ends first. If the time has passed, it returns true
+// without checking ctx.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -98,7 +99,7 @@
 	}
 }
 
-// send sends the request with a number and counts its result.
+// send sends the request with the given number and counts its result.
 func (r *run) send(client *http.Client, base string, number int) {
 	request, err := newRequest(base, number)
 	if err != nil {
--- a/internal/demo/overload.go
+++ b/internal/demo/overload.go
@@ -11,18 +11,18 @@
 
 const (
 	overloadServers = 2
-	overloadWorkers = 4 // of a server
+	overloadWorkers = 4 // per server
 	overloadDelay   = 25 * time.Millisecond
-	// overloadCapacity is the requests per second that all servers can serve.
+	// overloadCapacity is the number of requests per second that all servers together can serve.
 	overloadCapacity = overloadServers * overloadWorkers / 0.025
 	// The load is three times the capacity between these fractions of the duration, and half of it otherwise.
 	overloadFrom = 0.3
 	overloadTo   = 0.7
-	// overloadTail is for how long after the overload requests may still be rejected.
+	// overloadTail is the time after the overload during which requests may still be rejected.
 	overloadTail = 2 * time.Second
 )
 
-// limitServers leaves two servers with a capacity on the endpoint list.
+// limitServers gives all servers a limited capacity and leaves only overloadServers of them on the endpoint list.
 func (r *run) limitServers() {
 	for i, s := range r.servers {
 		s.SetDelay(overloadDelay)
@@ -31,7 +31,7 @@
 	}
 }
 
-// rate returns the requests per second at a time since the start.
+// rate returns the number of requests per second to send at a time since the start.
 func (r *run) rate(at time.Duration) float64 {
 	switch {
 	case r.options.Scene != overloadScene:
@@ -50,13 +50,13 @@
 
 func overloadSteps() []step {
 	return []step{
-		{0, fmt.Sprintf("the load begins: half of the %.0f requests a second that two servers do", overloadCapacity), nil},
-		{overloadFrom, "three times what they do", nil},
-		{overloadTo, "half again", nil},
+		{0, fmt.Sprintf("the load begins: half of the %.0f requests per second that two servers can serve", overloadCapacity), nil},
+		{overloadFrom, "three times the capacity", nil},
+		{overloadTo, "half of the capacity again", nil},
 	}
 }
 
-// overloadClasses are the classes of the requests, by requestClass.
+// overloadClasses lists the request classes, indexed by requestClass.
 var overloadClasses = [...]struct {
 	name             string
 	latencyObjective time.Duration
@@ -66,7 +66,7 @@
 	payClass:  {"pay", 200 * time.Millisecond},
 }
 
-// overloadCounts counts the requests during the overload by class, and those that are rejected after it.
+// overloadCounts counts the requests during the overload by class, and the requests that are rejected after it.
 type overloadCounts struct {
 	classes       [len(overloadClasses)]classCounts
 	rejectedAfter atomic.Int64
@@ -78,7 +78,7 @@
 	inTime   atomic.Int64
 }
 
-// countOverload counts a response.
+// countOverload counts a response to a request that began during the overload, or that was rejected after it.
 func (r *run) countOverload(class requestClass, began time.Time, status int) {
 	at := began.Sub(r.began)
 	if r.overloadedAt(at) {
--- a/internal/demo/release.go
+++ b/internal/demo/release.go
@@ -14,7 +14,7 @@
 	"robindrum/internal/testbed/cluster"
 )
 
-// validSections are a configuration that changes nothing for clients.
+// validSections is a configuration that does not change anything for clients.
 const validSections = "routes: [{name: all, match: {prefix: /}, cluster: c}]\n"
 
 const (
@@ -31,7 +31,7 @@
 	badRelease   = "bad" // id
 )
 
-// narrator prints what happens in a scene of several processes, with the time since its start.
+// narrator prints events of a scene with several processes, each with the time since the start.
 type narrator struct {
 	out   io.Writer
 	began time.Time
@@ -46,13 +46,13 @@
 	narrator
 	site *cluster.Site
 	load *cluster.Load
-	// maxBadGateways is how many gateways ran the bad version at once.
+	// maxBadGateways is the maximum number of gateways that ran the bad version at the same time.
 	maxBadGateways int
 }
 
-// Release demonstrates three releases to five supervised processes of the program under load: of a good version, of a bad one, which
-// fails a tenth of its requests, halts at its first gateway and is rolled back by hand, and of a configuration. It blocks until all
-// processes have ended, and returns an error that says what went wrong.
+// Release demonstrates three releases to five supervised processes under load: a good version; a bad version, which fails a tenth of its
+// requests, halts at the first gateway and is rolled back manually; and a configuration. It blocks until all processes have ended. It
+// returns an error if a process does not start, a release ends in an unexpected state or the good releases fail requests.
 func Release(ctx context.Context, binary string, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "robindrum-try-")
 	if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	s.say("five supervised gateways start, before three servers; one may be out at a time")
+	s.say("five supervised gateways start in front of three servers; the disruption budget allows one to be unavailable at a time")
 	s.site, err = cluster.NewSite(ctx, cluster.SiteOptions{
 		Binary:   binary,
 		Dir:      dir,
@@ -107,13 +107,13 @@
 		return err
 	}
 	if ended.State != release.Done || s.load.Failed.Load() > 0 {
-		return fmt.Errorf("a good one: %s; %d requests failed", &ended, s.load.Failed.Load())
+		return fmt.Errorf("release of the good version: got %s and %d failed requests, want it done and none failed", &ended, s.load.Failed.Load())
 	}
-	s.say("%d requests until now, none failed; version 1.2 sends a tenth of its own nowhere", s.load.Requests.Load())
+	s.say("%d requests so far, none failed; version 1.2 routes a tenth of its requests to a cluster without endpoints", s.load.Requests.Load())
 	return nil
 }
 
-// releaseBad returns how many requests failed.
+// releaseBad releases the bad version and returns the number of failed requests.
 func (s *releaseScene) releaseBad(ctx context.Context) (failed int64, err error) {
 	before := s.load.Requests.Load()
 	ended, err := s.release(ctx, programPlan(badRelease, badVersion, false))
@@ -122,15 +122,15 @@
 	}
 	requests := s.load.Requests.Load() - before
 	failed = s.load.Failed.Load()
-	s.say("of %d requests while the bad one was there %d failed (all at once it would be a tenth); %d of 5 gateways had it at the most",
+	s.say("of %d requests during the release of the bad version, %d failed (a tenth would fail with it on all gateways); at most %d of 5 gateways ran it at once",
 		requests, failed, s.maxBadGateways)
 	if ended.State != release.RolledBack || s.maxBadGateways != 1 || failed == 0 {
-		return failed, errors.New("the bad one was not found out, or not stopped at its first gateway")
+		return failed, errors.New("the bad version was not detected, or the release did not stop at its first gateway")
 	}
 	return failed, nil
 }
 
-// releaseConfig releases a configuration. failedBefore is how many requests failed before.
+// releaseConfig releases a configuration. failedBefore is the number of requests that failed earlier.
 func (s *releaseScene) releaseConfig(ctx context.Context, failedBefore int64) error {
 	plan := newPlan("routes", true)
 	plan.Target = fleet.ConfigDigest([]byte(validSections))
@@ -144,7 +144,7 @@
 	}
 	s.load.Stop()
 	if failed := s.load.Failed.Load() - failedBefore; ended.State != release.Done || failed > 0 {
-		return fmt.Errorf("a configuration: %s; %d requests failed", &ended, failed)
+		return fmt.Errorf("release of the configuration: got %s and %d failed requests, want it done and none failed", &ended, failed)
 	}
 	return nil
 }
@@ -167,19 +167,21 @@
 	return plan
 }
 
-// releases returns the fleet's releases from a gateway that knows the present ones.
+// releases returns the releases of the fleet as reported by the first gateway with current information. If there is none, it returns the
+// answer of the last gateway.
 func (s *releaseScene) releases() (quorum.ReleaseList, error) {
 	var list quorum.ReleaseList
 	var err error
-	for _, n := range s.site.Nodes {
-		if list, err = n.Releases(); err == nil && list.Fresh {
+	for _, node := range s.site.Nodes {
+		if list, err = node.Releases(); err == nil && list.Fresh {
 			return list, nil
 		}
 	}
 	return list, err
 }
 
-// release begins a release, prints its progress and returns it once it has ended. It rolls the bad release back when that has halted.
+// release starts a release, prints its progress and returns the release after it has ended. It rolls back the bad release when that
+// halts.
 func (s *releaseScene) release(ctx context.Context, plan *release.Plan) (ended release.Release, err error) {
 	if err := s.site.Nodes[0].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}); err != nil {
 		return ended, err
@@ -210,30 +212,30 @@
 		}
 		if current != nil && current.String() != printed {
 			printed = current.String()
-			s.say("%s; %d of 5 have it", printed, updated)
+			s.say("%s; %d of 5 gateways run it", printed, updated)
 		}
 		return ended.ID == plan.ID
 	})
 	return ended, err
 }
 
-// rollBack may fail: it is tried again with the next observation.
+// rollBack requests the rollback of the current release. Errors are ignored, because the caller tries again at the next poll.
 func (s *releaseScene) rollBack() {
 	_ = s.site.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpRollbackRelease, Text: "by hand"})
 }
 
-// gatewaysWith returns how many gateways run a version or configuration.
+// gatewaysWith returns the number of gateways that run a version or configuration.
 func gatewaysWith(list quorum.ReleaseList, target string) int {
-	n := 0
-	for _, g := range list.Gateways {
-		if g.Config == target || g.Version == target {
-			n++
+	count := 0
+	for _, gateway := range list.Gateways {
+		if gateway.Config == target || gateway.Version == target {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// endedRelease returns the release with an id that has ended, or other if there is none.
+// endedRelease returns the ended release with the given id, or other if there is none.
 func endedRelease(list quorum.ReleaseList, id string, other *release.Release) *release.Release {
 	for i := range list.Ended {
 		if list.Ended[i].ID == id {
--- a/internal/demo/steps.go
+++ b/internal/demo/steps.go
@@ -9,14 +9,14 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// showInterval is the time between two prints of the progress.
+// showInterval is the time between prints of the progress.
 const showInterval = time.Second
 
-// step is something that happens in a scene.
+// step is an event of a scene.
 type step struct {
 	at   float64 // fraction of the duration
 	text string
-	do   func() error // nil: nothing
+	do   func() error // optional
 }
 
 func (r *run) steps() []step {
@@ -34,12 +34,12 @@
 	return []step{
 		{0, "the load begins; sapporo-3 takes 80 ms, the others 4 ms", nil},
 		{0.15, "sapporo-2 drains", func() error { return r.drain(drained) }},
-		{0.3, "ishikari-2 dies, and nobody says so", func() error {
+		{0.3, "ishikari-2 dies; the control plane still lists it as healthy", func() error {
 			crashed.Kill()
 			return nil
 		}},
-		{0.4, "the control plane sends a list with port 0: refused, the one before goes on", r.pushInvalid},
-		{0.5, "ishikari-2 is back, and cold: taken from the list and put on it again", func() error {
+		{0.4, "the control plane sends a list with port 0: rejected, the previous list stays in use", r.pushInvalid},
+		{0.5, "ishikari-2 is back and cold: removed from the list and added again", func() error {
 			return r.returnCold([]*server{crashed})
 		}},
 		{0.6, "the control plane goes away", func() error {
@@ -49,7 +49,7 @@
 		{0.75, "the control plane is back, without sapporo-1 and with an older version", func() error {
 			return r.restartControlPlaneWithout(removed)
 		}},
-		{0.85, "sapporo-1 has left the list by now", func() error {
+		{0.85, "sapporo-1 is off the list by now", func() error {
 			removed.SetDrainedAt(time.Now())
 			return nil
 		}},
@@ -63,7 +63,7 @@
 	return err
 }
 
-// pushInvalid has the control plane serve an endpoint with port 0.
+// pushInvalid has the control plane serve an endpoint list with port 0.
 func (r *run) pushInvalid() error {
 	invalid := r.assignment()
 	address := invalid.Endpoints[0].LbEndpoints[0].GetEndpoint().Address
@@ -72,7 +72,7 @@
 	return err
 }
 
-// returnCold restarts servers and has the control plane remove and add them, so that the gateway takes them for new ones.
+// returnCold restarts servers and has the control plane remove them and add them again, so that the gateway treats them as new.
 func (r *run) returnCold(servers []*server) error {
 	for _, s := range servers {
 		if err := s.Restart(); err != nil {
@@ -99,7 +99,8 @@
 	return r.controlPlane.Restart()
 }
 
-// playSteps takes the steps of the scene in time and prints the progress, until loaded is closed. It waits for that if ctx ends.
+// playSteps runs each step of the scene at its time and prints the progress until loaded is closed. If ctx ends, it runs no further step
+// and still waits until loaded is closed.
 func (r *run) playSteps(ctx context.Context, loaded <-chan struct{}) {
 	steps := r.steps()
 	ticker := time.NewTicker(showInterval)
@@ -122,13 +123,13 @@
 		case text := <-r.events:
 			r.printEvent(text)
 		case <-next:
-			r.take(steps[0])
+			r.runStep(steps[0])
 			steps = steps[1:]
 		}
 	}
 }
 
-func (r *run) take(s step) {
+func (r *run) runStep(s step) {
 	text := s.text
 	if s.do != nil {
 		if err := s.do(); err != nil {
--- a/internal/demo/summary.go
+++ b/internal/demo/summary.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// overloadMultiple is the load of a cold server, as a multiple of its capacity, at which it crashes: the configuration's default.
+	// overloadMultiple is the load of a cold server, as a multiple of its capacity, at which it crashes. It is the default of the
+	// configuration.
 	overloadMultiple = 2.5
-	// drainGrace is after which time a drained server must get no request.
+	// drainGrace is the time after a drain from which a server must not get requests.
 	drainGrace = time.Second
 )
 
-// Summary is the outcome of a demonstration.
+// Summary is the result of a demonstration.
 type Summary struct {
 	Sent     int64
 	Served   int64
@@ -25,18 +26,18 @@
 	Lost     int64 // without a response
 	// DuplicateEffects counts requests that took effect more than once.
 	DuplicateEffects int
-	// AfterDrain counts requests to servers more than a second after they were drained or removed.
+	// AfterDrain counts requests that servers got more than a second after they were drained or removed.
 	AfterDrain int
 	// Unready reports that the gateway did not become ready in time.
 	Unready bool
 
-	// ZoneLoss reports that CrossZone is set, the attempts at servers of the other zone.
+	// ZoneLoss reports whether the scene is a zone loss. Then CrossZone is the number of attempts sent to servers of the other zone.
 	ZoneLoss  bool
 	CrossZone uint64
-	// MaxColdLoad is the highest load of a cold server in a second, as a multiple of its capacity then.
+	// MaxColdLoad is the highest load of a cold server in any second, as a multiple of its capacity in that second.
 	MaxColdLoad float64
 
-	// Classes are the requests during an overload, RejectedAfter those rejected from 2 s after its end on.
+	// Classes counts the requests during an overload. RejectedAfter counts the requests rejected more than 2 s after its end.
 	Classes       []ClassSummary
 	RejectedAfter int64
 }
@@ -49,7 +50,7 @@
 	InTime   int64
 }
 
-// Violations returns an error that names the guarantees that were violated, or nil.
+// Violations returns an error that lists the violated guarantees, or nil.
 func (s Summary) Violations() error {
 	var errs []error
 	if s.Unready {
@@ -59,21 +60,21 @@
 		errs = append(errs, fmt.Errorf("%d requests were lost", s.Lost))
 	}
 	if s.DuplicateEffects > 0 {
-		errs = append(errs, fmt.Errorf("%d effects were taken twice", s.DuplicateEffects))
+		errs = append(errs, fmt.Errorf("%d requests took effect more than once", s.DuplicateEffects))
 	}
 	if s.AfterDrain > 0 {
 		errs = append(errs, fmt.Errorf("%d requests were sent after a drain", s.AfterDrain))
 	}
 	if s.MaxColdLoad > overloadMultiple {
-		errs = append(errs, fmt.Errorf("a cold server got %.2f times what it can do while it warms up", s.MaxColdLoad))
+		errs = append(errs, fmt.Errorf("a cold server got %.2f times its capacity while it was warming up", s.MaxColdLoad))
 	}
 	if s.Served == 0 {
-		errs = append(errs, errors.New("nothing was served"))
+		errs = append(errs, errors.New("no request was served"))
 	}
 	return errors.Join(errs...)
 }
 
-// summary returns the outcome. The load must have ended.
+// summary returns the result. The load must have ended.
 func (r *run) summary() Summary {
 	c := &r.counts
 	s := Summary{
@@ -111,20 +112,20 @@
 
 // Print writes the summary as text.
 func (s Summary) Print(out io.Writer) {
-	fmt.Fprintf(out, "\nsent                 %6d\nserved               %6d\nrefused              %6d  (503: asking again is harmless)\n"+
-		"failed               %6d  (what may have run and must not run twice)\nlost                 %6d  (must be 0)\n"+
-		"effects taken twice  %6d  (must be 0)\nsends after a drain  %6d  (must be 0)\n",
+	fmt.Fprintf(out, "\nsent                 %6d\nserved               %6d\nrejected             %6d  (503: safe to retry)\n"+
+		"failed               %6d  (may have taken effect, not safe to retry)\nlost                 %6d  (must be 0)\n"+
+		"duplicate effects    %6d  (must be 0)\nsent after a drain   %6d  (must be 0)\n",
 		s.Sent, s.Served, s.Rejected, s.Failed, s.Lost, s.DuplicateEffects, s.AfterDrain)
-	for _, c := range s.Classes {
-		percent := float64(max(c.Requests, 1)) / 100
-		fmt.Fprintf(out, "%-20s %5.1f%% served, %5.1f%% in time, of %d while the load was three times what the servers do\n",
-			c.Name, float64(c.Served)/percent, float64(c.InTime)/percent, c.Requests)
+	for _, class := range s.Classes {
+		percent := float64(max(class.Requests, 1)) / 100
+		fmt.Fprintf(out, "%-20s %5.1f%% served, %5.1f%% in time, of %d while the load was three times the capacity\n",
+			class.Name, float64(class.Served)/percent, float64(class.InTime)/percent, class.Requests)
 	}
 	if len(s.Classes) > 0 {
-		fmt.Fprintf(out, "refused afterwards   %6d  (from 2 s after the overload on)\n", s.RejectedAfter)
+		fmt.Fprintf(out, "rejected afterwards  %6d  (more than 2 s after the overload)\n", s.RejectedAfter)
 	}
 	if s.ZoneLoss {
-		fmt.Fprintf(out, "crossed              %6d  (attempts that went to ishikari)\nworst cold server    %6.2f  (load over what it can do while it warms up; must be at most %.1f)\n",
+		fmt.Fprintf(out, "crossed              %6d  (attempts sent to ishikari)\nworst cold server    %6.2f  (load over capacity while warming up; must be at most %.1f)\n",
 			s.CrossZone, s.MaxColdLoad, overloadMultiple)
 	}
 }
