--- a/internal/testbed/proc/proc.go
+++ b/internal/testbed/proc/proc.go
@@ -1,5 +1,5 @@
-// Package proc runs the built program as child processes for experiments and test clusters. They end with their parent, can be
-// stopped, killed and frozen, and what they log can be followed.
+// Package proc runs the robindrum program as child processes of experiments and test clusters. A child process ends with its parent,
+// can be stopped, killed and frozen, and its log can be followed.
 package proc
 
 import (
@@ -15,32 +15,32 @@
 )
 
 const (
-	// maxLastLines is how many lines of a log are retained.
+	// maxLastLines is the number of log lines that are retained.
 	maxLastLines = 16
-	// maxLineSize bounds a line in bytes; what follows a longer one is dropped.
+	// maxLineSize is the maximum length of a log line in bytes. Everything from the first longer line on is discarded.
 	maxLineSize = 1 << 20
 )
 
 // Process is a child process. Its methods may be called by several goroutines at once.
 type Process struct {
 	Name string
-	// Exited is closed when the process has ended and all it logged was read.
+	// Exited is closed when the process has ended and its whole log has been read.
 	Exited chan struct{}
 
 	cmd   *exec.Cmd
 	stdin io.Closer
 
-	mu     sync.Mutex
-	err    error    // of the process's end
-	last   []string // lines
-	killed bool
+	mu        sync.Mutex
+	err       error    // returned by cmd.Wait
+	lastLines []string // at most maxLastLines
+	killed    bool
 }
 
-// Start starts a program. The arguments must have it end with its standard input, as --with-parent does, so that it ends when this
-// process is killed. onLine, which may be nil, is called with each line of its standard error, by one goroutine.
+// Start starts a program. The arguments must make it exit when its standard input is closed, as --with-parent does, so that it ends
+// when this process is killed. onLine, which may be nil, is called from one goroutine with each line of the program's standard error.
 func Start(name, binary string, onLine func(line string), arguments ...string) (*Process, error) {
 	p := &Process{Name: name, Exited: make(chan struct{}), cmd: exec.Command(binary, arguments...)}
-	// In a process group of its own, an interrupt from the terminal does not reach it.
+	// The child gets its own process group, so that an interrupt from the terminal does not reach it.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	logs, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -56,7 +56,7 @@
 	return p, nil
 }
 
-// follow reads the log until the process ends.
+// follow reads the log until the process ends, and records how it ended.
 func (p *Process) follow(logs io.Reader, onLine func(string)) {
 	lines := bufio.NewScanner(logs)
 	lines.Buffer(nil, maxLineSize)
@@ -66,7 +66,7 @@
 			onLine(lines.Text())
 		}
 	}
-	_, _ = io.Copy(io.Discard, logs) // so that a line that is too long does not block the process
+	_, _ = io.Copy(io.Discard, logs) // after a line that is too long, so that the process does not block on a full pipe
 	err := p.cmd.Wait()
 	p.mu.Lock()
 	p.err = err
@@ -77,13 +77,13 @@
 func (p *Process) retain(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = append(p.last, line)
-	if len(p.last) > maxLastLines {
-		p.last = p.last[1:]
+	p.lastLines = append(p.lastLines, line)
+	if len(p.lastLines) > maxLastLines {
+		p.lastLines = p.lastLines[1:]
 	}
 }
 
-// PID returns the process's id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Running reports whether the process has not ended.
@@ -100,14 +100,14 @@
 func (p *Process) LastLines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.last)
+	return slices.Clone(p.lastLines)
 }
 
-// ExitError returns an error that describes how the process ended by itself, with its last lines. It must have ended.
+// ExitError describes how the process ended without being killed, with the last lines of its log. The process must have ended.
 func (p *Process) ExitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return fmt.Errorf("%s ended by itself: %w; its last output:\n%s", p.Name, p.err, strings.Join(p.last, "\n"))
+	return fmt.Errorf("%s ended by itself: %w; last output:\n%s", p.Name, p.err, strings.Join(p.lastLines, "\n"))
 }
 
 // Killed reports whether Kill was called.
@@ -120,7 +120,7 @@
 // Signal sends a signal to the process and its children. It does nothing if the process has ended.
 func (p *Process) Signal(signal syscall.Signal) {
 	if p.Running() {
-		_ = syscall.Kill(-p.PID(), signal) // it may have ended meanwhile
+		_ = syscall.Kill(-p.PID(), signal) // the process may have ended in the meantime
 	}
 }
 
@@ -130,7 +130,7 @@
 // Thaw continues a frozen process.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process and waits until it has ended.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	p.killed = true
@@ -140,7 +140,7 @@
 	_ = p.stdin.Close()
 }
 
-// Stop ends the process with SIGTERM, or with SIGKILL after timeout, and waits for its end.
+// Stop thaws the process, sends it SIGTERM, and SIGKILL if it still runs after timeout, and waits until it has ended.
 func (p *Process) Stop(timeout time.Duration) {
 	p.Thaw()
 	p.Signal(syscall.SIGTERM)
