--- a/internal/testbed/cluster/admin.go
+++ b/internal/testbed/cluster/admin.go
@@ -14,11 +14,11 @@
 	"robindrum/internal/quorum"
 )
 
-// maxErrorText bounds what is read of an error's response, in bytes.
+// maxErrorText is the maximum number of bytes that are read of an error response.
 const maxErrorText = 4 << 10
 
-// Get requests a path of the node's admin listener and decodes the response's JSON into result. A status other than 200 is an
-// error with the response's text.
+// Get requests a path of the node's admin listener and decodes the JSON response into result. For a status other than 200 it returns
+// an error with the response's text.
 func (n *Node) Get(path string, result any) error {
 	response, err := n.cluster.client.Get("http://" + n.Admin + path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return n.decode(response, result)
 }
 
-// decode closes the response.
+// decode decodes a JSON response into result, unless result is nil, and closes the response. A status other than 200 is an error.
 func (n *Node) decode(response *http.Response, result any) error {
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -53,7 +53,7 @@
 	return json.NewDecoder(response.Body).Decode(result)
 }
 
-// Fleet returns the fleet's status as the node reports it.
+// Fleet returns the node's view of the fleet.
 func (n *Node) Fleet() (fleet.Status, error) {
 	var status fleet.Status
 	err := n.Get("/fleet", &status)
@@ -67,7 +67,7 @@
 	return status, err
 }
 
-// Ready reports whether a gateway says that it is ready.
+// Ready reports whether a gateway's readiness check succeeds.
 func (n *Node) Ready() bool {
 	response, err := n.cluster.client.Get("http://" + n.Admin + "/health/ready")
 	if err != nil {
@@ -77,15 +77,15 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// SendDrain has the node pass on a command about drain requests: drain, undrain, halt or resume. It returns the request as the
-// quorum stored it.
+// SendDrain sends a command about drain requests to the node, which forwards it to the quorum: drain, undrain, halt or resume. It
+// returns the drain request as stored by the quorum.
 func (n *Node) SendDrain(command string, request drain.Request) (drain.Request, error) {
 	var stored drain.Request
 	err := n.post("/fleet/"+command, request, &stored)
 	return stored, err
 }
 
-// DrainRequests returns all drain requests by id, as the quorum answers the node.
+// DrainRequests returns all drain requests by ID. The node reads them from the quorum.
 func (n *Node) DrainRequests() (map[string]drain.Request, error) {
 	var list quorum.DrainList
 	err := n.Get("/fleet/orders", &list)
@@ -96,26 +96,26 @@
 	return requests, err
 }
 
-// SendRelease has the node pass on a command about releases.
+// SendRelease sends a command about releases to the node, which forwards it to the quorum.
 func (n *Node) SendRelease(command quorum.Command) error {
 	return n.post("/fleet/release", command, nil)
 }
 
-// Releases returns the fleet's releases, as the quorum answers the node.
+// Releases returns the fleet's releases. The node reads them from the quorum.
 func (n *Node) Releases() (quorum.ReleaseList, error) {
 	var list quorum.ReleaseList
 	err := n.Get("/fleet/releases", &list)
 	return list, err
 }
 
-// Leases returns the fleet's leases, as the quorum answers the node.
+// Leases returns the fleet's leases. The node reads them from the quorum.
 func (n *Node) Leases() (quorum.LeaseList, error) {
 	var list quorum.LeaseList
 	err := n.Get("/fleet/leases", &list)
 	return list, err
 }
 
-// leadsTask reports whether the node says that it leads a leader-only task.
+// leadsTask reports whether the node's status says that it leads a leader-only task.
 func (n *Node) leadsTask(task string) bool {
 	status, err := n.Fleet()
 	if err != nil {
@@ -129,13 +129,13 @@
 	return false
 }
 
-// leadsQuorum reports whether the node says that it leads the quorum.
+// leadsQuorum reports whether the node's status says that it leads the quorum.
 func (n *Node) leadsQuorum() bool {
 	status, err := n.Fleet()
 	return err == nil && status.Vote != nil && status.Vote.State == voterLeads
 }
 
-// States of a voter that votes, as the quorum reports them.
+// States of a voter that takes part in votes, as quorum.Status reports them.
 const (
 	voterLeads   = "leader"
 	voterFollows = "follower"
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -12,35 +12,35 @@
 	"robindrum/internal/lease"
 )
 
-// Act is a post that an Auditor received.
-type Act struct {
-	Token      uint64
-	Member     string
-	Number     int
-	JudgedAt   time.Duration // when the sender found its lease valid, by fleet.Clock
-	ReceivedAt time.Duration // by fleet.Clock
-	Accepted   bool
+// Post is a request of a post task that an Auditor received.
+type Post struct {
+	Token          uint64
+	Member         string
+	Number         int           // counts the posts under the token from 0
+	LeaseCheckedAt time.Duration // reading of fleet.Clock at which the sender found its lease valid
+	ReceivedAt     time.Duration // reading of fleet.Clock
+	Accepted       bool
 }
 
-// Auditor is an external service that receives the posts of a leader-only task. It rejects those with a token lower than the
-// highest that it has accepted, and records all. Its methods may be called by several goroutines at once.
+// Auditor is an external service that receives the requests of a post task. It rejects requests with a token lower than the highest
+// token that it has accepted, and records all requests. Its methods may be called by several goroutines at once.
 type Auditor struct {
 	ExternalService
-	// AcceptAll turns the fence off, to show that Audit finds what it prevents. Set it before the first post.
+	// AcceptAll makes the auditor accept stale tokens, to test that Audit detects them. It must be set before the first post.
 	AcceptAll bool
 
 	server *http.Server
-	done   chan struct{} // closed when the server has ended
+	done   chan struct{} // closed when the server has stopped
 
 	mu       sync.Mutex
 	fence    lease.Fence
-	acts     []Act
-	accepted chan struct{} // closed and replaced with each act that is accepted
+	posts    []Post
+	accepted chan struct{} // closed and replaced with each post that is accepted
 }
 
 const (
-	// maxActs bounds the recorded acts; later ones are judged all the same.
-	maxActs = 1 << 20
+	// maxPosts limits the recorded posts. Later ones are still accepted or rejected, but not recorded.
+	maxPosts = 1 << 20
 
 	auditorHeaderTimeout = time.Minute
 )
@@ -64,90 +64,91 @@
 	return a, nil
 }
 
-// Close closes all connections and waits for the server's end.
+// Close closes all connections and waits until the server has stopped.
 func (a *Auditor) Close() {
 	_ = a.server.Close()
 	<-a.done
 }
 
-// ServeHTTP records a post. It answers 400 without a token and 409 if the token is stale.
+// ServeHTTP records a post. It answers 400 if the headers of the token or of the lease check are missing or invalid, and 409 if the
+// token is stale.
 func (a *Auditor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	act, err := readAct(r.Header)
+	post, err := readPost(r.Header)
 	if err != nil {
 		http.Error(w, "no token", http.StatusBadRequest)
 		return
 	}
-	if !a.record(act) {
+	if !a.record(post) {
 		http.Error(w, "older than the highest token seen", http.StatusConflict)
 	}
 }
 
-func readAct(header http.Header) (Act, error) {
+func readPost(header http.Header) (Post, error) {
 	token, err := strconv.ParseUint(header.Get(fleet.TokenHeader), 10, 64)
 	if err != nil {
-		return Act{}, fmt.Errorf("token: %w", err)
+		return Post{}, fmt.Errorf("token: %w", err)
 	}
-	judgedAt, err := strconv.ParseInt(header.Get(fleet.JudgedAtHeader), 10, 64)
+	leaseCheckedAt, err := strconv.ParseInt(header.Get(fleet.JudgedAtHeader), 10, 64)
 	if err != nil {
-		return Act{}, fmt.Errorf("time of judgement: %w", err)
+		return Post{}, fmt.Errorf("time of the lease check: %w", err)
 	}
 	number, _ := strconv.Atoi(header.Get(fleet.NumberHeader))
-	return Act{Token: token, Member: header.Get(fleet.MemberHeader), Number: number, JudgedAt: time.Duration(judgedAt)}, nil
+	return Post{Token: token, Member: header.Get(fleet.MemberHeader), Number: number, LeaseCheckedAt: time.Duration(leaseCheckedAt)}, nil
 }
 
-// record stores an act and reports whether it is accepted.
-func (a *Auditor) record(act Act) bool {
+// record stores a post and reports whether it is accepted.
+func (a *Auditor) record(post Post) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	act.Accepted = a.fence.Admit(act.Token) || a.AcceptAll
-	act.ReceivedAt = fleet.Clock()
-	if len(a.acts) < maxActs {
-		a.acts = append(a.acts, act)
+	post.Accepted = a.fence.Admit(post.Token) || a.AcceptAll
+	post.ReceivedAt = fleet.Clock()
+	if len(a.posts) < maxPosts {
+		a.posts = append(a.posts, post)
 	}
-	if act.Accepted {
+	if post.Accepted {
 		close(a.accepted)
 		a.accepted = make(chan struct{})
 	}
-	return act.Accepted
+	return post.Accepted
 }
 
-// Acts returns all recorded acts in the order in which they were received.
-func (a *Auditor) Acts() []Act {
+// Acts returns all recorded posts in the order in which they were received.
+func (a *Auditor) Acts() []Post {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return slices.Clone(a.acts)
+	return slices.Clone(a.posts)
 }
 
-// Last returns the last act that was accepted, the zero Act if there is none, and a channel that is closed with the next one.
-func (a *Auditor) Last() (Act, <-chan struct{}) {
+// Last returns the last accepted post, or the zero Post if there is none, and a channel that is closed when the next one is accepted.
+func (a *Auditor) Last() (Post, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, act := range slices.Backward(a.acts) {
-		if act.Accepted {
-			return act, a.accepted
+	for _, post := range slices.Backward(a.posts) {
+		if post.Accepted {
+			return post, a.accepted
 		}
 	}
-	return Act{}, a.accepted
+	return Post{}, a.accepted
 }
 
-// AuditResult counts the acts of a history and what is wrong with them.
+// AuditResult counts posts and the violations of guarantees that Audit found in them.
 type AuditResult struct {
 	Acts     int
 	Rejected int
-	// Tokens is how many there were: how often the lease was granted and used.
+	// Tokens is the number of different tokens: how many times the lease was granted and then used.
 	Tokens int
-	// StaleAccepted counts acts that were accepted after one with a newer token.
+	// StaleAccepted counts posts that were accepted after a post with a newer token.
 	StaleAccepted int
-	// SharedTokens counts changes of the member under one token.
+	// SharedTokens counts changes of the sending member under one token.
 	SharedTokens int
-	// AfterLease counts acts that were judged valid after an act under a newer token: the lease had been granted to another
-	// holder by then.
+	// AfterLease counts posts whose sender found its lease valid later than the sender of a post under a newer token did: by then the
+	// lease had been granted to another holder.
 	AfterLease int
-	// FirstViolation describes the first of them; empty: there is none.
+	// FirstViolation describes the first violation; empty: there is none.
 	FirstViolation string
 }
 
-// Violated reports whether anything is wrong.
+// Violated reports whether a guarantee was violated.
 func (r *AuditResult) Violated() bool { return r.StaleAccepted+r.SharedTokens+r.AfterLease > 0 }
 
 // Add adds the counts of another result.
@@ -163,7 +164,7 @@
 	}
 }
 
-// violation counts one and describes it if it is the first.
+// violation increments count, and records the description if the violation is the first.
 func (r *AuditResult) violation(count *int, format string, arguments ...any) {
 	*count++
 	if r.FirstViolation == "" {
@@ -171,53 +172,53 @@
 	}
 }
 
-// Audit checks acts, which must be in the order in which they were received.
-func Audit(acts []Act) AuditResult {
+// Audit checks posts, which must be in the order in which they were received.
+func Audit(posts []Post) AuditResult {
 	var result AuditResult
-	earliest := earliestActs(acts)
+	earliest := earliestPosts(posts)
 	members := map[uint64]string{}
 	highest := uint64(0)
-	for _, act := range acts {
+	for _, post := range posts {
 		result.Acts++
-		if !act.Accepted {
+		if !post.Accepted {
 			result.Rejected++
 		}
-		if member, ok := members[act.Token]; ok && member != act.Member {
-			result.violation(&result.SharedTokens, "token %d: %s and %s", act.Token, member, act.Member)
+		if member, ok := members[post.Token]; ok && member != post.Member {
+			result.violation(&result.SharedTokens, "token %d: %s and %s", post.Token, member, post.Member)
 		}
-		members[act.Token] = act.Member
-		if act.Accepted && act.Token < highest {
-			result.violation(&result.StaleAccepted, "%s: token %d accepted behind %d", act.Member, act.Token, highest)
+		members[post.Token] = post.Member
+		if post.Accepted && post.Token < highest {
+			result.violation(&result.StaleAccepted, "%s: token %d accepted after %d", post.Member, post.Token, highest)
 		}
-		if act.Accepted {
-			highest = max(highest, act.Token)
+		if post.Accepted {
+			highest = max(highest, post.Token)
 		}
-		if newer, ok := newerBefore(act, earliest); ok {
-			result.violation(&result.AfterLease, "%s began act %d under token %d %v after %s had begun under %d",
-				act.Member, act.Number, act.Token, act.JudgedAt-newer.JudgedAt, newer.Member, newer.Token)
+		if newer, ok := newerBefore(post, earliest); ok {
+			result.violation(&result.AfterLease, "%s sent post %d under token %d, checked %v after %s had checked its lease under token %d",
+				post.Member, post.Number, post.Token, post.LeaseCheckedAt-newer.LeaseCheckedAt, newer.Member, newer.Token)
 		}
 	}
 	result.Tokens = len(members)
 	return result
 }
 
-// earliestActs returns the act of each token that was judged valid first.
-func earliestActs(acts []Act) map[uint64]Act {
-	earliest := map[uint64]Act{}
-	for _, act := range acts {
-		if e, ok := earliest[act.Token]; !ok || act.JudgedAt < e.JudgedAt {
-			earliest[act.Token] = act
+// earliestPosts returns for each token the post whose sender was the first to find its lease valid.
+func earliestPosts(posts []Post) map[uint64]Post {
+	earliest := map[uint64]Post{}
+	for _, post := range posts {
+		if e, ok := earliest[post.Token]; !ok || post.LeaseCheckedAt < e.LeaseCheckedAt {
+			earliest[post.Token] = post
 		}
 	}
 	return earliest
 }
 
-// newerBefore returns an act under a newer token that was judged valid before this one.
-func newerBefore(act Act, earliest map[uint64]Act) (Act, bool) {
+// newerBefore returns a post under a newer token whose sender found its lease valid before the sender of this post did.
+func newerBefore(post Post, earliest map[uint64]Post) (Post, bool) {
 	for token, newer := range earliest {
-		if token > act.Token && act.JudgedAt > newer.JudgedAt {
+		if token > post.Token && post.LeaseCheckedAt > newer.LeaseCheckedAt {
 			return newer, true
 		}
 	}
-	return Act{}, false
+	return Post{}, false
 }
--- a/internal/testbed/cluster/build.go
+++ b/internal/testbed/cluster/build.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// shortCommit is how many digits of a commit's hash name its files.
+// shortCommit is the number of digits of a commit's hash that are used in file names.
 const shortCommit = 8
 
-// TempDir creates a directory for the processes of schedules. remove deletes it.
+// TempDir creates a temporary directory for the processes of schedules. remove deletes it.
 func TempDir() (dir string, remove func(), err error) {
 	dir, err = os.MkdirTemp("", "robindrum-cluster-")
 	return dir, func() { _ = os.RemoveAll(dir) }, err
@@ -29,7 +29,7 @@
 	return path, nil
 }
 
-// tagSuffix is the end of the name of a program that is built with tags.
+// tagSuffix returns the suffix of the file name of a program that is built with tags.
 func tagSuffix(tags []string) string {
 	if len(tags) == 0 {
 		return ""
@@ -37,16 +37,16 @@
 	return "-" + strings.Join(tags, "-")
 }
 
-// BuildAt builds the program of an earlier commit of this repository into a directory and returns its path. skip is why that is not
-// possible where the history is not available, and empty otherwise. commit must be a full hash.
+// BuildAt builds the program of an earlier commit of this repository into a directory and returns its path. If the commit is not
+// available, skip is the reason, and path and err are empty. commit must be a full hash.
 func BuildAt(ctx context.Context, dir, commit string) (path, skip string, err error) {
 	output, err := exec.CommandContext(ctx, "git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
-		return "", "this is no git repository", nil
+		return "", "not in a git repository", nil
 	}
 	repository := strings.TrimSpace(string(output))
 	if exec.CommandContext(ctx, "git", "-C", repository, "cat-file", "-e", commit+"^{commit}").Run() != nil {
-		return "", "commit " + commit + " is not here: a shallow clone", nil
+		return "", "commit " + commit + " is not available: shallow clone", nil
 	}
 	tree := filepath.Join(dir, "tree-"+commit[:shortCommit])
 	if err := unpackCommit(ctx, repository, commit, tree); err != nil {
@@ -78,19 +78,19 @@
 	return errors.Join(archive.Run(), unpack.Wait())
 }
 
-// MisrouteTenth is a change for WriteAlteredProgram: a tenth of all requests is routed to a cluster without endpoints.
+// MisrouteTenth is a change for WriteAlteredProgram that routes a tenth of all requests to a cluster without endpoints.
 const MisrouteTenth = `s/^routes:.*/routes: [{match: {prefix: \/}, clusters: [{name: c, weight: 9}, {name: none, weight: 1}]}]/; s/^clusters:.*/clusters: [{name: none, endpoints: []}]/`
 
-// alteredProgram is a shell script that changes the configuration, its last argument, with sed and then becomes the program.
-// Its verbs are the change, the name, the program, and the name once more.
+// alteredProgram is a shell script that applies a sed script to the configuration, its last argument, and then executes the program.
+// Its formatting verbs are the sed script, the name, the program, and the name again.
 const alteredProgram = `#!/bin/sh
 for last; do :; done
 sed '%s' "$last" > "$last.%s.yaml"
 exec %s serve --with-parent -c "$last.%s.yaml"
 `
 
-// WriteAlteredProgram writes a version of the program that changes its gateway's configuration with a sed script first, and returns
-// its path.
+// WriteAlteredProgram writes a shell script that changes the gateway's configuration with the sed script change and then executes the
+// program. It returns the script's path.
 func WriteAlteredProgram(dir, name, program, change string) (string, error) {
 	path := filepath.Join(dir, name)
 	script := fmt.Sprintf(alteredProgram, change, name, program, name)
--- a/internal/testbed/cluster/campaign.go
+++ b/internal/testbed/cluster/campaign.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	defaultPlayLease = 600 * time.Millisecond
-	// heartbeatsPerLease is the ratio of a fleet's lease to its voters' heartbeat.
+	defaultScheduleLease = 600 * time.Millisecond
+	// heartbeatsPerLease is the ratio of the lease duration to the voters' heartbeat interval.
 	heartbeatsPerLease = 6
 	historyClients     = 3
-	// maxDecisionTime bounds the check of a history.
+	// maxDecisionTime is the maximum time for the check of a history.
 	maxDecisionTime = 20 * time.Second
-	// actsOfRecovery is how many acts must be accepted until a fleet counts as recovered.
-	actsOfRecovery = 3
+	// recoveryPosts is the number of posts that must be accepted for a fleet to count as recovered.
+	recoveryPosts = 3
 )
 
-// PlayOptions configure how schedules are played.
+// PlayOptions configure the runs of schedules.
 type PlayOptions struct {
 	Binary string
 	// Dir is where temporary directories are created.
 	Dir   string
 	Lease time.Duration // 0: 600 ms
-	// PreviousBinary is the program of the first process, of an earlier version; empty: Binary.
+	// PreviousBinary is the program of the first node, from an earlier version; empty: Binary.
 	PreviousBinary string
-	// AcceptAll turns the auditor's fence off.
+	// AcceptAll makes the auditor accept posts with stale fencing tokens.
 	AcceptAll bool
-	// History has clients of the quorum use a lease of their own, and checks that their history is linearizable.
+	// History starts clients of the quorum that use a separate lease, and checks that their history is linearizable.
 	History bool
 }
 
-// scheduleRun is a schedule that is being played.
+// scheduleRun is a run of a schedule.
 type scheduleRun struct {
 	cluster *Cluster
 	auditor *Auditor
@@ -44,10 +44,10 @@
 	random  *rand.Rand
 }
 
-// Play plays a schedule with a fleet of its own, and blocks until all its processes have ended. It ends early when ctx does.
+// Play runs a schedule on a new fleet, and returns when all processes of the fleet have ended. It ends early if ctx ends.
 func Play(ctx context.Context, schedule Schedule, options PlayOptions) ScheduleResult {
 	result := ScheduleResult{Schedule: schedule, Gaps: map[Fault][]time.Duration{}}
-	options.Lease = cmp.Or(options.Lease, defaultPlayLease)
+	options.Lease = cmp.Or(options.Lease, defaultScheduleLease)
 	dir, err := os.MkdirTemp(options.Dir, fmt.Sprintf("seed-%d-", schedule.Seed))
 	if err != nil {
 		result.Err = err
@@ -60,11 +60,11 @@
 		return result
 	}
 	defer run.close()
-	run.play(ctx, &result)
+	run.injectFaults(ctx, &result)
 	return result
 }
 
-// startRun starts an auditor and a fleet that posts to it.
+// startRun starts an auditor and a fleet with a post task that sends to it.
 func startRun(dir string, schedule Schedule, options PlayOptions) (*scheduleRun, error) {
 	auditor, err := NewAuditor("receiver")
 	if err != nil {
@@ -107,9 +107,9 @@
 	r.auditor.Close()
 }
 
-// play injects the schedule's faults and fills in the result.
-func (r *scheduleRun) play(ctx context.Context, result *ScheduleResult) {
-	if err := r.awaitActs(ctx); err != nil {
+// injectFaults injects the schedule's faults one after the other and fills in the result.
+func (r *scheduleRun) injectFaults(ctx context.Context, result *ScheduleResult) {
+	if err := r.awaitPosts(ctx); err != nil {
 		result.Err = fmt.Errorf("at the start: %w", err)
 		return
 	}
@@ -135,7 +135,7 @@
 	result.addHistory(operations)
 }
 
-// startHistory starts clients that use a lease of their own. stop ends them, waits for them, and returns their operations.
+// startHistory starts clients that use a separate lease. stop ends them, waits for them, and returns their operations.
 func (r *scheduleRun) startHistory(ctx context.Context, seed uint64) (stop func() []operation, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -161,7 +161,7 @@
 	return stop, nil
 }
 
-// addHistory checks a history, if there is one.
+// addHistory checks a history for linearizability, unless it is empty.
 func (r *ScheduleResult) addHistory(operations []operation) {
 	r.Operations = len(operations)
 	if len(operations) == 0 {
@@ -173,7 +173,7 @@
 	r.Undecided = !decided
 }
 
-// injectAndRecover injects a fault, repairs what it broke, and waits until the fleet has recovered.
+// injectAndRecover injects a fault, heals the links, restarts and thaws processes, and waits until the fleet has recovered.
 func (r *scheduleRun) injectAndRecover(ctx context.Context, fault Fault) error {
 	err := r.inject(ctx, fault)
 	r.cluster.Heal()
@@ -183,13 +183,13 @@
 	if err := r.repair(); err != nil {
 		return err
 	}
-	if err := r.awaitActs(ctx); err != nil {
+	if err := r.awaitPosts(ctx); err != nil {
 		return err
 	}
 	return r.awaitAllVoters(ctx)
 }
 
-// repair starts the processes that have ended and thaws the others.
+// repair starts the nodes whose processes have ended and thaws the others.
 func (r *scheduleRun) repair() error {
 	for _, n := range r.cluster.Nodes {
 		if p := n.Process(); p != nil && p.Running() {
@@ -203,30 +203,30 @@
 	return nil
 }
 
-// awaitActs waits until some more acts are accepted.
-func (r *scheduleRun) awaitActs(ctx context.Context) error {
+// awaitPosts waits until recoveryPosts further posts are accepted.
+func (r *scheduleRun) awaitPosts(ctx context.Context) error {
 	timeout := time.NewTimer(recoveryTimeout)
 	defer timeout.Stop()
-	for range actsOfRecovery {
+	for range recoveryPosts {
 		_, accepted := r.auditor.Last()
 		select {
 		case <-accepted:
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timeout.C:
-			return fmt.Errorf("no act for %v", recoveryTimeout)
+			return fmt.Errorf("fewer than %d posts accepted within %v", recoveryPosts, recoveryTimeout)
 		}
 	}
 	return nil
 }
 
-// awaitNewerToken waits until an act under a newer token is accepted, at most for limit.
+// awaitNewerToken waits until a post under a newer token is accepted, but no longer than limit.
 func (r *scheduleRun) awaitNewerToken(ctx context.Context, token uint64, limit time.Duration) {
 	timeout := time.NewTimer(limit)
 	defer timeout.Stop()
 	for {
-		act, accepted := r.auditor.Last()
-		if act.Token > token {
+		post, accepted := r.auditor.Last()
+		if post.Token > token {
 			return
 		}
 		select {
@@ -239,8 +239,8 @@
 	}
 }
 
-// awaitAllVoters waits until every voter votes. A voter with an empty directory does so once the leader has added it; until then,
-// the next fault could cost the fleet its majority.
+// awaitAllVoters waits until every voter votes. A voter with an empty directory votes only after the leader has added it, and a fault
+// before that could leave the fleet without a majority.
 func (r *scheduleRun) awaitAllVoters(ctx context.Context) error {
 	voters := r.cluster.voterNodes()
 	return Await(ctx, "all voters", recoveryTimeout, func() bool {
@@ -253,7 +253,7 @@
 	})
 }
 
-// votesAmong reports whether a voter says that it votes, knows this many voters, and knows the leader.
+// votesAmong reports whether a voter's status says that it votes, and knows the leader and the given number of voters.
 func (n *Node) votesAmong(voters int) bool {
 	status, err := n.Fleet()
 	if err != nil || status.Vote == nil {
@@ -266,15 +266,15 @@
 	return vote.State == voterLeads || vote.State == voterFollows
 }
 
-// holder returns the node whose act was accepted last, and its token. Without one it returns the first node.
+// holder returns the node whose post was accepted last, and the post's token. If there is none, it returns the first node.
 func (r *scheduleRun) holder() (*Node, uint64) {
-	act, _ := r.auditor.Last()
+	post, _ := r.auditor.Last()
 	for _, n := range r.cluster.Nodes {
-		if n.Name == act.Member {
-			return n, act.Token
+		if n.Name == post.Member {
+			return n, post.Token
 		}
 	}
-	return r.cluster.Nodes[0], act.Token
+	return r.cluster.Nodes[0], post.Token
 }
 
 // leader returns the leader of the quorum, or a random voter if there is none.
@@ -285,31 +285,31 @@
 	return r.drawVoter()
 }
 
-// longestGap returns the longest time between two accepted acts, of which the second has a higher index than from.
-func longestGap(acts []Act, from int) time.Duration {
+// longestGap returns the longest time between two consecutive accepted posts, of which the later has an index above from.
+func longestGap(posts []Post, from int) time.Duration {
 	longest := time.Duration(0)
 	last := time.Duration(0)
-	for i, act := range acts {
-		if !act.Accepted {
+	for i, post := range posts {
+		if !post.Accepted {
 			continue
 		}
 		if i > from && last > 0 {
-			longest = max(longest, act.ReceivedAt-last)
+			longest = max(longest, post.ReceivedAt-last)
 		}
-		last = act.ReceivedAt
+		last = post.ReceivedAt
 	}
 	return longest
 }
 
-// The fleet and the rhythm of MeasureFlapping.
+// The fleet and the timing of MeasureFlapping.
 const (
 	flappingNodes    = 5
 	flappingLease    = 2 * time.Second
 	flappingHalfTime = 500 * time.Millisecond
 )
 
-// MeasureFlapping isolates the holder for half of each second, that many times. It returns the audit and the longest time without
-// an accepted act.
+// MeasureFlapping isolates the lease holder for half a second of each second, for the given number of seconds. It returns the audit's
+// result and the longest time without an accepted post.
 func MeasureFlapping(ctx context.Context, binary, parentDir string, times int) (AuditResult, time.Duration, error) {
 	dir, err := os.MkdirTemp(parentDir, "flap-")
 	if err != nil {
@@ -321,7 +321,7 @@
 		return AuditResult{}, 0, err
 	}
 	defer run.close()
-	if err := run.awaitActs(ctx); err != nil {
+	if err := run.awaitPosts(ctx); err != nil {
 		return AuditResult{}, 0, err
 	}
 	before := len(run.auditor.Acts())
@@ -332,7 +332,7 @@
 		run.cluster.Heal()
 		_ = sleep(ctx, flappingHalfTime)
 	}
-	err = run.awaitActs(ctx)
-	acts := run.auditor.Acts()
-	return Audit(acts), longestGap(acts, before-1), err
+	err = run.awaitPosts(ctx)
+	posts := run.auditor.Acts()
+	return Audit(posts), longestGap(posts, before-1), err
 }
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs processes of the built program as a fleet, each with a directory and an address of its own and a relay for
-// TCP and UDP to each other one. Seeded schedules inject faults into processes and links, and audits check what the fleet does to
-// the outside.
+// Package cluster runs processes of the robindrum program as a fleet. Each process has its own directory and addresses, and reaches
+// each of the others over its own relay for TCP and UDP. Seeded schedules inject faults into processes and links, and audits check the
+// requests that the fleet sends to external services.
 package cluster
 
 import (
@@ -20,51 +20,52 @@
 
 // Options configure a Cluster.
 type Options struct {
-	// Binary is the path of the program, Dir a directory for the nodes' files.
+	// Binary is the path of the program, Dir the directory in which the nodes' directories are created.
 	Binary string
 	Dir    string
-	// Binaries are other programs than Binary, by node.
+	// Binaries replaces Binary for single nodes, by node number.
 	Binaries map[int]string
-	// Versions has the gateways run under supervisors, with these programs by label. They run Version first.
+	// Versions maps version labels to programs. If it is not empty, the gateways run under supervisors and start with Version.
 	Versions map[string]string
 	Version  string
 
-	// Name of the fleet; empty: "rig".
+	// Name is the fleet's name; empty: "rig".
 	Name string
-	// NoFleet leaves the block `fleet:` out of the configuration.
+	// NoFleet omits the section `fleet` from the configuration.
 	NoFleet bool
-	// Nodes is how many processes there are, the first Voters of which vote; 0 voters: three, or one if there are fewer nodes.
+	// Nodes is the number of processes. The first Voters of them vote; 0: three, or one if there are fewer than three nodes.
 	Nodes  int
 	Voters int
-	// Witness has the last voter be a witness.
+	// Witness makes the last voter a witness.
 	Witness bool
-	// Sites are those of the nodes, in turn.
+	// Sites are assigned to the nodes round-robin; nil: no site is configured.
 	Sites []string
 
 	Lease     time.Duration // 0: 1 s
-	Heartbeat time.Duration // of the voters; 0: 100 ms
+	Heartbeat time.Duration // interval of the voters' heartbeats; 0: 100 ms
 	Probe     time.Duration // interval of the membership probes; 0: 100 ms
-	// MaxLogSize of a voter's log, as in the configuration; empty: 64MiB.
+	// MaxLogSize is the maximum size of a voter's log, as in the configuration; empty: 64MiB.
 	MaxLogSize string
 
-	// Posts are leader-only tasks by name, each of which posts to an external service once per PostInterval (0: 20 ms).
+	// Posts are post tasks by name: leader-only tasks that send a POST request to an external service once per PostInterval (0: 20 ms).
 	Posts        map[string]*ExternalService
 	PostInterval time.Duration
-	// XDS is the control plane; nil: a static cluster.
+	// XDS is the control plane; nil: the configuration has a static cluster.
 	XDS *ExternalService
-	// Variant of xDS; empty: state of the world.
+	// Variant is the variant of xDS; empty: state of the world.
 	Variant string
-	// ExtraFleetConfig and ExtraConfig return more lines of a node's block `fleet:` and of its configuration; nil: none.
+	// ExtraFleetConfig returns more lines for a node's section `fleet`; nil: none. ExtraConfig returns its sections `clusters` and
+	// `routes` and any further ones; nil: one static cluster and a route to it.
 	ExtraFleetConfig func(node int) string
 	ExtraConfig      func(node int) string
 
-	// Seed of the links' random numbers.
+	// Seed is the seed of the links' random numbers.
 	Seed uint64
-	// OnLogLine is called with each line that a node logs, by a goroutine a node; nil: lines are dropped.
+	// OnLogLine is called with each line that a node logs, from one goroutine per node; nil: lines are discarded.
 	OnLogLine func(node int, line string)
 }
 
-// Defaults of Options, and ports of a node.
+// Defaults of Options, ports of a node, and numbers of peers.
 const (
 	defaultName         = "rig"
 	defaultLease        = time.Second
@@ -78,9 +79,9 @@
 	fleetPort = 7600
 	adminPort = 7601
 	webPort   = 7602
-	// relayPort and on are a node's relays, by number of the peer.
-	relayPort = 8000
-	// Numbers of peers that are no nodes.
+	// firstRelayPort plus the number of a peer is the port of a node's relay to that peer.
+	firstRelayPort = 8000
+	// Numbers of the peers that are not nodes: clients of the quorum and external services.
 	firstClientNumber  = 100
 	firstServiceNumber = 200
 
@@ -104,7 +105,7 @@
 	return o
 }
 
-// ExternalService is a server outside of the fleet. Each node reaches it over a relay of its own.
+// ExternalService is a server outside the fleet. Each node reaches it over its own relay, unless it is Direct.
 type ExternalService struct {
 	Name    string
 	Address string
@@ -116,21 +117,21 @@
 	Nodes []*Node
 
 	options  Options
-	host     string // prefix of all addresses, 127.x.y
+	host     string // the first three octets of all addresses: 127.x.y
 	services []*ExternalService
 	relays   []*relay
 	links    map[linkKey]*link
 	client   *http.Client
 }
 
-// clusterCount is how many clusters this process has created, so that each has addresses of its own.
+// clusterCount is the number of clusters that this process has created. It gives each cluster its own addresses.
 var clusterCount atomic.Uint32
 
-// New creates the nodes' directories and the relays between them. No process runs before Start. Close must be called.
+// New creates the nodes' directories and the relays between them. Start starts the processes. Close must be called.
 func New(options Options) (*Cluster, error) {
 	c := &Cluster{
 		options: options.withDefaults(),
-		host:    nextHost(),
+		host:    nextAddressPrefix(),
 		links:   map[linkKey]*link{},
 		client:  &http.Client{Timeout: adminTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
 	}
@@ -156,9 +157,9 @@
 	return c, nil
 }
 
-// nextHost returns a prefix in a part of 127/8 that is this process's own. Addresses there do not collide with the ports of
-// outgoing connections.
-func nextHost() string {
+// nextAddressPrefix returns the address prefix of a new cluster, within a part of 127/8 derived from this process's ID. Listeners on
+// these addresses do not collide with the ports of outgoing connections.
+func nextAddressPrefix() string {
 	n := uint32(os.Getpid())*16 + clusterCount.Add(1)
 	return fmt.Sprintf("127.%d.%d", 16+n>>8&0x7f, n&0xff)
 }
@@ -178,7 +179,7 @@
 	}
 }
 
-// addRelaysOf adds the relays from a node to all other nodes and external services.
+// addRelaysOf adds the relays from a node to all other nodes and to the external services that are not direct.
 func (c *Cluster) addRelaysOf(node *Node) error {
 	for _, other := range c.Nodes {
 		if other == node {
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// addRelay adds the relay from the peer with number to another one, which has the number toNumber.
+// addRelay adds the relay from the peer with the given number to the peer with the number toNumber at address.
 func (c *Cluster) addRelay(number int, from, to, address string, toNumber int) error {
 	r, err := newRelay(c.relayAddress(number, toNumber), address, c.link(from, to), c.link(to, from))
 	if err != nil {
@@ -209,9 +210,9 @@
 	return nil
 }
 
-// relayAddress is where the peer with the number from reaches the one with the number to.
+// relayAddress returns the address at which the peer with the number from reaches the peer with the number to.
 func (c *Cluster) relayAddress(from, to int) string {
-	return fmt.Sprintf("%s.%d:%d", c.host, from+1, relayPort+to)
+	return fmt.Sprintf("%s.%d:%d", c.host, from+1, firstRelayPort+to)
 }
 
 // Voters returns all voters of the fleet.
@@ -236,7 +237,7 @@
 	return errors.Join(errs...)
 }
 
-// Close kills all processes, closes all relays and waits for both.
+// Close kills all processes and closes all relays, and waits until they have ended.
 func (c *Cluster) Close() {
 	var all sync.WaitGroup
 	for _, n := range c.Nodes {
@@ -252,7 +253,7 @@
 	c.client.CloseIdleConnections()
 }
 
-// TaskLeader asks the running nodes and returns one that leads a leader-only task by its own account, or nil.
+// TaskLeader returns the first running node whose status says that it leads the leader-only task, or nil.
 func (c *Cluster) TaskLeader(task string) *Node {
 	for _, n := range c.Nodes {
 		if n.Up() && n.leadsTask(task) {
@@ -262,7 +263,7 @@
 	return nil
 }
 
-// Leader asks the running voters and returns one that leads the quorum by its own account, or nil.
+// Leader returns the first running voter whose status says that it leads the quorum, or nil.
 func (c *Cluster) Leader() *Node {
 	for _, n := range c.voterNodes() {
 		if n.Up() && n.leadsQuorum() {
@@ -272,5 +273,5 @@
 	return nil
 }
 
-// Listen opens a loopback address for an external service.
+// Listen opens a TCP listener on a free loopback port for an external service.
 func Listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
--- a/internal/testbed/cluster/configuration.go
+++ b/internal/testbed/cluster/configuration.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// maxSeeds is how many of the first nodes are seeds of the membership.
+// maxSeeds is the maximum number of nodes, from the first one on, that are the membership's seeds.
 const maxSeeds = 3
 
 // configuration returns the node's configuration as YAML.
@@ -53,7 +53,7 @@
 	}
 }
 
-// writePeers writes the seeds and over which relay each other node is reached.
+// writePeers writes the seeds, and for each other node the address of the relay to it.
 func (n *Node) writePeers(b *strings.Builder) {
 	nodes := n.cluster.Nodes
 	b.WriteString("  seeds: [")
@@ -87,7 +87,7 @@
 	}
 }
 
-// serviceAddress returns where the node reaches an external service.
+// serviceAddress returns the address at which the node reaches an external service.
 func (n *Node) serviceAddress(service *ExternalService) string {
 	if service.Direct {
 		return service.Address
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -10,16 +10,16 @@
 	"robindrum/internal/drain"
 )
 
-// DrainOptions configure how schedules of drains and of releases are played.
+// DrainOptions configure the runs of schedules of drains and of releases.
 type DrainOptions struct {
 	Binary string
 	// Dir is where temporary directories are created.
 	Dir   string
 	Lease time.Duration
-	// IgnoreBudget sets budgets that allow everything, so that each requester respects the budget for its own requests alone. It
-	// shows that the observer finds violations.
+	// IgnoreBudget configures budgets that allow everything, so that each requester applies the budget to its own requests only. It is
+	// for tests that the observer detects violations.
 	IgnoreBudget bool
-	// Steps of a schedule of releases; 0: 16.
+	// Steps is the number of steps of a schedule of releases; 0: 16.
 	Steps int
 }
 
@@ -27,19 +27,19 @@
 type DrainResult struct {
 	Seed      uint64
 	Requested int // drain requests
-	Granted   int // drain requests that took out what they name
-	// Observations is how often the observer counted unavailable gateways, OverBudget at how many of them there were more than
-	// the budget allows, and MaxUnavailable how many there were at most.
+	Granted   int // drain requests that were granted
+	// Observations is the number of times that the observer counted unavailable gateways, OverBudget the number of observations with
+	// more of them than the budget allows, and MaxUnavailable the highest count.
 	Observations   int
 	OverBudget     int
 	MaxUnavailable int
-	// Requests and Failed count the load's requests, LateRequests those that reached a drained endpoint after a second.
+	// Requests and Failed count the load's requests, LateRequests the requests to an endpoint that had been drained for over a second.
 	Requests     int64
 	Failed       int64
 	LateRequests int
 	// FirstViolation describes the first violation; empty: there is none.
 	FirstViolation string
-	// Err is why the fleet did not recover in time, or why the schedule could not be played.
+	// Err is the reason why the fleet did not recover in time, or why the schedule could not be run.
 	Err error
 }
 
@@ -50,7 +50,7 @@
 
 // String describes the result for a report.
 func (r *DrainResult) String() string {
-	s := fmt.Sprintf("seed %d: %d orders, %d granted; most out by order %d of 2, over the budget at %d of %d looks; %d requests, %d failed, %d late to a drained endpoint",
+	s := fmt.Sprintf("seed %d: %d drain requests, %d granted; at most %d gateways unavailable by plan (budget 2), over budget in %d of %d observations; %d requests, %d failed, %d late to a drained endpoint",
 		r.Seed, r.Requested, r.Granted, r.MaxUnavailable, r.OverBudget, r.Observations, r.Requests, r.Failed, r.LateRequests)
 	return s + describeFailure(r.FirstViolation, r.Err)
 }
@@ -69,18 +69,18 @@
 
 // Summary describes the counts of added results for a report.
 func (r *DrainResult) Summary() string {
-	return fmt.Sprintf("orders by hand %d, slots granted %d; most out %d (%d may be), over the budget at %d of %d looks; requests %d, failed %d; late to a drained endpoint %d",
+	return fmt.Sprintf("drain requests %d, granted %d; at most %d gateways unavailable by plan (budget %d), over budget in %d of %d observations; requests %d, failed %d, late to a drained endpoint %d",
 		r.Requested, r.Granted, r.MaxUnavailable, drainBudget, r.OverBudget, r.Observations, r.Requests, r.Failed, r.LateRequests)
 }
 
-// violation describes a violation if it is the first.
+// violation records the description of a violation if it is the first.
 func (r *DrainResult) violation(format string, arguments ...any) {
 	if r.FirstViolation == "" {
 		r.FirstViolation = fmt.Sprintf(format, arguments...)
 	}
 }
 
-// addGranted counts the drain requests of a list that took something out.
+// addGranted counts the drain requests that were granted, as the node n lists them.
 func (r *DrainResult) addGranted(n *Node) {
 	requests, err := n.DrainRequests()
 	if err != nil {
@@ -106,11 +106,11 @@
 	drainGateways = 5
 	drainBudget   = 2 // gateways
 	drainSteps    = 12
-	// unlimitedBudget allows everything to be unavailable.
+	// unlimitedBudget is a budget that allows everything to be unavailable.
 	unlimitedBudget = 99
 	// scheduleLoad is the load of a schedule, in requests per second and gateway.
 	scheduleLoad = 20
-	// endpointDrainTime is after which time a drained endpoint must get no request.
+	// endpointDrainTime is the time after which a drained endpoint must not receive requests.
 	endpointDrainTime    = time.Second
 	endpointDrainTimeout = 5 * time.Second
 	drainGrace           = time.Second
@@ -118,7 +118,7 @@
 	maxDrainPause        = 300 // ms
 )
 
-// noOrigin is the index of no origin.
+// noOrigin is used as an index if there is no origin.
 const noOrigin = -1
 
 // openDrain is a drain request that has not been cancelled.
@@ -128,7 +128,7 @@
 	target    drain.Target
 }
 
-// drainRun is a schedule of drains that is being played.
+// drainRun is a run of a schedule of drains.
 type drainRun struct {
 	site    *Site
 	options DrainOptions
@@ -136,14 +136,15 @@
 	result  *DrainResult
 
 	open          []openDrain
-	ownGateways   map[int]int // gateways that each requester has drained
-	drainedOrigin int         // or noOrigin
+	ownGateways   map[int]int // number of gateways drained by each requester, used with IgnoreBudget
+	drainedOrigin int         // index of the origin that is drained, or noOrigin
 	drainedAt     time.Time
 }
 
-// PlayDrains plays the schedule of a seed with five gateways under load: each drains and undrains gateways and endpoints at random,
-// while processes are killed, frozen and isolated. An observer counts unavailable gateways. It blocks until all processes have ended.
-func PlayDrains(ctx context.Context, seed uint64, options DrainOptions) (result DrainResult) {
+// RunDrainSchedule runs the schedule of a seed with five gateways under load: random gateways request and cancel drains of gateways and
+// endpoints, while processes are killed, frozen and isolated. An observer counts unavailable gateways. RunDrainSchedule returns when all
+// processes have ended.
+func RunDrainSchedule(ctx context.Context, seed uint64, options DrainOptions) (result DrainResult) {
 	result.Seed = seed
 	site, err := NewSite(ctx, SiteOptions{
 		Binary:   options.Binary,
@@ -160,7 +161,7 @@
 	defer site.Close()
 	load := site.StartLoad(scheduleLoad)
 	defer load.Stop()
-	// The observer writes into the result until it is stopped.
+	// The observer writes to the result until it is stopped.
 	stopObserver := site.Watch(&result, drainBudget)
 	defer stopObserver()
 	run := &drainRun{
@@ -171,7 +172,7 @@
 		ownGateways:   map[int]int{},
 		drainedOrigin: noOrigin,
 	}
-	if err := run.play(ctx); err != nil {
+	if err := run.runSteps(ctx); err != nil {
 		result.Err = err
 		return result
 	}
@@ -186,7 +187,7 @@
 	return result
 }
 
-// drainBudgets returns the section `budgets` of the configuration.
+// drainBudgets returns the value of `budgets` in the fleet's configuration.
 func drainBudgets(ignore bool) string {
 	gateways, endpoints := drainBudget, 1
 	if ignore {
@@ -195,8 +196,8 @@
 	return fmt.Sprintf("[{name: g, most: %d}, {name: e, cluster: \"*\", most: %d}]", gateways, endpoints)
 }
 
-// play takes the steps of the schedule. It returns an error if a process does not start again.
-func (r *drainRun) play(ctx context.Context) error {
+// runSteps runs the steps of the schedule. It returns an error if a process cannot be restarted.
+func (r *drainRun) runSteps(ctx context.Context) error {
 	for step := range drainSteps {
 		number := r.random.IntN(drainGateways)
 		if err := r.step(ctx, step, number); err != nil {
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// step draws what happens to or at the gateway with number.
+// step runs a random action on the gateway with the given number: a drain, an undrain or a fault.
 func (r *drainRun) step(ctx context.Context, step, number int) error {
 	n := r.site.Nodes[number]
 	switch draw := r.random.IntN(10); {
@@ -226,7 +227,7 @@
 	return nil
 }
 
-// drain has a gateway request the drain of a random gateway or, if none is drained, endpoint.
+// drain makes a gateway request the drain of a random gateway or, if no endpoint is drained, of a random endpoint.
 func (r *drainRun) drain(ctx context.Context, step, requester int) {
 	n := r.site.Nodes[requester]
 	target := drain.Target{Gateway: r.site.Nodes[r.random.IntN(drainGateways)].Name}
@@ -254,23 +255,23 @@
 	}
 }
 
-// awaitDrained waits until an endpoint is drained, and reports whether it was in time.
+// awaitDrained waits until an endpoint is drained. It reports whether that happened in time.
 func awaitDrained(ctx context.Context, n *Node, id string) bool {
-	err := Await(ctx, "an endpoint to be out", endpointDrainTimeout, func() bool {
+	err := Await(ctx, "an endpoint to be drained", endpointDrainTimeout, func() bool {
 		requests, _ := n.DrainRequests()
 		return requests[id].State == drain.Drained
 	})
 	return err == nil
 }
 
-// undrain has a gateway cancel a random open drain request.
+// undrain makes a gateway cancel a random open drain request.
 func (r *drainRun) undrain(n *Node) {
 	i := r.random.IntN(len(r.open))
 	open := r.open[i]
 	if !n.Up() {
 		return
 	}
-	// Other gateways may know of it before this one has its answer.
+	// Other gateways may apply the cancellation before this gateway has received the response.
 	before := time.Now()
 	if _, err := n.SendDrain("undrain", drain.Request{ID: open.id}); err != nil {
 		return
@@ -284,18 +285,18 @@
 	r.drainedOrigin = noOrigin
 }
 
-// countLateRequests counts the requests to a drained endpoint up to a time.
+// countLateRequests counts the requests to the drained endpoint, if there is one, from endpointDrainTime after its drain up to a time.
 func (r *drainRun) countLateRequests(until time.Time) {
 	if r.drainedOrigin != noOrigin {
 		r.result.LateRequests += r.site.Origins[r.drainedOrigin].RequestsBetween(r.drainedAt.Add(endpointDrainTime), until)
 	}
 }
 
-// cancelAll cancels all open drain requests: any gateway can.
+// cancelAll cancels all open drain requests at the first gateway. Any gateway can cancel them.
 func (r *drainRun) cancelAll(ctx context.Context) error {
 	n := r.site.Nodes[0]
 	for _, open := range r.open {
-		err := Await(ctx, "an order to be cancelled", recoveryTimeout, func() bool {
+		err := Await(ctx, "a drain request to be cancelled", recoveryTimeout, func() bool {
 			_, err := n.SendDrain("undrain", drain.Request{ID: open.id})
 			return err == nil
 		})
@@ -325,7 +326,7 @@
 	c.Heal()
 }
 
-// RunDrainSchedules plays the schedules of seeds, at most parallel at once. It calls report like RunSchedules.
+// RunDrainSchedules runs the schedules of drains of seeds, at most parallel at once. It calls report like RunSchedules.
 func RunDrainSchedules(ctx context.Context, seeds []uint64, parallel int, options DrainOptions, report func(DrainResult)) {
-	runSeeds(ctx, seeds, parallel, func(seed uint64) DrainResult { return PlayDrains(ctx, seed, options) }, report)
+	runSeeds(ctx, seeds, parallel, func(seed uint64) DrainResult { return RunDrainSchedule(ctx, seed, options) }, report)
 }
--- a/internal/testbed/cluster/drains_test.go
+++ b/internal/testbed/cluster/drains_test.go
@@ -14,137 +14,137 @@
 	"robindrum/internal/testbed"
 )
 
-// TestDrainsStayWithinBudget drains gateways and endpoints under load: requested by all gateways at once, with one dead, while a
-// drained one is killed and restarted, with one that was partitioned, and without a quorum.
+// TestDrainsStayWithinBudget drains gateways and endpoints under load: with concurrent drain requests at four gateways, with a dead
+// gateway, while a drained gateway is killed and restarted, with a partitioned gateway, and without a quorum.
 func TestDrainsStayWithinBudget(t *testing.T) {
 	testbed.Leaks(t)
-	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 5, Lease: testLease, Budgets: `[{name: g, most: 2}, {name: e, cluster: "*", most: 1}]`})
+	site, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 5, Lease: testLease, Budgets: `[{name: g, most: 2}, {name: e, cluster: "*", most: 1}]`})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	load := s.StartLoad(20)
+	defer site.Close()
+	load := site.StartLoad(20)
 	defer load.Stop()
 	defer func() {
 		if t.Failed() {
-			for _, n := range s.Nodes {
-				o, err := n.DrainRequests()
-				st, err2 := n.Status()
-				t.Logf("%s: ready %v, orders %+v %v, %v", n.Name, st.Ready, o, err, err2)
-				for _, c := range st.Clusters {
+			for _, n := range site.Nodes {
+				answer, err := n.DrainRequests()
+				status, err2 := n.Status()
+				t.Logf("%s: ready %v, drain requests %+v, error %v, status error %v", n.Name, status.Ready, answer, err, err2)
+				for _, c := range status.Clusters {
 					t.Logf("  %s: %+v %+v", c.Name, c.Endpoints, c.Requests)
 				}
 			}
 		}
 	}()
-	state := func(id string) drain.State {
-		for _, n := range s.Nodes {
+	drainState := func(id string) drain.State {
+		for _, n := range site.Nodes {
 			if n.Up() {
-				if l, err := n.DrainRequests(); err == nil {
-					return l[id].State
+				if list, err := n.DrainRequests(); err == nil {
+					return list[id].State
 				}
 			}
 		}
 		return ""
 	}
-	gets := func(id string, want ...drain.State) {
+	awaitState := func(id string, want ...drain.State) {
 		t.Helper()
-		comes(t, fmt.Sprint(id, " to be ", want), func() bool {
-			got := state(id)
-			for _, w := range want {
-				if got == w {
+		waitFor(t, fmt.Sprint(id, " to be ", want), func() bool {
+			got := drainState(id)
+			for _, allowed := range want {
+				if got == allowed {
 					return true
 				}
 			}
 			return false
 		})
 	}
-	orderDrain := func(id string, at int, t drain.Target) (drain.Request, error) {
-		return s.Nodes[at].SendDrain("drain", drain.Request{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
+	requestDrain := func(id string, requester int, t drain.Target) (drain.Request, error) {
+		return site.Nodes[requester].SendDrain("drain", drain.Request{ID: id, Target: t, Owner: "test", Grace: 5 * time.Second, Notice: 300 * time.Millisecond})
 	}
-	gateway := func(i int) drain.Target { return drain.Target{Gateway: s.Nodes[i].Name} }
-	comes(t, "the gateways to be known", func() bool {
-		o, err := orderDrain("first", 0, gateway(4))
-		return err == nil && o.State != drain.Pending && o.State != drain.Rejected
+	gateway := func(i int) drain.Target { return drain.Target{Gateway: site.Nodes[i].Name} }
+	waitFor(t, "the gateways to be known", func() bool {
+		answer, err := requestDrain("first", 0, gateway(4))
+		return err == nil && answer.State != drain.Pending && answer.State != drain.Rejected
 	})
-	gets("first", drain.Drained)
-	if s.Nodes[4].Ready() {
-		t.Error("ready though it is taken out")
+	awaitState("first", drain.Drained)
+	if site.Nodes[4].Ready() {
+		t.Error("n4 is ready although it is drained")
 	}
 
-	// All at once: one more may be out, whoever asks.
-	var work sync.WaitGroup
+	// Concurrent requests: the budget allows one more gateway to be drained, whichever it is.
+	var requests sync.WaitGroup
 	for i := range 4 {
-		work.Go(func() { _, _ = orderDrain(fmt.Sprint("all", i), i, gateway(i)) })
+		requests.Go(func() { _, _ = requestDrain(fmt.Sprint("all", i), i, gateway(i)) })
 	}
-	work.Wait()
+	requests.Wait()
 	granted := ""
-	comes(t, "one of four", func() bool {
+	waitFor(t, "one of four drain requests to be granted", func() bool {
 		for i := range 4 {
-			if state(fmt.Sprint("all", i)) == drain.Drained {
+			if drainState(fmt.Sprint("all", i)) == drain.Drained {
 				granted = fmt.Sprint("all", i)
 			}
 		}
 		return granted != ""
 	})
-	out := 0
+	unavailable := 0
 	for i := range 4 {
-		if st := state(fmt.Sprint("all", i)); st != drain.Pending {
-			out++
+		if status := drainState(fmt.Sprint("all", i)); status != drain.Pending {
+			unavailable++
 		}
 	}
-	if out != 1 {
-		t.Errorf("%d of four were taken out, one more may be", out)
+	if unavailable != 1 {
+		t.Errorf("%d of four concurrent drain requests were granted, want 1", unavailable)
 	}
-	for i := range 4 { // those that wait go first, so that none of them takes the place
+	for i := range 4 { // cancel the pending requests first, so that none of them is granted in place of the drained one
 		if id := fmt.Sprint("all", i); id != granted {
-			_, _ = s.Nodes[0].SendDrain("undrain", drain.Request{ID: id})
+			_, _ = site.Nodes[0].SendDrain("undrain", drain.Request{ID: id})
 		}
 	}
-	if _, err := s.Nodes[0].SendDrain("undrain", drain.Request{ID: granted}); err != nil {
+	if _, err := site.Nodes[0].SendDrain("undrain", drain.Request{ID: granted}); err != nil {
 		t.Fatal(err)
 	}
-	gets(granted, drain.Ended)
+	awaitState(granted, drain.Ended)
 
-	// What is out is killed and started again: it is out still, and its order with it.
-	if err := s.Nodes[4].Restart(false); err != nil {
+	// A drained gateway stays drained, and its drain request too, when it is killed and restarted.
+	if err := site.Nodes[4].Restart(false); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "it runs", func() bool {
-		st, err := s.Nodes[4].Status()
-		return err == nil && len(st.Clusters) == 1 && st.Clusters[0].Usable > 0
+	waitFor(t, "n4 to have usable endpoints", func() bool {
+		status, err := site.Nodes[4].Status()
+		return err == nil && len(status.Clusters) == 1 && status.Clusters[0].Usable > 0
 	})
 	for end := time.Now().Add(time.Second); time.Now().Before(end); _ = sleep(t.Context(), 20*time.Millisecond) {
-		if s.Nodes[4].Ready() {
-			t.Fatal("ready, though it is taken out")
+		if site.Nodes[4].Ready() {
+			t.Fatal("n4 is ready after a restart although it is drained")
 		}
 	}
-	gets("first", drain.Drained)
+	awaitState("first", drain.Drained)
 
-	// One dies: two are out, so nothing more is; and what was asked for is granted when it is back.
-	s.Nodes[3].Kill()
-	comes(t, "the loss to be counted", func() bool {
-		var l quorum.DrainList
-		return s.Nodes[0].Get("/fleet/orders", &l) == nil && len(l.Budgets) > 0 && len(l.Budgets[0].Unavailable) == 2
+	// With a dead gateway two are unavailable, so a further drain request stays pending. It is granted when the gateway is back.
+	site.Nodes[3].Kill()
+	waitFor(t, "the dead gateway to be counted as unavailable", func() bool {
+		var list quorum.DrainList
+		return site.Nodes[0].Get("/fleet/orders", &list) == nil && len(list.Budgets) > 0 && len(list.Budgets[0].Unavailable) == 2
 	})
-	if o, err := orderDrain("more", 0, gateway(0)); err != nil || o.State != drain.Pending {
-		t.Errorf("with two out: %+v, %v", o, err)
+	if answer, err := requestDrain("more", 0, gateway(0)); err != nil || answer.State != drain.Pending {
+		t.Errorf("drain request with two gateways unavailable: got %+v, error %v, want it pending", answer, err)
 	}
-	if o, _ := s.Nodes[0].DrainRequests(); !strings.Contains(o["more"].StateReason, "2 of 5 are out") && !strings.Contains(o["more"].StateReason, "budget g") {
-		t.Errorf("%+v", o["more"])
+	if answer, _ := site.Nodes[0].DrainRequests(); !strings.Contains(answer["more"].StateReason, "2 of 5 are out") && !strings.Contains(answer["more"].StateReason, "budget g") {
+		t.Errorf("pending drain request: got %+v, want a reason that names the budget or the unavailable gateways", answer["more"])
 	}
-	if err := s.Nodes[3].Start(); err != nil {
+	if err := site.Nodes[3].Start(); err != nil {
 		t.Fatal(err)
 	}
-	gets("more", drain.Drained)
+	awaitState("more", drain.Drained)
 	for _, id := range []string{"more", "first"} {
-		if _, err := s.Nodes[1].SendDrain("undrain", drain.Request{ID: id}); err != nil {
+		if _, err := site.Nodes[1].SendDrain("undrain", drain.Request{ID: id}); err != nil {
 			t.Fatal(err)
 		}
-		gets(id, drain.Ended)
+		awaitState(id, drain.Ended)
 	}
-	comes(t, "all to be ready", func() bool {
-		for _, n := range s.Nodes {
+	waitFor(t, "all gateways to be ready", func() bool {
+		for _, n := range site.Nodes {
 			if !n.Ready() {
 				return false
 			}
@@ -152,78 +152,78 @@
 		return true
 	})
 
-	// An endpoint: nothing new within a second, also from a gateway that was cut off and comes back.
-	s.Isolate(s.Nodes[4], LinkState{Partitioned: true})
-	e := drain.Target{Cluster: "c", Endpoint: s.Origins[0].Addr}
-	o, err := orderDrain("e", 0, e)
-	if err != nil || o.State == drain.Rejected {
-		t.Fatalf("%+v, %v", o, err)
-	}
-	gets("e", drain.Draining, drain.Drained)
-	s.Heal()
+	// A drained endpoint gets no new requests after a second, including from a gateway whose partition has healed.
+	site.Isolate(site.Nodes[4], LinkState{Partitioned: true})
+	endpoint := drain.Target{Cluster: "c", Endpoint: site.Origins[0].Addr}
+	answer, err := requestDrain("e", 0, endpoint)
+	if err != nil || answer.State == drain.Rejected {
+		t.Fatalf("drain request for an endpoint: got %+v, error %v, want it accepted", answer, err)
+	}
+	awaitState("e", drain.Draining, drain.Drained)
+	site.Heal()
 	healed := time.Now()
-	gets("e", drain.Drained)
-	if n := s.Origins[0].RequestsAfter(healed.Add(time.Second)); n != 0 {
-		t.Errorf("%d requests to an endpoint that is out", n)
+	awaitState("e", drain.Drained)
+	if n := site.Origins[0].RequestsAfter(healed.Add(time.Second)); n != 0 {
+		t.Errorf("requests to a drained endpoint: got %d, want 0", n)
 	}
-	if o, err := orderDrain("f", 1, drain.Target{Cluster: "c", Endpoint: s.Origins[1].Addr}); err != nil || o.State != drain.Pending {
-		t.Errorf("a second one: %+v, %v", o, err)
+	if answer, err := requestDrain("f", 1, drain.Target{Cluster: "c", Endpoint: site.Origins[1].Addr}); err != nil || answer.State != drain.Pending {
+		t.Errorf("second drain request for an endpoint: got %+v, error %v, want it pending", answer, err)
 	}
-	if _, err := s.Nodes[2].SendDrain("undrain", drain.Request{ID: "e"}); err != nil {
+	if _, err := site.Nodes[2].SendDrain("undrain", drain.Request{ID: "e"}); err != nil {
 		t.Fatal(err)
 	}
-	before := s.Origins[0].Requests()
-	comes(t, "it serves", func() bool { return s.Origins[0].Requests() > before+10 })
-	gets("e", drain.Cancelled, drain.Ended) // while it is cold its slot is held
+	before := site.Origins[0].Requests()
+	waitFor(t, "the undrained endpoint to serve", func() bool { return site.Origins[0].Requests() > before+10 })
+	awaitState("e", drain.Cancelled, drain.Ended) // during the slow start it still counts against the budget
 
-	// Without a quorum nothing new is taken out, what is out stays, and all is served.
-	for _, n := range s.Nodes[:2] {
+	// Without a quorum no drain request is granted, and all client requests are served.
+	for _, n := range site.Nodes[:2] {
 		n.Kill()
 	}
-	if o, err := orderDrain("none", 2, gateway(4)); err == nil {
-		t.Errorf("granted without a quorum: %+v", o)
+	if answer, err := requestDrain("none", 2, gateway(4)); err == nil {
+		t.Errorf("drain request without a quorum: got %+v, want an error", answer)
 	}
-	if why := load.Stop(); why != "" || load.Requests.Load() < 200 {
-		t.Errorf("%d of %d failed, first %s", load.Failed.Load(), load.Requests.Load(), why)
+	if failure := load.Stop(); failure != "" || load.Requests.Load() < 200 {
+		t.Errorf("%d of %d requests failed, first: %s; want 0 of at least 200", load.Failed.Load(), load.Requests.Load(), failure)
 	}
 }
 
-// TestReleaseOfAConfiguration releases configurations to six gateways of two sites under load. A good one reaches all; one that
-// fails requests is rolled back at its canaries although the leader is killed; one that is invalid is rejected there. Only the bad
-// one fails requests.
+// TestReleaseOfAConfiguration releases configurations to six gateways of two sites under load. A good configuration reaches all of
+// them. One that fails requests is rolled back at its canaries although the leader is killed. An invalid one is rejected by its
+// canaries. Only the configuration that fails requests causes failures.
 func TestReleaseOfAConfiguration(t *testing.T) {
 	testbed.Leaks(t)
-	s, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 6, Sites: []string{"s", "t"}, Lease: testLease})
+	site, err := NewSite(t.Context(), SiteOptions{Binary: binary(t), Dir: t.TempDir(), Gateways: 6, Sites: []string{"s", "t"}, Lease: testLease})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	load := s.StartLoad(50)
+	defer site.Close()
+	load := site.StartLoad(50)
 	defer load.Stop()
-	state := func() (l quorum.ReleaseList) {
-		for _, n := range s.Nodes {
-			if n.Up() && n.Get("/fleet/releases", &l) == nil && l.Fresh {
-				return l
+	releases := func() (list quorum.ReleaseList) {
+		for _, n := range site.Nodes {
+			if n.Up() && n.Get("/fleet/releases", &list) == nil && list.Fresh {
+				return list
 			}
 		}
-		return l
+		return list
 	}
-	comes(t, "the gateways to be known", func() bool { return len(state().Gateways) == 6 })
-	start := func(id, text string, back bool) {
+	waitFor(t, "the gateways to be known", func() bool { return len(releases().Gateways) == 6 })
+	startRelease := func(id, text string, rollBack bool) {
 		t.Helper()
 		digest := fleet.ConfigDigest([]byte(text))
-		for _, c := range []quorum.Command{{Op: quorum.OpStoreConfig, Digest: digest, Text: text}, {Op: quorum.OpStartRelease, Plan: &release.Plan{ID: id, Target: digest, Soak: time.Second, RollBackOnFailure: back,
+		for _, command := range []quorum.Command{{Op: quorum.OpStoreConfig, Digest: digest, Text: text}, {Op: quorum.OpStartRelease, Plan: &release.Plan{ID: id, Target: digest, Soak: time.Second, RollBackOnFailure: rollBack,
 			Gate: release.Gate{MinRequests: 50, MaxMeanRatio: 20, MaxMemoryRatio: 10}}}} {
-			comes(t, "the command to be taken", func() bool { return s.Nodes[5].SendRelease(c) == nil })
+			waitFor(t, "the command to be accepted", func() bool { return site.Nodes[5].SendRelease(command) == nil })
 		}
 	}
-	ended := func(id string) release.Release {
+	awaitEnd := func(id string) release.Release {
 		t.Helper()
 		var r release.Release
-		comes(t, id+" to end", func() bool {
-			for _, x := range state().Ended {
-				if x.ID == id {
-					r = x
+		waitFor(t, id+" to end", func() bool {
+			for _, candidate := range releases().Ended {
+				if candidate.ID == id {
+					r = candidate
 					return true
 				}
 			}
@@ -231,66 +231,66 @@
 		})
 		return r
 	}
-	has := func(digest string) (n int) {
-		for _, g := range state().Gateways {
-			if g.Config == digest {
+	gatewaysWith := func(digest string) (n int) {
+		for _, gateway := range releases().Gateways {
+			if gateway.Config == digest {
 				n++
 			}
 		}
 		return n
 	}
 	good := "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
-	start("good", good, true)
-	if r := ended("good"); r.State != release.Done {
-		t.Fatalf("%v", &r)
+	startRelease("good", good, true)
+	if r := awaitEnd("good"); r.State != release.Done {
+		t.Fatalf("release of a good configuration: got %v, want it done", &r)
 	}
-	comes(t, "all to have it", func() bool { return has(fleet.ConfigDigest([]byte(good))) == 6 })
+	waitFor(t, "all gateways to have the good configuration", func() bool { return gatewaysWith(fleet.ConfigDigest([]byte(good))) == 6 })
 	if n := load.Failed.Load(); n > 0 {
-		t.Errorf("%d of %d requests failed for a good one", n, load.Requests.Load())
+		t.Errorf("%d of %d requests failed during the release of a good configuration, want 0", n, load.Requests.Load())
 	}
 
-	// It sends half of all requests nowhere.
+	// This configuration routes half of all requests to a cluster without endpoints.
 	bad := "routes: [{match: {prefix: /}, clusters: [{name: c, weight: 1}, {name: none, weight: 1}]}]\nclusters: [{name: none, endpoints: []}]\n"
-	start("bad", bad, true)
-	most := 0
+	startRelease("bad", bad, true)
+	maxGateways := 0
 	var killed *Node
 	var r release.Release
-	comes(t, "the bad one to end", func() bool {
-		l := state()
-		if n := has(fleet.ConfigDigest([]byte(bad))); n > 0 {
-			if most = max(most, n); killed == nil {
-				if killed = s.Leader(); killed != nil { // what is agreed goes on with the next one
+	waitFor(t, "the release of the bad configuration to end", func() bool {
+		list := releases()
+		if n := gatewaysWith(fleet.ConfigDigest([]byte(bad))); n > 0 {
+			if maxGateways = max(maxGateways, n); killed == nil {
+				if killed = site.Leader(); killed != nil { // the next leader continues the release
 					killed.Kill()
 				}
 			}
 		}
-		// It may be one of the canaries: a wave waits for those that have not got it yet.
-		if killed != nil && !killed.Up() && s.Leader() != nil {
+		// The killed leader may be a canary. The wave waits until it has the configuration, so it is started again.
+		if killed != nil && !killed.Up() && site.Leader() != nil {
 			if err := killed.Start(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		for _, x := range l.Ended {
-			if x.ID == "bad" {
-				r = x
+		for _, candidate := range list.Ended {
+			if candidate.ID == "bad" {
+				r = candidate
 				return true
 			}
 		}
 		return false
 	})
-	if r.State != release.RolledBack || r.StateReason == "" || most > 2 || r.Wave != 0 {
-		t.Errorf("%v; %d gateways had it", &r, most)
+	if r.State != release.RolledBack || r.StateReason == "" || maxGateways > 2 || r.Wave != 0 {
+		t.Errorf("release of a bad configuration: got %v, with %d gateways having it; want it rolled back in wave 0 with a reason, at most 2 gateways", &r, maxGateways)
 	}
 	if killed != nil && !killed.Up() {
 		if err := killed.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	comes(t, "all to have what they had", func() bool { return has(fleet.ConfigDigest([]byte(good))) == 6 })
+	waitFor(t, "all gateways to have the good configuration again", func() bool { return gatewaysWith(fleet.ConfigDigest([]byte(good))) == 6 })
 
-	start("unreadable", "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n", true)
-	if r := ended("unreadable"); r.State != release.RolledBack || !strings.Contains(r.StateReason, "listeners is each process's own") {
-		t.Errorf("%v", &r)
+	startRelease("unreadable", "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n", true)
+	if r := awaitEnd("unreadable"); r.State != release.RolledBack || !strings.Contains(r.StateReason, "listeners is each process's own") {
+		t.Errorf("release of an invalid configuration: got %v, want it rolled back because of its listeners", &r)
 	}
-	comes(t, "all to have what they had", func() bool { return has(fleet.ConfigDigest([]byte(good))) == 6 })
+	waitFor(t, "all gateways to have the good configuration again", func() bool { return gatewaysWith(fleet.ConfigDigest([]byte(good))) == 6 })
 }
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// inject injects a fault and blocks until it has had its effect. The caller heals links, thaws and restarts processes.
+// inject injects a fault and blocks until it has taken effect. The caller heals links, and thaws and restarts processes.
 func (r *scheduleRun) inject(ctx context.Context, fault Fault) error {
 	injector, ok := map[Fault]func(context.Context) error{
 		KillHolder:               r.killHolder,
@@ -18,7 +18,7 @@
 		PartitionHolderInbound:   r.partitionHolderInbound,
 		PartitionHolderFromVoter: r.partitionHolderFromVoter,
 		DelayHolder:              r.delayHolder,
-		DelayAct:                 r.delayAct,
+		DelayAct:                 r.delayPost,
 		KillLeader:               r.killLeader,
 		FreezeLeader:             r.freezeLeader,
 		PartitionLeader:          r.partitionLeader,
@@ -30,7 +30,7 @@
 		FlapMember:               r.flapMember,
 	}[fault]
 	if !ok {
-		return fmt.Errorf("no such fault: %q", fault)
+		return fmt.Errorf("unknown fault %q", fault)
 	}
 	if err := injector(ctx); err != nil {
 		return err
@@ -38,13 +38,13 @@
 	return ctx.Err()
 }
 
-// partitioned is a link that delivers nothing.
+// partitioned is the state of a link that delivers nothing.
 var partitioned = LinkState{Partitioned: true}
 
-// flaps is how often FlapMember partitions a member.
-const flaps = 4
+// flapCount is the number of times that FlapMember partitions a member.
+const flapCount = 4
 
-// handoverTimeout is how long a fault of the holder lasts at most if no other member takes over.
+// handoverTimeout returns the maximum duration of a fault of the holder if no other member takes over the lease.
 func (r *scheduleRun) handoverTimeout() time.Duration { return 4 * r.options.Lease }
 
 func (r *scheduleRun) killHolder(ctx context.Context) error {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// freezeHolderLong freezes the holder in the middle of an act: right after one was received.
+// freezeHolderLong freezes the holder in the middle of a post: directly after the auditor has received it.
 func (r *scheduleRun) freezeHolderLong(ctx context.Context) error {
 	holder, token := r.holder()
 	_, accepted := r.auditor.Last()
@@ -73,7 +73,7 @@
 	holder.Freeze()
 	r.awaitNewerToken(ctx, token, r.handoverTimeout())
 	holder.Thaw()
-	_ = sleep(ctx, r.options.Lease/4) // for the act to go on
+	_ = sleep(ctx, r.options.Lease/4) // for the interrupted post to continue
 	return nil
 }
 
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// delayHolder has a round trip of the holder take 0.8 to 0.9 of its lease.
+// delayHolder makes a round trip of the holder take 0.8 to 0.9 of its lease.
 func (r *scheduleRun) delayHolder(ctx context.Context) error {
 	holder, _ := r.holder()
 	lease := r.options.Lease
@@ -119,11 +119,11 @@
 	return nil
 }
 
-// delayAct delivers acts that the holder has sent only when another member is the holder.
-func (r *scheduleRun) delayAct(ctx context.Context) error {
+// delayPost holds back posts that the holder has sent until another member holds the lease.
+func (r *scheduleRun) delayPost(ctx context.Context) error {
 	holder, token := r.holder()
 	r.cluster.Set(holder.Name, r.auditor.Name, partitioned)
-	_ = sleep(ctx, r.options.Lease/10) // for acts to be sent
+	_ = sleep(ctx, r.options.Lease/10) // for posts to be sent
 	r.cluster.Isolate(holder, partitioned)
 	r.awaitNewerToken(ctx, token, r.handoverTimeout())
 	r.cluster.Set(holder.Name, r.auditor.Name, LinkState{})
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// splitFleet partitions nodes of even from those of odd numbers.
+// splitFleet partitions the nodes with even numbers from those with odd numbers.
 func (r *scheduleRun) splitFleet(ctx context.Context) error {
 	for _, a := range r.cluster.Nodes {
 		for _, b := range r.cluster.Nodes {
@@ -195,7 +195,7 @@
 
 func (r *scheduleRun) flapMember(ctx context.Context) error {
 	member := r.cluster.Nodes[r.random.IntN(len(r.cluster.Nodes))]
-	for range flaps {
+	for range flapCount {
 		r.cluster.Isolate(member, partitioned)
 		_ = sleep(ctx, r.options.Lease/2)
 		r.cluster.Isolate(member, LinkState{})
--- a/internal/testbed/cluster/history.go
+++ b/internal/testbed/cluster/history.go
@@ -15,41 +15,41 @@
 	"robindrum/internal/quorum"
 )
 
-// outcome is how an operation of a history ended for its client.
+// outcome is the result of an operation as its client saw it.
 type outcome string
 
 const (
-	granted       outcome = "granted"
-	waiting       outcome = "waiting"
-	lost          outcome = "lost"    // rejected for another reason than that others wait or hold the lease
-	done          outcome = "done"    // released
-	unknown       outcome = "unknown" // it may or may not have been applied
-	notApplicable outcome = "none"    // no leader was found: it was not applied
+	granted    outcome = "granted"
+	waiting    outcome = "waiting" // another member waits for or holds the lease
+	lost       outcome = "lost"    // rejected, but not because another member waits for or holds the lease
+	done       outcome = "done"    // released
+	unknown    outcome = "unknown" // the quorum may or may not have applied the operation
+	notApplied outcome = "none"    // no leader was found, so that the operation was not applied
 )
 
-// operation is a command that a client sent to a voter once.
+// operation is a command that a client sent once, with its outcome.
 type operation struct {
 	op         quorum.Op
 	member     string
-	token      uint64        // renew and release: of the command; acquire: granted
-	length     time.Duration // of the lease
-	calledAt   time.Duration // by fleet.Clock
-	returnedAt time.Duration
+	token      uint64        // for renew and release the command's token, for acquire the granted one
+	length     time.Duration // duration of the lease
+	calledAt   time.Duration // reading of fleet.Clock
+	returnedAt time.Duration // reading of fleet.Clock
 	result     outcome
 }
 
 const (
 	historyLease       = "history"
 	historyIncarnation = 1
-	// maxHistory bounds a client's operations, as the check of a history takes more than linear time.
-	maxHistory      = 150
-	maxRedirects    = 3
-	commandTimeout  = 300 * time.Millisecond
-	minHistoryPause = 20 // ms
-	historyPauses   = 60 // ms, over which a pause varies
+	// maxHistory limits the operations of a client, because the check of a history takes more than linear time.
+	maxHistory        = 150
+	maxRedirects      = 3
+	commandTimeout    = 300 * time.Millisecond
+	minHistoryPause   = 20 // ms
+	historyPauseRange = 60 // ms, range of the random part of a pause
 )
 
-// historyClient uses a lease over relays of its own and records its operations.
+// historyClient acquires, renews and releases a lease over its own relays, and records its operations.
 type historyClient struct {
 	name   string
 	node   *peer.Node
@@ -61,7 +61,7 @@
 	operations []operation
 }
 
-// newClient starts a client with a number from 0 to 9. run closes it.
+// newClient starts a client of the quorum with a number from 0 to 9. Its method run closes it.
 func (c *Cluster) newClient(number int, seed uint64) (*historyClient, error) {
 	name := fmt.Sprintf("k%d", number)
 	relays := map[string]string{}
@@ -85,7 +85,7 @@
 	}, nil
 }
 
-// execute sends a command to a random voter, and follows redirects to the leader.
+// execute sends a command to a random voter and follows redirects to the leader. It returns the operation with its outcome.
 func (h *historyClient) execute(ctx context.Context, op quorum.Op, token uint64) operation {
 	address := h.voters[h.random.IntN(len(h.voters))].Address
 	command := quorum.Command{Op: op, Lease: historyLease, Rules: h.rules, Token: token,
@@ -104,10 +104,10 @@
 		}
 		address = reply.Leader
 	}
-	return operation{result: notApplicable}
+	return operation{result: notApplied}
 }
 
-// complete sets the result of an operation that the quorum has applied.
+// complete sets the outcome of an operation from the quorum's reply.
 func (o *operation) complete(err error, grantedToken uint64) {
 	switch {
 	case err == nil && o.op == quorum.OpRelease:
@@ -122,25 +122,25 @@
 	}
 }
 
-// record adds an operation to the history, unless it was not applied.
+// record adds an operation to the history, unless no leader was found for it.
 func (h *historyClient) record(o operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if o.result != notApplicable {
+	if o.result != notApplied {
 		h.operations = append(h.operations, o)
 	}
 }
 
-func (h *historyClient) full() bool {
+func (h *historyClient) historyFull() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.operations) >= maxHistory
 }
 
-// run acquires, renews, releases and abandons the lease at random until ctx ends or the history is full, and closes the client.
+// run acquires, renews, releases and abandons the lease at random until ctx ends or the history is full, and then closes the client.
 func (h *historyClient) run(ctx context.Context) {
 	defer h.node.Close()
-	for ctx.Err() == nil && !h.full() {
+	for ctx.Err() == nil && !h.historyFull() {
 		acquired := h.execute(ctx, quorum.OpAcquire, 0)
 		h.record(acquired)
 		h.pause(ctx)
@@ -150,7 +150,7 @@
 	}
 }
 
-// hold renews a lease some times, and then releases it, or lets it expire.
+// hold renews a lease up to three times, and then releases it or lets it expire.
 func (h *historyClient) hold(ctx context.Context, token uint64) {
 	for range h.random.IntN(4) {
 		h.record(h.execute(ctx, quorum.OpRenew, token))
@@ -163,5 +163,5 @@
 }
 
 func (h *historyClient) pause(ctx context.Context) {
-	_ = sleep(ctx, time.Duration(minHistoryPause+h.random.IntN(historyPauses))*time.Millisecond)
+	_ = sleep(ctx, time.Duration(minHistoryPause+h.random.IntN(historyPauseRange))*time.Millisecond)
 }
--- a/internal/testbed/cluster/linearizability.go
+++ b/internal/testbed/cluster/linearizability.go
@@ -8,19 +8,20 @@
 	"robindrum/internal/quorum"
 )
 
-// leaseState is the state of leaseModel.
+// leaseState is the state of one lease in leaseModel.
 type leaseState struct {
-	holder string // empty: none
+	holder string // empty: the lease is free
 	token  uint64
-	// grantedAfter is when the last grant or renewal was called: the lease's time counts from then or later.
+	// grantedAfter is the time at which the last grant or renewal was called. The lease's term starts then or later.
 	grantedAfter time.Duration
 	highestToken uint64
 }
 
-// leaseModel is the specification of one lease. It knows of time only when operations were called and returned: a lease lasts at
-// least for its length from the call on, so nobody else may have it unless the answer came later than that.
+// leaseModel is the specification of one lease. The only times it knows are those at which operations were called and returned. A
+// lease lasts at least for its length after the call, so another member can be granted it only if its operation returned later.
 //
-// Operations of an unknown outcome are left out unless they may have released the lease: they could only have kept others from it.
+// Operations with an unknown outcome are left out, because they could only have kept others from the lease. Releases with an unknown
+// outcome are included.
 var leaseModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, _ any) []any {
@@ -33,7 +34,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// apply returns the states that are possible after an operation; none: it could not have had its result.
+// apply returns the possible states after an operation. It returns none if the operation could not have had its result in this state.
 func (s leaseState) apply(o operation) []leaseState {
 	switch {
 	case o.op == quorum.OpAcquire && o.result == granted:
@@ -79,13 +80,13 @@
 }
 
 const (
-	// endOfHistory is how long after all others an operation of an unknown outcome may have been applied.
+	// endOfHistory is the time after the last other operation until which one with an unknown outcome may be applied.
 	endOfHistory = time.Hour
-	// firstUnknownClient is the first number for operations of an unknown outcome in a history.
+	// firstUnknownClient is the lowest client number given to an operation with an unknown outcome.
 	firstUnknownClient = 10
 )
 
-// linearizable checks a history for at most timeout. A history that it cannot decide in time counts as linearizable.
+// linearizable checks a history for at most timeout. If the check does not finish in time, ok is true and decided is false.
 func linearizable(operations []operation, timeout time.Duration) (ok, decided bool) {
 	result := porcupine.CheckOperationsTimeout(leaseModel.ToModel(), porcupineOperations(operations), timeout)
 	return result != porcupine.Illegal, result != porcupine.Unknown
@@ -103,7 +104,7 @@
 		}
 		call := porcupine.Operation{ClientId: int(o.member[1] - '0'), Input: o, Call: int64(o.calledAt), Return: int64(o.returnedAt)}
 		if o.result == unknown {
-			// It overlaps with later operations of its client, which porcupine allows between different clients alone.
+			// The operation overlaps with later ones of its client. porcupine allows overlaps only between different clients.
 			call.ClientId = firstUnknownClient + len(history)
 			call.Return = int64(last + endOfHistory)
 		}
--- a/internal/testbed/cluster/load.go
+++ b/internal/testbed/cluster/load.go
@@ -12,20 +12,20 @@
 
 const (
 	loadTimeout     = 10 * time.Second
-	loadConnections = 4 // idle ones per gateway
-	// maxLoadConnections bounds the idle connections to all gateways.
+	loadConnections = 4 // idle connections per gateway
+	// maxLoadConnections limits the idle connections to all gateways together.
 	maxLoadConnections = 1024
 	// readinessInterval is the time between two readiness checks of a gateway.
 	readinessInterval = 50 * time.Millisecond
 )
 
-// Load sends requests to all gateways of a site at a constant rate. Like a load balancer before them, it leaves out those that are
+// Load sends requests to all gateways of a site at a constant rate. Like a load balancer in front of them, it skips gateways that are
 // not ready.
 type Load struct {
-	// Requests counts all requests, Failed those that failed though the gateway ran all the time.
+	// Requests counts all requests, Failed the requests that failed although the gateway was up throughout.
 	Requests atomic.Int64
 	Failed   atomic.Int64
-	// OnResponse is called after each request, by many goroutines; nil: nothing is.
+	// OnResponse, which may be nil, is called after each request, from many goroutines.
 	OnResponse func(took time.Duration, ok bool)
 
 	client     *http.Client
@@ -36,10 +36,10 @@
 	firstFailure string
 }
 
-// StartLoad sends each gateway rate requests per second until Stop.
+// StartLoad sends each gateway rate requests per second until Stop is called.
 func (s *Site) StartLoad(rate int) *Load { return s.StartObservedLoad(rate, nil) }
 
-// StartObservedLoad is StartLoad with a function that is called after each request, by many goroutines.
+// StartObservedLoad is like StartLoad, and calls onResponse after each request, from many goroutines.
 func (s *Site) StartObservedLoad(rate int, onResponse func(took time.Duration, ok bool)) *Load {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{MaxIdleConnsPerHost: loadConnections, MaxIdleConns: maxLoadConnections}
@@ -80,7 +80,7 @@
 // loadTarget is a gateway and whether it was ready when it was last checked.
 type loadTarget struct {
 	node       *Node
-	readyEpoch atomic.Int64 // in which it was ready; 0: it was not
+	readyEpoch atomic.Int64 // the node's epoch if it was ready at the last check; 0: it was not ready
 }
 
 func (t *loadTarget) checkReadiness() {
@@ -91,13 +91,13 @@
 	t.readyEpoch.Store(int64(epoch))
 }
 
-// ready reports whether the gateway is up and was ready since it was last started, frozen or thawed: a client cannot distinguish
-// a frozen gateway from a slow one.
+// ready reports whether the gateway is up and has passed a readiness check since it was last started, frozen or thawed. An older check
+// does not count, because a client cannot distinguish a frozen gateway from a slow one.
 func (t *loadTarget) ready() bool {
 	return t.node.Up() && t.readyEpoch.Load() == int64(t.node.Epoch())
 }
 
-// request sends one request to a gateway.
+// request sends one request to a gateway and counts it. A failure is not counted if the gateway was stopped or restarted meanwhile.
 func (l *Load) request(n *Node) {
 	l.Requests.Add(1)
 	starts := n.Starts()
@@ -111,7 +111,7 @@
 	}
 }
 
-// get sends a request and returns why it failed; empty: it did not.
+// get sends a request and describes its failure. It returns an empty string if the request succeeded.
 func (l *Load) get(n *Node) (failure string) {
 	epoch := n.Epoch()
 	response, err := l.client.Get("http://" + n.Web + "/")
@@ -126,7 +126,7 @@
 	if response.StatusCode == http.StatusOK {
 		return ""
 	}
-	// A freeze may outlast the notice of a drain: the gateway then rejects, after it was thawed, what was sent before it.
+	// A freeze may last longer than the notice of a drain. After it is thawed, the gateway then rejects requests sent before the freeze.
 	if response.StatusCode == http.StatusServiceUnavailable && n.Epoch() != epoch {
 		return ""
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-// Stop ends the load, waits for its last requests and returns the first failure; empty: there is none. It may be called more than
-// once.
+// Stop ends the load, waits for the last requests and describes the first failure. It returns an empty string if no request failed.
+// It may be called more than once.
 func (l *Load) Stop() string {
 	l.cancel()
 	l.goroutines.Wait()
--- a/internal/testbed/cluster/network.go
+++ b/internal/testbed/cluster/network.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// LinkState is how one direction between two processes behaves. The zero value delivers everything at once.
+// LinkState is the behavior of one direction between two processes. The zero value delivers everything without delay.
 type LinkState struct {
-	// Partitioned blocks streams until the link is healed, as TCP retransmits, and loses packets.
+	// Partitioned blocks streams until the link is healed, because TCP retransmits, and drops packets.
 	Partitioned bool
-	// Delay is added to each packet and each piece of a stream.
+	// Delay is added to each packet and each chunk of a stream.
 	Delay time.Duration
-	// Jitter is the upper bound of a random delay on top of Delay, so that packets overtake each other.
+	// Jitter is the upper bound of a random delay in addition to Delay, so that packets are reordered.
 	Jitter time.Duration
-	// Loss is the fraction of packets that is lost, and the fraction of pieces of a stream that is retransmitted.
+	// Loss is the fraction of packets that are lost, and the fraction of stream chunks that are delayed by a retransmission.
 	Loss float64
-	// Duplication is the fraction of packets that is delivered twice.
+	// Duplication is the fraction of packets that are delivered twice.
 	Duplication float64
 }
 
 const (
-	// retransmitDelay is what the loss of a piece of a stream costs.
+	// retransmitDelay is the additional delay of a lost chunk of a stream.
 	retransmitDelay = 200 * time.Millisecond
-	// duplicateDelay is how long after a packet its duplicate is sent.
+	// duplicateDelay is the additional delay of a packet's duplicate.
 	duplicateDelay = 10 * time.Millisecond
-	// linkStream distinguishes the random numbers of links from others of the same seed.
+	// linkStream is the second seed word of the links' random numbers. It makes them independent of other draws with the same seed.
 	linkStream = 0x70617468
 )
 
-// linkKey names one direction between two processes.
+// linkKey identifies one direction between two processes by their names.
 type linkKey struct {
 	from string
 	to   string
@@ -56,7 +56,7 @@
 	l.changed = make(chan struct{})
 }
 
-// waitToForward blocks until a piece of a stream may be forwarded, or ctx ends.
+// waitToForward blocks until a chunk of a stream may be forwarded. It returns ctx's error if ctx ends first.
 func (l *link) waitToForward(ctx context.Context) error {
 	for {
 		partitioned, delay, changed := l.drawStreamDelay()
@@ -71,7 +71,8 @@
 	}
 }
 
-// drawStreamDelay returns the present state and draws the delay of a piece of a stream.
+// drawStreamDelay draws the delay of a chunk of a stream. It also returns whether the link is partitioned, and the channel that is
+// closed with the next change of state.
 func (l *link) drawStreamDelay() (partitioned bool, delay time.Duration, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +83,7 @@
 	return l.state.Partitioned, delay, l.changed
 }
 
-// packetDelays draws after which times copies of a packet are delivered. It returns none if the packet is lost.
+// packetDelays draws the delay of each delivered copy of a packet. It returns nil if the packet is lost.
 func (l *link) packetDelays() []time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +100,7 @@
 	return delays
 }
 
-// drawDelay must be called with mu held.
+// drawDelay draws the delay of the present state without losses. It must be called with mu held.
 func (l *link) drawDelay() time.Duration {
 	delay := l.state.Delay
 	if l.state.Jitter > 0 {
@@ -108,7 +109,7 @@
 	return delay
 }
 
-// link returns the link from one process to another, and creates it with the next seed if there is none.
+// link returns the link from one process to another. It creates the link with the next seed if there is none.
 func (c *Cluster) link(from, to string) *link {
 	key := linkKey{from: from, to: to}
 	if c.links[key] == nil {
@@ -117,27 +118,27 @@
 	return c.links[key]
 }
 
-// Set changes one direction between two processes or external services, by name. It does nothing if there is no such link.
+// Set sets the state of the direction between two processes or external services, by name. It does nothing if there is no such link.
 func (c *Cluster) Set(from, to string, state LinkState) {
 	if l := c.links[linkKey{from: from, to: to}]; l != nil {
 		l.set(state)
 	}
 }
 
-// SetBoth changes both directions between two processes or external services.
+// SetBoth sets the state of both directions between two processes or external services, by name.
 func (c *Cluster) SetBoth(a, b string, state LinkState) {
 	c.Set(a, b, state)
 	c.Set(b, a, state)
 }
 
-// Isolate changes both directions between a node and all other nodes. External services are still reached.
+// Isolate sets the state of both directions between a node and all other nodes. External services stay reachable.
 func (c *Cluster) Isolate(n *Node, state LinkState) {
 	for _, other := range c.Nodes {
 		c.SetBoth(n.Name, other.Name, state)
 	}
 }
 
-// Heal has all links deliver everything at once.
+// Heal makes all links deliver everything without delay.
 func (c *Cluster) Heal() {
 	for _, l := range c.links {
 		l.set(LinkState{})
--- a/internal/testbed/cluster/node.go
+++ b/internal/testbed/cluster/node.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// startTimeout is how long a process may take until it listens on its admin address.
+	// startTimeout is the maximum time from the start of a process until it listens on its admin address.
 	startTimeout = 20 * time.Second
-	// stopTimeout is how long a process may take to end by itself.
+	// stopTimeout is the maximum time that a process may take to end after SIGTERM; after that it is killed.
 	stopTimeout = 20 * time.Second
-	// listeningMessage is what a process logs when it listens on its admin address.
+	// listeningMessage is logged by a process when it listens on its admin address.
 	listeningMessage = `"listening for operators"`
 
 	configurationFile = "robindrum.yaml"
@@ -28,14 +28,14 @@
 	currentLink       = "current"
 )
 
-// Node is a process of the fleet, with a directory and addresses that outlive it. Its methods may be called by several goroutines
-// at once, except those that start or stop the process.
+// Node is a member of the fleet. Its directory and addresses stay the same when its process is restarted. Its methods may be called
+// by several goroutines at once, except those that start or stop the process.
 type Node struct {
 	Number  int
 	Name    string
 	Address string // of the fleet's protocols
-	Admin   string // address
-	Web     string // address for clients
+	Admin   string // address of the admin listener
+	Web     string // address of the listener for clients' requests
 	Dir     string
 	Witness bool
 
@@ -47,17 +47,17 @@
 	epoch     int
 	frozen    bool
 	listening bool   // on the admin address
-	binary    string // in place of the cluster's; empty: the cluster's
+	binary    string // overrides the options' program if not empty
 }
 
-// SetBinary has the node run another program from its next start on.
+// SetBinary sets the program that the node runs from its next start on.
 func (n *Node) SetBinary(binary string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.binary = binary
 }
 
-// Start writes the configuration, starts the process with the directory as it is, and waits until it listens on its admin
+// Start writes the configuration, starts the process in the node's existing directory, and waits until it listens on its admin
 // address. It returns an error if the process ends before that or takes longer than 20 s.
 func (n *Node) Start() error {
 	path := filepath.Join(n.Dir, configurationFile)
@@ -90,11 +90,11 @@
 		return process.ExitError()
 	case <-time.After(startTimeout):
 		process.Kill()
-		return fmt.Errorf("%s did not come up", n.Name)
+		return fmt.Errorf("%s: not listening on %s within %v", n.Name, n.Admin, startTimeout)
 	}
 }
 
-// arguments returns the command line of the process, and creates what a supervisor needs.
+// arguments returns the command-line arguments of the process. For a supervised node it also creates the versions directory.
 func (n *Node) arguments(path string) ([]string, error) {
 	command := "serve"
 	if n.Witness {
@@ -134,7 +134,7 @@
 	n.listening = true
 }
 
-// createVersionsDir creates the directory of versions of the node's supervisor, unless there is one.
+// createVersionsDir creates the directory of versions that the node's supervisor runs, unless it exists.
 func (n *Node) createVersionsDir() error {
 	err := os.Mkdir(filepath.Join(n.Dir, versionsDir), 0o700)
 	if errors.Is(err, fs.ErrExist) {
@@ -155,28 +155,28 @@
 	return os.Symlink(filepath.Join(versionsDir, version), filepath.Join(n.Dir, currentLink))
 }
 
-// Process returns the process that was started last, or nil if none was.
+// Process returns the process that was started last, or nil if none has been started.
 func (n *Node) Process() *proc.Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process
 }
 
-// Starts returns how often a process was started.
+// Starts returns how many times the node's process has been started.
 func (n *Node) Starts() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.starts
 }
 
-// Epoch returns a number that grows with each start, freeze and thaw, so that observations from before can be discarded.
+// Epoch returns a number that increases with each start, freeze and thaw, so that observations from before one can be discarded.
 func (n *Node) Epoch() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.epoch
 }
 
-// Up reports whether the process has come up, runs, and is neither killed nor frozen.
+// Up reports whether the process runs, listens on its admin address, and has been neither killed nor frozen.
 func (n *Node) Up() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -186,7 +186,7 @@
 	return n.process.Running() && !n.process.Killed()
 }
 
-// Kill kills the process and waits for its end. It does nothing if none was started.
+// Kill kills the process and waits until it has ended. It does nothing if no process has been started.
 func (n *Node) Kill() {
 	if p := n.Process(); p != nil {
 		p.Kill()
@@ -202,7 +202,7 @@
 	n.process.Freeze()
 }
 
-// Thaw continues the process. The node must have been started.
+// Thaw continues a frozen process with SIGCONT. The node must have been started.
 func (n *Node) Thaw() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -211,10 +211,10 @@
 	n.process.Thaw()
 }
 
-// Restart kills the process and starts it again, without its voter's directory if empty.
-func (n *Node) Restart(empty bool) error {
+// Restart kills the process and starts it again. If eraseVoter is set, it removes the voter's directory in between.
+func (n *Node) Restart(eraseVoter bool) error {
 	n.Kill()
-	if empty {
+	if eraseVoter {
 		if err := os.RemoveAll(n.VoterDir()); err != nil {
 			return err
 		}
@@ -222,7 +222,8 @@
 	return n.Start()
 }
 
-// RestartAs has a supervised node run another version as a script without robindrum's releases does: stop, link, start.
+// RestartAs restarts a supervised node with another version without a release: it stops the process, replaces the link to the
+// current version and starts the process again, as a deployment script would do.
 func (n *Node) RestartAs(version string) error {
 	if p := n.Process(); p != nil {
 		p.Stop(stopTimeout)
@@ -236,5 +237,5 @@
 	return n.Start()
 }
 
-// VoterDir returns the directory of the node's voter.
+// VoterDir returns the directory in which the node's voter stores its state.
 func (n *Node) VoterDir() string { return filepath.Join(n.Dir, votesDir) }
--- a/internal/testbed/cluster/observe.go
+++ b/internal/testbed/cluster/observe.go
@@ -9,8 +9,8 @@
 // observeInterval is the time between two observations of all gateways.
 const observeInterval = 100 * time.Millisecond
 
-// Watch counts in result how many gateways are unavailable by plan, ten times a second, until stop is called. stop waits until
-// result is no longer written; it may be called more than once.
+// Watch counts the gateways that are unavailable by plan ten times a second and records the counts in result, until stop is called.
+// budget is the allowed number. stop returns when result is no longer written; it may be called more than once.
 func (s *Site) Watch(result *DrainResult, budget int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -35,12 +35,12 @@
 		result.MaxUnavailable = max(result.MaxUnavailable, len(unavailable))
 		if len(unavailable) > budget {
 			result.OverBudget++
-			result.violation("%d gateways are out by order: %v", len(unavailable), unavailable)
+			result.violation("%d gateways unavailable by plan: %v", len(unavailable), unavailable)
 		}
 	}
 }
 
-// plannedUnavailable asks all gateways that are up, and returns why those that are unavailable by plan are.
+// plannedUnavailable asks all gateways that are up. It returns the gateways that are unavailable by plan, each with the reason.
 func (s *Site) plannedUnavailable() map[string]string {
 	var mu sync.Mutex
 	unavailable := map[string]string{}
@@ -63,8 +63,8 @@
 	return unavailable
 }
 
-// unavailableReason returns why a gateway is unavailable by plan: it is drained, or its supervisor restarts it, so that it does
-// not answer though it was neither killed nor frozen. It is empty for all others.
+// unavailableReason returns why a gateway is unavailable by plan: the ID of its drain request, or the error of the status request while
+// its supervisor restarts it, when it does not answer although it was neither killed nor frozen. It returns an empty string otherwise.
 func (s *Site) unavailableReason(n *Node) string {
 	epoch := n.Epoch()
 	status, err := n.Status()
--- a/internal/testbed/cluster/reconnect.go
+++ b/internal/testbed/cluster/reconnect.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// ReconnectResult is what a control plane sees when it returns after an outage.
+// ReconnectResult counts the streams and requests that a control plane receives after an outage, with the time to recovery.
 type ReconnectResult struct {
-	Shared   bool // subscription
+	Shared   bool // the gateways share one subscription
 	Gateways int
-	// Streams were opened within three seconds of the return, FirstSecond of them within the first one.
+	// Streams is the number of streams opened within three seconds after the restart, FirstSecond within one second.
 	Streams     int
 	FirstSecond int
-	// Requests are the discovery requests within three seconds of the return.
+	// Requests is the number of discovery requests within three seconds after the restart.
 	Requests int
-	// Recovery is the time from the return until every gateway used the new version.
+	// Recovery is the time from the restart until every gateway used the new version.
 	Recovery     time.Duration
 	LoadRequests int64
 	LoadFailures int64
-	// FirstFailure of the load; empty: none failed.
+	// FirstFailure describes the first failed request of the load; empty: none failed.
 	FirstFailure string
 }
 
@@ -27,7 +27,7 @@
 	reconnectWindow = 3 * time.Second
 )
 
-// MeasureReconnect stops the control plane for an outage and starts it again with a new version, under load.
+// MeasureReconnect stops the control plane for the duration of an outage and restarts it with a new version, under load.
 func (s *Site) MeasureReconnect(ctx context.Context, shared bool, outage time.Duration) (ReconnectResult, error) {
 	result := ReconnectResult{Shared: shared, Gateways: len(s.Nodes)}
 	load := s.StartLoad(reconnectLoad)
@@ -44,13 +44,13 @@
 	if err := s.ControlPlane.Restart(); err != nil {
 		return result, err
 	}
-	returned := time.Now()
+	restarted := time.Now()
 	err := s.AwaitVersion(ctx, 2*recoveryTimeout)
-	result.Recovery = time.Since(returned)
+	result.Recovery = time.Since(restarted)
 	_ = sleep(ctx, time.Second-result.Recovery)
 	_, opened := s.ControlPlane.Streams()
 	result.FirstSecond = opened - streams
-	_ = sleep(ctx, reconnectWindow-time.Since(returned))
+	_ = sleep(ctx, reconnectWindow-time.Since(restarted))
 	_, opened = s.ControlPlane.Streams()
 	result.Streams = opened - streams
 	result.Requests = len(s.ControlPlane.Requests()) - requests
--- a/internal/testbed/cluster/relay.go
+++ b/internal/testbed/cluster/relay.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxPacketsInFlight bounds the delayed packets of a relay; further ones are lost.
+	// maxPacketsInFlight limits the delayed packets of a relay; packets beyond the limit are dropped.
 	maxPacketsInFlight = 4096
 	maxPacketSize      = 64 << 10 // bytes
 	relayBufferSize    = 32 << 10 // bytes
 )
 
-// relay forwards the TCP connections and UDP packets of one process to another. Packets are forwarded in that direction alone.
+// relay forwards TCP connections and UDP packets from one process to another. UDP packets are forwarded only in that direction.
 type relay struct {
 	address    string
 	target     string
-	forward    *link // from who connects
-	backward   *link
+	forward    *link // from the connecting process to the target
+	backward   *link // from the target to the connecting process
 	tcp        net.Listener
 	udp        *net.UDPConn
 	ctx        context.Context
@@ -35,7 +35,7 @@
 	closed      bool
 }
 
-// newRelay listens on address for TCP and UDP until close.
+// newRelay listens on address for TCP and UDP until close is called.
 func newRelay(address, target string, forward, backward *link) (*relay, error) {
 	r := &relay{address: address, target: target, forward: forward, backward: backward, connections: map[net.Conn]struct{}{}}
 	r.ctx, r.cancel = context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 	return r, nil
 }
 
-// close closes the sockets and all connections, and waits for the relay's goroutines.
+// close closes the listeners and all connections, and waits for the relay's goroutines.
 func (r *relay) close() {
 	r.cancel()
 	r.tcp.Close()
@@ -71,7 +71,7 @@
 	}
 }
 
-// track has close close the connection too. It closes the connection and returns false if the relay is closed already.
+// track registers a connection that close closes. If the relay is already closed, it closes the connection and returns false.
 func (r *relay) track(connection net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	return true
 }
 
-// untrack closes a connection.
+// untrack closes a connection and removes its registration.
 func (r *relay) untrack(connection net.Conn) {
 	connection.Close()
 	r.mu.Lock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// relayConnection connects to the target once the forward link delivers, and copies in both directions until both end.
+// relayConnection connects to the target as soon as the forward link lets it, and copies both directions until both have ended.
 func (r *relay) relayConnection(client net.Conn) {
 	defer r.untrack(client)
 	if r.forward.waitToForward(r.ctx) != nil {
@@ -120,7 +120,8 @@
 	both.Wait()
 }
 
-// copyStream copies one direction. What the sender wrote before it closed the connection is delivered, however late.
+// copyStream copies one direction of a connection. Data that the sender wrote before it closed the connection is still delivered,
+// after the link's delay.
 func (r *relay) copyStream(to, from net.Conn, l *link) {
 	buffer := make([]byte, relayBufferSize)
 	for {
@@ -141,7 +142,7 @@
 	}
 }
 
-// closeWrite passes the end of a stream on: half-closed after io.EOF, closed after any other error.
+// closeWrite forwards the end of a stream: it half-closes the connection after io.EOF and closes it after any other error.
 func closeWrite(to net.Conn, reason error) {
 	if connection, ok := to.(*net.TCPConn); ok && errors.Is(reason, io.EOF) {
 		_ = connection.CloseWrite()
@@ -175,7 +176,7 @@
 	}
 }
 
-// sendLater sends a packet after a delay, unless too many are in flight. It does not block.
+// sendLater sends a packet after a delay, or drops it if too many packets are in flight. It does not block.
 func (r *relay) sendLater(packet []byte, target *net.UDPAddr, delay time.Duration, inFlight chan struct{}) {
 	select {
 	case inFlight <- struct{}{}:
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -21,11 +21,11 @@
 // ReleaseResult is the outcome of a schedule of releases.
 type ReleaseResult struct {
 	DrainResult
-	Releases   int // that began
+	Releases   int // releases that began
 	Done       int
 	RolledBack int
-	// Starts is how often supervisors started a version, RepeatedStarts how often of these it was the version that had ended
-	// because it asked to be started anew: a step of a release that was taken twice.
+	// Starts is the number of times that supervisors started a version. RepeatedStarts is the number of these after a requested restart
+	// that started the same version again, so that a step of a release was run twice.
 	Starts         int
 	RepeatedStarts int
 }
@@ -35,21 +35,21 @@
 
 // String describes the result for a report.
 func (r *ReleaseResult) String() string {
-	return fmt.Sprintf("%s\n  %d releases, %d done, %d back; %d starts, %d of them as the same version",
+	return fmt.Sprintf("%s\n  %d releases, %d done, %d rolled back; %d starts, %d of them with the same version",
 		&r.DrainResult, r.Releases, r.Done, r.RolledBack, r.Starts, r.RepeatedStarts)
 }
 
 // startLog counts the starts that supervisors log. Its methods may be called by several goroutines at once.
 type startLog struct {
 	mu             sync.Mutex
-	requestedFrom  map[int]string // the version that ended to be started anew, by node
+	requestedFrom  map[int]string // version that ended because a restart was requested, by node
 	count          int
 	repeated       int
 	firstViolation string
 }
 
-// line reads a line that a node has logged.
-func (l *startLog) line(node int, text string) {
+// handleLine evaluates a line that a node has logged.
+func (l *startLog) handleLine(node int, text string) {
 	_, fields, started := strings.Cut(text, "msg=started version=")
 	requested := strings.Contains(text, `msg="restarting on request"`)
 	if !started && !requested {
@@ -65,13 +65,13 @@
 	l.started(node, version)
 }
 
-// started must be called with mu held.
+// started counts a start of a version. It must be called with mu held.
 func (l *startLog) started(node int, version string) {
 	l.count++
 	if l.requestedFrom[node] == version {
 		l.repeated++
 		if l.firstViolation == "" {
-			l.firstViolation = fmt.Sprintf("n%d was asked to start anew as %s, which ran", node, version)
+			l.firstViolation = fmt.Sprintf("n%d was restarted with version %s, which it already ran", node, version)
 		}
 	}
 	delete(l.requestedFrom, node)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Sections of a configuration that gateways accept, and of one that they reject.
+// Sections of a configuration that gateways accept and of one that they reject.
 const (
 	validConfig   = "routes: [{match: {prefix: /}, cluster: c}, {match: {prefix: /more}, cluster: c}]\n"
 	invalidConfig = "routes: [{match: {prefix: /}, cluster: nobody}]\nlisteners: []\n"
@@ -106,25 +106,26 @@
 	releaseSteps    = drainSteps + 4
 	releaseSoak     = 200 * time.Millisecond
 	maxReleasePause = 1500 // ms
-	// quorumLossLeases is for how many leases the quorum is lost: longer than a new version waits for a confirmation.
+	// quorumLossLeases is the duration of a quorum loss in leases. It is longer than a new version waits for a confirmation.
 	quorumLossLeases = 5
 )
 
-// releaseRun is a schedule of releases that is being played.
+// releaseRun is a run of a schedule of releases.
 type releaseRun struct {
 	site    *Site
 	options DrainOptions
 	random  *rand.Rand
 	result  *ReleaseResult
 
-	openDrains []string // ids
-	version    string   // of the last release that did not crash
+	openDrains []string // IDs of drain requests that have not been cancelled
+	version    string   // target of the last program release whose version does not crash
 }
 
-// PlayReleases plays the schedule of a seed with five supervised gateways under load: releases of versions, one of which crashes, and of
-// configurations are begun, halted, resumed and rolled back at random gateways, which are drained by hand too, while processes are
-// killed, frozen and isolated. An observer counts unavailable gateways. It blocks until all processes have ended.
-func PlayReleases(ctx context.Context, seed uint64, options DrainOptions) (result ReleaseResult) {
+// RunReleaseSchedule runs the schedule of a seed with five supervised gateways under load. Releases of versions, one of which crashes,
+// and of configurations are started, halted, resumed and rolled back at random gateways. Meanwhile gateways are drained manually, and
+// processes are killed, frozen and isolated. An observer counts unavailable gateways. RunReleaseSchedule returns when all processes have
+// ended.
+func RunReleaseSchedule(ctx context.Context, seed uint64, options DrainOptions) (result ReleaseResult) {
 	result.Seed = seed
 	dir, err := os.MkdirTemp(options.Dir, fmt.Sprintf("releases-%d-", seed))
 	if err != nil {
@@ -141,7 +142,7 @@
 	defer site.Close()
 	load := site.StartLoad(scheduleLoad)
 	defer load.Stop()
-	// The observer writes into the result until it is stopped.
+	// The observer writes to the result until it is stopped.
 	stopObserver := site.Watch(&result.DrainResult, drainBudget)
 	defer stopObserver()
 	run := &releaseRun{
@@ -151,7 +152,7 @@
 		result:  &result,
 		version: firstVersion,
 	}
-	if err := run.play(ctx); err != nil {
+	if err := run.runSteps(ctx); err != nil {
 		result.Err = err
 		return result
 	}
@@ -184,14 +185,14 @@
 		Lease:     options.Lease,
 		Budgets:   fmt.Sprintf("[{name: g, most: %d}]", budget),
 		Seed:      seed,
-		OnLogLine: starts.line,
+		OnLogLine: starts.handleLine,
 		Version:   firstVersion,
 		Versions:  map[string]string{firstVersion: options.Binary, secondVersion: options.Binary, crashingVersion: crashing},
 	})
 }
 
-// play takes the steps of the schedule. It returns an error if a process does not start again.
-func (r *releaseRun) play(ctx context.Context) error {
+// runSteps runs the steps of the schedule. It returns an error if a process cannot be restarted.
+func (r *releaseRun) runSteps(ctx context.Context) error {
 	for step := range cmp.Or(r.options.Steps, releaseSteps) {
 		n := r.site.Nodes[r.random.IntN(drainGateways)]
 		victim := r.drawVictim(n)
@@ -203,7 +204,7 @@
 	return nil
 }
 
-// drawVictim returns whom a fault hits: half of all faults hit the leader, which runs the release.
+// drawVictim returns the node that a fault hits: in half of the draws the leader, which runs the release, otherwise n.
 func (r *releaseRun) drawVictim(n *Node) *Node {
 	if r.random.IntN(2) != 0 {
 		return n
@@ -214,7 +215,8 @@
 	return n
 }
 
-// step draws what happens at the gateway n or to the victim. id is that of the release or drain request that may begin.
+// step runs a random action at the gateway n or a random fault of the victim. id is the ID of a release or drain request that the
+// action starts.
 func (r *releaseRun) step(ctx context.Context, n, victim *Node, id string) error {
 	plan := r.newPlan(id)
 	switch draw := r.random.IntN(15); {
@@ -246,7 +248,7 @@
 	return nil
 }
 
-// newPlan draws whether a release rolls itself back when it fails.
+// newPlan returns a plan without a target. It draws whether the release is rolled back when it fails.
 func (r *releaseRun) newPlan(id string) *release.Plan {
 	return &release.Plan{
 		ID:                id,
@@ -258,12 +260,12 @@
 	}
 }
 
-// sendRelease sends a command to a gateway that is up, and reports whether it was accepted.
+// sendRelease sends a command to a gateway if it is up, and reports whether the command was accepted.
 func sendRelease(n *Node, command quorum.Command) bool {
 	return n.Up() && n.SendRelease(command) == nil
 }
 
-// releaseProgram begins the release of the other version, or of the one that crashes.
+// releaseProgram starts the release of the other version, or of the one that crashes.
 func (r *releaseRun) releaseProgram(n *Node, plan *release.Plan) {
 	plan.OfProgram = true
 	plan.Target = firstVersion
@@ -282,7 +284,7 @@
 	}
 }
 
-// releaseConfig begins the release of a configuration, which may be invalid.
+// releaseConfig starts the release of a configuration, which may be invalid.
 func (r *releaseRun) releaseConfig(n *Node, plan *release.Plan) {
 	text := []string{validConfig, invalidConfig}[r.random.IntN(2)]
 	plan.Target = fleet.ConfigDigest([]byte(text))
@@ -310,7 +312,7 @@
 	}
 }
 
-// loseQuorum kills two of three voters for a while.
+// loseQuorum kills two of three voters, and restarts them after quorumLossLeases.
 func (r *releaseRun) loseQuorum(ctx context.Context) error {
 	majority := r.site.Nodes[:2]
 	for _, voter := range majority {
@@ -325,9 +327,10 @@
 	return nil
 }
 
-// recover cancels all drain requests, rolls back a current release, and waits until every gateway runs what it should.
+// recover cancels all drain requests, rolls back a current release, and waits until every gateway runs its desired version and
+// configuration and is ready.
 func (r *releaseRun) recover(ctx context.Context) (quorum.ReleaseList, error) {
-	if err := Await(ctx, "orders to be cancelled", recoveryTimeout, r.cancelDrains); err != nil {
+	if err := Await(ctx, "the drain requests to be cancelled", recoveryTimeout, r.cancelDrains); err != nil {
 		return quorum.ReleaseList{}, err
 	}
 	var list quorum.ReleaseList
@@ -342,8 +345,8 @@
 	return list, r.site.awaitReady(ctx)
 }
 
-// cancelDrains cancels all drain requests of the schedule, also those whose requester got no answer, and reports whether none
-// is left.
+// cancelDrains cancels all drain requests of the schedule, including those whose requester got no response, and reports whether it
+// succeeded.
 func (r *releaseRun) cancelDrains() bool {
 	n := r.site.Nodes[0]
 	requests, err := n.DrainRequests()
@@ -362,13 +365,13 @@
 	return state == drain.Ended || state == drain.Rejected || state == drain.Cancelled
 }
 
-// releasesEnded returns the releases and why they have not ended: empty if there is no current one and every gateway runs what it
-// should. It rolls a current release back.
+// releasesEnded returns the releases, and the reason why they have not ended. The reason is empty if there is no current release and
+// every gateway runs its desired version and configuration. releasesEnded rolls back a current release.
 func (r *releaseRun) releasesEnded() (list quorum.ReleaseList, obstacle string) {
 	n := r.site.Nodes[1]
 	list, err := n.Releases()
 	if err != nil || !list.Fresh {
-		return list, fmt.Sprint("no list of releases: ", err)
+		return list, fmt.Sprint("no fresh list of releases: ", err)
 	}
 	if list.Current != nil {
 		if list.Current.State != release.RollingBack {
@@ -380,17 +383,17 @@
 		config, version := list.DesiredConfigs[gateway.Name], list.DesiredVersions[gateway.Name]
 		rightVersion := version == "" || gateway.Version == version
 		if !gateway.Responding || gateway.Config != config || !rightVersion {
-			return list, fmt.Sprintf("%s responds %v, has %q, should have %q, runs %q, should run %q %s",
+			return list, fmt.Sprintf("%s: responding %v, configuration %q, want %q, version %q, want %q %s",
 				gateway.Name, gateway.Responding, gateway.Config, config, gateway.Version, version, gateway.VersionRejected)
 		}
 	}
 	if len(list.Gateways) != drainGateways {
-		return list, fmt.Sprintf("%d gateways are known", len(list.Gateways))
+		return list, fmt.Sprintf("%d gateways are listed", len(list.Gateways))
 	}
 	return list, ""
 }
 
-// addEnded counts how releases ended.
+// addEnded counts the ended releases that are done and those that were rolled back.
 func (r *ReleaseResult) addEnded(ended []release.Release) {
 	for _, e := range ended {
 		switch e.State {
@@ -402,7 +405,7 @@
 	}
 }
 
-// RunReleaseSchedules plays the schedules of seeds, at most parallel at once. It calls report like RunSchedules.
+// RunReleaseSchedules runs the schedules of releases of seeds, at most parallel at once. It calls report like RunSchedules.
 func RunReleaseSchedules(ctx context.Context, seeds []uint64, parallel int, options DrainOptions, report func(ReleaseResult)) {
-	runSeeds(ctx, seeds, parallel, func(seed uint64) ReleaseResult { return PlayReleases(ctx, seed, options) }, report)
+	runSeeds(ctx, seeds, parallel, func(seed uint64) ReleaseResult { return RunReleaseSchedule(ctx, seed, options) }, report)
 }
--- a/internal/testbed/cluster/schedule.go
+++ b/internal/testbed/cluster/schedule.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// Fault names a fault that a schedule injects. Its text is for reports.
+// Fault is a kind of fault that a schedule injects. Its text is printed in reports.
 type Fault string
 
-// The faults that a schedule can inject. The holder is the lease holder of the audited task, the leader that of the quorum.
+// The faults that a schedule can inject. "holder" is the lease holder of the audited post task, "leader" the leader of the quorum.
 const (
 	KillHolder               Fault = "holder killed"
 	FreezeShort              Fault = "holder frozen for less than its lease"
-	FreezeLong               Fault = "holder frozen for longer than its lease, in the middle of an act"
-	PartitionHolder          Fault = "holder cut off from all voters, not from the receiver"
-	PartitionHolderOutbound  Fault = "holder cut off one way, what it sends"
-	PartitionHolderInbound   Fault = "holder cut off one way, what it gets"
-	PartitionHolderFromVoter Fault = "holder cut off from one voter"
-	DelayHolder              Fault = "holder so slow that a renewal takes most of its lease"
-	DelayAct                 Fault = "holder's act held on its way until another one has the duty"
+	FreezeLong               Fault = "holder frozen for longer than its lease, in the middle of a post"
+	PartitionHolder          Fault = "holder partitioned from all members, not from the receiver"
+	PartitionHolderOutbound  Fault = "holder partitioned in one direction, outbound"
+	PartitionHolderInbound   Fault = "holder partitioned in one direction, inbound"
+	PartitionHolderFromVoter Fault = "holder partitioned from one voter"
+	DelayHolder              Fault = "holder delayed so that a renewal takes most of its lease"
+	DelayAct                 Fault = "holder's post delayed until another member holds the lease"
 	KillLeader               Fault = "leader killed"
 	FreezeLeader             Fault = "leader frozen"
-	PartitionLeader          Fault = "leader cut off"
-	KillMajority             Fault = "a majority of voters killed"
+	PartitionLeader          Fault = "leader partitioned"
+	KillMajority             Fault = "majority of voters killed"
 	KillAllVoters            Fault = "all voters killed at once"
-	EraseVoter               Fault = "a voter comes back with an empty folder"
-	DegradeNetwork           Fault = "all ways lose, double and hold back"
-	SplitFleet               Fault = "the fleet split in two"
-	FlapMember               Fault = "a member cut off and back, again and again"
+	EraseVoter               Fault = "voter restarted with an empty directory"
+	DegradeNetwork           Fault = "all links lose, duplicate and delay"
+	SplitFleet               Fault = "fleet split in two"
+	FlapMember               Fault = "member partitioned and healed repeatedly"
 )
 
-// Faults lists all faults. DrawSchedule draws indexes of it, so its order determines the schedule of a seed.
+// Faults lists all faults. DrawSchedule draws indexes into it, so its order determines the schedule of a seed.
 var Faults = []Fault{
 	KillHolder, FreezeShort, FreezeLong, PartitionHolder, PartitionHolderOutbound, PartitionHolderInbound, PartitionHolderFromVoter,
 	DelayHolder, DelayAct, KillLeader, FreezeLeader, PartitionLeader, KillMajority, KillAllVoters, EraseVoter, DegradeNetwork,
 	SplitFleet, FlapMember,
 }
 
-// Schedule is a fleet's size and the faults that are injected one after the other.
+// Schedule is the size of a fleet and the faults that are injected into it one after the other.
 type Schedule struct {
 	Seed   uint64
 	Nodes  int
@@ -54,7 +54,7 @@
 	scheduleFaults   = 4
 )
 
-// The second words of the seeds of random numbers, so that a schedule's different draws are independent of each other.
+// The second seed words of random numbers. They make draws for different purposes with the same seed independent of each other.
 const (
 	scheduleStream = 0x5c6ed
 	faultStream    = 0x9e3
@@ -62,8 +62,8 @@
 	releaseStream  = 0x4e1e
 )
 
-// recoveryTimeout is how long a fleet may take after all faults are healed until it works again. It is long enough for a busy
-// machine, so that a seed's result does not depend on the load.
+// recoveryTimeout is the maximum time that a fleet may take to recover after all faults are healed. It is long enough for a busy
+// machine, so that a seed's result does not depend on the machine's load.
 const recoveryTimeout = 30 * time.Second
 
 // DrawSchedule returns the schedule of a seed: three to seven processes and four faults.
@@ -80,14 +80,14 @@
 type ScheduleResult struct {
 	Schedule
 	AuditResult
-	// Gaps are the longest times without an accepted act, by fault.
+	// Gaps are the longest times without an accepted post, by fault.
 	Gaps map[Fault][]time.Duration
-	// Operations is the length of the history of lease operations.
+	// Operations is the number of lease operations in the history.
 	Operations int
-	// NotLinearizable reports that no order explains the history, Undecided that the check did not end in time.
+	// NotLinearizable is set if the history is not linearizable, Undecided if the check did not finish in time.
 	NotLinearizable bool
 	Undecided       bool
-	// Err is why the fleet did not recover in time, or why the schedule could not be played.
+	// Err is the reason why the fleet did not recover in time, or why the schedule could not be run.
 	Err error
 }
 
@@ -98,18 +98,18 @@
 
 // String describes the result for a report.
 func (r *ScheduleResult) String() string {
-	s := fmt.Sprintf("seed %d: %d processes, %d acts, %d holders, %d refused; accepted out of order %d, two under a token %d, begun beyond the lease %d",
+	s := fmt.Sprintf("seed %d: %d processes, %d posts, %d tokens, %d rejected; %d accepted with a stale token, %d changes of the member under one token, %d sent after the lease",
 		r.Seed, r.Nodes, r.Acts, r.Tokens, r.Rejected, r.StaleAccepted, r.SharedTokens, r.AfterLease)
 	if r.Operations > 0 {
 		s += fmt.Sprintf("; %d operations, linearizable %v", r.Operations, !r.NotLinearizable)
 	}
 	if r.Undecided {
-		s += " (not decided in time)"
+		s += " (check did not finish in time)"
 	}
 	return s + describeFailure(r.FirstViolation, r.Err)
 }
 
-// describeFailure returns the last lines of a result's description.
+// describeFailure returns the first violation and the error, if any, as lines of a result's description.
 func describeFailure(firstViolation string, err error) string {
 	s := ""
 	if firstViolation != "" {
@@ -121,21 +121,21 @@
 	return s
 }
 
-// RunSchedules plays the schedules of seeds, at most parallel at once. It calls report with each result, by one goroutine at a
-// time, and returns when all have ended. It starts no further ones once ctx has ended.
+// RunSchedules runs the schedules of seeds, at most parallel at once, and returns when all have ended. It calls report with each
+// result; the calls do not overlap. It starts no further schedules after ctx has ended.
 func RunSchedules(ctx context.Context, seeds []uint64, parallel int, options PlayOptions, report func(ScheduleResult)) {
 	runSeeds(ctx, seeds, parallel, func(seed uint64) ScheduleResult { return Play(ctx, DrawSchedule(seed), options) }, report)
 }
 
-// runSeeds calls play for each seed, at most parallel at once, and report with each result, by one goroutine at a time.
-func runSeeds[Result any](ctx context.Context, seeds []uint64, parallel int, play func(seed uint64) Result, report func(Result)) {
+// runSeeds calls runSeed for each seed, at most parallel at once, and report with each result. Calls of report do not overlap.
+func runSeeds[Result any](ctx context.Context, seeds []uint64, parallel int, runSeed func(seed uint64) Result, report func(Result)) {
 	next := make(chan uint64)
 	var workers sync.WaitGroup
 	var mu sync.Mutex
 	for range parallel {
 		workers.Go(func() {
 			for seed := range next {
-				result := play(seed)
+				result := runSeed(seed)
 				mu.Lock()
 				report(result)
 				mu.Unlock()
--- a/internal/testbed/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -12,15 +12,15 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// Site is a cluster of gateways before the same origins and under the same control plane.
+// Site is a cluster of gateways that share origins and a control plane.
 type Site struct {
 	*Cluster
 	ControlPlane *controlplane.Server
 	Origins      []*origin.Origin
 
 	dir     string
-	version int      // that the control plane serves
-	zones   []string // of the origins, in turn
+	version int      // version that the control plane serves
+	zones   []string // assigned to the origins round-robin
 }
 
 // SiteOptions configure a Site.
@@ -28,42 +28,43 @@
 	Binary string
 	// Dir is where temporary directories are created.
 	Dir string
-	// Versions has the gateways run under supervisors, with these programs by label. They run Version first.
+	// Versions maps version labels to programs. If it is not empty, the gateways run under supervisors and start with Version.
 	Versions map[string]string
 	Version  string
 
 	Gateways int
-	// Sites are those of the gateways, in turn; nil: one.
+	// Sites are assigned to the gateways round-robin; nil: all are in one site.
 	Sites []string
-	// Zones are those of the gateways, and of the origins, in turn; nil: none.
+	// Zones are assigned to the gateways, and to the origins, round-robin; nil: no zones.
 	Zones []string
 
-	// SharedSubscription has one gateway subscribe for all; DirectAfter is after which time without it the others subscribe
-	// themselves, Heartbeat that of the subscription's leader.
+	// SharedSubscription makes one gateway subscribe to the control plane for all. DirectAfter is the time without the shared
+	// subscription after which the other gateways open direct streams, and the time over which they spread this. Heartbeat is the
+	// heartbeat interval of the subscription's leader.
 	SharedSubscription bool
 	DirectAfter        time.Duration
 	Heartbeat          time.Duration
-	// Variant of xDS; empty: state of the world.
+	// Variant is the variant of xDS; empty: state of the world.
 	Variant string
 
 	Lease time.Duration
-	// Posts are leader-only tasks by name, each of which posts to an external service.
+	// Posts are post tasks by name: leader-only tasks that send POST requests to an external service.
 	Posts map[string]*ExternalService
-	// Budgets is the section of the fleet's configuration; empty: none.
+	// Budgets is the value of `budgets` in the fleet's configuration; empty: no budgets.
 	Budgets string
-	// ExtraConfig is more lines of every gateway's configuration.
+	// ExtraConfig is appended to every gateway's configuration.
 	ExtraConfig string
-	// Seed of the links' random numbers.
+	// Seed is the seed of the links' random numbers.
 	Seed uint64
-	// OnLogLine is called with each line that a node logs, by a goroutine a node; nil: lines are dropped.
+	// OnLogLine is called with each line that a node logs, from one goroutine per node; nil: lines are discarded.
 	OnLogLine func(node int, line string)
 }
 
-// siteOrigins is how many origins a site has.
+// siteOrigins is the number of origins of a site.
 const siteOrigins = 3
 
-// NewSite starts a site and waits until every gateway uses all origins. It returns an error if one does not in time. Close must be
-// called if there is no error.
+// NewSite starts a site and waits until every gateway uses the endpoint list with all origins. If a gateway does not use it in time,
+// NewSite returns the site with an error. Close must be called if the returned site is not nil.
 func NewSite(ctx context.Context, options SiteOptions) (*Site, error) {
 	s := &Site{zones: options.Zones}
 	if err := s.start(options); err != nil {
@@ -87,7 +88,7 @@
 	return s.Start()
 }
 
-// startServers starts the control plane and the origins that it serves.
+// startServers starts the control plane and the origins, and pushes all origins.
 func (s *Site) startServers() error {
 	var err error
 	if s.ControlPlane, err = controlplane.Start(""); err != nil {
@@ -131,7 +132,7 @@
 	}
 }
 
-// fleetConfig returns more lines of the block `fleet:`.
+// fleetConfig returns the extra lines of the section `fleet`.
 func (o *SiteOptions) fleetConfig() string {
 	var b strings.Builder
 	if o.SharedSubscription {
@@ -143,7 +144,7 @@
 	return b.String()
 }
 
-// gatewayConfig returns a gateway's sections of clusters and routes, and more lines.
+// gatewayConfig returns a gateway's sections `clusters` and `routes`, ExtraConfig, and the gateway's zone if there are zones.
 func (o *SiteOptions) gatewayConfig(node int) string {
 	text := "clusters: []\nroutes: [{match: {prefix: /}, cluster: c}]\n" + o.ExtraConfig
 	if len(o.Zones) > 0 {
@@ -166,7 +167,7 @@
 	_ = os.RemoveAll(s.dir)
 }
 
-// Push has the control plane serve these origins, by index, under a new version. It returns when it did.
+// Push makes the control plane serve the origins with the given indexes under a new version. It returns the time of the push.
 func (s *Site) Push(origins ...int) (time.Time, error) {
 	s.version++
 	var endpoints []controlplane.Endpoint
@@ -182,7 +183,7 @@
 		controlplane.Resource{Name: "c", Body: controlplane.Assignment("c", endpoints...)})
 }
 
-// usesVersion reports whether a gateway uses the version that was pushed last. One that is not up counts as doing so.
+// usesVersion reports whether a gateway uses the version that was pushed last. It returns true for a gateway that is not up.
 func (s *Site) usesVersion(n *Node) bool {
 	if !n.Up() {
 		return true
@@ -209,7 +210,7 @@
 // awaitReady waits until every gateway is ready.
 func (s *Site) awaitReady(ctx context.Context) error {
 	notReady := ""
-	err := Await(ctx, "every gateway to be back", recoveryTimeout, func() bool {
+	err := Await(ctx, "every gateway to be ready", recoveryTimeout, func() bool {
 		for _, n := range s.Nodes {
 			if !n.Ready() {
 				notReady = n.Name
@@ -224,5 +225,5 @@
 	return nil
 }
 
-// SubscriptionLeader returns the gateway that subscribes for all by its own account, or nil.
+// SubscriptionLeader returns a gateway whose status says that it leads the shared subscription, or nil.
 func (s *Site) SubscriptionLeader() *Node { return s.TaskLeader("xds/s") }
--- a/internal/testbed/cluster/voters_test.go
+++ b/internal/testbed/cluster/voters_test.go
@@ -11,8 +11,8 @@
 	"robindrum/internal/testbed"
 )
 
-// copied replaces a directory by a copy of another one.
-func copied(t *testing.T, from, to string) {
+// replaceDir replaces a directory with a copy of another one.
+func replaceDir(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.RemoveAll(to); err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 	}
 }
 
-// voterIdentity is what a voter's folder says of its voter, and of the starts of others that it has met.
+// voterIdentity is the content of voter.json: the voter's ID and its number of starts, and the latest starts of other voters that it knows.
 type voterIdentity struct {
 	ID   string `json:"id"`
 	Boot uint64 `json:"boot"`
@@ -31,6 +31,7 @@
 	} `json:"seen"`
 }
 
+// readIdentity reads the identity file of the node's voter.
 func readIdentity(t testing.TB, n *Node) (identity voterIdentity) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(n.VoterDir(), "voter.json"))
@@ -43,8 +44,9 @@
 	return identity
 }
 
-// recordedStart reports whether the voters that may lead once n is killed have met n since its latest start: the leader, or all others if
-// n leads. Only then can they tell an earlier copy of n's folder: a voter says that it follows before the leader has reached it.
+// recordedStart reports whether the voters that may lead after n is killed have recorded n's latest start: the leader, or all other
+// voters if n leads. Only then can they detect an older copy of n's directory. A voter reports that it follows before the leader has
+// contacted it, so its state does not show this.
 func recordedStart(t testing.TB, c *Cluster, n *Node) bool {
 	t.Helper()
 	leader := c.Leader()
@@ -63,98 +65,102 @@
 	return true
 }
 
-// TestVoterWithUnusableDirectoryDoesNotVote restarts a voter with an old copy of its directory, with that of another fleet, with a
-// truncated log, and with none. The first three do not vote, report why, and serve; the last one is added again.
+// TestVoterWithUnusableDirectoryDoesNotVote restarts a voter with an old copy of its directory, with the directory of another fleet's
+// voter, with a truncated log, and without a directory. With the old copy and the truncated log it reports why it does not vote, and
+// serves. With the other fleet's directory it is not added to the fleet. Without a directory it is added again.
 func TestVoterWithUnusableDirectoryDoesNotVote(t *testing.T) {
 	testbed.Leaks(t)
-	c := up(t, Options{Nodes: 3})
-	comes(t, "a leader", func() bool { return c.Leader() != nil })
-	one, two := c.Nodes[1], c.Nodes[2]
-	comes(t, "three voters", func() bool { return one.vote().State == "follower" || one.vote().State == "leader" })
-	// With the other voter it is a majority, so its vote would count.
-	old := filepath.Join(t.TempDir(), "old")
-	one.Kill()
-	copied(t, one.VoterDir(), old)
-	for range 2 { // starts that the copy knows nothing of
-		if err := one.Restart(false); err != nil {
+	testCluster := startCluster(t, Options{Nodes: 3})
+	waitFor(t, "a leader of the quorum", func() bool { return testCluster.Leader() != nil })
+	voter, otherVoter := testCluster.Nodes[1], testCluster.Nodes[2]
+	waitFor(t, "n1 to vote", func() bool { return voter.vote().State == "follower" || voter.vote().State == "leader" })
+	// n1 and one other voter are a majority, so its vote would count.
+	oldCopy := filepath.Join(t.TempDir(), "old")
+	voter.Kill()
+	replaceDir(t, voter.VoterDir(), oldCopy)
+	for range 2 { // starts that the copy does not contain
+		if err := voter.Restart(false); err != nil {
 			t.Fatal(err)
 		}
-		comes(t, "it votes again", func() bool { s := one.vote(); return s.State == "follower" || s.State == "leader" })
+		waitFor(t, "n1 to vote again", func() bool { status := voter.vote(); return status.State == "follower" || status.State == "leader" })
 	}
-	comes(t, "the leader to have recorded its latest start", func() bool { return recordedStart(t, c, one) })
-	refused := func(why string) {
+	waitFor(t, "the leader to have recorded the latest start of n1", func() bool { return recordedStart(t, testCluster, voter) })
+	awaitNotVoting := func(reason string) {
 		t.Helper()
-		comes(t, "a refusal: "+why, func() bool {
-			s, err := one.Fleet()
-			return err == nil && strings.Contains(s.NoVote, why)
+		waitFor(t, "n1 to report that it does not vote: "+reason, func() bool {
+			status, err := voter.Fleet()
+			return err == nil && strings.Contains(status.NoVote, reason)
 		})
-		comes(t, "it serves all the same", one.Ready)
-		one.Kill()
+		waitFor(t, "n1 to be ready without voting", voter.Ready)
+		voter.Kill()
 	}
-	one.Kill()
-	copied(t, old, one.VoterDir())
-	if err := one.Start(); err != nil {
+	voter.Kill()
+	replaceDir(t, oldCopy, voter.VoterDir())
+	if err := voter.Start(); err != nil {
 		t.Fatal(err)
 	}
-	refused("older than what the fleet knows")
-	if err := one.Start(); err != nil { // also the next time
+	awaitNotVoting("older than what the fleet knows")
+	if err := voter.Start(); err != nil { // the rejection also holds after another start
 		t.Fatal(err)
 	}
-	refused("a write failed in it")
+	awaitNotVoting("a write failed in it")
 
-	// Of the same voter's name, but of another fleet.
-	other := up(t, Options{Nodes: 3})
-	comes(t, "another fleet", func() bool { return other.Leader() != nil && other.Nodes[1].vote().Fleet != "" })
-	comes(t, "its agreement", func() bool { return other.Nodes[1].vote().Applied > 1 })
-	other.Nodes[1].Kill()
-	copied(t, other.Nodes[1].VoterDir(), one.VoterDir())
-	if err := one.Start(); err != nil {
+	// The directory of the voter of the same name in another fleet.
+	otherCluster := startCluster(t, Options{Nodes: 3})
+	waitFor(t, "a leader of the other fleet", func() bool { return otherCluster.Leader() != nil && otherCluster.Nodes[1].vote().Fleet != "" })
+	waitFor(t, "the other fleet to have applied entries", func() bool { return otherCluster.Nodes[1].vote().Applied > 1 })
+	otherCluster.Nodes[1].Kill()
+	replaceDir(t, otherCluster.Nodes[1].VoterDir(), voter.VoterDir())
+	if err := voter.Start(); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "it is up", func() bool { return one.vote().ID != "" })
-	for range 20 { // it may not even be asked; what counts is that it never gets in
-		if s := one.vote(); s.State == "leader" || s.Fleet == two.vote().Fleet {
-			t.Fatalf("a voter with another fleet's folder: %+v", s)
+	waitFor(t, "n1 to report a voter ID", func() bool { return voter.vote().ID != "" })
+	for range 20 { // the leader may not even contact it: the test is that it never joins
+		if status := voter.vote(); status.State == "leader" || status.Fleet == otherVoter.vote().Fleet {
+			t.Fatalf("a voter with another fleet's directory joined: %+v", status)
 		}
 		_ = sleep(t.Context(), 20*time.Millisecond)
 	}
-	for _, v := range two.vote().Voters {
-		if v.Name == one.Name && one.vote().Unassigned {
-			t.Errorf("%+v was taken in", v)
+	for _, listed := range otherVoter.vote().Voters {
+		if listed.Name == voter.Name && voter.vote().Unassigned {
+			t.Errorf("voter with another fleet's directory was added: %+v", listed)
 		}
 	}
-	one.Kill()
+	voter.Kill()
 
-	// Cut anywhere within what it holds.
-	copied(t, old, one.VoterDir())
-	log := filepath.Join(one.VoterDir(), "raft.db")
+	// A log that is truncated within its content.
+	replaceDir(t, oldCopy, voter.VoterDir())
+	log := filepath.Join(voter.VoterDir(), "raft.db")
 	if err := os.Truncate(log, 9000); err != nil {
 		t.Fatal(err)
 	}
-	if err := one.Start(); err != nil {
+	if err := voter.Start(); err != nil {
 		t.Fatal(err)
 	}
-	refused("cannot be used")
+	awaitNotVoting("cannot be used")
 
-	if err := one.Restart(true); err != nil {
+	if err := voter.Restart(true); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "the voter is taken in", func() bool { s := one.vote(); return s.State == "follower" && s.Fleet == two.vote().Fleet })
-	two.Kill() // the two that are left are a majority only with the new one
-	comes(t, "a leader", func() bool { return c.Leader() != nil })
+	waitFor(t, "n1 to be added as a voter", func() bool {
+		status := voter.vote()
+		return status.State == "follower" && status.Fleet == otherVoter.vote().Fleet
+	})
+	otherVoter.Kill() // the other two are a majority only if the new voter votes
+	waitFor(t, "a leader of the quorum", func() bool { return testCluster.Leader() != nil })
 }
 
-// TestVoterWithFullLogStopsVoting fills a voter's log: it stops voting, reports it, and serves, and the others have a majority.
+// TestVoterWithFullLogStopsVoting fills a voter's log. The voter stops voting, reports it, and serves, and the other voters are a majority.
 func TestVoterWithFullLogStopsVoting(t *testing.T) {
 	testbed.Leaks(t)
-	a, err := NewAuditor("receiver")
+	auditor, err := NewAuditor("receiver")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	c := up(t, Options{Nodes: 4, MaxLogSize: "1MiB", Posts: map[string]*ExternalService{"audit": &a.ExternalService}})
-	comes(t, "acts", func() bool { x, _ := a.Last(); return x.Token > 0 })
-	full := c.Nodes[2]
+	defer auditor.Close()
+	testCluster := startCluster(t, Options{Nodes: 4, MaxLogSize: "1MiB", Posts: map[string]*ExternalService{"audit": &auditor.ExternalService}})
+	waitFor(t, "acts", func() bool { last, _ := auditor.Last(); return last.Token > 0 })
+	full := testCluster.Nodes[2]
 	full.Kill()
 	f, err := os.OpenFile(filepath.Join(full.VoterDir(), "raft.db"), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
@@ -167,16 +173,16 @@
 	if err := full.Start(); err != nil {
 		t.Fatal(err)
 	}
-	comes(t, "it stops voting", func() bool {
-		s, err := full.Fleet()
-		return err == nil && strings.Contains(s.NoVote, "reached its size")
+	waitFor(t, "n2 to report that it does not vote", func() bool {
+		status, err := full.Fleet()
+		return err == nil && strings.Contains(status.NoVote, "reached its size")
 	})
-	comes(t, "it serves", func() bool { s, err := full.Status(); return err == nil && s.Ready })
-	comes(t, "a leader", func() bool { return c.Leader() != nil })
-	x, _ := a.Last()
-	n := len(a.Acts())
-	comes(t, "acts", func() bool { return len(a.Acts()) > n+20 })
-	if f := Audit(a.Acts()); f.Violated() || x.Token == 0 {
-		t.Errorf("%+v", f)
+	waitFor(t, "n2 to be ready", func() bool { status, err := full.Status(); return err == nil && status.Ready })
+	waitFor(t, "a leader of the quorum", func() bool { return testCluster.Leader() != nil })
+	last, _ := auditor.Last()
+	before := len(auditor.Acts())
+	waitFor(t, "acts", func() bool { return len(auditor.Acts()) > before+20 })
+	if f := Audit(auditor.Acts()); f.Violated() || last.Token == 0 {
+		t.Errorf("Audit: got %+v, last post before with token %d, want no violation and a token above 0", f, last.Token)
 	}
 }
--- a/internal/testbed/cluster/wait.go
+++ b/internal/testbed/cluster/wait.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// awaitInterval is the time between two calls of what Await waits for.
+// awaitInterval is the time between two calls of the condition in Await.
 const awaitInterval = 10 * time.Millisecond
 
-// Await polls ok until it returns true. It returns an error that names what was awaited after timeout, and ctx's error when ctx
-// ends.
+// Await polls ok until it returns true. After timeout it returns an error that contains what, which describes the condition. If ctx
+// ends first, it returns ctx's error.
 func Await(ctx context.Context, what string, timeout time.Duration, ok func() bool) error {
 	for end := time.Now().Add(timeout); ; {
 		if ok() {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("within %v never came: %s", timeout, what)
+			return fmt.Errorf("timed out after %v waiting for %s", timeout, what)
 		}
 		if err := sleep(ctx, awaitInterval); err != nil {
 			return err
@@ -25,7 +25,7 @@
 	}
 }
 
-// sleep blocks for d, or until ctx ends, and then returns ctx's error.
+// sleep blocks for d. It returns ctx's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
