--- a/internal/testbed/hollow/acquirers.go
+++ b/internal/testbed/hollow/acquirers.go
@@ -15,20 +15,20 @@
 	"robindrum/internal/quorum"
 )
 
-// AcquirersOptions configure Acquirers.
+// AcquirersOptions configures Acquirers.
 type AcquirersOptions struct {
-	Fleet          string // name
+	Fleet          string // name of the fleet
 	Acquirers      int
 	Voters         []quorum.Voter
-	Tasks          []string // that each runs for
+	Tasks          []string // leader-only tasks that every acquirer tries to lead
 	LeaseLength    time.Duration
-	AttemptTimeout time.Duration // at one voter; 0: 600 ms
+	AttemptTimeout time.Duration // of a command at one voter; default: 600 ms
 }
 
-// Acquirers are clients of the quorum, each with an address and connections of its own, that run for leader-only tasks like
-// gateways. The tasks do nothing. Its methods may be called by several goroutines at once.
+// Acquirers are clients of the quorum that acquire the leases of leader-only tasks like gateways. Each has its own address and
+// connections. The tasks do nothing. The methods of Acquirers are safe for concurrent use.
 type Acquirers struct {
-	host       *addressRange
+	addresses  *addressRange
 	nodes      []*peer.Node
 	cancels    []context.CancelFunc
 	goroutines sync.WaitGroup
@@ -39,59 +39,59 @@
 	acquisitions chan Acquisition
 }
 
-// Acquisition is the begin of a task.
+// Acquisition is the start of a leader-only task at the acquirer that acquired its lease.
 type Acquisition struct {
 	Acquirer int
 	Task     string
 	At       time.Duration // by fleet.Clock
 }
 
-// countingClient counts the commands of a client.
+// countingClient counts the commands of a quorum.Client.
 type countingClient struct {
 	*quorum.Client
 	acquirers *Acquirers
 }
 
-func (g *countingClient) Do(ctx context.Context, c quorum.Command) (quorum.Result, time.Duration, error) {
-	g.acquirers.commands.Add(1)
-	r, sent, err := g.Client.Do(ctx, c)
+func (client *countingClient) Do(ctx context.Context, command quorum.Command) (quorum.Result, time.Duration, error) {
+	client.acquirers.commands.Add(1)
+	result, sent, err := client.Client.Do(ctx, command)
 	switch {
 	case err == nil:
-		g.acquirers.lastAnswer.Store(int64(fleet.Clock()))
+		client.acquirers.lastAnswer.Store(int64(fleet.Clock()))
 	case ctx.Err() == nil:
-		g.acquirers.failed.Add(1)
+		client.acquirers.failed.Add(1)
 	}
-	return r, sent, err
+	return result, sent, err
 }
 
-// StartAcquirers starts acquirers, which run until Close or until ctx ends.
+// StartAcquirers starts o.Acquirers acquirers, which run until ctx ends or Close is called. Close must be called.
 func StartAcquirers(ctx context.Context, o AcquirersOptions) (*Acquirers, error) {
 	if o.AttemptTimeout == 0 {
 		o.AttemptTimeout = 600 * time.Millisecond
 	}
-	h, err := newAddressRange()
+	addrs, err := newAddressRange()
 	if err != nil {
 		return nil, err
 	}
-	a := &Acquirers{host: h, acquisitions: make(chan Acquisition, 64)}
+	a := &Acquirers{addresses: addrs, acquisitions: make(chan Acquisition, 64)}
 	quiet := slog.New(slog.DiscardHandler)
-	for i := range o.Acquirers {
-		n, err := peer.Listen(peer.Options{Fleet: o.Fleet, Address: h.address(i), Log: quiet})
+	for number := range o.Acquirers {
+		node, err := peer.Listen(peer.Options{Fleet: o.Fleet, Address: addrs.address(number), Log: quiet})
 		if err != nil {
 			a.Close()
-			return nil, fmt.Errorf("acquirer %d: %w", i, err)
+			return nil, fmt.Errorf("acquirer %d: %w", number, err)
 		}
-		n.Serve()
-		life, end := context.WithCancel(ctx)
-		a.nodes, a.cancels = append(a.nodes, n), append(a.cancels, end)
-		r := leaderelection.NewElector(&countingClient{quorum.NewClient(n, o.Voters, o.AttemptTimeout, fleet.Clock), a},
-			leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("a", i), Incarnation: 1}, Now: fleet.Clock, Log: quiet})
+		node.Serve()
+		acquirerCtx, cancel := context.WithCancel(ctx)
+		a.nodes, a.cancels = append(a.nodes, node), append(a.cancels, cancel)
+		elector := leaderelection.NewElector(&countingClient{quorum.NewClient(node, o.Voters, o.AttemptTimeout, fleet.Clock), a},
+			leaderelection.Options{Member: lease.Member{Name: fmt.Sprint("a", number), Incarnation: 1}, Now: fleet.Clock, Log: quiet})
 		for _, name := range o.Tasks {
 			a.goroutines.Go(func() {
-				r.Run(life, leaderelection.Task{Name: name, Rules: lease.Rules{Length: o.LeaseLength, MaxWait: min(3*o.LeaseLength, lease.MaxLength)}, Run: func(ctx context.Context, _ *leaderelection.Leadership) {
+				elector.Run(acquirerCtx, leaderelection.Task{Name: name, Rules: lease.Rules{Length: o.LeaseLength, MaxWait: min(3*o.LeaseLength, lease.MaxLength)}, Run: func(ctx context.Context, _ *leaderelection.Leadership) {
 					select {
-					case a.acquisitions <- Acquisition{i, name, fleet.Clock()}:
-					default: // nobody receives
+					case a.acquisitions <- Acquisition{number, name, fleet.Clock()}:
+					default: // dropped: the channel is full
 					}
 					<-ctx.Done()
 				}})
@@ -101,31 +101,32 @@
 	return a, nil
 }
 
-// Acquisitions returns a channel of tasks that begin. Those that nobody receives in time are dropped.
+// Acquisitions returns the channel on which the starts of tasks are sent. A start is dropped if the channel's buffer of 64 is full.
 func (a *Acquirers) Acquisitions() <-chan Acquisition { return a.acquisitions }
 
 // Commands returns how many commands were sent, and how many of them failed.
-func (a *Acquirers) Commands() (asked, failed int64) { return a.commands.Load(), a.failed.Load() }
+func (a *Acquirers) Commands() (sent, failed int64) { return a.commands.Load(), a.failed.Load() }
 
-// LastAnswer returns when a command succeeded last, by fleet.Clock.
+// LastAnswer returns when the last successful command ended, by fleet.Clock; 0 if none has succeeded.
 func (a *Acquirers) LastAnswer() time.Duration { return time.Duration(a.lastAnswer.Load()) }
 
-// Traffic returns what all acquirers have sent and received.
+// Traffic returns the traffic of all acquirers.
 func (a *Acquirers) Traffic() (t peer.Traffic) {
-	for _, n := range a.nodes {
-		t = t.Plus(n.Traffic())
+	for _, node := range a.nodes {
+		t = t.Plus(node.Traffic())
 	}
 	return t
 }
 
-// Close stops all acquirers and waits for them. It closes their addresses first, so that none waits for a quorum that has ended.
+// Close stops all acquirers and waits until they have stopped. It closes their nodes first, so that none waits for an answer of a quorum
+// that no longer runs.
 func (a *Acquirers) Close() {
-	var work sync.WaitGroup
-	for i, n := range a.nodes {
+	var closing sync.WaitGroup
+	for i, node := range a.nodes {
 		a.cancels[i]()
-		work.Go(n.Close)
+		closing.Go(node.Close)
 	}
-	work.Wait()
+	closing.Wait()
 	a.goroutines.Wait()
-	a.host.close()
+	a.addresses.close()
 }
--- a/internal/testbed/hollow/addresses.go
+++ b/internal/testbed/hollow/addresses.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// port is below those of outgoing connections.
+	// port is below the range of ephemeral ports, so that no outgoing connection occupies it.
 	port = 7600
-	// Loopback networks are 127.firstNet to 127.firstNet+nets-1; those below belong to internal/testbed/cluster.
+	// Loopback networks are 127.firstNet to 127.(firstNet+nets-1). Lower ones are used by internal/testbed/cluster.
 	firstNet, nets = 144, 100
 )
 
-// rangeCount is how many ranges this process has requested.
+// rangeCount is the number of address ranges that this process has requested.
 var rangeCount atomic.Uint32
 
-// addressRange is a loopback network that one fleet uses: 250 addresses for each of 16 third octets.
+// addressRange is a network 127.net.0.0/16 that one fleet uses: 250 addresses for each value of the third octet, of which a fleet uses at
+// most 16.
 type addressRange struct {
 	net   int
-	claim net.Listener // nil: of a network that nobody else is on
+	claim net.Listener // reserves the network among processes; nil for an in-memory network
 }
 
-// newAddressRange claims a network that no other fleet uses, in this or another process.
+// newAddressRange reserves a loopback network that no other fleet uses, in this or another process.
 func newAddressRange() (*addressRange, error) {
-	from := int(uint32(os.Getpid())*8 + rangeCount.Add(1))
+	first := int(uint32(os.Getpid())*8 + rangeCount.Add(1))
 	var err error
 	for i := range nets {
-		h := &addressRange{net: firstNet + (from+i)%nets}
-		if h.claim, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", h.net, port)); err == nil {
-			return h, nil
+		r := &addressRange{net: firstNet + (first+i)%nets}
+		if r.claim, err = net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", r.net, port)); err == nil {
+			return r, nil
 		}
 	}
-	return nil, fmt.Errorf("no loopback network is free: %w", err)
+	return nil, fmt.Errorf("no free loopback network: %w", err)
 }
 
-// address returns the address of the member with number i.
-func (h *addressRange) address(i int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", h.net, i/250, 1+i%250, port)
+// address returns the address, as ip:port, of member i.
+func (r *addressRange) address(i int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", r.net, i/250, 1+i%250, port)
 }
 
-func (h *addressRange) close() {
-	if h.claim != nil {
-		h.claim.Close()
+func (r *addressRange) close() {
+	if r.claim != nil {
+		r.claim.Close()
 	}
 }
--- a/internal/testbed/hollow/fit_test.go
+++ b/internal/testbed/hollow/fit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestFitOfLinearValues checks the slope and the crossing of a line.
+// TestFitOfLinearValues checks Extrapolate and Crosses for values on a line.
 func TestFitOfLinearValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start, slope := rapid.Float64Range(1, 100).Draw(t, "start"), rapid.Float64Range(0.5, 20).Draw(t, "slope")
@@ -22,16 +22,17 @@
 			t.Fatal(err)
 		}
 		near := func(got, want float64) bool { return math.Abs(got-want) <= 1e-6*math.Abs(want)+1e-6 }
-		if v, far := f.Extrapolate(24000); !near(v, start+slope*24000) || far != 10 || f.IsNonlinear() || f.Residual > 1e-9 {
-			t.Fatalf("%v: %v, %v times", &f, v, far)
+		if v, multiple := f.Extrapolate(24000); !near(v, start+slope*24000) || multiple != 10 || f.IsNonlinear() || f.Residual > 1e-9 {
+			t.Fatalf("fit %v: Extrapolate(24000) = %v, %v times the largest size; want %v, 10 times, linear", &f, v, multiple, start+slope*24000)
 		}
 		if at := f.Crosses(start + slope*1234); !near(at, 1234) {
-			t.Fatalf("%v: crossed at %v", &f, at)
+			t.Fatalf("fit %v: Crosses at %v, want 1234", &f, at)
 		}
 	})
 }
 
-// TestFitDetectsNonlinearityAndNoise checks that nonlinear values are extrapolated by their power, and flat ones not at all.
+// TestFitDetectsNonlinearityAndNoise checks that nonlinear values are extrapolated by a power law, and that flat values are not
+// extrapolated.
 func TestFitDetectsNonlinearityAndNoise(t *testing.T) {
 	sizes := []float64{100, 300, 800, 2400}
 	var square []float64
@@ -43,39 +44,39 @@
 		t.Fatal(err)
 	}
 	if v, _ := f.Extrapolate(24000); !f.IsNonlinear() || math.Abs(f.Power-2) > 1e-9 || math.Abs(v-576000) > 1 || !strings.Contains(f.String(), "BENDS") {
-		t.Errorf("%v: %v", &f, v)
+		t.Errorf("fit %v: Extrapolate(24000) = %v, want 576000 by power 2", &f, v)
 	}
 	if at := f.Crosses(576000); math.Abs(at-24000) > 1 {
-		t.Errorf("crossed at %v", at)
+		t.Errorf("Crosses(576000) = %v, want 24000", at)
 	}
 	if f, err = NewFit(sizes, []float64{100, 97, 102, 99}); err != nil {
 		t.Fatal(err)
 	}
 	if v, _ := f.Extrapolate(1e6); !f.IsFlat() || v != 102 || !math.IsInf(f.Crosses(200), 1) || f.Crosses(50) != 100 {
-		t.Errorf("%v: %v, %v, %v", &f, v, f.Crosses(200), f.Crosses(50))
+		t.Errorf("fit %v: Extrapolate(1e6) = %v, Crosses(200) = %v, Crosses(50) = %v; want flat, 102, +Inf and 100", &f, v, f.Crosses(200), f.Crosses(50))
 	}
 }
 
-// TestFitDoesNotFallBelowZero extrapolates a falling line.
+// TestFitDoesNotFallBelowZero extrapolates a falling line to a size at which it is below zero.
 func TestFitDoesNotFallBelowZero(t *testing.T) {
 	f, err := NewFit([]float64{10, 20, 40, 80}, []float64{626, 580, 560, 540})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if v, _ := f.Extrapolate(2400); f.IsFlat() || f.IsNonlinear() || v != 626 || !math.IsInf(f.Crosses(1000), 1) {
-		t.Errorf("%v: %v", &f, v)
+		t.Errorf("fit %v: Extrapolate(2400) = %v, want 626 and no crossing of 1000", &f, v)
 	}
 }
 
 func TestFitRejectsInvalidSeries(t *testing.T) {
 	for _, c := range []struct{ sizes, values []float64 }{{nil, nil}, {[]float64{1}, []float64{1}}, {[]float64{1, 2}, []float64{1}}, {[]float64{2, 1}, []float64{1, 2}}, {[]float64{0, 1}, []float64{1, 2}}} {
 		if f, err := NewFit(c.sizes, c.values); err == nil {
-			t.Errorf("%v, %v: %v", c.sizes, c.values, &f)
+			t.Errorf("NewFit(%v, %v) = %v, want an error", c.sizes, c.values, &f)
 		}
 	}
 }
 
-// TestRequirementBeyondMachineIsRejected checks the bounds of memory, processes and descriptors.
+// TestRequirementBeyondMachineIsRejected checks the limits of memory, processes and file descriptors.
 func TestRequirementBeyondMachineIsRejected(t *testing.T) {
 	for what, c := range map[string]struct {
 		members, processes int
@@ -86,33 +87,33 @@
 		"descriptors": {2400, 0, 256 << 30, 1024},
 	} {
 		if err := MembersRequirement(c.members, c.processes).check(c.memory, c.files); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("requirement beyond the limit of %s: got error %v", what, err)
 		}
 	}
 	if err := MembersRequirement(800, 5).check(24<<30, 20000); err != nil {
-		t.Errorf("800 members on a machine of 24 GiB: %v", err)
+		t.Errorf("800 members on a machine with 24 GiB: got %v, want no error", err)
 	}
 	if err := MembersRequirement(2400, 5).check(24<<30, 20000); err == nil {
-		t.Error("2400 members on a machine of 24 GiB")
+		t.Error("2400 members on a machine with 24 GiB: want an error")
 	}
 	if _, err := New(Options{Members: 4001}); err == nil {
-		t.Error("4001 members")
+		t.Error("New with 4001 members: want an error")
 	}
 }
 
-// TestAddressRangesDoNotOverlap claims ranges whose search begins at the same network, as in several processes.
+// TestAddressRangesDoNotOverlap reserves ranges with searches that begin at the same network, as those of several processes can.
 func TestAddressRangesDoNotOverlap(t *testing.T) {
 	seen := map[int]bool{}
 	for range 5 {
-		h, err := newAddressRange()
+		r, err := newAddressRange()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(h.close)
-		rangeCount.Add(^uint32(0)) // the next one begins its search where this one did
-		if seen[h.net] {
-			t.Errorf("127.%d is taken twice", h.net)
+		t.Cleanup(r.close)
+		rangeCount.Add(^uint32(0)) // the next search begins at the same network
+		if seen[r.net] {
+			t.Errorf("network 127.%d was reserved twice", r.net)
 		}
-		seen[h.net] = true
+		seen[r.net] = true
 	}
 }
--- a/internal/testbed/hollow/fleet.go
+++ b/internal/testbed/hollow/fleet.go
@@ -1,6 +1,6 @@
-// Package hollow runs many members of a fleet in one process, each with the real code of its role: its address, the membership and
-// the clients of the quorum, but neither clients' sockets nor backends. Traffic is counted, so that the cost at one size can be
-// compared with that at another.
+// Package hollow runs many members of a fleet in one process. Each member has its own address and runs the real membership and quorum
+// client code, but has no client sockets and no backends. Traffic is counted, so that the cost of different fleet sizes can be
+// compared.
 package hollow
 
 import (
@@ -24,30 +24,30 @@
 
 // Options configure a Fleet.
 type Options struct {
-	Name    string // of the fleet; empty: "hollow"
+	Name    string // of the fleet; default: "hollow"
 	Members int
-	// Seeds are addresses of members in other processes; empty: the first three of this one.
+	// Seeds are addresses of members in other processes; default: the first three members of this process.
 	Seeds         []string
 	Voters        []quorum.Voter // in other processes
-	Sites         []string       // of the members in turn; nil: one
-	ProbeInterval time.Duration  // 0: a second
-	Heartbeat     time.Duration  // the voters' heartbeat; 0: a second
-	LeaseLength   time.Duration  // 0: 10 s
-	// JoinBatch is how many members join at once; 0: 16.
+	Sites         []string       // assigned to members round-robin; nil: all members have an empty site
+	ProbeInterval time.Duration  // default: 1 s
+	Heartbeat     time.Duration  // the voters' heartbeat; default: 1 s
+	LeaseLength   time.Duration  // default: 10 s
+	// JoinBatch is how many members join at once; default: 16.
 	JoinBatch int
-	// Network connects the members; nil: sockets on loopback.
+	// Network connects the members. If it is nil, they use loopback sockets.
 	Network peer.Network
-	// CheckInterval is the minimal time between two checks whether all members know something; 0: a twentieth of ProbeInterval, at
-	// least 20 ms.
+	// CheckInterval is the minimum time between two checks whether all members know something; default: a twentieth of ProbeInterval,
+	// at least 20 ms.
 	CheckInterval time.Duration
-	// Prepare is called with each member before it starts; nil: nothing is.
+	// Prepare, if not nil, is called with each member before it starts.
 	Prepare func(*Member) error
 }
 
-// Fleet is the members of this process. Its methods may be called by several goroutines at once.
+// Fleet runs the members of this process. Its methods are safe for concurrent use.
 type Fleet struct {
 	opt        Options
-	host       *addressRange
+	addresses  *addressRange
 	log        *slog.Logger
 	goroutines sync.WaitGroup
 	suspicions atomic.Int64
@@ -55,7 +55,7 @@
 
 	mu             sync.Mutex
 	members        []*Member
-	stoppedTraffic peer.Traffic // of members that were stopped
+	stoppedTraffic peer.Traffic // of stopped members
 }
 
 // Member is a member of the fleet.
@@ -64,38 +64,38 @@
 	Name         string
 	Address      string
 	Site         string
-	*fleet.Fleet // nil while it does not run
+	*fleet.Fleet // nil while the member is not running
 }
 
-// New creates the members' addresses. No member runs before Start. Close must be called.
+// New creates a fleet and assigns its members' addresses. The members do not run until Start. Close must be called.
 func New(opt Options) (*Fleet, error) {
 	if opt.Members < 1 || opt.Members > 4000 {
-		return nil, fmt.Errorf("%d hollow members: want 1 to 4000", opt.Members)
+		return nil, fmt.Errorf("hollow members must be from 1 to 4000, got %d", opt.Members)
 	}
 	opt.Name = cmp.Or(opt.Name, "hollow")
 	opt.ProbeInterval, opt.Heartbeat, opt.LeaseLength = cmp.Or(opt.ProbeInterval, time.Second), cmp.Or(opt.Heartbeat, time.Second), cmp.Or(opt.LeaseLength, 10*time.Second)
 	opt.JoinBatch = cmp.Or(opt.JoinBatch, 16)
 	opt.CheckInterval = cmp.Or(opt.CheckInterval, max(opt.ProbeInterval/20, 20*time.Millisecond))
-	h := &addressRange{net: firstNet}
+	addrs := &addressRange{net: firstNet}
 	if opt.Network == nil {
 		var err error
-		if h, err = newAddressRange(); err != nil {
+		if addrs, err = newAddressRange(); err != nil {
 			return nil, err
 		}
 	}
-	f := &Fleet{opt: opt, host: h}
-	f.log = slog.New(&suspicionCounter{f: f})
-	for i := range opt.Members {
-		f.add(i)
+	hollowFleet := &Fleet{opt: opt, addresses: addrs}
+	hollowFleet.log = slog.New(&suspicionCounter{hollowFleet: hollowFleet})
+	for number := range opt.Members {
+		hollowFleet.add(number)
 	}
-	return f, nil
+	return hollowFleet, nil
 }
 
-// add adds a member that does not run.
-func (f *Fleet) add(i int) *Member {
-	m := &Member{Number: i, Name: fmt.Sprintf("h%d", i), Address: f.host.address(i)}
+// add adds a member without starting it.
+func (f *Fleet) add(number int) *Member {
+	m := &Member{Number: number, Name: fmt.Sprintf("h%d", number), Address: f.addresses.address(number)}
 	if len(f.opt.Sites) > 0 {
-		m.Site = f.opt.Sites[i%len(f.opt.Sites)]
+		m.Site = f.opt.Sites[number%len(f.opt.Sites)]
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,10 +103,10 @@
 	return m
 }
 
-// suspicionCounter is a log handler that counts how often members suspect others and drop messages.
+// suspicionCounter is a slog.Handler that counts the log records about suspected members and dropped messages, and discards all records.
 type suspicionCounter struct {
-	slog.Handler // of nothing else
-	f            *Fleet
+	slog.Handler // nil; only the methods below are called
+	hollowFleet  *Fleet
 }
 
 func (s *suspicionCounter) Enabled(_ context.Context, l slog.Level) bool { return l <= slog.LevelInfo }
@@ -116,123 +116,124 @@
 	r.Attrs(func(a slog.Attr) bool {
 		switch {
 		case a.Key == "to" && a.Value.String() == string(membership.Suspect):
-			s.f.suspicions.Add(1)
+			s.hollowFleet.suspicions.Add(1)
 		case a.Key == "line" && strings.Contains(a.Value.String(), "dropping message"):
-			s.f.dropped.Add(1)
+			s.hollowFleet.dropped.Add(1)
 		}
 		return true
 	})
 	return nil
 }
 
-// Dropped returns how many messages were dropped as a member's queue was full.
+// Dropped returns how many messages were dropped because a member's queue was full.
 func (f *Fleet) Dropped() int64 { return f.dropped.Load() }
 
-// Suspicions returns how often a member suspected another one to be dead.
+// Suspicions returns how many times a member suspected another member of having failed.
 func (f *Fleet) Suspicions() int64 { return f.suspicions.Load() }
 
 func (f *Fleet) seeds() []string {
 	if len(f.opt.Seeds) > 0 {
 		return f.opt.Seeds
 	}
-	var l []string
+	var addresses []string
 	for _, m := range f.members[:min(3, len(f.members))] {
-		l = append(l, m.Address)
+		addresses = append(addresses, m.Address)
 	}
-	return l
+	return addresses
 }
 
-// start starts a member with a configuration version.
+// start starts a member that announces the given configuration version.
 func (f *Fleet) start(m *Member, version string) error {
-	o := &f.opt
-	c := &config.Fleet{Name: o.Name, Member: m.Name, Site: m.Site, Address: m.Address, Advertise: m.Address, AllowRemote: true, Seeds: f.seeds(),
-		ProbeInterval: config.Duration(o.ProbeInterval), ForgetAfter: config.Duration(time.Hour), LeaseLength: config.Duration(o.LeaseLength)}
-	c.Quorum.ElectionTimeout = config.Duration(o.Heartbeat)
-	for _, v := range o.Voters {
-		c.Quorum.Voters = append(c.Quorum.Voters, config.Voter(v))
+	options := &f.opt
+	settings := &config.Fleet{Name: options.Name, Member: m.Name, Site: m.Site, Address: m.Address, Advertise: m.Address, AllowRemote: true, Seeds: f.seeds(),
+		ProbeInterval: config.Duration(options.ProbeInterval), ForgetAfter: config.Duration(time.Hour), LeaseLength: config.Duration(options.LeaseLength)}
+	settings.Quorum.ElectionTimeout = config.Duration(options.Heartbeat)
+	for _, voter := range options.Voters {
+		settings.Quorum.Voters = append(settings.Quorum.Voters, config.Voter(voter))
 	}
-	x, err := fleet.NewOn(o.Network, c, "z0", version, membership.Serving, f.log)
+	instance, err := fleet.NewOn(options.Network, settings, "z0", version, membership.Serving, f.log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
 	f.mu.Lock()
-	m.Fleet = x
+	m.Fleet = instance
 	f.mu.Unlock()
-	if o.Prepare != nil {
-		if err := o.Prepare(m); err != nil {
+	if options.Prepare != nil {
+		if err := options.Prepare(m); err != nil {
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
 	}
-	x.Start()
+	instance.Start()
 	return nil
 }
 
-// AddMember starts a further member.
+// AddMember adds a member and starts it.
 func (f *Fleet) AddMember() (*Member, error) {
 	f.mu.Lock()
-	n := len(f.members)
+	number := len(f.members)
 	f.mu.Unlock()
-	m := f.add(n)
+	m := f.add(number)
 	return m, f.start(m, "c0")
 }
 
-// running returns the members that run.
-func (f *Fleet) running() (l []*Member) {
+// running returns the running members.
+func (f *Fleet) running() (list []*Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
 		if m.Fleet != nil {
-			l = append(l, m)
+			list = append(list, m)
 		}
 	}
-	return l
+	return list
 }
 
-// Start starts all members in batches, each as soon as the one before knows nine of ten of the members before it. It returns an
-// error if that takes longer than 60 probe intervals, or ctx ends.
+// Start starts all members in batches of JoinBatch. A batch starts when every member of the previous batch knows at least 90% of the
+// members that started before its batch. It returns an error if a batch takes longer than 60 probe intervals, or if ctx ends.
 func (f *Fleet) Start(ctx context.Context) error {
 	for from := 0; from < len(f.members); from += f.opt.JoinBatch {
-		some := f.members[from:min(from+f.opt.JoinBatch, len(f.members))]
-		for _, m := range some {
+		batch := f.members[from:min(from+f.opt.JoinBatch, len(f.members))]
+		for _, m := range batch {
 			if err := f.start(m, "c0"); err != nil {
 				return err
 			}
 		}
 		if err := f.await(ctx, 60*f.opt.ProbeInterval, func() bool {
-			for _, m := range some {
+			for _, m := range batch {
 				if m.Members().Len() < from*9/10 {
 					return false
 				}
 			}
 			return true
 		}); err != nil {
-			return fmt.Errorf("%d members have joined, and the next ones do not: %w", from, err)
+			return fmt.Errorf("after %d members, the next batch did not join: %w", from, err)
 		}
 	}
 	return nil
 }
 
-// errNotYet is returned when a condition did not become true in time.
-var errNotYet = errors.New("not in time")
+// errTimeout is returned by await when the condition did not become true before the timeout.
+var errTimeout = errors.New("condition not met before the timeout")
 
-// await polls ok until it returns true, the timeout has passed or ctx ends.
+// await polls ok until it returns true, within has passed or ctx ends. It returns an error in the last two cases.
 func (f *Fleet) await(ctx context.Context, within time.Duration, ok func() bool) error {
-	tick := time.NewTicker(10 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(10 * time.Millisecond)
+	defer ticker.Stop()
 	for end := time.Now().Add(within); !ok(); {
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: %v", errNotYet, within)
+			return fmt.Errorf("%w: %v", errTimeout, within)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
-// CountUnknown counts the pairs of running members of which the first one does not know what it should about the second.
+// CountUnknown counts the ordered pairs of running members in which the first member does not know the second, or knows returns false
+// for what it has recorded about the second.
 func (f *Fleet) CountUnknown(knows func(membership.Member) bool) (pairs int) {
 	all := f.running()
 	names := make([]string, len(all))
@@ -242,88 +243,90 @@
 	return f.countUnknown(names, func(_ *Member, m membership.Member, known bool) bool { return known && knows(m) })
 }
 
-// countUnknown counts the pairs of a running member and a name about which it does not know what it should.
-func (f *Fleet) countUnknown(names []string, knows func(one *Member, m membership.Member, known bool) bool) (pairs int) {
+// countUnknown counts the pairs of a running member and one of names for which knows returns false.
+func (f *Fleet) countUnknown(names []string, knows func(observer *Member, m membership.Member, known bool) bool) (pairs int) {
 	all := f.running()
-	var sum atomic.Int64
-	var work sync.WaitGroup
-	for part := range runtime.GOMAXPROCS(0) {
-		work.Go(func() {
-			for i := part; i < len(all); i += runtime.GOMAXPROCS(0) {
-				n := 0
+	var total atomic.Int64
+	var workers sync.WaitGroup
+	for worker := range runtime.GOMAXPROCS(0) {
+		workers.Go(func() {
+			for i := worker; i < len(all); i += runtime.GOMAXPROCS(0) {
+				unknown := 0
 				for _, name := range names {
 					if m, known := all[i].Members().Lookup(name); !knows(all[i], m, known) {
-						n++
+						unknown++
 					}
 				}
-				sum.Add(int64(n))
+				total.Add(int64(unknown))
 			}
 		})
 	}
-	work.Wait()
-	return int(sum.Load())
+	workers.Wait()
+	return int(total.Load())
 }
 
-// Spread is how long something took to become known, and to how many pairs or members it was unknown in the end.
+// Spread is the result of waiting until all members know something. Took is how long that took. Unknown is how many pairs or members
+// still lacked it at the end; 0 if none did.
 type Spread struct {
 	Took    time.Duration
 	Unknown int
 }
 
-// String describes the spread for a report.
+// String returns the spread for a report.
 func (s Spread) String() string {
 	if s.Unknown > 0 {
-		return fmt.Sprintf("%d lack it after %v", s.Unknown, s.Took.Round(10*time.Millisecond))
+		return fmt.Sprintf("%d still without it after %v", s.Unknown, s.Took.Round(10*time.Millisecond))
 	}
 	return s.Took.Round(10 * time.Millisecond).String()
 }
 
-// awaitNone waits until unknown returns 0 or the timeout has passed. It checks less often the longer a check takes.
-func (f *Fleet) awaitNone(ctx context.Context, within time.Duration, lacking func() int) (Spread, error) {
+// awaitNone waits until unknown returns 0 or within has passed; a timeout is not an error. The pause between two checks is at least four
+// times the duration of a check, so that checks of large fleets do not use up the processor time.
+func (f *Fleet) awaitNone(ctx context.Context, within time.Duration, unknown func() int) (Spread, error) {
 	for began := time.Now(); ; {
-		look := time.Now()
-		s := Spread{Unknown: lacking()}
-		s.Took = time.Since(began)
-		if s.Unknown == 0 || s.Took >= within {
-			return s, nil
+		checkBegan := time.Now()
+		spread := Spread{Unknown: unknown()}
+		spread.Took = time.Since(began)
+		if spread.Unknown == 0 || spread.Took >= within {
+			return spread, nil
 		}
-		t := time.NewTimer(max(f.opt.CheckInterval, 4*time.Since(look)))
+		timer := time.NewTimer(max(f.opt.CheckInterval, 4*time.Since(checkBegan)))
 		select {
 		case <-ctx.Done():
-			t.Stop()
-			return s, ctx.Err()
-		case <-t.C:
+			timer.Stop()
+			return spread, ctx.Err()
+		case <-timer.C:
 		}
 	}
 }
 
-// Settle waits until each member knows each other one, but for allow pairs. Gossip about joins does not reach all members; the
-// rest learns by full exchanges, which are rare.
-func (f *Fleet) Settle(ctx context.Context, within time.Duration, allow int) (Spread, error) {
-	left := 0
-	s, err := f.awaitNone(ctx, within, func() int {
-		if left = f.CountUnknown(func(m membership.Member) bool { return m.State != membership.Dead }); left <= allow {
+// Settle waits until all members know each other, except for at most allowed pairs. Gossip about joins does not reach every member; the
+// others learn of a join in a full exchange, and full exchanges are rare.
+func (f *Fleet) Settle(ctx context.Context, within time.Duration, allowed int) (Spread, error) {
+	unknown := 0
+	spread, err := f.awaitNone(ctx, within, func() int {
+		if unknown = f.CountUnknown(func(m membership.Member) bool { return m.State != membership.Dead }); unknown <= allowed {
 			return 0
 		}
-		return left
+		return unknown
 	})
-	s.Unknown = left
-	return s, err
+	spread.Unknown = unknown
+	return spread, err
 }
 
-// awaitKnown waits until all other running members know about a name what they should, or the timeout has passed.
+// awaitKnown waits until knows returns true for what each other running member has recorded about name, or until within has passed.
 func (f *Fleet) awaitKnown(ctx context.Context, within time.Duration, name string, knows func(m membership.Member, known bool) bool) (Spread, error) {
-	return f.awaitNone(ctx, within, func() (n int) {
+	return f.awaitNone(ctx, within, func() (unknown int) {
 		for _, m := range f.running() {
 			if m.Name != name && !knows(m.Members().Lookup(name)) {
-				n++
+				unknown++
 			}
 		}
-		return n
+		return unknown
 	})
 }
 
-// Traffic returns what all members have sent, including those that were stopped.
+// Traffic returns the traffic of all members, including stopped ones.
 func (f *Fleet) Traffic() peer.Traffic {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -336,37 +339,38 @@
 	return t
 }
 
-// detach takes a running member out and returns its fleet, or nil.
+// detach marks a member as not running and adds its traffic to stoppedTraffic. It returns the member's fleet.Fleet, or nil if the member
+// was not running.
 func (f *Fleet) detach(m *Member) *fleet.Fleet {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x := m.Fleet
-	if x != nil {
-		f.stoppedTraffic = f.stoppedTraffic.Plus(x.Node().Traffic())
+	instance := m.Fleet
+	if instance != nil {
+		f.stoppedTraffic = f.stoppedTraffic.Plus(instance.Node().Traffic())
 		m.Fleet = nil
 	}
-	return x
+	return instance
 }
 
-// leave stops a member, which announces that it leaves.
+// leave stops a member gracefully: it announces that it leaves.
 func (f *Fleet) leave(m *Member) {
-	if x := f.detach(m); x != nil {
-		x.Stop(max(f.opt.ProbeInterval, time.Second))
+	if instance := f.detach(m); instance != nil {
+		instance.Stop(max(f.opt.ProbeInterval, time.Second))
 	}
 }
 
-// kill stops a member without an announcement: it closes its sockets, and stops the rest in the background.
+// kill stops a member without an announcement: it closes the member's sockets and stops the rest in the background.
 func (f *Fleet) kill(m *Member) {
-	x := f.detach(m)
-	if x == nil {
+	instance := f.detach(m)
+	if instance == nil {
 		return
 	}
-	x.Node().Close()
-	// A timeout of 0 would be none for memberlist.
-	f.goroutines.Go(func() { x.Stop(10 * time.Millisecond) })
+	instance.Node().Close()
+	// memberlist treats a timeout of 0 as no timeout.
+	f.goroutines.Go(func() { instance.Stop(10 * time.Millisecond) })
 }
 
-// Close kills all members and waits for them.
+// Close kills all members and waits until they have stopped.
 func (f *Fleet) Close() {
 	var work sync.WaitGroup
 	for _, m := range f.running() {
@@ -374,5 +378,5 @@
 	}
 	work.Wait()
 	f.goroutines.Wait()
-	f.host.close()
+	f.addresses.close()
 }
--- a/internal/testbed/hollow/gateways.go
+++ b/internal/testbed/hollow/gateways.go
@@ -15,183 +15,185 @@
 	"robindrum/internal/subscription"
 )
 
-// Gateways are agents of hollow members that receive drain requests and subscription updates like gateways and serve nothing.
-// Prepare is for Options. Its methods may be called by several goroutines at once.
+// Gateways provides agents for hollow members. Like gateways, the agents apply drain requests and subscription updates, but they serve no
+// requests. Set Options.Prepare to its method Prepare. Its methods are safe for concurrent use.
 type Gateways struct {
 	mu              sync.Mutex
 	agents          map[string]*gatewayAgent
 	reportsRequests bool
 }
 
-// maxReconciles bounds the recorded calls of an agent.
+// maxReconciles is the maximum number of ApplyDrains calls that are recorded for an agent.
 const maxReconciles = 4096
 
-// gatewayAgent is the agent of one member. The gateways' mu guards all but its first three fields.
+// gatewayAgent is the agent of one member. Gateways.mu guards all fields except the first three.
 type gatewayAgent struct {
 	gateways *Gateways
 	name     string
 	member   *Member
 
-	reconciles   []time.Duration          // when ApplyDrains was called, by fleet.Clock
-	drained      map[string]time.Duration // when a drain request first took it out, by id
+	reconciles   []time.Duration          // times of the ApplyDrains calls, by fleet.Clock
+	drained      map[string]time.Duration // when a drain request first made the gateway unavailable, by request id
 	served       uint64                   // reported requests
 	subscription *subscription.Subscription
-	accepted     map[updateKey]time.Duration // when it accepted an update
-	snapshots    int                         // accepted ones
-	bytes        int64                       // of pushes
-	pushes       int
+	accepted     map[updateKey]time.Duration // when the agent accepted each update
+	snapshots    int                         // accepted snapshots
+	bytes        int64                       // of all received updates
+	pushes       int                         // received updates
 }
 
-// updateKey identifies an update of a subscription.
+// updateKey identifies a subscription update by its fencing token and sequence number.
 type updateKey struct {
 	token    uint64
 	sequence uint64
 }
 
-// NewGateways returns no agents: Prepare adds them.
+// NewGateways returns Gateways without agents. Prepare adds them.
 func NewGateways() *Gateways { return &Gateways{agents: map[string]*gatewayAgent{}} }
 
-// ReportRequests has the agents report more served requests with each call from now on, equal for all, as releases are judged by
-// them.
+// ReportRequests makes the agents report served requests from now on. Each call of ApplyDrains adds the same number of requests with
+// the same latency and memory, so that the figures by which releases compare gateways do not differ.
 func (g *Gateways) ReportRequests() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.reportsRequests = true
 }
 
-// subscriptionPath is that of internal/gateway, which is not linked for it.
+// subscriptionPath is the path on which gateways receive updates. It is a copy of the constant of internal/gateway, so that this package
+// does not have to import internal/gateway.
 const subscriptionPath = "/fleet/v1/xds"
 
-// Prepare adds an agent to a member.
+// Prepare adds an agent to a member. It is a function for Options.Prepare.
 func (g *Gateways) Prepare(m *Member) error {
-	t := &gatewayAgent{gateways: g, name: m.Name, member: m, drained: map[string]time.Duration{}, accepted: map[updateKey]time.Duration{},
+	agent := &gatewayAgent{gateways: g, name: m.Name, member: m, drained: map[string]time.Duration{}, accepted: map[updateKey]time.Duration{},
 		subscription: subscription.New(fleet.Clock(), subscription.Options{DirectAfter: time.Hour})}
 	g.mu.Lock()
-	g.agents[m.Name] = t
+	g.agents[m.Name] = agent
 	g.mu.Unlock()
-	m.SetAgent(t)
-	m.Node().Handle(subscriptionPath, 64<<20, t.receive)
+	m.SetAgent(agent)
+	m.Node().Handle(subscriptionPath, 64<<20, agent.receive)
 	return nil
 }
 
-// ApplyDrains records the call and reports the gateway as serving, or as drained with nothing in flight.
-func (t *gatewayAgent) ApplyDrains(v drain.View, _ bool) fleet.Report {
-	t.gateways.mu.Lock()
-	defer t.gateways.mu.Unlock()
+// ApplyDrains records the call. It reports the gateway as serving, or, if a drain request makes it unavailable, as not serving with no
+// requests in flight.
+func (a *gatewayAgent) ApplyDrains(view drain.View, _ bool) fleet.Report {
+	a.gateways.mu.Lock()
+	defer a.gateways.mu.Unlock()
 	now := fleet.Clock()
-	if len(t.reconciles) < maxReconciles {
-		t.reconciles = append(t.reconciles, now)
+	if len(a.reconciles) < maxReconciles {
+		a.reconciles = append(a.reconciles, now)
 	}
-	r := fleet.Report{Version: v.Version, Serving: true, InFlight: map[string]int{}}
-	if t.gateways.reportsRequests {
-		const more, took, memory = 100, 10 * time.Millisecond, 50 << 20
-		t.served += more
-		r.Figures = release.Figures{Accepted: t.served, Served: t.served, LatencySeconds: float64(t.served) * took.Seconds(), Memory: memory,
-			LatencyCounts: append(make([]uint64, release.LatencyBucket(took)), t.served)}
+	report := fleet.Report{Version: view.Version, Serving: true, InFlight: map[string]int{}}
+	if a.gateways.reportsRequests {
+		const increment, latency, memory = 100, 10 * time.Millisecond, 50 << 20
+		a.served += increment
+		report.Figures = release.Figures{Accepted: a.served, Served: a.served, LatencySeconds: float64(a.served) * latency.Seconds(), Memory: memory,
+			LatencyCounts: append(make([]uint64, release.LatencyBucket(latency)), a.served)}
 	}
-	for _, o := range v.Requests {
-		if o.State.Unavailable() && o.Target.MatchesGateway(t.name, t.member.Site, "z0") {
-			if t.drained[o.ID] == 0 {
-				t.drained[o.ID] = now
+	for _, request := range view.Requests {
+		if request.State.Unavailable() && request.Target.MatchesGateway(a.name, a.member.Site, "z0") {
+			if a.drained[request.ID] == 0 {
+				a.drained[request.ID] = now
 			}
-			r.Serving, r.InFlight[o.ID] = false, 0
+			report.Serving, report.InFlight[request.ID] = false, 0
 		}
 	}
-	return r
+	return report
 }
 
-// Configure accepts any configuration.
-func (t *gatewayAgent) Configure(string, string) error { return nil }
+// Configure accepts every configuration and does nothing.
+func (a *gatewayAgent) Configure(string, string) error { return nil }
 
-// receive handles an update like a gateway: the subscription decides whether it is accepted.
-func (t *gatewayAgent) receive(_ context.Context, body []byte) (any, error) {
-	var p struct {
+// receive handles a pushed update like a gateway: subscription.Subscription decides whether it is accepted.
+func (a *gatewayAgent) receive(_ context.Context, body []byte) (any, error) {
+	var update struct {
 		subscription.Update
 		Types []struct {
 			Resources [][]byte `json:"resources"`
 		} `json:"types"`
 	}
-	if err := json.Unmarshal(body, &p); err != nil {
+	if err := json.Unmarshal(body, &update); err != nil {
 		return nil, &peer.StatusError{Status: http.StatusBadRequest, Err: err}
 	}
-	t.gateways.mu.Lock()
-	defer t.gateways.mu.Unlock()
+	a.gateways.mu.Lock()
+	defer a.gateways.mu.Unlock()
 	now := fleet.Clock()
-	v := t.subscription.Receive(now, p.Update, 0)
-	t.pushes++
-	t.bytes += int64(len(body))
-	if v == subscription.Accept {
-		t.accepted[updateKey{token: p.Token, sequence: p.Seq}] = now
-		if p.Full {
-			t.snapshots++
+	verdict := a.subscription.Receive(now, update.Update, 0)
+	a.pushes++
+	a.bytes += int64(len(body))
+	if verdict == subscription.Accept {
+		a.accepted[updateKey{token: update.Token, sequence: update.Seq}] = now
+		if update.Full {
+			a.snapshots++
 		}
 	}
 	return struct {
 		Verdict subscription.Verdict `json:"verdict"`
 		Highest uint64               `json:"highest"`
-	}{v, t.subscription.HighestToken()}, nil
+	}{verdict, a.subscription.HighestToken()}, nil
 }
 
-// ReconcileIntervals returns the times between two calls of ApplyDrains, sorted, and the number of calls, since a reading of
-// fleet.Clock.
-func (g *Gateways) ReconcileIntervals(since time.Duration) (between []time.Duration, calls int) {
+// ReconcileIntervals returns the intervals between successive ApplyDrains calls of an agent, for all agents and sorted, and the number of
+// calls. It considers the calls after since, a reading of fleet.Clock.
+func (g *Gateways) ReconcileIntervals(since time.Duration) (intervals []time.Duration, calls int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, t := range g.agents {
+	for _, agent := range g.agents {
 		last := time.Duration(0)
-		for _, at := range t.reconciles {
+		for _, at := range agent.reconciles {
 			if at < since {
 				continue
 			}
 			calls++
 			if last > 0 {
-				between = append(between, at-last)
+				intervals = append(intervals, at-last)
 			}
 			last = at
 		}
 	}
-	slices.Sort(between)
-	return between, calls
+	slices.Sort(intervals)
+	return intervals, calls
 }
 
-// DrainedAt returns when a gateway received that a drain request takes it out, by fleet.Clock; 0: it has not.
+// DrainedAt returns when a gateway first applied the drain request with the given id, by fleet.Clock; 0 if it has not.
 func (g *Gateways) DrainedAt(name, id string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t := g.agents[name]; t != nil {
-		return t.drained[id]
+	if agent := g.agents[name]; agent != nil {
+		return agent.drained[id]
 	}
 	return 0
 }
 
-// FirstUpdate returns when a gateway accepted its first update, by fleet.Clock, and the bytes of all updates that it received; 0:
-// it has accepted none.
+// FirstUpdate returns when a gateway accepted its first update, by fleet.Clock, or 0 if it has accepted none, and the bytes of all updates
+// that it has received.
 func (g *Gateways) FirstUpdate(name string) (at time.Duration, bytes int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := g.agents[name]
-	if t == nil {
+	agent := g.agents[name]
+	if agent == nil {
 		return 0, 0
 	}
-	for _, took := range t.accepted {
-		if at == 0 || took < at {
-			at = took
+	for _, acceptedAt := range agent.accepted {
+		if at == 0 || acceptedAt < at {
+			at = acceptedAt
 		}
 	}
-	return at, t.bytes
+	return at, agent.bytes
 }
 
-// UpdateCounts is what gateways received from the subscription of their site.
+// UpdateCounts summarizes the updates that the gateways received from the subscription of their site.
 type UpdateCounts struct {
 	Delays    []time.Duration // until each gateway accepted its last update, sorted
-	Without   int             // gateways that accepted none
-	Snapshots int             // received since the start
-	Pushes    int             // received since the start, snapshots included
-	Bytes     int64           // of all pushes
+	Without   int             // gateways that accepted no update
+	Snapshots int             // accepted since the start
+	Pushes    int             // received since the start, including snapshots and updates that were not accepted
+	Bytes     int64           // of all received updates
 }
 
-// Updates returns what the gateways received. The delays are from a reading of fleet.Clock, and updates before it do not count for
-// them.
+// Updates returns what the gateways received. Delays and Without consider only updates accepted after since, a reading of fleet.Clock, and
+// delays are measured from it. The other counts include all updates.
 func (g *Gateways) Updates(since time.Duration) UpdateCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -21,74 +21,74 @@
 	"robindrum/internal/testbed/memnet"
 )
 
-// Bounds of traffic. Each is below twice the usual value, so that a doubled cost fails.
+// Bounds of traffic. Each is less than twice the usual value, so that a doubled cost fails the test.
 const (
-	maxPackets       = 2.8 // of a member in a probe interval, at any size: its own probe and one that it answers
-	maxPacketBytes   = 140 // of a member in a probe interval, at any size
-	maxExchangeSlope = 95  // bytes of a full exchange for each member, in both directions, compressed
-	maxUpdateBytes   = 800 // of a member for each update of another one, which it gossips some times, to three at a time
+	maxPackets       = 2.8 // per member and probe interval, at any fleet size: its own probe and its answer to another member's
+	maxPacketBytes   = 140 // per member and probe interval, at any fleet size
+	maxExchangeSlope = 95  // compressed bytes of a full exchange per member of the fleet, in both directions
+	maxUpdateBytes   = 800 // sent by a member per update of another member; it gossips each update several times, to three members at a time
 )
 
-// plain is the program of this package's tests without the race detector; see runWithoutRaceDetector.
-var plain struct {
+// nonRaceBinary is the test binary of this package, built without the race detector; see runWithoutRaceDetector.
+var nonRaceBinary struct {
 	once      sync.Once
 	dir, path string
 	err       error
 }
 
-func buildPlain() {
-	if plain.dir, plain.err = os.MkdirTemp("", "hollow-"); plain.err != nil {
+func buildNonRaceBinary() {
+	if nonRaceBinary.dir, nonRaceBinary.err = os.MkdirTemp("", "hollow-"); nonRaceBinary.err != nil {
 		return
 	}
-	plain.path = filepath.Join(plain.dir, "hollow.test")
-	if out, err := exec.Command("go", "test", "-c", "-o", plain.path, ".").CombinedOutput(); err != nil {
-		plain.err = fmt.Errorf("%w: %s", err, out)
+	nonRaceBinary.path = filepath.Join(nonRaceBinary.dir, "hollow.test")
+	if out, err := exec.Command("go", "test", "-c", "-o", nonRaceBinary.path, ".").CombinedOutput(); err != nil {
+		nonRaceBinary.err = fmt.Errorf("%w: %s", err, out)
 	}
 }
 
-// runWithoutRaceDetector runs a simulated test in a process without the race detector if this one has it, and reports whether it did.
-// With testing/synctest and as many timers as members have, the detector itself crashes at times ("CHECK failed: tsan_rtl.cpp:346",
-// go1.26.8). It covers the members' code in the tests on loopback.
+// runWithoutRaceDetector, if this process runs with the race detector, runs the test in a process without it and returns true. Otherwise
+// it returns false. With testing/synctest and the many timers of the members, the race detector itself crashes at times ("CHECK failed:
+// tsan_rtl.cpp:346", go1.26.8). The tests on loopback run the members' code under the race detector.
 func runWithoutRaceDetector(t *testing.T) bool {
-	if !underRace {
+	if !raceEnabled {
 		return false
 	}
-	if plain.once.Do(buildPlain); plain.err != nil {
-		t.Fatal(plain.err)
+	if nonRaceBinary.once.Do(buildNonRaceBinary); nonRaceBinary.err != nil {
+		t.Fatal(nonRaceBinary.err)
 	}
-	out, err := exec.CommandContext(t.Context(), plain.path, "-test.v", "-test.run", "^"+t.Name()+"$").CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), nonRaceBinary.path, "-test.v", "-test.run", "^"+t.Name()+"$").CombinedOutput()
 	t.Logf("%s", out)
 	if err != nil || !bytes.Contains(out, []byte("--- PASS: "+t.Name()+" ")) {
-		t.Errorf("without the race detector: %v", err)
+		t.Errorf("run without the race detector: %v, want a pass", err)
 	}
 	return true
 }
 
-// TestMain removes what runWithoutRaceDetector has built.
+// TestMain removes the binary that runWithoutRaceDetector built.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if plain.dir != "" {
-		_ = os.RemoveAll(plain.dir)
+	if nonRaceBinary.dir != "" {
+		_ = os.RemoveAll(nonRaceBinary.dir)
 	}
 	os.Exit(code)
 }
 
-// simulate runs a test with a network in memory and simulated time, so that traffic does not depend on the machine's load.
+// simulate runs a test with an in-memory network and simulated time, so that traffic does not depend on the machine's load.
 func simulate(t *testing.T, test func(t *testing.T, opt Options)) {
 	synctest.Test(t, func(t *testing.T) {
 		test(t, Options{Network: memnet.New()})
-		// Simulated time stops when this returns, and probes in flight still wait for their answers.
+		// Simulated time stops when this function returns. Let probes in flight end before that.
 		time.Sleep(5 * time.Minute)
 	})
 }
 
-// TestMembershipTrafficSlopes measures at four sizes that what membership sends does not grow with the members, except where
-// docs/CAPACITY.md says so.
+// TestMembershipTrafficSlopes measures membership at four fleet sizes. A member's traffic must not grow with the fleet, except for the
+// full exchange and the updates, as described in docs/CAPACITY.md.
 func TestMembershipTrafficSlopes(t *testing.T) {
 	if runWithoutRaceDetector(t) {
 		return
 	}
-	var sizes, exchange []float64
+	var sizes, exchangeBytes []float64
 	for _, n := range []int{6, 12, 24, 48} {
 		simulate(t, func(t *testing.T, opt Options) {
 			opt.Members = n
@@ -98,27 +98,27 @@
 			}
 			t.Logf("%+v", r)
 			if r.Join.Unknown+r.StateChange.Unknown+r.JoinOne.Unknown+r.Leave.Unknown+r.Death.Unknown+r.Rollout.Unknown > 0 {
-				t.Errorf("%d members: join %v, news %v, come %v, leave %v, death %v, rollout %v", n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.Death, r.Rollout)
+				t.Errorf("%d members: join %v, state change %v, single join %v, leave %v, death %v, rollout %v; want all known", n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.Death, r.Rollout)
 			}
 			if r.Packets > maxPackets || r.PacketBytes > maxPacketBytes {
-				t.Errorf("%d members: %.2f packets and %.0f bytes of a member in a probe's time", n, r.Packets, r.PacketBytes)
+				t.Errorf("%d members: %.2f packets and %.0f bytes per member and probe interval, want at most %v and %v", n, r.Packets, r.PacketBytes, maxPackets, maxPacketBytes)
 			}
 			if r.RolloutBytes > maxUpdateBytes {
-				t.Errorf("%d members: %.0f bytes of a member for each other's update", n, r.RolloutBytes)
+				t.Errorf("%d members: %.0f bytes per member and update, want at most %d", n, r.RolloutBytes, maxUpdateBytes)
 			}
-			sizes, exchange = append(sizes, float64(n)), append(exchange, r.ExchangeBytes)
+			sizes, exchangeBytes = append(sizes, float64(n)), append(exchangeBytes, r.ExchangeBytes)
 		})
 	}
-	f, err := NewFit(sizes, exchange)
+	f, err := NewFit(sizes, exchangeBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Logf("a full exchange: %v", &f); f.Slope > maxExchangeSlope {
-		t.Errorf("a full exchange grows by %.0f bytes with each member", f.Slope)
+	if t.Logf("full exchange: %v", &f); f.Slope > maxExchangeSlope {
+		t.Errorf("full exchange grows by %.0f bytes per member, want at most %d", f.Slope, maxExchangeSlope)
 	}
 }
 
-// TestFifthOfMembersRestartsAtOnce restarts members without an announcement: all know the new processes.
+// TestFifthOfMembersRestartsAtOnce kills and restarts a fifth of the members: all members must learn of the new incarnations.
 func TestFifthOfMembersRestartsAtOnce(t *testing.T) {
 	testbed.Leaks(t)
 	f, err := New(Options{Members: 15, ProbeInterval: 300 * time.Millisecond})
@@ -138,7 +138,8 @@
 	}
 }
 
-// TestCountUnknownCountsPairs checks that a dead member counts as unknown until all know that it is dead.
+// TestCountUnknownCountsPairs checks that CountUnknown counts each member without the expected knowledge, and that the traffic of a killed
+// member still counts.
 func TestCountUnknownCountsPairs(t *testing.T) {
 	testbed.Leaks(t)
 	f, err := New(Options{Members: 3, ProbeInterval: 100 * time.Millisecond})
@@ -149,17 +150,17 @@
 	if err := f.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	testbed.Eventually(t, "all to know all", func() bool { return f.CountUnknown(func(membership.Member) bool { return true }) == 0 })
+	testbed.Eventually(t, "all members to know each other", func() bool { return f.CountUnknown(func(membership.Member) bool { return true }) == 0 })
 	if n := f.CountUnknown(func(m membership.Member) bool { return m.Name != "h1" }); n != 3 {
-		t.Errorf("%d pairs lack one member that nobody is to know, want 3", n)
+		t.Errorf("CountUnknown() = %d when no record of h1 is accepted, want 3", n)
 	}
 	before := f.Traffic()
 	f.kill(f.members[1])
 	if after := f.Traffic(); after.Packets < before.Packets {
-		t.Errorf("the traffic of one that has ended is not counted any more: %+v, before %+v", after, before)
+		t.Errorf("Traffic() after a kill = %+v, want at least %+v", after, before)
 	}
 	if len(f.running()) != 2 {
-		t.Errorf("%d are up", len(f.running()))
+		t.Errorf("%d members are running, want 2", len(f.running()))
 	}
 }
 
@@ -171,40 +172,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := []quorum.Voter{{Name: "v", Address: n.Addr()}}
-	s, err := quorum.Open(n, quorum.Options{Dir: t.TempDir(), Name: "v", Voters: v, Heartbeat: 50 * time.Millisecond, MaxLogBytes: 1 << 24, Log: quiet})
+	voters := []quorum.Voter{{Name: "v", Address: n.Addr()}}
+	server, err := quorum.Open(n, quorum.Options{Dir: t.TempDir(), Name: "v", Voters: voters, Heartbeat: 50 * time.Millisecond, MaxLogBytes: 1 << 24, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.Serve()
-	s.Start()
-	t.Cleanup(func() { s.Close(); n.Close() })
-	asks := func(askers int) float64 {
-		a, err := StartAcquirers(t.Context(), AcquirersOptions{Fleet: "asked", Acquirers: askers, Voters: v, Tasks: []string{"d"}, LeaseLength: 400 * time.Millisecond})
+	server.Start()
+	t.Cleanup(func() { server.Close(); n.Close() })
+	bytesPerCommand := func(count int) float64 {
+		a, err := StartAcquirers(t.Context(), AcquirersOptions{Fleet: "asked", Acquirers: count, Voters: voters, Tasks: []string{"d"}, LeaseLength: 400 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer a.Close()
-		testbed.Receive(t, "a holder", a.Acquisitions())
+		testbed.Receive(t, "a lease holder", a.Acquisitions())
 		before, _ := a.Commands()
 		sent := a.Traffic()
-		testbed.Eventually(t, "as many asks as ten of each", func() bool { n, _ := a.Commands(); return n-before >= int64(10*askers) })
+		testbed.Eventually(t, "ten commands per acquirer", func() bool { n, _ := a.Commands(); return n-before >= int64(10*count) })
 		after, _ := a.Commands()
-		d := a.Traffic().Minus(sent)
+		traffic := a.Traffic().Minus(sent)
 		if a.LastAnswer() == 0 {
-			t.Error("nothing was answered")
+			t.Error("LastAnswer() = 0 after successful commands")
 		}
-		return float64(d.Out+d.In) / float64(after-before)
+		return float64(traffic.Out+traffic.In) / float64(after-before)
 	}
-	few, many := asks(2), asks(8)
-	t.Logf("%.0f and %.0f bytes an ask", few, many)
-	// An ask carries one member and one lease, however many ask.
+	few, many := bytesPerCommand(2), bytesPerCommand(8)
+	t.Logf("%.0f bytes per command with 2 acquirers, %.0f with 8", few, many)
+	// A command carries one member and one lease, whatever the number of acquirers.
 	if many > 1.4*few || many > 700 {
-		t.Errorf("an ask comes to %.0f bytes with 8 askers, %.0f with 2", many, few)
+		t.Errorf("%.0f bytes per command with 8 acquirers, %.0f with 2: want at most 1.4 times as many and at most 700", many, few)
 	}
 }
 
-// TestGatewayAgentsAcceptDrainsAndUpdates checks that an agent follows the rules of a gateway.
+// TestGatewayAgentsAcceptDrainsAndUpdates checks that agents apply drain requests and accept updates by the rules of a gateway.
 func TestGatewayAgentsAcceptDrainsAndUpdates(t *testing.T) {
 	testbed.Leaks(t)
 	g := NewGateways()
@@ -216,55 +217,55 @@
 	if err := f.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	to, from := f.members[0], f.members[1]
-	x := drain.Request{ID: "x", Target: drain.Target{Gateway: to.Name}, State: drain.Draining}
-	if r := g.agents[to.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); r.Serving || r.Version != 3 || g.DrainedAt(to.Name, "x") == 0 {
-		t.Errorf("%+v", r)
+	gateway, other := f.members[0], f.members[1]
+	request := drain.Request{ID: "x", Target: drain.Target{Gateway: gateway.Name}, State: drain.Draining}
+	if r := g.agents[gateway.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{request}}, false); r.Serving || r.Version != 3 || g.DrainedAt(gateway.Name, "x") == 0 {
+		t.Errorf("ApplyDrains at the drained gateway = %+v, want version 3 and not serving", r)
 	}
-	if r := g.agents[from.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{x}}, false); !r.Serving || g.DrainedAt(from.Name, "x") != 0 {
-		t.Errorf("%+v", r)
+	if r := g.agents[other.Name].ApplyDrains(drain.View{Version: 3, Requests: []drain.Request{request}}, false); !r.Serving || g.DrainedAt(other.Name, "x") != 0 {
+		t.Errorf("ApplyDrains at another gateway = %+v, want serving", r)
 	}
-	if r := g.agents[to.Name].ApplyDrains(drain.View{Version: 3}, false); r.Figures.Accepted != 0 {
-		t.Errorf("it shows %+v before it is to", r.Figures)
+	if r := g.agents[gateway.Name].ApplyDrains(drain.View{Version: 3}, false); r.Figures.Accepted != 0 {
+		t.Errorf("figures before ReportRequests = %+v, want none accepted", r.Figures)
 	}
 	g.ReportRequests()
-	if a, b := g.agents[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures, g.agents[to.Name].ApplyDrains(drain.View{Version: 3}, false).Figures; a.Accepted == 0 || b.Accepted != 2*a.Accepted || b.Served != b.Accepted {
-		t.Errorf("it shows %+v, then %+v", a, b)
+	if first, second := g.agents[gateway.Name].ApplyDrains(drain.View{Version: 3}, false).Figures, g.agents[gateway.Name].ApplyDrains(drain.View{Version: 3}, false).Figures; first.Accepted == 0 || second.Accepted != 2*first.Accepted || second.Served != second.Accepted {
+		t.Errorf("figures of two calls = %+v, then %+v; want twice as many requests in the second, all served", first, second)
 	}
-	push := func(p subscription.Update) (v subscription.Verdict) {
+	push := func(update subscription.Update) (verdict subscription.Verdict) {
 		t.Helper()
 		var r struct {
 			Verdict subscription.Verdict `json:"verdict"`
 		}
-		if err := from.Node().Call(t.Context(), to.Address, subscriptionPath, p, &r); err != nil {
+		if err := other.Node().Call(t.Context(), gateway.Address, subscriptionPath, update, &r); err != nil {
 			t.Fatal(err)
 		}
 		return r.Verdict
 	}
 	for _, c := range []struct {
-		p    subscription.Update
-		want subscription.Verdict
+		update subscription.Update
+		want   subscription.Verdict
 	}{
-		{subscription.Update{Token: 2, Seq: 5, Base: 4}, subscription.NeedSnapshot}, // a difference from what it does not have
+		{subscription.Update{Token: 2, Seq: 5, Base: 4}, subscription.NeedSnapshot}, // a delta from a version that the agent does not have
 		{subscription.Update{Token: 2, Seq: 5, Full: true}, subscription.Accept},
 		{subscription.Update{Token: 2, Seq: 6, Base: 5}, subscription.Accept},
 		{subscription.Update{Token: 2, Seq: 6}, subscription.Unchanged},
 		{subscription.Update{Token: 1, Seq: 9, Full: true}, subscription.Reject},
 	} {
-		if v := push(c.p); v != c.want {
-			t.Errorf("%+v: %s, want %s", c.p, v, c.want)
+		if verdict := push(c.update); verdict != c.want {
+			t.Errorf("push of %+v: got verdict %s, want %s", c.update, verdict, c.want)
 		}
 	}
 	if counts := g.Updates(0); len(counts.Delays) != 1 || counts.Without != 1 || counts.Snapshots != 1 || counts.Pushes != 5 {
-		t.Errorf("%+v", counts)
+		t.Errorf("Updates(0) = %+v, want 1 gateway updated and 1 without, 1 snapshot and 5 pushes", counts)
 	}
-	if at, bytes := g.FirstUpdate(to.Name); at == 0 || bytes == 0 {
-		t.Errorf("its first at %v, %d bytes", at, bytes)
+	if at, bytes := g.FirstUpdate(gateway.Name); at == 0 || bytes == 0 {
+		t.Errorf("FirstUpdate(updated gateway) = %v, %d bytes; want both nonzero", at, bytes)
 	}
-	if at, _ := g.FirstUpdate(from.Name); at != 0 {
-		t.Errorf("one that was told nothing took its first at %v", at)
+	if at, _ := g.FirstUpdate(other.Name); at != 0 {
+		t.Errorf("FirstUpdate(gateway without updates) = %v, want 0", at)
 	}
 	if _, calls := g.ReconcileIntervals(0); calls != 5 {
-		t.Errorf("%d rounds", calls)
+		t.Errorf("ReconcileIntervals(0) counts %d calls, want 5", calls)
 	}
 }
--- a/internal/testbed/hollow/members.go
+++ b/internal/testbed/hollow/members.go
@@ -10,51 +10,53 @@
 	"robindrum/internal/membership"
 )
 
-// MembersResult is the cost of membership at one size. Rates are per probe interval, from which all of membership's timers follow.
+// MembersResult is the cost of membership at one fleet size. Rates are per probe interval, because all timers of membership are
+// derived from the probe interval.
 type MembersResult struct {
 	Members int
-	// Join is the time from the first start until all members know each other, JoinCPU the processor time of all.
+	// Join is the time from the first start until all members know each other. JoinCPU is the processor time that this process used for
+	// it.
 	Join    Spread
 	JoinCPU time.Duration
-	// Dropped counts messages for which members' queues had no room during the join.
+	// Dropped counts messages that were dropped during the join because a member's queue was full.
 	Dropped int64
-	// Idle traffic of a member in a probe interval: packets, their bytes, full exchanges and probes over TCP that it begins, and
-	// processor time.
+	// Idle cost of a member per probe interval: packets, bytes of packets, streams that the member opens (full exchanges and probes over
+	// TCP), and processor time.
 	Packets     float64
 	PacketBytes float64
 	Exchanges   float64
 	CPU         time.Duration
-	// ExchangeBytes of a full exchange, in both directions.
+	// ExchangeBytes is the bytes of one full exchange, in both directions.
 	ExchangeBytes float64
-	// Windows is how many idle windows were measured until one without a suspicion; 0: there was none.
+	// Windows is the number of idle windows measured, the last of which was the first without a suspicion; 0 if none was.
 	Windows int
-	// Heap is the memory of a member in bytes.
+	// Heap is the live heap per member, in bytes.
 	Heap float64
-	// The spreads of one member's change of state, join, leave and death.
+	// Time until all members know that one member changed its state, joined, left and died.
 	StateChange Spread
 	JoinOne     Spread
 	Leave       Spread
 	Death       Spread
-	// LeftAsDead counts members that take one that left for dead.
+	// LeftAsDead counts members that recorded the leaving member as dead.
 	LeftAsDead int
-	// Rollout is the spread of a new configuration of all members at once; RolloutBytes are sent by a member for each of these
-	// updates beyond its idle traffic, RolloutCPU is the processor time of all.
+	// Rollout is the spread of a new configuration that all members announce at once. RolloutBytes is what a member sends for each
+	// member's update, beyond its idle traffic. RolloutCPU is the processor time that this process used for it.
 	Rollout      Spread
 	RolloutBytes float64
 	RolloutCPU   time.Duration
-	// Rollouts is how many were measured until one without a suspicion; 0: there was none.
+	// Rollouts is the number of rollouts measured, the last of which was the first without a suspicion; 0 if none was.
 	Rollouts int
-	// Restart is the spread when a fifth of the members is killed and started again at once; RestartBytes are sent by a member
-	// for each of these beyond its idle traffic. Zero without MembersOptions.Restart.
+	// Restart is the spread when a fifth of the members is killed and restarted at once. RestartBytes is what a member sends for each
+	// restarted member, beyond its idle traffic. Both are zero without MembersOptions.Restart.
 	Restart      Spread
 	RestartBytes float64
 }
 
-// exchangeProbes is how many probes pass between two full exchanges of a small fleet.
+// exchangeProbes is the number of probe intervals between two full exchanges of a member in a fleet of up to 32 members.
 const exchangeProbes = 30
 
-// ExchangeEvery returns after how many probes a member begins a full exchange: 30 up to 32 members, and more with each doubling (as
-// pushPullScale of hashicorp/memberlist does).
+// ExchangeEvery returns the number of probe intervals between two full exchanges that a member begins: 30 up to 32 members, and 30 more
+// with each doubling, like pushPullScale of hashicorp/memberlist.
 func ExchangeEvery(members float64) float64 {
 	if members <= 32 {
 		return exchangeProbes
@@ -62,14 +64,14 @@
 	return exchangeProbes * (math.Ceil(math.Log2(members)-5) + 1)
 }
 
-// MembersOptions configure a measurement.
+// MembersOptions configures MeasureMembers.
 type MembersOptions struct {
 	Options
-	Window  int  // probes of the idle window; 0: 20
-	Restart bool // measure the restart of a fifth too
+	Window  int  // length of the idle window in probe intervals; default: 20
+	Restart bool // also measure the restart of a fifth of the members
 }
 
-// MeasureMembers measures membership at one size.
+// MeasureMembers measures the cost of membership at the fleet size options.Members.
 func MeasureMembers(ctx context.Context, options MembersOptions) (MembersResult, error) {
 	result := MembersResult{Members: options.Members}
 	heapBefore := heap()
@@ -99,10 +101,12 @@
 	return result, err
 }
 
-// spreadTimeout bounds the wait for a spread: members that missed all gossip learn by full exchanges, which are rare.
+// spreadTimeout bounds the wait for a spread. It is long because members that missed all gossip learn of a change only in a full
+// exchange, and full exchanges are rare.
 func (f *Fleet) spreadTimeout() time.Duration { return 300 * f.opt.ProbeInterval }
 
-// measureJoin starts all members and waits until they know each other. cpuBefore is the processor time before the fleet was created.
+// measureJoin starts all members and waits until they know each other. cpuBefore is the processor time used before the fleet was
+// created.
 func (f *Fleet) measureJoin(ctx context.Context, result *MembersResult, cpuBefore time.Duration) error {
 	began := time.Now()
 	if err := f.Start(ctx); err != nil {
@@ -117,20 +121,20 @@
 	result.Dropped = f.Dropped()
 	pairs := result.Members * result.Members
 	if result.Join.Unknown > pairs/100 {
-		t := f.Traffic()
-		return fmt.Errorf("%d members do not come together: %v of %d pairs; they dropped %d messages, suspected %d times, sent %d packets, began %d streams and used %v of processor time",
-			result.Members, result.Join, pairs, result.Dropped, f.Suspicions(), t.Packets, t.Streams, result.JoinCPU.Round(time.Second))
+		traffic := f.Traffic()
+		return fmt.Errorf("%d members did not all join: %v of %d pairs; %d messages dropped, %d suspicions, %d packets sent, %d streams opened, %v processor time",
+			result.Members, result.Join, pairs, result.Dropped, f.Suspicions(), traffic.Packets, traffic.Streams, result.JoinCPU.Round(time.Second))
 	}
 	return nil
 }
 
-// measureSingleChanges measures how the change of state, join, leave and death of one member spread.
+// measureSingleChanges measures the spread of one member's change of state, join, leave and death.
 func (f *Fleet) measureSingleChanges(ctx context.Context, result *MembersResult) error {
 	limit := f.spreadTimeout()
-	one := f.members[result.Members/2]
-	f.goroutines.Go(func() { one.Announce(membership.Draining, "c0") }) // it blocks until the change was sent
+	member := f.members[result.Members/2]
+	f.goroutines.Go(func() { member.Announce(membership.Draining, "c0") }) // Announce blocks until the change was sent
 	var err error
-	if result.StateChange, err = f.awaitKnown(ctx, limit, one.Name, isDraining); err != nil {
+	if result.StateChange, err = f.awaitKnown(ctx, limit, member.Name, isDraining); err != nil {
 		return err
 	}
 	added, err := f.AddMember()
@@ -144,14 +148,15 @@
 	if result.Leave, err = f.awaitKnown(ctx, limit, added.Name, isUnknownOrDead); err != nil {
 		return err
 	}
-	// A member that received the end and not the leave takes it for dead: later gossip about a name replaces earlier one.
+	// Newer gossip about a member replaces older gossip about it, so a member may receive the death without the leave. It then records
+	// the member that left as dead.
 	for _, m := range f.running() {
 		if _, known := m.Members().Lookup(added.Name); known {
 			result.LeftAsDead++
 		}
 	}
-	f.kill(one)
-	result.Death, err = f.awaitKnown(ctx, limit, one.Name, isUnknownOrDead)
+	f.kill(member)
+	result.Death, err = f.awaitKnown(ctx, limit, member.Name, isUnknownOrDead)
 	return err
 }
 
@@ -164,94 +169,97 @@
 }
 
 // idleRate returns the idle traffic of a member in bytes per second.
-func idleRate(r *MembersResult, probe time.Duration) float64 {
-	return IdleTraffic(r.PacketBytes, r.ExchangeBytes, float64(r.Members)) / probe.Seconds()
+func idleRate(result *MembersResult, probeInterval time.Duration) float64 {
+	return IdleTraffic(result.PacketBytes, result.ExchangeBytes, float64(result.Members)) / probeInterval.Seconds()
 }
 
-// measureIdle measures windows until one passes without a suspicion: suspicions, which a busy machine causes, are gossiped.
-func (f *Fleet) measureIdle(ctx context.Context, r *MembersResult, window int) error {
+// measureIdle measures the idle cost of a member, and repeats the measurement until a window passes without a suspicion: a busy machine
+// causes suspicions, and the gossip about them is not idle traffic.
+func (f *Fleet) measureIdle(ctx context.Context, result *MembersResult, window int) error {
 	if window == 0 {
 		window = 20
 	}
-	n := float64(len(f.running()))
+	memberCount := float64(len(f.running()))
 	for try := range 10 {
-		if err := sleep(ctx, 4*f.opt.ProbeInterval); err != nil { // for gossip about the joins, or from the window before, to end
+		if err := sleep(ctx, 4*f.opt.ProbeInterval); err != nil { // let gossip about joins or from the previous window end
 			return err
 		}
-		before, suspected, cpu0 := f.Traffic(), f.Suspicions(), cpu()
+		before, suspected, cpuBefore := f.Traffic(), f.Suspicions(), cpu()
 		if err := sleep(ctx, time.Duration(window)*f.opt.ProbeInterval); err != nil {
 			return err
 		}
-		t := f.Traffic().Minus(before)
-		of := n * float64(window)
-		r.Packets, r.PacketBytes, r.Exchanges = float64(t.Packets)/of, float64(t.PacketBytes)/of, float64(t.Streams)/of
-		r.CPU = time.Duration(float64(cpu()-cpu0) / of)
+		traffic := f.Traffic().Minus(before)
+		memberIntervals := memberCount * float64(window)
+		result.Packets, result.PacketBytes, result.Exchanges = float64(traffic.Packets)/memberIntervals, float64(traffic.PacketBytes)/memberIntervals, float64(traffic.Streams)/memberIntervals
+		result.CPU = time.Duration(float64(cpu()-cpuBefore) / memberIntervals)
 		if f.Suspicions() == suspected {
-			r.Windows = try + 1
+			result.Windows = try + 1
 			break
 		}
 	}
-	return f.measureExchange(r)
+	return f.measureExchange(result)
 }
 
-// exchanger is a membership that can begin a full exchange on demand.
+// exchanger is implemented by memberships that can begin a full exchange on demand.
 type exchanger interface {
 	Exchange(address string) error
 }
 
-// measureExchange measures the bytes of full exchanges during which no other stream was begun.
-func (f *Fleet) measureExchange(r *MembersResult) error {
-	const some = 4
+// measureExchange measures the bytes of a full exchange. It repeats the measurement until no member opened another stream during it.
+func (f *Fleet) measureExchange(result *MembersResult) error {
+	const exchanges = 4
 	all := f.running()
 	for range 20 {
 		before := f.Traffic()
-		for i := range some {
-			x, ok := all[i%len(all)].Members().(exchanger)
+		for i := range exchanges {
+			initiator, ok := all[i%len(all)].Members().(exchanger)
 			if !ok {
-				return errors.New("the members' list makes no exchange on demand")
+				return errors.New("the membership does not support full exchanges on demand")
 			}
-			if err := x.Exchange(all[(i+1)%len(all)].Address); err != nil {
-				return fmt.Errorf("a full exchange: %w", err)
+			if err := initiator.Exchange(all[(i+1)%len(all)].Address); err != nil {
+				return fmt.Errorf("full exchange: %w", err)
 			}
 		}
-		if t := f.Traffic().Minus(before); t.Streams == some {
-			r.ExchangeBytes = float64(t.Out) / some
+		if traffic := f.Traffic().Minus(before); traffic.Streams == exchanges {
+			result.ExchangeBytes = float64(traffic.Out) / exchanges
 			return nil
 		}
 	}
-	return errors.New("no full exchange without another one beside it")
+	return errors.New("other streams were opened during every measured full exchange")
 }
 
-// disseminate has many members announce something, and waits until all know it and the traffic is nearly idle again.
-func (f *Fleet) disseminate(ctx context.Context, rate float64, tell func(), lacking func() int) (s Spread, bytes float64, used time.Duration, err error) {
-	before, cpu0, began := f.Traffic(), cpu(), time.Now()
-	tell()
+// disseminate calls announce, and waits until unknown returns 0 and the packet traffic is below 1.3 times the idle rate. It returns what a
+// member sent in that time beyond its idle traffic, and the processor time that this process used. rate is the idle traffic of a member
+// in bytes per second.
+func (f *Fleet) disseminate(ctx context.Context, rate float64, announce func(), unknown func() int) (spread Spread, bytes float64, cpuTime time.Duration, err error) {
+	before, cpuBefore, began := f.Traffic(), cpu(), time.Now()
+	announce()
 	limit := 300 * f.opt.ProbeInterval
-	if s, err = f.awaitNone(ctx, limit, lacking); err != nil {
-		return s, 0, 0, err
+	if spread, err = f.awaitNone(ctx, limit, unknown); err != nil {
+		return spread, 0, 0, err
 	}
-	s.Took = time.Since(began)
-	n := float64(len(f.running()))
+	spread.Took = time.Since(began)
+	memberCount := float64(len(f.running()))
 	for last := f.Traffic(); time.Since(began) < 2*limit; {
 		if err := sleep(ctx, 2*f.opt.ProbeInterval); err != nil {
-			return s, 0, 0, err
+			return spread, 0, 0, err
 		}
-		t := f.Traffic()
-		if float64(t.Minus(last).PacketBytes) < 1.3*rate*n*(2*f.opt.ProbeInterval).Seconds() {
+		traffic := f.Traffic()
+		if float64(traffic.Minus(last).PacketBytes) < 1.3*rate*memberCount*(2*f.opt.ProbeInterval).Seconds() {
 			break
 		}
-		last = t
+		last = traffic
 	}
-	sent := float64(f.Traffic().Minus(before).Sent()) - rate*n*time.Since(began).Seconds()
-	return s, sent / n, cpu() - cpu0, nil
+	sent := float64(f.Traffic().Minus(before).Sent()) - rate*memberCount*time.Since(began).Seconds()
+	return spread, sent / memberCount, cpu() - cpuBefore, nil
 }
 
-// measureRollout measures again while there was a suspicion, as these are gossiped as well.
-func (f *Fleet) measureRollout(ctx context.Context, r *MembersResult, rate float64) error {
+// measureRollout measures a rollout, up to six times until there is no suspicion during it, because suspicions are gossiped too.
+func (f *Fleet) measureRollout(ctx context.Context, result *MembersResult, rate float64) error {
 	all := f.running()
 	for try := range 6 {
 		version, suspected := fmt.Sprint("c", 1+try), f.Suspicions()
-		s, bytes, used, err := f.disseminate(ctx, rate, func() {
+		spread, bytes, cpuTime, err := f.disseminate(ctx, rate, func() {
 			for _, m := range all {
 				f.goroutines.Go(func() { m.Announce(membership.Serving, version) })
 			}
@@ -259,42 +267,44 @@
 		if err != nil {
 			return err
 		}
-		r.Rollout, r.RolloutBytes, r.RolloutCPU = s, bytes/float64(len(all)), used
+		result.Rollout, result.RolloutBytes, result.RolloutCPU = spread, bytes/float64(len(all)), cpuTime
 		if f.Suspicions() == suspected {
-			r.Rollouts = try + 1
+			result.Rollouts = try + 1
 			return nil
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) measureRestart(ctx context.Context, r *MembersResult, rate float64) error {
-	births := map[string]uint64{}
+func (f *Fleet) measureRestart(ctx context.Context, result *MembersResult, rate float64) error {
+	incarnations := map[string]uint64{}
 	all := f.running()
-	some := all[3 : 3+max(len(all)/5, 1)]
-	var fault error
-	s, bytes, _, err := f.disseminate(ctx, rate, func() {
-		for _, m := range some {
+	restarted := all[3 : 3+max(len(all)/5, 1)]
+	var startErr error
+	spread, bytes, _, err := f.disseminate(ctx, rate, func() {
+		for _, m := range restarted {
 			f.kill(m)
 		}
 		f.goroutines.Wait()
-		for _, m := range some {
-			if fault = f.start(m, "c1"); fault != nil {
+		for _, m := range restarted {
+			if startErr = f.start(m, "c1"); startErr != nil {
 				return
 			}
-			births[m.Name] = m.Members().Self().Incarnation
+			incarnations[m.Name] = m.Members().Self().Incarnation
 		}
 	}, func() int {
-		return f.CountUnknown(func(m membership.Member) bool { return m.State != membership.Dead && m.Incarnation >= births[m.Name] })
+		return f.CountUnknown(func(m membership.Member) bool {
+			return m.State != membership.Dead && m.Incarnation >= incarnations[m.Name]
+		})
 	})
-	if fault != nil {
-		return fault
+	if startErr != nil {
+		return startErr
 	}
-	r.Restart, r.RestartBytes = s, bytes/float64(len(some))
+	result.Restart, result.RestartBytes = spread, bytes/float64(len(restarted))
 	return err
 }
 
-// IdleTraffic returns the idle traffic of a member at a size, in bytes per probe interval.
+// IdleTraffic returns the idle traffic of a member in a fleet of the given size, in bytes per probe interval.
 func IdleTraffic(packetBytes, exchangeBytes float64, members float64) float64 {
 	return packetBytes + exchangeBytes/ExchangeEvery(members)
 }
--- a/internal/testbed/hollow/outage.go
+++ b/internal/testbed/hollow/outage.go
@@ -8,71 +8,72 @@
 	"robindrum/internal/membership"
 )
 
-// Outage is the loss of many members at once, which return later.
+// Outage is the loss of many members at once and their later return.
 type Outage struct {
 	Name string
-	// Fraction of all members that is killed, or that is on one side of a partition.
+	// Fraction of all members that are killed, or that are on one side of the partition.
 	Fraction  float64
 	Partition bool
 }
 
-// Outages are those of a rack or a switch, of one of eight zones, and of the link between two regions.
+// Outages are the outages of a rack or a switch, of one zone of eight, and of the link between two regions.
 var Outages = []Outage{
 	{Name: "rack", Fraction: 1.0 / 60},
 	{Name: "zone", Fraction: 1.0 / 8},
 	{Name: "regions", Fraction: 1.0 / 2, Partition: true},
 }
 
-// OutageResult is the cost of an outage.
+// OutageResult is the cost of an Outage.
 type OutageResult struct {
 	Members int
 	Lost    int
-	// Detection is the spread until each running member takes those that it cannot reach for dead, Recovery until each knows all
-	// again. Members that were killed return as new processes.
+	// Detection is the time until each running member has recorded all members that it cannot reach as dead. Recovery is the time after the
+	// return of the lost members until all members know each other again. Killed members return as new processes.
 	Detection Spread
 	Recovery  Spread
-	// Bytes that a running member sends until then beyond its idle traffic, for each lost member.
+	// Bytes that a running member sends during detection and recovery for each lost member, beyond its idle traffic.
 	DetectionBytes float64
 	RecoveryBytes  float64
-	// Processor time of all until then.
+	// Processor time that this process used during detection and recovery.
 	DetectionCPU time.Duration
 	RecoveryCPU  time.Duration
 }
 
-// MeasureOutages starts the members and measures each outage in turn. It returns an error if the members do not recover from one.
-func MeasureOutages(ctx context.Context, opt Options, outages []Outage) (rows []OutageResult, err error) {
+// MeasureOutages starts the members and measures the outages one after the other. It returns an error, with the results so far, if the
+// members do not recover from an outage.
+func MeasureOutages(ctx context.Context, opt Options, outages []Outage) (results []OutageResult, err error) {
 	f, err := New(opt)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	n := opt.Members
+	memberCount := opt.Members
 	limit := 300 * f.opt.ProbeInterval
 	if err := f.Start(ctx); err != nil {
 		return nil, err
 	}
-	s, err := f.Settle(ctx, limit, 0)
-	if err == nil && s.Unknown > 0 {
-		err = fmt.Errorf("%d members do not come together: %v of %d pairs", n, s, n*n)
+	spread, err := f.Settle(ctx, limit, 0)
+	if err == nil && spread.Unknown > 0 {
+		err = fmt.Errorf("%d members did not all join: %v of %d pairs", memberCount, spread, memberCount*memberCount)
 	}
 	if err != nil {
 		return nil, err
 	}
 	var idle MembersResult
-	idle.Members = n
-	for _, o := range outages {
+	idle.Members = memberCount
+	for _, outage := range outages {
 		if err := f.measureIdle(ctx, &idle, 10); err != nil {
-			return rows, err
+			return results, err
 		}
-		r, err := f.measureOutage(ctx, o, idleRate(&idle, f.opt.ProbeInterval), limit)
+		result, err := f.measureOutage(ctx, outage, idleRate(&idle, f.opt.ProbeInterval), limit)
 		if err != nil {
-			return rows, fmt.Errorf("%s: %w", o.Name, err)
+			return results, fmt.Errorf("%s: %w", outage.Name, err)
 		}
-		if rows = append(rows, r); r.Recovery.Unknown > 0 {
-			return rows, fmt.Errorf("%s: not all are back: %v", o.Name, r.Recovery)
+		if results = append(results, result); result.Recovery.Unknown > 0 {
+			return results, fmt.Errorf("%s: members did not recover: %v", outage.Name, result.Recovery)
 		}
 	}
-	return rows, nil
+	return results, nil
 }
 
 // measureOutage measures one outage. rate is the idle traffic of a member in bytes per second.
@@ -89,7 +90,7 @@
 	return result, err
 }
 
-// measurePartition partitions members from the others, and heals the partition.
+// measurePartition measures a partition of result.Lost members from the others, and its end.
 func (f *Fleet) measurePartition(ctx context.Context, result *OutageResult, rate float64, limit time.Duration) error {
 	all := f.running()
 	side := f.partition(result.Lost)
@@ -97,8 +98,8 @@
 	for i, m := range all {
 		names[i] = m.Name
 	}
-	otherSideDead := func(one *Member, m membership.Member, known bool) bool {
-		return known && (m.State == membership.Dead) == (side[one.Address] != side[m.Address])
+	otherSideDead := func(observer *Member, m membership.Member, known bool) bool {
+		return known && (m.State == membership.Dead) == (side[observer.Address] != side[m.Address])
 	}
 	var err error
 	result.Detection, result.DetectionBytes, result.DetectionCPU, err = f.measureSpread(ctx, rate, limit, func() int {
@@ -116,7 +117,7 @@
 	return err
 }
 
-// measureKill kills members other than the first three, which are the seeds, and starts them again.
+// measureKill measures the kill and the restart of result.Lost members. It does not kill the first three members, which are the seeds.
 func (f *Fleet) measureKill(ctx context.Context, result *OutageResult, rate float64, limit time.Duration) error {
 	all := f.running()
 	lost := all[min(3, len(all)-1):min(3+result.Lost, len(all))]
@@ -149,28 +150,28 @@
 	return err
 }
 
-// partition partitions some members from all others, and returns the addresses of that side. Where possible it takes every second
-// member, so that both sides have seeds.
-func (f *Fleet) partition(some int) map[string]bool {
+// partition partitions count members from all others, and returns the addresses of these members. It takes every second member if there
+// are enough of them, so that both sides have seeds.
+func (f *Fleet) partition(count int) map[string]bool {
 	all := f.running()
 	side := map[string]bool{}
 	for _, from := range []int{1, 0} {
-		for i := from; i < len(all) && len(side) < some; i += 2 {
+		for i := from; i < len(all) && len(side) < count; i += 2 {
 			side[all[i].Address] = true
 		}
 	}
 	for _, m := range all {
-		here := side[m.Address]
-		m.Node().SetPartition(func(addr string) bool { return side[addr] != here })
+		onSide := side[m.Address]
+		m.Node().SetPartition(func(addr string) bool { return side[addr] != onSide })
 	}
 	return side
 }
 
-// measureSpread waits until unknown returns 0, and returns what a member sent until then beyond its idle traffic and the processor
-// time of all.
-func (f *Fleet) measureSpread(ctx context.Context, rate float64, limit time.Duration, lacking func() int) (s Spread, bytes float64, used time.Duration, err error) {
-	before, cpu0, began := f.Traffic(), cpu(), time.Now()
-	s, err = f.awaitNone(ctx, limit, lacking)
-	n := float64(len(f.running()))
-	return s, float64(f.Traffic().Minus(before).Sent())/n - rate*time.Since(began).Seconds(), cpu() - cpu0, err
+// measureSpread waits until unknown returns 0 or limit has passed. It returns what a member sent in that time beyond its idle traffic, and
+// the processor time that this process used.
+func (f *Fleet) measureSpread(ctx context.Context, rate float64, limit time.Duration, unknown func() int) (spread Spread, bytes float64, cpuTime time.Duration, err error) {
+	before, cpuBefore, began := f.Traffic(), cpu(), time.Now()
+	spread, err = f.awaitNone(ctx, limit, unknown)
+	memberCount := float64(len(f.running()))
+	return spread, float64(f.Traffic().Minus(before).Sent())/memberCount - rate*time.Since(began).Seconds(), cpu() - cpuBefore, err
 }
--- a/internal/testbed/hollow/outage_test.go
+++ b/internal/testbed/hollow/outage_test.go
@@ -7,13 +7,15 @@
 	"robindrum/internal/membership"
 )
 
-// Bounds of what a member sends for each lost and for each recovered member beyond its idle traffic, below twice the usual value.
+// Bounds of what a member sends for each lost and for each recovered member, beyond its idle traffic. Each is less than twice the usual
+// value, so that a doubled cost fails the test.
 const (
 	maxDetectionBytes = 1800
 	maxRecoveryBytes  = 2300
 )
 
-// TestOutages kills and restarts some members, and partitions two halves: all running members detect the outage and recover.
+// TestOutages kills and restarts two of 20 members, and then partitions the members into halves. All running members must detect each
+// outage and recover.
 func TestOutages(t *testing.T) {
 	if runWithoutRaceDetector(t) {
 		return
@@ -28,13 +30,14 @@
 			r := rows[i]
 			t.Logf("%+v", r)
 			if r.Lost != lost || r.Detection.Unknown > 0 || r.DetectionBytes > maxDetectionBytes || r.RecoveryBytes > maxRecoveryBytes {
-				t.Errorf("%+v: want %d lost, all known, %d and %d bytes for each at the most", r, lost, maxDetectionBytes, maxRecoveryBytes)
+				t.Errorf("got %+v, want %d lost, all losses detected, and at most %d bytes per detection and %d per recovery", r, lost, maxDetectionBytes, maxRecoveryBytes)
 			}
 		}
 	})
 }
 
-// TestPartitionedFleetIsNotSettled checks that a partitioned fleet does not count as settled, nor a settled one as partitioned.
+// TestPartitionedFleetIsNotSettled checks that CountUnknown counts all pairs across a partition once it is detected, and none before the
+// detection and after the recovery.
 func TestPartitionedFleetIsNotSettled(t *testing.T) {
 	if runWithoutRaceDetector(t) {
 		return
@@ -55,20 +58,20 @@
 		alive := func(m membership.Member) bool { return m.State != membership.Dead }
 		side := f.partition(2)
 		if len(side) != 2 || side[f.members[0].Address] {
-			t.Errorf("sides %v", side)
+			t.Errorf("partition(2) = %v, want two members without the first one", side)
 		}
 		if n := f.CountUnknown(alive); n != 0 {
-			t.Errorf("%d pairs lack each other before anybody can know of the parts", n)
+			t.Errorf("CountUnknown() = %d before any member can detect the partition, want 0", n)
 		}
-		wait := func(what string, pairs int) {
+		wait := func(awaited string, pairs int) {
 			if err := f.await(t.Context(), 5*time.Minute, func() bool { return f.CountUnknown(alive) == pairs }); err != nil {
-				t.Errorf("%s: %v, %d pairs lack each other", what, err, f.CountUnknown(alive))
+				t.Errorf("waiting for %s: %v; CountUnknown() = %d, want %d", awaited, err, f.CountUnknown(alive), pairs)
 			}
 		}
-		wait("each of two sides takes the other for dead", 2*2*3)
+		wait("each side to record the other as dead", 2*2*3)
 		for _, m := range f.members {
 			m.Node().SetPartition(nil)
 		}
-		wait("all know all again", 0)
+		wait("all members to know each other again", 0)
 	})
 }
--- a/internal/testbed/hollow/race_off_test.go
+++ b/internal/testbed/hollow/race_off_test.go
@@ -2,4 +2,4 @@
 
 package hollow
 
-const underRace = false
+const raceEnabled = false
--- a/internal/testbed/hollow/race_on_test.go
+++ b/internal/testbed/hollow/race_on_test.go
@@ -2,4 +2,4 @@
 
 package hollow
 
-const underRace = true
+const raceEnabled = true
--- a/internal/testbed/hollow/requirement.go
+++ b/internal/testbed/hollow/requirement.go
@@ -11,58 +11,59 @@
 	"time"
 )
 
-// maxProcesses is how many processes of the program a measurement starts at most.
+// maxProcesses is the maximum number of robindrum processes that a measurement starts.
 const maxProcesses = 200
 
-// Requirement is an estimate of the resources that a size needs.
+// Requirement is an estimate of the resources that a fleet size needs.
 type Requirement struct {
 	Memory    int64 // bytes
-	Processes int   // of the program
-	Files     int64 // descriptors in this process
+	Processes int   // of robindrum
+	Files     int64 // file descriptors of this process
 }
 
-// Resident bytes during the join of all members, when they need the most.
+// Resident memory in bytes during the join of all members, when memory use peaks.
 const (
-	memberBytes  = 400 << 10 // of a member: socket buffers, goroutines and queues
-	pairBytes    = 8000      // of what a member stores about another one
-	processBytes = 80 << 20  // of a process of the program
+	memberBytes  = 400 << 10 // per member: socket buffers, goroutines and queues
+	pairBytes    = 8000      // per ordered pair: what a member stores about another member
+	processBytes = 80 << 20  // per robindrum process
 )
 
-// MembersRequirement estimates what hollow members and real processes need.
+// MembersRequirement estimates the resources for the given numbers of hollow members and robindrum processes.
 func MembersRequirement(members, processes int) Requirement {
 	n := int64(members)
 	return Requirement{Memory: n*memberBytes + n*n*pairBytes + int64(processes)*processBytes, Processes: processes, Files: 8*n + 200}
 }
 
-// Live bytes during the join of members on a network in memory. The collector's headroom is not included, as a memory limit bounds it.
+// Live bytes during the join of members on an in-memory network. The garbage collector's headroom is not included, because it is bounded
+// by a memory limit.
 const (
 	simulatedMemberBytes = 800 << 10
 	simulatedPairBytes   = 2100
 )
 
-// SimulatedRequirement estimates what hollow members on a network in memory need.
+// SimulatedRequirement estimates the resources for hollow members on an in-memory network.
 func SimulatedRequirement(members int) Requirement {
 	n := int64(members)
 	return Requirement{Memory: n*simulatedMemberBytes + n*n*simulatedPairBytes}
 }
 
-// Check returns an error if a size is too large for this machine: it may need half of the memory, 200 processes and the
-// descriptors of one process.
-func (n Requirement) Check() error { return n.check(machineMemory(), maxFiles()) }
+// Check returns an error if this machine cannot provide the resources. A requirement may use at most half of the machine's memory,
+// maxProcesses processes, and this process's limit of file descriptors.
+func (r Requirement) Check() error { return r.check(machineMemory(), maxFiles()) }
 
-func (n Requirement) check(memory, files int64) error {
+func (r Requirement) check(memory, files int64) error {
 	switch {
-	case n.Processes > maxProcesses:
-		return fmt.Errorf("needs %d processes, %d at most", n.Processes, maxProcesses)
-	case memory > 0 && n.Memory > memory/2:
-		return fmt.Errorf("needs an estimated %d MiB of memory, half of this machine's is %d MiB", n.Memory>>20, memory>>21)
-	case files > 0 && n.Files > files:
-		return fmt.Errorf("needs an estimated %d descriptors, this process may have %d", n.Files, files)
+	case r.Processes > maxProcesses:
+		return fmt.Errorf("needs %d processes, at most %d are allowed", r.Processes, maxProcesses)
+	case memory > 0 && r.Memory > memory/2:
+		return fmt.Errorf("needs an estimated %d MiB of memory, half of this machine's memory is %d MiB", r.Memory>>20, memory>>21)
+	case files > 0 && r.Files > files:
+		return fmt.Errorf("needs an estimated %d file descriptors, this process's limit is %d", r.Files, files)
 	}
 	return nil
 }
 
-// machineMemory returns the machine's memory in bytes; 0: unknown.
+// machineMemory returns the machine's memory in bytes, or 0 if it is unknown.
 func machineMemory() int64 {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -78,28 +79,28 @@
 	return 0
 }
 
-// maxFiles returns how many descriptors this process may have; 0: unknown.
+// maxFiles returns this process's limit of file descriptors, or 0 if it is unknown.
 func maxFiles() int64 {
-	var l syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) != nil {
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
 		return 0
 	}
-	return int64(min(l.Cur, 1<<40))
+	return int64(min(limit.Cur, 1<<40))
 }
 
-// cpu returns the processor time that this process has used.
+// cpu returns the processor time that this process has used so far, or 0 if it is unknown.
 func cpu() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heap returns the bytes of live objects on the heap, after a collection.
+// heap runs a garbage collection and returns the bytes of live heap objects.
 func heap() int64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
 }
