--- a/internal/testbed/fleet/admission.go
+++ b/internal/testbed/fleet/admission.go
@@ -7,7 +7,7 @@
 	"robindrum/internal/admission"
 )
 
-// NewAdmission returns a function for Options.Admission that gives each gateway an admission.Controller, with the classes of o.
+// NewAdmission returns a function for Options.Admission that gives each gateway an admission.Controller with the classes of o.
 func NewAdmission(o Options, options admission.Options) func(gateway int) (balancer.Admission, error) {
 	for _, class := range o.Classes {
 		options.Classes = append(options.Classes, admission.Class{
@@ -23,8 +23,9 @@
 }
 
 // NewAIMD returns a function for Options.Admission that gives each gateway a limit of requests in flight with additive increase and
-// multiplicative decrease, as a baseline: it rises by one over a window of responses in time, and falls by a tenth, at most once per
-// 100 ms, for one that is late or rejected. Nothing waits, and all classes are equal.
+// multiplicative decrease, as a baseline for comparisons. The limit rises by about one for each limit's worth of in-time responses, and
+// falls by a tenth, at most once per 100 ms, for a late response, a rejection or a failure. No request is queued, and all classes are
+// treated alike.
 func NewAIMD(o Options, initialLimit float64) func(gateway int) (balancer.Admission, error) {
 	objectives := map[string]time.Duration{}
 	for _, class := range o.Classes {
--- a/internal/testbed/fleet/admission_test.go
+++ b/internal/testbed/fleet/admission_test.go
@@ -11,22 +11,24 @@
 
 const ms = time.Millisecond
 
-// web is a cluster with the classes that a file of four lines has, shop one whose classes are worth different things.
-func web(o Options) Options {
-	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: s, Deadline: 15 * s, PriorityWeight: 1}, Fraction: 1}}
-	return admitted(o)
+// singleClass returns options with the only class that a minimal configuration has.
+func singleClass(o Options) Options {
+	o.Classes = []Class{{Class: balancer.Class{Name: "default-safe", LatencyObjective: sec, Deadline: 15 * sec, PriorityWeight: 1}, Fraction: 1}}
+	return withAdmission(o)
 }
 
-func shop(o Options) Options {
+// threeClasses returns options with classes of different priority weights.
+func threeClasses(o Options) Options {
 	o.Classes = []Class{
-		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * s, PriorityWeight: 1}, Fraction: 0.90},
-		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * s, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Group: balancer.GroupAll, Window: 4 * s}, Fraction: 0.08},
-		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * s, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Fraction: 0.02},
+		{Class: balancer.Class{Name: "seat-map", LatencyObjective: 300 * ms, Deadline: 3 * sec, PriorityWeight: 1}, Fraction: 0.90},
+		{Class: balancer.Class{Name: "seat-hold", LatencyObjective: 150 * ms, Deadline: 2 * sec, PriorityWeight: 5, Effect: balancer.IdempotentWithKey, Group: balancer.GroupAll, Window: 4 * sec}, Fraction: 0.08},
+		{Class: balancer.Class{Name: "pay", LatencyObjective: 300 * ms, Deadline: 2 * sec, PriorityWeight: 20, Effect: balancer.NonIdempotent}, Fraction: 0.02},
 	}
-	return admitted(o)
+	return withAdmission(o)
 }
 
-func admitted(o Options) Options {
+// withAdmission returns options with one zone and an admission controller per gateway.
+func withAdmission(o Options) Options {
 	o.Zones, o.Mode = []string{"a"}, PriceOnly
 	if o.Seed == 0 {
 		o.Seed = 1
@@ -38,45 +40,46 @@
 	return o
 }
 
-// Bursts after rests, from the first request on: healthy servers refuse nothing, and what servers of four workers can do in
-// the wanted time is served.
+// TestBurstsAfterIdleTimeAreServed sends bursts after idle periods, beginning with the first request. Servers with enough workers must
+// reject nothing. Servers with four workers must serve every burst that they can serve within the latency objective.
 func TestBurstsAfterIdleTimeAreServed(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		n, workers int
-		rest       time.Duration
+		size, workers int
+		idle          time.Duration
 	}{
-		{8, 10000, 50 * ms}, {64, 10000, 200 * ms}, {200, 10000, 200 * ms}, {1000, 10000, 50 * ms}, {1000, 10000, 10 * s}, {1000, 10000, 2 * s},
-		{8, 4, 50 * ms}, {64, 4, 200 * ms}, {200, 4, 200 * ms}, {500, 4, s}, {1000, 4, 2 * s}, {1000, 4, 10 * s},
+		{8, 10000, 50 * ms}, {64, 10000, 200 * ms}, {200, 10000, 200 * ms}, {1000, 10000, 50 * ms}, {1000, 10000, 10 * sec}, {1000, 10000, 2 * sec},
+		{8, 4, 50 * ms}, {64, 4, 200 * ms}, {200, 4, 200 * ms}, {500, 4, sec}, {1000, 4, 2 * sec}, {1000, 4, 10 * sec},
 	} {
-		t.Run(fmt.Sprintf("%d at %d workers, %v apart", c.n, c.workers, c.rest), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d requests to %d workers, %v idle", c.size, c.workers, c.idle), func(t *testing.T) {
 			t.Parallel()
-			o := web(Options{Servers: 2, ServiceTime: 5 * ms, Workers: c.workers, QueueSize: 10000, Duration: 25 * (c.rest + s), Rate: 0.001, CrossZoneDelay: ms})
+			o := singleClass(Options{Servers: 2, ServiceTime: 5 * ms, Workers: c.workers, QueueSize: 10000, Duration: 25 * (c.idle + sec), Rate: 0.001, CrossZoneDelay: ms})
 			for i := range 20 {
-				o.Events = append(o.Events, Event{time.Duration(i) * (c.rest + s), func(f *Fleet) { f.SendBurst(c.n) }})
+				o.Events = append(o.Events, Event{time.Duration(i) * (c.idle + sec), func(f *Fleet) { f.SendBurst(c.size) }})
 			}
 			r := run(t, o)
-			k := r.Phases[0].Classes["default-safe"]
-			if k.Requests < 20*c.n || k.InTime != k.Requests {
-				t.Errorf("%d of %d served in time, %d refused, %d failed", k.InTime, k.Requests, k.Rejected, k.Failed)
+			class := r.Phases[0].Classes["default-safe"]
+			if class.Requests < 20*c.size || class.InTime != class.Requests {
+				t.Errorf("%d of %d requests served in time, %d rejected, %d failed; want all served in time", class.InTime, class.Requests, class.Rejected, class.Failed)
 			}
 		})
 	}
 }
 
-// More than the servers can do, for a minute, with clients that give up, ask again at once or when they were told to: the
-// servers' work is of use, what is worth most is served, and all is well soon after.
+// TestOverload sends more than the servers' capacity for a minute, from clients that do not retry, retry at once, or retry after the
+// Retry-After time. At least 90% of the capacity must serve responses in time, the class with the highest priority weight must be served,
+// and 2 s after the overload nearly all responses must be in time again.
 func TestOverload(t *testing.T) {
 	t.Parallel()
 	const capacity = 2 * 4 / 0.02
-	for _, over := range []float64{1.5, 3, 10} {
-		for _, again := range []ClientRetry{NoRetry, RetryAtOnce, RetryAfter} {
-			t.Run(fmt.Sprintf("%v times the capacity, clients %d", over, again), func(t *testing.T) {
+	for _, multiple := range []float64{1.5, 3, 10} {
+		for _, retry := range []ClientRetry{NoRetry, RetryAtOnce, RetryAfter} {
+			t.Run(fmt.Sprintf("%v times the capacity, client retry mode %d", multiple, retry), func(t *testing.T) {
 				t.Parallel()
-				o := shop(Options{Servers: 2, Rate: capacity, Duration: 90 * s, ClientRetry: again, CrossZoneDelay: 30 * ms, Phases: []time.Duration{10 * s, 70 * s, 72 * s},
+				o := threeClasses(Options{Servers: 2, Rate: capacity, Duration: 90 * sec, ClientRetry: retry, CrossZoneDelay: 30 * ms, Phases: []time.Duration{10 * sec, 70 * sec, 72 * sec},
 					Burst: func(at time.Duration) float64 {
-						if at >= 10*s && at < 70*s {
-							return over
+						if at >= 10*sec && at < 70*sec {
+							return multiple
 						}
 						return 0.5
 					}})
@@ -86,29 +89,29 @@
 				for _, c := range p.Classes {
 					inTime += c.InTime
 				}
-				if part := float64(inTime) / (60 * capacity); part < 0.9 {
-					t.Errorf("%.3f of what the servers can do was in time", part)
+				if fraction := float64(inTime) / (60 * capacity); fraction < 0.9 {
+					t.Errorf("in-time responses = %.3f of the capacity, want at least 0.9", fraction)
 				}
-				if c := p.Classes["pay"]; c.part(c.InTime) < 0.95 {
-					t.Errorf("pay: %.3f in time", c.part(c.InTime))
+				if c := p.Classes["pay"]; c.fraction(c.InTime) < 0.95 {
+					t.Errorf("pay: %.3f in time, want at least 0.95", c.fraction(c.InTime))
 				}
-				if all, _ := r.Phases[3].in(); all < 0.999 {
-					t.Errorf("%.4f in time from 2 s after the overload on", all)
+				if all, _ := r.Phases[3].inTimeFractions(); all < 0.999 {
+					t.Errorf("%.4f in time from 2 s after the overload, want at least 0.999", all)
 				}
 			})
 		}
 	}
 }
 
-// Servers that become slower and quicker again by steps, by a neighbour that comes and goes every 3 s, and for good: what
-// they can do at each moment is used, and nothing is refused once they can do what is asked.
+// TestCapacityChanges changes the servers' speed in steps: by halving and doubling, by a noisy neighbour every 3 s, and by a slowdown to a
+// tenth for 5 s. Most requests that the servers have capacity for at the time must be served in time.
 func TestCapacityChanges(t *testing.T) {
 	t.Parallel()
 	const capacity = 2 * 4 / 0.02
 	for name, c := range map[string]struct {
-		slow  func(i int) float64 // by which everything takes longer in the second i
+		slow  func(i int) float64 // factor of the service time in second i
 		rate  float64
-		least float64 // in time, of what is asked or could be done
+		least float64 // minimum in-time responses, as a fraction of the requests that there is capacity for
 	}{
 		"halves and doubles":  {func(i int) float64 { return []float64{1, 2, 1, 0.5}[i/10%4] }, 0.9 * capacity, 0.85},
 		"neighbour every 3 s": {func(i int) float64 { return []float64{1, 2}[i/3%2] }, 0.8 * capacity, 0.8},
@@ -121,56 +124,57 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o := shop(Options{Servers: 2, Rate: c.rate, Duration: 40 * s, Phases: []time.Duration{}})
-			could := 0.0
+			o := threeClasses(Options{Servers: 2, Rate: c.rate, Duration: 40 * sec, Phases: []time.Duration{}})
+			servable := 0.0
 			before := 1.0
 			for i := range 40 {
-				by := c.slow(i)
-				o.Events = append(o.Events, Event{time.Duration(i) * s, func(f *Fleet) { f.SlowDown("a", by/before); before = by }})
-				could += min(c.rate, capacity/by)
+				factor := c.slow(i)
+				o.Events = append(o.Events, Event{time.Duration(i) * sec, func(f *Fleet) { f.SlowDown("a", factor/before); before = factor }})
+				servable += min(c.rate, capacity/factor)
 			}
 			p := run(t, o).Phases[0]
 			inTime := 0
-			for _, k := range p.Classes {
-				inTime += k.InTime
+			for _, class := range p.Classes {
+				inTime += class.InTime
 			}
-			if part := float64(inTime) / could; part < c.least {
-				t.Errorf("%.3f of what was asked and could be done was in time", part)
+			if fraction := float64(inTime) / servable; fraction < c.least {
+				t.Errorf("in-time responses = %.3f of the requests with capacity, want at least %v", fraction, c.least)
 			}
-			if k := p.Classes["pay"]; k.part(k.InTime) < 0.9 {
-				t.Errorf("pay: %.3f in time", k.part(k.InTime))
+			if class := p.Classes["pay"]; class.fraction(class.InTime) < 0.9 {
+				t.Errorf("pay: %.3f in time, want at least 0.9", class.fraction(class.InTime))
 			}
 		})
 	}
 }
 
-// Many gateways share nothing before the same servers, at one and a half times what these can do, and at half of it.
+// TestManyGatewaysAdmitWithoutCoordination runs many gateways that exchange nothing in front of the same servers, at half of the servers'
+// capacity, then at one and a half times, then at half again.
 func TestManyGatewaysAdmitWithoutCoordination(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{40, 200} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			const capacity = 18 * 4 / 0.02
-			o := shop(Options{Gateways: n, Servers: 18, Rate: capacity, Duration: 25 * s, Phases: []time.Duration{5 * s, 15 * s, 17 * s},
+			o := threeClasses(Options{Gateways: n, Servers: 18, Rate: capacity, Duration: 25 * sec, Phases: []time.Duration{5 * sec, 15 * sec, 17 * sec},
 				Burst: func(at time.Duration) float64 {
-					if at >= 5*s && at < 15*s {
+					if at >= 5*sec && at < 15*sec {
 						return 1.5
 					}
 					return 0.5
 				}})
 			r := run(t, o)
-			if all, _ := r.Phases[0].in(); all < 0.999 {
-				t.Errorf("%.4f in time at half of what the servers can do", all)
+			if all, _ := r.Phases[0].inTimeFractions(); all < 0.999 {
+				t.Errorf("%.4f in time at half of the capacity, want at least 0.999", all)
 			}
 			inTime := 0
-			for _, k := range r.Phases[1].Classes {
-				inTime += k.InTime
+			for _, class := range r.Phases[1].Classes {
+				inTime += class.InTime
 			}
-			if part := float64(inTime) / (10 * capacity); part < 0.8 {
-				t.Errorf("%.3f of what the servers can do was in time", part)
+			if fraction := float64(inTime) / (10 * capacity); fraction < 0.8 {
+				t.Errorf("in-time responses = %.3f of the capacity, want at least 0.8", fraction)
 			}
-			if all, _ := r.Phases[3].in(); all < 0.999 {
-				t.Errorf("%.4f in time from 2 s after the overload on", all)
+			if all, _ := r.Phases[3].inTimeFractions(); all < 0.999 {
+				t.Errorf("%.4f in time from 2 s after the overload, want at least 0.999", all)
 			}
 		})
 	}
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -7,23 +7,23 @@
 	"robindrum/balancer"
 )
 
-// request is a client's request. A retry is a request of its own.
+// request is a client's request. A client's retry is a separate request.
 type request struct {
 	id       string
 	class    *Class
 	key      string // idempotency key
 	tenant   string
-	began    time.Duration // when the client sent it first
-	sentAt   time.Duration // when the client sent it last, from which its latency counts
+	began    time.Duration // when the client first sent it
+	sentAt   time.Duration // when the client last sent it; its latency is measured from this time
 	deadline time.Duration
 	attempts []*attempt
 	answered bool
 	phase    *Phase // in which it began
-	local    bool   // servers of its gateway's zone ran when it began
-	repeats  bool   // the client sends another request after the response
+	local    bool   // the gateway's zone was live when the request began
+	repeats  bool   // the client is one of Options.Clients and sends another request after the response
 }
 
-// scheduleArrival schedules the next request, which schedules the one after it.
+// scheduleArrival schedules the next request, which schedules the request after it.
 func (f *Fleet) scheduleArrival() {
 	if f.options.Arrivals != nil {
 		f.scheduleGivenArrival()
@@ -42,6 +42,7 @@
 	})
 }
 
+// scheduleGivenArrival schedules the next request of Options.Arrivals.
 func (f *Fleet) scheduleGivenArrival() {
 	arrival, ok := f.options.Arrivals()
 	if !ok {
@@ -53,7 +54,7 @@
 	})
 }
 
-// SendBurst has n clients send a request at once.
+// SendBurst sends n requests of random classes to random gateways at once.
 func (f *Fleet) SendBurst(n int) {
 	for range n {
 		f.sendDrawn()
@@ -83,7 +84,7 @@
 	return time.Duration(f.random.ExpFloat64() * float64(f.options.ThinkTime))
 }
 
-// sendAsClient sends the next request of one of Options.Clients. Its number is the request's tenant.
+// sendAsClient sends the next request of one of Options.Clients. The client's number is the request's tenant.
 func (f *Fleet) sendAsClient(client int) {
 	if f.Now() < f.options.Duration {
 		f.send(f.drawClass(), f.gateways[client%len(f.gateways)], strconv.Itoa(client), true)
@@ -99,7 +100,7 @@
 	f.after(f.drawThinkTime()+time.Microsecond, func() { f.sendAsClient(client) })
 }
 
-// send has a client send a request for the first time.
+// send creates a request of a client and sends it for the first time.
 func (f *Fleet) send(class *Class, g *gateway, tenant string, repeats bool) {
 	r := &request{
 		class:    class,
@@ -118,7 +119,7 @@
 	f.route(g, r)
 }
 
-// route brings a request to a gateway, or, while that is not ready, to another one. Without any it fails.
+// route sends a request to a gateway, or to a random ready gateway if that one is not ready. It fails the request if none is ready.
 func (f *Fleet) route(g *gateway, r *request) {
 	ready := f.readyGateway(g.number)
 	if ready == nil {
@@ -128,7 +129,7 @@
 	ready.receive(r)
 }
 
-// readyGateway returns the gateway with a number if it is ready, and otherwise a random one that is, or nil.
+// readyGateway returns the gateway with the given number if it is ready, and otherwise a random ready gateway, or nil if there is none.
 func (f *Fleet) readyGateway(number int) *gateway {
 	if g := f.gateways[number]; g.ready {
 		return g
@@ -145,12 +146,12 @@
 	return ready[f.random.IntN(len(ready))]
 }
 
-// fail ends a request without a response of a gateway.
+// fail ends a request that no gateway responds to.
 func (f *Fleet) fail(r *request) {
 	f.respond(r, func(c *ClassCount) { c.Failed++ }, Response{Failed: true})
 }
 
-// respond ends a request with its response, and counts it. A second response counts as a lost request.
+// respond ends a request with its response, and counts it with count. A second response counts as a lost request.
 func (f *Fleet) respond(r *request, count func(*ClassCount), response Response) {
 	if r.answered {
 		f.result.Lost++
@@ -169,7 +170,7 @@
 	}
 }
 
-// receive takes a request from a client, for the first time or as a retry.
+// receive handles a request or a retry from a client.
 func (g *gateway) receive(r *request) {
 	f := g.fleet
 	f.requests++
--- a/internal/testbed/fleet/failover.go
+++ b/internal/testbed/fleet/failover.go
@@ -8,11 +8,11 @@
 	"robindrum/balancer"
 )
 
-// failoverRetryAfter is after which time a request without a ready server may be retried.
+// failoverRetryAfter is the Retry-After time of a request for which no server is ready.
 const failoverRetryAfter = time.Second
 
-// failoverPicker picks the own zone while it has a ready server, and otherwise the next one by name. It implements
-// balancer.LocalityPicker.
+// failoverPicker picks the gateway's own zone while that has a ready server, and otherwise the first other zone by name that has one. It
+// implements balancer.LocalityPicker.
 type failoverPicker struct {
 	ownZone    string
 	localities []balancer.LocalityHealth // in order of preference
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -18,14 +18,14 @@
 	return servers
 }
 
-// firstServersOf returns a fraction of the servers of a zone, always the same ones.
+// firstServersOf returns the first servers of a zone, as many as the given fraction.
 func (f *Fleet) firstServersOf(zone string, fraction float64) []*server {
 	servers := f.serversOf(zone)
 	n := int(math.Round(fraction * float64(len(servers))))
 	return servers[:min(max(n, 0), len(servers))]
 }
 
-// FailServers puts a fraction of a zone's servers into a state.
+// FailServers puts a fraction of a zone's servers into a state. The zone counts as live if the fraction is below 1.
 func (f *Fleet) FailServers(zone string, state ServerState, fraction float64) {
 	for _, s := range f.firstServersOf(zone, fraction) {
 		s.state = state
@@ -37,7 +37,7 @@
 	f.liveZones[zone] = fraction < 1
 }
 
-// SetDraining has a fraction of a zone's servers drain, or ends that. PublishEndpoints tells the gateways.
+// SetDraining starts or ends the drain of a fraction of a zone's servers. Gateways learn of it from PublishEndpoints.
 func (f *Fleet) SetDraining(zone string, fraction float64, draining bool) {
 	for _, s := range f.firstServersOf(zone, fraction) {
 		s.draining = draining
@@ -52,15 +52,15 @@
 	}
 }
 
-// SetRejectedClass has a zone's servers reject the requests of a class, or ends that.
+// SetRejectedClass sets whether a zone's servers reject the requests of a class.
 func (f *Fleet) SetRejectedClass(zone, class string, rejected bool) {
 	for _, s := range f.serversOf(zone) {
 		s.rejects = map[string]bool{class: rejected}
 	}
 }
 
-// RestartServers has a zone's servers that have failed start again, cold, the first renamed ones under new ids. PublishEndpoints
-// tells the gateways.
+// RestartServers restarts the failed servers of a zone, which are cold then. As many as renamed get new ids. Gateways learn of these from
+// PublishEndpoints.
 func (f *Fleet) RestartServers(zone string, renamed int) {
 	f.liveZones[zone] = true
 	for _, s := range f.serversOf(zone) {
@@ -88,8 +88,8 @@
 	s.arrivals = nil
 }
 
-// ReviveServers has a zone's servers go on as if they had not failed. The zone still counts as one without servers that run, as it
-// may fail again.
+// ReviveServers ends the failure of a zone's servers without a restart: they are warm. The zone still does not count as live, because it may
+// fail again.
 func (f *Fleet) ReviveServers(zone string) {
 	for _, s := range f.serversOf(zone) {
 		s.state = Healthy
@@ -98,8 +98,9 @@
 	}
 }
 
-// RestartGateways kills a fraction of the gateways at once, spread over the zones, with all requests in flight, and has them start
-// without an endpoint list after a while. Clients use those that are ready meanwhile. An error ends up in Run's.
+// RestartGateways kills a fraction of the gateways at once, spread over the zones, and fails their requests in flight. The gateways start
+// again after downtime, without an endpoint list. Until they are ready, clients use ready gateways. Run returns an error of
+// RestartGateways.
 func (f *Fleet) RestartGateways(fraction float64, downtime time.Duration) {
 	n := int(math.Round(fraction * float64(len(f.gateways))))
 	for number := range n {
@@ -118,11 +119,11 @@
 	}
 }
 
-// kill ends a gateway and all its requests.
+// kill ends a gateway and fails all its requests.
 func (f *Fleet) kill(g *gateway) {
 	g.killed = true
 	g.ready = false
-	// In the order of ids, as clients draw their next pause then.
+	// Fail requests in the order of ids, so that random pauses of clients are drawn in a reproducible order.
 	for _, id := range slices.Sorted(maps.Keys(g.open)) {
 		f.fail(g.open[id])
 	}
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -1,5 +1,6 @@
-// Package fleet simulates gateways before servers in zones, on simulated time. Each gateway is a balancer with its own view and seed;
-// each server has workers, a queue and a warm-up, and crashes if it is overloaded while it is cold. Equal Options give equal Results.
+// Package fleet simulates gateways and servers in several zones, on simulated time. Each gateway is a balancer with its own view of the
+// servers and its own seed. Each server has workers, a queue and a warm-up, and crashes if it is overloaded while it is cold. The same
+// Options produce the same Result.
 package fleet
 
 import (
@@ -11,15 +12,15 @@
 )
 
 const (
-	// simulationStart is the clock's first reading, so that 0 can mean long ago.
+	// simulationStart is the first reading of the simulated clock. It is positive, so that 0 can stand for a time long before the start.
 	simulationStart = time.Hour
-	// simulationTail is how long a simulation goes on after its duration, for requests to end.
+	// simulationTail is how long a simulation continues after its duration, so that requests can end.
 	simulationTail = 5 * time.Second
-	// fleetStream distinguishes the simulation's random numbers from others of the same seed.
+	// fleetStream is the PCG stream of the simulation, so that its random numbers differ from others with the same seed.
 	fleetStream = 0x666c656574
 )
 
-// Fleet is a simulation that runs. Its methods are for the functions of events, which run one after the other.
+// Fleet is a running simulation. Its methods may only be called by the functions of events, which run one after the other.
 type Fleet struct {
 	options Options
 	random  *rand.Rand
@@ -29,24 +30,24 @@
 	sequence uint64 // of events
 
 	gateways        []*gateway
-	gatewaysCreated int // those that were killed included
+	gatewaysCreated int // including killed ones
 	servers         map[string]*server
 	serverOrder     []*server
 	liveZones       map[string]bool
 
 	controlPlaneDown bool
-	sourceBusy       int           // calls that the source works on
+	sourceBusy       int           // calls in progress at the source
 	sourceQueue      []*sourceCall // calls that wait for a slot
 
-	requests       int                       // sent to gateways; the last one's id
-	pendingRetries int                       // clients that retry later
-	runs           map[string]map[string]int // effects by idempotency key and group of servers
+	requests       int                       // sent to gateways; also the id of the last request
+	pendingRetries int                       // clients that wait before a retry
+	runs           map[string]map[string]int // number of effects, by idempotency key and group of servers
 
 	result Result
 	err    error
 }
 
-// Run runs a simulation to its end. It does not block on real time.
+// Run runs a simulation to its end. It does not wait for real time.
 func Run(options Options) (Result, error) {
 	f := newFleet(options.withDefaults())
 	if err := f.addGateways(); err != nil {
@@ -65,7 +66,7 @@
 	return f.result, f.err
 }
 
-// newFleet returns a fleet with its servers.
+// newFleet returns a fleet with servers and without gateways.
 func newFleet(o Options) *Fleet {
 	f := &Fleet{
 		options:   o,
@@ -101,7 +102,7 @@
 	return phases
 }
 
-// addGateways adds gateways that are ready from the start.
+// addGateways adds the gateways, which are ready from the start.
 func (f *Fleet) addGateways() error {
 	for number := range f.options.Gateways {
 		g, err := f.newGateway(number)
@@ -127,7 +128,7 @@
 	}
 }
 
-// countUnfinished counts what has not ended with the simulation, and duplicate effects.
+// countUnfinished counts the requests and the gateway starts that have not ended when the simulation ends, and duplicate effects.
 func (f *Fleet) countUnfinished() {
 	f.result.Lost += f.pendingRetries
 	for _, g := range f.gateways {
@@ -147,10 +148,10 @@
 	}
 }
 
-// Now returns the time since the start.
+// Now returns the simulated time since the start.
 func (f *Fleet) Now() time.Duration { return f.now - simulationStart }
 
-// phase returns the present phase.
+// phase returns the current phase, or the last one after the end.
 func (f *Fleet) phase() *Phase {
 	for i := range f.result.Phases {
 		if p := &f.result.Phases[i]; f.Now() < p.To {
@@ -160,7 +161,7 @@
 	return &f.result.Phases[len(f.result.Phases)-1]
 }
 
-// after schedules a function. Those for the same time run in the order in which they were scheduled.
+// after schedules do after a delay. Functions for the same time run in the order in which they were scheduled.
 func (f *Fleet) after(delay time.Duration, do func()) {
 	f.sequence++
 	heap.Push(&f.events, event{at: f.now + max(delay, 0), sequence: f.sequence, do: do})
@@ -172,7 +173,7 @@
 	do       func()
 }
 
-// eventHeap implements heap.Interface.
+// eventHeap is a heap.Interface ordered by time and sequence.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/testbed/fleet/gateway.go
+++ b/internal/testbed/fleet/gateway.go
@@ -8,19 +8,19 @@
 	"robindrum/internal/locality"
 )
 
-// publishedDrainGrace is how long after the endpoint list showed a drain attempts at the server are allowed.
+// publishedDrainGrace is how long attempts at a draining server are allowed after the endpoint list showed the drain.
 const publishedDrainGrace = time.Second
 
-// gateway is a balancer and what it acts on. It implements balancer.Actions.
+// gateway is a simulated gateway with its balancer. It implements balancer.Actions.
 type gateway struct {
 	fleet     *Fleet
 	number    int
 	zone      string
 	balancer  *balancer.Balancer
 	open      map[string]*request        // by id
-	idle      map[string][]time.Duration // connections by server: since when, if they cost anything
-	ready     bool                       // it has the endpoint list
-	killed    bool                       // another one has its place
+	idle      map[string][]time.Duration // idle connections by server: when each became idle; empty if connections are free
+	ready     bool                       // has received the endpoint list
+	killed    bool                       // replaced by another gateway
 	startedAt time.Duration
 }
 
@@ -30,9 +30,9 @@
 	number      int
 	server      *server
 	sentAt      time.Duration
-	connectTime time.Duration // the server's work for the connection
+	connectTime time.Duration // the server's processing time for a new connection
 	done        bool
-	begin       func() // while it is queued: has a worker begin it
+	begin       func() // makes a worker begin the attempt; set when the server enqueues it
 }
 
 // newGateway returns a gateway that is not ready.
@@ -110,8 +110,8 @@
 		})
 	}
 	if o.Trace != nil {
-		options.Notify = func(t locality.Transition) {
-			o.Trace(t.At-simulationStart, fmt.Sprintf("gateway %d: %s %v to %v (%s)", g.number, t.Locality.Zone, t.From, t.To, t.Evidence))
+		options.Notify = func(transition locality.Transition) {
+			o.Trace(transition.At-simulationStart, fmt.Sprintf("gateway %d: %s %v to %v (%s)", g.number, transition.Locality.Zone, transition.From, transition.To, transition.Evidence))
 		}
 	}
 	return options
@@ -120,7 +120,7 @@
 // Send sends an attempt to a server.
 func (g *gateway) Send(id, serverID string, _ time.Duration) {
 	f, r := g.fleet, g.open[id]
-	s := f.servers[serverID] // nil: it has another id by now
+	s := f.servers[serverID] // nil if the server has been renamed since
 	a := &attempt{request: r, number: len(r.attempts), server: s, sentAt: f.now, connectTime: g.connect(serverID)}
 	r.attempts = append(r.attempts, a)
 	r.phase.Attempts++
@@ -141,7 +141,7 @@
 	})
 }
 
-// drawDelay draws the delay of one way to a server.
+// drawDelay returns a random one-way delay to a server.
 func (g *gateway) drawDelay(s *server) time.Duration {
 	o := &g.fleet.options
 	delay := o.CrossZoneDelay / 16
@@ -164,7 +164,7 @@
 	}
 }
 
-// endAfter ends an attempt when its result has reached the gateway. A response may be lost on the way.
+// endAfter ends an attempt when its result reaches the gateway, after delay. A response may be lost on the way.
 func (g *gateway) endAfter(a *attempt, result balancer.Result, delay time.Duration) {
 	loss := g.fleet.options.Link.Loss
 	if result == balancer.Served {
@@ -176,7 +176,7 @@
 	g.fleet.after(delay, func() { g.endAttempt(a, result) })
 }
 
-// endAttempt ends an attempt, unless it has ended, and its request if it was served.
+// endAttempt ends an attempt that has not ended yet, and, if the attempt was served, its request.
 func (g *gateway) endAttempt(a *attempt, result balancer.Result) {
 	if a.done {
 		return
@@ -198,7 +198,7 @@
 	g.balancer.Outcome(f.now, balancer.Outcome{ID: r.id, Attempt: a.number, Result: result, Latency: f.now - a.sentAt, Final: final})
 }
 
-// Reject answers a client, which may retry. A request counts as rejected when the client gives up.
+// Reject responds to a client that its request is rejected. The client may retry; the request counts as rejected when it gives up.
 func (g *gateway) Reject(id string, retryAfter time.Duration) {
 	f, r := g.fleet, g.open[id]
 	if f.options.ClientRetry == RetryAtOnce || retryAfter <= 0 {
@@ -212,16 +212,17 @@
 	f.pendingRetries++
 	retry := *r
 	retry.attempts = nil
-	r.answered = true // its attempts that have not ended are of no use any more
+	r.answered = true // the results of its remaining attempts are ignored
 	f.after(retryAfter, func() {
 		f.pendingRetries--
 		f.route(g, &retry)
 	})
 }
 
-// Fail answers a client that its request failed.
+// Fail responds to a client that its request failed.
 func (g *gateway) Fail(id string) { g.endUnserved(id, false) }
 
+// endUnserved ends a request that was rejected or that failed.
 func (g *gateway) endUnserved(id string, rejected bool) {
 	r := g.open[id]
 	if r == nil {
@@ -232,7 +233,7 @@
 	g.fleet.respond(r, func(c *ClassCount) { c.countNotServed(r, took, rejected) }, Response{Rejected: rejected, Failed: !rejected})
 }
 
-// Cancel cancels an attempt that waits at a server. Its request may have been answered.
+// Cancel cancels an attempt that is queued at a server. Its request may have been answered already.
 func (g *gateway) Cancel(id string, number int) {
 	for _, s := range g.fleet.serverOrder {
 		for _, a := range s.queue {
@@ -244,7 +245,7 @@
 	}
 }
 
-// SetTimer calls the balancer back, unless the gateway was killed.
+// SetTimer calls the balancer's Timer after a delay, unless the gateway was killed by then.
 func (g *gateway) SetTimer(token uint64, after time.Duration) {
 	g.fleet.after(after, func() {
 		if !g.killed {
@@ -261,7 +262,8 @@
 func (g *gateway) Fetch()             {}
 func (g *gateway) Log(string)         {}
 
-// connect takes an idle connection to a server, or opens one. It returns the server's work for a new one.
+// connect reuses an idle connection to a server or opens a new one. It returns the server's processing time for the connection, which is
+// 0 for a reused one.
 func (g *gateway) connect(serverID string) time.Duration {
 	f := g.fleet
 	if f.options.ConnectTime == 0 {
@@ -274,13 +276,13 @@
 		if f.now-since < f.options.IdleTimeout {
 			return 0
 		}
-		g.idle[serverID] = nil // the others have been idle for longer
+		g.idle[serverID] = nil // the remaining connections have been idle for even longer
 	}
 	f.phase().NewConnections++
 	return f.options.ConnectTime
 }
 
-// retainConnection has the connection of a served attempt wait for another one.
+// retainConnection keeps the connection of a served attempt for reuse.
 func (g *gateway) retainConnection(a *attempt, result balancer.Result) {
 	if g.fleet.options.ConnectTime > 0 && result == balancer.Served && a.server != nil {
 		g.idle[a.server.id] = append(g.idle[a.server.id], g.fleet.now)
--- a/internal/testbed/fleet/options.go
+++ b/internal/testbed/fleet/options.go
@@ -16,9 +16,9 @@
 const (
 	// Tiers gives each gateway a locality.Picker.
 	Tiers Mode = iota
-	// PriceOnly weighs servers of other zones by the balancer's cross-zone price alone.
+	// PriceOnly uses all zones and relies on the balancer's cross-zone penalty alone.
 	PriceOnly
-	// Failover uses the own zone while it has a ready server, and otherwise another one, without limits.
+	// Failover uses the gateway's own zone while that has a ready server, and otherwise another zone, without limits.
 	Failover
 )
 
@@ -28,22 +28,22 @@
 // Class is a class of requests.
 type Class struct {
 	balancer.Class
-	// Fraction of all requests that are of this class.
+	// Fraction is the fraction of all requests that are of this class.
 	Fraction float64
-	// DrawServiceTime returns how long a server at full speed works for a request; nil: exponentially distributed around
-	// Options.ServiceTime.
+	// DrawServiceTime returns a random service time of a request at full speed. If it is nil, service times are exponentially distributed
+	// with the mean Options.ServiceTime.
 	DrawServiceTime func(*rand.Rand) time.Duration
-	// ResponseTime is how long a response takes on the link beside the delay.
+	// ResponseTime is the transmission time of a response, in addition to the link's delay.
 	ResponseTime time.Duration
 }
 
-// Group is a number of equal servers.
+// Group is a number of identical servers.
 type Group struct {
 	Zone      string
 	Servers   int
-	Workers   int // 0: Options.Workers
-	QueueSize int // 0: Options.QueueSize
-	// Speed returns the fraction of the full speed at a time since the start; nil: always 1.
+	Workers   int // default: Options.Workers
+	QueueSize int // default: Options.QueueSize
+	// Speed returns the servers' speed as a fraction of the full speed, at a time since the start. If it is nil, the speed is always 1.
 	Speed func(at time.Duration) float64
 }
 
@@ -55,17 +55,17 @@
 	Tenant  string
 }
 
-// Link is the network between gateways and servers, beside Options.CrossZoneDelay.
+// Link describes the network between gateways and servers. Its delay is in addition to Options.CrossZoneDelay.
 type Link struct {
 	Delay  time.Duration // each way
-	Jitter time.Duration // mean of an exponentially distributed delay that is added
-	Loss   float64       // fraction of responses in whose place the connection is lost
+	Jitter time.Duration // mean of an additional, exponentially distributed delay
+	Loss   float64       // fraction of responses that are lost together with their connection
 }
 
-// Response is how a client's request ended. Exactly one of the four conditions is set.
+// Response is the outcome of a client's request. Exactly one of InTime, Late, Rejected and Failed is set.
 type Response struct {
-	At       time.Duration // since the start, when the client sent the request first
-	Took     time.Duration // since it sent the request last
+	At       time.Duration // when the client first sent the request, since the start
+	Took     time.Duration // since the client last sent the request
 	Class    string
 	InTime   bool
 	Late     bool
@@ -73,21 +73,21 @@
 	Failed   bool
 }
 
-// Observer is called with what happens. Its functions may be nil.
+// Observer holds functions that are called for events of the simulation. They may be nil.
 type Observer struct {
 	ResponseReceived func(Response)
 	AttemptSent      func(at time.Duration, zone, server string)
 }
 
-// ClientRetry is what a client does whose request is rejected.
+// ClientRetry is the behaviour of clients when a request is rejected.
 type ClientRetry uint8
 
-// The behaviours of clients whose request is rejected.
+// The behaviours of clients when a request is rejected.
 const (
 	NoRetry ClientRetry = iota
-	// RetryAtOnce retries after a round trip, while a response can be in time.
+	// RetryAtOnce retries after a round trip, as long as a response can still be in time.
 	RetryAtOnce
-	// RetryAfter retries after the time that the gateway demands, while a response can be in time.
+	// RetryAfter retries after the gateway's Retry-After time, as long as a response can still be in time.
 	RetryAfter
 )
 
@@ -97,62 +97,64 @@
 	Do func(*Fleet)
 }
 
-// Options describe a simulation. Zero values have the defaults that are given.
+// Options describes a simulation. A duration or number after a field is its default, which replaces the zero value.
 type Options struct {
 	Seed     uint64
 	Duration time.Duration // 30 s
-	// Phases are the times at which a phase of the result ends and the next one begins.
+	// Phases are the times, since the start, at which one phase of the result ends and the next one begins.
 	Phases []time.Duration
 	Events []Event
 
 	Mode     Mode
 	Gateways int // 4
-	// Zones of the servers, and of the gateways in turn.
-	Zones []string // two
-	// Zone configures the pickers of the mode Tiers.
+	// Zones are the zones of the servers. Gateways are assigned to them round-robin.
+	Zones []string // default: two zones
+	// Zone configures the locality pickers of the mode Tiers.
 	Zone locality.Options
-	// Admission returns a gateway's admission control; nil: the balancer's own.
+	// Admission returns a gateway's admission control. If it is nil, gateways use the balancer's default.
 	Admission func(gateway int) (balancer.Admission, error)
 
-	// Servers in each zone.
+	// Servers is the number of servers in each zone.
 	Servers int // 6
-	// Groups replace Servers if the servers are not equal.
+	// Groups replaces Servers if the servers are not identical.
 	Groups      []Group
-	Workers     int           // 4, of a server
+	Workers     int           // 4, per server
 	ServiceTime time.Duration // 20 ms, mean
-	QueueSize   int           // 100 requests that wait for a worker, before further ones are rejected
+	QueueSize   int           // 100 requests per server that wait for a worker; more are rejected
 	WarmUp      time.Duration // 10 s
-	// InitialSpeed is the fraction of the full speed at which a cold server begins.
+	// InitialSpeed is the speed of a server at its start, as a fraction of the full speed.
 	InitialSpeed float64 // 0.2
-	// OverloadMultiple is the load of a second, as a multiple of its capacity, at which a cold server crashes.
+	// OverloadMultiple is the load, as a multiple of the current capacity over a second, above which a cold server crashes.
 	OverloadMultiple float64 // 2.5
 
-	// CrossZoneDelay is the round trip between zones.
+	// CrossZoneDelay is the round-trip time between zones.
 	CrossZoneDelay time.Duration // 8 ms
 	Link           Link
-	// ConnectTime is a server's work for a new connection at full speed; 0: connections cost nothing. Gateways reuse an idle
-	// connection for IdleTimeout.
+	// ConnectTime is a server's processing time for a new connection at full speed; if it is 0, connections are free. Gateways reuse
+	// connections that have been idle for less than IdleTimeout.
 	ConnectTime time.Duration
 	IdleTimeout time.Duration // 10 s
 	Source      Source
 
-	Classes []Class // three
-	// Rate of requests per second to all gateways, which Burst multiplies; nil: 1.
+	Classes []Class // default: three classes, see defaultClasses
+	// Rate is the number of requests per second to all gateways together. Burst returns a factor for it at a time since the start; nil
+	// means 1.
 	Rate  float64
 	Burst func(at time.Duration) float64
-	// Arrivals replaces Rate and Burst; it returns requests in order of time, and false when there are no more.
+	// Arrivals, if not nil, replaces Rate and Burst. It returns the requests in order of time, and false when there are no more.
 	Arrivals func() (Arrival, bool)
-	// Clients send one request after the other, with an exponentially distributed pause around ThinkTime, beside other requests.
+	// Clients is the number of closed-loop clients. Each sends one request after the other, with exponentially distributed pauses of mean
+	// ThinkTime, in addition to the requests of Rate or Arrivals.
 	Clients     int
 	ThinkTime   time.Duration
 	ClientRetry ClientRetry
 
 	Observer Observer
-	// Trace is called with the transitions of the gateways' pickers; nil: nothing is.
+	// Trace, if not nil, is called with the transitions of the gateways' locality pickers.
 	Trace func(at time.Duration, text string)
 }
 
-// withDefaults returns the options without zero values.
+// withDefaults returns the options with zero values replaced by the defaults.
 func (o Options) withDefaults() Options {
 	if len(o.Zones) == 0 {
 		o.Zones = []string{"sapporo", "ishikari"}
@@ -179,7 +181,7 @@
 	return o
 }
 
-// defaultClasses returns reads, writes with an idempotency key and writes that must not be repeated.
+// defaultClasses returns a class of reads, a class of writes with an idempotency key, and a class of non-idempotent writes.
 func defaultClasses() []Class {
 	return []Class{
 		{
--- a/internal/testbed/fleet/server.go
+++ b/internal/testbed/fleet/server.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// loadWindow is the time over which a server's load is measured.
+	// loadWindow is the time window over which a server's load is measured.
 	loadWindow = time.Second
-	// crashTime is for how long a server refuses connections after it crashed.
+	// crashTime is how long a server refuses connections after a crash.
 	crashTime = 2 * time.Second
-	// connectionLossDelay is how long after a server's failure gateways notice lost connections.
+	// connectionLossDelay is the time from a server's failure until gateways notice that their connections are lost.
 	connectionLossDelay = time.Millisecond
-	// minSpeed bounds Group.Speed.
+	// minSpeed is the lower bound of Group.Speed.
 	minSpeed = 1e-3
-	// lostResponses is the reciprocal of the fraction of responses that a server sends in the state LosesResponses.
+	// lostResponses sets the fraction of responses that a server sends in the state LosesResponses: one in lostResponses.
 	lostResponses = 5
 )
 
@@ -27,10 +27,10 @@
 const (
 	Healthy ServerState = iota
 	RefusesConnections
-	NeverResponds      // it accepts requests
-	Responds503        // at once, without an effect
-	ResetsAfterRequest // after the last byte, with an effect
-	LosesResponses     // four of five
+	NeverResponds      // accepts requests
+	Responds503        // immediately; requests have no effect
+	ResetsAfterRequest // after the last byte; requests have an effect
+	LosesResponses     // loses four of five responses
 )
 
 // server is a server with workers and a queue.
@@ -41,16 +41,16 @@
 	workers          int
 	queueSize        int
 	speed            func(time.Duration) float64
-	startedAt        time.Duration // 0: long ago
+	startedAt        time.Duration // 0: long before the simulation's start
 	state            ServerState
 	crashedUntil     time.Duration
 	draining         bool
-	drainPublishedAt time.Duration // when the endpoint list showed the drain; 0: it does not
-	rejects          map[string]bool
-	slowdown         float64 // multiple of the service time
-	busy             int     // workers
+	drainPublishedAt time.Duration   // when the endpoint list first showed the drain; 0: it does not show it
+	rejects          map[string]bool // by class
+	slowdown         float64         // factor of the service time
+	busy             int             // busy workers
 	queue            []*attempt
-	arrivals         []time.Duration // of the last second
+	arrivals         []time.Duration // during the last loadWindow
 }
 
 func (f *Fleet) addServer(id string, group Group) {
@@ -67,7 +67,7 @@
 	f.serverOrder = append(f.serverOrder, s)
 }
 
-// warmth returns the fraction of its speed that the server has by its warm-up.
+// warmth returns the server's speed as a fraction of the full speed, as limited by its warm-up.
 func (s *server) warmth() float64 {
 	o := &s.fleet.options
 	age := s.fleet.now - s.startedAt
@@ -77,7 +77,7 @@
 	return o.InitialSpeed + (1-o.InitialSpeed)*float64(age)/float64(o.WarmUp)
 }
 
-// groupSpeed returns the fraction of its speed that the server has by its group.
+// groupSpeed returns the server's speed as a fraction of the full speed, as given by Group.Speed.
 func (s *server) groupSpeed() float64 {
 	if s.speed == nil {
 		return 1
@@ -85,7 +85,7 @@
 	return max(s.speed(s.fleet.Now()), minSpeed)
 }
 
-// load returns the requests of the last second as a multiple of what the server can serve in one.
+// load returns the number of requests in the last second as a multiple of what the server can serve in a second at its current speed.
 func (s *server) load() float64 {
 	for len(s.arrivals) > 0 && s.arrivals[0] < s.fleet.now-loadWindow {
 		s.arrivals = s.arrivals[1:]
@@ -93,7 +93,7 @@
 	return float64(len(s.arrivals)) / (float64(s.workers) / s.fleet.options.ServiceTime.Seconds() * s.warmth() * s.groupSpeed())
 }
 
-// receive takes an attempt. end is called with its result, unless the server never responds.
+// receive handles an attempt that reaches the server. end is called with its result, unless the server does not respond.
 func (s *server) receive(a *attempt, end func(balancer.Result)) {
 	s.measureLoad()
 	switch {
@@ -110,7 +110,7 @@
 	}
 }
 
-// measureLoad counts an arrival. A cold server crashes if it is overloaded.
+// measureLoad counts an arrival, and crashes the server if it is cold and overloaded.
 func (s *server) measureLoad() {
 	f := s.fleet
 	s.arrivals = append(s.arrivals, f.now)
@@ -129,7 +129,7 @@
 	}
 }
 
-// dropQueue has the connections of all queued attempts break.
+// dropQueue empties the queue and breaks the connections of all queued attempts.
 func (s *server) dropQueue() {
 	for _, a := range s.queue {
 		s.fleet.breakConnection(a)
@@ -137,7 +137,7 @@
 	s.queue = nil
 }
 
-// breakConnection ends an attempt, unless its request has ended.
+// breakConnection ends an attempt as lost, unless its request has ended.
 func (f *Fleet) breakConnection(a *attempt) {
 	for _, g := range f.gateways {
 		if r := g.open[a.request.id]; r != nil && r == a.request {
@@ -147,7 +147,7 @@
 	}
 }
 
-// enqueue has an attempt begin, at once if a worker is free.
+// enqueue begins an attempt immediately if a worker is free, and queues it otherwise.
 func (s *server) enqueue(a *attempt, end func(balancer.Result)) {
 	phase := s.fleet.phase()
 	phase.MaxQueue = max(phase.MaxQueue, s.busy+len(s.queue)+1)
@@ -160,13 +160,13 @@
 	s.queue = append(s.queue, a)
 }
 
-// begin has a worker serve an attempt.
+// begin makes a worker serve an attempt.
 func (s *server) begin(a *attempt, end func(balancer.Result)) {
 	s.busy++
 	startedAt := s.startedAt
 	s.fleet.after(s.drawServiceTime(a), func() {
 		if s.startedAt != startedAt || s.state == RefusesConnections {
-			return // it failed meanwhile
+			return // the server failed or restarted in the meantime
 		}
 		s.busy--
 		s.takeEffect(a)
@@ -187,7 +187,7 @@
 	return time.Duration(float64(drawn+a.connectTime) * s.slowdown / s.warmth() / s.groupSpeed())
 }
 
-// beginNext has a free worker begin the first queued attempt that was not cancelled.
+// beginNext makes a free worker begin the first queued attempt that has not ended.
 func (s *server) beginNext() {
 	for len(s.queue) > 0 {
 		next := s.queue[0]
@@ -199,7 +199,7 @@
 	}
 }
 
-// takeEffect counts the effect of a request with a key. The repeat of an idempotent one is dropped by the servers of its group.
+// takeEffect counts the effect of a request that has an idempotency key. The servers of a group drop repeats of an idempotent request.
 func (s *server) takeEffect(a *attempt) {
 	r := a.request
 	if r.key == "" {
@@ -213,7 +213,7 @@
 	group := s.zone
 	idempotent := r.class.Effect == balancer.IdempotentWithKey
 	if idempotent && r.class.Group == balancer.GroupAll {
-		group = "" // of all servers
+		group = "" // one group of all servers
 	}
 	if idempotent && groups[group] > 0 {
 		return
--- a/internal/testbed/fleet/source.go
+++ b/internal/testbed/fleet/source.go
@@ -7,28 +7,28 @@
 	"robindrum/balancer"
 )
 
-// Source is the control plane. A gateway that starts has to call it and is not ready before it is answered; the others are sent each
-// change. The zero value answers any number of calls at once.
+// Source describes the control plane. A gateway that starts calls it for the endpoint list and is not ready before it has the response.
+// Ready gateways are sent each change. The zero value responds immediately to any number of calls.
 type Source struct {
-	Slots    int           // calls that it works on at once; 0: unlimited
-	CallTime time.Duration // of a call
-	MaxWait  time.Duration // that a call waits for a slot before it fails; 0: unlimited
+	Slots    int           // maximum number of calls served at once; 0: unlimited
+	CallTime time.Duration // service time of a call
+	MaxWait  time.Duration // maximum time that a call waits for a slot before it fails; 0: unlimited
 }
 
-// sourceCall is a gateway's call of the source.
+// sourceCall is a gateway's call to the control plane.
 type sourceCall struct {
 	gateway  *gateway
-	failures int // of the calls before it
+	failures int // number of failed calls before this one
 }
 
-// Backoff between failed calls, as in internal/xds: doubled each time, half of it at random.
+// Backoff after a failed call, as in internal/xds: it doubles with each failure, and half of it is random.
 const (
 	backoffBase     = 500 * time.Millisecond
 	maxBackoff      = 30 * time.Second
 	maxBackoffShift = 10
 )
 
-// callSource has a gateway call the source for the endpoint list.
+// callSource makes a gateway call the control plane for the endpoint list.
 func (f *Fleet) callSource(g *gateway, failures int) {
 	if g.killed {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// timeOutCall fails a call that still waits, and has its gateway retry.
+// timeOutCall fails a call that is still queued, and schedules the gateway's next call after a backoff.
 func (f *Fleet) timeOutCall(call *sourceCall) {
 	i := slices.Index(f.sourceQueue, call)
 	if i < 0 {
@@ -58,7 +58,7 @@
 	f.after(jittered, func() { f.callSource(call.gateway, call.failures+1) })
 }
 
-// serveCall has the source answer a call, and then the one that has waited longest.
+// serveCall makes the control plane serve a call, and then the call that has been queued for the longest time.
 func (f *Fleet) serveCall(call *sourceCall) {
 	f.sourceBusy++
 	f.after(f.options.Source.CallTime, func() {
@@ -74,6 +74,7 @@
 	})
 }
 
+// answerCall gives a gateway the endpoint list and makes it ready.
 func (f *Fleet) answerCall(g *gateway) {
 	g.update(f.endpoints())
 	if !g.ready {
@@ -82,8 +83,8 @@
 	}
 }
 
-// PublishEndpoints sends the present endpoint list to all gateways that are ready, which receive it after a delay. It does nothing
-// while the control plane is down.
+// PublishEndpoints sends the current endpoint list to all gateways that are ready when it arrives, after a delay. It does nothing while the
+// control plane is down.
 func (f *Fleet) PublishEndpoints(delay time.Duration) {
 	if f.controlPlaneDown {
 		return
@@ -103,7 +104,7 @@
 	})
 }
 
-// SetControlPlaneDown stops the control plane, or has it go on with the present endpoint list.
+// SetControlPlaneDown stops the control plane, or starts it again and publishes the current endpoint list.
 func (f *Fleet) SetControlPlaneDown(down bool) {
 	f.controlPlaneDown = down
 	if !down {
@@ -111,7 +112,7 @@
 	}
 }
 
-// endpoints returns the present endpoint list.
+// endpoints returns the current endpoint list.
 func (f *Fleet) endpoints() []balancer.Server {
 	endpoints := make([]balancer.Server, 0, len(f.serverOrder))
 	for _, s := range f.serverOrder {
