--- a/internal/testbed/link/link.go
+++ b/internal/testbed/link/link.go
@@ -1,5 +1,5 @@
-// Package link provides a TCP relay on loopback between a gateway and a server, which adds a delay and loses responses. As a stream
-// cannot continue after lost data, a connection that loses a response delivers nothing more to the client, like one whose segments
+// Package link provides a TCP relay on loopback between a gateway and a server that adds a delay and loses responses. A byte stream cannot
+// continue after lost data, so a connection that loses a response delivers nothing more to the client, like a connection whose segments
 // are dropped until it times out.
 package link
 
@@ -13,13 +13,13 @@
 
 const (
 	bufferSize = 32 << 10 // bytes
-	// lossStream distinguishes the random numbers of links from others of the same seed.
+	// lossStream is the PCG stream of links, so that their random numbers differ from others with the same seed.
 	lossStream = 0x6c696e6b
 )
 
-// Link is a relay. Its methods may be called by several goroutines at once.
+// Link is a relay. Its methods are safe for concurrent use.
 type Link struct {
-	Addr string // host:port on which it listens
+	Addr string // host:port at which the relay listens
 
 	target     string
 	listener   net.Listener
@@ -28,14 +28,14 @@
 	mu          sync.Mutex
 	random      *rand.Rand
 	delay       time.Duration // each way
-	loss        float64       // of responses
-	lost        int           // responses
+	loss        float64       // fraction of responses that are lost
+	lost        int           // number of lost responses
 	connections map[net.Conn]struct{}
 	closed      bool
 }
 
-// Start starts a relay to target at a loopback address. The same seed loses the same responses if they come in the same order. Close
-// must be called.
+// Start starts a relay to target at a free loopback address. With the same seed and the same order of responses, the same responses are
+// lost. Close must be called.
 func Start(target string, seed uint64) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 	l.delay = d
 }
 
-// SetLoss sets the fraction of responses that are lost from now on, from 0 to 1.
+// SetLoss sets the fraction, from 0 to 1, of responses that are lost from now on.
 func (l *Link) SetLoss(fraction float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,7 @@
 	return l.lost
 }
 
-// Close closes the listener and all connections, and waits for the relay's goroutines.
+// Close closes the listener and all connections, and waits until the relay's goroutines have ended.
 func (l *Link) Close() {
 	l.closeAll()
 	l.goroutines.Wait()
@@ -117,12 +117,12 @@
 		l.untrack(server)
 	})
 	if l.copyStream(client, server, true) {
-		// A response was lost: the client's connection stays open until the client ends it.
+		// A response was lost: keep the client's connection open until the client closes it.
 		<-clientEnded
 	}
 }
 
-// track has Close close the connection too. It closes the connection and returns false if the link is closed already.
+// track registers a connection, so that Close closes it. If the link is closed already, it closes the connection and returns false.
 func (l *Link) track(connection net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +134,7 @@
 	return true
 }
 
-// untrack closes a connection.
+// untrack closes a connection and removes it from the registered ones.
 func (l *Link) untrack(connection net.Conn) {
 	connection.Close()
 	l.mu.Lock()
@@ -142,7 +142,7 @@
 	delete(l.connections, connection)
 }
 
-// copyStream copies one direction until a side ends, or a response is lost.
+// copyStream copies one direction until a side closes its connection or a response is lost. It reports whether a response was lost.
 func (l *Link) copyStream(to, from net.Conn, responses bool) (lost bool) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -163,7 +163,7 @@
 	}
 }
 
-// draw returns the delay of data and whether it is lost.
+// draw returns the delay of a chunk of data and, for a response, whether it is lost at random.
 func (l *Link) draw(response bool) (delay time.Duration, lost bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/link/link_test.go
+++ b/internal/testbed/link/link_test.go
@@ -12,7 +12,8 @@
 	"robindrum/internal/testbed/origin"
 )
 
-// TestDelayLossAndClose checks a delay in both directions, lost responses, of which the client hears nothing, and the end of the link.
+// TestDelayLossAndClose checks the delay in both directions, the loss of responses, for which the client must get neither a response nor
+// an error, and Close.
 func TestDelayLossAndClose(t *testing.T) {
 	testbed.Leaks(t)
 	o, err := origin.Start("", nil)
@@ -20,50 +21,50 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(o.Kill)
-	k, err := Start(o.Addr, 1)
+	relay, err := Start(o.Addr, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.Close)
-	tr := &http.Transport{DisableKeepAlives: true}
+	t.Cleanup(relay.Close)
+	transport := &http.Transport{DisableKeepAlives: true}
 	get := func(within time.Duration) (string, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), within)
 		defer cancel()
-		r, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+k.Addr+"/x", nil)
-		resp, err := tr.RoundTrip(r)
+		request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+relay.Addr+"/x", nil)
+		resp, err := transport.RoundTrip(request)
 		if err != nil {
 			return "", err
 		}
 		defer resp.Body.Close()
-		b, err := io.ReadAll(resp.Body)
-		return string(b), err
+		body, err := io.ReadAll(resp.Body)
+		return string(body), err
 	}
-	if b, err := get(10 * time.Second); b != "/x\n" || err != nil {
-		t.Fatalf("%q, %v", b, err)
+	if body, err := get(10 * time.Second); body != "/x\n" || err != nil {
+		t.Fatalf("GET /x = %q, %v; want the path and no error", body, err)
 	}
-	k.SetDelay(30 * time.Millisecond)
+	relay.SetDelay(30 * time.Millisecond)
 	began := time.Now()
 	if _, err := get(10 * time.Second); err != nil || time.Since(began) < 60*time.Millisecond {
-		t.Errorf("%v after %v", err, time.Since(began))
+		t.Errorf("GET with a delay of 30 ms each way: error %v after %v, want none after at least 60 ms", err, time.Since(began))
 	}
-	k.SetDelay(0)
-	k.SetLoss(0.8)
-	served, silent := 0, 0
+	relay.SetDelay(0)
+	relay.SetLoss(0.8)
+	served, timedOut := 0, 0
 	for range 40 {
 		switch _, err := get(50 * time.Millisecond); {
 		case err == nil:
 			served++
 		case errors.Is(err, context.DeadlineExceeded):
-			silent++
+			timedOut++
 		default:
-			t.Errorf("neither served nor silent: %v", err)
+			t.Errorf("GET with loss: got error %v, want a response or a timeout", err)
 		}
 	}
-	if silent < 20 || served < 1 || k.Lost() < silent {
-		t.Errorf("%d served, %d silent, %d lost", served, silent, k.Lost())
+	if timedOut < 20 || served < 1 || relay.Lost() < timedOut {
+		t.Errorf("%d of 40 requests served, %d timed out, Lost() = %d; want at least 1, at least 20 and at least one loss per timeout", served, timedOut, relay.Lost())
 	}
-	k.Close()
+	relay.Close()
 	if _, err := get(time.Second); err == nil {
-		t.Error("a link that was cut serves")
+		t.Error("GET through a closed link succeeded")
 	}
 }
