--- a/internal/testbed/memnet/memnet.go
+++ b/internal/testbed/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet provides a network in memory for the processes of a fleet: connections and packets without sockets, so that many
-// members run on the clock of a testing/synctest bubble, independent of the machine's load. It has no latency and loses only packets
-// for which a reader has no room.
+// Package memnet provides an in-memory network for the members of a fleet: connections and packets without sockets. With it, many members
+// can run on the simulated clock of a testing/synctest bubble, independent of the machine's load. The network has no latency, and loses
+// packets only if the receiver's queue is full or nothing listens at their destination.
 package memnet
 
 import (
@@ -11,18 +11,18 @@
 	"sync"
 )
 
-// maxBacklog is how many connections an address queues until they are accepted.
+// maxBacklog is the maximum number of connections that a listener queues until they are accepted.
 const maxBacklog = 512
 
-// errRefused is returned by Dial if nothing listens at an address.
+// errRefused is returned by Dial if nothing listens at the address.
 var errRefused = errors.New("connection refused")
 
-// Net is a network. Its methods may be called by several goroutines at once.
+// Net is a network. Its methods are safe for concurrent use.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*listener   // by address
 	packets   map[string]*packetConn // by address
-	lost      int64                  // packets
+	lost      int64                  // number of lost packets
 }
 
 // New returns a network on which nothing listens.
@@ -30,7 +30,7 @@
 	return &Net{listeners: map[string]*listener{}, packets: map[string]*packetConn{}}
 }
 
-// Lost returns how many packets were sent to an address on which nothing listens, or to a reader without room.
+// Lost returns how many packets were sent to an address at which nothing listens, or to a receiver whose queue was full.
 func (n *Net) Lost() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +53,8 @@
 	return l, nil
 }
 
-// ListenPacket listens for packets at an address. It returns an error if the address is in use. The connection supports no deadlines.
+// ListenPacket listens for packets at an address. It returns an error if the address is in use. The connection does not support
+// deadlines.
 func (n *Net) ListenPacket(address *net.UDPAddr) (net.PacketConn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,7 +66,7 @@
 	return p, nil
 }
 
-// Dial connects to an address. It blocks while the backlog is full.
+// Dial connects to an address of the form ip:port. It blocks while the listener's backlog is full, until ctx ends.
 func (n *Net) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -109,7 +110,7 @@
 	}
 }
 
-// Close frees the address and closes the connections that were not accepted.
+// Close releases the address and closes the connections in the backlog.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
--- a/internal/testbed/memnet/packet.go
+++ b/internal/testbed/memnet/packet.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxPackets is how many packets an address queues until they are read; further ones are lost.
+// maxPackets is the maximum number of packets that an address queues until they are read. Further packets are lost.
 const maxPackets = 512
 
 type packet struct {
@@ -36,7 +36,7 @@
 	}
 }
 
-// WriteTo does not block. Like on a network, it is no error if the packet is lost.
+// WriteTo does not block. As on a real network, the loss of a packet is not an error.
 func (p *packetConn) WriteTo(b []byte, address net.Addr) (int, error) {
 	select {
 	case <-p.closed:
@@ -47,6 +47,7 @@
 	return len(b), nil
 }
 
+// deliver queues a packet at its destination, or counts it as lost.
 func (n *Net) deliver(sent packet, address net.Addr) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// Deadlines are not supported: no member of a fleet sets them on packets.
+// Deadlines are not supported, because fleet members do not set them on packet connections.
 func (p *packetConn) SetDeadline(time.Time) error      { return errors.ErrUnsupported }
 func (p *packetConn) SetReadDeadline(time.Time) error  { return errors.ErrUnsupported }
 func (p *packetConn) SetWriteDeadline(time.Time) error { return errors.ErrUnsupported }
