--- a/internal/testbed/origin/ledger.go
+++ b/internal/testbed/origin/ledger.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Ledger counts the effects of requests on a group of origins, by key. Its methods may be called by several goroutines at once.
+// Ledger counts the effects of requests on a group of origins, by key. Its methods are safe for concurrent use.
 type Ledger struct {
 	mu         sync.Mutex
 	runs       map[string]int // by key
@@ -12,7 +12,7 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{runs: map[string]int{}} }
 
-// record counts one run of a request. The group drops the repeat of an idempotent request, which has no effect then.
+// record counts one run of a request. The group drops the repeat of an idempotent request, so that a repeat has no effect.
 func (l *Ledger) record(key string, idempotent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,7 +25,7 @@
 	l.runs[key]++
 }
 
-// Effects returns how many effects there were, and how many of them were not the first one of their key.
+// Effects returns the number of effects, and how many of them were not the first effect of their key.
 func (l *Ledger) Effects() (all, duplicates int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	return all, l.duplicates
 }
 
-// addTo adds the ledger's runs to those of other groups.
+// addTo adds the ledger's effects to runs, by key.
 func (l *Ledger) addTo(runs map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// DuplicateEffects returns how many keys had more than one effect on all groups together.
+// DuplicateEffects returns the number of keys that had more than one effect over all groups together.
 func DuplicateEffects(groups ...*Ledger) int {
 	runs := map[string]int{}
 	for _, l := range groups {
--- a/internal/testbed/origin/origin.go
+++ b/internal/testbed/origin/origin.go
@@ -1,5 +1,5 @@
-// Package origin provides scripted origin servers on loopback. An origin serves HTTP/1.1 with a delay and a limited capacity, can be
-// killed and restarted, and counts the effects of requests.
+// Package origin provides scripted backend servers on loopback, called origins. An origin serves HTTP/1.1 with a configurable delay and
+// capacity, can be killed and restarted, and counts the effects of requests.
 package origin
 
 import (
@@ -19,9 +19,9 @@
 	headerTimeout = 10 * time.Second
 )
 
-// Origin is a server. Its methods may be called by several goroutines at once.
+// Origin is a backend server. Its methods are safe for concurrent use.
 type Origin struct {
-	// Addr is host:port. It stays the same over restarts.
+	// Addr is the origin's address as host:port. It stays the same across restarts.
 	Addr string
 
 	ledger    *Ledger
@@ -29,27 +29,27 @@
 	handler   atomic.Pointer[func(w http.ResponseWriter, r *http.Request) bool]
 	onRequest atomic.Pointer[func(r *http.Request)]
 	capacity  atomic.Pointer[Capacity]
-	workers   atomic.Pointer[chan struct{}] // holds one element a busy worker
+	workers   atomic.Pointer[chan struct{}] // holds one element per busy worker
 
 	mu          sync.Mutex
-	server      *http.Server  // nil: killed
-	done        chan struct{} // closed when the server has ended
-	restarted   time.Time     // zero: never
+	server      *http.Server  // nil while the origin is killed
+	done        chan struct{} // closed when the server has stopped
+	restarted   time.Time     // when the origin was last restarted; zero if it never was
 	maxColdLoad float64
-	times       []time.Time // of the requests' heads, in order
-	drainedAt   time.Time   // zero: not drained
+	times       []time.Time // when the header of each request was received, in order
+	drainedAt   time.Time   // zero if the origin is not drained
 	inFlight    int
 	maxInFlight int
 }
 
-// Start starts an origin at a loopback address, or at any free one if address is empty. ledger counts the effects of its requests;
-// nil: they are not counted. The origin runs until Kill.
+// Start starts an origin at a loopback address, or at any free loopback address if address is empty. ledger counts the effects of its
+// requests; if it is nil, they are not counted. The origin runs until Kill.
 func Start(address string, ledger *Ledger) (*Origin, error) {
 	o := &Origin{Addr: cmp.Or(address, "127.0.0.1:0"), ledger: ledger}
 	return o, o.Restart()
 }
 
-// Restart has a killed origin listen at its address again. It returns an error if the address is in use.
+// Restart makes a killed origin listen at its address again. It returns an error if the address is in use.
 func (o *Origin) Restart() error {
 	listener, err := net.Listen("tcp", o.Addr)
 	if err != nil {
@@ -67,12 +67,12 @@
 	o.done = done
 	go func() {
 		defer close(done)
-		_ = server.Serve(listener) // ends with Kill
+		_ = server.Serve(listener) // returns after Kill
 	}()
 	return nil
 }
 
-// Kill closes the listener and all connections. It does nothing if the origin was killed already.
+// Kill closes the listener and all connections, and waits until the server has stopped. It does nothing if the origin is killed already.
 func (o *Origin) Kill() {
 	o.mu.Lock()
 	server, done := o.server, o.done
@@ -84,11 +84,11 @@
 	}
 }
 
-// SetDelay sets how long responses take from now on.
+// SetDelay sets the service time of each request from now on.
 func (o *Origin) SetDelay(d time.Duration) { o.delay.Store(int64(d)) }
 
-// SetHandler has handler answer requests, after the delay, unless it returns false; nil ends that. It must be safe for several
-// goroutines.
+// SetHandler sets a function that responds to requests after the delay. If it returns false, the origin sends its default response. nil
+// removes the function. It must be safe for concurrent use.
 func (o *Origin) SetHandler(handler func(w http.ResponseWriter, r *http.Request) bool) {
 	if handler == nil {
 		o.handler.Store(nil)
@@ -97,11 +97,11 @@
 	o.handler.Store(&handler)
 }
 
-// OnRequest has observe called with each request when its head has been read, before anything else. It must be safe for several
-// goroutines.
+// OnRequest sets a function that is called with each request when its header has been read, before the origin does anything else with
+// the request. It must be safe for concurrent use.
 func (o *Origin) OnRequest(observe func(r *http.Request)) { o.onRequest.Store(&observe) }
 
-// SetDrainedAt sets since when the origin should get no new requests; zero: it should.
+// SetDrainedAt sets the time from which the origin should receive no new requests. The zero time means that it is not drained.
 func (o *Origin) SetDrainedAt(at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,7 +131,7 @@
 	return o.RequestsAfter(from) - o.RequestsAfter(to)
 }
 
-// LastRequest returns when the last request was received; zero: none was.
+// LastRequest returns when the last request was received, or the zero time if none was.
 func (o *Origin) LastRequest() time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -141,7 +141,7 @@
 	return o.times[len(o.times)-1]
 }
 
-// RequestsAfterDrain returns how many requests were received more than grace after the origin was drained.
+// RequestsAfterDrain returns how many requests were received more than grace after the origin was drained, or 0 if it is not drained.
 func (o *Origin) RequestsAfterDrain(grace time.Duration) int {
 	o.mu.Lock()
 	at := o.drainedAt
@@ -152,15 +152,15 @@
 	return o.RequestsAfter(at.Add(grace))
 }
 
-// InFlight returns how many requests are being served, and how many were at most.
+// InFlight returns how many requests are in flight, and the maximum since the start.
 func (o *Origin) InFlight() (now, most int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.inFlight, o.maxInFlight
 }
 
-// ServeHTTP reads the request, waits for a worker and the delay, and answers with the handler, or 200 and the path. It answers
-// nothing if the client leaves before.
+// ServeHTTP reads the request, waits for a worker and for the delay, and responds with the function of SetHandler or with status 200 and
+// the path. It does not respond if the client disconnects before.
 func (o *Origin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if observe := o.onRequest.Load(); observe != nil {
 		(*observe)(r)
@@ -191,7 +191,7 @@
 	fmt.Fprintln(w, r.URL.Path)
 }
 
-// begin counts a request and returns the fraction of the full speed at which it is served.
+// begin counts a request and returns the speed at which it is served, as a fraction of the full speed.
 func (o *Origin) begin(capacity *Capacity) (speed float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -213,7 +213,8 @@
 	o.inFlight--
 }
 
-// recordEffect counts the effect of a POST: by its Idempotency-Key, or, as one of its own, by its X-Request-Id.
+// recordEffect counts the effect of a POST request. Requests with the same Idempotency-Key header have one effect; without this header,
+// each run of the same X-Request-Id counts as an effect.
 func (o *Origin) recordEffect(r *http.Request) {
 	if r.Method != http.MethodPost || o.ledger == nil {
 		return
@@ -227,7 +228,7 @@
 	}
 }
 
-// wait blocks for d and reports whether ctx is still active. It does not check ctx if d is not positive.
+// wait blocks for d, or until ctx ends, and reports whether d has passed. It does not check ctx if d is not positive.
 func wait(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
