--- a/internal/testbed/controlplane/capacity.go
+++ b/internal/testbed/controlplane/capacity.go
@@ -9,25 +9,26 @@
 	"google.golang.org/grpc/status"
 )
 
-// capacity limits how many streams are opened at once.
+// capacity limits how many new streams are admitted at once.
 type capacity struct {
-	slots   chan struct{}
-	takes   time.Duration
-	maxWait time.Duration // 0: unlimited
+	slots    chan struct{}
+	holdTime time.Duration // how long a stream occupies a slot
+	maxWait  time.Duration // 0: unlimited
 }
 
-// SetCapacity has each stream that is opened from now on wait for one of some slots and occupy it for a time before it is read. One
-// that waits longer than maxWait, if that is not 0, ends with status Unavailable. Without slots there is no limit.
-func (s *Server) SetCapacity(slots int, takes, maxWait time.Duration) {
+// SetCapacity limits the streams that are opened from now on. Before a stream is read, it waits for one of the slots and occupies it for
+// holdTime. A stream that waits longer than maxWait ends with status Unavailable; a maxWait of 0 is unlimited. If slots is 0, there is no
+// limit.
+func (s *Server) SetCapacity(slots int, holdTime, maxWait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capacity = nil
 	if slots > 0 {
-		s.capacity = &capacity{slots: make(chan struct{}, slots), takes: takes, maxWait: maxWait}
+		s.capacity = &capacity{slots: make(chan struct{}, slots), holdTime: holdTime, maxWait: maxWait}
 	}
 }
 
-// admit blocks until a stream may be read. It returns ctx's error if ctx ends.
+// admit blocks until a new stream may be read. It returns ctx's error if ctx ends, and status Unavailable after maxWait.
 func (s *Server) admit(ctx context.Context) error {
 	s.mu.Lock()
 	c := s.capacity
@@ -39,13 +40,13 @@
 		return err
 	}
 	defer func() { <-c.slots }()
-	occupied, cancel := context.WithTimeout(ctx, c.takes)
+	occupied, cancel := context.WithTimeout(ctx, c.holdTime)
 	defer cancel()
 	<-occupied.Done()
 	return ctx.Err()
 }
 
-// acquire blocks until there is a slot.
+// acquire blocks until a slot is free, and occupies it.
 func (c *capacity) acquire(ctx context.Context) error {
 	waiting := ctx
 	if c.maxWait > 0 {
--- a/internal/testbed/controlplane/controlplane.go
+++ b/internal/testbed/controlplane/controlplane.go
@@ -1,6 +1,6 @@
 // Package controlplane provides a scripted control plane that speaks xDS over gRPC on loopback, written from the protocol's
-// description. It serves resources to state-of-the-world and incremental clients, and injects faults on request: it withdraws and
-// replays resources, sends invalid responses, stalls, stops, and restarts with another version. It records all requests.
+// specification. It serves resources to state-of-the-world and incremental clients, and records all requests. For fault injection it can
+// withdraw and replay resources, send invalid responses, stall, stop, and restart with another version.
 package controlplane
 
 import (
@@ -16,26 +16,26 @@
 // maxResponseSize bounds a response, in bytes.
 const maxResponseSize = 1 << 30
 
-// Server is a control plane. Its methods may be called by several goroutines at once.
+// Server is a control plane. Its methods are safe for concurrent use.
 type Server struct {
-	// Addr is host:port. It stays the same over restarts.
+	// Addr is the server's address as host:port. It stays the same across restarts.
 	Addr string
 
 	mu       sync.Mutex
-	grpc     *grpc.Server // nil: stopped
-	serving  chan struct{}
+	grpc     *grpc.Server  // nil while the server is stopped
+	serving  chan struct{} // closed when grpc has stopped
 	types    map[string]*resourceType
 	streams  map[*stream]struct{}
-	opened   int // streams
+	opened   int // number of streams ever opened
 	nonce    int
 	requests []Request
 	received chan struct{} // closed and replaced with each request
-	stalled  chan struct{} // nil: not stalled
-	muted    bool
-	capacity *capacity // nil: unlimited
+	stalled  chan struct{} // nil if not stalled; closed by Resume
+	muted    bool          // send nothing except by SendRaw
+	capacity *capacity     // nil if unlimited
 }
 
-// Start starts a control plane at a loopback address, or at any free one if address is empty. It runs until Stop.
+// Start starts a control plane at a loopback address, or at any free loopback address if address is empty. It runs until Stop.
 func Start(address string) (*Server, error) {
 	s := &Server{
 		Addr:     cmp.Or(address, "127.0.0.1:0"),
@@ -46,8 +46,8 @@
 	return s, s.Restart()
 }
 
-// Restart has a stopped control plane listen at its address again, with the resources it had. It returns an error if the address is
-// in use.
+// Restart makes a stopped control plane listen at its address again, with the same resources. It returns an error if the address is in
+// use.
 func (s *Server) Restart() error {
 	listener, err := net.Listen("tcp", s.Addr)
 	if err != nil {
@@ -63,12 +63,12 @@
 	s.serving = serving
 	go func() {
 		defer close(serving)
-		_ = server.Serve(listener) // ends with Stop
+		_ = server.Serve(listener) // returns after Stop
 	}()
 	return nil
 }
 
-// Stop ends a stall, closes all streams and the listener, and waits for their ends. It does nothing if the control plane is stopped.
+// Stop ends a stall, closes the listener and all streams, and waits until the server has stopped. A stopped control plane stays stopped.
 func (s *Server) Stop() {
 	s.Resume()
 	s.mu.Lock()
@@ -81,7 +81,7 @@
 	}
 }
 
-// Stall has the control plane neither read nor answer until Resume. Streams stay open.
+// Stall makes the control plane neither read requests nor send responses until Resume. Streams stay open.
 func (s *Server) Stall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,14 +100,14 @@
 	}
 }
 
-// SetMuted has the control plane send nothing but what SendRaw does, or ends that.
+// SetMuted sets whether the control plane sends no responses except by SendRaw.
 func (s *Server) SetMuted(muted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muted = muted
 }
 
-// Streams returns how many streams are open, and how many ever were.
+// Streams returns how many streams are open, and how many were opened since the start.
 func (s *Server) Streams() (open, ever int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/controlplane/push.go
+++ b/internal/testbed/controlplane/push.go
@@ -14,27 +14,27 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Resource is a resource to set.
+// Resource is a resource for Push.
 type Resource struct {
 	Name string
-	Body proto.Message // nil: the resource is withdrawn; an Any is served as it is
+	Body proto.Message // nil withdraws the resource; an Any is served unchanged
 	TTL  time.Duration // 0: none
 }
 
-// servedResource is a resource that is set.
+// servedResource is a resource that the control plane serves.
 type servedResource struct {
 	body    *anypb.Any
 	version string
 	ttl     time.Duration
 }
 
-// resourceType is the resources of a type URL.
+// resourceType holds the resources of a type URL.
 type resourceType struct {
 	version   string
 	resources map[string]servedResource // by name
 }
 
-// resourceType returns a type's resources. It must be called with mu held.
+// resourceType returns the resources of a type URL, and creates an empty set if there is none. It must be called with mu held.
 func (s *Server) resourceType(url string) *resourceType {
 	t := s.types[url]
 	if t == nil {
@@ -44,8 +44,8 @@
 	return t
 }
 
-// Push sets resources under a version and sends them to all who subscribed. Those of the same types that were set before stay unless
-// they are withdrawn, or replace is true. It returns when the last response was written.
+// Push sets resources at a version and sends them to all subscribed clients. Other resources of the same types stay, unless replace is
+// true. It returns the time at which the last response was written.
 func (s *Server) Push(version string, replace bool, resources ...Resource) (time.Time, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,14 +63,14 @@
 	for _, url := range slices.Sorted(maps.Keys(changed)) {
 		s.resourceType(url).version = version
 		for st := range s.streams {
-			_ = st.send(url) // the client may have left
+			_ = st.send(url) // the client may have disconnected
 			last = time.Now()
 		}
 	}
 	return last, nil
 }
 
-// withdraw removes the resources of all types with a name.
+// withdraw removes the resources with a name from all types, and adds the type URLs to changed. It must be called with mu held.
 func (s *Server) withdraw(name string, changed map[string]bool) {
 	for url, t := range s.types {
 		if _, ok := t.resources[name]; ok {
@@ -80,6 +80,7 @@
 	}
 }
 
+// set sets a resource and adds its type URL to changed. It must be called with mu held.
 func (s *Server) set(version string, replace bool, r Resource, changed map[string]bool) error {
 	body, err := anypb.New(r.Body)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// Clear withdraws all resources of a type under a version. It returns when the last response was written.
+// Clear withdraws all resources of a type URL at a version. It returns the time at which the last response was written.
 func (s *Server) Clear(version, url string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,19 +107,20 @@
 	t.resources = map[string]servedResource{}
 	t.version = version
 	for st := range s.streams {
-		_ = st.send(url) // the client may have left
+		_ = st.send(url) // the client may have disconnected
 	}
 	return time.Now()
 }
 
-// ClearAll removes all resources and sends nothing, like a control plane that restarts without them.
+// ClearAll removes all resources and sends nothing, like a control plane that loses its resources in a restart.
 func (s *Server) ClearAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.types = map[string]*resourceType{}
 }
 
-// SendRaw sends a response as it is on all streams of its variant; the other one may be nil. An empty nonce is replaced by a new one.
+// SendRaw sends sotw on all state-of-the-world streams and delta on all incremental streams, without any checks. Either may be nil. An
+// empty nonce is replaced by a new one.
 func (s *Server) SendRaw(sotw *discoveryv3.DiscoveryResponse, delta *discoveryv3.DeltaDiscoveryResponse) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +142,7 @@
 	return errors.Join(errs...)
 }
 
-// nextNonce must be called with mu held.
+// nextNonce returns a new nonce. It must be called with mu held.
 func (s *Server) nextNonce() string {
 	s.nonce++
 	return "n" + strconv.Itoa(s.nonce)
--- a/internal/testbed/controlplane/requests.go
+++ b/internal/testbed/controlplane/requests.go
@@ -10,26 +10,26 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// Request is a discovery request that was received. One of SotW and Delta is set.
+// Request is a received discovery request. Exactly one of SotW and Delta is set.
 type Request struct {
-	Stream     int // numbered from 1
+	Stream     int // number of the stream, from 1
 	ReceivedAt time.Time
 	SotW       *discoveryv3.DiscoveryRequest
 	Delta      *discoveryv3.DeltaDiscoveryRequest
 }
 
-// Type returns the type URL of the resources.
+// Type returns the type URL of the requested resources.
 func (r Request) Type() string { return cmp.Or(r.SotW.GetTypeUrl(), r.Delta.GetTypeUrl()) }
 
-// Error returns why the client rejects a response; empty: it does not.
+// Error returns why the client rejects a response, or an empty string if it does not.
 func (r Request) Error() string {
 	return cmp.Or(r.SotW.GetErrorDetail().GetMessage(), r.Delta.GetErrorDetail().GetMessage())
 }
 
-// Nonce returns the nonce of the response that the request acknowledges or rejects; empty: none.
+// Nonce returns the nonce of the response that the request acknowledges or rejects, or an empty string if there is none.
 func (r Request) Nonce() string { return cmp.Or(r.SotW.GetResponseNonce(), r.Delta.GetResponseNonce()) }
 
-// record must be called with mu held.
+// record stores a request and wakes Await. It must be called with mu held.
 func (s *Server) record(r Request) {
 	r.ReceivedAt = time.Now()
 	s.requests = append(s.requests, r)
@@ -37,15 +37,15 @@
 	s.received = make(chan struct{})
 }
 
-// Requests returns all requests so far, in the order in which they were read.
+// Requests returns all requests so far, in the order in which they were received.
 func (s *Server) Requests() []Request {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.requests)
 }
 
-// Await blocks until there is a request that matches, among those with an index of at least from. It returns the request and its
-// index, and an error when ctx ends.
+// Await blocks until a request with an index of at least from matches. It returns the first such request and its index, or an error if
+// ctx ends before.
 func (s *Server) Await(ctx context.Context, from int, matches func(Request) bool) (Request, int, error) {
 	for {
 		s.mu.Lock()
@@ -60,7 +60,7 @@
 		select {
 		case <-received:
 		case <-ctx.Done():
-			return Request{}, 0, fmt.Errorf("no such request among %d: %w", len(requests), ctx.Err())
+			return Request{}, 0, fmt.Errorf("no matching request among %d received: %w", len(requests), ctx.Err())
 		}
 	}
 }
--- a/internal/testbed/controlplane/resources.go
+++ b/internal/testbed/controlplane/resources.go
@@ -17,25 +17,25 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// connectTimeout of clusters.
+// connectTimeout is the connect timeout of the clusters that Cluster returns.
 const connectTimeout = 250 * time.Millisecond
 
-// metadataNamespace is where robindrum reads the metadata of endpoints.
+// metadataNamespace is the filter metadata namespace from which robindrum reads the metadata of endpoints.
 const metadataNamespace = "robindrum"
 
-// Cluster returns an EDS cluster whose endpoints have the name service, or the cluster's own name if service is empty.
+// Cluster returns an EDS cluster. service is the name of its ClusterLoadAssignment; if it is empty, that has the cluster's name.
 func Cluster(name, service string) *clusterv3.Cluster {
 	return &clusterv3.Cluster{
 		Name:                 name,
 		ConnectTimeout:       durationpb.New(connectTimeout),
 		LbPolicy:             clusterv3.Cluster_LEAST_REQUEST,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{ServiceName: service, EdsConfig: overADS()},
+		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{ServiceName: service, EdsConfig: adsConfigSource()},
 	}
 }
 
-// overADS says that a resource is on the same stream.
-func overADS() *corev3.ConfigSource {
+// adsConfigSource returns a config source that refers to the same ADS stream.
+func adsConfigSource() *corev3.ConfigSource {
 	return &corev3.ConfigSource{
 		ResourceApiVersion:    corev3.ApiVersion_V3,
 		ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}},
@@ -49,11 +49,11 @@
 	Health   corev3.HealthStatus
 	Weight   uint32 // 0: unset
 	Priority uint32
-	Kind     string // metadata
-	Cell     int    // metadata
+	Kind     string // sent as metadata
+	Cell     int    // sent as metadata
 }
 
-// Assignment returns a cluster's endpoints, grouped by zone and priority.
+// Assignment returns the ClusterLoadAssignment of a cluster, with the endpoints grouped by zone and priority.
 func Assignment(name string, endpoints ...Endpoint) *endpointv3.ClusterLoadAssignment {
 	type localityKey struct {
 		zone     string
@@ -119,13 +119,13 @@
 	return &routev3.RouteConfiguration{Name: name, VirtualHosts: []*routev3.VirtualHost{host}}
 }
 
-// Listener returns a listener that uses the RouteConfiguration with the name routes.
+// Listener returns a listener that uses the RouteConfiguration named routes.
 func Listener(name, routes string) *listenerv3.Listener {
 	manager, err := anypb.New(&hcmv3.HttpConnectionManager{
 		StatPrefix:     name,
-		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: routes, ConfigSource: overADS()}},
+		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{RouteConfigName: routes, ConfigSource: adsConfigSource()}},
 	})
-	if err != nil { // a message that is built here can be marshalled
+	if err != nil { // cannot happen: the message is valid
 		panic(err)
 	}
 	filter := &listenerv3.Filter{Name: "http", ConfigType: &listenerv3.Filter_TypedConfig{TypedConfig: manager}}
--- a/internal/testbed/controlplane/stream.go
+++ b/internal/testbed/controlplane/stream.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// stream is a client's stream. One of sotw and delta is set. The server's mu guards it.
+// stream is a client's stream. Exactly one of sotw and delta is set. The server's mu guards it.
 type stream struct {
 	server        *Server
 	number        int // from 1
@@ -19,16 +19,16 @@
 	subscriptions map[string]*subscription // by type URL
 }
 
-// subscription is what a stream's client subscribed to of one type, and what it was sent.
+// subscription is a stream's subscription to one type URL, and what the client was sent for it.
 type subscription struct {
 	names    map[string]bool
 	wildcard bool
 	nonce    string            // of the last response
-	sent     bool              // any response
-	versions map[string]string // incremental: of the resources that the client has, by name
+	sent     bool              // whether any response was sent
+	versions map[string]string // incremental streams: versions of the resources that the client has, by name
 }
 
-// subscription returns the stream's subscription to a type, and begins one if there is none.
+// subscription returns the stream's subscription to a type URL, and creates one if there is none.
 func (st *stream) subscription(url string) *subscription {
 	sub := st.subscriptions[url]
 	if sub == nil {
@@ -40,7 +40,8 @@
 
 func (sub *subscription) includes(name string) bool { return sub.wildcard || sub.names[name] }
 
-// send sends a type's resources if the client subscribed to it: all of them, or, to an incremental client, what it lacks.
+// send sends the resources of a type URL if the client subscribed to it: a state-of-the-world client gets all of them, an incremental
+// client the changes since the last response. It sends nothing while the server is muted or stalled.
 func (st *stream) send(url string) error {
 	sub, ok := st.subscriptions[url]
 	if !ok || st.server.muted || st.server.stalled != nil {
@@ -74,7 +75,8 @@
 	return st.sotw.Send(response)
 }
 
-// sendDelta sends nothing if the client lacks nothing, unless it was never sent anything.
+// sendDelta sends the changes since the last response. If there are none, it sends an empty response if the client has not been
+// sent any response yet, and nothing otherwise.
 func (st *stream) sendDelta(url string, sub *subscription) error {
 	t := st.server.resourceType(url)
 	response := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: t.version, TypeUrl: url, Nonce: st.server.nextNonce()}
@@ -101,7 +103,7 @@
 	return st.delta.Send(response)
 }
 
-// wrap returns the resource with its name, version and time to live.
+// wrap returns the resource as a discovery Resource with its name, version and time to live.
 func (r servedResource) wrap(name string) *discoveryv3.Resource {
 	wrapped := &discoveryv3.Resource{Name: name, Version: r.version, Resource: r.body}
 	if r.ttl > 0 {
@@ -193,13 +195,13 @@
 	_, known := st.subscriptions[url]
 	sub := st.subscription(url)
 	if known && request.GetResponseNonce() != sub.nonce {
-		return nil // it answers an older response: a newer one is on its way
+		return nil // it refers to an older response; the client has yet to answer the last one
 	}
 	names := map[string]bool{}
 	for _, name := range request.GetResourceNames() {
 		names[name] = true
 	}
-	// The legacy wildcard: a first request without names subscribes to all.
+	// Legacy wildcard: a first request without names subscribes to all resources.
 	wildcard := len(names) == 0 && (!known || sub.wildcard)
 	changed := !maps.Equal(names, sub.names) || wildcard != sub.wildcard
 	sub.names = names
@@ -228,7 +230,7 @@
 		}
 		sub.names[name] = true
 		if known {
-			delete(sub.versions, name) // a resource that is subscribed to again is sent again
+			delete(sub.versions, name) // a repeated subscription requests the resource again
 		}
 	}
 	for _, name := range request.GetResourceNamesUnsubscribe() {
