--- a/internal/testbed/backend.go
+++ b/internal/testbed/backend.go
@@ -10,14 +10,14 @@
 	"testing"
 )
 
-// ReceivedRequest is a complete request as a Backend read it.
+// ReceivedRequest is a complete request that a Backend received.
 type ReceivedRequest struct {
-	*http.Request        // its Body has been read to the end
-	Content       []byte // of the body
+	*http.Request        // its Body has been read completely
+	Content       []byte // the request body
 	Connection    int    // number of the connection, from 0
 }
 
-// Backend is a Peer that speaks HTTP/1.1 and records the requests that it receives.
+// Backend is a Peer that serves HTTP/1.1 and records the requests that it receives.
 type Backend struct {
 	*Peer
 
@@ -25,9 +25,9 @@
 	requests []ReceivedRequest
 }
 
-// NewBackend starts a backend and closes it when the test ends. reply returns the response to a request as it is written to the
-// connection; if it is empty, the connection is closed instead. Requests are numbered from 0 over all connections. reply is
-// called by one goroutine a connection.
+// NewBackend starts a backend and closes it when the test ends. reply returns the complete response to a request, which is written to the
+// connection unchanged; if it is empty, the connection is closed instead. number counts the requests of all connections from 0. reply is
+// called concurrently for different connections.
 func NewBackend(t testing.TB, reply func(request ReceivedRequest, number int) string) *Backend {
 	t.Helper()
 	b := &Backend{}
@@ -71,7 +71,7 @@
 	return number
 }
 
-// Requests returns the requests that were read to the end, in that order.
+// Requests returns the completely received requests, in the order in which they were received.
 func (b *Backend) Requests() []ReceivedRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testbed/backlog.go
+++ b/internal/testbed/backlog.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// maxBacklogFill is how many connections may be needed to fill a backlog of length 0.
+	// maxBacklogFill is the maximum number of connections that are opened to fill a backlog of length 0.
 	maxBacklogFill = 8
-	// backlogDialTimeout is after how long a connection attempt shows that the backlog is full.
+	// backlogDialTimeout is the time after which a pending connection attempt shows that the backlog is full.
 	backlogDialTimeout = 200 * time.Millisecond
 )
 
-// FullBacklogAddress returns an address at which connection attempts are neither accepted nor refused: its backlog is full. It
-// skips the test where backlogs cannot be filled.
+// FullBacklogAddress returns an address at which connection attempts are neither accepted nor refused, because the backlog is full. It
+// skips the test if this machine's backlogs cannot be filled.
 func FullBacklogAddress(t testing.TB) string {
 	t.Helper()
 	return listenWithFullBacklog(t).address
 }
 
-// DelayedPeer is a Peer at which connections are not established before Open.
+// DelayedPeer is a Peer at which no connection is established before Open.
 type DelayedPeer struct {
 	*Peer
 	open func()
 }
 
-// NewDelayedPeer starts a peer like NewPeer whose connections wait until Open is called. It skips the test where backlogs cannot
-// be filled.
+// NewDelayedPeer starts a peer like NewPeer whose connections stay pending until Open is called. It skips the test if this machine's
+// backlogs cannot be filled.
 func NewDelayedPeer(t testing.TB, script func(connection net.Conn, number int)) *DelayedPeer {
 	t.Helper()
 	full := listenWithFullBacklog(t)
@@ -43,23 +43,24 @@
 	return p
 }
 
-// Open accepts connections. Pending ones are established when the kernel sends their SYN again, within some seconds. It may be
-// called once.
+// Open starts to accept connections. Pending connections are established when the kernel retransmits their SYN, within some seconds. Open
+// may be called only once.
 func (p *DelayedPeer) Open() { p.open() }
 
-// Close closes the peer and all its connections like Peer.Close, if it was opened. It must not run beside Open.
+// Close closes the peer like Peer.Close if Open was called, and does nothing otherwise. It must not run concurrently with Open.
 func (p *DelayedPeer) Close() {
 	if p.listener != nil {
 		p.Peer.Close()
 	}
 }
 
-// fullBacklog is a listening socket from which nothing is accepted and whose backlog is full. It lives as long as the test.
+// fullBacklog is a listening socket with a full backlog, from which nothing is accepted. It is closed when the test ends.
 type fullBacklog struct {
 	descriptor int
 	address    string
 }
 
+// listenWithFullBacklog listens on a loopback port and fills the backlog. It skips the test if the backlog does not fill.
 func listenWithFullBacklog(t testing.TB) fullBacklog {
 	t.Helper()
 	full := fullBacklog{descriptor: listenWithoutBacklog(t)}
@@ -76,7 +77,7 @@
 		}
 		t.Cleanup(func() { connection.Close() })
 	}
-	t.Skip("this machine's backlogs do not fill")
+	t.Skip("the listen backlog cannot be filled on this machine")
 	return fullBacklog{}
 }
 
@@ -97,7 +98,7 @@
 	return descriptor
 }
 
-// listener returns a listener that accepts from a duplicate of the socket.
+// listener returns a listener that accepts connections from a duplicate of the socket.
 func (f fullBacklog) listener(t testing.TB) net.Listener {
 	t.Helper()
 	duplicate, err := syscall.Dup(f.descriptor)
--- a/internal/testbed/peer.go
+++ b/internal/testbed/peer.go
@@ -6,22 +6,21 @@
 	"testing"
 )
 
-// Peer accepts connections on a loopback address and runs a script on each. Its methods may be called by several goroutines at
-// once.
+// Peer accepts connections on a loopback address and runs a script on each. Its methods are safe for concurrent use.
 type Peer struct {
-	Addr string // host:port on which it listens
+	Addr string // host:port at which the peer listens
 
 	listener   net.Listener
 	goroutines sync.WaitGroup
 
 	mu          sync.Mutex
-	connections []net.Conn // all that were ever accepted
+	connections []net.Conn // all accepted connections, including closed ones
 	closed      bool
 }
 
-// NewPeer starts a peer and closes it when the test ends. Each connection runs script in a goroutine of its own, with the
-// connection's number counted from 0, and is closed when script returns. Close waits for all scripts, so a script must return
-// once its connection is closed.
+// NewPeer starts a peer and closes it when the test ends. For each connection, script runs in its own goroutine with the connection and its
+// number, counted from 0. The connection is closed when script returns. Close waits for all scripts, so a script must return when its
+// connection is closed.
 func NewPeer(t testing.TB, script func(connection net.Conn, number int)) *Peer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,6 +33,7 @@
 	return p
 }
 
+// accept accepts connections until the listener is closed.
 func (p *Peer) accept(script func(connection net.Conn, number int)) {
 	for number := 0; ; number++ {
 		connection, err := p.listener.Accept()
@@ -48,7 +48,7 @@
 	}
 }
 
-// register counts a connection. One that was accepted while Close ran is closed at once.
+// register records a connection, so that Close closes it. If the peer is closed already, it closes the connection.
 func (p *Peer) register(connection net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 	p.connections = append(p.connections, connection)
 }
 
-// Connections returns how many connections were accepted, closed ones included.
+// Connections returns how many connections were accepted, including closed ones.
 func (p *Peer) Connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 	connection.Close()
 }
 
-// RefusingAddress returns a loopback address on which nothing listens.
+// RefusingAddress returns a loopback address at which nothing listens.
 func RefusingAddress(t testing.TB) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
