--- a/lab/experiments.go
+++ b/lab/experiments.go
@@ -10,7 +10,7 @@
 //go:embed *.yaml
 var files embed.FS
 
-// extension is what a file's name has behind its experiment's name.
+// extension is the suffix of the file names, which follows the name of the experiment.
 const extension = ".yaml"
 
 // Names returns the names of the embedded experiments, sorted.
@@ -26,7 +26,7 @@
 	return names
 }
 
-// Read returns the text of an experiment, and whether there is one of that name.
+// Read returns the text of the experiment with the given name, and false if there is none.
 func Read(name string) (text []byte, ok bool) {
 	text, err := files.ReadFile(name + extension)
 	return text, err == nil
