--- a/internal/experiment/calibrate.go
+++ b/internal/experiment/calibrate.go
@@ -18,14 +18,15 @@
 type CalibrationMetric struct {
 	Name                string
 	Simulated, Loopback float64
-	// Deviation of the simulated engine is relative, or the difference for fractions and where the loopback value is 0.
+	// Deviation is the relative deviation of the simulated value from the loopback value. It is the plain difference for fractions and
+	// where the loopback value is 0.
 	Deviation float64
-	// WithinTolerance means a deviation of at most 10%. Only the Checked metrics are to be within it.
+	// WithinTolerance means a deviation of at most 10%. Only Checked metrics are expected to be within the tolerance.
 	Checked, WithinTolerance bool
 }
 
-// all returns the outcomes of all phases and classes together.
-func (r *Report) all() (o Outcome) {
+// totals returns the combined outcomes of all phases and classes.
+func (r *Report) totals() (o Outcome) {
 	for i := range r.Phases {
 		o.merge(&r.Phases[i].All)
 	}
@@ -35,54 +36,54 @@
 
 // Metrics returns the metrics of the calibration.
 func (c *Calibration) Metrics() []CalibrationMetric {
-	s, l := c.Simulated.all(), c.Loopback.all()
-	per := func(r *Report, o *Outcome) float64 {
-		return float64(o.InTime) / r.Length.Seconds() / float64(max(r.Seeds, 1))
+	simulatedTotals, loopbackTotals := c.Simulated.totals(), c.Loopback.totals()
+	goodput := func(report *Report, outcomes *Outcome) float64 {
+		return float64(outcomes.InTime) / report.Length.Seconds() / float64(max(report.Seeds, 1))
 	}
-	row := func(name string, sim, live float64, judged, relative bool) CalibrationMetric {
-		f := CalibrationMetric{Name: name, Simulated: sim, Loopback: live, Deviation: sim - live, Checked: judged}
-		if relative && live != 0 {
-			f.Deviation = sim/live - 1
+	newMetric := func(name string, simulated, loopback float64, checked, relative bool) CalibrationMetric {
+		metric := CalibrationMetric{Name: name, Simulated: simulated, Loopback: loopback, Deviation: simulated - loopback, Checked: checked}
+		if relative && loopback != 0 {
+			metric.Deviation = simulated/loopback - 1
 		}
-		f.WithinTolerance = math.Abs(f.Deviation) <= 0.1
-		return f
+		metric.WithinTolerance = math.Abs(metric.Deviation) <= 0.1
+		return metric
 	}
 	return []CalibrationMetric{
-		row("in time a second", per(c.Simulated, &s), per(c.Loopback, &l), true, true),
-		row("in time", s.fraction(s.InTime), l.fraction(l.InTime), true, false),
-		row("refused or failed", s.fraction(s.Rejected+s.Failed+s.Lost), l.fraction(l.Rejected+l.Failed+l.Lost), true, false),
-		row("p50 ms", milliseconds(s.P50), milliseconds(l.P50), false, true),
-		row("p99 ms", milliseconds(s.P99), milliseconds(l.P99), false, true),
-		row("busiest server", c.Simulated.busiest(), c.Loopback.busiest(), false, true),
+		newMetric("in time a second", goodput(c.Simulated, &simulatedTotals), goodput(c.Loopback, &loopbackTotals), true, true),
+		newMetric("in time", simulatedTotals.fraction(simulatedTotals.InTime), loopbackTotals.fraction(loopbackTotals.InTime), true, false),
+		newMetric("refused or failed", simulatedTotals.fraction(simulatedTotals.Rejected+simulatedTotals.Failed+simulatedTotals.Lost), loopbackTotals.fraction(loopbackTotals.Rejected+loopbackTotals.Failed+loopbackTotals.Lost), true, false),
+		newMetric("p50 ms", milliseconds(simulatedTotals.P50), milliseconds(loopbackTotals.P50), false, true),
+		newMetric("p99 ms", milliseconds(simulatedTotals.P99), milliseconds(loopbackTotals.P99), false, true),
+		newMetric("busiest server", c.Simulated.busiestShare(), c.Loopback.busiestShare(), false, true),
 	}
 }
 
-// PrintCalibrations writes calibrations as a Markdown table, with the number of checked metrics within the tolerance.
-func PrintCalibrations(out io.Writer, l []Calibration) error {
-	t := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.Debug)
-	fmt.Fprintln(t, " experiment\t figure\t simulated\t loopback\t error\t ")
-	fmt.Fprintln(t, " ---\t ---\t ---\t ---\t ---\t ---")
-	judged, within := 0, 0
-	for _, c := range l {
-		for _, f := range c.Metrics() {
+// PrintCalibrations writes calibrations as a Markdown table, followed by the number of checked metrics within the tolerance.
+func PrintCalibrations(out io.Writer, calibrations []Calibration) error {
+	table := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.Debug)
+	fmt.Fprintln(table, " experiment\t figure\t simulated\t loopback\t error\t ")
+	fmt.Fprintln(table, " ---\t ---\t ---\t ---\t ---\t ---")
+	checked, within := 0, 0
+	for _, calibration := range calibrations {
+		for _, metric := range calibration.Metrics() {
 			note := ""
-			if f.Checked {
-				if judged++; f.WithinTolerance {
+			if metric.Checked {
+				if checked++; metric.WithinTolerance {
 					within++
 				} else {
 					note = "beyond 10%"
 				}
 			}
-			fmt.Fprintf(t, " %s\t %s\t %.4g\t %.4g\t %+.1f%%\t %s\n", c.Name, f.Name, f.Simulated, f.Loopback, 100*f.Deviation, note)
+			fmt.Fprintf(table, " %s\t %s\t %.4g\t %.4g\t %+.1f%%\t %s\n", calibration.Name, metric.Name, metric.Simulated, metric.Loopback, 100*metric.Deviation, note)
 		}
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return fmt.Errorf("writing the calibration: %w", err)
 	}
-	fmt.Fprintf(out, "%d of %d figures of throughput and service within 10%%\n", within, judged)
-	for _, c := range l {
-		if g := c.Loopback.Generator; g.Bottleneck || c.Loopback.EndedEarly != "" {
-			fmt.Fprintf(out, "%s: %s %s\n", c.Name, g, c.Loopback.EndedEarly)
+	fmt.Fprintf(out, "%d of %d figures of throughput and service within 10%%\n", within, checked)
+	for _, calibration := range calibrations {
+		if generator := calibration.Loopback.Generator; generator.Bottleneck || calibration.Loopback.EndedEarly != "" {
+			fmt.Fprintf(out, "%s: %s %s\n", calibration.Name, generator, calibration.Loopback.EndedEarly)
 		}
 	}
 	return nil
--- a/internal/experiment/collector.go
+++ b/internal/experiment/collector.go
@@ -14,12 +14,12 @@
 const (
 	inTime     outcome = iota
 	servedLate         // served, but later than the latency objective
-	rejected           // by load or rate limit; a retry is harmless
+	rejected           // by admission control or a rate limit; safe to retry
 	failed             // any other response
 	lost               // no response
 )
 
-// maxPoints is the number of points of a time series.
+// maxPoints is the maximum number of points of a time series.
 const maxPoints = 100
 
 // collector collects the results of a run of either engine. It is not safe for concurrent use.
@@ -52,16 +52,16 @@
 	c := &collector{experiment: e, classIndex: map[string]int{}, interval: max(e.Length.D()/maxPoints, 100*time.Millisecond)}
 	from := time.Duration(0)
 	for i := range len(e.Phases) + 1 {
-		p := Phase{From: from, To: e.Length.D()}
+		phase := Phase{From: from, To: e.Length.D()}
 		if i < len(e.Phases) {
-			p.To = e.Phases[i].D()
+			phase.To = e.Phases[i].D()
 		}
-		for j, k := range e.Classes {
-			p.Classes = append(p.Classes, Outcome{Class: k.Name})
-			c.classIndex[k.Name] = j
+		for j, class := range e.Classes {
+			phase.Classes = append(phase.Classes, Outcome{Class: class.Name})
+			c.classIndex[class.Name] = j
 		}
-		c.phases = append(c.phases, p)
-		from = p.To
+		c.phases = append(c.phases, phase)
+		from = phase.To
 	}
 	for at := time.Duration(0); at < e.Length.D(); at += c.interval {
 		c.series = append(c.series, Point{Start: at, Attempts: map[string]int{}})
@@ -82,54 +82,54 @@
 	return &c.series[min(max(int(at/c.interval), 0), len(c.series)-1)]
 }
 
-// recordOutcome counts a request that began at an offset from the start of the run.
+// recordOutcome counts a request that began at the given offset from the start of the run.
 func (c *collector) recordOutcome(at, took time.Duration, class string, out outcome) {
 	c.requests++
-	p, s := c.phaseAt(at), c.pointAt(at)
-	p.Classes[c.classIndex[class]].count(took, out)
-	p.All.count(took, out)
+	phase, point := c.phaseAt(at), c.pointAt(at)
+	phase.Classes[c.classIndex[class]].count(took, out)
+	phase.All.count(took, out)
 	switch out {
 	case inTime:
-		s.InTime++
+		point.InTime++
 	case servedLate:
-		s.Late++
+		point.Late++
 	case rejected:
-		s.Rejected++
+		point.Rejected++
 	default:
-		s.Failed++
+		point.Failed++
 	}
 	if out == inTime || out == servedLate {
-		if s.latencies == nil {
-			s.latencies = histogram(2)
+		if point.latencies == nil {
+			point.latencies = newHistogram(2)
 		}
-		record(s.latencies, took)
+		recordDuration(point.latencies, took)
 	}
 	if out == lost {
 		c.lost++
 	}
 }
 
-// recordAttempt counts an attempt at a server. A restarted server with a new ID counts under its first one.
+// recordAttempt counts an attempt at a server. A server that restarted under a new ID counts under its original one.
 func (c *collector) recordAttempt(at time.Duration, server string) {
 	c.pointAt(at).Attempts[strings.TrimRight(server, "'")]++
 }
 
-// addServerCounts adds the counts that servers have made in o.
-func (p *Phase) addServerCounts(o *Phase) {
-	p.CrossZoneAttempts += o.CrossZoneAttempts
-	p.Attempts += o.Attempts
-	p.NewConnections += o.NewConnections
-	p.CollapsedServers += o.CollapsedServers
-	p.MaxWarmingLoad = max(p.MaxWarmingLoad, o.MaxWarmingLoad)
-	p.MaxServerRequests = max(p.MaxServerRequests, o.MaxServerRequests)
+// addServerCounts adds the counts of attempts, connections and servers of another phase.
+func (p *Phase) addServerCounts(other *Phase) {
+	p.CrossZoneAttempts += other.CrossZoneAttempts
+	p.Attempts += other.Attempts
+	p.NewConnections += other.NewConnections
+	p.CollapsedServers += other.CollapsedServers
+	p.MaxWarmingLoad = max(p.MaxWarmingLoad, other.MaxWarmingLoad)
+	p.MaxServerRequests = max(p.MaxServerRequests, other.MaxServerRequests)
 }
 
-// histogram returns a histogram of durations up to an hour, in microseconds, with a number of significant digits.
-func histogram(digits int) *hdrhistogram.Histogram {
+// newHistogram returns a histogram of durations up to an hour, in microseconds, with the given number of significant digits.
+func newHistogram(digits int) *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Hour/time.Microsecond), digits)
 }
 
-func record(h *hdrhistogram.Histogram, took time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, took time.Duration) {
 	_ = h.RecordValue(min(max(int64(took/time.Microsecond), 1), int64(time.Hour/time.Microsecond)))
 }
 
@@ -156,67 +156,67 @@
 	}
 	if out == inTime || out == servedLate {
 		if o.latencies == nil {
-			o.latencies = histogram(3)
+			o.latencies = newHistogram(3)
 		}
-		record(o.latencies, took)
+		recordDuration(o.latencies, took)
 	}
 }
 
-func (o *Outcome) merge(x *Outcome) {
-	o.Requests += x.Requests
-	o.InTime += x.InTime
-	o.Late += x.Late
-	o.Rejected += x.Rejected
-	o.Failed += x.Failed
-	o.Lost += x.Lost
-	if x.latencies != nil {
+func (o *Outcome) merge(other *Outcome) {
+	o.Requests += other.Requests
+	o.InTime += other.InTime
+	o.Late += other.Late
+	o.Rejected += other.Rejected
+	o.Failed += other.Failed
+	o.Lost += other.Lost
+	if other.latencies != nil {
 		if o.latencies == nil {
-			o.latencies = histogram(3)
+			o.latencies = newHistogram(3)
 		}
-		o.latencies.Merge(x.latencies)
+		o.latencies.Merge(other.latencies)
 	}
 }
 
-func (p *Point) merge(x *Point) {
-	p.InTime += x.InTime
-	p.Late += x.Late
-	p.Rejected += x.Rejected
-	p.Failed += x.Failed
-	for id, n := range x.Attempts {
+func (p *Point) merge(other *Point) {
+	p.InTime += other.InTime
+	p.Late += other.Late
+	p.Rejected += other.Rejected
+	p.Failed += other.Failed
+	for id, n := range other.Attempts {
 		p.Attempts[id] += n
 	}
-	if x.latencies != nil {
+	if other.latencies != nil {
 		if p.latencies == nil {
-			p.latencies = histogram(2)
+			p.latencies = newHistogram(2)
 		}
-		p.latencies.Merge(x.latencies)
+		p.latencies.Merge(other.latencies)
 	}
 }
 
 // Servers returns the sorted IDs of the servers that received attempts.
-func (r *Report) Servers() (l []string) {
+func (r *Report) Servers() (ids []string) {
 	for i := range r.Series {
 		for id := range r.Series[i].Attempts {
-			if at, ok := slices.BinarySearch(l, id); !ok {
-				l = slices.Insert(l, at, id)
+			if at, ok := slices.BinarySearch(ids, id); !ok {
+				ids = slices.Insert(ids, at, id)
 			}
 		}
 	}
-	return l
+	return ids
 }
 
-// busiest returns the fraction of all attempts that the busiest server received.
-func (r *Report) busiest() float64 {
-	sum, all := map[string]int{}, 0
+// busiestShare returns the fraction of all attempts that the busiest server received.
+func (r *Report) busiestShare() float64 {
+	byServer, total := map[string]int{}, 0
 	for i := range r.Series {
 		for id, n := range r.Series[i].Attempts {
-			sum[id] += n
-			all += n
+			byServer[id] += n
+			total += n
 		}
 	}
 	most := 0
-	for _, n := range sum {
+	for _, n := range byServer {
 		most = max(most, n)
 	}
-	return float64(most) / float64(max(all, 1))
+	return float64(most) / float64(max(total, 1))
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -29,7 +29,7 @@
 	Unit string  `json:"unit"`
 	A    float64 `json:"a"` // medians
 	B    float64 `json:"b"`
-	// Change is the difference of the medians, B less A, or the median difference of pairs of runs with the same seed. Low and High
+	// Change is the difference of the medians, B minus A, or the median difference of pairs of runs with the same seed. Low and High
 	// bound it with 95% confidence.
 	Change float64 `json:"change"`
 	Low    float64 `json:"low"`
@@ -38,9 +38,10 @@
 	Differs bool `json:"differs"`
 }
 
+// metrics are the metrics of a run that Compare compares.
 var metrics = []struct {
 	name, unit string
-	of         func(*Run) float64
+	value      func(*Run) float64
 }{
 	{"in time", "a second", func(r *Run) float64 { return r.Goodput }},
 	{"in time", "% of what was asked", func(r *Run) float64 { return 100 * r.InTime }},
@@ -49,86 +50,86 @@
 	{"p99", "ms", func(r *Run) float64 { return r.P99.Seconds() * 1000 }},
 }
 
-// minRuns is the number of runs below which the intervals of a bootstrap mean nothing.
+// minRuns is the minimum number of runs for a meaningful bootstrap interval.
 const minRuns = 5
 
-// Compare compares report B with report A. The same reports give the same comparison.
+// Compare compares report b with report a. The result is deterministic.
 func Compare(a, b *Report) (*Comparison, error) {
 	if len(a.Runs) < minRuns || len(b.Runs) < minRuns {
-		return nil, fmt.Errorf("%d and %d runs: want %d at least of each to tell a difference from chance", len(a.Runs), len(b.Runs), minRuns)
+		return nil, fmt.Errorf("%d and %d runs: want at least %d of each to tell a difference from chance", len(a.Runs), len(b.Runs), minRuns)
 	}
-	c := &Comparison{A: a.Experiment + ", " + a.Engine, B: b.Experiment + ", " + b.Engine, Runs: min(len(a.Runs), len(b.Runs)), Paired: len(a.Runs) == len(b.Runs)}
+	comparison := &Comparison{A: a.Experiment + ", " + a.Engine, B: b.Experiment + ", " + b.Engine, Runs: min(len(a.Runs), len(b.Runs)), Paired: len(a.Runs) == len(b.Runs)}
 	for i := range a.Runs {
-		c.Paired = c.Paired && a.Runs[i].Seed == b.Runs[i].Seed
+		comparison.Paired = comparison.Paired && a.Runs[i].Seed == b.Runs[i].Seed
 	}
 	rng := rand.New(rand.NewPCG(1, 0x626f6f74))
-	for _, m := range metrics {
-		var x, y []float64
+	for _, metric := range metrics {
+		var valuesA, valuesB []float64
 		for i := range a.Runs {
-			x = append(x, m.of(&a.Runs[i]))
+			valuesA = append(valuesA, metric.value(&a.Runs[i]))
 		}
 		for i := range b.Runs {
-			y = append(y, m.of(&b.Runs[i]))
+			valuesB = append(valuesB, metric.value(&b.Runs[i]))
 		}
-		d := Difference{Name: m.name, Unit: m.unit, A: median(x), B: median(y)}
-		d.Change, d.Low, d.High = bootstrap(rng, x, y, c.Paired)
-		d.Differs = d.Low > 0 || d.High < 0
-		c.Metrics = append(c.Metrics, d)
+		difference := Difference{Name: metric.name, Unit: metric.unit, A: median(valuesA), B: median(valuesB)}
+		difference.Change, difference.Low, difference.High = bootstrap(rng, valuesA, valuesB, comparison.Paired)
+		difference.Differs = difference.Low > 0 || difference.High < 0
+		comparison.Metrics = append(comparison.Metrics, difference)
 	}
-	return c, nil
+	return comparison, nil
 }
 
-func median(v []float64) float64 {
-	l := slices.Sorted(slices.Values(v))
-	return stat.Quantile(0.5, stat.LinInterp, l, nil)
+func median(values []float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
+	return stat.Quantile(0.5, stat.LinInterp, sorted, nil)
 }
 
-// bootstrap returns the difference of the medians, or the median difference of pairs, with its 95% percentile interval.
-func bootstrap(rng *rand.Rand, x, y []float64, paired bool) (change, low, high float64) {
+// bootstrap returns the difference of the medians, or the median difference of pairs, with its 95% percentile bootstrap interval.
+func bootstrap(rng *rand.Rand, valuesA, valuesB []float64, paired bool) (change, low, high float64) {
 	var pairs []float64
 	if paired {
-		for i := range x {
-			pairs = append(pairs, y[i]-x[i])
+		for i := range valuesA {
+			pairs = append(pairs, valuesB[i]-valuesA[i])
 		}
 	}
-	draw := func(v []float64) []float64 {
-		l := make([]float64, len(v))
-		for i := range l {
-			l[i] = v[rng.IntN(len(v))]
+	resample := func(values []float64) []float64 {
+		sample := make([]float64, len(values))
+		for i := range sample {
+			sample[i] = values[rng.IntN(len(values))]
 		}
-		return l
+		return sample
 	}
-	all := make([]float64, bootstrapResamples)
-	for i := range all {
+	resampled := make([]float64, bootstrapResamples)
+	for i := range resampled {
 		if paired {
-			all[i] = median(draw(pairs))
+			resampled[i] = median(resample(pairs))
 		} else {
-			all[i] = median(draw(y)) - median(draw(x))
+			resampled[i] = median(resample(valuesB)) - median(resample(valuesA))
 		}
 	}
-	slices.Sort(all)
-	if change = median(y) - median(x); paired {
+	slices.Sort(resampled)
+	if change = median(valuesB) - median(valuesA); paired {
 		change = median(pairs)
 	}
-	return change, stat.Quantile(0.025, stat.Empirical, all, nil), stat.Quantile(0.975, stat.Empirical, all, nil)
+	return change, stat.Quantile(0.025, stat.Empirical, resampled, nil), stat.Quantile(0.975, stat.Empirical, resampled, nil)
 }
 
 // Print writes the comparison as a table.
 func (c *Comparison) Print(out io.Writer) error {
 	fmt.Fprintf(out, "A: %s\nB: %s\n%d runs of each; medians, and the difference with its 95%% confidence interval\n", c.A, c.B, c.Runs)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "FIGURE\tA\tB\tB LESS A\t95% INTERVAL\t")
-	for _, d := range c.Metrics {
-		says := "no difference"
-		if d.Differs {
-			says = "B is lower"
-			if d.Change > 0 {
-				says = "B is higher"
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "FIGURE\tA\tB\tB LESS A\t95% INTERVAL\t")
+	for _, difference := range c.Metrics {
+		verdict := "no difference"
+		if difference.Differs {
+			verdict = "B is lower"
+			if difference.Change > 0 {
+				verdict = "B is higher"
 			}
 		}
-		fmt.Fprintf(t, "%s, %s\t%.3g\t%.3g\t%+.3g\t%+.3g to %+.3g\t%s\n", d.Name, d.Unit, d.A, d.B, d.Change, d.Low, d.High, says)
+		fmt.Fprintf(table, "%s, %s\t%.3g\t%.3g\t%+.3g\t%+.3g to %+.3g\t%s\n", difference.Name, difference.Unit, difference.A, difference.B, difference.Change, difference.Low, difference.High, verdict)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return fmt.Errorf("writing the comparison: %w", err)
 	}
 	return nil
@@ -141,7 +142,7 @@
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(v); err != nil {
-		return fmt.Errorf("writing: %w", err)
+		return fmt.Errorf("writing JSON: %w", err)
 	}
 	return nil
 }
--- a/internal/experiment/defaults.go
+++ b/internal/experiment/defaults.go
@@ -48,12 +48,12 @@
 		}
 	}
 	for i := range f.Groups {
-		g := &f.Groups[i]
-		setDefault(&g.Zone, f.Zones[0])
-		setDefault(&g.Servers, f.Servers)
-		setDefault(&g.Workers, f.Workers)
-		setDefault(&g.QueueLimit, f.QueueLimit)
-		setDefault(&g.Speed, 1)
+		group := &f.Groups[i]
+		setDefault(&group.Zone, f.Zones[0])
+		setDefault(&group.Servers, f.Servers)
+		setDefault(&group.Workers, f.Workers)
+		setDefault(&group.QueueLimit, f.QueueLimit)
+		setDefault(&group.Speed, 1)
 	}
 	setDefaultDuration(&f.WarmUp, 10*time.Second)
 	setDefault(&f.InitialSpeed, 0.2)
@@ -74,14 +74,14 @@
 	if l.Clients > 0 {
 		setDefaultDuration(&l.ThinkTime, 100*time.Millisecond)
 	}
-	if t := l.Trace; t != nil {
-		setDefault(&t.Speed, 1)
-		setDefault(&t.Multiplier, 1)
-		setDefault(&t.UnknownClasses, "refuse")
+	if trace := l.Trace; trace != nil {
+		setDefault(&trace.Speed, 1)
+		setDefault(&trace.Multiplier, 1)
+		setDefault(&trace.UnknownClasses, "refuse")
 	}
-	if k := l.Keys; k != nil {
-		setDefault(&k.Count, 1000)
-		setDefault(&k.ZipfExponent, 1.1)
+	if keys := l.Keys; keys != nil {
+		setDefault(&keys.Count, 1000)
+		setDefault(&keys.ZipfExponent, 1.1)
 	}
 }
 
@@ -90,14 +90,14 @@
 		e.Classes = []Class{{Name: config.DefaultSafeClass}}
 	}
 	for i := range e.Classes {
-		c := &e.Classes[i]
-		setDefaultDuration(&c.LatencyObjective, defaultLatencyObjective)
-		setDefaultDuration(&c.Deadline, defaultDeadline)
-		setDefault(&c.PriorityWeight, 1)
-		setDefault(&c.LoadShare, 1)
-		setDefault(&c.MeanServiceTime, e.Fleet.MeanServiceTime)
-		setDefault(&c.Distribution, e.Fleet.Distribution)
-		setDefault(&c.Variation, e.Fleet.Variation)
+		class := &e.Classes[i]
+		setDefaultDuration(&class.LatencyObjective, defaultLatencyObjective)
+		setDefaultDuration(&class.Deadline, defaultDeadline)
+		setDefault(&class.PriorityWeight, 1)
+		setDefault(&class.LoadShare, 1)
+		setDefault(&class.MeanServiceTime, e.Fleet.MeanServiceTime)
+		setDefault(&class.Distribution, e.Fleet.Distribution)
+		setDefault(&class.Variation, e.Fleet.Variation)
 	}
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -2,7 +2,7 @@
 // a load, injected events, and the checks that the results must pass.
 //
 // Two engines run the same file and return the same kind of report. The simulated engine (Simulate) runs the decision modules on
-// simulated time; its results depend on the seed alone. The loopback engine (RunLoopback) runs the real program as child processes
+// simulated time; its results depend only on the seed. The loopback engine (RunLoopback) runs the real program as child processes
 // against local servers, in real time.
 package experiment
 
@@ -29,21 +29,21 @@
 	Events      []Event           `yaml:"events"`
 	Checks      []Check           `yaml:"checks"`
 
-	trace *trace // nil unless the load is a captured one
+	trace *trace // nil unless the load replays a capture
 }
 
-// Fleet describes the servers: either Servers identical ones in each zone, or Groups.
+// Fleet describes the servers: either the same number of identical servers in each zone, or Groups.
 type Fleet struct {
 	Zones        []string `yaml:"zones"`
-	Servers      int      `yaml:"servers"` // in each zone
+	Servers      int      `yaml:"servers"` // per zone
 	Groups       []Group  `yaml:"groups"`  // replaces Servers
-	Workers      int      `yaml:"workers"` // of each server
-	QueueLimit   int      `yaml:"queue"`   // requests that wait for a worker before a server rejects more
+	Workers      int      `yaml:"workers"` // per server
+	QueueLimit   int      `yaml:"queue"`   // requests that may wait for a worker; a server rejects further ones
 	ServiceTime  `yaml:",inline"`
 	Link         Link            `yaml:"link"`
 	WarmUp       config.Duration `yaml:"warm_up"`
 	InitialSpeed float64         `yaml:"warm_share"` // fraction of full speed at the start of the warm-up
-	CollapseLoad float64         `yaml:"fall"`       // load over capacity in a second at which a warming server collapses
+	CollapseLoad float64         `yaml:"fall"`       // ratio of load to capacity over one second above which a warming server collapses
 	CrossZoneRTT config.Duration `yaml:"cross"`      // round trip to another zone; within a zone it is an eighth of this
 	ConnectCost  config.Duration `yaml:"connect"`    // server time that a new connection adds to its first request
 }
@@ -58,12 +58,12 @@
 	Neighbour  *NoisyNeighbour `yaml:"neighbour,omitempty"`
 }
 
-// NoisyNeighbour is another program on the machines of a group that takes a share of their speed while it works.
+// NoisyNeighbour is another program on the machines of a group that takes a share of their speed while it is active.
 type NoisyNeighbour struct {
 	Start      config.Duration `yaml:"from"`
-	Period     config.Duration `yaml:"every"` // 0: it works without a pause from Start on
-	Duration   config.Duration `yaml:"lasts"` // of the work in each period
-	SpeedShare float64         `yaml:"takes"`
+	Period     config.Duration `yaml:"every"` // 0: active without a pause from Start
+	Duration   config.Duration `yaml:"lasts"` // active time in each period
+	SpeedShare float64         `yaml:"takes"` // fraction of the speed
 }
 
 // ServiceTime is the distribution of the time that a server at full speed needs for a request.
@@ -78,21 +78,21 @@
 	Delay     config.Duration `yaml:"delay"`     // each way
 	Jitter    config.Duration `yaml:"jitter"`    // mean of the exponential delay added to Delay
 	Loss      float64         `yaml:"loss"`      // fraction of responses that are replaced by a broken connection
-	Bandwidth config.Size     `yaml:"bandwidth"` // bytes a second for each response; 0: unlimited
+	Bandwidth config.Size     `yaml:"bandwidth"` // bytes per second for each response; 0: unlimited
 }
 
-// Gateways describes the gateways. They are placed in the zones in turn and share no state.
+// Gateways describes the gateways. They are assigned to the zones round-robin and share no state.
 type Gateways struct {
 	Count          int            `yaml:"number"`
 	ZoneMode       string         `yaml:"zones"`     // tiers, price or failover
-	Admission      string         `yaml:"admission"` // adaptive, fixed, off, or estimate (the balancer's own)
-	AdmissionLimit int            `yaml:"limit"`     // of a fixed admission
+	Admission      string         `yaml:"admission"` // adaptive, fixed, off, or estimate (the balancer's own estimate)
+	AdmissionLimit int            `yaml:"limit"`     // for fixed admission
 	Source         EndpointSource `yaml:"source"`
 }
 
 // EndpointSource is the service from which a starting gateway fetches the endpoint list before it becomes ready.
 type EndpointSource struct {
-	Concurrency  int             `yaml:"places"`   // calls served at once; 0: unlimited
+	Concurrency  int             `yaml:"places"`   // concurrent calls; 0: unlimited
 	ResponseTime config.Duration `yaml:"takes"`    // of a call
 	QueueTimeout config.Duration `yaml:"patience"` // after which a waiting call fails; 0: never
 }
@@ -113,7 +113,7 @@
 
 // Load combines an open loop, whose arrivals do not wait for responses, with closed-loop clients.
 type Load struct {
-	Rate      float64         `yaml:"rate"`     // requests a second over all gateways
+	Rate      float64         `yaml:"rate"`     // requests per second over all gateways
 	Arrivals  string          `yaml:"arrivals"` // poisson or constant
 	RateSpans []RateSpan      `yaml:"times"`
 	OnOff     *OnOff          `yaml:"on_off,omitempty"`
@@ -125,7 +125,7 @@
 	RetryMode string          `yaml:"again"` // reaction of a client to a rejection: gives_up, at_once or heeds (Retry-After)
 }
 
-// RateSpan multiplies the rate between Start and End. Where spans overlap, the last one counts.
+// RateSpan multiplies the rate between Start and End. Where spans overlap, the last one applies.
 type RateSpan struct {
 	Start           config.Duration `yaml:"from"`
 	End             config.Duration `yaml:"to"`
@@ -145,10 +145,10 @@
 	ZipfExponent float64 `yaml:"exponent"`
 }
 
-// Burst is Size requests at the same moment.
+// Burst is a number of simultaneous requests.
 type Burst struct {
 	At     config.Duration `yaml:"at"`
-	Period config.Duration `yaml:"every"` // 0: the burst comes once
+	Period config.Duration `yaml:"every"` // 0: the burst occurs once
 	Size   int             `yaml:"size"`
 }
 
@@ -160,7 +160,7 @@
 	FailureMode    string          `yaml:"how"`     // kill, flap: refuses, silent, says_503, resets or loses
 	Fraction       float64         `yaml:"part"`    // kill, drain: of the zone's servers; restart: of the gateways
 	RenamedServers int             `yaml:"renamed"` // revive: number of servers that return under a new ID
-	NotifyDelay    config.Duration `yaml:"late"`    // revive, drain, undrain: until the endpoint list shows it
+	NotifyDelay    config.Duration `yaml:"late"`    // revive, drain, undrain: time until the endpoint list shows the change
 	SlowdownFactor float64         `yaml:"by"`      // slow: multiplies the service times
 	Period         config.Duration `yaml:"every"`   // flap: from one kill to the next
 	Downtime       config.Duration `yaml:"down"`    // flap: from kill to revive; restart: from kill to start
@@ -176,21 +176,21 @@
 	MaxRejected     *float64        `yaml:"refused,omitempty"` // rejected, failed or lost
 	MaxLate         *float64        `yaml:"late,omitempty"`
 	MaxP99          config.Duration `yaml:"p99"`
-	MaxWarmingLoad  float64         `yaml:"worst_cold"` // load of a warming server over its capacity
-	MaxConnectRatio float64         `yaml:"connects"`   // new connections over attempts, where the fleet has a ConnectCost
-	MaxRestartTime  config.Duration `yaml:"back"`       // from a gateway's start until it is ready, over all phases
+	MaxWarmingLoad  float64         `yaml:"worst_cold"` // ratio of the load of a warming server to its capacity
+	MaxConnectRatio float64         `yaml:"connects"`   // ratio of new connections to attempts; needs a ConnectCost of the fleet
+	MaxRestartTime  config.Duration `yaml:"back"`       // from a gateway's start until it is ready, in any phase
 }
 
-// Limits of an experiment. They bound the time and memory that a mistaken file can take.
+// Limits of an experiment. They bound the time and memory that an erroneous file can use.
 const (
-	maxRequests = 5_000_000
-	maxServers  = 2_000
-	maxGateways = 2400    // of the simulated engine
-	maxViews    = 200_000 // servers times gateways
-	maxEvents   = 1_000
-	maxPhases   = 100
-	maxLength   = time.Hour
-	maxSeeds    = 1000
+	maxRequests           = 5_000_000
+	maxServers            = 2_000
+	maxGateways           = 2400 // of the simulated engine
+	maxServerGatewayPairs = 200_000
+	maxEvents             = 1_000
+	maxPhases             = 100
+	maxLength             = time.Hour
+	maxSeeds              = 1000
 )
 
 // Open reads and validates an experiment file. Errors in its content are of type config.Errors.
@@ -202,8 +202,8 @@
 	return Parse(path, text)
 }
 
-// Parse validates the text of an experiment and sets the defaults. The path is for the errors, which are of type config.Errors, and
-// for the captures that the experiment names relative to it.
+// Parse validates the text of an experiment and sets the defaults. The path appears in the errors, which are of type config.Errors,
+// and relative paths of captures are resolved against its directory.
 func Parse(path string, text []byte) (*Experiment, error) {
 	return parse(path, text, true)
 }
@@ -219,25 +219,25 @@
 
 func parse(path string, text []byte, needsLoad bool) (*Experiment, error) {
 	e := &Experiment{}
-	strict := config.DecodeStrict(path, text, e)
-	if err := strict.Err(); err != nil {
+	decoder := config.DecodeStrict(path, text, e)
+	if err := decoder.Err(); err != nil {
 		return nil, err
 	}
 	var captured *capture.Capture
 	if e.Load.Trace != nil {
-		captured = e.openTrace(strict, path)
+		captured = e.openTrace(decoder, path)
 		if captured == nil {
-			return nil, strict.Err()
+			return nil, decoder.Err()
 		}
 	}
 	e.setDefaults()
-	e.validate(strict, needsLoad)
-	if captured != nil && strict.Err() == nil {
+	e.validate(decoder, needsLoad)
+	if captured != nil && decoder.Err() == nil {
 		if err := e.setTrace(captured, e.Load.Trace); err != nil {
-			strict.AddError("load.trace", "%v", err)
+			decoder.AddError("load.trace", "%v", err)
 		}
 	}
-	if err := strict.Err(); err != nil {
+	if err := decoder.Err(); err != nil {
 		return nil, err
 	}
 	return e, nil
--- a/internal/experiment/fit.go
+++ b/internal/experiment/fit.go
@@ -19,7 +19,7 @@
 	Length   time.Duration `json:"length_ns"`
 	Rate     float64       `json:"per_second"`
 	Peak     float64       `json:"peak_per_second"` // of the busiest second
-	// Burstiness is the variance of requests a second over their mean: 1 for a Poisson load.
+	// Burstiness is the variance of the requests per second over their mean: 1 for a Poisson load.
 	Burstiness   float64      `json:"burstiness"`
 	Classes      []ClassModel `json:"classes"`
 	Keys         int          `json:"keys"`
@@ -38,13 +38,14 @@
 	Rejected    float64       `json:"refused"` // fraction of its requests
 }
 
-// Gap is a time without requests that is too long to be chance.
+// Gap is a period without requests that is too long to be random.
 type Gap struct {
 	Start    time.Duration `json:"from_ns"`
 	Duration time.Duration `json:"for_ns"`
 }
 
-// gapFactor times the mean time between requests is a pause that a Poisson load has once in a million requests.
+// gapFactor is the length of a gap as a multiple of the mean time between requests. A Poisson load has such a pause about once in a
+// million requests.
 const gapFactor = 14
 
 // Fit estimates a load model from a capture.
@@ -75,14 +76,14 @@
 	return perSecond
 }
 
-// burstiness returns the variance over the mean, without the part of a Poisson load that sampling adds; 0: too few seconds.
-func burstiness(perSecond []float64, sample float64) float64 {
+// burstiness returns the variance over the mean, without the variance that sampling adds. It returns 0 for fewer than two seconds.
+func burstiness(perSecond []float64, sampleRate float64) float64 {
 	if len(perSecond) < 2 {
 		return 0
 	}
 	mean, variance := stat.MeanVariance(perSecond, nil)
-	if sample < 1 {
-		return max(0, (variance/mean-1/sample)+1)
+	if sampleRate < 1 {
+		return max(0, (variance/mean-1/sampleRate)+1)
 	}
 	return variance / mean
 }
@@ -98,7 +99,7 @@
 	return keys
 }
 
-// findGaps returns the pauses of more than a second that a Poisson load of the same rate would hardly have.
+// findGaps returns the pauses of more than a second that a Poisson load of the same rate would rarely have.
 func findGaps(c *capture.Capture) []Gap {
 	recordRate := float64(len(c.Records)) / c.Length.Seconds()
 	minGap := max(time.Duration(gapFactor/recordRate*float64(time.Second)), time.Second)
@@ -119,10 +120,10 @@
 	all       float64
 	served    float64
 	rejected  float64
-	latencies []float64 // of the served ones, in seconds
+	latencies []float64 // of the served requests, in seconds
 }
 
-// fitClasses estimates the classes, the one with most requests first.
+// fitClasses returns a model of each class, sorted by decreasing number of requests.
 func fitClasses(c *capture.Capture) []ClassModel {
 	byClass := map[string]*classRecords{}
 	for i := range c.Records {
@@ -157,20 +158,20 @@
 	return models
 }
 
-// captureNotes returns what a reader of the model should know about its capture.
+// captureNotes returns remarks on the capture that affect how to read the model.
 func captureNotes(c *capture.Capture, gaps []Gap) []string {
 	var notes []string
 	if c.Truncated {
-		notes = append(notes, "the last line is not whole and was left out")
+		notes = append(notes, "the last line is incomplete and was skipped")
 	}
 	if !c.Complete {
-		notes = append(notes, "the capture broke off: it has no end")
+		notes = append(notes, "the capture is incomplete: its trailer is missing")
 	}
 	if c.Missed > 0 {
-		notes = append(notes, fmt.Sprintf("%d requests were missed: the load was higher than what is shown", c.Missed))
+		notes = append(notes, fmt.Sprintf("%d requests were not captured: the actual load was higher", c.Missed))
 	}
 	for _, gap := range gaps {
-		notes = append(notes, fmt.Sprintf("no request for %v from %v on", gap.Duration.Round(time.Millisecond), gap.Start.Round(time.Millisecond)))
+		notes = append(notes, fmt.Sprintf("no requests for %v, starting at %v", gap.Duration.Round(time.Millisecond), gap.Start.Round(time.Millisecond)))
 	}
 	return notes
 }
--- a/internal/experiment/former_test.go
+++ b/internal/experiment/former_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestFormerExperimentIsRead reads an experiment that sets each field, and compares each with what an earlier version read
-// (tools/fixtures/write).
+// TestFormerExperimentIsRead opens an experiment that sets every field, and compares the fields with those that an earlier version read.
+// tools/fixtures/write recorded the expected values.
 func TestFormerExperimentIsRead(t *testing.T) {
 	e, err := Open(filepath.Join("..", "..", "tools", "fixtures", "every-field.yaml"))
 	if err != nil {
@@ -23,11 +23,11 @@
 	var b strings.Builder
 	describe(&b, "", reflect.ValueOf(*e))
 	if b.String() != string(want) {
-		t.Errorf("read:\n%s\nwant:\n%s", b.String(), want)
+		t.Errorf("fields of the experiment:\n%s\nwant:\n%s", b.String(), want)
 	}
 }
 
-// describe writes a line for each exported field, by its name in the file.
+// describe writes a line for each exported field, with its name in the experiment file.
 func describe(b *strings.Builder, path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -40,11 +40,11 @@
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			f := v.Type().Field(i)
-			if !f.IsExported() {
+			field := v.Type().Field(i)
+			if !field.IsExported() {
 				continue
 			}
-			name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
+			name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 			describe(b, strings.TrimPrefix(path+"."+name, "."), v.Field(i))
 		}
 	default:
--- a/internal/experiment/generator.go
+++ b/internal/experiment/generator.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	maxInFlight = 20_000 // requests of the generator
+	maxInFlight = 20_000 // open-loop requests in flight
 
 	// maxGeneratorDelay is the delay at the 99th percentile above which the generator counts as the bottleneck. Latencies are
-	// measured from when a request was due, so that a delay hides no wait, but a larger one measures the generator.
+	// measured from when a request was due, so that a delay of the generator hides no waiting time. Above this limit, however, the
+	// latencies are those of the generator.
 	maxGeneratorDelay = 20 * time.Millisecond
 )
 
@@ -37,11 +38,11 @@
 	return s
 }
 
-// add merges another run; length is that of all runs together.
-func (g *Generator) add(o *Generator, length time.Duration) {
-	g.Requests += o.Requests
-	g.Dropped += o.Dropped
-	g.delays.Merge(o.delays)
+// add merges the results of another run. The length is the total of all runs.
+func (g *Generator) add(other *Generator, length time.Duration) {
+	g.Requests += other.Requests
+	g.Dropped += other.Dropped
+	g.delays.Merge(other.delays)
 	g.Rate = float64(g.Requests) / length.Seconds()
 	g.DelayP99 = quantile(g.delays, 0.99)
 	g.DelayMax = time.Duration(g.delays.Max()) * time.Microsecond
--- a/internal/experiment/loopback.go
+++ b/internal/experiment/loopback.go
@@ -17,7 +17,7 @@
 const (
 	maxLoopbackLength   = 10 * time.Minute
 	maxLoopbackRequests = 1_000_000
-	maxLoopbackRate     = 20_000 // requests a second
+	maxLoopbackRate     = 20_000 // requests per second
 	maxLoopbackGateways = 8
 	maxLoopbackServers  = 64
 	maxLoopbackClients  = 5000
@@ -34,10 +34,10 @@
 	Progress func(Progress)
 
 	started     func(*loopbackRun) // test hook: called when all gateways are ready
-	maxInFlight int                // requests in flight of the generator; 0: maxInFlight
+	maxInFlight int                // requests in flight of the generator; 0: the constant maxInFlight
 }
 
-// Progress is the state of a run under way. Requests are those that have ended.
+// Progress is the state of a run in progress. It counts the requests that have ended.
 type Progress struct {
 	Seed     uint64
 	Elapsed  time.Duration
@@ -49,11 +49,11 @@
 	Failed   int
 }
 
-// checkLoopbackLimits returns an error if an experiment cannot run on the loopback engine.
+// checkLoopbackLimits returns an error if the experiment is too large for the loopback engine or uses a feature that it lacks.
 func (e *Experiment) checkLoopbackLimits() error {
 	servers := 0
-	for _, g := range e.Fleet.Groups {
-		servers += g.Servers
+	for _, group := range e.Fleet.Groups {
+		servers += group.Servers
 	}
 	requests, peak := e.openLoopRequests(), e.peakRate()
 	if e.trace != nil {
@@ -77,7 +77,7 @@
 		}
 	}
 	if e.Gateways.Admission == "estimate" {
-		return fmt.Errorf("%s: gateways.admission: a gateway has no estimate, only the simulated engine", e.Name)
+		return fmt.Errorf("%s: gateways.admission: a gateway has no estimate; only the simulated engine supports it", e.Name)
 	}
 	return nil
 }
@@ -90,15 +90,15 @@
 	controlPlane     *controlplane.Server
 	endpointsVersion int
 	servers          []*loopbackServer
-	clients          []*http.Client    // one for each gateway
-	configDir        string            // of the gateways' files
+	clients          []*http.Client    // by gateway
+	configDir        string            // directory of the gateways' configuration files
 	bodies           map[string][]byte // response bodies by class
 	startedAt        time.Time
 	requestIDs       atomic.Uint64
 	background       sync.WaitGroup
 
-	mu          sync.Mutex        // guards what follows
-	gateways    []*gatewayProcess // nil: the gateway is down
+	mu          sync.Mutex        // guards the fields below
+	gateways    []*gatewayProcess // a nil entry is a gateway that is down
 	collector   *collector
 	effects     map[string]map[string]int // number of effects by request ID and zone
 	generator   Generator
@@ -114,12 +114,12 @@
 		collector:  newCollector(e),
 		effects:    map[string]map[string]int{},
 		bodies:     map[string][]byte{},
-		generator:  Generator{delays: histogram(3)},
+		generator:  Generator{delays: newHistogram(3)},
 	}
 }
 
 // RunLoopback runs an experiment over loopback with consecutive seeds, the first of which is the experiment's own. It blocks for the
-// length of all runs. Where ctx ends or a run breaks, the report has what was measured until then and names the reason in EndedEarly.
+// length of all runs. If ctx is cancelled or a run fails, the report contains the results up to then, and EndedEarly has the reason.
 func RunLoopback(ctx context.Context, e *Experiment, seeds int, options LoopbackOptions) (*Report, error) {
 	if err := checkSeeds(seeds); err != nil {
 		return nil, err
@@ -127,48 +127,48 @@
 	if err := e.checkLoopbackLimits(); err != nil {
 		return nil, err
 	}
-	r := newReport(e, "loopback")
-	r.Generator = &Generator{delays: histogram(3)}
+	report := newReport(e, "loopback")
+	report.Generator = &Generator{delays: newHistogram(3)}
 	for i := range seeds {
 		run := newLoopbackRun(e, uint64(e.Seed+i), options)
 		err := run.run(ctx)
-		r.add(run.collector, run.seed)
-		r.Generator.add(&run.generator, e.Length.D()*time.Duration(r.Seeds))
-		r.FailedChecks = append(r.FailedChecks, run.eventErrors...)
+		report.add(run.collector, run.seed)
+		report.Generator.add(&run.generator, e.Length.D()*time.Duration(report.Seeds))
+		report.FailedChecks = append(report.FailedChecks, run.eventErrors...)
 		if err != nil {
-			r.EndedEarly = fmt.Sprintf("seed %d: %v", run.seed, err)
+			report.EndedEarly = fmt.Sprintf("seed %d: %v", run.seed, err)
 			break
 		}
 	}
-	r.finish(e)
-	if r.Generator.Bottleneck {
-		r.FailedChecks = append(r.FailedChecks, "the generator was too slow for the load: the figures are its own")
+	report.finish(e)
+	if report.Generator.Bottleneck {
+		report.FailedChecks = append(report.FailedChecks, "the generator was too slow for the load: the results measure the generator")
 	}
-	if r.EndedEarly != "" {
-		r.FailedChecks = append(r.FailedChecks, "the run ended early: "+r.EndedEarly)
+	if report.EndedEarly != "" {
+		report.FailedChecks = append(report.FailedChecks, "the run ended early: "+report.EndedEarly)
 	}
-	return r, nil
+	return report, nil
 }
 
-// checkSeeds returns an error unless a report may be made over so many seeds.
+// checkSeeds returns an error if the number of seeds of a report is out of range.
 func checkSeeds(seeds int) error {
 	if seeds < 1 || seeds > maxSeeds {
-		return fmt.Errorf("%d seeds, want 1 to %d", seeds, maxSeeds)
+		return fmt.Errorf("seeds must be from 1 to %d, got %d", maxSeeds, seeds)
 	}
 	return nil
 }
 
 // elapsed returns the time since the start of the run.
-func (p *loopbackRun) elapsed() time.Duration { return time.Since(p.startedAt) }
+func (r *loopbackRun) elapsed() time.Duration { return time.Since(r.startedAt) }
 
 // timeAt returns the time of an offset from the start of the run.
-func (p *loopbackRun) timeAt(offset time.Duration) time.Time { return p.startedAt.Add(offset) }
+func (r *loopbackRun) timeAt(offset time.Duration) time.Time { return r.startedAt.Add(offset) }
 
-// classOf returns the class whose index is the path of a request; nil: there is none.
-func (p *loopbackRun) classOf(r *http.Request) *Class {
-	i, err := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/"))
-	if err != nil || i < 0 || i >= len(p.experiment.Classes) {
+// classOf returns the class whose index is the path of the request, or nil if there is none.
+func (r *loopbackRun) classOf(request *http.Request) *Class {
+	i, err := strconv.Atoi(strings.TrimPrefix(request.URL.Path, "/"))
+	if err != nil || i < 0 || i >= len(r.experiment.Classes) {
 		return nil
 	}
-	return &p.experiment.Classes[i]
+	return &r.experiment.Classes[i]
 }
--- a/internal/experiment/loopback_events.go
+++ b/internal/experiment/loopback_events.go
@@ -14,63 +14,64 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// runEvents injects the events when they are due. Only a restart of gateways does not delay the events after it.
-func (p *loopbackRun) runEvents(ctx context.Context, watch func(*gatewayProcess)) {
-	for _, v := range p.experiment.timeline() {
-		if sleep(ctx, p.timeAt(v.At.D())) != nil {
+// runEvents injects the events when they are due. A restart of gateways runs in the background; any other event delays the events
+// after it until its injection is complete.
+func (r *loopbackRun) runEvents(ctx context.Context, watch func(*gatewayProcess)) {
+	for _, event := range r.experiment.timeline() {
+		if sleep(ctx, r.timeAt(event.At.D())) != nil {
 			return
 		}
-		if v.Action == "restart" {
-			p.background.Go(func() { p.recordEventError(&v, p.restartGateways(ctx, v.Fraction, v.Downtime.D(), watch)) })
+		if event.Action == "restart" {
+			r.background.Go(func() { r.recordEventError(&event, r.restartGateways(ctx, event.Fraction, event.Downtime.D(), watch)) })
 			continue
 		}
-		p.recordEventError(&v, p.inject(ctx, &v))
+		r.recordEventError(&event, r.inject(ctx, &event))
 	}
 }
 
 // recordEventError records that an event could not be injected, unless the run was cancelled.
-func (p *loopbackRun) recordEventError(v *Event, err error) {
+func (r *loopbackRun) recordEventError(event *Event, err error) {
 	if err != nil && !errors.Is(err, context.Canceled) {
-		p.mu.Lock()
-		p.eventErrors = append(p.eventErrors, fmt.Sprintf("%s %s at %v: %v", v.Action, v.Zone, v.At.D(), err))
-		p.mu.Unlock()
+		r.mu.Lock()
+		r.eventErrors = append(r.eventErrors, fmt.Sprintf("%s %s at %v: %v", event.Action, event.Zone, event.At.D(), err))
+		r.mu.Unlock()
 	}
 }
 
-// inject injects an event. It blocks until the endpoint list shows it.
-func (p *loopbackRun) inject(ctx context.Context, v *Event) error {
-	switch v.Action {
+// inject injects an event. It blocks until the endpoint list shows the change.
+func (r *loopbackRun) inject(ctx context.Context, event *Event) error {
+	switch event.Action {
 	case "kill":
-		for _, server := range p.serversIn(v.Zone, v.Fraction) {
-			server.fail(v.FailureMode)
+		for _, server := range r.serversIn(event.Zone, event.Fraction) {
+			server.fail(event.FailureMode)
 		}
 	case "revive":
-		return p.reviveZone(ctx, v)
+		return r.reviveZone(ctx, event)
 	case "slow":
-		for _, server := range p.serversIn(v.Zone, 1) {
+		for _, server := range r.serversIn(event.Zone, 1) {
 			server.mu.Lock()
-			server.slowdown *= v.SlowdownFactor
+			server.slowdown *= event.SlowdownFactor
 			server.mu.Unlock()
 		}
 	case "drain", "undrain":
-		return p.setDraining(ctx, v)
+		return r.setDraining(ctx, event)
 	case "push":
-		return p.publishEndpoints(nil)
+		return r.publishEndpoints(nil)
 	case "away":
-		p.controlPlane.Stop()
+		r.controlPlane.Stop()
 	case "back":
-		return errors.Join(p.publishEndpoints(nil), p.controlPlane.Restart())
+		return errors.Join(r.publishEndpoints(nil), r.controlPlane.Restart())
 	}
 	return nil
 }
 
-// reviveZone restarts the failed servers of a zone. The endpoint list is published without them first, so that gateways see that they
-// have restarted.
-func (p *loopbackRun) reviveZone(ctx context.Context, v *Event) error {
-	toRename := v.RenamedServers
+// reviveZone restarts the failed servers of a zone. It first publishes the endpoint list without them, so that the gateways treat them
+// as restarted.
+func (r *loopbackRun) reviveZone(ctx context.Context, event *Event) error {
+	toRename := event.RenamedServers
 	restarted := map[string]bool{} // by previous address
-	for _, server := range p.serversIn(v.Zone, 1) {
-		previous, err := server.revive(toRename > 0, p.elapsed())
+	for _, server := range r.serversIn(event.Zone, 1) {
+		previous, err := server.revive(toRename > 0, r.elapsed())
 		if err != nil {
 			return err
 		}
@@ -79,107 +80,107 @@
 			restarted[previous] = true
 		}
 	}
-	if err := p.waitForNotify(ctx, v); err != nil {
+	if err := r.waitForNotifyTime(ctx, event); err != nil {
 		return err
 	}
-	return errors.Join(p.publishEndpoints(restarted), p.publishEndpoints(nil))
+	return errors.Join(r.publishEndpoints(restarted), r.publishEndpoints(nil))
 }
 
 // setDraining starts or ends the drain of a fraction of a zone's servers.
-func (p *loopbackRun) setDraining(ctx context.Context, v *Event) error {
-	for _, server := range p.serversIn(v.Zone, v.Fraction) {
+func (r *loopbackRun) setDraining(ctx context.Context, event *Event) error {
+	for _, server := range r.serversIn(event.Zone, event.Fraction) {
 		server.mu.Lock()
-		server.draining = v.Action == "drain"
+		server.draining = event.Action == "drain"
 		server.drainPublishedAt = 0
 		server.mu.Unlock()
 	}
-	if err := p.waitForNotify(ctx, v); err != nil {
+	if err := r.waitForNotifyTime(ctx, event); err != nil {
 		return err
 	}
-	return p.publishEndpoints(nil)
+	return r.publishEndpoints(nil)
 }
 
-// waitForNotify blocks until the endpoint list is to show an event.
-func (p *loopbackRun) waitForNotify(ctx context.Context, v *Event) error {
-	return sleep(ctx, p.timeAt(v.At.D()+v.NotifyDelay.D()))
+// waitForNotifyTime blocks until the time at which the endpoint list has to show an event.
+func (r *loopbackRun) waitForNotifyTime(ctx context.Context, event *Event) error {
+	return sleep(ctx, r.timeAt(event.At.D()+event.NotifyDelay.D()))
 }
 
-// serversIn returns the first servers of a zone, a fraction of them.
-func (p *loopbackRun) serversIn(zone string, part float64) (l []*loopbackServer) {
-	for _, h := range p.servers {
-		if h.zone == zone {
-			l = append(l, h)
+// serversIn returns the given fraction of the servers of a zone, the first ones.
+func (r *loopbackRun) serversIn(zone string, fraction float64) (selected []*loopbackServer) {
+	for _, server := range r.servers {
+		if server.zone == zone {
+			selected = append(selected, server)
 		}
 	}
-	return l[:int(part*float64(len(l))+0.5)]
+	return selected[:int(fraction*float64(len(selected))+0.5)]
 }
 
-// restartGateways kills the first gateways, a fraction of all, at once and starts them again after their downtime. It blocks until
-// all of them are ready or have failed to start.
-func (p *loopbackRun) restartGateways(ctx context.Context, part float64, down time.Duration, watch func(*gatewayProcess)) error {
-	n := int(part*float64(len(p.gateways)) + 0.5)
-	p.mu.Lock()
-	old := slices.Clone(p.gateways[:n])
-	clear(p.gateways[:n])
-	p.mu.Unlock()
-	var all sync.WaitGroup
-	for _, c := range old {
-		if c != nil {
-			all.Go(c.Kill)
+// restartGateways kills the first gateways, the given fraction of all, at the same time and starts them again after their downtime. It
+// blocks until all of them are ready or have failed to start.
+func (r *loopbackRun) restartGateways(ctx context.Context, fraction float64, downtime time.Duration, watch func(*gatewayProcess)) error {
+	count := int(fraction*float64(len(r.gateways)) + 0.5)
+	r.mu.Lock()
+	killed := slices.Clone(r.gateways[:count])
+	clear(r.gateways[:count])
+	r.mu.Unlock()
+	var pending sync.WaitGroup
+	for _, gateway := range killed {
+		if gateway != nil {
+			pending.Go(gateway.Kill)
 		}
 	}
-	all.Wait()
-	if err := sleep(ctx, time.Now().Add(down)); err != nil {
+	pending.Wait()
+	if err := sleep(ctx, time.Now().Add(downtime)); err != nil {
 		return err
 	}
-	began := time.Now()
-	errs := make([]error, n)
-	for i := range n {
-		all.Go(func() {
-			c, err := p.experiment.startGateway(ctx, p.options.Binary, p.configDir, i, p.controlPlane.Addr)
+	restartedAt := time.Now()
+	errs := make([]error, count)
+	for i := range count {
+		pending.Go(func() {
+			gateway, err := r.experiment.startGateway(ctx, r.options.Binary, r.configDir, i, r.controlPlane.Addr)
 			if err != nil {
 				errs[i] = err
 				return
 			}
-			p.clients[i].CloseIdleConnections()
-			watch(c)
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			p.gateways[i] = c
-			p.collector.restartTime = max(p.collector.restartTime, time.Since(began))
+			r.clients[i].CloseIdleConnections()
+			watch(gateway)
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.gateways[i] = gateway
+			r.collector.restartTime = max(r.collector.restartTime, time.Since(restartedAt))
 		})
 	}
-	all.Wait()
+	pending.Wait()
 	return errors.Join(errs...)
 }
 
-// publishEndpoints publishes the current endpoint list, except for some addresses.
-func (p *loopbackRun) publishEndpoints(without map[string]bool) error {
+// publishEndpoints publishes the current endpoint list, except for the excluded addresses.
+func (r *loopbackRun) publishEndpoints(excluded map[string]bool) error {
 	var endpoints []controlplane.Endpoint
-	now := p.elapsed()
-	for _, server := range p.servers {
+	now := r.elapsed()
+	for _, server := range r.servers {
 		endpoint := server.endpoint(now)
-		if !without[endpoint.Addr] {
+		if !excluded[endpoint.Addr] {
 			endpoints = append(endpoints, endpoint)
 		}
 	}
-	p.endpointsVersion++
+	r.endpointsVersion++
 	resource := controlplane.Resource{Name: "fleet", Body: controlplane.Assignment("fleet", endpoints...)}
-	_, err := p.controlPlane.Push(strconv.Itoa(p.endpointsVersion), false, resource)
+	_, err := r.controlPlane.Push(strconv.Itoa(r.endpointsVersion), false, resource)
 	return err
 }
 
-// endpoint returns the server's entry of the endpoint list, and notes when it first shows a drain.
-func (h *loopbackServer) endpoint(now time.Duration) controlplane.Endpoint {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	endpoint := controlplane.Endpoint{Addr: h.address, Zone: h.zone, Health: corev3.HealthStatus_HEALTHY}
-	if !h.draining {
+// endpoint returns the server's entry of the endpoint list, and records when the entry first shows a drain.
+func (s *loopbackServer) endpoint(now time.Duration) controlplane.Endpoint {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	endpoint := controlplane.Endpoint{Addr: s.address, Zone: s.zone, Health: corev3.HealthStatus_HEALTHY}
+	if !s.draining {
 		return endpoint
 	}
 	endpoint.Health = corev3.HealthStatus_DRAINING
-	if h.drainPublishedAt == 0 {
-		h.drainPublishedAt = now
+	if s.drainPublishedAt == 0 {
+		s.drainPublishedAt = now
 	}
 	return endpoint
 }
--- a/internal/experiment/loopback_load.go
+++ b/internal/experiment/loopback_load.go
@@ -17,107 +17,108 @@
 const responseGrace = 2 * time.Second
 
 // runOpenLoop sends the requests of the open loop when they are due, without waiting for responses.
-func (p *loopbackRun) runOpenLoop(ctx, requests context.Context, all *sync.WaitGroup) {
-	arrivals := p.experiment.arrivals(p.seed)
+func (r *loopbackRun) runOpenLoop(ctx, requestCtx context.Context, pending *sync.WaitGroup) {
+	arrivals := r.experiment.arrivals(r.seed)
 	for {
 		next, ok := arrivals.take()
-		if !ok || sleep(ctx, p.timeAt(next.at)) != nil {
+		if !ok || sleep(ctx, r.timeAt(next.at)) != nil {
 			return
 		}
-		if !p.beginOpenLoopRequest(next.at) {
+		if !r.beginOpenLoopRequest(next.at) {
 			continue
 		}
-		all.Go(func() {
-			p.send(requests, next)
-			p.mu.Lock()
-			p.inFlight--
-			p.mu.Unlock()
+		pending.Go(func() {
+			r.send(requestCtx, next)
+			r.mu.Lock()
+			r.inFlight--
+			r.mu.Unlock()
 		})
 	}
 }
 
-// beginOpenLoopRequest counts a request that was due at a time. It reports false if the request is dropped because too many are in
-// flight.
-func (p *loopbackRun) beginOpenLoopRequest(due time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.generator.Requests++
-	record(p.generator.delays, p.elapsed()-due)
-	if p.inFlight >= cmp.Or(p.options.maxInFlight, maxInFlight) {
-		p.generator.Dropped++
+// beginOpenLoopRequest counts a request that was due at the given time. It returns false if the request is dropped because too many are
+// in flight.
+func (r *loopbackRun) beginOpenLoopRequest(due time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.generator.Requests++
+	recordDuration(r.generator.delays, r.elapsed()-due)
+	if r.inFlight >= cmp.Or(r.options.maxInFlight, maxInFlight) {
+		r.generator.Dropped++
 		return false
 	}
-	p.inFlight++
+	r.inFlight++
 	return true
 }
 
-// runClient is a closed-loop client: it sends a request, waits for its end and thinks, until the end of the experiment.
-func (p *loopbackRun) runClient(ctx, requests context.Context, i int) {
-	rng := rand.New(rand.NewPCG(p.seed, uint64(i)))
+// runClient runs a closed-loop client: it pauses for the think time, sends a request and waits for the response, until the experiment
+// ends.
+func (r *loopbackRun) runClient(ctx, requestCtx context.Context, i int) {
+	rng := rand.New(rand.NewPCG(r.seed, uint64(i)))
 	for {
-		think := time.Duration(rng.ExpFloat64() * float64(p.experiment.Load.ThinkTime))
-		if sleep(ctx, time.Now().Add(think)) != nil || p.elapsed() >= p.experiment.Length.D() {
+		think := time.Duration(rng.ExpFloat64() * float64(r.experiment.Load.ThinkTime))
+		if sleep(ctx, time.Now().Add(think)) != nil || r.elapsed() >= r.experiment.Length.D() {
 			return
 		}
-		p.send(requests, arrival{
-			at:      p.elapsed(),
-			class:   p.experiment.classAt(rng.Float64()),
-			gateway: i % p.experiment.Gateways.Count,
+		r.send(requestCtx, arrival{
+			at:      r.elapsed(),
+			class:   r.experiment.classAt(rng.Float64()),
+			gateway: i % r.experiment.Gateways.Count,
 			key:     strconv.Itoa(i),
 		})
 	}
 }
 
-// send sends a request, retries it as the experiment's clients do, and records its outcome. The latency counts from when the last
-// attempt was due.
-func (p *loopbackRun) send(ctx context.Context, x arrival) {
-	c, due := &p.experiment.Classes[x.class], x.at
+// send sends a request, retries it according to the experiment's RetryMode, and records its outcome. The latency is measured from when
+// the last attempt was due.
+func (r *loopbackRun) send(ctx context.Context, scheduled arrival) {
+	c, due := &r.experiment.Classes[scheduled.class], scheduled.at
 	for {
-		out, after := p.attempt(ctx, x, c, due)
+		out, retryAfter := r.attempt(ctx, scheduled, c, due)
 		if ctx.Err() != nil && out == lost {
 			return // the run has ended
 		}
-		if p.experiment.Load.RetryMode == "at_once" || after <= 0 {
-			after = p.experiment.Fleet.CrossZoneRTT.D()
+		if r.experiment.Load.RetryMode == "at_once" || retryAfter <= 0 {
+			retryAfter = r.experiment.Fleet.CrossZoneRTT.D()
 		}
-		now := p.elapsed()
-		if out != rejected || p.experiment.Load.RetryMode == "gives_up" || now+after >= x.at+c.LatencyObjective.D() {
+		now := r.elapsed()
+		if out != rejected || r.experiment.Load.RetryMode == "gives_up" || now+retryAfter >= scheduled.at+c.LatencyObjective.D() {
 			took := now - due
 			if out == inTime && took > c.LatencyObjective.D() {
 				out = servedLate
 			}
-			p.mu.Lock()
-			p.collector.recordOutcome(x.at, took, c.Name, out)
-			p.mu.Unlock()
+			r.mu.Lock()
+			r.collector.recordOutcome(scheduled.at, took, c.Name, out)
+			r.mu.Unlock()
 			return
 		}
-		due = now + after
-		if sleep(ctx, p.timeAt(due)) != nil {
+		due = now + retryAfter
+		if sleep(ctx, r.timeAt(due)) != nil {
 			return
 		}
 	}
 }
 
-// attempt sends a request once. For a rejected one it returns the Retry-After.
-func (p *loopbackRun) attempt(ctx context.Context, x arrival, c *Class, due time.Duration) (out outcome, retryAfter time.Duration) {
-	ctx, cancel := context.WithDeadline(ctx, p.timeAt(due+c.Deadline.D()+responseGrace))
+// attempt sends a request once. If the request is rejected, it also returns the Retry-After.
+func (r *loopbackRun) attempt(ctx context.Context, scheduled arrival, c *Class, due time.Duration) (out outcome, retryAfter time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, r.timeAt(due+c.Deadline.D()+responseGrace))
 	defer cancel()
-	id := strconv.FormatUint(p.requestIDs.Add(1), 10)
-	i, gateway := p.gatewayFor(x.gateway)
+	id := strconv.FormatUint(r.requestIDs.Add(1), 10)
+	i, gateway := r.gatewayFor(scheduled.gateway)
 	if gateway == nil {
 		return failed, 0 // the connection would be refused
 	}
-	request, err := newRequest(ctx, gateway, x, c, id)
+	request, err := newRequest(ctx, gateway, scheduled, c, id)
 	if err != nil {
 		return lost, 0
 	}
-	response, err := p.clients[i].Do(request)
+	response, err := r.clients[i].Do(request)
 	if err == nil {
 		defer response.Body.Close()
 		_, err = io.Copy(io.Discard, response.Body)
 	}
 	switch {
-	case err != nil && gateway.Killed(): // with the requests in flight
+	case err != nil && gateway.Killed(): // together with its requests in flight
 		return failed, 0
 	case err != nil:
 		return lost, 0
@@ -132,44 +133,44 @@
 	return failed, 0
 }
 
-// newRequest returns the request of an arrival to a gateway.
-func newRequest(ctx context.Context, gateway *gatewayProcess, x arrival, c *Class, id string) (*http.Request, error) {
+// newRequest returns the HTTP request to a gateway for an arrival.
+func newRequest(ctx context.Context, gateway *gatewayProcess, scheduled arrival, c *Class, id string) (*http.Request, error) {
 	method := http.MethodGet
 	if balancer.Effect(c.Effect) != balancer.Idempotent {
 		method = http.MethodPost
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+gateway.address+"/"+strconv.Itoa(x.class), nil)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+gateway.address+"/"+strconv.Itoa(scheduled.class), nil)
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set("X-Request-Id", id)
-	r.Header.Set(zoneHeader, gateway.zone)
-	if x.key != "" {
-		r.Header.Set("X-Tenant", x.key)
+	request.Header.Set("X-Request-Id", id)
+	request.Header.Set(zoneHeader, gateway.zone)
+	if scheduled.key != "" {
+		request.Header.Set("X-Tenant", scheduled.key)
 	}
 	if balancer.Effect(c.Effect) == balancer.IdempotentWithKey {
-		r.Header.Set("Idempotency-Key", id)
+		request.Header.Set("Idempotency-Key", id)
 	}
-	return r, nil
+	return request, nil
 }
 
-// gatewayFor returns the index and the gateway that a client of gateway i reaches: i or, while that is down, any other one. It returns
-// nil if all are down.
-func (p *loopbackRun) gatewayFor(i int) (int, *gatewayProcess) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c := p.gateways[i]; c != nil {
-		return i, c
-	}
-	var up []int
-	for j, c := range p.gateways {
-		if c != nil {
-			up = append(up, j)
+// gatewayFor returns the gateway that a client of gateway i reaches and its index: gateway i or, while that is down, a random other one.
+// The gateway is nil if all are down.
+func (r *loopbackRun) gatewayFor(i int) (int, *gatewayProcess) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if gateway := r.gateways[i]; gateway != nil {
+		return i, gateway
+	}
+	var running []int
+	for j, gateway := range r.gateways {
+		if gateway != nil {
+			running = append(running, j)
 		}
 	}
-	if len(up) == 0 {
+	if len(running) == 0 {
 		return 0, nil
 	}
-	i = up[rand.IntN(len(up))]
-	return i, p.gateways[i]
+	i = running[rand.IntN(len(running))]
+	return i, r.gateways[i]
 }
--- a/internal/experiment/loopback_record.go
+++ b/internal/experiment/loopback_record.go
@@ -9,81 +9,82 @@
 )
 
 // recordAttempt counts an attempt that a server has received.
-func (p *loopbackRun) recordAttempt(at time.Duration, id string, crossZone, afterDrain, connected bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.collector.recordAttempt(at, id)
-	n := p.collector.phaseAt(at)
-	if connected {
-		n.NewConnections++
+func (r *loopbackRun) recordAttempt(at time.Duration, id string, crossZone, afterDrain, newConnection bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.collector.recordAttempt(at, id)
+	phase := r.collector.phaseAt(at)
+	if newConnection {
+		phase.NewConnections++
 	}
-	n.Attempts++
+	phase.Attempts++
 	if crossZone {
-		n.CrossZoneAttempts++
+		phase.CrossZoneAttempts++
 	}
 	if afterDrain {
-		p.collector.sentAfterDrain++
+		r.collector.sentAfterDrain++
 	}
 }
 
 // recordWarmingLoad records the load of a warming server over its capacity, and whether it collapsed.
-func (p *loopbackRun) recordWarmingLoad(at time.Duration, load float64, collapsed bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := p.collector.phaseAt(at)
-	n.MaxWarmingLoad = max(n.MaxWarmingLoad, load)
+func (r *loopbackRun) recordWarmingLoad(at time.Duration, load float64, collapsed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	phase := r.collector.phaseAt(at)
+	phase.MaxWarmingLoad = max(phase.MaxWarmingLoad, load)
 	if collapsed {
-		n.CollapsedServers++
+		phase.CollapsedServers++
 	}
 }
 
 // recordServerRequests records how many requests a server has, running or waiting.
-func (p *loopbackRun) recordServerRequests(at time.Duration, n int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	q := &p.collector.phaseAt(at).MaxServerRequests
-	*q = max(*q, n)
+func (r *loopbackRun) recordServerRequests(at time.Duration, requests int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maximum := &r.collector.phaseAt(at).MaxServerRequests
+	*maximum = max(*maximum, requests)
 }
 
-// recordEffect counts the effect of a request. A repeated one with an idempotency key has none within its group.
-func (p *loopbackRun) recordEffect(r *http.Request, c *Class, zone string) {
-	if balancer.Effect(c.Effect) == balancer.Idempotent {
+// recordEffect counts the effect of a request. A repeated request with an idempotency key has no further effect within the
+// group of its class (Class.Group).
+func (r *loopbackRun) recordEffect(request *http.Request, class *Class, zone string) {
+	if balancer.Effect(class.Effect) == balancer.Idempotent {
 		return
 	}
-	keyed := balancer.Effect(c.Effect) == balancer.IdempotentWithKey
-	if keyed && balancer.Group(c.Group) == balancer.GroupAll {
+	keyed := balancer.Effect(class.Effect) == balancer.IdempotentWithKey
+	if keyed && balancer.Group(class.Group) == balancer.GroupAll {
 		zone = ""
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	id := r.Header.Get("X-Request-Id")
-	g := p.effects[id]
-	if g == nil {
-		g = map[string]int{}
-		p.effects[id] = g
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	id := request.Header.Get("X-Request-Id")
+	byZone := r.effects[id]
+	if byZone == nil {
+		byZone = map[string]int{}
+		r.effects[id] = byZone
 	}
-	if !keyed || g[zone] == 0 {
-		g[zone]++
+	if !keyed || byZone[zone] == 0 {
+		byZone[zone]++
 	}
 }
 
 // reportProgress calls the Progress option every second.
-func (p *loopbackRun) reportProgress(ctx context.Context) {
-	for at := time.Second; at < p.experiment.Length.D(); at += time.Second {
-		if sleep(ctx, p.timeAt(at)) != nil {
+func (r *loopbackRun) reportProgress(ctx context.Context) {
+	for at := time.Second; at < r.experiment.Length.D(); at += time.Second {
+		if sleep(ctx, r.timeAt(at)) != nil {
 			return
 		}
-		g := Progress{Seed: p.seed, Elapsed: at, Length: p.experiment.Length.D()}
-		p.mu.Lock()
-		for i := range p.collector.phases {
-			o := &p.collector.phases[i].All
-			g.Requests += o.Requests
-			g.InTime += o.InTime
-			g.Late += o.Late
-			g.Rejected += o.Rejected
-			g.Failed += o.Failed + o.Lost
+		progress := Progress{Seed: r.seed, Elapsed: at, Length: r.experiment.Length.D()}
+		r.mu.Lock()
+		for i := range r.collector.phases {
+			outcomes := &r.collector.phases[i].All
+			progress.Requests += outcomes.Requests
+			progress.InTime += outcomes.InTime
+			progress.Late += outcomes.Late
+			progress.Rejected += outcomes.Rejected
+			progress.Failed += outcomes.Failed + outcomes.Lost
 		}
-		p.mu.Unlock()
-		p.options.Progress(g)
+		r.mu.Unlock()
+		r.options.Progress(progress)
 	}
 }
--- a/internal/experiment/loopback_run.go
+++ b/internal/experiment/loopback_run.go
@@ -12,66 +12,66 @@
 	"robindrum/internal/testbed/controlplane"
 )
 
-// run runs the experiment and stops all that it started.
-func (p *loopbackRun) run(ctx context.Context) error {
-	defer p.countDuplicateEffects()
-	defer p.stop()
-	for _, c := range p.experiment.Classes {
-		p.bodies[c.Name] = make([]byte, c.ResponseSize)
-	}
-	p.startedAt = time.Now()
-	if err := p.startServers(); err != nil {
+// run executes the experiment and stops everything that it has started.
+func (r *loopbackRun) run(ctx context.Context) error {
+	defer r.countDuplicateEffects()
+	defer r.stop()
+	for _, class := range r.experiment.Classes {
+		r.bodies[class.Name] = make([]byte, class.ResponseSize)
+	}
+	r.startedAt = time.Now()
+	if err := r.startServers(); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "robindrum-lab-")
 	if err != nil {
-		return fmt.Errorf("a folder for the gateways: %w", err)
+		return fmt.Errorf("creating a directory for the gateways: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	p.configDir = dir
-	if err := p.startGateways(ctx); err != nil {
+	r.configDir = dir
+	if err := r.startGateways(ctx); err != nil {
 		return err
 	}
-	source := p.experiment.Gateways.Source
-	p.controlPlane.SetCapacity(source.Concurrency, source.ResponseTime.D(), source.QueueTimeout.D())
-	if p.options.started != nil {
-		p.options.started(p)
+	source := r.experiment.Gateways.Source
+	r.controlPlane.SetCapacity(source.Concurrency, source.ResponseTime.D(), source.QueueTimeout.D())
+	if r.options.started != nil {
+		r.options.started(r)
 	}
-	return p.drive(ctx)
+	return r.drive(ctx)
 }
 
 // startServers starts the control plane and the servers, and publishes their endpoints.
-func (p *loopbackRun) startServers() error {
-	plane, err := controlplane.Start("")
+func (r *loopbackRun) startServers() error {
+	controlPlaneServer, err := controlplane.Start("")
 	if err != nil {
 		return err
 	}
-	p.controlPlane = plane
-	perZone := map[string]int{}
-	for i := range p.experiment.Fleet.Groups {
-		g := &p.experiment.Fleet.Groups[i]
-		for range g.Servers {
-			id := fmt.Sprintf("%s-%d", g.Zone, perZone[g.Zone])
-			server, err := newLoopbackServer(p, id, g, p.seed*1000+uint64(len(p.servers)))
+	r.controlPlane = controlPlaneServer
+	serversInZone := map[string]int{}
+	for i := range r.experiment.Fleet.Groups {
+		group := &r.experiment.Fleet.Groups[i]
+		for range group.Servers {
+			id := fmt.Sprintf("%s-%d", group.Zone, serversInZone[group.Zone])
+			server, err := newLoopbackServer(r, id, group, r.seed*1000+uint64(len(r.servers)))
 			if err != nil {
 				return err
 			}
-			perZone[g.Zone]++
-			p.servers = append(p.servers, server)
+			serversInZone[group.Zone]++
+			r.servers = append(r.servers, server)
 		}
 	}
-	return p.publishEndpoints(nil)
+	return r.publishEndpoints(nil)
 }
 
-// startGateways starts the gateways one after the other and waits until each is ready.
-func (p *loopbackRun) startGateways(ctx context.Context) error {
-	for i := range p.experiment.Gateways.Count {
-		gateway, err := p.experiment.startGateway(ctx, p.options.Binary, p.configDir, i, p.controlPlane.Addr)
+// startGateways starts the gateways one after the other, each when the previous one is ready.
+func (r *loopbackRun) startGateways(ctx context.Context) error {
+	for i := range r.experiment.Gateways.Count {
+		gateway, err := r.experiment.startGateway(ctx, r.options.Binary, r.configDir, i, r.controlPlane.Addr)
 		if err != nil {
 			return err
 		}
-		p.gateways = append(p.gateways, gateway)
-		p.clients = append(p.clients, &http.Client{Transport: &http.Transport{
+		r.gateways = append(r.gateways, gateway)
+		r.clients = append(r.clients, &http.Client{Transport: &http.Transport{
 			MaxIdleConnsPerHost: 4096,
 			DisableCompression:  true,
 			DialContext:         (&net.Dialer{Timeout: 5 * time.Second}).DialContext,
@@ -81,73 +81,73 @@
 }
 
 // countDuplicateEffects counts the requests with more than one effect.
-func (p *loopbackRun) countDuplicateEffects() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, byZone := range p.effects {
+func (r *loopbackRun) countDuplicateEffects() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, byZone := range r.effects {
 		effects := 0
 		for _, n := range byZone {
 			effects += n
 		}
 		if effects > 1 {
-			p.collector.duplicateEffects++
+			r.collector.duplicateEffects++
 		}
 	}
 }
 
 // stop waits for the goroutines of the run and stops the gateways, the servers and the control plane.
-func (p *loopbackRun) stop() {
-	p.background.Wait()
-	for _, c := range p.clients {
-		c.CloseIdleConnections()
+func (r *loopbackRun) stop() {
+	r.background.Wait()
+	for _, client := range r.clients {
+		client.CloseIdleConnections()
 	}
 	var stopping sync.WaitGroup
-	for _, gateway := range p.gateways {
+	for _, gateway := range r.gateways {
 		if gateway != nil {
 			stopping.Go(gateway.stop)
 		}
 	}
 	stopping.Wait()
-	for _, server := range p.servers {
+	for _, server := range r.servers {
 		if server.served != nil {
 			server.fail("")
 		}
 	}
-	if p.controlPlane != nil {
-		p.controlPlane.Stop()
+	if r.controlPlane != nil {
+		r.controlPlane.Stop()
 	}
 }
 
-// abortGrace is how long requests in flight may take after an interrupt. Those without a response then are not counted.
+// abortGrace is how long requests in flight may take after the run is cancelled. Requests without a response by then are not counted.
 const abortGrace = time.Second
 
-// drive sends the load, injects the events and watches the gateways until all requests have ended or ctx does.
-func (p *loopbackRun) drive(ctx context.Context) error {
+// drive sends the load, injects the events and watches the gateways until all requests have ended or ctx is cancelled.
+func (r *loopbackRun) drive(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	p.startedAt = time.Now()
+	r.startedAt = time.Now()
 	watch := func(gateway *gatewayProcess) {
-		p.background.Go(func() { watchGateway(ctx, gateway, cancel) })
+		r.background.Go(func() { watchGateway(ctx, gateway, cancel) })
 	}
-	for _, gateway := range p.gateways {
+	for _, gateway := range r.gateways {
 		watch(gateway)
 	}
-	p.background.Go(func() { p.runEvents(ctx, watch) })
-	if p.options.Progress != nil {
-		p.background.Go(func() { p.reportProgress(ctx) })
+	r.background.Go(func() { r.runEvents(ctx, watch) })
+	if r.options.Progress != nil {
+		r.background.Go(func() { r.reportProgress(ctx) })
 	}
-	requests, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	requestCtx, stopRequests := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopRequests()
 	var inFlight sync.WaitGroup
-	for i := range p.experiment.Load.Clients {
-		inFlight.Go(func() { p.runClient(ctx, requests, i) })
+	for i := range r.experiment.Load.Clients {
+		inFlight.Go(func() { r.runClient(ctx, requestCtx, i) })
 	}
-	p.runOpenLoop(ctx, requests, &inFlight)
-	waitForRequests(ctx, &inFlight, stop)
+	r.runOpenLoop(ctx, requestCtx, &inFlight)
+	waitForRequests(ctx, &inFlight, stopRequests)
 	return context.Cause(ctx)
 }
 
-// watchGateway ends the run if a gateway exits without being killed by it.
+// watchGateway cancels the run if a gateway exits without having been killed by an event.
 func watchGateway(ctx context.Context, gateway *gatewayProcess, cancel context.CancelCauseFunc) {
 	select {
 	case <-gateway.Exited:
@@ -158,7 +158,7 @@
 	}
 }
 
-// waitForRequests blocks until all requests have ended. It stops them abortGrace after ctx has ended.
+// waitForRequests blocks until all requests have ended. It cancels them abortGrace after ctx is cancelled.
 func waitForRequests(ctx context.Context, inFlight *sync.WaitGroup, stop context.CancelFunc) {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/experiment/loopback_test.go
+++ b/internal/experiment/loopback_test.go
@@ -24,8 +24,8 @@
 	"robindrum/internal/testbed"
 )
 
-// binary builds the program once.
-var binary = sync.OnceValues(func() (string, error) {
+// buildProgram builds the robindrum program once and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "robindrum-test-")
 	if err != nil {
 		return "", err
@@ -40,13 +40,14 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := binary(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-func parsed(t testing.TB, text string) *Experiment {
+// mustParse parses an experiment and fails the test if it is invalid.
+func mustParse(t testing.TB, text string) *Experiment {
 	t.Helper()
 	e, err := Parse("x.yaml", []byte(text))
 	if err != nil {
@@ -55,25 +56,26 @@
 	return e
 }
 
-func live(t *testing.T, ctx context.Context, text string, opt LoopbackOptions) *Report {
+// runLoopbackText parses an experiment and runs it on the loopback engine. The test fails if goroutines are left over.
+func runLoopbackText(t *testing.T, ctx context.Context, text string, options LoopbackOptions) *Report {
 	t.Helper()
-	path, err := binary()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	testbed.Leaks(t)
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
-	opt.Binary = path
-	r, err := RunLoopback(ctx, parsed(t, text), 1, opt)
+	options.Binary = path
+	report, err := RunLoopback(ctx, mustParse(t, text), 1, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return report
 }
 
-// Both engines get the same requests, and each request ends once in both, also while half of the servers die, drain and
-// return and the control plane is away.
+// Both engines run the same requests. Each request has exactly one outcome in both, even while servers fail, drain and restart, a gateway
+// restarts and the control plane is unavailable.
 func TestBothEnginesRunTheSameRequests(t *testing.T) {
 	text := `name: both
 length: 4s
@@ -95,324 +97,325 @@
   - {at: 3200ms, do: slow, zone: b, by: 2}
 phases: [1s, 2s]
 `
-	e := parsed(t, text)
+	e := mustParse(t, text)
 	want := 0
-	for a := e.arrivals(1); ; want++ {
-		if _, ok := a.take(); !ok {
+	for openLoop := e.arrivals(1); ; want++ {
+		if _, ok := openLoop.take(); !ok {
 			break
 		}
 	}
-	sim, err := Simulate(e, 1)
+	simulated, err := Simulate(e, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, r := range []*Report{sim, live(t, t.Context(), text, LoopbackOptions{})} {
-		if r.RestartTime <= 0 || r.RestartTime > 3*time.Second {
-			t.Errorf("%s: the gateway that was killed was back after %v", r.Engine, r.RestartTime)
+	for _, report := range []*Report{simulated, runLoopbackText(t, t.Context(), text, LoopbackOptions{})} {
+		if report.RestartTime <= 0 || report.RestartTime > 3*time.Second {
+			t.Errorf("%s engine: RestartTime = %v, want above 0 and at most 3s", report.Engine, report.RestartTime)
 		}
-		o := r.all()
-		if o.Requests < want+20 || o.Requests > want+400 || o.Requests != o.InTime+o.Late+o.Rejected+o.Failed+o.Lost {
-			t.Errorf("%s: %+v, want each of %d and those of three clients to end once", r.Engine, o, want)
+		outcomes := report.totals()
+		if outcomes.Requests < want+20 || outcomes.Requests > want+400 || outcomes.Requests != outcomes.InTime+outcomes.Late+outcomes.Rejected+outcomes.Failed+outcomes.Lost {
+			t.Errorf("%s engine: outcomes %+v, want one for each of %d open-loop requests and each request of three clients", report.Engine, outcomes, want)
 		}
-		if len(r.FailedChecks) > 0 || o.fraction(o.InTime) < 0.9 {
-			t.Errorf("%s: %q, %.3f in time", r.Engine, r.FailedChecks, o.fraction(o.InTime))
+		if len(report.FailedChecks) > 0 || outcomes.fraction(outcomes.InTime) < 0.9 {
+			t.Errorf("%s engine: failed checks %q, want none; fraction in time %.3f, want at least 0.9", report.Engine, report.FailedChecks, outcomes.fraction(outcomes.InTime))
 		}
-		sends := 0
-		for i := range r.Series {
-			for _, n := range r.Series[i].Attempts {
-				sends += n
+		attempts := 0
+		for i := range report.Series {
+			for _, n := range report.Series[i].Attempts {
+				attempts += n
 			}
 		}
-		if sends < o.InTime+o.Late || len(r.Servers()) != 4 {
-			t.Errorf("%s: %d attempts for %d answers, at %v", r.Engine, sends, o.InTime+o.Late, r.Servers())
+		if attempts < outcomes.InTime+outcomes.Late || len(report.Servers()) != 4 {
+			t.Errorf("%s engine: %d attempts for %d responses at servers %v, want at least as many attempts, at 4 servers", report.Engine, attempts, outcomes.InTime+outcomes.Late, report.Servers())
 		}
 	}
 }
 
-// A gateway that dies, and an interrupt in the middle: what was measured is in the report, which says why it ended early,
-// and nothing of the run is left behind.
+// If a gateway exits or the context is cancelled during a run, the report contains the results up to then and the reason, and no gateway
+// keeps running.
 func TestRunThatEndsEarlyReportsWhatItMeasured(t *testing.T) {
 	const text = "name: early\nlength: 60s\ngateways: {number: 2}\nload: {rate: 100}\n"
-	for want, how := range map[string]func(*loopbackRun, context.CancelFunc){
-		"gateway 1 ended by itself": func(p *loopbackRun, _ context.CancelFunc) { p.gateways[1].Signal(syscall.SIGKILL) },
+	for want, interrupt := range map[string]func(*loopbackRun, context.CancelFunc){
+		"gateway 1 ended by itself": func(run *loopbackRun, _ context.CancelFunc) { run.gateways[1].Signal(syscall.SIGKILL) },
 		"context canceled":          func(_ *loopbackRun, cancel context.CancelFunc) { cancel() },
 	} {
 		t.Run(want, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			began := time.Now()
-			var play *loopbackRun
-			r := live(t, ctx, text, LoopbackOptions{started: func(p *loopbackRun) { play = p }, Progress: func(Progress) { how(play, cancel) }})
-			if !strings.Contains(r.EndedEarly, want) || len(r.FailedChecks) == 0 || time.Since(began) > 30*time.Second {
-				t.Errorf("after %v: %q, %q", time.Since(began), r.EndedEarly, r.FailedChecks)
+			var current *loopbackRun
+			report := runLoopbackText(t, ctx, text, LoopbackOptions{started: func(run *loopbackRun) { current = run }, Progress: func(Progress) { interrupt(current, cancel) }})
+			if !strings.Contains(report.EndedEarly, want) || len(report.FailedChecks) == 0 || time.Since(began) > 30*time.Second {
+				t.Errorf("run of %v: EndedEarly = %q, FailedChecks = %q; want the reason and a failed check within 30s", time.Since(began), report.EndedEarly, report.FailedChecks)
 			}
-			if o := r.all(); o.InTime < 50 || o.InTime > 200 {
-				t.Errorf("%+v, after a second of 100 requests", o)
+			if outcomes := report.totals(); outcomes.InTime < 50 || outcomes.InTime > 200 {
+				t.Errorf("outcomes %+v, want 50 to 200 in time after a second at 100 requests per second", outcomes)
 			}
-			for _, c := range play.gateways {
+			for _, gateway := range current.gateways {
 				select {
-				case <-c.Exited:
+				case <-gateway.Exited:
 				default:
-					t.Errorf("gateway %d still runs", c.number)
+					t.Errorf("gateway %d is still running", gateway.number)
 				}
 			}
 		})
 	}
 }
 
-// A generator with too much in flight says that the figures are its own.
+// A generator that drops requests because too many are in flight reports that it is the bottleneck.
 func TestGeneratorReportsThatItIsTheBottleneck(t *testing.T) {
 	text := "name: slow\nlength: 1500ms\nfleet: {service: 1s, distribution: constant, workers: 100}\nload: {rate: 100}\nclasses: [{name: a, wanted: 1s, deadline: 3s}]\n"
-	r := live(t, t.Context(), text, LoopbackOptions{maxInFlight: 10})
-	if !r.Generator.Bottleneck || r.Generator.Dropped < 50 || !strings.Contains(strings.Join(r.FailedChecks, "\n"), "generator was too slow") {
-		t.Errorf("%v, %q", r.Generator, r.FailedChecks)
+	report := runLoopbackText(t, t.Context(), text, LoopbackOptions{maxInFlight: 10})
+	if !report.Generator.Bottleneck || report.Generator.Dropped < 50 || !strings.Contains(strings.Join(report.FailedChecks, "\n"), "generator was too slow") {
+		t.Errorf("generator %v, failed checks %q; want a bottleneck with at least 50 dropped requests, and a check that names it", report.Generator, report.FailedChecks)
 	}
-	if o := r.all(); o.Requests+r.Generator.Dropped != r.Generator.Requests {
-		t.Errorf("%d asked of the gateway, %v", o.Requests, r.Generator)
+	if outcomes := report.totals(); outcomes.Requests+report.Generator.Dropped != report.Generator.Requests {
+		t.Errorf("%d requests have an outcome, want all that were not dropped by the %v", outcomes.Requests, report.Generator)
 	}
 }
 
-// The gateway's own process cannot start: the report says what it said.
+// If the process of a gateway cannot start or exits at once, the report ends early with the reason.
 func TestGatewayThatCannotStart(t *testing.T) {
-	e := parsed(t, small)
-	r, err := RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/bin/false"})
-	if err != nil || !strings.Contains(r.EndedEarly, "gateway 0 ended by itself: exit status 1") {
-		t.Errorf("%v, %+v", err, r)
+	e := mustParse(t, smallExperiment)
+	report, err := RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/bin/false"})
+	if err != nil || !strings.Contains(report.EndedEarly, "gateway 0 ended by itself: exit status 1") {
+		t.Errorf("RunLoopback with /bin/false: error %v, report %+v; want no error and the exit status in EndedEarly", err, report)
 	}
-	if r, err = RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/nowhere/robindrum"}); err != nil || !strings.Contains(r.EndedEarly, "no such file") {
-		t.Errorf("%v, %+v", err, r)
+	if report, err = RunLoopback(t.Context(), e, 1, LoopbackOptions{Binary: "/nowhere/robindrum"}); err != nil || !strings.Contains(report.EndedEarly, "no such file") {
+		t.Errorf("RunLoopback with a missing program: error %v, report %+v; want no error and the reason in EndedEarly", err, report)
 	}
 }
 
 func TestExperimentsTooLargeForLoopback(t *testing.T) {
 	for text, want := range map[string]string{
-		"name: a\nlength: 20m\nload: {rate: 1}\n":            "length in seconds: 1200, 600 at most",
-		"name: a\nlength: 9m\nload: {rate: 5000}\n":          "requests: 2700000, 1000000 at most",
-		"name: a\nlength: 2s\nload: {rate: 30000}\n":         "requests a second: 30000, 20000 at most",
-		small + "gateways: {number: 20}\n":                   "gateways: 20, 8 at most",
-		small + "fleet: {servers: 65}\n":                     "servers: 65, 64 at most",
-		small + "gateways: {admission: estimate}\n":          "a gateway has no estimate",
-		"name: a\nload: {rate: 1, clients: 6000, think: 1m}": "clients: 6000, 5000 at most",
+		"name: a\nlength: 20m\nload: {rate: 1}\n":             "length in seconds: 1200, 600 at most",
+		"name: a\nlength: 9m\nload: {rate: 5000}\n":           "requests: 2700000, 1000000 at most",
+		"name: a\nlength: 2s\nload: {rate: 30000}\n":          "requests a second: 30000, 20000 at most",
+		smallExperiment + "gateways: {number: 20}\n":          "gateways: 20, 8 at most",
+		smallExperiment + "fleet: {servers: 65}\n":            "servers: 65, 64 at most",
+		smallExperiment + "gateways: {admission: estimate}\n": "a gateway has no estimate",
+		"name: a\nload: {rate: 1, clients: 6000, think: 1m}":  "clients: 6000, 5000 at most",
 	} {
-		if _, err := RunLoopback(t.Context(), parsed(t, text), 1, LoopbackOptions{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+		if _, err := RunLoopback(t.Context(), mustParse(t, text), 1, LoopbackOptions{}); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("RunLoopback(%q) = %v, want an error that contains %q", text, err, want)
 		}
 	}
 }
 
-// A server of the loopback engine: each way to be down, its queue, a late send, and a port that somebody else has taken.
+// TestLoopbackServer covers each failure mode of a loopback server, its full queue, an attempt after a drain, and a restart when its port
+// is already in use.
 func TestLoopbackServer(t *testing.T) {
-	e := parsed(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms, distribution: constant, cross: 1ms}\nload: {rate: 1}\nclasses: [{name: a, effect: unsafe}]\n")
-	p := &loopbackRun{experiment: e, collector: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{"a": nil}, startedAt: time.Now()}
-	h, err := newLoopbackServer(p, "a-0", &e.Fleet.Groups[0], 1)
+	e := mustParse(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms, distribution: constant, cross: 1ms}\nload: {rate: 1}\nclasses: [{name: a, effect: unsafe}]\n")
+	run := &loopbackRun{experiment: e, collector: newCollector(e), effects: map[string]map[string]int{}, bodies: map[string][]byte{"a": nil}, startedAt: time.Now()}
+	server, err := newLoopbackServer(run, "a-0", &e.Fleet.Groups[0], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { h.fail("") })
+	t.Cleanup(func() { server.fail("") })
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	ask := func(id string) string {
+	request := func(id string) string {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.address+"/0", nil)
-		r.Header.Set("X-Request-Id", id)
-		resp, err := client.Do(r)
+		attempt, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+server.address+"/0", nil)
+		attempt.Header.Set("X-Request-Id", id)
+		response, err := client.Do(attempt)
 		if err != nil {
 			return map[bool]string{true: "silence", false: "broken"}[ctx.Err() != nil]
 		}
-		_, _ = io.Copy(io.Discard, resp.Body)
-		resp.Body.Close()
-		return fmt.Sprint(resp.StatusCode)
+		_, _ = io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+		return fmt.Sprint(response.StatusCode)
 	}
-	if got := ask("lives"); got != "200" {
-		t.Errorf("it lives: %s", got)
+	if got := request("lives"); got != "200" {
+		t.Errorf("response before any failure = %s, want 200", got)
 	}
 	got := make(chan string, 3)
 	for range 3 {
-		go func() { got <- ask("queue") }()
+		go func() { got <- request("queue") }()
 	}
-	if a := []string{<-got, <-got, <-got}; a[0] != "503" || a[1] != "200" || a[2] != "200" {
-		t.Errorf("three at once, with one worker and room for one: %v", a)
+	if statuses := []string{<-got, <-got, <-got}; statuses[0] != "503" || statuses[1] != "200" || statuses[2] != "200" {
+		t.Errorf("three concurrent requests to one worker with a queue of one: %v, want 503, 200, 200", statuses)
 	}
-	for how, want := range map[string]string{"silent": "silence", "says_503": "503", "resets": "broken", "refuses": "broken"} {
-		h.fail(how)
-		if got := ask(how); got != want {
-			t.Errorf("%s: %s", how, got)
+	for mode, want := range map[string]string{"silent": "silence", "says_503": "503", "resets": "broken", "refuses": "broken"} {
+		server.fail(mode)
+		if got := request(mode); got != want {
+			t.Errorf("failure mode %s: response = %s, want %s", mode, got, want)
 		}
-		p.mu.Lock()
-		if how == "resets" && p.effects["resets"]["a"] != 1 {
-			t.Errorf("what is reset after its last byte has run: %v", p.effects)
+		run.mu.Lock()
+		if mode == "resets" && run.effects["resets"]["a"] != 1 {
+			t.Errorf("effects = %v, want one of the request whose connection was reset", run.effects)
 		}
-		p.mu.Unlock()
-		if old, err := h.revive(false, p.elapsed()); err != nil || old != h.address {
-			t.Errorf("%s: it returns at %s, was at %s: %v", how, h.address, old, err)
+		run.mu.Unlock()
+		if previous, err := server.revive(false, run.elapsed()); err != nil || previous != server.address {
+			t.Errorf("revive after %s: address %s, previous address %s, error %v; want the same address and no error", mode, server.address, previous, err)
 		}
 	}
-	h.mu.Lock()
-	h.startedAt, h.drainPublishedAt = 0, 1 // the list said long ago that it drains
-	h.mu.Unlock()
-	time.Sleep(max(0, time.Until(p.timeAt(1001*time.Millisecond)))) // the grace
-	got200 := ask("late")
-	p.mu.Lock()
-	if got200 != "200" || p.collector.sentAfterDrain != 1 {
-		t.Errorf("%s, %d counted as sent after a drain", got200, p.collector.sentAfterDrain)
-	}
-	p.mu.Unlock()
-	h.fail("refuses")
+	server.mu.Lock()
+	server.startedAt, server.drainPublishedAt = 0, 1 // the endpoint list has shown the drain since 1 ns after the start
+	server.mu.Unlock()
+	time.Sleep(max(0, time.Until(run.timeAt(1001*time.Millisecond)))) // until drainNoticeTime has passed
+	status := request("late")
+	run.mu.Lock()
+	if status != "200" || run.collector.sentAfterDrain != 1 {
+		t.Errorf("response = %s, want 200; sentAfterDrain = %d, want 1", status, run.collector.sentAfterDrain)
+	}
+	run.mu.Unlock()
+	server.fail("refuses")
 	e.Fleet.WarmUp = 0
-	l, err := net.Listen("tcp", h.address)
+	listener, err := net.Listen("tcp", server.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if old, err := h.revive(false, p.elapsed()); err != nil || old == h.address || old != l.Addr().String() {
-		t.Errorf("somebody has its port: it returns at %s, was at %s: %v", h.address, old, err)
+	defer listener.Close()
+	if previous, err := server.revive(false, run.elapsed()); err != nil || previous == server.address || previous != listener.Addr().String() {
+		t.Errorf("revive while the port is in use: address %s, previous address %s, error %v; want another address and no error", server.address, previous, err)
 	}
-	if got := ask("elsewhere"); got != "200" {
-		t.Errorf("at another port: %s", got)
+	if got := request("elsewhere"); got != "200" {
+		t.Errorf("response at the new address = %s, want 200", got)
 	}
 }
 
-// Three requests come before any of them has gone on: the idle worker is the first one's, the second waits, and only the
-// third finds no room. Who leaves while it waits makes room, and a worker that came to it meanwhile is the next one's.
+// Three requests arrive before any of them proceeds: the first gets the idle worker, the second is queued, and the third finds the queue
+// full. A request that leaves the queue makes room in it. If it has already received a worker, the next request gets that worker.
 func TestLoopbackServerCountsRequestsInOrder(t *testing.T) {
-	e := parsed(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms}\nload: {rate: 1}\n")
-	p := &loopbackRun{experiment: e, collector: newCollector(e), startedAt: time.Now()}
-	h, err := newLoopbackServer(p, "a-0", &e.Fleet.Groups[0], 1)
+	e := mustParse(t, "name: a\nlength: 60s\nfleet: {workers: 1, queue: 1, service: 200ms}\nload: {rate: 1}\n")
+	run := &loopbackRun{experiment: e, collector: newCollector(e), startedAt: time.Now()}
+	server, err := newLoopbackServer(run, "a-0", &e.Fleet.Groups[0], 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { h.fail("") })
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	come := func(want int) chan time.Duration {
+	t.Cleanup(func() { server.fail("") })
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	arrive := func(want int) chan time.Duration {
 		t.Helper()
-		status := h.admit(time.Second)
+		status := server.admit(time.Second)
 		if status != want {
-			t.Errorf("it is answered %d at once, want %d", status, want)
+			t.Errorf("admit = %d, want %d", status, want)
 		}
 		if status != 0 {
 			return nil
 		}
-		return h.workers.acquire()
+		return server.workers.acquire()
 	}
-	first, second := come(0), come(0)
-	come(http.StatusServiceUnavailable)
+	first, second := arrive(0), arrive(0)
+	arrive(http.StatusServiceUnavailable)
 	if len(first) != 1 || len(second) != 0 {
-		t.Errorf("the one worker has come to %d of the first and %d of the second", len(first), len(second))
+		t.Errorf("workers received by the first request: %d, want 1; by the second: %d, want 0", len(first), len(second))
 	}
-	h.workers.abandon(second)
-	third := come(0)
-	come(http.StatusServiceUnavailable)
+	server.workers.abandon(second)
+	third := arrive(0)
+	arrive(http.StatusServiceUnavailable)
 	<-first
-	h.workers.release(7 * time.Second)
-	fourth := come(0)
-	h.workers.abandon(third) // its worker was there already
+	server.workers.release(7 * time.Second)
+	fourth := arrive(0)
+	server.workers.abandon(third) // which has already received a worker
 	if len(fourth) != 1 || <-fourth != 7*time.Second {
-		t.Error("the worker of one that left did not come to the next")
+		t.Error("the worker of an abandoned request was not passed to the next request")
 	}
-	if p.collector.phases[0].MaxServerRequests != 3 {
-		t.Errorf("%d at the server at most, want 3: one at work, one that waits, one turned away", p.collector.phases[0].MaxServerRequests)
+	if run.collector.phases[0].MaxServerRequests != 3 {
+		t.Errorf("MaxServerRequests = %d, want 3: one running, one queued, one rejected", run.collector.phases[0].MaxServerRequests)
 	}
 }
 
-// Arrivals come in order, within the length, alike for the same seed, as many as the rate gives.
+// Arrivals are in order of time, before the end of the experiment, equal for equal seeds, and as many as the rate requires.
 func TestArrivalsFollowTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(50, 2000).Draw(t, "rate")
 		until := rapid.Float64Range(0, 4).Draw(t, "until")
-		l := Load{Rate: rate, Arrivals: rapid.SampledFrom([]string{"poisson", "constant"}).Draw(t, "arrivals"), RetryMode: "gives_up",
+		load := Load{Rate: rate, Arrivals: rapid.SampledFrom([]string{"poisson", "constant"}).Draw(t, "arrivals"), RetryMode: "gives_up",
 			RateSpans: []RateSpan{{Start: config.Duration(time.Second), End: config.Duration(3 * time.Second), Multiplier: rapid.Float64Range(0, 4).Draw(t, "by"), FinalMultiplier: &until}},
 			Bursts:    []Burst{{At: config.Duration(500 * time.Millisecond), Size: rapid.IntRange(1, 50).Draw(t, "size")}}}
 		if rapid.Bool().Draw(t, "on off") {
-			l.OnOff = &OnOff{config.Duration(200 * time.Millisecond), config.Duration(300 * time.Millisecond)}
+			load.OnOff = &OnOff{config.Duration(200 * time.Millisecond), config.Duration(300 * time.Millisecond)}
 		}
-		e := &Experiment{Name: "a", Length: config.Duration(6 * time.Second), Load: l}
+		e := &Experiment{Name: "a", Length: config.Duration(6 * time.Second), Load: load}
 		e.setDefaults()
-		want := float64(l.Bursts[0].Size)
+		want := float64(load.Bursts[0].Size)
 		for at := time.Duration(0); at < e.Length.D(); at += time.Millisecond {
 			want += e.rateAt(at) / 1000
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		a, b := e.arrivals(seed), e.arrivals(seed)
-		n, last := 0, time.Duration(0)
+		first, second := e.arrivals(seed), e.arrivals(seed)
+		count, last := 0, time.Duration(0)
 		for {
-			x, ok := a.take()
-			if y, _ := b.take(); x != y {
-				t.Fatalf("%v and %v of the same seed", x, y)
+			arrival, ok := first.take()
+			if other, _ := second.take(); arrival != other {
+				t.Fatalf("arrivals %v and %v of the same seed differ", arrival, other)
 			}
 			if !ok {
 				break
 			}
-			if n++; x.at < last || x.at >= e.Length.D() {
-				t.Fatalf("at %v behind %v", x.at, last)
+			if count++; arrival.at < last || arrival.at >= e.Length.D() {
+				t.Fatalf("arrival at %v after one at %v, want increasing times before the end", arrival.at, last)
 			}
-			last = x.at
+			last = arrival.at
 		}
-		if off := math.Abs(float64(n) - want); off > 6*math.Sqrt(want)+5 {
-			t.Fatalf("%d arrivals, want %.0f", n, want)
+		if deviation := math.Abs(float64(count) - want); deviation > 6*math.Sqrt(want)+5 {
+			t.Fatalf("%d arrivals, want about %.0f", count, want)
 		}
 	})
 }
 
-// Service times have the mean and the variation that they are told.
+// Service times have the configured mean and variation, and a noisy neighbour reduces the speed only while it is active.
 func TestServiceTimeDistributions(t *testing.T) {
-	for kind, want := range map[string]float64{"constant": 0, "exponential": 1, "lognormal": 0.5} {
-		d := ServiceTime{MeanServiceTime: config.Duration(20 * time.Millisecond), Distribution: kind, Variation: 0.5}
+	for distribution, want := range map[string]float64{"constant": 0, "exponential": 1, "lognormal": 0.5} {
+		serviceTime := ServiceTime{MeanServiceTime: config.Duration(20 * time.Millisecond), Distribution: distribution, Variation: 0.5}
 		rng := rand.New(rand.NewPCG(1, 2))
-		const n = 200_000
+		const samples = 200_000
 		sum, squares := 0.0, 0.0
-		for range n {
-			v := d.draw(rng).Seconds()
-			sum, squares = sum+v, squares+v*v
+		for range samples {
+			value := serviceTime.draw(rng).Seconds()
+			sum, squares = sum+value, squares+value*value
 		}
-		mean := sum / n
-		variation := math.Sqrt(max(squares/n-mean*mean, 0)) / mean
+		mean := sum / samples
+		variation := math.Sqrt(max(squares/samples-mean*mean, 0)) / mean
 		if math.Abs(mean-0.02) > 0.0002 || math.Abs(variation-want) > 0.02 {
-			t.Errorf("%s: mean %v, variation %v, want 0.02 and %v", kind, mean, variation, want)
+			t.Errorf("%s distribution: mean %v, variation %v, want 0.02 and %v", distribution, mean, variation, want)
 		}
 	}
-	g := Group{Speed: 2, Neighbour: &NoisyNeighbour{Start: config.Duration(10 * time.Second), Period: config.Duration(8 * time.Second), Duration: config.Duration(3 * time.Second), SpeedShare: 0.5}}
+	group := Group{Speed: 2, Neighbour: &NoisyNeighbour{Start: config.Duration(10 * time.Second), Period: config.Duration(8 * time.Second), Duration: config.Duration(3 * time.Second), SpeedShare: 0.5}}
 	for at, want := range map[time.Duration]float64{0: 2, 10 * time.Second: 1, 13 * time.Second: 2, 18 * time.Second: 1, 20999 * time.Millisecond: 1, 21 * time.Second: 2} {
-		if v := g.speedAt(at); v != want {
-			t.Errorf("a neighbour for 3 of 8 s from 10 s on: speed %v at %v, want %v", v, at, want)
+		if value := group.speedAt(at); value != want {
+			t.Errorf("neighbour active for 3 of every 8 s from 10 s on: speed %v at %v, want %v", value, at, want)
 		}
 	}
 }
 
-// A comparison finds a difference that there is, and none where there is none.
+// A comparison reports a real difference, and none between reports of the same experiment.
 func TestCompareFindsOnlyRealDifferences(t *testing.T) {
-	text := small + "fleet: {servers: 2, workers: 2}\nload: {rate: 150}\n"
+	text := smallExperiment + "fleet: {servers: 2, workers: 2}\nload: {rate: 150}\n"
 	text = strings.Replace(text, "load: {rate: 100}\n", "", 1)
-	a := play(t, text, 8)
-	other := play(t, text+"seed: 100\n", 8)
-	slower := play(t, strings.Replace(text, "workers: 2", "workers: 2, service: 24ms", 1), 8)
-	for name, c := range map[string]struct {
-		b       *Report
+	base := simulateText(t, text, 8)
+	other := simulateText(t, text+"seed: 100\n", 8)
+	slower := simulateText(t, strings.Replace(text, "workers: 2", "workers: 2, service: 24ms", 1), 8)
+	for name, test := range map[string]struct {
+		report  *Report
 		differs bool
-	}{"itself": {a, false}, "other seeds": {other, false}, "slower servers": {slower, true}} {
-		d, err := Compare(a, c.b)
+	}{"itself": {base, false}, "other seeds": {other, false}, "slower servers": {slower, true}} {
+		comparison, err := Compare(base, test.report)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p50 := d.Metrics[3]
-		if p50.Differs != c.differs || c.differs && p50.Low < 1 {
-			t.Errorf("%s: %+v", name, p50)
+		p50 := comparison.Metrics[3]
+		if p50.Differs != test.differs || test.differs && p50.Low < 1 {
+			t.Errorf("compared with %s: p50 %+v, want Differs = %v", name, p50, test.differs)
 		}
 		var out bytes.Buffer
-		if err := d.Print(&out); err != nil || strings.Contains(out.String(), "p50, ms") == false || c.differs != strings.Contains(out.String(), "B is higher") {
-			t.Errorf("%s: %v\n%s", name, err, out.String())
+		if err := comparison.Print(&out); err != nil || strings.Contains(out.String(), "p50, ms") == false || test.differs != strings.Contains(out.String(), "B is higher") {
+			t.Errorf("compared with %s: Print: error %v, output:\n%s\nwant p50, and B is higher only if it differs", name, err, out.String())
 		}
 	}
-	if _, err := Compare(a, play(t, text, 2)); err == nil || !strings.Contains(err.Error(), "8 and 2 runs") {
-		t.Errorf("two runs are too few: %v", err)
+	if _, err := Compare(base, simulateText(t, text, 2)); err == nil || !strings.Contains(err.Error(), "8 and 2 runs") {
+		t.Errorf("Compare with 2 runs = %v, want an error with both numbers of runs", err)
 	}
 }
 
-// A report comes back from its JSON; its page needs nothing from elsewhere, and what names hold is not markup in it.
+// A report can be read back from its JSON. Its page loads nothing from elsewhere and escapes the text of the experiment.
 func TestReportFiles(t *testing.T) {
 	dir := t.TempDir()
-	text := small + "about: a <script>alert(1)</script>\nevents: [{at: 1s, do: kill, zone: a, how: refuses, part: 0.5}]\n"
-	a, b := play(t, text, 5), play(t, text+"seed: 50\n", 5)
+	text := smallExperiment + "about: a <script>alert(1)</script>\nevents: [{at: 1s, do: kill, zone: a, how: refuses, part: 0.5}]\n"
+	a, b := simulateText(t, text, 5), simulateText(t, text+"seed: 50\n", 5)
 	var out bytes.Buffer
 	if err := a.JSON(&out); err != nil {
 		t.Fatal(err)
@@ -421,24 +424,24 @@
 	if err := os.WriteFile(path, out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	back, err := ReadReport(path)
-	if err != nil || len(back.Series) != len(a.Series) || back.Runs[3] != a.Runs[3] {
-		t.Errorf("%v, %+v", err, back)
+	restored, err := ReadReport(path)
+	if err != nil || len(restored.Series) != len(a.Series) || restored.Runs[3] != a.Runs[3] {
+		t.Errorf("ReadReport: error %v, report %+v; want the written one", err, restored)
 	}
 	for text, want := range map[string]string{"": "not a report", "{}": "holds no run", `{"surprise": 1}`: "unknown field"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := ReadReport(path); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("ReadReport of %q = %v, want an error that contains %q", text, err, want)
 		}
 	}
-	for _, l := range [][]*Report{{a}, {a, b}} {
-		b, err := page(l)
-		s := string(b)
-		if err != nil || strings.Count(s, "<svg") != 3 || strings.Contains(s, "<script") || strings.Contains(s, "src=") || strings.Contains(s, "<link") ||
-			!strings.Contains(s, "1 | kill a") && !strings.Contains(s, "kill a") || (len(l) == 2) != strings.Contains(s, "no difference") {
-			t.Errorf("%d reports: %v, a page of %d bytes", len(l), err, len(b))
+	for _, reports := range [][]*Report{{a}, {a, b}} {
+		b, err := page(reports)
+		html := string(b)
+		if err != nil || strings.Count(html, "<svg") != 3 || strings.Contains(html, "<script") || strings.Contains(html, "src=") || strings.Contains(html, "<link") ||
+			!strings.Contains(html, "1 | kill a") && !strings.Contains(html, "kill a") || (len(reports) == 2) != strings.Contains(html, "no difference") {
+			t.Errorf("page of %d reports: error %v, %d bytes; want 3 pictures, no external content or script, the event, and a comparison of two", len(reports), err, len(b))
 		}
 	}
 	if err := WritePlots(dir, a, b); err != nil {
@@ -448,11 +451,11 @@
 		png, _ := os.ReadFile(filepath.Join(dir, name+".png"))
 		svg, _ := os.ReadFile(filepath.Join(dir, name+".svg"))
 		if http.DetectContentType(png) != "image/png" || !bytes.Contains(svg, []byte("</svg>")) {
-			t.Errorf("%s: %d and %d bytes", name, len(png), len(svg))
+			t.Errorf("plot %s: PNG of %d bytes and SVG of %d bytes, want valid files", name, len(png), len(svg))
 		}
 	}
 	out.Reset()
 	if err := a.CSV(&out); err != nil || strings.Count(out.String(), "\n") != len(a.Series)+1 || !strings.HasPrefix(out.String(), "from_s,in_time,") {
-		t.Errorf("%v\n%s", err, out.String())
+		t.Errorf("CSV: error %v, output:\n%s\nwant a header and a line for each point", err, out.String())
 	}
 }
--- a/internal/experiment/model.go
+++ b/internal/experiment/model.go
@@ -30,23 +30,23 @@
 	return time.Duration(distuv.Exponential{Rate: 1, Src: rng}.Rand() * mean)
 }
 
-// speedAt returns the speed of the group's servers, without the share that a noisy neighbour takes.
+// speedAt returns the speed of the group's servers, reduced by the share that an active noisy neighbour takes.
 func (g *Group) speedAt(now time.Duration) float64 {
-	n := g.Neighbour
-	if n == nil || now < n.Start.D() || n.Period > 0 && (now-n.Start.D())%n.Period.D() >= n.Duration.D() {
+	neighbour := g.Neighbour
+	if neighbour == nil || now < neighbour.Start.D() || neighbour.Period > 0 && (now-neighbour.Start.D())%neighbour.Period.D() >= neighbour.Duration.D() {
 		return g.Speed
 	}
-	return g.Speed * (1 - n.SpeedShare)
+	return g.Speed * (1 - neighbour.SpeedShare)
 }
 
-// capacity returns the requests a second that the fleet can serve at full speed, for the mix of classes.
+// capacity returns the requests per second that the fleet can serve at full speed with its mix of classes.
 func (e *Experiment) capacity() float64 {
 	mean, workers := 0.0, 0.0
-	for _, c := range e.Classes {
-		mean += c.LoadShare * c.MeanServiceTime.D().Seconds()
+	for _, class := range e.Classes {
+		mean += class.LoadShare * class.MeanServiceTime.D().Seconds()
 	}
-	for _, g := range e.Fleet.Groups {
-		workers += float64(g.Servers*g.Workers) * g.Speed
+	for _, group := range e.Fleet.Groups {
+		workers += float64(group.Servers*group.Workers) * group.Speed
 	}
 	return workers / mean
 }
@@ -61,7 +61,7 @@
 	return class
 }
 
-// arrival is a request of the load.
+// arrival is a request of the load and the time at which it is due.
 type arrival struct {
 	at             time.Duration
 	class, gateway int
@@ -74,36 +74,37 @@
 	experiment *Experiment
 	rng        *rand.Rand
 	zipf       *rand.Zipf
-	next       time.Duration // arrival of the rate; beyond the length: none
-	peakRate   float64       // requests a second
-	expected   float64       // constant arrivals: the rate integrated since the last one
+	next       time.Duration // next arrival of the configured rate; none if not before the end
+	peakRate   float64       // requests per second
+	expected   float64       // constant arrivals: integral of the rate since the last arrival
 	bursts     []pendingBurst
 	replay     *traceReplay // nil unless the load is a trace
 }
 
-// pendingBurst is a burst of which requests remain.
+// pendingBurst is a burst whose requests have not all been taken yet.
 type pendingBurst struct {
 	at, period      time.Duration
 	size, remaining int
 }
 
+// arrivals returns the arrivals of the open loop for a seed.
 func (e *Experiment) arrivals(seed uint64) *arrivals {
 	a := &arrivals{experiment: e, rng: rand.New(rand.NewPCG(seed, 0x61727269))}
 	if e.trace != nil {
 		a.replay = &traceReplay{trace: e.trace}
 	}
-	if k := e.Load.Keys; k != nil {
-		a.zipf = rand.NewZipf(a.rng, k.ZipfExponent, 1, uint64(k.Count-1))
+	if keys := e.Load.Keys; keys != nil {
+		a.zipf = rand.NewZipf(a.rng, keys.ZipfExponent, 1, uint64(keys.Count-1))
 	}
 	a.peakRate = e.peakRate()
-	for _, b := range e.Load.Bursts {
-		a.bursts = append(a.bursts, pendingBurst{b.At.D(), b.Period.D(), b.Size, b.Size})
+	for _, burst := range e.Load.Bursts {
+		a.bursts = append(a.bursts, pendingBurst{burst.At.D(), burst.Period.D(), burst.Size, burst.Size})
 	}
 	a.advance()
 	return a
 }
 
-// rateAt returns the rate of the open loop in requests a second, without its bursts.
+// rateAt returns the rate of the open loop in requests per second, without its bursts.
 func (e *Experiment) rateAt(at time.Duration) float64 {
 	multiplier := 1.0
 	for _, span := range e.Load.RateSpans {
@@ -115,25 +116,25 @@
 			multiplier += (*span.FinalMultiplier - span.Multiplier) * float64(at-span.Start.D()) / float64(span.End-span.Start)
 		}
 	}
-	if o := e.Load.OnOff; o != nil && at%(o.On.D()+o.Off.D()) >= o.On.D() {
+	if onOff := e.Load.OnOff; onOff != nil && at%(onOff.On.D()+onOff.Off.D()) >= onOff.On.D() {
 		return 0
 	}
 	return e.Load.Rate * multiplier
 }
 
-// peakRate returns the highest rate of the open loop in requests a second, without its bursts.
+// peakRate returns the highest rate of the open loop in requests per second, without its bursts.
 func (e *Experiment) peakRate() float64 {
-	by := 1.0
-	for _, t := range e.Load.RateSpans {
-		if by = max(by, t.Multiplier); t.FinalMultiplier != nil {
-			by = max(by, *t.FinalMultiplier)
+	multiplier := 1.0
+	for _, span := range e.Load.RateSpans {
+		if multiplier = max(multiplier, span.Multiplier); span.FinalMultiplier != nil {
+			multiplier = max(multiplier, *span.FinalMultiplier)
 		}
 	}
-	return e.Load.Rate * by
+	return e.Load.Rate * multiplier
 }
 
-// advance finds the next arrival of the rate: a Poisson one by thinning arrivals of the peak rate, a constant one where the integrated
-// rate reaches 1.
+// advance sets next to the following arrival. Poisson arrivals are drawn at the peak rate and thinned to the current rate; a constant
+// arrival is due when the integral of the rate reaches 1.
 func (a *arrivals) advance() {
 	end := a.experiment.Length.D()
 	if a.peakRate == 0 {
@@ -142,8 +143,8 @@
 	for a.next < end {
 		if a.experiment.Load.Arrivals == "constant" {
 			rate := a.experiment.rateAt(a.next)
-			if left := a.boundedGap((1 - a.expected) / max(rate, 1e-9)); left <= time.Millisecond {
-				a.next, a.expected = a.next+max(left, 1), 0
+			if gap := a.boundedGap((1 - a.expected) / max(rate, 1e-9)); gap <= time.Millisecond {
+				a.next, a.expected = a.next+max(gap, 1), 0
 				return
 			}
 			a.next, a.expected = a.next+time.Millisecond, a.expected+rate/1000
@@ -161,61 +162,61 @@
 	return time.Duration(min(seconds*float64(time.Second), 2*float64(a.experiment.Length)))
 }
 
-// take returns the next arrival; false: there is none.
+// take returns the next arrival, or false if there is none.
 func (a *arrivals) take() (arrival, bool) {
 	if a.replay != nil {
 		return a.replay.take(a.experiment, a.rng)
 	}
 	first := -1
-	for i, b := range a.bursts {
-		if b.remaining > 0 && b.at < a.experiment.Length.D() && (first < 0 || b.at < a.bursts[first].at) {
+	for i, burst := range a.bursts {
+		if burst.remaining > 0 && burst.at < a.experiment.Length.D() && (first < 0 || burst.at < a.bursts[first].at) {
 			first = i
 		}
 	}
 	at := a.next
 	if first >= 0 && a.bursts[first].at <= a.next {
-		b := &a.bursts[first]
-		at = b.at
-		if b.remaining--; b.remaining == 0 && b.period > 0 {
-			b.at, b.remaining = b.at+b.period, b.size
+		burst := &a.bursts[first]
+		at = burst.at
+		if burst.remaining--; burst.remaining == 0 && burst.period > 0 {
+			burst.at, burst.remaining = burst.at+burst.period, burst.size
 		}
 	} else if a.next < a.experiment.Length.D() {
 		a.advance()
 	} else {
 		return arrival{}, false
 	}
-	x := arrival{at: at, gateway: a.rng.IntN(a.experiment.Gateways.Count)}
-	x.class = a.experiment.classAt(a.rng.Float64())
+	request := arrival{at: at, gateway: a.rng.IntN(a.experiment.Gateways.Count)}
+	request.class = a.experiment.classAt(a.rng.Float64())
 	if a.zipf != nil {
-		x.key = "k" + strconv.FormatUint(a.zipf.Uint64(), 10)
+		request.key = "k" + strconv.FormatUint(a.zipf.Uint64(), 10)
 	}
-	return x, true
+	return request, true
 }
 
-// timeline returns the events in order of time, with a flap as its kills and revivals.
+// timeline returns the events in order of time, with each flap replaced by its kills and revivals.
 func (e *Experiment) timeline() []Event {
-	var l []Event
-	for _, v := range e.Events {
-		if v.Action != "flap" {
-			l = append(l, v)
+	var events []Event
+	for _, event := range e.Events {
+		if event.Action != "flap" {
+			events = append(events, event)
 			continue
 		}
-		for i := range v.Count {
-			kill, revive := v, Event{Action: "revive", Zone: v.Zone}
+		for i := range event.Count {
+			kill, revive := event, Event{Action: "revive", Zone: event.Zone}
 			kill.Action = "kill"
-			kill.At += config.Duration(i) * v.Period
-			revive.At = kill.At + v.Downtime
-			l = append(l, kill, revive)
+			kill.At += config.Duration(i) * event.Period
+			revive.At = kill.At + event.Downtime
+			events = append(events, kill, revive)
 		}
 	}
-	slices.SortStableFunc(l, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	return slices.DeleteFunc(l, func(v Event) bool { return v.At >= e.Length })
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	return slices.DeleteFunc(events, func(event Event) bool { return event.At >= e.Length })
 }
 
 // transferTime returns the time that the bandwidth adds to the delay of a response.
-func (l *Link) transferTime(answer config.Size) time.Duration {
+func (l *Link) transferTime(size config.Size) time.Duration {
 	if l.Bandwidth == 0 {
 		return 0
 	}
-	return time.Duration(float64(answer) / float64(l.Bandwidth) * float64(time.Second))
+	return time.Duration(float64(size) / float64(l.Bandwidth) * float64(time.Second))
 }
--- a/internal/experiment/override.go
+++ b/internal/experiment/override.go
@@ -7,29 +7,29 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Override sets fields in the text of an experiment and returns the changed text. Each set has the form "gateways.admission=off", with
-// a path through mappings (not lists) and a YAML value. Lines in later errors are those of the changed text.
-func Override(text []byte, sets ...string) ([]byte, error) {
-	if len(sets) == 0 {
+// Override sets fields in the text of an experiment and returns the changed text. Each assignment has the form
+// "gateways.admission=off": a path through mappings (not lists) and a YAML value. Line numbers in later errors refer to the changed text.
+func Override(text []byte, assignments ...string) ([]byte, error) {
+	if len(assignments) == 0 {
 		return text, nil
 	}
 	var doc yaml.Node
 	if err := yaml.Unmarshal(text, &doc); err != nil {
-		return nil, fmt.Errorf("not YAML: %w", err)
+		return nil, fmt.Errorf("parsing the experiment as YAML: %w", err)
 	}
 	if len(doc.Content) == 0 || doc.Content[0].Kind != yaml.MappingNode {
-		return nil, fmt.Errorf("an experiment is fields")
+		return nil, fmt.Errorf("an experiment must be a YAML mapping")
 	}
-	for _, s := range sets {
-		path, value, ok := strings.Cut(s, "=")
+	for _, assignment := range assignments {
+		path, value, ok := strings.Cut(assignment, "=")
 		if !ok || path == "" {
-			return nil, fmt.Errorf("%q: want FIELD=VALUE, as gateways.admission=off", s)
+			return nil, fmt.Errorf("%q: want FIELD=VALUE, such as gateways.admission=off", assignment)
 		}
-		var v yaml.Node
-		if err := yaml.Unmarshal([]byte(value), &v); err != nil || len(v.Content) == 0 {
-			return nil, fmt.Errorf("%s: %q is no value", path, value)
+		var parsed yaml.Node
+		if err := yaml.Unmarshal([]byte(value), &parsed); err != nil || len(parsed.Content) == 0 {
+			return nil, fmt.Errorf("%s: %q is not a YAML value", path, value)
 		}
-		if err := setField(doc.Content[0], strings.Split(path, "."), v.Content[0]); err != nil {
+		if err := setField(doc.Content[0], strings.Split(path, "."), parsed.Content[0]); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -40,27 +40,27 @@
 	return out, nil
 }
 
-// setField sets the field at a path of a mapping, and adds the mappings that are missing on the way.
-func setField(n *yaml.Node, path []string, v *yaml.Node) error {
-	if n.Kind != yaml.MappingNode {
-		return fmt.Errorf("what %s is in has no fields", path[0])
+// setField sets the field at a path of a mapping, and adds missing mappings along the path.
+func setField(node *yaml.Node, path []string, value *yaml.Node) error {
+	if node.Kind != yaml.MappingNode {
+		return fmt.Errorf("the parent of %s is not a mapping", path[0])
 	}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		if n.Content[i].Value != path[0] {
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		if node.Content[i].Value != path[0] {
 			continue
 		}
 		if len(path) == 1 {
-			n.Content[i+1] = v
+			node.Content[i+1] = value
 			return nil
 		}
-		return setField(n.Content[i+1], path[1:], v)
+		return setField(node.Content[i+1], path[1:], value)
 	}
 	key := &yaml.Node{Kind: yaml.ScalarNode, Value: path[0]}
 	if len(path) == 1 {
-		n.Content = append(n.Content, key, v)
+		node.Content = append(node.Content, key, value)
 		return nil
 	}
-	m := &yaml.Node{Kind: yaml.MappingNode}
-	n.Content = append(n.Content, key, m)
-	return setField(m, path[1:], v)
+	mapping := &yaml.Node{Kind: yaml.MappingNode}
+	node.Content = append(node.Content, key, mapping)
+	return setField(mapping, path[1:], value)
 }
--- a/internal/experiment/page.go
+++ b/internal/experiment/page.go
@@ -10,25 +10,26 @@
 )
 
 //go:embed page.html
-var pageText string
+var pageTemplate string
 
-// WritePage writes one or two reports as a self-contained HTML file, two of them in the same plots.
-func WritePage(path string, l ...*Report) error {
-	if len(l) == 0 || len(l) > 2 {
-		return fmt.Errorf("a page of %d reports: want one or two", len(l))
+// WritePage writes one or two reports as a self-contained HTML file. The plots show both reports.
+func WritePage(path string, reports ...*Report) error {
+	if len(reports) == 0 || len(reports) > 2 {
+		return fmt.Errorf("a page shows 1 or 2 reports, got %d", len(reports))
 	}
-	b, err := page(l)
+	html, err := page(reports)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, b, 0o644); err != nil {
+	if err := os.WriteFile(path, html, 0o644); err != nil {
 		return fmt.Errorf("writing the page: %w", err)
 	}
 	return nil
 }
 
-func page(l []*Report) ([]byte, error) {
-	pictures, err := drawPictures(l)
+// page renders one or two reports as HTML.
+func page(reports []*Report) ([]byte, error) {
+	pictures, err := drawPictures(reports)
 	if err != nil {
 		return nil, err
 	}
@@ -36,11 +37,11 @@
 		Title string
 		SVG   template.HTML
 	}
-	v := struct {
+	data := struct {
 		Reports  []*Report
 		Pictures []drawn
 		Compared *Comparison
-	}{Reports: l}
+	}{Reports: reports}
 	for _, p := range pictures {
 		svg, err := p.render("svg")
 		if err != nil {
@@ -50,20 +51,20 @@
 			svg = svg[i:] // the XML declaration is not valid in HTML
 		}
 		// gonum/plot escapes the text that it draws.
-		v.Pictures = append(v.Pictures, drawn{p.title, template.HTML(svg)})
+		data.Pictures = append(data.Pictures, drawn{p.title, template.HTML(svg)})
 	}
-	if len(l) == 2 {
-		if v.Compared, err = Compare(l[0], l[1]); err != nil {
-			v.Compared = nil // too few runs for a comparison
+	if len(reports) == 2 {
+		if data.Compared, err = Compare(reports[0], reports[1]); err != nil {
+			data.Compared = nil // too few runs for a comparison
 		}
 	}
-	t, err := template.New("page").Funcs(template.FuncMap{
+	parsed, err := template.New("page").Funcs(template.FuncMap{
 		"percent": func(o Outcome, n int) string { return fmt.Sprintf("%.1f%%", 100*o.fraction(n)) },
-		"sum": func(n ...int) (s int) {
-			for _, x := range n {
-				s += x
+		"sum": func(n ...int) (total int) {
+			for _, addend := range n {
+				total += addend
 			}
-			return s
+			return total
 		},
 		"ms":      func(d time.Duration) string { return fmt.Sprintf("%.0f ms", milliseconds(d)) },
 		"letter":  func(i int) string { return string(rune('A' + i)) },
@@ -71,13 +72,13 @@
 		"short":   func(f float64) string { return fmt.Sprintf("%.3g", f) },
 		"change":  func(f float64) string { return fmt.Sprintf("%+.3g", f) },
 		"share":   func(f float64) string { return fmt.Sprintf("%.1f%%", 100*f) },
-		"busiest": func(r *Report) string { return fmt.Sprintf("%.1f%%", 100*r.busiest()) },
-	}).Parse(pageText)
+		"busiest": func(r *Report) string { return fmt.Sprintf("%.1f%%", 100*r.busiestShare()) },
+	}).Parse(pageTemplate)
 	if err != nil {
-		return nil, fmt.Errorf("the page's template: %w", err)
+		return nil, fmt.Errorf("parsing the template of the page: %w", err)
 	}
 	var b bytes.Buffer
-	if err := t.Execute(&b, v); err != nil {
+	if err := parsed.Execute(&b, data); err != nil {
 		return nil, fmt.Errorf("writing the page: %w", err)
 	}
 	return b.Bytes(), nil
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -21,36 +21,36 @@
 	plot        *plot.Plot
 }
 
-// palette has colours that the colour-blind can distinguish.
+// palette has colours that are distinguishable with colour blindness.
 var palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {230, 159, 0, 255}, {86, 180, 233, 255}, {0, 0, 0, 255}}
 
-// maxServerLines is the number of servers above which a plot shows their minimum, mean and maximum instead.
+// maxServerLines is the number of servers above which a plot shows their minimum, mean and maximum instead of a line for each.
 const maxServerLines = 12
 
-// drawPictures returns the plots of a report, or of two in the same plots, the second one dashed.
-func drawPictures(l []*Report) ([]picture, error) {
-	made := []picture{
+// drawPictures returns the plots of one report, or of two reports in the same plots with the second one dashed.
+func drawPictures(reports []*Report) ([]picture, error) {
+	pictures := []picture{
 		{name: "goodput", title: "Answered in time, late, refused"},
 		{name: "latency", title: "Latency of what was answered"},
 		{name: "servers", title: "Load by server"},
 	}
-	for i := range made {
+	for i := range pictures {
 		p := plot.New()
 		p.X.Label.Text, p.X.Min, p.Y.Min = "seconds", 0, 0
 		p.Legend.Top, p.Legend.Left = true, true
 		p.Add(plotter.NewGrid())
-		made[i].plot = p
+		pictures[i].plot = p
 	}
-	for i, r := range l {
+	for i, report := range reports {
 		prefix := ""
-		if len(l) > 1 {
+		if len(reports) > 1 {
 			prefix = string(rune('A'+i)) + ": "
 		}
-		per := r.SeriesInterval.Seconds() * float64(max(r.Seeds, 1))
-		rate := func(n func(*Point) int) func(*Point) float64 {
-			return func(p *Point) float64 { return float64(n(p)) / per }
+		seconds := report.SeriesInterval.Seconds() * float64(max(report.Seeds, 1))
+		rate := func(count func(*Point) int) func(*Point) float64 {
+			return func(p *Point) float64 { return float64(count(p)) / seconds }
 		}
-		goodput, latency, servers := made[0].plot, made[1].plot, made[2].plot
+		goodput, latency, servers := pictures[0].plot, pictures[1].plot, pictures[2].plot
 		goodput.Y.Label.Text, latency.Y.Label.Text, servers.Y.Label.Text = "requests a second", "milliseconds", "attempts a second"
 		for j, c := range []curve{
 			{goodput, "in time", rate(func(p *Point) int { return p.InTime })},
@@ -59,23 +59,23 @@
 			{latency, "p50", func(p *Point) float64 { return milliseconds(p.P50) }},
 			{latency, "p99", func(p *Point) float64 { return milliseconds(p.P99) }},
 		} {
-			if err := c.add(r, prefix, j%3, i == 1); err != nil {
+			if err := c.add(report, prefix, j%3, i == 1); err != nil {
 				return nil, err
 			}
 		}
-		for j, c := range serverCurves(r, servers, per) {
-			if err := c.add(r, prefix, j, i == 1); err != nil {
+		for j, c := range serverCurves(report, servers, seconds) {
+			if err := c.add(report, prefix, j, i == 1); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for _, m := range made {
-		m.plot.Y.Max = max(m.plot.Y.Max*1.25, 1) // room for the legend
-		if err := drawEvents(m.plot, l[0]); err != nil {
+	for _, drawn := range pictures {
+		drawn.plot.Y.Max = max(drawn.plot.Y.Max*1.25, 1) // space for the legend
+		if err := drawEvents(drawn.plot, reports[0]); err != nil {
 			return nil, err
 		}
 	}
-	return made, nil
+	return pictures, nil
 }
 
 // curve is a line of a plot.
@@ -85,12 +85,13 @@
 	value func(*Point) float64
 }
 
-func (c *curve) add(r *Report, prefix string, colour int, dashed bool) error {
-	xy := make(plotter.XYs, len(r.Series))
-	for i := range r.Series {
-		xy[i] = plotter.XY{X: (r.Series[i].Start + r.SeriesInterval/2).Seconds(), Y: c.value(&r.Series[i])}
+// add draws the curve of a report into its plot.
+func (c *curve) add(report *Report, prefix string, colour int, dashed bool) error {
+	points := make(plotter.XYs, len(report.Series))
+	for i := range report.Series {
+		points[i] = plotter.XY{X: (report.Series[i].Start + report.SeriesInterval/2).Seconds(), Y: c.value(&report.Series[i])}
 	}
-	line, err := plotter.NewLine(xy)
+	line, err := plotter.NewLine(points)
 	if err != nil {
 		return fmt.Errorf("drawing %s: %w", c.name, err)
 	}
@@ -103,40 +104,42 @@
 	return nil
 }
 
-func serverCurves(r *Report, p *plot.Plot, per float64) (l []curve) {
-	ids := r.Servers()
+// serverCurves returns a curve for each server or, above maxServerLines, for their maximum, mean and minimum. Attempts are divided
+// by seconds, the length of an interval over all seeds.
+func serverCurves(report *Report, p *plot.Plot, seconds float64) (curves []curve) {
+	ids := report.Servers()
 	if len(ids) <= maxServerLines {
 		for _, id := range ids {
-			l = append(l, curve{p, id, func(x *Point) float64 { return float64(x.Attempts[id]) / per }})
+			curves = append(curves, curve{p, id, func(point *Point) float64 { return float64(point.Attempts[id]) / seconds }})
 		}
-		return l
+		return curves
 	}
-	over := func(pick func(lowest, sum, highest float64) float64) func(*Point) float64 {
-		return func(x *Point) float64 {
+	aggregate := func(choose func(lowest, sum, highest float64) float64) func(*Point) float64 {
+		return func(point *Point) float64 {
 			lowest, sum, highest := math.Inf(1), 0.0, 0.0
 			for _, id := range ids {
-				v := float64(x.Attempts[id]) / per
-				lowest, sum, highest = min(lowest, v), sum+v, max(highest, v)
+				rate := float64(point.Attempts[id]) / seconds
+				lowest, sum, highest = min(lowest, rate), sum+rate, max(highest, rate)
 			}
-			return pick(lowest, sum, highest)
+			return choose(lowest, sum, highest)
 		}
 	}
-	return []curve{{p, "busiest server", over(func(_, _, highest float64) float64 { return highest })},
-		{p, "mean", over(func(_, sum, _ float64) float64 { return sum / float64(len(ids)) })},
-		{p, "least busy", over(func(lowest, _, _ float64) float64 { return lowest })}}
+	return []curve{{p, "busiest server", aggregate(func(_, _, highest float64) float64 { return highest })},
+		{p, "mean", aggregate(func(_, sum, _ float64) float64 { return sum / float64(len(ids)) })},
+		{p, "least busy", aggregate(func(lowest, _, _ float64) float64 { return lowest })}}
 }
 
 // drawEvents draws the events as vertical lines, numbered as in the table of the page.
-func drawEvents(p *plot.Plot, r *Report) error {
-	for i, m := range r.Events {
-		x := m.At.Seconds()
+func drawEvents(p *plot.Plot, report *Report) error {
+	for i, event := range report.Events {
+		x := event.At.Seconds()
 		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: p.Y.Max}})
 		if err != nil {
 			return fmt.Errorf("drawing the events: %w", err)
 		}
 		line.Color, line.Width, line.Dashes = color.Gray{150}, vg.Points(0.75), []vg.Length{vg.Points(1), vg.Points(2)}
 		p.Add(line)
-		if len(r.Events) > 24 {
+		if len(report.Events) > 24 {
 			continue // the numbers would overlap
 		}
 		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: x, Y: p.Y.Max * 0.02}}, Labels: []string{fmt.Sprint(i + 1)}})
@@ -153,35 +156,36 @@
 
 const pictureWidth, pictureHeight = 9 * vg.Inch, 3.2 * vg.Inch
 
+// render returns the picture in a format such as svg or png.
 func (p *picture) render(format string) ([]byte, error) {
-	w, err := p.plot.WriterTo(pictureWidth, pictureHeight, format)
+	writer, err := p.plot.WriterTo(pictureWidth, pictureHeight, format)
 	if err != nil {
 		return nil, fmt.Errorf("drawing %s: %w", p.name, err)
 	}
-	var b bytes.Buffer
-	if _, err := w.WriteTo(&b); err != nil {
+	var buffer bytes.Buffer
+	if _, err := writer.WriteTo(&buffer); err != nil {
 		return nil, fmt.Errorf("drawing %s: %w", p.name, err)
 	}
-	return b.Bytes(), nil
+	return buffer.Bytes(), nil
 }
 
-// WritePlots writes the plots of one or two reports into a directory, as PNG and SVG.
-func WritePlots(dir string, l ...*Report) error {
-	all, err := drawPictures(l)
+// WritePlots writes the plots of one or two reports into a directory, as PNG and SVG files.
+func WritePlots(dir string, reports ...*Report) error {
+	pictures, err := drawPictures(reports)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("a folder for the pictures: %w", err)
+		return fmt.Errorf("creating the directory for the plots: %w", err)
 	}
-	for _, p := range all {
+	for _, p := range pictures {
 		for _, format := range []string{"png", "svg"} {
-			b, err := p.render(format)
+			image, err := p.render(format)
 			if err != nil {
 				return err
 			}
-			if err := os.WriteFile(filepath.Join(dir, p.name+"."+format), b, 0o644); err != nil {
-				return fmt.Errorf("writing a picture: %w", err)
+			if err := os.WriteFile(filepath.Join(dir, p.name+"."+format), image, 0o644); err != nil {
+				return fmt.Errorf("writing a plot: %w", err)
 			}
 		}
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -35,13 +35,13 @@
 	SimulationSteps int           `json:"simulation_steps,omitempty"`
 	// Generator is nil unless the engine is the loopback one.
 	Generator *Generator `json:"generator,omitempty"`
-	// EndedEarly is the reason why a run ended early; the report has what was measured until then. Empty: none did.
+	// EndedEarly is the reason why a run ended early; the report contains the results up to then. Empty: no run ended early.
 	EndedEarly string `json:"ended_early,omitempty"`
 	// FailedChecks describes each failed check in a line.
 	FailedChecks []string `json:"broken"`
 }
 
-// Run is the result of a seed.
+// Run is the result of one seed.
 type Run struct {
 	Seed     uint64        `json:"seed"`
 	Requests int           `json:"asked"`
@@ -58,7 +58,7 @@
 	Text string        `json:"text"`
 }
 
-// Phase has the results of the requests that began in a phase.
+// Phase contains the results of the requests that began in a phase.
 type Phase struct {
 	From              time.Duration `json:"from_ns"`
 	To                time.Duration `json:"to_ns"`
@@ -68,7 +68,7 @@
 	Attempts          int           `json:"attempts"`
 	NewConnections    int           `json:"new_connections"` // attempts on a new connection; 0 if there is no ConnectCost
 	CollapsedServers  int           `json:"cold_servers_fallen"`
-	MaxWarmingLoad    float64       `json:"worst_cold_server"` // load over capacity, the maximum of all seeds
+	MaxWarmingLoad    float64       `json:"worst_cold_server"` // ratio of load to capacity, the maximum of all seeds
 	MaxServerRequests int           `json:"most_at_a_server"`
 }
 
@@ -94,41 +94,43 @@
 
 func (o *Outcome) fraction(n int) float64 { return float64(n) / float64(max(o.Requests, 1)) }
 
+// newReport returns an empty report of an experiment.
 func newReport(e *Experiment, engine string) *Report {
-	c := newCollector(e)
-	r := &Report{Experiment: e.Name, Description: e.Description, Engine: engine, Length: e.Length.D(), Phases: c.phases, Series: c.series, SeriesInterval: c.interval, FailedChecks: []string{}}
-	for _, v := range e.timeline() {
-		r.Events = append(r.Events, EventMark{v.At.D(), strings.TrimSpace(v.Action + " " + v.Zone)})
+	collected := newCollector(e)
+	report := &Report{Experiment: e.Name, Description: e.Description, Engine: engine, Length: e.Length.D(), Phases: collected.phases, Series: collected.series, SeriesInterval: collected.interval, FailedChecks: []string{}}
+	for _, event := range e.timeline() {
+		report.Events = append(report.Events, EventMark{event.At.D(), strings.TrimSpace(event.Action + " " + event.Zone)})
 	}
-	return r
+	return report
 }
 
 // add adds the results of a run.
-func (r *Report) add(c *collector, seed uint64) {
+func (r *Report) add(collected *collector, seed uint64) {
 	r.Seeds++
-	r.DuplicateEffects += c.duplicateEffects
-	r.Lost += c.lost
-	r.SentAfterDrain += c.sentAfterDrain
-	r.SimulationSteps += c.steps
-	r.RestartTime = max(r.RestartTime, c.restartTime)
-	var all Outcome
-	for i := range c.phases {
-		p, n := &c.phases[i], &r.Phases[i]
-		for j := range p.Classes {
-			n.Classes[j].merge(&p.Classes[j])
+	r.DuplicateEffects += collected.duplicateEffects
+	r.Lost += collected.lost
+	r.SentAfterDrain += collected.sentAfterDrain
+	r.SimulationSteps += collected.steps
+	r.RestartTime = max(r.RestartTime, collected.restartTime)
+	var totals Outcome
+	for i := range collected.phases {
+		phase, total := &collected.phases[i], &r.Phases[i]
+		for j := range phase.Classes {
+			total.Classes[j].merge(&phase.Classes[j])
 		}
-		n.All.merge(&p.All)
-		all.merge(&p.All)
-		n.addServerCounts(p)
+		total.All.merge(&phase.All)
+		totals.merge(&phase.All)
+		total.addServerCounts(phase)
 	}
-	for i := range c.series {
-		r.Series[i].merge(&c.series[i])
+	for i := range collected.series {
+		r.Series[i].merge(&collected.series[i])
 	}
-	all.computePercentiles()
-	r.Runs = append(r.Runs, Run{Seed: seed, Requests: all.Requests, Goodput: float64(all.InTime) / r.Length.Seconds(), InTime: all.fraction(all.InTime),
-		Rejected: all.fraction(all.Rejected + all.Failed + all.Lost), P50: all.P50, P99: all.P99})
+	totals.computePercentiles()
+	r.Runs = append(r.Runs, Run{Seed: seed, Requests: totals.Requests, Goodput: float64(totals.InTime) / r.Length.Seconds(), InTime: totals.fraction(totals.InTime),
+		Rejected: totals.fraction(totals.Rejected + totals.Failed + totals.Lost), P50: totals.P50, P99: totals.P99})
 }
 
+// finish computes the percentiles over all runs and evaluates the checks.
 func (r *Report) finish(e *Experiment) {
 	for i := range r.Phases {
 		p := &r.Phases[i]
@@ -145,14 +147,14 @@
 		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d attempts were sent to servers more than a second after they began to drain", r.SentAfterDrain))
 	}
 	if r.DuplicateEffects > 0 {
-		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d effects were taken twice", r.DuplicateEffects))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d requests had more than one effect", r.DuplicateEffects))
 	}
 	if r.Lost > 0 {
-		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d requests have no answer, or two", r.Lost))
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("%d requests had no response, or more than one", r.Lost))
 	}
 	for i, c := range e.Checks {
 		if c.MaxRestartTime > 0 && r.RestartTime > c.MaxRestartTime.D() {
-			r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("checks[%d]: a gateway was ready %v after its start, want %v at most", i, r.RestartTime, c.MaxRestartTime.D()))
+			r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("checks[%d]: a gateway was ready %v after its start, want at most %v", i, r.RestartTime, c.MaxRestartTime.D()))
 		}
 		for j := range r.Phases {
 			if c.Phase == nil || *c.Phase == j {
@@ -162,89 +164,90 @@
 	}
 }
 
-func (r *Report) check(n, phase int, c *Check) {
-	p := &r.Phases[phase]
-	o, of := &p.All, "all classes"
+// check evaluates a check of the experiment, given with its index, in a phase.
+func (r *Report) check(index, phase int, c *Check) {
+	results := &r.Phases[phase]
+	outcome, scope := &results.All, "all classes"
 	if c.Class != "" {
-		o = &p.Classes[slices.IndexFunc(p.Classes, func(o Outcome) bool { return o.Class == c.Class })]
-		of = c.Class
+		outcome = &results.Classes[slices.IndexFunc(results.Classes, func(outcome Outcome) bool { return outcome.Class == c.Class })]
+		scope = c.Class
 	}
-	bad := func(text string, args ...any) {
-		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("checks[%d], phase %d, %s: %s", n, phase, of, fmt.Sprintf(text, args...)))
+	fail := func(text string, args ...any) {
+		r.FailedChecks = append(r.FailedChecks, fmt.Sprintf("checks[%d], phase %d, %s: %s", index, phase, scope, fmt.Sprintf(text, args...)))
 	}
-	if o.Requests == 0 {
-		bad("nothing was asked")
+	if outcome.Requests == 0 {
+		fail("there were no requests")
 		return
 	}
-	if v := o.fraction(o.InTime); c.MinInTime != nil && v < *c.MinInTime {
-		bad("%.4f in time, want %v at least", v, *c.MinInTime)
+	if v := outcome.fraction(outcome.InTime); c.MinInTime != nil && v < *c.MinInTime {
+		fail("%.4f in time, want at least %v", v, *c.MinInTime)
 	}
-	if v := o.fraction(o.Rejected + o.Failed + o.Lost); c.MaxRejected != nil && v > *c.MaxRejected {
-		bad("%.4f refused or failed, want %v at most", v, *c.MaxRejected)
+	if v := outcome.fraction(outcome.Rejected + outcome.Failed + outcome.Lost); c.MaxRejected != nil && v > *c.MaxRejected {
+		fail("%.4f refused or failed, want at most %v", v, *c.MaxRejected)
 	}
-	if v := o.fraction(o.Late); c.MaxLate != nil && v > *c.MaxLate {
-		bad("%.4f late, want %v at most", v, *c.MaxLate)
+	if v := outcome.fraction(outcome.Late); c.MaxLate != nil && v > *c.MaxLate {
+		fail("%.4f late, want at most %v", v, *c.MaxLate)
 	}
-	if c.MaxP99 > 0 && o.P99 > c.MaxP99.D() {
-		bad("p99 %v, want %v at most", o.P99, c.MaxP99.D())
+	if c.MaxP99 > 0 && outcome.P99 > c.MaxP99.D() {
+		fail("p99 %v, want at most %v", outcome.P99, c.MaxP99.D())
 	}
-	if v := float64(p.NewConnections) / float64(max(p.Attempts, 1)); c.MaxConnectRatio > 0 && v > c.MaxConnectRatio {
-		bad("%.3f new connections an attempt, want %v at most", v, c.MaxConnectRatio)
+	if v := float64(results.NewConnections) / float64(max(results.Attempts, 1)); c.MaxConnectRatio > 0 && v > c.MaxConnectRatio {
+		fail("%.3f new connections per attempt, want at most %v", v, c.MaxConnectRatio)
 	}
-	if c.MaxWarmingLoad > 0 && p.MaxWarmingLoad > c.MaxWarmingLoad {
-		bad("a cold server got %.2f times what it can do, want %v at most", p.MaxWarmingLoad, c.MaxWarmingLoad)
+	if c.MaxWarmingLoad > 0 && results.MaxWarmingLoad > c.MaxWarmingLoad {
+		fail("a warming server got %.2f times its capacity, want at most %v", results.MaxWarmingLoad, c.MaxWarmingLoad)
 	}
 }
 
-// JSON writes the report as JSON, for ReadReport.
+// JSON writes the report as JSON. ReadReport reads it.
 func (r *Report) JSON(out io.Writer) error { return writeJSON(out, r) }
 
-// maxReport is the size of a report file in bytes, beyond which it is not read.
-const maxReport = 64 << 20
+// maxReportSize is the maximum size of a report file in bytes.
+const maxReportSize = 64 << 20
 
-// ReadReport reads a file that Report.JSON has written.
+// ReadReport reads a file written by Report.JSON.
 func ReadReport(path string) (*Report, error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the report: %w", err)
 	}
-	defer func() { _ = f.Close() }()
-	r := &Report{}
-	d := json.NewDecoder(io.LimitReader(f, maxReport))
-	d.DisallowUnknownFields()
-	if err := d.Decode(r); err != nil {
+	defer func() { _ = file.Close() }()
+	report := &Report{}
+	decoder := json.NewDecoder(io.LimitReader(file, maxReportSize))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(report); err != nil {
 		return nil, fmt.Errorf("%s: not a report of lab run --json: %w", path, err)
 	}
-	if r.Length <= 0 || r.SeriesInterval <= 0 || len(r.Series) == 0 || len(r.Runs) == 0 {
+	if report.Length <= 0 || report.SeriesInterval <= 0 || len(report.Series) == 0 || len(report.Runs) == 0 {
 		return nil, fmt.Errorf("%s: not a report of lab run --json: it holds no run", path)
 	}
-	return r, nil
+	return report, nil
 }
 
-// CSV writes the time series, with a line for each point.
+// CSV writes the time series, with one line for each point.
 func (r *Report) CSV(out io.Writer) error {
-	w := csv.NewWriter(out)
+	writer := csv.NewWriter(out)
 	servers := r.Servers()
-	head := []string{"from_s", "in_time", "late", "refused", "failed", "p50_ms", "p99_ms"}
+	header := []string{"from_s", "in_time", "late", "refused", "failed", "p50_ms", "p99_ms"}
 	for _, id := range servers {
-		head = append(head, "attempts_"+id)
+		header = append(header, "attempts_"+id)
 	}
-	_ = w.Write(head) // an error is returned by Error below
+	_ = writer.Write(header) // Error below returns the error
 	for i := range r.Series {
-		p := &r.Series[i]
-		l := []string{fmt.Sprint(p.Start.Seconds())}
-		for _, n := range []int{p.InTime, p.Late, p.Rejected, p.Failed} {
-			l = append(l, strconv.Itoa(n))
+		point := &r.Series[i]
+		row := []string{fmt.Sprint(point.Start.Seconds())}
+		for _, n := range []int{point.InTime, point.Late, point.Rejected, point.Failed} {
+			row = append(row, strconv.Itoa(n))
 		}
-		l = append(l, fmt.Sprint(p.P50.Seconds()*1000), fmt.Sprint(p.P99.Seconds()*1000))
+		row = append(row, fmt.Sprint(point.P50.Seconds()*1000), fmt.Sprint(point.P99.Seconds()*1000))
 		for _, id := range servers {
-			l = append(l, strconv.Itoa(p.Attempts[id]))
+			row = append(row, strconv.Itoa(point.Attempts[id]))
 		}
-		_ = w.Write(l)
+		_ = writer.Write(row)
 	}
-	w.Flush()
-	if err := w.Error(); err != nil {
-		return fmt.Errorf("writing the curves: %w", err)
+	writer.Flush()
+	if err := writer.Error(); err != nil {
+		return fmt.Errorf("writing the time series: %w", err)
 	}
 	return nil
 }
@@ -252,33 +255,33 @@
 // Print writes the report as text.
 func (r *Report) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%s, %s, %d seeds\n", r.Experiment, r.Engine, r.Seeds)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "PHASE\tCLASS\tASKED\tIN TIME\tLATE\tREFUSED\tFAILED\tP50\tP99\tP99.9\tCROSSED\tMOST AT A SERVER\tWORST COLD")
-	for _, p := range r.Phases {
-		row := func(o *Outcome, name, rest string) {
-			pc := func(n int) string { return fmt.Sprintf("%.1f%%", 100*o.fraction(n)) }
-			ms := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
-			fmt.Fprintf(t, "%v to %v\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.From, p.To, name, o.Requests, pc(o.InTime), pc(o.Late), pc(o.Rejected), pc(o.Failed+o.Lost),
-				ms(o.P50), ms(o.P99), ms(o.P999), rest)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "PHASE\tCLASS\tASKED\tIN TIME\tLATE\tREFUSED\tFAILED\tP50\tP99\tP99.9\tCROSSED\tMOST AT A SERVER\tWORST COLD")
+	for _, phase := range r.Phases {
+		row := func(outcome *Outcome, name, rest string) {
+			percent := func(n int) string { return fmt.Sprintf("%.1f%%", 100*outcome.fraction(n)) }
+			rounded := func(d time.Duration) string { return d.Round(time.Millisecond).String() }
+			fmt.Fprintf(table, "%v to %v\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", phase.From, phase.To, name, outcome.Requests, percent(outcome.InTime), percent(outcome.Late), percent(outcome.Rejected), percent(outcome.Failed+outcome.Lost),
+				rounded(outcome.P50), rounded(outcome.P99), rounded(outcome.P999), rest)
 		}
-		for i := range p.Classes {
-			row(&p.Classes[i], p.Classes[i].Class, "\t\t")
+		for i := range phase.Classes {
+			row(&phase.Classes[i], phase.Classes[i].Class, "\t\t")
 		}
-		row(&p.All, "all", fmt.Sprintf("%.0f%%\t%d\t%.2f", 100*float64(p.CrossZoneAttempts)/float64(max(p.Attempts, 1)), p.MaxServerRequests, p.MaxWarmingLoad))
+		row(&phase.All, "all", fmt.Sprintf("%.0f%%\t%d\t%.2f", 100*float64(phase.CrossZoneAttempts)/float64(max(phase.Attempts, 1)), phase.MaxServerRequests, phase.MaxWarmingLoad))
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return fmt.Errorf("writing the report: %w", err)
 	}
 	fmt.Fprintf(out, "effects taken twice %d, requests lost %d, sent after a drain %d; the busiest server got %.1f%% of the attempts\n", r.DuplicateEffects, r.Lost, r.SentAfterDrain,
-		100*r.busiest())
+		100*r.busiestShare())
 	if r.Generator != nil {
 		fmt.Fprintln(out, r.Generator)
 	}
 	if r.EndedEarly != "" {
 		fmt.Fprintln(out, "ended early:", r.EndedEarly)
 	}
-	for _, b := range r.FailedChecks {
-		fmt.Fprintln(out, "does not hold:", b)
+	for _, failure := range r.FailedChecks {
+		fmt.Fprintln(out, "does not hold:", failure)
 	}
 	if len(r.FailedChecks) == 0 {
 		fmt.Fprintln(out, "all checks hold")
--- a/internal/experiment/rollout.go
+++ b/internal/experiment/rollout.go
@@ -22,9 +22,9 @@
 const (
 	baselineTime    = 10 * time.Second // with the old version, before the rollout begins
 	alarmWindow     = time.Minute      // over which failures are watched in the modes without a release
-	loopPause       = 2 * time.Second  // of the loop, beside the drain and the restart of a gateway
+	loopPause       = 2 * time.Second  // of the loop, after the drain and the restart of a gateway
 	loopSettleTime  = 2 * time.Minute  // after the last restart of the loop
-	loopGiveUpTime  = 2 * time.Hour    // after which the loop ends even if gateways lack the new version
+	loopGiveUpTime  = 2 * time.Hour    // after which the loop ends even if some gateways lack the new version
 	normalLatency   = 10 * time.Millisecond
 	gatewayMemory   = 64 << 20 // bytes
 	releaseGrace    = time.Minute
@@ -32,18 +32,18 @@
 )
 
 // Rollout simulates the rollout of a program version over a fleet of gateways under load, with the drain and release ledgers of the
-// quorum. Times are simulated; the result depends on the fields alone. Run sets the defaults of fields that are zero.
+// quorum. Times are simulated; the result depends only on the fields. Run sets the defaults of fields that are zero.
 type Rollout struct {
 	Gateways int
 	Sites    int
 	Zones    int     // in each site
-	Rate     float64 // requests a second over all gateways
+	Rate     float64 // requests per second over all gateways
 
 	FailureRate float64       // fraction of its requests that the new version fails
 	Slowdown    float64       // latency that the new version adds, relative to the old version
-	CrashAfter  time.Duration // after which a gateway of the new version crashes; 0: never
+	CrashAfter  time.Duration // uptime after which a gateway with the new version crashes; 0: never
 
-	UnplannedFailures float64 // fraction of the gateways that fail in an hour, whatever their version
+	UnplannedFailures float64 // fraction of the gateways that fail per hour, with either version
 	FailureDowntime   time.Duration
 
 	RestartTime    time.Duration // from the end of a gateway until it serves again
@@ -86,12 +86,12 @@
 	TimeToHalt            time.Duration `json:"halt"`
 	Requests              int           `json:"requests"`
 	HarmedRequests        int           `json:"harmed"`   // failed by the new version, or lost in its crashes
-	MaxUpdated            int           `json:"had"`      // gateways with the new version at once
-	MaxPlannedUnavailable int           `json:"planned"`  // gateways of a site that were unavailable by plan at once
-	MaxUnavailable        int           `json:"missing"`  // the same, with unplanned failures
-	BudgetViolations      int           `json:"over"`     // steps and sites with more planned unavailability than the budget
+	MaxUpdated            int           `json:"had"`      // maximum number of gateways with the new version
+	MaxPlannedUnavailable int           `json:"planned"`  // maximum number of gateways of a site with planned unavailability
+	MaxUnavailable        int           `json:"missing"`  // the same, including unplanned failures
+	BudgetViolations      int           `json:"over"`     // one for each step and site with more planned unavailability than the budget allows
 	UnplannedFailures     int           `json:"deaths"`   // failures that no version caused
-	UnavailableLimit      int           `json:"bound"`    // gateways of a site that the budget lets be unavailable
+	UnavailableLimit      int           `json:"bound"`    // gateways of a site that the budget allows to be unavailable
 	PlannedRestarts       int           `json:"restarts"` // by the rollout
 }
 
@@ -99,43 +99,43 @@
 func (r Rollout) Run() (RolloutResult, error) {
 	r.SetDefaults()
 	if r.Gateways < 1 || r.Gateways > maxRolloutFleet || r.Sites < 1 || r.Zones < 1 || r.Interval <= 0 {
-		return RolloutResult{}, errors.New("want 1 to 4096 gateways, sites and zones")
+		return RolloutResult{}, errors.New("want 1 to 4096 gateways, at least one site and zone, and a positive interval")
 	}
-	s := newRolloutRun(r)
+	run := newRolloutRun(r)
 	budget := drain.Budget{Name: "site", Scope: drain.Scope{Gateways: true, EachSite: true}, Fraction: r.MaxUnavailable}
-	if err := s.drains.SetBudgets(0, []drain.Budget{budget}); err != nil {
-		return s.result, err
+	if err := run.drains.SetBudgets(0, []drain.Budget{budget}); err != nil {
+		return run.result, err
 	}
-	for s.now = r.Interval; s.now < r.MaxDuration; s.now += r.Interval {
-		done, err := s.step()
+	for run.now = r.Interval; run.now < r.MaxDuration; run.now += r.Interval {
+		done, err := run.step()
 		if err != nil {
-			return s.result, err
+			return run.result, err
 		}
 		if done {
 			break
 		}
 	}
-	if s.stoppedAt > 0 && s.firstUpdateAt > 0 {
-		s.result.TimeToHalt = max(s.stoppedAt-s.firstUpdateAt, 0)
+	if run.stoppedAt > 0 && run.firstUpdateAt > 0 {
+		run.result.TimeToHalt = max(run.stoppedAt-run.firstUpdateAt, 0)
 	}
-	return s.result, nil
+	return run.result, nil
 }
 
-// poisson draws from a Poisson distribution; of a large mean from its normal approximation.
+// poisson draws from a Poisson distribution, or from its normal approximation if the mean is large.
 func poisson(rng *rand.Rand, mean float64) int {
-	const normalFrom = 50
+	const maxExactMean = 50
 	if mean <= 0 {
 		return 0
 	}
-	if mean > normalFrom {
+	if mean > maxExactMean {
 		return max(0, int(math.Round(mean+math.Sqrt(mean)*rng.NormFloat64())))
 	}
-	limit, product, n := math.Exp(-mean), 1.0, 0
+	limit, product, count := math.Exp(-mean), 1.0, 0
 	for {
 		product *= rng.Float64()
 		if product <= limit {
-			return n
+			return count
 		}
-		n++
+		count++
 	}
 }
--- a/internal/experiment/rollout_run.go
+++ b/internal/experiment/rollout_run.go
@@ -20,22 +20,22 @@
 	limits   map[string]int // planned unavailable gateways that the budget allows, by site
 	drains   *drain.Ledger
 	releases *release.Ledger
-	started  bool // the release
+	started  bool // whether the release has started
 	loop     restartLoop
-	window   []stepLoad // of alarmWindow
+	window   []stepLoad // of the last alarmWindow
 	result   RolloutResult
 
-	firstUpdateAt time.Duration // 0: no gateway had the new version yet
+	firstUpdateAt time.Duration // 0: no gateway has had the new version yet
 	stoppedAt     time.Duration // 0: the rollout was not stopped
 }
 
 // rolloutGateway is a simulated gateway.
 type rolloutGateway struct {
 	release.Gateway
-	nextVersion   string        // of the next start; empty: the same version
-	recoversAt    time.Duration // 0: it is not down
+	nextVersion   string        // version of the next start; empty: unchanged
+	recoversAt    time.Duration // 0: not down
 	startedAt     time.Duration
-	planned       bool // it is unavailable by plan
+	planned       bool // its unavailability is planned
 	drainingSince time.Duration
 }
 
@@ -53,7 +53,7 @@
 }
 
 func newRolloutRun(r Rollout) *rolloutRun {
-	s := &rolloutRun{
+	run := &rolloutRun{
 		Rollout:  r,
 		rng:      rand.New(rand.NewPCG(r.Seed, 0x3011)),
 		limits:   map[string]int{},
@@ -72,14 +72,14 @@
 			Version:     oldVersion,
 			Figures:     release.Figures{Memory: gatewayMemory},
 		}
-		s.gateways = append(s.gateways, &rolloutGateway{Gateway: gateway})
-		s.limits[gateway.Site]++
+		run.gateways = append(run.gateways, &rolloutGateway{Gateway: gateway})
+		run.limits[gateway.Site]++
 	}
-	for site, n := range s.limits {
-		s.limits[site] = max(int(r.MaxUnavailable*float64(n)), min(n-1, 1))
-		s.result.UnavailableLimit = max(s.result.UnavailableLimit, s.limits[site])
+	for site, n := range run.limits {
+		run.limits[site] = max(int(r.MaxUnavailable*float64(n)), min(n-1, 1))
+		run.result.UnavailableLimit = max(run.result.UnavailableLimit, run.limits[site])
 	}
-	return s
+	return run
 }
 
 // step simulates one interval and reports whether the rollout has ended.
@@ -97,7 +97,7 @@
 	return s.stepLoop(updated), nil
 }
 
-// advanceGateways starts the gateways whose downtime is over and lets gateways fail. It returns how many serve.
+// advanceGateways starts the gateways whose downtime is over and lets gateways fail. It returns the number of serving gateways.
 func (s *rolloutRun) advanceGateways() (serving int) {
 	for _, g := range s.gateways {
 		if g.recoversAt > 0 && s.now >= g.recoversAt {
@@ -111,7 +111,7 @@
 			s.result.UnplannedFailures++
 			g.crash(s.now + s.FailureDowntime)
 		case s.CrashAfter > 0 && g.Version == newVersion && s.now-g.startedAt >= s.CrashAfter:
-			s.result.HarmedRequests++ // the one in flight
+			s.result.HarmedRequests++ // the request in flight
 			g.crash(s.now + s.RestartTime)
 		}
 		if g.Serving {
@@ -121,7 +121,8 @@
 	return serving
 }
 
-// start returns a gateway that was down to service. In a release its drain request ends the planned unavailability instead.
+// start restarts a gateway that was down. Without a release, that also ends its planned unavailability; in a release, the end of its
+// drain request does.
 func (s *rolloutRun) start(g *rolloutGateway) {
 	g.recoversAt = 0
 	g.Responding = true
@@ -191,7 +192,7 @@
 	return updated
 }
 
-// stepRelease lets the release ledger decide and reports whether the release has ended.
+// stepRelease advances the release by the decisions of the release ledger and reports whether the release has ended.
 func (s *rolloutRun) stepRelease() (done bool, err error) {
 	if !s.started {
 		s.started = true
@@ -251,7 +252,7 @@
 	return sum.failed / sum.requests, true
 }
 
-// restartNext restarts the gateways whose turn it is in the modes loop and at-once.
+// restartNext restarts the gateways that are due in the modes loop and at-once.
 func (s *rolloutRun) restartNext() {
 	version := newVersion
 	if s.loop.rollingBack {
@@ -269,7 +270,8 @@
 	}
 }
 
-// loopEnded reports whether the loop has passed all gateways and what it was for is reached, or given up.
+// loopEnded reports whether the loop has processed all gateways. A loop that does not roll back also has to reach all gateways with the
+// new version, or give up, and then wait for loopSettleTime.
 func (s *rolloutRun) loopEnded(updated int) bool {
 	restarting := slices.ContainsFunc(s.gateways, func(g *rolloutGateway) bool { return g.planned })
 	if s.loop.next < len(s.gateways) || restarting {
@@ -282,7 +284,8 @@
 	return complete && s.now > s.loop.nextAt+loopSettleTime
 }
 
-// reconcile does the work of the leader: it commits an observation of the fleet to the ledgers and carries out the drain requests.
+// reconcile does the work of the leader and of the gateways: it commits an observation of the fleet to the ledgers and carries out the
+// drain requests.
 func (s *rolloutRun) reconcile() {
 	s.observe()
 	s.releases.RequestDrains(s.now, s.drains)
@@ -304,7 +307,7 @@
 				g.restart(s.now, request.Restart, 0, s.RestartTime)
 				s.result.PlannedRestarts++
 			}
-		case request.State == drain.Cancelled && g.Responding && g.recoversAt == 0 && !g.Serving: // before its restart
+		case request.State == drain.Cancelled && g.Responding && g.recoversAt == 0 && !g.Serving: // cancelled before its restart
 			g.Serving, g.planned = true, false
 		}
 	}
@@ -326,38 +329,38 @@
 		releaseView = append(releaseView, seen)
 	}
 	s.releases.Observe(s.now, releaseView)
-	_ = s.drains.Observe(s.now, s.drains.Version, drainView, nil) // fails only beyond the ledger's limits, which Run checks
+	_ = s.drains.Observe(s.now, s.drains.Version, drainView, nil) // fails only above the ledger's limits, which Run checks
 }
 
-// crash ends the gateway without a drain until it recovers.
+// crash takes the gateway down without a drain until it recovers.
 func (g *rolloutGateway) crash(recoversAt time.Duration) {
 	g.Responding = false
 	g.Serving = false
 	g.recoversAt = recoversAt
 }
 
-// restart ends the gateway by plan; it serves again after the drain and the restart.
-func (g *rolloutGateway) restart(now time.Duration, version string, drain, restart time.Duration) {
+// restart takes the gateway down as planned. It serves again after the drain and the restart.
+func (g *rolloutGateway) restart(now time.Duration, version string, drainTime, restart time.Duration) {
 	g.Responding = false
 	g.Serving = false
 	g.planned = true
 	g.nextVersion = version
-	g.recoversAt = now + drain + restart
+	g.recoversAt = now + drainTime + restart
 }
 
 // recordRequests adds requests to the figures that the gateway reports.
 func (g *rolloutGateway) recordRequests(requests, failed int, latency time.Duration) {
-	f := g.Figures
+	figures := g.Figures
 	served := uint64(requests - failed)
-	f.Accepted += uint64(requests)
-	f.Failed += uint64(failed)
-	f.Served += served
-	f.LatencySeconds += latency.Seconds() * float64(served)
+	figures.Accepted += uint64(requests)
+	figures.Failed += uint64(failed)
+	figures.Served += served
+	figures.LatencySeconds += latency.Seconds() * float64(served)
 	bucket := release.LatencyBucket(latency)
-	missing := max(bucket+1-len(f.LatencyCounts), 0)
-	f.LatencyCounts = append(slices.Clone(f.LatencyCounts), make([]uint64, missing)...)
-	f.LatencyCounts[bucket] += served
-	all := f.Classes["all"]
-	f.Classes = map[string]release.ClassFigures{"all": {Accepted: all.Accepted + uint64(requests), InTime: all.InTime + served}}
-	g.Figures = f
+	added := max(bucket+1-len(figures.LatencyCounts), 0)
+	figures.LatencyCounts = append(slices.Clone(figures.LatencyCounts), make([]uint64, added)...)
+	figures.LatencyCounts[bucket] += served
+	total := figures.Classes["all"]
+	figures.Classes = map[string]release.ClassFigures{"all": {Accepted: total.Accepted + uint64(requests), InTime: total.InTime + served}}
+	g.Figures = figures
 }
--- a/internal/experiment/simulate.go
+++ b/internal/experiment/simulate.go
@@ -10,7 +10,7 @@
 	"robindrum/internal/testbed/fleet"
 )
 
-// Values of fields of the file. Zone and retry modes have the order of the simulation's constants.
+// Accepted values of fields of the file. zoneModes and clientRetryModes have the order of the constants of package fleet.
 var (
 	zoneModes        = []string{"tiers", "price", "failover"}
 	admissionModes   = []string{"adaptive", "fixed", "off", "estimate"}
@@ -21,52 +21,53 @@
 
 // simulationOptions returns the options of the simulation for a seed.
 func (e *Experiment) simulationOptions(seed uint64) fleet.Options {
-	f, g := &e.Fleet, &e.Gateways
+	fleetConfig, gateways := &e.Fleet, &e.Gateways
 	arrivals := e.arrivals(seed)
-	o := fleet.Options{
-		Mode:      fleet.Mode(max(slices.Index(zoneModes, g.ZoneMode), 0)),
+	options := fleet.Options{
+		Mode:      fleet.Mode(max(slices.Index(zoneModes, gateways.ZoneMode), 0)),
 		Seed:      seed,
-		Zones:     f.Zones,
-		Gateways:  g.Count,
+		Zones:     fleetConfig.Zones,
+		Gateways:  gateways.Count,
 		Clients:   e.Load.Clients,
 		ThinkTime: e.Load.ThinkTime.D(),
 		Arrivals: func() (fleet.Arrival, bool) {
-			x, ok := arrivals.take()
-			return fleet.Arrival{At: x.at, Class: x.class, Gateway: x.gateway, Tenant: x.key}, ok
+			request, ok := arrivals.take()
+			return fleet.Arrival{At: request.at, Class: request.class, Gateway: request.gateway, Tenant: request.key}, ok
 		},
-		Link:             fleet.Link{Delay: f.Link.Delay.D(), Jitter: f.Link.Jitter.D(), Loss: f.Link.Loss},
+		Link:             fleet.Link{Delay: fleetConfig.Link.Delay.D(), Jitter: fleetConfig.Link.Jitter.D(), Loss: fleetConfig.Link.Loss},
 		Duration:         e.Length.D(),
-		Workers:          f.Workers,
-		ServiceTime:      f.MeanServiceTime.D(),
-		QueueSize:        f.QueueLimit,
-		WarmUp:           f.WarmUp.D(),
-		InitialSpeed:     f.InitialSpeed,
-		OverloadMultiple: f.CollapseLoad,
-		CrossZoneDelay:   f.CrossZoneRTT.D(),
-		ConnectTime:      f.ConnectCost.D(),
-		Source:           fleet.Source{Slots: g.Source.Concurrency, CallTime: g.Source.ResponseTime.D(), MaxWait: g.Source.QueueTimeout.D()},
+		Workers:          fleetConfig.Workers,
+		ServiceTime:      fleetConfig.MeanServiceTime.D(),
+		QueueSize:        fleetConfig.QueueLimit,
+		WarmUp:           fleetConfig.WarmUp.D(),
+		InitialSpeed:     fleetConfig.InitialSpeed,
+		OverloadMultiple: fleetConfig.CollapseLoad,
+		CrossZoneDelay:   fleetConfig.CrossZoneRTT.D(),
+		ConnectTime:      fleetConfig.ConnectCost.D(),
+		Source:           fleet.Source{Slots: gateways.Source.Concurrency, CallTime: gateways.Source.ResponseTime.D(), MaxWait: gateways.Source.QueueTimeout.D()},
 		ClientRetry:      fleet.ClientRetry(max(slices.Index(clientRetryModes, e.Load.RetryMode), 0)),
 	}
-	for _, group := range f.Groups {
-		o.Groups = append(o.Groups, fleet.Group{Zone: group.Zone, Servers: group.Servers, Workers: group.Workers, QueueSize: group.QueueLimit, Speed: group.speedAt})
+	for _, group := range fleetConfig.Groups {
+		options.Groups = append(options.Groups, fleet.Group{Zone: group.Zone, Servers: group.Servers, Workers: group.Workers, QueueSize: group.QueueLimit, Speed: group.speedAt})
 	}
 	for _, c := range e.Classes {
-		o.Classes = append(o.Classes, fleet.Class{Fraction: c.LoadShare, DrawServiceTime: c.draw, ResponseTime: f.Link.transferTime(c.ResponseSize), Class: c.balancerClass()})
+		options.Classes = append(options.Classes, fleet.Class{Fraction: c.LoadShare, DrawServiceTime: c.draw, ResponseTime: fleetConfig.Link.transferTime(c.ResponseSize), Class: c.balancerClass()})
 	}
-	if g.Admission != "estimate" {
-		mode := map[string]admission.Mode{"adaptive": admission.Adaptive, "fixed": admission.Fixed, "off": admission.Off}[g.Admission]
-		o.Admission = fleet.NewAdmission(o, admission.Options{Mode: mode, Limit: g.AdmissionLimit})
-		o.Zone.OwnFree = mode != admission.Off
+	if gateways.Admission != "estimate" {
+		mode := map[string]admission.Mode{"adaptive": admission.Adaptive, "fixed": admission.Fixed, "off": admission.Off}[gateways.Admission]
+		options.Admission = fleet.NewAdmission(options, admission.Options{Mode: mode, Limit: gateways.AdmissionLimit})
+		options.Zone.OwnFree = mode != admission.Off
 	}
-	for _, p := range e.Phases {
-		o.Phases = append(o.Phases, p.D())
+	for _, end := range e.Phases {
+		options.Phases = append(options.Phases, end.D())
 	}
 	for _, event := range e.timeline() {
-		o.Events = append(o.Events, fleet.Event{At: event.At.D(), Do: event.simulate})
+		options.Events = append(options.Events, fleet.Event{At: event.At.D(), Do: event.simulate})
 	}
-	return o
+	return options
 }
 
+// balancerClass returns the class as the balancer's configuration has it.
 func (c *Class) balancerClass() balancer.Class {
 	return balancer.Class{
 		Name:             c.Name,
@@ -107,69 +108,72 @@
 	if err := checkSeeds(seeds); err != nil {
 		return nil, err
 	}
-	r := newReport(e, "simulated")
+	report := newReport(e, "simulated")
 	for i := range seeds {
 		seed := uint64(e.Seed + i)
-		c, err := e.simulateSeed(seed)
+		results, err := e.simulateSeed(seed)
 		if err != nil {
 			return nil, fmt.Errorf("%s with seed %d: %w", e.Name, seed, err)
 		}
-		r.add(c, seed)
+		report.add(results, seed)
 	}
-	r.finish(e)
-	return r, nil
+	report.finish(e)
+	return report, nil
 }
 
 // simulateSeed runs the simulation of a seed and returns its results.
 func (e *Experiment) simulateSeed(seed uint64) (*collector, error) {
-	options, c := e.simulationOptions(seed), newCollector(e)
+	options, collected := e.simulationOptions(seed), newCollector(e)
 	options.Observer = fleet.Observer{
-		AttemptSent:      func(at time.Duration, _, server string) { c.recordAttempt(at, server) },
-		ResponseReceived: func(a fleet.Response) { c.recordOutcome(a.At, a.Took, a.Class, outcomeOf(a)) },
+		AttemptSent: func(at time.Duration, _, server string) { collected.recordAttempt(at, server) },
+		ResponseReceived: func(response fleet.Response) {
+			collected.recordOutcome(response.At, response.Took, response.Class, outcomeOf(response))
+		},
 	}
 	result, err := fleet.Run(options)
 	if err != nil {
 		return nil, err
 	}
-	c.restartTime = result.MaxTimeToReady
-	c.duplicateEffects = result.DuplicateEffects
-	c.sentAfterDrain = result.AttemptsAfterDrain
-	c.steps = result.Events
-	c.lost = result.Lost
-	if counted := countRequests(result); result.Lost == 0 && c.requests != counted {
-		return nil, fmt.Errorf("%d answers were seen and %d were counted", c.requests, counted)
-	}
-	for i, p := range result.Phases {
-		c.phases[i].addServerCounts(&Phase{
-			CrossZoneAttempts: p.CrossZone,
-			Attempts:          p.Attempts,
-			NewConnections:    p.NewConnections,
-			CollapsedServers:  p.Overloads,
-			MaxWarmingLoad:    p.MaxColdLoad,
-			MaxServerRequests: p.MaxQueue,
+	collected.restartTime = result.MaxTimeToReady
+	collected.duplicateEffects = result.DuplicateEffects
+	collected.sentAfterDrain = result.AttemptsAfterDrain
+	collected.steps = result.Events
+	collected.lost = result.Lost
+	if counted := countRequests(result); result.Lost == 0 && collected.requests != counted {
+		return nil, fmt.Errorf("the observer saw %d responses, but the simulation counted %d", collected.requests, counted)
+	}
+	for i, phase := range result.Phases {
+		collected.phases[i].addServerCounts(&Phase{
+			CrossZoneAttempts: phase.CrossZone,
+			Attempts:          phase.Attempts,
+			NewConnections:    phase.NewConnections,
+			CollapsedServers:  phase.Overloads,
+			MaxWarmingLoad:    phase.MaxColdLoad,
+			MaxServerRequests: phase.MaxQueue,
 		})
 	}
-	return c, nil
+	return collected, nil
 }
 
-func outcomeOf(a fleet.Response) outcome {
+// outcomeOf returns the outcome of a simulated response.
+func outcomeOf(response fleet.Response) outcome {
 	switch {
-	case a.InTime:
+	case response.InTime:
 		return inTime
-	case a.Late:
+	case response.Late:
 		return servedLate
-	case a.Failed:
+	case response.Failed:
 		return failed
 	}
 	return rejected
 }
 
 // countRequests returns the number of requests that ended in a simulation.
-func countRequests(r fleet.Result) (n int) {
-	for _, p := range r.Phases {
-		for _, c := range p.Classes {
-			n += c.InTime + c.Late + c.Rejected + c.Failed
+func countRequests(result fleet.Result) (count int) {
+	for _, phase := range result.Phases {
+		for _, class := range phase.Classes {
+			count += class.InTime + class.Late + class.Rejected + class.Failed
 		}
 	}
-	return n
+	return count
 }
--- a/internal/experiment/trace.go
+++ b/internal/experiment/trace.go
@@ -17,8 +17,8 @@
 type Trace struct {
 	File           string  `yaml:"file"`    // of the capture; relative to the directory of the experiment
 	Speed          float64 `yaml:"speed"`   // 2 replays in half the time
-	Multiplier     float64 `yaml:"by"`      // of the load, beside the compensation for sampling
-	UnknownClasses string  `yaml:"unknown"` // records of classes that the experiment lacks: refuse (an error) or drop
+	Multiplier     float64 `yaml:"by"`      // of the load, in addition to the compensation for sampling
+	UnknownClasses string  `yaml:"unknown"` // handling of records whose class the experiment lacks: refuse (an error) or drop
 }
 
 // trace is a capture that is ready to be replayed.
@@ -31,53 +31,53 @@
 }
 
 // openTrace opens the capture of an experiment and sets the length that the file leaves out. It returns nil after adding an error to
-// strict.
-func (e *Experiment) openTrace(strict *config.StrictDecoder, path string) *capture.Capture {
-	t := e.Load.Trace
-	if t.File == "" {
-		strict.AddError("load.trace.file", "is missing")
+// decoder.
+func (e *Experiment) openTrace(decoder *config.StrictDecoder, path string) *capture.Capture {
+	options := e.Load.Trace
+	if options.File == "" {
+		decoder.AddError("load.trace.file", "is missing")
 		return nil
 	}
-	if !filepath.IsAbs(t.File) {
-		t.File = filepath.Join(filepath.Dir(path), t.File)
+	if !filepath.IsAbs(options.File) {
+		options.File = filepath.Join(filepath.Dir(path), options.File)
 	}
-	c, err := capture.Open(t.File)
+	opened, err := capture.Open(options.File)
 	if err != nil {
-		strict.AddError("load.trace.file", "%v", err)
+		decoder.AddError("load.trace.file", "%v", err)
 		return nil
 	}
 	if e.Length == 0 {
-		speed := max(cmp.Or(t.Speed, 1), 0.01)
-		length := max(float64(c.Length)/speed, float64(time.Second))
+		speed := max(cmp.Or(options.Speed, 1), 0.01)
+		length := max(float64(opened.Length)/speed, float64(time.Second))
 		e.Length = config.Duration(min(length, float64(maxLength)))
 	}
-	return c
+	return opened
 }
 
 // setTrace makes a capture the load of the experiment.
-func (e *Experiment) setTrace(c *capture.Capture, t *Trace) error {
-	r := &trace{Trace: t, copies: t.Multiplier / c.SampleRate}
-	unknown := r.addRecords(e.Classes, c.Records)
-	if len(unknown) > 0 && t.UnknownClasses != "drop" {
+func (e *Experiment) setTrace(captured *capture.Capture, options *Trace) error {
+	replayed := &trace{Trace: options, copies: options.Multiplier / captured.SampleRate}
+	unknown := replayed.addRecords(e.Classes, captured.Records)
+	if len(unknown) > 0 && options.UnknownClasses != "drop" {
 		names := []string{}
 		for name, records := range unknown {
 			names = append(names, fmt.Sprintf("%s (%d records)", name, records))
 		}
 		slices.Sort(names)
-		return fmt.Errorf("classes that the experiment has not: %v; add them, or say unknown: drop", names)
+		return fmt.Errorf("classes that the experiment has not: %v; add them, or set unknown: drop", names)
 	}
-	if len(r.records) == 0 {
-		return fmt.Errorf("%s holds no request of the experiment's classes", t.File)
+	if len(replayed.records) == 0 {
+		return fmt.Errorf("%s has no request of the experiment's classes", options.File)
 	}
-	if requests := r.requestsBefore(e.Length.D()); requests > maxRequests {
+	if requests := replayed.requestsBefore(e.Length.D()); requests > maxRequests {
 		return fmt.Errorf("%.0f requests, %d at most", requests, maxRequests)
 	}
-	r.setPeakRate()
-	e.trace = r
+	replayed.setPeakRate()
+	e.trace = replayed
 	return nil
 }
 
-// addRecords adds the records of the given classes and returns the number of the others by class.
+// addRecords adds the records of the given classes and returns the number of other records by class.
 func (r *trace) addRecords(classes []Class, records []capture.Record) (unknown map[string]int) {
 	index := map[string]int{}
 	for i, class := range classes {
@@ -108,6 +108,7 @@
 	return float64(records) * r.copies
 }
 
+// setPeakRate sets peakRate to the requests in the busiest second of the replay.
 func (r *trace) setPeakRate() {
 	perSecond := map[time.Duration]float64{}
 	for i := range r.records {
@@ -125,14 +126,14 @@
 // traceReplay yields the requests of a trace in order of time.
 type traceReplay struct {
 	*trace
-	next    int       // record
+	next    int       // index of the next record
 	pending []arrival // requests of earlier records, in order of time
 }
 
-// copySpread is the time over which the copies of a record are spread, so that they are no burst.
+// copySpread is the time over which the copies of a record are spread, so that they do not form a burst.
 const copySpread = time.Second
 
-// take returns the next request; false: there is none before the end of the experiment.
+// take returns the next request, or false if there is none before the end of the experiment.
 func (r *traceReplay) take(e *Experiment, rng *rand.Rand) (arrival, bool) {
 	end := e.Length.D()
 	for {
@@ -177,7 +178,7 @@
 	}
 }
 
-// compareAfterEqual orders a request before a time that equals its own, so that the search finds the position behind all equal ones.
+// compareAfterEqual orders a request before a time that equals its own, so that the search finds the position after all equal times.
 func compareAfterEqual(request arrival, at time.Duration) int {
 	if request.at <= at {
 		return -1
--- a/internal/experiment/validate.go
+++ b/internal/experiment/validate.go
@@ -25,9 +25,10 @@
 	}
 }
 
-// validate adds the errors of an experiment whose defaults are set to strict. Without needsLoad it may lack a load.
-func (e *Experiment) validate(strict *config.StrictDecoder, needsLoad bool) {
-	v := validator{strict}
+// validate adds the errors of the experiment to decoder. The defaults must have been set before. Without needsLoad, the experiment may
+// lack a load.
+func (e *Experiment) validate(decoder *config.StrictDecoder, needsLoad bool) {
+	v := validator{decoder}
 	if e.Name == "" {
 		v.AddError("name", "is missing")
 	}
@@ -81,13 +82,13 @@
 	v.between(prefix+"workers", float64(g.Workers), 1, 1e6)
 	v.between(prefix+"queue", float64(g.QueueLimit), 0, 1e6)
 	v.between(prefix+"speed", g.Speed, 0.01, 100)
-	n := g.Neighbour
-	if n == nil {
+	neighbour := g.Neighbour
+	if neighbour == nil {
 		return
 	}
-	v.between(prefix+"neighbour.takes", n.SpeedShare, 0, 0.99)
-	if n.Period > 0 && (n.Duration == 0 || n.Duration > n.Period) {
-		v.AddError(prefix+"neighbour.lasts", "want more than 0 and no more than every, %v, not %v", n.Period.D(), n.Duration.D())
+	v.between(prefix+"neighbour.takes", neighbour.SpeedShare, 0, 0.99)
+	if neighbour.Period > 0 && (neighbour.Duration == 0 || neighbour.Duration > neighbour.Period) {
+		v.AddError(prefix+"neighbour.lasts", "want more than 0 and at most every, %v, not %v", neighbour.Period.D(), neighbour.Duration.D())
 	}
 }
 
@@ -117,30 +118,30 @@
 
 func (e *Experiment) validateFleetSize(v validator) {
 	servers := 0.0
-	for _, g := range e.Fleet.Groups {
-		servers += float64(g.Servers)
+	for _, group := range e.Fleet.Groups {
+		servers += float64(group.Servers)
 	}
 	gateways := e.Gateways.Count
-	if servers > maxServers || servers*float64(gateways) > maxViews {
-		v.AddError("fleet", "%.0f servers before %d gateways: %d at most, and %d together", servers, gateways, maxServers, maxViews)
+	if servers > maxServers || servers*float64(gateways) > maxServerGatewayPairs {
+		v.AddError("fleet", "%.0f servers before %d gateways: want at most %d servers, and at most %d as the product of both", servers, gateways, maxServers, maxServerGatewayPairs)
 	}
 }
 
 func (e *Experiment) validateClasses(v validator) {
 	sum, names := 0.0, map[string]bool{}
-	for i, c := range e.Classes {
+	for i, class := range e.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
-		if c.Name == "" || names[c.Name] {
-			v.AddError(field+".name", "%q is empty or stands twice", c.Name)
+		if class.Name == "" || names[class.Name] {
+			v.AddError(field+".name", "%q is empty or stands twice", class.Name)
 		}
-		names[c.Name] = true
-		sum += c.LoadShare
-		v.between(field+".part", c.LoadShare, 0, 1)
-		v.between(field+".worth", c.PriorityWeight, 1e-6, 1e6)
-		if c.LatencyObjective > c.Deadline {
-			v.AddError(field+".wanted", "%v is longer than the deadline, %v", c.LatencyObjective.D(), c.Deadline.D())
+		names[class.Name] = true
+		sum += class.LoadShare
+		v.between(field+".part", class.LoadShare, 0, 1)
+		v.between(field+".worth", class.PriorityWeight, 1e-6, 1e6)
+		if class.LatencyObjective > class.Deadline {
+			v.AddError(field+".wanted", "%v is longer than the deadline, %v", class.LatencyObjective.D(), class.Deadline.D())
 		}
-		if balancer.Effect(c.Effect) == balancer.IdempotentWithKey && c.Window == 0 {
+		if balancer.Effect(class.Effect) == balancer.IdempotentWithKey && class.Window == 0 {
 			v.AddError(field+".window", "a keyed class needs it")
 		}
 	}
@@ -151,20 +152,20 @@
 
 func (e *Experiment) validatePhases(v validator) {
 	last := time.Duration(0)
-	for i, p := range e.Phases {
-		if p.D() <= last || p.D() >= e.Length.D() {
-			v.AddError(fmt.Sprintf("phases[%d]", i), "%v: they rise, and end before the length, %v", p.D(), e.Length.D())
+	for i, end := range e.Phases {
+		if end.D() <= last || end.D() >= e.Length.D() {
+			v.AddError(fmt.Sprintf("phases[%d]", i), "%v: they rise, and end before the length, %v", end.D(), e.Length.D())
 		}
-		last = p.D()
+		last = end.D()
 	}
 	if len(e.Phases) > maxPhases {
-		v.AddError("phases", "%d, %d at most", len(e.Phases), maxPhases)
+		v.AddError("phases", "%d entries, want at most %d", len(e.Phases), maxPhases)
 	}
 }
 
 func (e *Experiment) validateEvents(v validator) {
 	if len(e.Events) > maxEvents {
-		v.AddError("events", "%d, %d at most", len(e.Events), maxEvents)
+		v.AddError("events", "%d entries, want at most %d", len(e.Events), maxEvents)
 		return
 	}
 	for i := range e.Events {
@@ -187,13 +188,13 @@
 	if event.Action == "slow" {
 		v.between(field+".by", event.SlowdownFactor, 0.001, 1000)
 	} else if event.SlowdownFactor != 0 {
-		v.AddError(field+".by", "is for slow")
+		v.AddError(field+".by", "is only for slow")
 	}
 	if event.RenamedServers != 0 && event.Action != "revive" {
-		v.AddError(field+".renamed", "is for revive")
+		v.AddError(field+".renamed", "is only for revive")
 	}
 	if event.NotifyDelay != 0 && !slices.Contains([]string{"revive", "drain", "undrain"}, event.Action) {
-		v.AddError(field+".late", "is for revive, drain and undrain")
+		v.AddError(field+".late", "is only for revive, drain and undrain")
 	}
 	v.between(field+".renamed", float64(event.RenamedServers), 0, maxServers)
 	event.validateFlap(v, field)
@@ -207,7 +208,7 @@
 func (event *Event) validateFailureMode(v validator, field string) {
 	if event.Action != "kill" && event.Action != "flap" {
 		if event.FailureMode != "" {
-			v.AddError(field+".how", "is for kill and flap")
+			v.AddError(field+".how", "is only for kill and flap")
 		}
 		return
 	}
@@ -232,23 +233,23 @@
 
 func (e *Experiment) validateChecks(v validator) {
 	if len(e.Checks) > maxEvents {
-		v.AddError("checks", "%d, %d at most", len(e.Checks), maxEvents)
+		v.AddError("checks", "%d entries, want at most %d", len(e.Checks), maxEvents)
 		return
 	}
-	for i, c := range e.Checks {
+	for i, check := range e.Checks {
 		field := fmt.Sprintf("checks[%d]", i)
-		if c.Phase != nil && (*c.Phase < 0 || *c.Phase > len(e.Phases)) {
-			v.AddError(field+".phase", "there is no phase %d, they count from 0", *c.Phase)
+		if check.Phase != nil && (*check.Phase < 0 || *check.Phase > len(e.Phases)) {
+			v.AddError(field+".phase", "there is no phase %d; phases count from 0", *check.Phase)
 		}
-		if c.Class != "" && !slices.ContainsFunc(e.Classes, func(class Class) bool { return class.Name == c.Class }) {
-			v.AddError(field+".class", "there is no class %q", c.Class)
+		if check.Class != "" && !slices.ContainsFunc(e.Classes, func(class Class) bool { return class.Name == check.Class }) {
+			v.AddError(field+".class", "there is no class %q", check.Class)
 		}
-		for name, fraction := range map[string]*float64{"in_time": c.MinInTime, "refused": c.MaxRejected, "late": c.MaxLate} {
+		for name, fraction := range map[string]*float64{"in_time": check.MinInTime, "refused": check.MaxRejected, "late": check.MaxLate} {
 			if fraction != nil {
 				v.between(field+"."+name, *fraction, 0, 1)
 			}
 		}
-		if c.isEmpty() {
+		if check.isEmpty() {
 			v.AddError(field, "checks nothing: want in_time, refused, late, p99, worst_cold, connects or back")
 		}
 	}
--- a/internal/experiment/validate_load.go
+++ b/internal/experiment/validate_load.go
@@ -8,24 +8,24 @@
 const (
 	minOnOff            = 10 * time.Millisecond
 	minBurstPeriod      = time.Millisecond
-	maxCandidateFactor  = 20                     // arrivals at the peak rate, before thinning, over maxRequests
+	maxCandidateFactor  = 20                     // limit of arrivals at the peak rate, before thinning, as a multiple of maxRequests
 	loadIntegrationStep = 100 * time.Millisecond // for counting the requests of a load
 )
 
-// validateLoad adds the errors of the load. It ends early where the later checks could loop for long.
+// validateLoad adds the errors of the load. It returns early where later checks could loop for a long time.
 func (e *Experiment) validateLoad(v validator, needsLoad bool) {
 	l := &e.Load
 	e.validateRates(v)
-	if o := l.OnOff; o != nil && (o.On.D() < minOnOff || o.Off.D() < minOnOff) {
-		v.AddError("load.on_off", "want %v at least of both, not %v and %v", minOnOff, o.On.D(), o.Off.D())
+	if onOff := l.OnOff; onOff != nil && (onOff.On.D() < minOnOff || onOff.Off.D() < minOnOff) {
+		v.AddError("load.on_off", "want at least %v for on and off, not %v and %v", minOnOff, onOff.On.D(), onOff.Off.D())
 		return
 	}
-	if k := l.Keys; k != nil {
-		v.between("load.keys.number", float64(k.Count), 1, 1e6)
-		v.between("load.keys.exponent", k.ZipfExponent, 1.001, 10)
+	if keys := l.Keys; keys != nil {
+		v.between("load.keys.number", float64(keys.Count), 1, 1e6)
+		v.between("load.keys.exponent", keys.ZipfExponent, 1.001, 10)
 	}
 	if len(l.RateSpans) > maxEvents || len(l.Bursts) > maxEvents {
-		v.AddError("load", "%d at most of times and of bursts", maxEvents)
+		v.AddError("load", "want at most %d entries each of times and bursts", maxEvents)
 		return
 	}
 	requests := e.clientRequests() + e.validateBursts(v) + e.openLoopRequests()
@@ -45,6 +45,7 @@
 	}
 }
 
+// validateRates adds the errors of the rate, its spans, the arrivals and the clients.
 func (e *Experiment) validateRates(v validator) {
 	l := &e.Load
 	v.oneOf("load.again", l.RetryMode, clientRetryModes)
@@ -52,7 +53,7 @@
 	for i, span := range l.RateSpans {
 		field := fmt.Sprintf("load.times[%d]", i)
 		if span.Start >= span.End {
-			v.AddError(field, "from %v to %v", span.Start.D(), span.End.D())
+			v.AddError(field, "from %v to %v: want an end after the start", span.Start.D(), span.End.D())
 		}
 		v.between(field+".by", span.Multiplier, 0, 1e6)
 		if span.FinalMultiplier != nil {
@@ -63,30 +64,30 @@
 	v.between("load.clients", float64(l.Clients), 0, 100_000)
 }
 
-// validateBursts adds the errors of the bursts and returns how many requests the valid ones consist of.
+// validateBursts adds the errors of the bursts and returns the number of requests in the valid ones.
 func (e *Experiment) validateBursts(v validator) float64 {
 	requests := 0.0
-	for i, b := range e.Load.Bursts {
+	for i, burst := range e.Load.Bursts {
 		field := fmt.Sprintf("load.bursts[%d]", i)
-		v.between(field+".size", float64(b.Size), 1, 1e6)
-		if b.Period != 0 && b.Period.D() < minBurstPeriod {
-			v.AddError(field+".every", "want %v at least, not %v", minBurstPeriod, b.Period.D())
+		v.between(field+".size", float64(burst.Size), 1, 1e6)
+		if burst.Period != 0 && burst.Period.D() < minBurstPeriod {
+			v.AddError(field+".every", "want %v at least, not %v", minBurstPeriod, burst.Period.D())
 			continue
 		}
 		repeats := 1.0
-		if left := e.Length.D() - b.At.D(); b.Period > 0 && left > 0 {
-			repeats += float64(left / b.Period.D())
+		if remaining := e.Length.D() - burst.At.D(); burst.Period > 0 && remaining > 0 {
+			repeats += float64(remaining / burst.Period.D())
 		}
-		requests += repeats * float64(b.Size)
+		requests += repeats * float64(burst.Size)
 	}
 	return requests
 }
 
 func (l *Load) validateTrace(v validator) {
-	t := l.Trace
-	v.between("load.trace.speed", t.Speed, 0.01, 100)
-	v.between("load.trace.by", t.Multiplier, 0.001, 1000)
-	v.oneOf("load.trace.unknown", t.UnknownClasses, []string{"refuse", "drop"})
+	trace := l.Trace
+	v.between("load.trace.speed", trace.Speed, 0.01, 100)
+	v.between("load.trace.by", trace.Multiplier, 0.001, 1000)
+	v.oneOf("load.trace.unknown", trace.UnknownClasses, []string{"refuse", "drop"})
 	if l.Rate > 0 || len(l.Bursts) > 0 {
 		v.AddError("load.trace", "takes the place of rate and bursts")
 	}
--- a/internal/experiment/worker_pool.go
+++ b/internal/experiment/worker_pool.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// workerPool is the workers of one start of a loopback server and the requests that wait for one. Its methods are called with the
-// server's lock held, so that a request never occupies a place in the queue while a worker is idle.
+// workerPool holds the idle workers of a loopback server and the requests that wait for a worker. Each start of the server creates a
+// new pool. Its methods are called with the server's lock held, so that no request is queued while a worker is idle.
 type workerPool struct {
-	idleSince []time.Duration      // of each idle worker, so that late wake-ups cost no capacity
+	idleSince []time.Duration      // one time for each idle worker; work counts from it, so that a late wake-up of a goroutine costs no capacity
 	waiters   []chan time.Duration // in order of arrival; each has a buffer of one
 }
 
-// acquire returns the channel on which the caller receives a worker, as the time since which that worker is idle. It receives one at
-// once if a worker is idle, and after the earlier waiters otherwise.
+// acquire returns the channel on which the caller receives a worker, represented by the time since which the worker has been idle. If no
+// worker is idle, the caller has to wait until the earlier waiters have received theirs.
 func (w *workerPool) acquire() chan time.Duration {
 	worker := make(chan time.Duration, 1)
 	if len(w.idleSince) == 0 {
@@ -25,7 +25,7 @@
 	return worker
 }
 
-// release returns a worker that is idle since a time to the pool, or hands it to the longest waiter.
+// release returns a worker, idle since the given time, to the pool, or passes it to the request that has waited longest.
 func (w *workerPool) release(since time.Duration) {
 	if len(w.waiters) == 0 {
 		w.idleSince = append(w.idleSince, since)
@@ -35,7 +35,7 @@
 	w.waiters = w.waiters[1:]
 }
 
-// abandon withdraws an acquire. A worker that was received meanwhile is released.
+// abandon cancels an acquire. If the channel has already received a worker, abandon releases that worker.
 func (w *workerPool) abandon(worker chan time.Duration) {
 	if i := slices.Index(w.waiters, worker); i >= 0 {
 		w.waiters = slices.Delete(w.waiters, i, i+1)
