--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -141,7 +141,7 @@
 	if s != nil || pickRequest.Purpose != FirstAttempt {
 		return s
 	}
-	if len(pickRequest.Excluded) > 0 { // an earlier pick failed as well: allow a server that is ejected for the class
+	if len(pickRequest.Excluded) > 0 { // an earlier pick failed as well: a server that is ejected for the class is better than none
 		s = b.pick(now, usableHere)
 	}
 	if s == nil {
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -4,7 +4,7 @@
 
 const (
 	goodputHeadroom    = 1.3  // admitted requests per answer within the objective; above 1 to detect the end of an overload
-	minAdmitted        = 0.1  // lowest probability of admission, for the same reason
+	minAdmitted        = 0.1  // lowest probability of admission; above 0 to detect the end of an overload
 	objectiveMargin    = 1.5  // latency objective / expected latency; leaves room for the spread of latencies
 	minOverQuotaWeight = 0.01 // lower bound of Settings.OverQuotaWeight
 )
--- a/balancer/pollschedule_test.go
+++ b/balancer/pollschedule_test.go
@@ -272,8 +272,8 @@
 	}
 }
 
-// The first polls of proxies are spread over time. After each failure, a proxy waits, but the time between two polls always stays below
-// MaxPollInterval of the settings.
+// A proxy that starts polls the list soon, but the first polls of proxies are spread over time. After each failure, a proxy waits, but
+// the time between two polls, and before the first one, always stays below MaxPollInterval of the settings.
 func TestPollTimesAreSpreadAndBounded(t *testing.T) {
 	cfg := settings()
 	cfg.Polled, cfg.MaxPollInterval = true, 10*time.Second
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -150,7 +150,8 @@
 }
 
 // waitForServer sets a timer to dispatch the request again. Instead of waiting, it answers the request with an error if there is no
-// server to wait for, if the request has already been attempted, or if it has waited for maxServerWait or three quarters of its time.
+// server to wait for, if the request has already been attempted, or if it has waited for maxServerWait or three quarters of its time,
+// after which the client would soon have no use for the answer.
 func (b *Balancer) waitForServer(now time.Duration, r *request) {
 	noServer := b.endpoints.known && (b.endpoints.running == 0 || b.settings.Localities != nil)
 	attempted := len(r.attempts) > 0
@@ -212,7 +213,7 @@
 	b.cancelAttempts(r, none)
 }
 
-// cancelAttempts cancels the attempts in flight except the one with the index except.
+// cancelAttempts cancels all attempts in flight except the one with the given index.
 func (b *Balancer) cancelAttempts(r *request, except int) {
 	if !b.settings.MayCancel {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -116,7 +116,7 @@
 		s = b.pickLocalityAndServer(now, r, purpose, usable)
 	} else {
 		s = b.pick(now, func(s *server) bool { return s.accepts(r.class, now) && usable(s) })
-		if s == nil && first { // all servers are ejected for the class: try one of them nevertheless
+		if s == nil && first { // all servers are ejected for the class: an attempt at one is better than none
 			s = b.pick(now, usable)
 		}
 	}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -45,7 +45,7 @@
 }
 
 // computeWeights sets the weights of the candidates and counts the attempts in flight at ejected ones. It reports whether ejected
-// servers are to be excluded, which is so up to the panic threshold.
+// servers are to be excluded: their weight does not exceed the panic threshold.
 func (b *Balancer) computeWeights(now time.Duration, candidates []*server) (applyEjections bool) {
 	var warm decayingMean
 	for _, s := range candidates {
