--- a/internal/locality/invariants_test.go
+++ b/internal/locality/invariants_test.go
@@ -205,7 +205,7 @@
 }
 
 // Walks every sequence of eight events: the zone serves, fails, is silent, serves for a long time, or leaves the endpoint list or returns
-// to it. Only valid state transitions may occur, and each of them must, except Returning to Up.
+// to it. Only valid state transitions may occur, and each valid one must occur, except Returning to Up.
 func TestAllPathsOfTheStateMachine(t *testing.T) {
 	const depth = 8
 	events := []func(sim *simulation){
--- a/internal/locality/probe.go
+++ b/internal/locality/probe.go
@@ -11,8 +11,8 @@
 	maxProbesPerInterval  = 16 // probes of a locality in a probe interval, over all gateways
 )
 
-// probeDelayIntervals returns for how many probe intervals after a probe is due requests with this effect are not used as the probe,
-// so that a request that is safer to lose is used if there is one.
+// probeDelayIntervals returns how many probe intervals after a probe is due a request with this effect may be used as the probe. The
+// delay leaves time for a request that is safer to lose.
 func probeDelayIntervals(effect balancer.Effect) time.Duration {
 	switch effect {
 	case balancer.IdempotentWithKey:
--- a/internal/locality/state_test.go
+++ b/internal/locality/state_test.go
@@ -137,7 +137,7 @@
 		sim.clear()
 		sim.run(200*ms, 400, "map")
 		if n := float64(sim.sent[own]); n > 80*l.stateFactor(&sim.picker.options)+3 {
-			t.Errorf("%v of 80 requests sent to a zone with a share of %v", n, l.stateFactor(&sim.picker.options))
+			t.Errorf("%v of 80 requests sent to a zone with a state factor of %v, want at most 80 times the factor plus 3", n, l.stateFactor(&sim.picker.options))
 		}
 	}
 	if want := fmt.Sprint([]float64{1.0 / 16, 1.0 / 8, 1.0 / 4}); fmt.Sprint(steps) != want {
