--- a/internal/leaderelection/leaderelection.go
+++ b/internal/leaderelection/leaderelection.go
@@ -18,8 +18,8 @@
 // maxReleaseTime is the longest time to wait for the quorum's reply when a lease is released.
 const maxReleaseTime = 2 * time.Second
 
-// Quorum applies lease commands; *quorum.Client implements it. sentAt is the reading of the Elector's clock at which the command was
-// sent; if the command was retried, at which the successful attempt was sent.
+// Quorum applies lease commands; *quorum.Client implements it. sentAt is the reading of the Elector's clock when the successful
+// attempt to send the command began.
 type Quorum interface {
 	Do(ctx context.Context, c quorum.Command) (r quorum.Result, sentAt time.Duration, err error)
 }
