--- a/internal/unknownfields/unknownfields_test.go
+++ b/internal/unknownfields/unknownfields_test.go
@@ -29,7 +29,7 @@
 		}
 		newer := strings.TrimSuffix(string(text), "}") + `,"aged":{"x":[1,2]},"zeal":"y"}`
 		if err := json.Unmarshal([]byte(newer), value); err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: decode: %v", name, err)
 		}
 		if text, err = json.Marshal(value); err != nil || string(text) != newer {
 			t.Errorf("%s: round trip: got %s and error %v, want %s", name, text, err, newer)
@@ -72,7 +72,7 @@
 		}
 		encoded, err := unknownfields.Marshal(first, firstUnknown)
 		if err != nil {
-			t.Fatalf("%q: %v", text, err)
+			t.Fatalf("Marshal after Unmarshal of %q: %v", text, err)
 		}
 		err = unknownfields.Unmarshal(encoded, &second, &secondUnknown)
 		if err != nil || len(firstUnknown) != len(secondUnknown) || first.ID != second.ID || len(first.Target) != len(second.Target) {
