--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -24,7 +24,8 @@
 			t.Fatalf("event %v: previous state = %q, want %q", e, e.From, c.states[m.Name])
 		}
 		if m.Incarnation < c.incarnations[m.Name] || e.Restarted != (e.From != "" && m.Incarnation > c.incarnations[m.Name]) {
-			t.Fatalf("event %v: incarnation = %d, restarted = %v; previous incarnation %d", e, m.Incarnation, e.Restarted, c.incarnations[m.Name])
+			t.Fatalf("event %v after incarnation %d: got incarnation %d, restarted %v, want no lower incarnation, restarted for a higher one", e,
+				c.incarnations[m.Name], m.Incarnation, e.Restarted)
 		}
 		c.states[m.Name], c.incarnations[m.Name] = m.State, m.Incarnation
 		if m.State == Gone {
