--- a/internal/drain/target.go
+++ b/internal/drain/target.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// hasPattern reports whether a field contains a wildcard. Such targets are rejected, because wildcards are not expanded.
+// hasPattern reports whether a field contains a wildcard. Wildcards are not expanded. Targets with wildcards are rejected, so
+// that no operator takes a wildcard for a working pattern.
 func (t Target) hasPattern() bool {
 	return strings.ContainsAny(t.Gateway+t.Endpoint+t.Cluster+t.Site+t.Zone, "*?")
 }
