--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -90,7 +90,7 @@
 // wave returns the names of the gateways in the current wave.
 func (r *Release) wave() []string { return r.Waves[r.Wave] }
 
-// waveIsReady reports whether every gateway of the current wave has had what it is to have.
+// waveIsReady reports whether the current wave has become ready, see WaveReadyAt.
 func (r *Release) waveIsReady() bool { return r.WaveReadyAt > 0 }
 
 // released reports whether a gateway is to have the target: its wave has begun and is not rolled back.
