--- a/internal/fleet/configure.go
+++ b/internal/fleet/configure.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// maxSilentHeartbeats is for how many heartbeats the leader may be silent before a process rolls back the version or configuration
-	// that is on trial.
+	// maxSilentHeartbeats is the number of heartbeats for which the leader may be silent before a process rolls back the version or
+	// configuration that is on trial.
 	maxSilentHeartbeats  = 20
 	maxRetryPause        = time.Hour
-	maxRejectReasonBytes = 200 // bytes
+	maxRejectReasonBytes = 200
 
 	reasonSilence        = "with it nobody is heard of any more"
 	reasonVersionSilence = "with it nobody is heard of"
--- a/internal/fleet/observation.go
+++ b/internal/fleet/observation.go
@@ -123,7 +123,7 @@
 	return endpoints
 }
 
-// absentGateways is the time since which each gateway that the quorum knows has been absent, by the gateway's name.
+// absentGateways maps the name of each absent gateway that the quorum knows to the time at which its absence began.
 type absentGateways map[string]time.Duration
 
 // update returns the known gateways that are not present, marked as not serving. Gateways that have been absent for forgetAfter are
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -162,8 +162,8 @@
 	r.figuresIncludedAt = r.fleet.now()
 }
 
-// figuresDue reports whether figures are to be committed, sinceLast after the last commit of figures. Each commit is written to the
-// log, so figures are committed only during a release, and only as often as its soak needs them.
+// figuresDue reports whether figures are to be committed when the last commit of figures was sinceLast ago. Each commit is written to
+// the log, so figures are committed only during a release, and only as often as its soak needs them.
 func figuresDue(desired quorum.Desired, sinceLast time.Duration) bool {
 	return desired.InProgress && sinceLast >= min(desired.Soak/figuresPerSoak, maxFiguresInterval)
 }
@@ -195,8 +195,8 @@
 	return true
 }
 
-// reportsNeeded returns how many gateways must report before a drain's progress is known. If gateways are drained, these must report;
-// if endpoints are drained, every gateway must that may still send requests to them, which is each one that is not known to be dead.
+// reportsNeeded returns how many gateways must report before a drain's progress is known. If gateways are drained, these must report.
+// If endpoints are drained, every gateway that may still send requests to them must report: each one that is not known to be dead.
 func reportsNeeded(target drain.Target, members []membership.Member) int {
 	if target.Gateway != "" {
 		return 1
