--- a/internal/failoverplan/failoverplan.go
+++ b/internal/failoverplan/failoverplan.go
@@ -143,7 +143,7 @@
 }
 
 // route divides a site's load of a class among the sites that are to serve it. A site that is not lost serves its own load. Of a lost
-// site's load, each target that is not lost and has capacity for the class gets its fraction, up to what the targets before it left. The
+// site's load, each target that is not lost and has capacity for the class gets its fraction, up to what the preceding targets left. The
 // rest is allocated with an empty At.
 func (p *Plan) route(s *Site, class string, rate float64, lost []string) []Allocation {
 	if !slices.Contains(lost, s.Name) {
