--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -174,7 +174,7 @@
 // NoVote returns why a configured voter does not vote, or "" if it votes or none is configured.
 func (f *Fleet) NoVote() string {
 	if f.voterError == "" && f.server != nil {
-		return f.server.Stopped()
+		return f.server.StopReason()
 	}
 	return f.voterError
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -155,7 +155,7 @@
 // has already agreed on the same states.
 func (r *reconciler) omitFigures(observation *quorum.Observation, desired quorum.Desired) {
 	due := figuresDue(desired, r.fleet.now()-r.figuresIncludedAt)
-	if !due && r.fleet.server.StatesAgreed(observation.Releases) {
+	if !due && r.fleet.server.ReleaseStatesMatch(observation.Releases) {
 		observation.Releases = nil
 		return
 	}
--- a/internal/quorum/handlers.go
+++ b/internal/quorum/handlers.go
@@ -91,7 +91,7 @@
 func (s *Server) redirect(reason error) Reply {
 	reply := Reply{Reason: reason.Error()}
 	address, leader := s.raft.LeaderWithID()
-	if leader != raft.ServerID(s.id) && s.Stopped() == "" {
+	if leader != raft.ServerID(s.id) && s.StopReason() == "" {
 		reply.Leader = dialAddress(address)
 	}
 	return reply
--- a/internal/quorum/quorum.go
+++ b/internal/quorum/quorum.go
@@ -236,7 +236,7 @@
 	s.leading.Store(false)
 	_ = s.transport.Close()
 	shutdown := s.raft.Shutdown()
-	if s.Stopped() == "" { // after a failed write, a Raft goroutine may have exited early and the future would never complete
+	if s.StopReason() == "" { // after a failed write, a Raft goroutine may have exited early and the future would never complete
 		_ = shutdown.Error()
 	}
 	s.tasks.Wait()
@@ -275,8 +275,8 @@
 	s.raft.Shutdown()
 }
 
-// Stopped returns why this process has stopped voting, or "" if it has not.
-func (s *Server) Stopped() string {
+// StopReason returns why this process has stopped voting, or "" if it has not.
+func (s *Server) StopReason() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stopReason
--- a/internal/quorum/store_test.go
+++ b/internal/quorum/store_test.go
@@ -26,7 +26,7 @@
 		return anotherLeader(voters, failing)
 	})
 	testbed.Eventually(t, "the failing voter to report the fault", func() bool {
-		return strings.Contains(failing.Stopped(), "input/output") && failing.Status().State == stateStopped
+		return strings.Contains(failing.StopReason(), "input/output") && failing.Status().State == stateStopped
 	})
 	if token := acquire(t, client, "c").Grant.Token; token <= firstToken {
 		t.Errorf("got token %d, want more than %d", token, firstToken)
@@ -57,7 +57,7 @@
 		t.Error("the goroutine continues after the failed write")
 	}()
 	testbed.Receive(t, "the end of the goroutine", ended)
-	testbed.Eventually(t, "the follower to report the fault", func() bool { return strings.Contains(follower.Stopped(), "no space") })
+	testbed.Eventually(t, "the follower to report the fault", func() bool { return strings.Contains(follower.StopReason(), "no space") })
 	if _, err := os.Stat(filepath.Join(follower.dir, failedFile)); err == nil {
 		t.Error("the folder is marked as failed, want unmarked: nothing was written, so no data is lost")
 	}
--- a/internal/quorum/views.go
+++ b/internal/quorum/views.go
@@ -213,9 +213,9 @@
 	return desired
 }
 
-// StatesAgreed reports whether the replicated state of releases has exactly these gateways with the same state, ignoring their
+// ReleaseStatesMatch reports whether the replicated state of releases has exactly these gateways with the same state, ignoring their
 // figures.
-func (s *Server) StatesAgreed(gateways []release.Gateway) bool {
+func (s *Server) ReleaseStatesMatch(gateways []release.Gateway) bool {
 	s.fsm.mu.Lock()
 	defer s.fsm.mu.Unlock()
 	known := s.fsm.releases.Gateways
