--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -61,9 +61,9 @@
 	VersionRejected string `json:"not_this,omitempty"`
 }
 
-// Supervised controls, through this process's supervisor, which version of the program runs. Its methods are called by one goroutine at
+// VersionController controls, through this process's supervisor, which version of the program runs. Its methods are called by one goroutine at
 // a time.
-type Supervised interface {
+type VersionController interface {
 	// RejectReason returns why this process would not start with a version, or "" if it would.
 	RejectReason(version string) string
 	// SwitchTo makes this process exit and start again with another version.
@@ -95,7 +95,7 @@
 
 	// Set before Start.
 	agent          Agent
-	supervised     Supervised // nil if the process is not supervised
+	supervised     VersionController // nil if the process is not supervised
 	runningVersion string
 
 	configChanged chan struct{} // holds a value after the assigned configuration may have changed
@@ -119,8 +119,8 @@
 	return &assignee{fleet: f, configChanged: make(chan struct{}, 1)}
 }
 
-// SetSupervised allows releases to restart this process with other versions; version is the running one. It must be called before Start.
-func (f *Fleet) SetSupervised(version string, supervised Supervised) {
+// SetVersionController allows releases to restart this process with other versions; version is the running one. It must be called before Start.
+func (f *Fleet) SetVersionController(version string, supervised VersionController) {
 	f.assignee.supervised = supervised
 	f.assignee.runningVersion = version
 }
--- a/internal/fleet/post.go
+++ b/internal/fleet/post.go
@@ -16,10 +16,10 @@
 
 // Headers of the requests that post tasks send.
 const (
-	TokenHeader    = "Robindrum-Token"
-	MemberHeader   = "Robindrum-Member"
-	JudgedAtHeader = "Robindrum-Began" // the reading of this machine's Clock at which the lease was checked, in nanoseconds
-	NumberHeader   = "Robindrum-Number"
+	TokenHeader          = "Robindrum-Token"
+	MemberHeader         = "Robindrum-Member"
+	LeaseCheckedAtHeader = "Robindrum-Began" // the reading of this machine's Clock at which the lease was checked, in nanoseconds
+	NumberHeader         = "Robindrum-Number"
 )
 
 // maxPostResponseBytes is how much of a response body is read, so that the connection can be reused.
@@ -60,7 +60,7 @@
 	}
 	request.Header.Set(TokenHeader, strconv.FormatUint(token, 10))
 	request.Header.Set(MemberHeader, f.conf.Member)
-	request.Header.Set(JudgedAtHeader, strconv.FormatInt(int64(checkedAt), 10))
+	request.Header.Set(LeaseCheckedAtHeader, strconv.FormatInt(int64(checkedAt), 10))
 	request.Header.Set(NumberHeader, strconv.Itoa(number))
 	response, err := f.postClient.Do(request)
 	if err != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -129,7 +129,7 @@
 		return err
 	}
 	if child != nil && g.fleet != nil {
-		g.fleet.SetSupervised(child.Version, child)
+		g.fleet.SetVersionController(child.Version, child)
 	}
 	g.mu.Lock()
 	err = g.apply(f, true)
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return Post{}, fmt.Errorf("token: %w", err)
 	}
-	leaseCheckedAt, err := strconv.ParseInt(header.Get(fleet.JudgedAtHeader), 10, 64)
+	leaseCheckedAt, err := strconv.ParseInt(header.Get(fleet.LeaseCheckedAtHeader), 10, 64)
 	if err != nil {
 		return Post{}, fmt.Errorf("time of the lease check: %w", err)
 	}
