--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Verdict is the decision of an Admission about a request.
-type Verdict uint8
+// AdmissionDecision is the decision of an Admission about a request.
+type AdmissionDecision uint8
 
 // The decisions of an Admission.
 const (
-	Admit   Verdict = iota // the request starts now
-	Enqueue                // the request is queued until Admission.Next returns it
-	Reject                 // the request is rejected immediately
+	Admit   AdmissionDecision = iota // the request starts now
+	Enqueue                          // the request is queued until Admission.Next returns it
+	Reject                           // the request is rejected immediately
 )
 
 // Arrival describes a request that has arrived.
@@ -22,9 +22,9 @@
 	Size         int64         // bytes that are retained while the request is queued
 }
 
-// Sample is the observation of one attempt. Each attempt has exactly one Sample: when its answer began, or when it ended without
+// AttemptSample is the observation of one attempt. Each attempt has exactly one AttemptSample: when its answer began, or when it ended without
 // an answer.
-type Sample struct {
+type AttemptSample struct {
 	Class        string
 	HighPriority bool
 	Retry        bool // not the first attempt of its request; includes hedges
@@ -39,16 +39,16 @@
 	// SetEndpoints reports the number of servers in state Running.
 	SetEndpoints(now time.Duration, running int)
 	// Arrive decides about a request. With Enqueue, after is the maximum time in the queue; with Reject, it is the Retry-After.
-	Arrive(now time.Duration, arrival Arrival) (verdict Verdict, after time.Duration)
+	Arrive(now time.Duration, arrival Arrival) (verdict AdmissionDecision, after time.Duration)
 	// Next returns a queued request that is to be admitted or rejected now; with Reject, after is the Retry-After. If there is no
 	// such request, ok is false.
-	Next(now time.Duration) (seq uint64, verdict Verdict, after time.Duration, ok bool)
+	Next(now time.Duration) (seq uint64, verdict AdmissionDecision, after time.Duration, ok bool)
 	// Withdraw removes a request from the queue, for example because its client has disconnected.
 	Withdraw(seq uint64)
-	// Done reports that an admitted request has its final answer or that its answer has begun to stream.
-	Done(now time.Duration, highPriority bool)
+	// Release reports that an admitted request has its final answer or that its answer has begun to stream.
+	Release(now time.Duration, highPriority bool)
 	// AttemptEnded reports the observation of an attempt.
-	AttemptEnded(now time.Duration, sample Sample)
+	AttemptEnded(now time.Duration, sample AttemptSample)
 	// MayRetry reports whether the retry budget allows one more retry or hedge.
 	MayRetry(now time.Duration, highPriority bool) bool
 	// RetryStarted reports that a retry or hedge was sent.
@@ -94,7 +94,7 @@
 	b.admittingQueued = false
 }
 
-func (b *Balancer) admitOrReject(now time.Duration, r *request, verdict Verdict, after time.Duration) {
+func (b *Balancer) admitOrReject(now time.Duration, r *request, verdict AdmissionDecision, after time.Duration) {
 	r.admitted = verdict == Admit
 	if r.admitted {
 		b.dispatch(now, r)
@@ -110,7 +110,7 @@
 	if r.queued {
 		b.settings.Admission.Withdraw(r.seq)
 	} else if r.admitted {
-		b.settings.Admission.Done(now, r.HighPriority)
+		b.settings.Admission.Release(now, r.HighPriority)
 	}
 	r.queued = false
 	r.admitted = false
@@ -121,7 +121,7 @@
 	if b.settings.Admission == nil {
 		return
 	}
-	b.settings.Admission.AttemptEnded(now, Sample{
+	b.settings.Admission.AttemptEnded(now, AttemptSample{
 		Class:        r.Class,
 		HighPriority: r.HighPriority,
 		Retry:        attempt > 0,
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -18,8 +18,8 @@
 
 func (a *randomAdmission) SetEndpoints(time.Duration, int) {}
 
-func (a *randomAdmission) Arrive(_ time.Duration, arrival Arrival) (Verdict, time.Duration) {
-	v := Verdict(rapid.IntRange(0, 2).Draw(a.t, "verdict"))
+func (a *randomAdmission) Arrive(_ time.Duration, arrival Arrival) (AdmissionDecision, time.Duration) {
+	v := AdmissionDecision(rapid.IntRange(0, 2).Draw(a.t, "verdict"))
 	switch v {
 	case Admit:
 		a.started++
@@ -29,7 +29,7 @@
 	return v, 50 * ms
 }
 
-func (a *randomAdmission) Next(time.Duration) (uint64, Verdict, time.Duration, bool) {
+func (a *randomAdmission) Next(time.Duration) (uint64, AdmissionDecision, time.Duration, bool) {
 	if len(a.queue) == 0 || rapid.IntRange(0, 2).Draw(a.t, "next") > 0 {
 		return 0, 0, 0, false
 	}
@@ -52,13 +52,13 @@
 	a.t.Fatalf("Withdraw(%d): request is not queued", seq)
 }
 
-func (a *randomAdmission) Done(time.Duration, bool) {
+func (a *randomAdmission) Release(time.Duration, bool) {
 	if a.started--; a.started < 0 {
 		a.t.Fatal("Done called more often than requests were admitted")
 	}
 }
 
-func (a *randomAdmission) AttemptEnded(time.Duration, Sample) { a.samples++ }
+func (a *randomAdmission) AttemptEnded(time.Duration, AttemptSample) { a.samples++ }
 
 func (a *randomAdmission) MayRetry(time.Duration, bool) bool { return rapid.Bool().Draw(a.t, "retry") }
 
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -188,7 +188,7 @@
 
 // Arrive decides whether a request is admitted, queued or rejected. The duration is the maximum wait for balancer.Enqueue, the
 // Retry-After for balancer.Reject and 0 for balancer.Admit.
-func (c *Controller) Arrive(now time.Duration, arrival balancer.Arrival) (balancer.Verdict, time.Duration) {
+func (c *Controller) Arrive(now time.Duration, arrival balancer.Arrival) (balancer.AdmissionDecision, time.Duration) {
 	now = c.advance(now)
 	c.retryBudget.deposit(now)
 	requestClass, priority := c.class(arrival.Class, arrival.HighPriority), c.priorityOf(arrival.HighPriority)
@@ -239,7 +239,7 @@
 
 // Next returns the sequence number of a queued request that is to start or to be rejected now, its verdict and, for a rejection,
 // its Retry-After. The last result is false if there is no such request.
-func (c *Controller) Next(now time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
+func (c *Controller) Next(now time.Duration) (uint64, balancer.AdmissionDecision, time.Duration, bool) {
 	now = c.advance(now)
 	c.Overloaded(now)
 	for e := c.queue.expired(now); e != nil; e = c.queue.expired(now) {
@@ -308,8 +308,8 @@
 	}
 }
 
-// Done records the end of an admitted request.
-func (c *Controller) Done(now time.Duration, high bool) {
+// Release records the end of an admitted request.
+func (c *Controller) Release(now time.Duration, high bool) {
 	now = c.advance(now)
 	c.inFlight = max(c.inFlight-1, 0)
 	p := c.priorityOf(high)
@@ -318,7 +318,7 @@
 }
 
 // AttemptEnded records the outcome of an attempt and may change the adaptive limit.
-func (c *Controller) AttemptEnded(now time.Duration, s balancer.Sample) {
+func (c *Controller) AttemptEnded(now time.Duration, s balancer.AttemptSample) {
 	now = c.advance(now)
 	if s.Retry {
 		p := c.priorityOf(s.HighPriority)
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -27,15 +27,15 @@
 	return c
 }
 
-func (c *Controller) arrive(now time.Duration, seq uint64, class, tenant string) balancer.Verdict {
+func (c *Controller) arrive(now time.Duration, seq uint64, class, tenant string) balancer.AdmissionDecision {
 	v, _ := c.Arrive(now, balancer.Arrival{Seq: seq, Class: class, Tenant: tenant, TimeLeft: 2 * time.Second})
 	return v
 }
 
 func (c *Controller) respond(t *testing.T, now, took time.Duration, class string) {
 	t.Helper()
-	c.Done(now, false)
-	c.AttemptEnded(now, balancer.Sample{Class: class, SentAt: now - took, Latency: took, Result: balancer.Served})
+	c.Release(now, false)
+	c.AttemptEnded(now, balancer.AttemptSample{Class: class, SentAt: now - took, Latency: took, Result: balancer.Served})
 }
 
 // startQueued calls Next until it returns no request, and returns the requests that were admitted.
@@ -58,24 +58,24 @@
 		o.Breakers = Breakers{MaxRequests: 2, MaxPending: 1, MaxRetries: 1}
 		o.HighPriority = Breakers{MaxRequests: 2, MaxPending: 2, MaxRetries: 2}
 	})
-	sendRequest := func(seq uint64, high bool) balancer.Verdict {
+	sendRequest := func(seq uint64, high bool) balancer.AdmissionDecision {
 		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: "map", HighPriority: high, TimeLeft: time.Second})
 		return v
 	}
 	for i, want := range []struct {
 		high bool
-		v    balancer.Verdict
+		v    balancer.AdmissionDecision
 	}{{false, balancer.Admit}, {false, balancer.Admit}, {false, balancer.Enqueue}, {false, balancer.Reject}, {true, balancer.Admit}, {true, balancer.Enqueue}, {true, balancer.Enqueue},
 		{true, balancer.Reject}} {
 		if v := sendRequest(uint64(i), want.high); v != want.v {
 			t.Errorf("Arrive of request %d, high %v: got verdict %d, want %d", i, want.high, v, want.v)
 		}
 	}
-	if c.Done(0, true); fmt.Sprint(c.startQueued(0)) != "[5]" { // the limit would allow request 2, its circuit breaker does not
+	if c.Release(0, true); fmt.Sprint(c.startQueued(0)) != "[5]" { // the limit would allow request 2, its circuit breaker does not
 		t.Error("a HIGH request ended: request 5, also HIGH, did not start alone")
 	}
 	for _, want := range []string{"[6]", "[2]"} { // of equal weights, HIGH starts first
-		c.Done(0, want == "[2]")
+		c.Release(0, want == "[2]")
 		if l := c.startQueued(0); fmt.Sprint(l) != want {
 			t.Errorf("requests started after one ended: got %v, want %s", l, want)
 		}
@@ -89,7 +89,7 @@
 			t.Errorf("retries in flight, high %v: got %d, want %d", high, n, want)
 		}
 	}
-	if c.AttemptEnded(0, balancer.Sample{Class: "map", HighPriority: true, Retry: true, Result: balancer.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
+	if c.AttemptEnded(0, balancer.AttemptSample{Class: "map", HighPriority: true, Retry: true, Result: balancer.Served}); !c.MayRetry(0, true) || c.MayRetry(0, false) {
 		t.Error("a HIGH retry ended: MayRetry did not allow one more for HIGH and none for DEFAULT")
 	}
 }
@@ -104,8 +104,8 @@
 			b.Fatal("Arrive did not admit the request")
 		}
 		c.Next(now)
-		c.Done(now, false)
-		c.AttemptEnded(now, balancer.Sample{Class: "map", SentAt: now, Latency: 5 * ms, Result: balancer.Served})
+		c.Release(now, false)
+		c.AttemptEnded(now, balancer.AttemptSample{Class: "map", SentAt: now, Latency: 5 * ms, Result: balancer.Served})
 		c.Next(now)
 	}
 }
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -110,9 +110,9 @@
 	high := p.started[0]
 	p.started = p.started[1:]
 	took := time.Duration(rapid.IntRange(0, 900).Draw(p.t, "took")) * ms
-	p.controller.Done(p.now, high)
+	p.controller.Release(p.now, high)
 	result := balancer.Result(rapid.IntRange(0, int(balancer.NotSent)).Draw(p.t, "result"))
-	p.controller.AttemptEnded(p.now, balancer.Sample{HighPriority: high, Class: "map", SentAt: p.now - took, Latency: took, Result: result})
+	p.controller.AttemptEnded(p.now, balancer.AttemptSample{HighPriority: high, Class: "map", SentAt: p.now - took, Latency: took, Result: result})
 }
 
 // takeNext calls Next until it returns no request.
@@ -199,7 +199,7 @@
 func (p *eventPlayer) endAll() {
 	c := p.controller
 	for _, high := range p.started {
-		c.Done(p.now, high)
+		c.Release(p.now, high)
 	}
 	p.started = nil
 	p.now += time.Minute
@@ -207,7 +207,7 @@
 	for len(p.started) > 0 {
 		high := p.started[0]
 		p.started = p.started[1:]
-		c.Done(p.now, high)
+		c.Release(p.now, high)
 		p.takeNext()
 	}
 	if c.inFlight != 0 || c.priorities[0].inFlight != 0 || c.priorities[1].inFlight != 0 || c.queue.count != 0 || len(p.queued) != 0 {
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -30,7 +30,7 @@
 		lowest = min(lowest, c.maxInFlight())
 	}
 	for range pending {
-		c.Done(start+duration, false)
+		c.Release(start+duration, false)
 	}
 	return lowest
 }
@@ -124,8 +124,8 @@
 		if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
 			t.Fatalf("Arrive: got verdict %d, want %d", v, balancer.Admit)
 		}
-		c.Done(now+ms, false)
-		c.AttemptEnded(now+ms, balancer.Sample{Class: "map", SentAt: now, Latency: ms, Result: []balancer.Result{balancer.ServerError, balancer.ConnectionLost, balancer.NotConnected}[i%3]})
+		c.Release(now+ms, false)
+		c.AttemptEnded(now+ms, balancer.AttemptSample{Class: "map", SentAt: now, Latency: ms, Result: []balancer.Result{balancer.ServerError, balancer.ConnectionLost, balancer.NotConnected}[i%3]})
 	}
 	if c.maxInFlight() != before {
 		t.Errorf("limit after fast failures: got %d, want %d", c.maxInFlight(), before)
--- a/internal/admission/observations.go
+++ b/internal/admission/observations.go
@@ -42,7 +42,7 @@
 
 // observe records an attempt. An attempt sent before the last decrease of the limit is not counted in the period, because it does
 // not show the effect of the current limit.
-func (k *class) observe(now time.Duration, s balancer.Sample, limitDecreasedAt time.Duration) {
+func (k *class) observe(now time.Duration, s balancer.AttemptSample, limitDecreasedAt time.Duration) {
 	latency := float64(s.Latency)
 	served := s.Result == balancer.Served
 	if served {
@@ -75,7 +75,7 @@
 
 // showsOverload reports whether a failed attempt is a sign of overload. An immediate failure means that the endpoint is unhealthy,
 // not that it is overloaded.
-func (k *class) showsOverload(s balancer.Sample) bool {
+func (k *class) showsOverload(s balancer.AttemptSample) bool {
 	switch s.Result {
 	case balancer.Rejected:
 		return true
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -21,7 +21,7 @@
 	}
 	got := [3]int{}
 	for range 60 {
-		c.Done(0, false)
+		c.Release(0, false)
 		for _, seq := range c.startQueued(0) {
 			got[(seq-10)%3]++
 		}
@@ -48,7 +48,7 @@
 	}
 	small := 0
 	for range 10 {
-		c.Done(0, false)
+		c.Release(0, false)
 		for _, seq := range c.startQueued(0) {
 			if seq >= 300 {
 				small++
@@ -79,7 +79,7 @@
 		t.Errorf("rejected after waiting too long: got %d, want 1; queued: got %d, want 1", c.rejected[WaitedTooLong], c.queue.count)
 	}
 	c.arrive(272*ms, 4, "map", "")
-	c.Done(280*ms, false)
+	c.Release(280*ms, false)
 	if l := c.startQueued(280 * ms); fmt.Sprint(l) != "[4]" {
 		t.Errorf("requests started when the oldest are late: got %v, want [4], the newest", l)
 	}
@@ -90,7 +90,7 @@
 func TestPendingBytesLimit(t *testing.T) {
 	c := newController(t, func(o *Options) { o.Mode, o.Limit, o.PendingBytes = Fixed, 1, 100 })
 	seq := uint64(0)
-	sendRequest := func(class string, size int64) balancer.Verdict {
+	sendRequest := func(class string, size int64) balancer.AdmissionDecision {
 		seq++
 		v, _ := c.Arrive(0, balancer.Arrival{Seq: seq, Class: class, Size: size, TimeLeft: time.Second})
 		return v
@@ -99,7 +99,7 @@
 	for i, want := range []struct {
 		class  string
 		size   int64
-		v      balancer.Verdict
+		v      balancer.AdmissionDecision
 		queued int64
 	}{{"map", 60, balancer.Enqueue, 60}, {"map", 41, balancer.Reject, 60}, {"map", 40, balancer.Enqueue, 100}, {"pay", 101, balancer.Reject, 100}, {"pay", 50, balancer.Enqueue, 90},
 		{"hold", 60, balancer.Reject, 90}, {"hold", 50, balancer.Enqueue, 100}} {
--- a/internal/admission/retrybudget_test.go
+++ b/internal/admission/retrybudget_test.go
@@ -37,7 +37,7 @@
 		if n := retryUntilDenied(0); n != 3 {
 			t.Errorf("%s: got %d retries in flight, want 3", name, n)
 		}
-		c.AttemptEnded(0, balancer.Sample{Class: "map", Retry: true, Result: balancer.Cancelled})
+		c.AttemptEnded(0, balancer.AttemptSample{Class: "map", Retry: true, Result: balancer.Cancelled})
 		if n := retryUntilDenied(0); n != 1 {
 			t.Errorf("%s: got %d more retries after one ended, want 1", name, n)
 		}
--- a/internal/testbed/fleet/admission.go
+++ b/internal/testbed/fleet/admission.go
@@ -53,7 +53,7 @@
 
 func (a *aimd) SetEndpoints(time.Duration, int) {}
 
-func (a *aimd) Arrive(time.Duration, balancer.Arrival) (balancer.Verdict, time.Duration) {
+func (a *aimd) Arrive(time.Duration, balancer.Arrival) (balancer.AdmissionDecision, time.Duration) {
 	if float64(a.inFlight) >= a.limit {
 		return balancer.Reject, aimdRetryAfter
 	}
@@ -61,15 +61,15 @@
 	return balancer.Admit, 0
 }
 
-func (a *aimd) Next(time.Duration) (uint64, balancer.Verdict, time.Duration, bool) {
+func (a *aimd) Next(time.Duration) (uint64, balancer.AdmissionDecision, time.Duration, bool) {
 	return 0, 0, 0, false
 }
 
 func (a *aimd) Withdraw(uint64) {}
 
-func (a *aimd) Done(time.Duration, bool) { a.inFlight-- }
+func (a *aimd) Release(time.Duration, bool) { a.inFlight-- }
 
-func (a *aimd) AttemptEnded(now time.Duration, sample balancer.Sample) {
+func (a *aimd) AttemptEnded(now time.Duration, sample balancer.AttemptSample) {
 	switch {
 	case sample.Result == balancer.Cancelled || sample.Result == balancer.NotSent:
 	case sample.Result == balancer.Served && sample.Latency <= a.objectives[sample.Class]:
