--- a/internal/experiment/simulate.go
+++ b/internal/experiment/simulate.go
@@ -56,7 +56,7 @@
 	if gateways.Admission != "estimate" {
 		mode := map[string]admission.Mode{"adaptive": admission.Adaptive, "fixed": admission.Fixed, "off": admission.Off}[gateways.Admission]
 		options.Admission = fleet.NewAdmission(options, admission.Options{Mode: mode, Limit: gateways.AdmissionLimit})
-		options.Zone.OwnFree = mode != admission.Off
+		options.Zone.OwnZoneUnlimited = mode != admission.Off
 	}
 	for _, end := range e.Phases {
 		options.Phases = append(options.Phases, end.D())
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -25,7 +25,7 @@
 	locality, admission := spec.localityOptions(), spec.admissionOptions()
 	locality.Fill()
 	admission.Fill()
-	if locality.Panic != 0 || locality.Floor != 0 || locality.RetryShare != 0 || locality.Gateways != 3 || !locality.OwnFree {
+	if locality.Panic != 0 || locality.Floor != 0 || locality.RetryShare != 0 || locality.Gateways != 3 || !locality.OwnZoneUnlimited {
 		t.Errorf("locality options: got %+v, want Panic, Floor and RetryShare 0, Gateways 3, OwnFree true", locality)
 	}
 	if admission.Floor != 0 || admission.RetryRatio != 0 || admission.RetryRate != 0 || admission.Gateways != 3 || admission.MaxPending != 1024 {
--- a/internal/locality/attempts.go
+++ b/internal/locality/attempts.go
@@ -90,7 +90,7 @@
 		l.consecutiveFailures = 0
 		l.served.decay(now).count++
 	}
-	limited := !l.own || !p.options.OwnFree
+	limited := !l.own || !p.options.OwnZoneUnlimited
 	if limited {
 		ratio := 0.0
 		if o.served {
--- a/internal/locality/options.go
+++ b/internal/locality/options.go
@@ -45,8 +45,8 @@
 	Tolerance    float64 // multiple of the best latency, above which a locality outside the own zone is busy; default 1.5
 	OwnTolerance float64 // like Tolerance, for the own zone; higher because its own requests take precedence; default 4
 
-	// OwnFree disables the limit of requests in flight in the own zone. It is set where admission limits the cluster as a whole.
-	OwnFree bool
+	// OwnZoneUnlimited disables the limit of requests in flight in the own zone. It is set where admission limits the cluster as a whole.
+	OwnZoneUnlimited bool
 
 	RetryShare float64 // retries in flight in a locality, as a fraction of its attempts in flight; default 0.2
 	MinRetries int     // retries in flight that are always allowed; default 3
--- a/internal/locality/report.go
+++ b/internal/locality/report.go
@@ -22,7 +22,7 @@
 	Room          float64 // limit of attempts in flight; 0: unlimited
 	Sent          uint64
 	Crossed       uint64 // attempts that left the gateway's zone: Sent, or 0 for the own zone
-	Refused       uint64 // requests rejected for lack of capacity
+	Rejected      uint64 // requests rejected for lack of capacity
 	NoTime        uint64 // attempts not sent because too little time was left
 	Retries       uint64
 	RetriesDenied uint64 // by the retry budget
@@ -56,7 +56,7 @@
 		InFlight:      l.inFlight,
 		Sent:          l.sent,
 		Crossed:       l.crossed,
-		Refused:       l.rejected,
+		Rejected:      l.rejected,
 		NoTime:        l.skippedForTime,
 		Retries:       l.retriesSent,
 		RetriesDenied: l.retriesDenied,
