--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -202,7 +202,7 @@
 		wait /= persistentQueueDivisor
 	}
 	if c.expectedWait(now, requestClass, arrival.Tenant) > wait {
-		return balancer.Reject, c.reject(now, requestClass, TooLate)
+		return balancer.Reject, c.reject(now, requestClass, ExpectedWaitTooLong)
 	}
 	if !c.fitsBytes(requestClass, arrival.Size) {
 		return balancer.Reject, c.reject(now, requestClass, QueueFull)
--- a/internal/admission/rejection.go
+++ b/internal/admission/rejection.go
@@ -12,10 +12,10 @@
 
 // The reasons for rejections.
 const (
-	QueueFull     Reason = iota // the queue is full and holds no request that may be displaced
-	TooLate                     // the expected wait was too long at arrival
-	WaitedTooLong               // the maximum wait expired in the queue
-	Displaced                   // replaced by a request of a class with a higher weight or of a tenant with fewer queued requests
+	QueueFull           Reason = iota // the queue is full and holds no request that may be displaced
+	ExpectedWaitTooLong               // the expected wait was too long at arrival
+	WaitedTooLong                     // the maximum wait expired in the queue
+	Displaced                         // replaced by a request of a class with a higher weight or of a tenant with fewer queued requests
 	reasonCount
 )
 
--- a/internal/admission/report.go
+++ b/internal/admission/report.go
@@ -25,13 +25,13 @@
 
 // ClassReport is the state of a class of one priority.
 type ClassReport struct {
-	Name     string
-	High     bool          // priority HIGH rather than DEFAULT
-	Baseline time.Duration // lower-quartile latency without queueing; 0: unknown
-	Mean     time.Duration // mean latency
-	Target   time.Duration // lower-quartile latency above which responses are considered queued
-	Waiting  int           // queued requests
-	Refused  uint64        // rejected requests
+	Name         string
+	HighPriority bool          // priority HIGH rather than DEFAULT
+	Baseline     time.Duration // lower-quartile latency without queueing; 0: unknown
+	Mean         time.Duration // mean latency
+	Target       time.Duration // lower-quartile latency above which responses are considered queued
+	Waiting      int           // queued requests
+	Refused      uint64        // rejected requests
 }
 
 // Report returns the state at the given time.
@@ -65,13 +65,13 @@
 
 func (k *class) report() ClassReport {
 	return ClassReport{
-		Name:     k.Name,
-		High:     k.highPriority,
-		Baseline: time.Duration(k.baseline),
-		Mean:     time.Duration(k.mean),
-		Target:   time.Duration(k.target()),
-		Waiting:  k.queued,
-		Refused:  k.rejected,
+		Name:         k.Name,
+		HighPriority: k.highPriority,
+		Baseline:     time.Duration(k.baseline),
+		Mean:         time.Duration(k.mean),
+		Target:       time.Duration(k.target()),
+		Waiting:      k.queued,
+		Refused:      k.rejected,
 	}
 }
 
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -139,7 +139,7 @@
 	}
 	for _, class := range report.Classes {
 		name := class.Name
-		if class.High {
+		if class.HighPriority {
 			name += "@high"
 		}
 		status.Classes = append(status.Classes, ClassAdmission{
