--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -280,7 +280,7 @@
 		s.byLiterals[literalsKey] = append(s.byLiterals[literalsKey], c)
 	default:
 		p := c.Prefix
-		if !c.Textual {
+		if !c.PrefixWithinSegment {
 			p = strings.TrimSuffix(p, "/")
 		}
 		routes, ok := h.prefixes[p]
@@ -290,7 +290,7 @@
 			}
 			h.lengths = append(h.lengths, len(p))
 		}
-		if c.Textual && p != "" {
+		if c.PrefixWithinSegment && p != "" {
 			routes.textual = append(routes.textual, c)
 		} else {
 			routes.segments = append(routes.segments, c)
--- a/internal/route/find.go
+++ b/internal/route/find.go
@@ -17,13 +17,13 @@
 	f := finder{req: req, random: random}
 	if len(name) <= maxHostLength {
 		if h := t.exact[name]; h != nil {
-			if r, ok := f.findInHost(h); ok || t.options.HostsExclude {
+			if r, ok := f.findInHost(h); ok || t.options.MostSpecificHostOnly {
 				return r, ok
 			}
 		}
 		for i := strings.IndexByte(name, '.'); i >= 0 && len(t.wildcards) > 0; {
 			if h := t.wildcards[name[i:]]; h != nil {
-				if r, ok := f.findInHost(h); ok || t.options.HostsExclude {
+				if r, ok := f.findInHost(h); ok || t.options.MostSpecificHostOnly {
 					return r, ok
 				}
 			}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -48,16 +48,16 @@
 	Path     string   // exact path
 	Template string   // "/halls/{hall}/seats/{seat}": a parameter matches one non-empty segment
 	Prefix   string   // whole segments: "/api" matches "/api" and "/api/x", not "/apix"
-	// Textual makes Prefix also match within a segment, like Envoy's prefix.
-	Textual  bool
-	Methods  []string // none: any
-	Headers  []Condition
-	Query    []Condition
-	Clusters []Weighted // at least one
-	Class    string
-	Key      Key
-	Tenant   Key  // identifies the tenant, for fair queueing between tenants
-	High     bool // whether the request has Envoy's routing priority HIGH, which has its own circuit breakers
+	// PrefixWithinSegment makes Prefix also match within a segment, like Envoy's prefix.
+	PrefixWithinSegment bool
+	Methods             []string // none: any
+	Headers             []Condition
+	Query               []Condition
+	Clusters            []Weighted // at least one
+	Class               string
+	Key                 Key
+	Tenant              Key  // identifies the tenant, for fair queueing between tenants
+	High                bool // whether the request has Envoy's routing priority HIGH, which has its own circuit breakers
 }
 
 // Condition is a condition on the first value of one header or query parameter.
@@ -118,7 +118,7 @@
 
 // Options configure a Table.
 type Options struct {
-	HostsExclude bool // consider only the routes of the most specific matching host
+	MostSpecificHostOnly bool // consider only the routes of the most specific matching host
 }
 
 // Table matches requests to routes. It is immutable and safe for concurrent use.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -29,7 +29,7 @@
 		Route{Name: "rest", Clusters: toCluster("rest")},
 		Route{Name: "api", Prefix: "/api", Clusters: toCluster("api")},
 		Route{Name: "api-v2", Prefix: "/api/v2/", Clusters: toCluster("api2")},
-		Route{Name: "text", Prefix: "/files/a", Textual: true, Clusters: toCluster("text")},
+		Route{Name: "text", Prefix: "/files/a", PrefixWithinSegment: true, Clusters: toCluster("text")},
 		Route{Name: "seat", Template: "/halls/{hall}/seats/{seat}", Clusters: toCluster("seat"), Key: Key{Path: "seat"}},
 		Route{Name: "main", Template: "/halls/main/seats/{seat}", Clusters: toCluster("main")},
 		Route{Name: "front", Template: "/halls/{hall}/seats/front", Clusters: toCluster("front")},
@@ -96,7 +96,7 @@
 func TestHostsExclude(t *testing.T) {
 	routes := []Route{{Prefix: "/", Clusters: toCluster("any")}, {Hosts: []string{"a"}, Path: "/x", Clusters: toCluster("a")},
 		{Hosts: []string{"*.b"}, Path: "/x", Clusters: toCluster("b")}}
-	table, err := Compile(routes, Options{HostsExclude: true})
+	table, err := Compile(routes, Options{MostSpecificHostOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xds/routematch.go
+++ b/internal/xds/routematch.go
@@ -45,7 +45,7 @@
 		parsed.Path = specifier.Path
 	case *routev3.RouteMatch_Prefix:
 		parsed.Prefix = specifier.Prefix
-		parsed.Textual = specifier.Prefix != "/" // all paths begin with "/"
+		parsed.PrefixWithinSegment = specifier.Prefix != "/" // all paths begin with "/"
 	case *routev3.RouteMatch_PathSeparatedPrefix:
 		parsed.Prefix = specifier.PathSeparatedPrefix
 	}
--- a/internal/xds/routeorder.go
+++ b/internal/xds/routeorder.go
@@ -44,7 +44,7 @@
 			return moreSpecific
 		}
 		return notMoreSpecific
-	case earlier.Prefix == r.Prefix && earlier.Textual == r.Textual:
+	case earlier.Prefix == r.Prefix && earlier.PrefixWithinSegment == r.PrefixWithinSegment:
 		return samePaths
 	case prefixMatches(earlier, r.Prefix) && len(earlier.Prefix) <= len(r.Prefix):
 		return moreSpecific
@@ -54,7 +54,7 @@
 
 // prefixMatches reports whether the prefix of a route matches a path.
 func prefixMatches(r *route.Route, path string) bool {
-	if r.Textual {
+	if r.PrefixWithinSegment {
 		return strings.HasPrefix(path, r.Prefix)
 	}
 	prefix := strings.TrimSuffix(r.Prefix, "/")
--- a/internal/xds/routes.go
+++ b/internal/xds/routes.go
@@ -89,7 +89,7 @@
 			return nil, nil, err
 		}
 	}
-	table, err := route.Compile(p.routes, route.Options{HostsExclude: true})
+	table, err := route.Compile(p.routes, route.Options{MostSpecificHostOnly: true})
 	if err != nil {
 		return nil, nil, err
 	}
