--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -266,8 +266,8 @@
 	options := proxy.Options{
 		Settings:        settings,
 		Seed:            uint64(g.Now()),
-		Open:            c.requestQuota,
-		Memory:          c.memoryQuota,
+		OpenRequests:    c.requestQuota,
+		BodyMemory:      c.memoryQuota,
 		HonorRetryAfter: true,
 		OnCompleted:     g.recordCompleted,
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -111,12 +111,12 @@
 	}
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.front = proxy.NewFront(proxy.FrontOptions{
-		Budget:            g.descriptorBudget,
-		BodyBytes:         int64(f.Limits.Memory),
-		MaxBodyBytes:      int64(f.Limits.Body),
-		Router:            g,
-		WholeSeconds:      true,
-		ShedSilentClients: true,
+		Budget:                 g.descriptorBudget,
+		BodyBytes:              int64(f.Limits.Memory),
+		MaxBodyBytes:           int64(f.Limits.Body),
+		Router:                 g,
+		RetryAfterWholeSeconds: true,
+		ShedSilentClients:      true,
 	})
 	g.routing.Store(&routing{configured: &route.Table{}, clusters: map[string]*cluster{}})
 	return g
@@ -239,7 +239,7 @@
 		instance.core.Retire()
 		instance.core.Close()
 	}
-	g.front.CloseIdle()
+	g.front.CloseConnections()
 	g.background.Wait()
 	if g.fleet != nil {
 		g.fleet.Stop(fleetLeaveTimeout)
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -28,11 +28,11 @@
 	HonorRetryAfter bool
 	BodyBytes       int64 // memory limit for the bodies of all requests
 	Budget          *backend.Budget
-	// Open limits the requests without a final answer across all cores that share it, in addition to MaxOpen; nil means no
+	// OpenRequests limits the requests without a final answer across all cores that share it, in addition to MaxOpen; nil means no
 	// limit.
-	Open Quota
-	// Memory limits the memory for request bodies; nil means the Front's own limit.
-	Memory Quota
+	OpenRequests Quota
+	// BodyMemory limits the memory for request bodies; nil means the Front's own limit.
+	BodyMemory Quota
 	// OnCompleted, if not nil, is called once for each completed request. The core's lock is held, so OnCompleted must
 	// neither block nor call the Core.
 	OnCompleted func(Completed)
@@ -110,11 +110,11 @@
 		case c.retired:
 		case c.requests[q.Attributes.ID] != nil:
 			status = http.StatusConflict
-		case c.opt.MaxOpen > 0 && c.unanswered >= c.opt.MaxOpen, c.opt.Open != nil && !c.opt.Open.Acquire(1):
+		case c.opt.MaxOpen > 0 && c.unanswered >= c.opt.MaxOpen, c.opt.OpenRequests != nil && !c.opt.OpenRequests.Acquire(1):
 			status = http.StatusServiceUnavailable
 		default:
 			ok = true
-			q.id, q.done, q.memory = q.Attributes.ID, make(chan struct{}), c.opt.Memory
+			q.id, q.done, q.memory = q.Attributes.ID, make(chan struct{}), c.opt.BodyMemory
 			c.requests[q.id] = q
 			c.unanswered++
 			c.stats.Accepted++
@@ -389,8 +389,8 @@
 // countAnswered removes an answered request from the count and the quota of open requests.
 func (c *Core) countAnswered() {
 	c.unanswered--
-	if c.opt.Open != nil {
-		c.opt.Open.Release(1)
+	if c.opt.OpenRequests != nil {
+		c.opt.OpenRequests.Release(1)
 	}
 }
 
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -54,17 +54,17 @@
 
 // FrontOptions configure a Front.
 type FrontOptions struct {
-	Budget            *backend.Budget // descriptor budget; client connections count against it
-	BodyBytes         int64           // memory limit for request bodies to cores without a memory quota
-	MaxBodyBytes      int64           // maximum size of one body; 0 means DefaultMaxBodyBytes
-	Router            Router
-	ShedSilentClients bool // connections whose request heads do not arrive are closed when there are too many of them
-	WholeSeconds      bool // Retry-After is written in whole seconds, rounded up, as RFC 9110 requires
+	Budget                 *backend.Budget // descriptor budget; client connections count against it
+	BodyBytes              int64           // memory limit for request bodies to cores without a memory quota
+	MaxBodyBytes           int64           // maximum size of one body; 0 means DefaultMaxBodyBytes
+	Router                 Router
+	ShedSilentClients      bool // connections whose request heads do not arrive are closed when there are too many of them
+	RetryAfterWholeSeconds bool // Retry-After is written in whole seconds, rounded up, as RFC 9110 requires
 }
 
 // NewFront returns a front. Serve and ServeAs accept connections for it.
 func NewFront(opt FrontOptions) *Front {
-	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, wholeSeconds: opt.WholeSeconds, conns: newClientSet(opt.Budget, opt.ShedSilentClients),
+	f := &Front{router: opt.Router, maxBodyBytes: opt.MaxBodyBytes, wholeSeconds: opt.RetryAfterWholeSeconds, conns: newClientSet(opt.Budget, opt.ShedSilentClients),
 		expired: make(chan struct{})}
 	if f.maxBodyBytes <= 0 {
 		f.maxBodyBytes = DefaultMaxBodyBytes
@@ -97,8 +97,8 @@
 // ConnectionCount returns the number of client connections.
 func (f *Front) ConnectionCount() int { return len(f.conns.list()) }
 
-// CloseIdle closes all client connections, including active ones.
-func (f *Front) CloseIdle() {
+// CloseConnections closes all client connections, including active ones.
+func (f *Front) CloseConnections() {
 	for _, c := range f.conns.list() {
 		_ = c.Close()
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -23,7 +23,7 @@
 func New(opt Options, pool *backend.Pool) (*Node, error) {
 	n := &Node{}
 	n.Front = NewFront(FrontOptions{Budget: opt.Budget, BodyBytes: opt.BodyBytes, Router: n})
-	opt.Memory, opt.Source = &n.bodies, n
+	opt.BodyMemory, opt.Source = &n.bodies, n
 	var err error
 	n.Core, err = NewCore(opt, pool)
 	return n, err
@@ -84,5 +84,5 @@
 		n.discovery.Stop()
 	}
 	n.Core.Close()
-	n.CloseIdle()
+	n.CloseConnections()
 }
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -28,7 +28,7 @@
 		c.reject(http.StatusServiceUnavailable, "too many connections")
 		return false
 	}
-	memory := destination.Core.opt.Memory
+	memory := destination.Core.opt.BodyMemory
 	if memory == nil {
 		memory = &f.bodies
 	}
