--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// CompleteAnswerBytes is the longest response body that is read completely before it is forwarded. Longer bodies are
+	// MaxBufferedBodyBytes is the longest response body that is read completely before it is forwarded. Longer bodies are
 	// streamed.
-	CompleteAnswerBytes     = 64 << 10
+	MaxBufferedBodyBytes    = 64 << 10
 	maxHeadBytes            = 64 << 10 // limit of a response head
 	maxErrorBodyBytes       = 64 << 10 // an error response with a longer body closes its connection
 	defaultMaxResponseBytes = 32 << 20 // a longer Content-Length makes a response invalid
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -247,7 +247,7 @@
 	for p.budget.Used() < p.budget.Limit() {
 		p.budget.Acquire()
 	}
-	for name, up := range map[string]*Upstream{"no descriptor": p.Upstream(server.Addr, 0), "no address": p.Nowhere()} {
+	for name, up := range map[string]*Upstream{"no descriptor": p.Upstream(server.Addr, 0), "no address": p.Unlisted()} {
 		if r := do(up, get("/get")); r.Result != balancer.NotSent {
 			t.Errorf("%s: result %d, want %d", name, r.Result, balancer.NotSent)
 		}
--- a/internal/backend/budget.go
+++ b/internal/backend/budget.go
@@ -10,9 +10,9 @@
 type Descriptors interface {
 	Acquire() bool // reserves a descriptor, or returns false if none is available
 	Release()
-	// OnShort registers fn, which closes one idle connection and reports whether there was one. Acquire calls it if no
+	// RegisterEvictor registers fn, which closes one idle connection and reports whether there was one. Acquire calls it if no
 	// descriptor is available.
-	OnShort(fn func() bool) (unregister func())
+	RegisterEvictor(fn func() bool) (unregister func())
 	Used() int
 	Limit() int
 }
@@ -29,9 +29,9 @@
 // NewBudget returns a budget of limit descriptors, but at least 2.
 func NewBudget(limit int) *Budget { return &Budget{limit: int64(max(limit, 2))} }
 
-// OnShort registers fn, which closes one idle connection and reports whether there was one. It is called when descriptors
+// RegisterEvictor registers fn, which closes one idle connection and reports whether there was one. It is called when descriptors
 // run short.
-func (b *Budget) OnShort(fn func() bool) (unregister func()) {
+func (b *Budget) RegisterEvictor(fn func() bool) (unregister func()) {
 	p := &fn
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,9 +58,9 @@
 	}
 }
 
-// Force counts the descriptor of an accepted connection, which is already in use, and evicts an idle connection if the limit
+// AcquireForced counts the descriptor of an accepted connection, which is already in use, and evicts an idle connection if the limit
 // is exceeded.
-func (b *Budget) Force() {
+func (b *Budget) AcquireForced() {
 	if b.used.Add(1) > b.limit {
 		b.EvictOne()
 	}
@@ -191,14 +191,14 @@
 	return false
 }
 
-// OnShort registers fn as Budget.OnShort does. A shortage of other users calls fn only while this share exceeds its
+// RegisterEvictor registers fn as Budget.RegisterEvictor does. A shortage of other users calls fn only while this share exceeds its
 // reservation.
-func (s *Share) OnShort(fn func() bool) (unregister func()) {
+func (s *Share) RegisterEvictor(fn func() bool) (unregister func()) {
 	p := &fn
 	s.mu.Lock()
 	s.evictors = append(slices.Clone(s.evictors), p)
 	s.mu.Unlock()
-	unregisterFromBudget := s.budget.OnShort(func() bool { return s.exceedsReservation() && fn() })
+	unregisterFromBudget := s.budget.RegisterEvictor(func() bool { return s.exceedsReservation() && fn() })
 	return func() {
 		unregisterFromBudget()
 		s.mu.Lock()
--- a/internal/backend/budget_test.go
+++ b/internal/backend/budget_test.go
@@ -54,7 +54,7 @@
 	budget := NewBudget(20)
 	s := budget.Share(2, 5)
 	idle := 2
-	unregister := s.OnShort(func() bool {
+	unregister := s.RegisterEvictor(func() bool {
 		if idle == 0 {
 			return false
 		}
@@ -86,7 +86,7 @@
 	budget := NewBudget(8)
 	s, other := budget.Share(3, 0), budget.Share(0, 0)
 	closed := 0
-	s.OnShort(func() bool { closed++; s.Release(); return true })
+	s.RegisterEvictor(func() bool { closed++; s.Release(); return true })
 	for range 4 {
 		s.Acquire()
 	}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -25,10 +25,10 @@
 	// ReuseDelay is the minimum idle time of a connection before it is reused. Without it, unsolicited bytes that an endpoint
 	// sends late would be taken for the next response. 0 means no delay.
 	ReuseDelay time.Duration
-	// IsAnswer reports whether a response with this status is forwarded. Other responses are endpoint failures; the Reply
-	// contains their bodies if these are short. If IsAnswer is nil, only status 200 is forwarded, and failure responses are
+	// IsForwarded reports whether a response with this status is forwarded. Other responses are endpoint failures; the Reply
+	// contains their bodies if these are short. If IsForwarded is nil, only status 200 is forwarded, and failure responses are
 	// discarded.
-	IsAnswer func(status int) bool
+	IsForwarded func(status int) bool
 	// PauseTimeout is the maximum pause within a response that has begun; 0 means 250 ms.
 	PauseTimeout time.Duration
 	// StallTimeout is the maximum pause within a response that is being streamed; 0 means 1.5 s.
@@ -47,10 +47,10 @@
 }
 
 func (p *Pool) isAnswer(status int) bool {
-	if p.opt.IsAnswer == nil {
+	if p.opt.IsForwarded == nil {
 		return status == 200
 	}
-	return p.opt.IsAnswer(status)
+	return p.opt.IsForwarded(status)
 }
 
 // Pool holds the idle connections to all endpoints. Its methods may be called concurrently.
@@ -128,12 +128,12 @@
 	}
 	p := &Pool{opt: opt, budget: budget, upstreams: map[*Upstream]struct{}{}}
 	p.dialer = net.Dialer{KeepAlive: -1}
-	p.stopEvicting = budget.OnShort(p.evict)
+	p.stopEvicting = budget.RegisterEvictor(p.evict)
 	return p
 }
 
-// Nowhere returns an endpoint without an address. Attempts to send to it end with NotSent.
-func (p *Pool) Nowhere() *Upstream { return &Upstream{pool: p, retired: true} }
+// Unlisted returns an endpoint without an address. Attempts to send to it end with NotSent.
+func (p *Pool) Unlisted() *Upstream { return &Upstream{pool: p, retired: true} }
 
 // Upstream adds an endpoint with an address and the time at which it started.
 func (p *Pool) Upstream(addr string, since time.Duration) *Upstream {
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -46,7 +46,7 @@
 	c.attempt = nil
 	a.extendDeadline(c, time.Now().Add(errorBodyTimeout))
 	body := io.LimitReader(resp.Body, maxErrorBodyBytes)
-	if a.upstream.pool.opt.IsAnswer == nil {
+	if a.upstream.pool.opt.IsForwarded == nil {
 		n, err := io.Copy(io.Discard, body)
 		return err == nil && n < maxErrorBodyBytes && c.br.Buffered() == 0
 	}
@@ -132,7 +132,7 @@
 
 // readBody reads a short response body completely, or begins to stream a long one. It returns true if the body is complete.
 func (a *Attempt) readBody(c *conn, resp *http.Response, begin Begin, reply *Reply) bool {
-	size := int64(CompleteAnswerBytes)
+	size := int64(MaxBufferedBodyBytes)
 	if n := resp.ContentLength; n >= 0 && n <= size {
 		size = n
 	} else if n > size {
@@ -154,7 +154,7 @@
 			reply.Result = a.classifyFailure(err, nil)
 			return false
 		}
-		if streamImmediately && len(buf) > 0 || int64(len(buf)) > CompleteAnswerBytes || resp.ContentLength > CompleteAnswerBytes && len(buf) > 0 {
+		if streamImmediately && len(buf) > 0 || int64(len(buf)) > MaxBufferedBodyBytes || resp.ContentLength > MaxBufferedBodyBytes && len(buf) > 0 {
 			break
 		}
 	}
--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -297,7 +297,7 @@
 	options := backend.Options{
 		ConnectTimeout:   c.spec.config.ConnectTimeout.D(),
 		IdleTimeout:      c.spec.config.IdleTimeout.D(),
-		IsAnswer:         func(status int) bool { return status < http.StatusInternalServerError },
+		IsForwarded:      func(status int) bool { return status < http.StatusInternalServerError },
 		PauseTimeout:     responsePauseTimeout,
 		StallTimeout:     streamStallTimeout,
 		MaxResponseBytes: math.MaxInt64,
--- a/internal/proxy/conns.go
+++ b/internal/proxy/conns.go
@@ -34,7 +34,7 @@
 func newClientSet(budget *backend.Budget, shedSilentClients bool) *clientSet {
 	s := &clientSet{budget: budget, shedSilent: shedSilentClients, maxClients: budget.Limit() * 3 / 4, startTime: time.Now(), clients: map[*client]struct{}{}}
 	s.empty = sync.NewCond(&s.mu)
-	budget.OnShort(func() bool { return s.closeOldestIdle(minSilence) })
+	budget.RegisterEvictor(func() bool { return s.closeOldestIdle(minSilence) })
 	return s
 }
 
@@ -64,7 +64,7 @@
 	n := len(s.clients)
 	s.mu.Unlock()
 	hasRoom := s.shedSilent || n <= s.maxClients || s.closeOldestIdle(minIdle) || n <= (s.maxClients+s.budget.Limit())/2 || s.closeOldestIdle(0)
-	s.budget.Force()
+	s.budget.AcquireForced()
 	if c.closed.Load() { // the new client was the oldest idle one
 		return false
 	}
--- a/internal/proxy/core.go
+++ b/internal/proxy/core.go
@@ -423,7 +423,7 @@
 	if up := c.upstreams[server]; up != nil {
 		return up
 	}
-	return c.pool.Nowhere()
+	return c.pool.Unlisted()
 }
 
 // Close cancels all attempts, waits until they and the answers to their requests are done, and closes the pool.
