--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -37,13 +37,13 @@
 
 // Overload holds the admission settings of a cluster; see package admission.
 type Overload struct {
-	Mode        Mode           `yaml:"mode"`         // adaptive, fixed or off
-	PerEndpoint int            `yaml:"per_endpoint"` // initial adaptive limit on requests in flight per endpoint
-	Limit       int            `yaml:"limit"`        // limit on requests in flight in fixed mode
-	MaxWait     Duration       `yaml:"max_wait"`     // in the queue; 0: limited only by the latency objective and the client's remaining time
-	MaxWaiting  Size           `yaml:"max_waiting"`  // total size of the bodies of queued requests; 0: limited only by the cluster's quota
-	Floor       *float64       `yaml:"floor"`        // guaranteed fraction of the starts for each class that has queued requests, whatever its weight
-	Retries     RetryAllowance `yaml:"retries"`
+	Mode           Mode           `yaml:"mode"`         // adaptive, fixed or off
+	PerEndpoint    int            `yaml:"per_endpoint"` // initial adaptive limit on requests in flight per endpoint
+	Limit          int            `yaml:"limit"`        // limit on requests in flight in fixed mode
+	MaxWait        Duration       `yaml:"max_wait"`     // in the queue; 0: limited only by the latency objective and the client's remaining time
+	MaxQueuedBytes Size           `yaml:"max_waiting"`  // total size of the bodies of queued requests; 0: limited only by the cluster's quota
+	Floor          *float64       `yaml:"floor"`        // guaranteed fraction of the starts for each class that has queued requests, whatever its weight
+	Retries        RetryAllowance `yaml:"retries"`
 }
 
 // RetryAllowance limits the retries of a cluster, including hedged requests.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -76,9 +76,9 @@
 
 var errNoSections = errors.New("release: must be a mapping of sections")
 
-// With returns the configuration in which the sections of a release replace those of the file. Earlier releases have no
+// WithRelease returns the configuration in which the sections of a release replace those of the file. Earlier releases have no
 // effect on the result.
-func (f *File) With(release string) (*File, error) {
+func (f *File) WithRelease(release string) (*File, error) {
 	var base, replacement yaml.Node
 	if err := yaml.Unmarshal(f.text, &base); err != nil {
 		return nil, err
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// Table returns the routes as package route expects them.
-func (f *File) Table() []route.Route {
+// RouteTable returns the routes as package route expects them.
+func (f *File) RouteTable() []route.Route {
 	routes := make([]route.Route, len(f.Routes))
 	for i := range f.Routes {
 		routes[i] = f.Routes[i].convert()
@@ -207,7 +207,7 @@
 
 // compileRoutes compiles the routes with package route and adds its errors to d.
 func (f *File) compileRoutes(d *decoder) {
-	_, err := route.Compile(f.Table(), route.Options{})
+	_, err := route.Compile(f.RouteTable(), route.Options{})
 	for _, err := range joinedErrors(err) {
 		var routeErr *route.Error
 		if !errors.As(err, &routeErr) {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -23,7 +23,7 @@
 		MaxWait:      overload.MaxWait.D(),
 		Floor:        explicitZero(*overload.Floor),
 		Breakers:     admissionBreakers(breakers),
-		PendingBytes: int64(overload.MaxWaiting),
+		PendingBytes: int64(overload.MaxQueuedBytes),
 		RetryRatio:   explicitZero(*overload.Retries.Ratio),
 		RetryRate:    explicitZero(*overload.Retries.Rate),
 		RetryTTL:     overload.Retries.TTL.D(),
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -50,7 +50,7 @@
 func (g *Gateway) applyWithRelease(f *config.File, sections string) error {
 	if sections != "" {
 		var err error
-		f, err = f.With(sections)
+		f, err = f.WithRelease(sections)
 		if err != nil {
 			return err
 		}
@@ -73,7 +73,7 @@
 
 // apply applies a configuration. It performs all steps that can fail first, and changes nothing if one of them does.
 func (g *Gateway) apply(f *config.File, first bool) error {
-	table, err := route.Compile(f.Table(), route.Options{})
+	table, err := route.Compile(f.RouteTable(), route.Options{})
 	if err != nil {
 		return fmt.Errorf("%s: %w", f.Path(), err)
 	}
