--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -114,7 +114,7 @@
 // tick advances the subscription to the current time.
 func (s *sharedSource) tick() {
 	missing := false
-	s.Inspect(func(m *xds.Machine, _ time.Duration) { missing = m.HasMissing() })
+	s.Inspect(func(m *xds.Machine, _ time.Duration) { missing = m.HasPending() })
 	s.update(func(current *subscription.Subscription) {
 		current.SetMissing(fleet.Clock(), missing)
 		current.Tick(fleet.Clock())
@@ -253,7 +253,7 @@
 func (s *sharedSource) isUpToDate(connection xds.Connection) bool {
 	upToDate := false
 	s.Inspect(func(m *xds.Machine, now time.Duration) {
-		upToDate = m.Answered() || m.StreamOpen() && now-connection.ConnectedAt > s.config.Heartbeat.D()
+		upToDate = m.AllTypesAnswered() || m.StreamOpen() && now-connection.ConnectedAt > s.config.Heartbeat.D()
 	})
 	return upToDate
 }
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -67,7 +67,7 @@
 func (g *Gateway) applyAssignment(c *cluster, assignment *xds.Assignment, version string, updatedAt time.Duration) {
 	c.stopStaleTimer()
 	c.dropThreshold.Store(uint64(math.Round(assignment.DropFraction * dropScale)))
-	c.overprovision = assignment.Overprovision
+	c.overprovision = assignment.OverprovisioningFactor
 	c.current.updateOverprovision()
 	update := assignment.Update(sourceName(c.spec.source), version, c.spec.localityWeights)
 	if assignment.StaleAfter > 0 {
--- a/internal/xds/assignment.go
+++ b/internal/xds/assignment.go
@@ -25,11 +25,11 @@
 
 // Assignment is a ClusterLoadAssignment converted to the gateway's type: the endpoints of a cluster.
 type Assignment struct {
-	Name          string
-	Endpoints     []Endpoint
-	DropFraction  float64       // fraction of requests to drop, 0 to 1
-	StaleAfter    time.Duration // age at which the assignment becomes stale; 0: never
-	Overprovision float64       // overprovisioning factor, which scales the health of a priority in locality balancing; 0: not set
+	Name                   string
+	Endpoints              []Endpoint
+	DropFraction           float64       // fraction of requests to drop, 0 to 1
+	StaleAfter             time.Duration // age at which the assignment becomes stale; 0: never
+	OverprovisioningFactor float64       // overprovisioning factor, which scales the health of a priority in locality balancing; 0: not set
 }
 
 // Endpoint is an endpoint of an assignment. Its weight is relative to the other endpoints of its locality.
@@ -211,7 +211,7 @@
 		if factor.GetValue() == 0 {
 			return errors.New("policy.overprovisioning_factor: must be at least 1, got 0")
 		}
-		a.Overprovision = float64(factor.GetValue()) / 100
+		a.OverprovisioningFactor = float64(factor.GetValue()) / 100
 	}
 	if staleAfter := policy.GetEndpointStaleAfter(); staleAfter != nil {
 		a.StaleAfter = staleAfter.AsDuration()
--- a/internal/xds/machine.go
+++ b/internal/xds/machine.go
@@ -327,8 +327,8 @@
 	return next
 }
 
-// HasMissing reports whether any subscribed resource is still waiting for its first response.
-func (m *Machine) HasMissing() bool {
+// HasPending reports whether any subscribed resource is still waiting for its first response.
+func (m *Machine) HasPending() bool {
 	for _, state := range m.types {
 		for _, r := range state.resources {
 			if r.State == Requested {
@@ -339,8 +339,8 @@
 	return false
 }
 
-// Answered reports whether each subscribed type has received a response on the current stream.
-func (m *Machine) Answered() bool {
+// AllTypesAnswered reports whether each subscribed type has received a response on the current stream.
+func (m *Machine) AllTypesAnswered() bool {
 	if !m.streamOpen {
 		return false
 	}
