--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -61,9 +61,9 @@
 		floor:     1,
 	}
 	s.subscription = subscription.New(fleet.Clock(), subscription.Options{
-		DirectAfter: settings.DirectAfter.D(),
-		Spread:      settings.Spread.D(),
-		Chance:      rand.Float64(),
+		DirectAfter:    settings.DirectAfter.D(),
+		Spread:         settings.Spread.D(),
+		SpreadFraction: rand.Float64(),
 	})
 	options.RetainBodies = true
 	s.Client = xds.NewClient(options, s)
@@ -196,7 +196,7 @@
 		return subscription.NeedSnapshot
 	}
 	received := current.Receive(fleet.Clock(), push.Update, inUse.digest)
-	if received != subscription.Compare {
+	if received != subscription.CompareSnapshot {
 		return received
 	}
 	if inUse.covered && current.Adopt(fleet.Clock(), push.Update) {
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -19,8 +19,8 @@
 	DirectAfter time.Duration
 	// Spread is the maximum additional delay. It keeps the gateways from opening their streams all at once.
 	Spread time.Duration
-	// Chance is the fraction of Spread that this gateway waits, from 0 to 1, drawn at random once per process.
-	Chance float64
+	// SpreadFraction is the fraction of Spread that this gateway waits, from 0 to 1, drawn at random once per process.
+	SpreadFraction float64
 }
 
 // Mode is the source of a gateway's updates.
@@ -56,12 +56,12 @@
 
 // Verdicts on an update.
 const (
-	Accept       Verdict = "take"    // apply it
-	Unchanged    Verdict = "same"    // nothing new in it
-	NeedSnapshot Verdict = "need"    // ask for a full snapshot
-	Compare      Verdict = "compare" // call Adopt if this full snapshot contains all resources in use here
-	Reject       Verdict = "refuse"  // its token is lower than the highest seen
-	Diverged     Verdict = "alone"   // this gateway has a direct stream, whose state differs
+	Accept          Verdict = "take"    // apply it
+	Unchanged       Verdict = "same"    // nothing new in it
+	NeedSnapshot    Verdict = "need"    // ask for a full snapshot
+	CompareSnapshot Verdict = "compare" // call Adopt if this full snapshot contains all resources in use here
+	Reject          Verdict = "refuse"  // its token is lower than the highest seen
+	Diverged        Verdict = "alone"   // this gateway has a direct stream, whose state differs
 )
 
 // noneMissing is the value of Subscription.missingSince while no resource is missing.
@@ -168,7 +168,7 @@
 		return Unchanged
 	case update.Full:
 		s.compared = &received
-		return Compare
+		return CompareSnapshot
 	case s.compared == nil || *s.compared != received:
 		return NeedSnapshot
 	}
@@ -220,7 +220,7 @@
 	if s.WantsStream() {
 		return 0
 	}
-	maxSilence := s.opt.DirectAfter + time.Duration(float64(s.opt.Spread)*s.opt.Chance)
+	maxSilence := s.opt.DirectAfter + time.Duration(float64(s.opt.Spread)*s.opt.SpreadFraction)
 	directAt := s.heardAt + maxSilence
 	if s.missingSince >= 0 && s.mode == Following {
 		directAt = min(directAt, s.missingSince+maxSilence)
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-var opt = Options{DirectAfter: 5 * time.Second, Spread: 4 * time.Second, Chance: 0.5}
+var opt = Options{DirectAfter: 5 * time.Second, Spread: 4 * time.Second, SpreadFraction: 0.5}
 
 // TestReceiveInEachMode takes a gateway through all modes: it waits, follows a leader, opens a direct stream when the leader is silent,
 // follows again, leads, and releases the leadership.
@@ -35,7 +35,7 @@
 	expect("a direct stream is wanted", s.WantsStream(), true)
 	at = 10 * time.Second
 	expect("an update with a different digest", s.Receive(at, Update{Token: 9, Seq: 1, Digest: 1}, 2), NeedSnapshot)
-	expect("the snapshot with a different digest", s.Receive(at, Update{Token: 9, Seq: 1, Digest: 1, Full: true}, 2), Compare)
+	expect("the snapshot with a different digest", s.Receive(at, Update{Token: 9, Seq: 1, Digest: 1, Full: true}, 2), CompareSnapshot)
 	expect("the compared version again", s.Receive(at, Update{Token: 9, Seq: 1, Digest: 1}, 2), Diverged)
 	expect("adopted", s.Adopt(at, Update{Token: 9, Seq: 1}), true)
 	s.SetMissing(at, true)
@@ -55,7 +55,7 @@
 func TestNothingOlderIsAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
-		s := New(now, Options{DirectAfter: 5 * time.Second, Spread: time.Second, Chance: rapid.Float64Range(0, 1).Draw(t, "chance")})
+		s := New(now, Options{DirectAfter: 5 * time.Second, Spread: time.Second, SpreadFraction: rapid.Float64Range(0, 1).Draw(t, "chance")})
 		var token, seq, highest uint64
 		accepted := map[uint64]uint64{} // the last sequence number under each token
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -86,7 +86,7 @@
 					t.Fatalf("Receive returned %v for token %d, the highest token seen is %d", verdict, update.Token, highest)
 				}
 				highest = max(highest, update.Token)
-				if verdict == Compare && rapid.Bool().Draw(t, "covered") && !s.Adopt(now, update) {
+				if verdict == CompareSnapshot && rapid.Bool().Draw(t, "covered") && !s.Adopt(now, update) {
 					t.Fatal("Adopt returned false for a snapshot that got the verdict Compare")
 				}
 				if verdict != Accept {
