--- a/cmd/robindrum/release.go
+++ b/cmd/robindrum/release.go
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("want either a file or --program: %w", errUsage)
 	}
 	if version != "" {
-		plan.OfProgram = true
+		plan.IsVersionRelease = true
 		plan.Target = version
 		return nil, supervisor.CheckLabel(version)
 	}
@@ -148,7 +148,7 @@
 	if list.Current != nil {
 		preview.rejection = list.Current.String() + " is under way"
 	}
-	if !plan.OfProgram {
+	if !plan.IsVersionRelease {
 		return preview, nil
 	}
 	if preview.budgets, err = r.gatewayBudgets(c); err != nil {
@@ -257,7 +257,7 @@
 		plan.ID = plan.Target[:min(8, len(plan.Target))]
 	}
 	plan.Owner = os.Getenv("USER")
-	if !plan.OfProgram {
+	if !plan.IsVersionRelease {
 		store := quorum.Command{Op: quorum.OpStoreConfig, Digest: plan.Target, Text: string(text)}
 		if err := r.propose(c, store); err != nil {
 			return err
--- a/internal/demo/release.go
+++ b/internal/demo/release.go
@@ -162,7 +162,7 @@
 
 func programPlan(id, version string, rollBackOnFailure bool) *release.Plan {
 	plan := newPlan(id, rollBackOnFailure)
-	plan.OfProgram = true
+	plan.IsVersionRelease = true
 	plan.Target = version
 	return plan
 }
--- a/internal/experiment/rollout_run.go
+++ b/internal/experiment/rollout_run.go
@@ -196,7 +196,7 @@
 func (s *rolloutRun) stepRelease() (done bool, err error) {
 	if !s.started {
 		s.started = true
-		plan := release.Plan{ID: "r", Target: newVersion, OfProgram: true, Soak: s.SoakTime, RollBackOnFailure: true, Grace: releaseGrace, Notice: s.DrainTime}
+		plan := release.Plan{ID: "r", Target: newVersion, IsVersionRelease: true, Soak: s.SoakTime, RollBackOnFailure: true, Grace: releaseGrace, Notice: s.DrainTime}
 		if err := s.releases.Start(s.now, plan); err != nil {
 			return false, err
 		}
--- a/internal/release/drains.go
+++ b/internal/release/drains.go
@@ -27,7 +27,7 @@
 	open := openDrains(drains)
 	rejections := l.recentRejections(now, drains)
 	plan := l.versionPlan()
-	halted := l.Current != nil && l.Current.OfProgram && l.Current.State == Halted
+	halted := l.Current != nil && l.Current.IsVersionRelease && l.Current.State == Halted
 	for _, name := range slices.Sorted(maps.Keys(l.Gateways)) {
 		gateway := l.Gateways[name]
 		version := l.DesiredVersion(name)
@@ -110,11 +110,11 @@
 func (l *Ledger) versionPlan() Plan {
 	var plan Plan
 	for i := range l.Ended {
-		if l.Ended[i].OfProgram {
+		if l.Ended[i].IsVersionRelease {
 			plan = l.Ended[i].Plan
 		}
 	}
-	if l.Current != nil && l.Current.OfProgram {
+	if l.Current != nil && l.Current.IsVersionRelease {
 		plan = l.Current.Plan
 	}
 	plan.setDefaults()
--- a/internal/release/drains_test.go
+++ b/internal/release/drains_test.go
@@ -155,7 +155,7 @@
 }
 
 func versionPlan(rollBack bool) Plan {
-	return Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 2 * time.Second, RollBackOnFailure: rollBack, Gate: Gate{MinRequests: 50}}
+	return Plan{ID: "r", Target: "v2", IsVersionRelease: true, Soak: 2 * time.Second, RollBackOnFailure: rollBack, Gate: Gate{MinRequests: 50}}
 }
 
 // TestVersionReleaseStaysWithinBudget runs a release with operator commands, manual drains, crashes, leader changes and restores of the
@@ -277,9 +277,9 @@
 func TestInvalidVersionReleaseDoesNotStart(t *testing.T) {
 	f := newSupervisedFleet(3, 1)
 	for name, plan := range map[string]Plan{
-		"target is not a name":    {ID: "a", Target: "a/b", OfProgram: true},
-		"version already running": {ID: "a", Target: "v1", OfProgram: true},
-		"grace":                   {ID: "a", Target: "v2", OfProgram: true, Grace: -1},
+		"target is not a name":    {ID: "a", Target: "a/b", IsVersionRelease: true},
+		"version already running": {ID: "a", Target: "v1", IsVersionRelease: true},
+		"grace":                   {ID: "a", Target: "v2", IsVersionRelease: true, Grace: -1},
 	} {
 		if err := f.ledger.Start(f.now, plan); err == nil {
 			t.Errorf("%s: Start returned no error", name)
@@ -287,7 +287,7 @@
 	}
 	f.gateways["g01"].Version = ""
 	f.step()
-	if err := f.ledger.Start(f.now, Plan{ID: "a", Target: "v2", OfProgram: true}); err == nil {
+	if err := f.ledger.Start(f.now, Plan{ID: "a", Target: "v2", IsVersionRelease: true}); err == nil {
 		t.Error("g01 without a supervisor: Start returned no error")
 	}
 }
@@ -361,7 +361,7 @@
 	l := f.ledger
 	switch event {
 	case 0:
-		_ = l.Start(f.now, Plan{ID: "r", Target: "v2", OfProgram: true, Soak: time.Millisecond, Gate: Gate{MinRequests: 1}})
+		_ = l.Start(f.now, Plan{ID: "r", Target: "v2", IsVersionRelease: true, Soak: time.Millisecond, Gate: Gate{MinRequests: 1}})
 	case 1:
 		_ = l.Halt(f.now, "")
 	case 2:
@@ -435,7 +435,7 @@
 	if err := f.drains.SetBudgets(f.now, []drain.Budget{{Name: "g", Scope: drain.Scope{Gateways: true}, Fraction: 0.3}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.ledger.Start(f.now, Plan{ID: "r", Target: "v2", OfProgram: true, Soak: time.Second, RollBackOnFailure: true}); err != nil {
+	if err := f.ledger.Start(f.now, Plan{ID: "r", Target: "v2", IsVersionRelease: true, Soak: time.Second, RollBackOnFailure: true}); err != nil {
 		t.Fatal(err)
 	}
 	for range 20 {
--- a/internal/release/ledger.go
+++ b/internal/release/ledger.go
@@ -161,7 +161,7 @@
 func (l *Ledger) DesiredConfig(name string) string {
 	r := l.Current
 	switch {
-	case r == nil || r.OfProgram:
+	case r == nil || r.IsVersionRelease:
 		return l.settledConfig(name)
 	case r.released(name):
 		return r.Target
@@ -173,7 +173,7 @@
 // gateways of its released waves with its target, until a later configuration release ends in another state.
 func (l *Ledger) settledConfig(name string) string {
 	for _, r := range slices.Backward(l.Ended) {
-		if r.OfProgram {
+		if r.IsVersionRelease {
 			continue
 		}
 		if r.State != Stopped {
@@ -190,7 +190,7 @@
 func (l *Ledger) DesiredVersion(name string) string {
 	r := l.Current
 	switch {
-	case r == nil || !r.OfProgram:
+	case r == nil || !r.IsVersionRelease:
 		return cmp.Or(l.RolledBackVersions[name], l.CurrentVersion)
 	case r.released(name):
 		return r.Target
--- a/internal/release/operations.go
+++ b/internal/release/operations.go
@@ -26,7 +26,7 @@
 		return err
 	}
 	previous := l.CurrentConfig
-	if plan.OfProgram {
+	if plan.IsVersionRelease {
 		previous = l.CurrentVersion
 	}
 	l.Current = newRelease(plan, l.Now, slices.Collect(maps.Values(l.Gateways)), previous)
@@ -40,7 +40,7 @@
 	if len(l.Gateways) == 0 {
 		return errors.New("no gateway is known yet")
 	}
-	if plan.OfProgram {
+	if plan.IsVersionRelease {
 		return l.checkVersion(plan.Target)
 	}
 	return l.checkConfig(plan.Target)
@@ -162,7 +162,7 @@
 func (l *Ledger) finish(state State, reason string) {
 	l.setState(state, reason)
 	r := l.Current
-	if r.OfProgram {
+	if r.IsVersionRelease {
 		l.settleVersions(r)
 	} else if state == Done {
 		l.CurrentConfig = r.Target
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -75,8 +75,8 @@
 type Plan struct {
 	ID     string `json:"id"`
 	Target string `json:"to"` // a configuration's digest, or a program version
-	// OfProgram reports whether Target is a program version. Gateways are drained and restarted for it, see Ledger.RequestDrains.
-	OfProgram bool `json:"program,omitempty"`
+	// IsVersionRelease reports whether Target is a program version. Gateways are drained and restarted for it, see Ledger.RequestDrains.
+	IsVersionRelease bool `json:"program,omitempty"`
 	// Grace and Notice are passed to the drain requests of a program release.
 	Grace  time.Duration `json:"grace,omitempty"`
 	Notice time.Duration `json:"notice,omitempty"`
@@ -115,7 +115,7 @@
 		return fmt.Errorf("faster: %d, want 1 to %d", p.RollbackSpeedup, maxRollbackSpeedup)
 	case p.Grace < 0 || p.Grace > drain.MaxGrace || p.Notice < 0 || p.Notice > p.Grace:
 		return fmt.Errorf("grace: %v with a notice of %v, want up to %v", p.Grace, p.Notice, drain.MaxGrace)
-	case p.OfProgram && strings.ContainsAny(p.Target, "/\\ \t\n"):
+	case p.IsVersionRelease && strings.ContainsAny(p.Target, "/\\ \t\n"):
 		return fmt.Errorf("version %q: want a name", p.Target)
 	}
 	return p.Gate.validate()
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -43,9 +43,9 @@
 	// BeforeWave are the figures that each gateway counted between the start of the release and its own wave.
 	BeforeWave map[string]Figures `json:"past"`
 	// AtStart are the figures of all gateways at the start of the release. PresentAtStart reports which gateways responded then.
-	AtStart        map[string]Figures   `json:"from"`
-	PresentAtStart map[string]bool      `json:"here"`
-	Unknown        unknownfields.Fields `json:"-"` // passed on unchanged
+	AtStart           map[string]Figures   `json:"from"`
+	RespondingAtStart map[string]bool      `json:"here"`
+	Unknown           unknownfields.Fields `json:"-"` // passed on unchanged
 }
 
 // MarshalJSON encodes the release with its unknown fields.
@@ -63,24 +63,24 @@
 // newRelease returns a release of a plan to the given gateways that begins now.
 func newRelease(plan Plan, now time.Duration, gateways []Gateway, previous string) *Release {
 	r := &Release{
-		Plan:           plan,
-		State:          Running,
-		StateSince:     now,
-		Waves:          Waves(gateways),
-		Previous:       previous,
-		Incarnations:   map[string]uint64{},
-		AtWaveReady:    map[string]Figures{},
-		BeforeWave:     map[string]Figures{},
-		AtStart:        map[string]Figures{},
-		PresentAtStart: map[string]bool{},
+		Plan:              plan,
+		State:             Running,
+		StateSince:        now,
+		Waves:             Waves(gateways),
+		Previous:          previous,
+		Incarnations:      map[string]uint64{},
+		AtWaveReady:       map[string]Figures{},
+		BeforeWave:        map[string]Figures{},
+		AtStart:           map[string]Figures{},
+		RespondingAtStart: map[string]bool{},
 	}
-	if plan.OfProgram {
+	if plan.IsVersionRelease {
 		r.PreviousVersions = map[string]string{}
 	}
 	for _, g := range gateways {
 		r.AtStart[g.Name] = g.Figures
-		r.PresentAtStart[g.Name] = g.Responding
-		if plan.OfProgram {
+		r.RespondingAtStart[g.Name] = g.Responding
+		if plan.IsVersionRelease {
 			r.PreviousVersions[g.Name] = g.Version
 		}
 	}
@@ -108,7 +108,7 @@
 
 // current returns the version or configuration that a gateway has, whichever is released, and why the gateway rejects the target.
 func (r *Release) current(g *Gateway) (current, rejection string) {
-	if r.OfProgram {
+	if r.IsVersionRelease {
 		return g.Version, g.VersionRejected
 	}
 	return g.Config, g.ConfigRejected
--- a/internal/release/steps.go
+++ b/internal/release/steps.go
@@ -124,7 +124,7 @@
 			members.rejection = cmp.Or(members.rejection, fmt.Sprintf("%s refuses it: %s", name, rejection))
 		case !gateway.Responding:
 			members.missing = append(members.missing, name)
-		case current != r.Target, r.OfProgram && !gateway.Serving:
+		case current != r.Target, r.IsVersionRelease && !gateway.Serving:
 			members.waiting = append(members.waiting, name)
 		case r.waveIsReady() && r.hasRestarted(&gateway):
 			members.restarted = append(members.restarted, name)
@@ -162,14 +162,14 @@
 func (l *Ledger) lostZone(r *Release) string {
 	type zone struct{ site, name string }
 	total, lost := map[zone]int{}, map[zone]int{}
-	for name, present := range r.PresentAtStart {
+	for name, present := range r.RespondingAtStart {
 		gateway, known := l.Gateways[name]
 		if !present || !known {
 			continue
 		}
 		place := zone{gateway.Site, gateway.Zone}
 		total[place]++
-		restarting := r.OfProgram && !r.waveIsReady() && slices.Contains(r.wave(), name)
+		restarting := r.IsVersionRelease && !r.waveIsReady() && slices.Contains(r.wave(), name)
 		if !gateway.Responding && !restarting {
 			lost[place]++
 		}
@@ -278,7 +278,7 @@
 	if !g.Responding {
 		return false
 	}
-	if !r.OfProgram {
+	if !r.IsVersionRelease {
 		return g.Config != r.Previous
 	}
 	previous := r.PreviousVersions[g.Name]
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -267,7 +267,7 @@
 
 // releaseProgram starts the release of the other version, or of the one that crashes.
 func (r *releaseRun) releaseProgram(n *Node, plan *release.Plan) {
-	plan.OfProgram = true
+	plan.IsVersionRelease = true
 	plan.Target = firstVersion
 	if r.version == firstVersion {
 		plan.Target = secondVersion
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -213,7 +213,7 @@
 	}
 	runRelease := func(id, target string) (r release.Release) {
 		t.Helper()
-		plan := &release.Plan{ID: id, Target: target, OfProgram: true, Soak: 500 * time.Millisecond, RollBackOnFailure: true, Grace: 2 * time.Second, Notice: 300 * time.Millisecond,
+		plan := &release.Plan{ID: id, Target: target, IsVersionRelease: true, Soak: 500 * time.Millisecond, RollBackOnFailure: true, Grace: 2 * time.Second, Notice: 300 * time.Millisecond,
 			Gate: release.Gate{MinRequests: 20, MaxMeanRatio: 20, MaxTailRatio: 20, MaxMemoryRatio: 10}}
 		waitFor(t, id+" to be accepted", func() bool {
 			return site.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil
@@ -290,12 +290,12 @@
 	defer load.Stop()
 	releases := func() (list quorum.ReleaseList) { _ = site.Nodes[0].Get("/fleet/releases", &list); return list }
 	waitFor(t, "the gateways to be known", func() bool { return len(releases().Gateways) == 5 })
-	plan := &release.Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 300 * time.Millisecond, RollBackOnFailure: true, Grace: time.Second, Notice: 300 * time.Millisecond,
+	plan := &release.Plan{ID: "r", Target: "v2", IsVersionRelease: true, Soak: 300 * time.Millisecond, RollBackOnFailure: true, Grace: time.Second, Notice: 300 * time.Millisecond,
 		Gate: release.Gate{MinRequests: 10, MaxMeanRatio: 1000, MaxTailRatio: 1000, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
 	waitFor(t, "the release to be accepted", func() bool {
 		return site.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil
 	})
-	if err := site.Nodes[2].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: &release.Plan{ID: "second", Target: "v1", OfProgram: true}}); err == nil {
+	if err := site.Nodes[2].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: &release.Plan{ID: "second", Target: "v1", IsVersionRelease: true}}); err == nil {
 		t.Error("a second release was accepted during the first, want an error")
 	}
 	waitFor(t, "the second wave of the release", func() bool {
@@ -390,7 +390,7 @@
 	stopWatch := site.Watch(&result, 2)
 	releases := func() (list quorum.ReleaseList) { _ = site.Nodes[0].Get("/fleet/releases", &list); return list }
 	waitFor(t, "the gateways to be known", func() bool { return len(releases().Gateways) == 5 })
-	plan := &release.Plan{ID: "r", Target: "v2", OfProgram: true, Soak: 200 * time.Millisecond, Grace: 5 * time.Second, Notice: time.Second,
+	plan := &release.Plan{ID: "r", Target: "v2", IsVersionRelease: true, Soak: 200 * time.Millisecond, Grace: 5 * time.Second, Notice: time.Second,
 		Gate: release.Gate{MinRequests: 5, MaxMeanRatio: 50, MaxTailRatio: 50, MaxMemoryRatio: 10, MaxInTimeLoss: 0.9}}
 	waitFor(t, "the release to be accepted", func() bool {
 		return site.Nodes[1].SendRelease(quorum.Command{Op: quorum.OpStartRelease, Plan: plan}) == nil
--- a/tools/measure/worth.go
+++ b/tools/measure/worth.go
@@ -204,7 +204,7 @@
 	plan := &release.Plan{
 		ID:                r.version,
 		Target:            r.version,
-		OfProgram:         true,
+		IsVersionRelease:  true,
 		Soak:              3 * time.Second,
 		RollBackOnFailure: true,
 		Grace:             5 * time.Second,
