--- a/cmd/robindrum/supervise.go
+++ b/cmd/robindrum/supervise.go
@@ -58,7 +58,7 @@
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	opt.Hangup = hangup
+	opt.Signals = hangup
 	opt.Stdout = c.OutOrStdout()
 	opt.Stderr = c.ErrOrStderr()
 	opt.Log = slog.New(slog.NewTextHandler(c.ErrOrStderr(), nil))
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -35,9 +35,9 @@
 	Stop   time.Duration
 	Stdout io.Writer
 	Stderr io.Writer
-	// Hangup delivers the signals that are forwarded to the process; nil: none.
-	Hangup <-chan os.Signal
-	Log    *slog.Logger
+	// Signals delivers the signals that are forwarded to the process; nil: none.
+	Signals <-chan os.Signal
+	Log     *slog.Logger
 }
 
 // ErrGaveUp is returned after too many consecutive crashes, or when a rollback fails.
@@ -145,7 +145,7 @@
 			kill = timer.C
 		case <-kill:
 			_ = cmd.Process.Kill()
-		case signal := <-opt.Hangup:
+		case signal := <-opt.Signals:
 			_ = cmd.Process.Signal(signal)
 		}
 	}
