--- a/internal/testbed/hollow/fit.go
+++ b/internal/testbed/hollow/fit.go
@@ -78,8 +78,8 @@
 	return f.line(size), multiple
 }
 
-// Crosses returns the estimated size at which the value exceeds bound, or +Inf if it does not at any size.
-func (f *Fit) Crosses(bound float64) float64 {
+// CrossingSize returns the estimated size at which the value exceeds bound, or +Inf if it does not at any size.
+func (f *Fit) CrossingSize(bound float64) float64 {
 	last := len(f.Sizes) - 1
 	if f.IsFlat() {
 		if f.largest > bound {
--- a/internal/testbed/hollow/fit_test.go
+++ b/internal/testbed/hollow/fit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestFitOfLinearValues checks Extrapolate and Crosses for values on a line.
+// TestFitOfLinearValues checks Extrapolate and CrossingSize for values on a line.
 func TestFitOfLinearValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start, slope := rapid.Float64Range(1, 100).Draw(t, "start"), rapid.Float64Range(0.5, 20).Draw(t, "slope")
@@ -25,8 +25,8 @@
 		if v, multiple := f.Extrapolate(24000); !near(v, start+slope*24000) || multiple != 10 || f.IsNonlinear() || f.Residual > 1e-9 {
 			t.Fatalf("fit %v: Extrapolate(24000) = %v, %v times the largest size; want %v, 10 times, linear", &f, v, multiple, start+slope*24000)
 		}
-		if at := f.Crosses(start + slope*1234); !near(at, 1234) {
-			t.Fatalf("fit %v: Crosses at %v, want 1234", &f, at)
+		if at := f.CrossingSize(start + slope*1234); !near(at, 1234) {
+			t.Fatalf("fit %v: CrossingSize: got %v, want 1234", &f, at)
 		}
 	})
 }
@@ -46,14 +46,14 @@
 	if v, _ := f.Extrapolate(24000); !f.IsNonlinear() || math.Abs(f.Power-2) > 1e-9 || math.Abs(v-576000) > 1 || !strings.Contains(f.String(), "BENDS") {
 		t.Errorf("fit %v: Extrapolate(24000) = %v, want 576000 by power 2", &f, v)
 	}
-	if at := f.Crosses(576000); math.Abs(at-24000) > 1 {
-		t.Errorf("Crosses(576000) = %v, want 24000", at)
+	if at := f.CrossingSize(576000); math.Abs(at-24000) > 1 {
+		t.Errorf("CrossingSize(576000) = %v, want 24000", at)
 	}
 	if f, err = NewFit(sizes, []float64{100, 97, 102, 99}); err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := f.Extrapolate(1e6); !f.IsFlat() || v != 102 || !math.IsInf(f.Crosses(200), 1) || f.Crosses(50) != 100 {
-		t.Errorf("fit %v: Extrapolate(1e6) = %v, Crosses(200) = %v, Crosses(50) = %v; want flat, 102, +Inf and 100", &f, v, f.Crosses(200), f.Crosses(50))
+	if v, _ := f.Extrapolate(1e6); !f.IsFlat() || v != 102 || !math.IsInf(f.CrossingSize(200), 1) || f.CrossingSize(50) != 100 {
+		t.Errorf("fit %v: Extrapolate(1e6) = %v, CrossingSize(200) = %v, CrossingSize(50) = %v; want flat, 102, +Inf and 100", &f, v, f.CrossingSize(200), f.CrossingSize(50))
 	}
 }
 
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _ := f.Extrapolate(2400); f.IsFlat() || f.IsNonlinear() || v != 626 || !math.IsInf(f.Crosses(1000), 1) {
+	if v, _ := f.Extrapolate(2400); f.IsFlat() || f.IsNonlinear() || v != 626 || !math.IsInf(f.CrossingSize(1000), 1) {
 		t.Errorf("fit %v: Extrapolate(2400) = %v, want 626 and no crossing of 1000", &f, v)
 	}
 }
--- a/internal/testbed/hollow/members.go
+++ b/internal/testbed/hollow/members.go
@@ -37,8 +37,8 @@
 	JoinOne     Spread
 	Leave       Spread
 	Death       Spread
-	// LeftAsDead counts members that recorded the leaving member as dead.
-	LeftAsDead int
+	// LeaveSeenAsDeath counts members that recorded the leaving member as dead.
+	LeaveSeenAsDeath int
 	// Rollout is the spread of a new configuration that all members announce at once. RolloutBytes is what a member sends for each
 	// member's update, beyond its idle traffic. RolloutCPU is the processor time that this process used for it.
 	Rollout      Spread
@@ -152,7 +152,7 @@
 	// the member that left as dead.
 	for _, m := range f.running() {
 		if _, known := m.Members().Lookup(added.Name); known {
-			result.LeftAsDead++
+			result.LeaveSeenAsDeath++
 		}
 	}
 	f.kill(member)
--- a/internal/testbed/hollow/sizes_test.go
+++ b/internal/testbed/hollow/sizes_test.go
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			t.Logf("%d members: join %v, state change %v, single join %v, leave %v (%d recorded it as dead), death %v, rollout %v, restart of a fifth %v; idle windows %d, rollouts %d; lost packets %d",
-				n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.LeftAsDead, r.Death, r.Rollout, r.Restart, r.Windows, r.Rollouts, opt.Network.(*memnet.Net).Lost())
+				n, r.Join, r.StateChange, r.JoinOne, r.Leave, r.LeaveSeenAsDeath, r.Death, r.Rollout, r.Restart, r.Windows, r.Rollouts, opt.Network.(*memnet.Net).Lost())
 			t.Logf("%+v", r)
 			record("packets", r.Packets)
 			record("packet bytes", r.PacketBytes)
--- a/tools/measure/capacity.go
+++ b/tools/measure/capacity.go
@@ -195,7 +195,7 @@
 			if figureValue > limit {
 				over = ", OVER"
 			}
-			fmt.Printf("; bound %.4g%s, crossed at %.0f", limit, over, fitted.Crosses(limit))
+			fmt.Printf("; bound %.4g%s, crossed at %.0f", limit, over, fitted.CrossingSize(limit))
 		}
 		fmt.Println()
 	}
@@ -269,7 +269,7 @@
 			figures.put("bytes of a member per restarted member", result.RestartBytes, 0)
 		}
 		fmt.Printf("%5d members: times to reach all members: join %v (%d messages dropped), state change %v, one more join %v, leave %v (%d members take it for dead), death %v, new configuration of all %v, restart of a fifth %v; idle windows %d, rollouts %d\n",
-			count, result.Join, result.Dropped, result.StateChange, result.JoinOne, result.Leave, result.LeftAsDead, result.Death, result.Rollout, result.Restart, result.Windows, result.Rollouts)
+			count, result.Join, result.Dropped, result.StateChange, result.JoinOne, result.Leave, result.LeaveSeenAsDeath, result.Death, result.Rollout, result.Restart, result.Windows, result.Rollouts)
 	}
 	return nil
 }
