--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -22,8 +22,8 @@
 	Size         int64         // bytes that are retained while the request is queued
 }
 
-// AttemptSample is the observation of one attempt. Each attempt has exactly one AttemptSample: when its answer began, or when it ended without
-// an answer.
+// AttemptSample is the observation of one attempt. Each attempt has exactly one AttemptSample: when its answer began, or
+// when it ended without an answer.
 type AttemptSample struct {
 	Class        string
 	HighPriority bool
@@ -39,10 +39,10 @@
 	// SetEndpoints reports the number of servers in state Running.
 	SetEndpoints(now time.Duration, running int)
 	// Arrive decides about a request. With Enqueue, after is the maximum time in the queue; with Reject, it is the Retry-After.
-	Arrive(now time.Duration, arrival Arrival) (verdict AdmissionDecision, after time.Duration)
+	Arrive(now time.Duration, arrival Arrival) (decision AdmissionDecision, after time.Duration)
 	// Next returns a queued request that is to be admitted or rejected now; with Reject, after is the Retry-After. If there is no
 	// such request, ok is false.
-	Next(now time.Duration) (seq uint64, verdict AdmissionDecision, after time.Duration, ok bool)
+	Next(now time.Duration) (seq uint64, decision AdmissionDecision, after time.Duration, ok bool)
 	// Withdraw removes a request from the queue, for example because its client has disconnected.
 	Withdraw(seq uint64)
 	// Release reports that an admitted request has its final answer or that its answer has begun to stream.
@@ -57,7 +57,7 @@
 
 // requestAdmission asks the Admission whether a request may start, and starts, queues or rejects the request accordingly.
 func (b *Balancer) requestAdmission(now time.Duration, r *request) {
-	verdict, after := b.settings.Admission.Arrive(now, Arrival{
+	decision, after := b.settings.Admission.Arrive(now, Arrival{
 		Seq:          r.seq,
 		Class:        r.Class,
 		Tenant:       r.Tenant,
@@ -65,11 +65,11 @@
 		HighPriority: r.HighPriority,
 		Size:         r.Size,
 	})
-	if verdict == Enqueue {
+	if decision == Enqueue {
 		r.queued = true
 		b.host.SetTimer(r.seq, after)
 	} else {
-		b.admitOrReject(now, r, verdict, after)
+		b.admitOrReject(now, r, decision, after)
 	}
 	b.admitQueued(now)
 }
@@ -82,20 +82,20 @@
 	}
 	b.admittingQueued = true
 	for {
-		seq, verdict, after, ok := b.settings.Admission.Next(now)
+		seq, decision, after, ok := b.settings.Admission.Next(now)
 		if !ok {
 			break
 		}
 		if r := b.requests.unanswered[seq]; r != nil {
 			r.queued = false
-			b.admitOrReject(now, r, verdict, after)
+			b.admitOrReject(now, r, decision, after)
 		}
 	}
 	b.admittingQueued = false
 }
 
-func (b *Balancer) admitOrReject(now time.Duration, r *request, verdict AdmissionDecision, after time.Duration) {
-	r.admitted = verdict == Admit
+func (b *Balancer) admitOrReject(now time.Duration, r *request, decision AdmissionDecision, after time.Duration) {
+	r.admitted = decision == Admit
 	if r.admitted {
 		b.dispatch(now, r)
 		return
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -54,7 +54,7 @@
 
 func (a *randomAdmission) Release(time.Duration, bool) {
 	if a.started--; a.started < 0 {
-		a.t.Fatal("Done called more often than requests were admitted")
+		a.t.Fatal("Release called more often than requests were admitted")
 	}
 }
 
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -237,7 +237,7 @@
 	c.rejections.decay(now)
 }
 
-// Next returns the sequence number of a queued request that is to start or to be rejected now, its verdict and, for a rejection,
+// Next returns the sequence number of a queued request that is to start or to be rejected now, its decision and, for a rejection,
 // its Retry-After. The last result is false if there is no such request.
 func (c *Controller) Next(now time.Duration) (uint64, balancer.AdmissionDecision, time.Duration, bool) {
 	now = c.advance(now)
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -68,7 +68,7 @@
 	}{{false, balancer.Admit}, {false, balancer.Admit}, {false, balancer.Enqueue}, {false, balancer.Reject}, {true, balancer.Admit}, {true, balancer.Enqueue}, {true, balancer.Enqueue},
 		{true, balancer.Reject}} {
 		if v := sendRequest(uint64(i), want.high); v != want.v {
-			t.Errorf("Arrive of request %d, high %v: got verdict %d, want %d", i, want.high, v, want.v)
+			t.Errorf("Arrive of request %d, high %v: got decision %d, want %d", i, want.high, v, want.v)
 		}
 	}
 	if c.Release(0, true); fmt.Sprint(c.startQueued(0)) != "[5]" { // the limit would allow request 2, its circuit breaker does not
--- a/internal/admission/invariants_test.go
+++ b/internal/admission/invariants_test.go
@@ -87,7 +87,7 @@
 	t := p.t
 	p.lastSeq++
 	r := queuedRequest{rapid.Bool().Draw(t, "high"), int64(rapid.IntRange(0, 60).Draw(t, "size"))}
-	verdict, after := p.controller.Arrive(p.now, balancer.Arrival{
+	decision, after := p.controller.Arrive(p.now, balancer.Arrival{
 		Seq:          p.lastSeq,
 		HighPriority: r.high,
 		Size:         r.size,
@@ -96,12 +96,12 @@
 		TimeLeft:     time.Duration(rapid.IntRange(1, 2000).Draw(t, "left")) * ms,
 	})
 	switch {
-	case verdict == balancer.Admit:
+	case decision == balancer.Admit:
 		p.started = append(p.started, r.high)
-	case verdict == balancer.Enqueue && after > 0:
+	case decision == balancer.Enqueue && after > 0:
 		p.queued[p.lastSeq] = r
 	case after <= 0:
-		t.Fatalf("Arrive: verdict %d with duration %v, want a positive duration", verdict, after)
+		t.Fatalf("Arrive: decision %d with duration %v, want a positive duration", decision, after)
 	}
 }
 
@@ -118,7 +118,7 @@
 // takeNext calls Next until it returns no request.
 func (p *eventPlayer) takeNext() {
 	for {
-		seq, verdict, after, ok := p.controller.Next(p.now)
+		seq, decision, after, ok := p.controller.Next(p.now)
 		if !ok {
 			return
 		}
@@ -127,7 +127,7 @@
 			p.t.Fatalf("Next returned request %d, which is not queued", seq)
 		}
 		delete(p.queued, seq)
-		if verdict == balancer.Admit {
+		if decision == balancer.Admit {
 			p.started = append(p.started, r.high)
 		} else if after <= 0 || after > p.controller.options.MaxRetryAfter {
 			p.t.Fatalf("Next: got Retry-After %v, want above 0 and at most %v", after, p.controller.options.MaxRetryAfter)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -79,7 +79,7 @@
 		}
 		if i%5 == 0 { // 200 requests/s, one in eight takes 5 s: 125 in flight
 			if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
-				t.Fatalf("Arrive at %v: got verdict %d, want %d; limit %d, %d in flight", now, v, balancer.Admit, c.maxInFlight(), c.inFlight)
+				t.Fatalf("Arrive at %v: got decision %d, want %d; limit %d, %d in flight", now, v, balancer.Admit, c.maxInFlight(), c.inFlight)
 			}
 			at := now + 5*ms
 			if i%40 == 0 {
@@ -122,7 +122,7 @@
 	for i := range 20000 {
 		now := time.Duration(i+1) * ms
 		if v := c.arrive(now, uint64(i+1), "map", ""); v != balancer.Admit {
-			t.Fatalf("Arrive: got verdict %d, want %d", v, balancer.Admit)
+			t.Fatalf("Arrive: got decision %d, want %d", v, balancer.Admit)
 		}
 		c.Release(now+ms, false)
 		c.AttemptEnded(now+ms, balancer.AttemptSample{Class: "map", SentAt: now, Latency: ms, Result: []balancer.Result{balancer.ServerError, balancer.ConnectionLost, balancer.NotConnected}[i%3]})
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -15,7 +15,7 @@
 	for i := range uint64(60) {
 		for j, class := range []string{"map", "hold", "pay"} {
 			if v := c.arrive(0, 10+3*i+uint64(j), class, ""); v != balancer.Enqueue {
-				t.Fatalf("Arrive: got verdict %d, want %d", v, balancer.Enqueue)
+				t.Fatalf("Arrive: got decision %d, want %d", v, balancer.Enqueue)
 			}
 		}
 	}
@@ -39,11 +39,11 @@
 		c.arrive(0, 100+i, "map", "flood")
 	}
 	if v := c.arrive(0, 200, "map", "flood"); v != balancer.Reject {
-		t.Errorf("one more request of the flooding tenant: got verdict %d, want %d", v, balancer.Reject)
+		t.Errorf("one more request of the flooding tenant: got decision %d, want %d", v, balancer.Reject)
 	}
 	for i := range uint64(5) {
 		if v := c.arrive(0, 300+i, "map", "small"); v != balancer.Enqueue {
-			t.Fatalf("request of the small tenant: got verdict %d, want %d", v, balancer.Enqueue)
+			t.Fatalf("request of the small tenant: got decision %d, want %d", v, balancer.Enqueue)
 		}
 	}
 	small := 0
@@ -59,7 +59,7 @@
 		t.Errorf("small tenant's starts among 10: got %d, want 5; displaced: got %d, want 5", small, c.rejected[Displaced])
 	}
 	if v := c.arrive(0, 400, "pay", "flood"); v != balancer.Enqueue {
-		t.Errorf("request of a class with a higher weight: got verdict %d, want %d", v, balancer.Enqueue)
+		t.Errorf("request of a class with a higher weight: got decision %d, want %d", v, balancer.Enqueue)
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.Errorf("requests started at the limit: got %v, want none", l)
 	}
 	if seq, v, after, ok := c.Next(271 * ms); !ok || seq != 2 || v != balancer.Reject || after <= 0 {
-		t.Errorf("Next: got request %d, verdict %d, Retry-After %v, ok %v, want request 2 rejected with a positive Retry-After", seq, v, after, ok)
+		t.Errorf("Next: got request %d, decision %d, Retry-After %v, ok %v, want request 2 rejected with a positive Retry-After", seq, v, after, ok)
 	}
 	if c.rejected[WaitedTooLong] != 1 || c.queue.count != 1 {
 		t.Errorf("rejected after waiting too long: got %d, want 1; queued: got %d, want 1", c.rejected[WaitedTooLong], c.queue.count)
@@ -104,7 +104,7 @@
 	}{{"map", 60, balancer.Enqueue, 60}, {"map", 41, balancer.Reject, 60}, {"map", 40, balancer.Enqueue, 100}, {"pay", 101, balancer.Reject, 100}, {"pay", 50, balancer.Enqueue, 90},
 		{"hold", 60, balancer.Reject, 90}, {"hold", 50, balancer.Enqueue, 100}} {
 		if v := sendRequest(want.class, want.size); v != want.v || c.queue.bytes != want.queued {
-			t.Errorf("request %d, class %s, %d bytes: got verdict %d, %d bytes queued, want %d, %d", i, want.class, want.size, v, c.queue.bytes, want.v, want.queued)
+			t.Errorf("request %d, class %s, %d bytes: got decision %d, %d bytes queued, want %d, %d", i, want.class, want.size, v, c.queue.bytes, want.v, want.queued)
 		}
 	}
 	if c.rejected[Displaced] != 2 || c.rejected[QueueFull] != 3 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("classes: got %+v, want seat-hold and both default classes", f.Classes)
 	}
 	if r := f.RouteTable(); len(r) != 2 || r[0].Clusters[0].Weight != 9 || r[0].Clusters[1].Weight != 1 || r[0].Headers[0].Value != "2." {
-		t.Errorf("Table: got %+v, want 2 routes with the weights and header condition of the text", r)
+		t.Errorf("RouteTable: got %+v, want 2 routes with the weights and header condition of the text", r)
 	}
 	if f.Resolve("x") != filepath.Join("dir", "x") || f.Resolve("/x") != "/x" || f.Path() != "dir/gateway.yaml" {
 		t.Error("Resolve must resolve relative paths against dir and keep absolute ones; Path must be dir/gateway.yaml")
@@ -349,16 +349,16 @@
 	}
 	combined, err := f.WithRelease("routes: [{match: {path: /new}, cluster: d}]\nclusters: [{name: d, endpoints: [{address: \"127.0.0.1:8\"}]}]\nclasses: [{name: x}]\n")
 	if err != nil || len(combined.Clusters) != 1 || combined.Clusters[0].Name != "d" || combined.Routes[0].Match.Path != "/new" || combined.Classes[0].Name != "x" || combined.Limits.Drain != Duration(7*time.Second) || combined.Resolve("r") != "dir/r" {
-		t.Fatalf("With: got %+v, error %v, want the sections of the release and the remaining settings of the file", combined, err)
+		t.Fatalf("WithRelease: got %+v, error %v, want the sections of the release and the remaining settings of the file", combined, err)
 	}
 	// A second release is applied to the configuration of the file, not to the result of the first release.
 	if second, err := combined.WithRelease("classes: [{name: y}]\n"); err != nil || second.Clusters[0].Name != "c" {
-		t.Errorf("With after With: got %+v, error %v, want the clusters of the file", second, err)
+		t.Errorf("WithRelease after WithRelease: got %+v, error %v, want the clusters of the file", second, err)
 	}
 	for text, want := range map[string]string{"listeners: []": "each process's own", "fleet: {}": "each process's own", "routes: [{match: {prefix: /}, cluster: none}]": "none", "- 1": "must be a mapping of sections",
 		"": "must be a mapping of sections", "a: [": "release: "} {
 		if _, err := f.WithRelease(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("With(%q): got error %v, want %q", text, err, want)
+			t.Errorf("WithRelease(%q): got error %v, want %q", text, err, want)
 		}
 	}
 }
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -61,8 +61,8 @@
 	VersionRejected string `json:"not_this,omitempty"`
 }
 
-// VersionController controls, through this process's supervisor, which version of the program runs. Its methods are called by one goroutine at
-// a time.
+// VersionController controls, through this process's supervisor, which version of the program runs. Its methods are called by one goroutine
+// at a time.
 type VersionController interface {
 	// RejectReason returns why this process would not start with a version, or "" if it would.
 	RejectReason(version string) string
@@ -94,9 +94,9 @@
 	fleet *Fleet
 
 	// Set before Start.
-	agent          Agent
-	supervised     VersionController // nil if the process is not supervised
-	runningVersion string
+	agent             Agent
+	versionController VersionController // nil if the process is not supervised
+	runningVersion    string
 
 	configChanged chan struct{} // holds a value after the assigned configuration may have changed
 
@@ -119,9 +119,10 @@
 	return &assignee{fleet: f, configChanged: make(chan struct{}, 1)}
 }
 
-// SetVersionController allows releases to restart this process with other versions; version is the running one. It must be called before Start.
-func (f *Fleet) SetVersionController(version string, supervised VersionController) {
-	f.assignee.supervised = supervised
+// SetVersionController allows releases to restart this process with other versions; version is the running one. It must
+// be called before Start.
+func (f *Fleet) SetVersionController(version string, versionController VersionController) {
+	f.assignee.versionController = versionController
 	f.assignee.runningVersion = version
 }
 
@@ -183,7 +184,7 @@
 // assignVersion records the desired version of the program. The process is restarted later, by the drain request of the same release
 // (see Fleet.Restart). The caller must hold a.mu.
 func (a *assignee) assignVersion(version string) {
-	if a.supervised == nil {
+	if a.versionController == nil {
 		return
 	}
 	if a.assignedVersion != version {
@@ -192,12 +193,12 @@
 	}
 	if version != "" && version != a.runningVersion {
 		a.rejectedCleared = false
-		a.versionRejected = a.supervised.RejectReason(version)
+		a.versionRejected = a.versionController.RejectReason(version)
 		return
 	}
 	// A later release may contain the rejected version again.
 	a.versionRejected = ""
-	if !a.rejectedCleared && a.supervised.ClearRejected() == nil {
+	if !a.rejectedCleared && a.versionController.ClearRejected() == nil {
 		a.rejectedCleared = true
 	}
 }
@@ -205,15 +206,15 @@
 // Restart restarts this process with another version. Only the agent may call it, from ApplyDrains.
 func (f *Fleet) Restart(version string) {
 	a := f.assignee // apply holds a.mu
-	if a.supervised == nil || version == a.runningVersion {
+	if a.versionController == nil || version == a.runningVersion {
 		return
 	}
 	// The drain request that led to the switch outlasts a rollback, and must not cause the same switch again.
-	a.versionRejected = a.supervised.RejectReason(version)
+	a.versionRejected = a.versionController.RejectReason(version)
 	if a.versionRejected != "" {
 		return
 	}
-	if err := a.supervised.SwitchTo(version); err != nil {
+	if err := a.versionController.SwitchTo(version); err != nil {
 		a.versionRejected = err.Error()
 		f.log.Error("switch to version failed", "version", version, "error", err)
 	}
--- a/internal/fleet/configure.go
+++ b/internal/fleet/configure.go
@@ -46,7 +46,7 @@
 		now:            a.fleet.now,
 		maxSilence:     maxSilentHeartbeats * heartbeat,
 		startedAt:      a.fleet.now(),
-		versionOnTrial: a.supervised != nil && a.supervised.OnTrial(),
+		versionOnTrial: a.versionController != nil && a.versionController.OnTrial(),
 	}
 	for {
 		c.step(ctx)
@@ -117,12 +117,12 @@
 	a := c.assignee
 	switch {
 	case leaderHeardAt > 0:
-		if err := a.supervised.ConfirmTrial(); err != nil {
+		if err := a.versionController.ConfirmTrial(); err != nil {
 			a.fleet.log.Warn("version trial confirmation failed", "error", err)
 		}
 		c.versionOnTrial = false
 	case c.now()-c.startedAt > c.maxSilence:
-		if err := a.supervised.Rollback(reasonVersionSilence); err != nil {
+		if err := a.versionController.Rollback(reasonVersionSilence); err != nil {
 			a.fleet.log.Error("version rollback failed", "error", err)
 		}
 		c.versionOnTrial = false
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -26,7 +26,7 @@
 	locality.Fill()
 	admission.Fill()
 	if locality.Panic != 0 || locality.Floor != 0 || locality.RetryShare != 0 || locality.Gateways != 3 || !locality.OwnZoneUnlimited {
-		t.Errorf("locality options: got %+v, want Panic, Floor and RetryShare 0, Gateways 3, OwnFree true", locality)
+		t.Errorf("locality options: got %+v, want Panic, Floor and RetryShare 0, Gateways 3, OwnZoneUnlimited true", locality)
 	}
 	if admission.Floor != 0 || admission.RetryRatio != 0 || admission.RetryRate != 0 || admission.Gateways != 3 || admission.MaxPending != 1024 {
 		t.Errorf("admission options: got %+v, want Floor, RetryRatio and RetryRate 0, Gateways 3, MaxPending 1024", admission)
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -42,7 +42,8 @@
 	AtWaveReady map[string]Figures `json:"start"`
 	// BeforeWave are the figures that each gateway counted between the start of the release and its own wave.
 	BeforeWave map[string]Figures `json:"past"`
-	// AtStart are the figures of all gateways at the start of the release. PresentAtStart reports which gateways responded then.
+	// AtStart are the figures of all gateways at the start of the release. RespondingAtStart reports which gateways responded
+	// then.
 	AtStart           map[string]Figures   `json:"from"`
 	RespondingAtStart map[string]bool      `json:"here"`
 	Unknown           unknownfields.Fields `json:"-"` // passed on unchanged
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -14,7 +14,7 @@
 //  4. by the order in which the routes were given.
 //
 // If no route of the most specific matching host matches the request, the routes of the next host are tried. With
-// Options.HostsExclude only the most specific host is considered, as with Envoy's virtual hosts.
+// Options.MostSpecificHostOnly only the most specific host is considered, as with Envoy's virtual hosts.
 //
 // # Cost
 //
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -92,7 +92,7 @@
 	updateAge time.Duration
 	// missingSince is when a resource that this gateway wants began to be missing from the updates; noneMissing if none is missing.
 	missingSince time.Duration
-	// compared is the last version that got the verdict Compare; nil if none did since Tick last opened a direct stream.
+	// compared is the last version that got the verdict CompareSnapshot; nil if none did since Tick last opened a direct stream.
 	compared *version
 }
 
@@ -180,8 +180,8 @@
 	s.setMode(now, Following)
 }
 
-// Adopt makes the gateway follow the leader without applying update, a full snapshot that got the verdict Compare and contains all
-// resources in use here. It returns false if a newer update was received in the meantime or the mode is not Direct.
+// Adopt makes the gateway follow the leader without applying update, a full snapshot that got the verdict CompareSnapshot and contains
+// all resources in use here. It returns false if a newer update was received in the meantime or the mode is not Direct.
 func (s *Subscription) Adopt(now time.Duration, update Update) bool {
 	if s.mode != Direct || update.version().olderThan(s.accepted) || update.Token < s.fence.Highest {
 		return false
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -87,7 +87,7 @@
 				}
 				highest = max(highest, update.Token)
 				if verdict == CompareSnapshot && rapid.Bool().Draw(t, "covered") && !s.Adopt(now, update) {
-					t.Fatal("Adopt returned false for a snapshot that got the verdict Compare")
+					t.Fatal("Adopt returned false for a snapshot that got the verdict CompareSnapshot")
 				}
 				if verdict != Accept {
 					break
