--- a/internal/gateway/cluster.go
+++ b/internal/gateway/cluster.go
@@ -266,8 +266,8 @@
 	options := proxy.Options{
 		Settings:        settings,
 		Seed:            uint64(g.Now()),
-		Open:            c.requestQuota,
-		Memory:          c.memoryQuota,
+		OpenRequests:    c.requestQuota,
+		BodyMemory:      c.memoryQuota,
 		HonorRetryAfter: true,
 		OnCompleted:     g.recordCompleted,
 	}
@@ -297,7 +297,7 @@
 	options := backend.Options{
 		ConnectTimeout:   c.spec.config.ConnectTimeout.D(),
 		IdleTimeout:      c.spec.config.IdleTimeout.D(),
-		IsAnswer:         func(status int) bool { return status < http.StatusInternalServerError },
+		IsForwarded:      func(status int) bool { return status < http.StatusInternalServerError },
 		PauseTimeout:     responsePauseTimeout,
 		StallTimeout:     streamStallTimeout,
 		MaxResponseBytes: math.MaxInt64,
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -61,9 +61,9 @@
 		floor:     1,
 	}
 	s.subscription = subscription.New(fleet.Clock(), subscription.Options{
-		DirectAfter: settings.DirectAfter.D(),
-		Spread:      settings.Spread.D(),
-		Chance:      rand.Float64(),
+		DirectAfter:    settings.DirectAfter.D(),
+		Spread:         settings.Spread.D(),
+		SpreadFraction: rand.Float64(),
 	})
 	options.RetainBodies = true
 	s.Client = xds.NewClient(options, s)
@@ -114,7 +114,7 @@
 // tick advances the subscription to the current time.
 func (s *sharedSource) tick() {
 	missing := false
-	s.Inspect(func(m *xds.Machine, _ time.Duration) { missing = m.HasMissing() })
+	s.Inspect(func(m *xds.Machine, _ time.Duration) { missing = m.HasPending() })
 	s.update(func(current *subscription.Subscription) {
 		current.SetMissing(fleet.Clock(), missing)
 		current.Tick(fleet.Clock())
@@ -196,7 +196,7 @@
 		return subscription.NeedSnapshot
 	}
 	received := current.Receive(fleet.Clock(), push.Update, inUse.digest)
-	if received != subscription.Compare {
+	if received != subscription.CompareSnapshot {
 		return received
 	}
 	if inUse.covered && current.Adopt(fleet.Clock(), push.Update) {
@@ -253,7 +253,7 @@
 func (s *sharedSource) isUpToDate(connection xds.Connection) bool {
 	upToDate := false
 	s.Inspect(func(m *xds.Machine, now time.Duration) {
-		upToDate = m.Answered() || m.StreamOpen() && now-connection.ConnectedAt > s.config.Heartbeat.D()
+		upToDate = m.AllTypesAnswered() || m.StreamOpen() && now-connection.ConnectedAt > s.config.Heartbeat.D()
 	})
 	return upToDate
 }
