--- a/internal/proxy/client.go
+++ b/internal/proxy/client.go
@@ -22,7 +22,7 @@
 
 const (
 	maxHeadBytes       = 8 << 10
-	requestReadTimeout = 2500 * time.Millisecond // for a complete request; for a connection's first one from its accept on
+	requestReadTimeout = 2500 * time.Millisecond // to receive a complete request; for a connection's first request, measured from its accept
 	clientIdleTimeout  = 90 * time.Second        // between two requests on a connection
 	clientWriteTimeout = 10 * time.Second        // for one write to a client
 	lingerTimeout      = 500 * time.Millisecond  // for reading from a connection after its sending side is closed
--- a/internal/proxy/clientleft_test.go
+++ b/internal/proxy/clientleft_test.go
@@ -43,7 +43,7 @@
 	// Each function returns a node with a client whose request is in the given state, and a function that lets the request continue.
 	states := map[string]func(t *testing.T, arrived chan string) (node *testNode, c *clientConn, release func()){
 		"waiting in the balancer": func(t *testing.T, arrived chan string) (*testNode, *clientConn, func()) {
-			node := startNode(t, nil) // no list yet
+			node := startNode(t, nil) // no endpoint list yet
 			b := testbed.NewPeer(t, answerRequests(arrived))
 			c := node.dial(t)
 			c.send(requestHead("GET", "get"))
@@ -170,7 +170,7 @@
 	configure := func(o *Options) { o.Budget = backend.NewBudget(4 * clientCount) }
 	states := map[string]func(t *testing.T, script func(net.Conn, int)) state{
 		"waiting in the balancer": func(t *testing.T, script func(net.Conn, int)) state {
-			node := startNode(t, configure) // no list yet
+			node := startNode(t, configure) // no endpoint list yet
 			b := testbed.NewPeer(t, script)
 			return state{node, nil, func() bool { return node.pending() == clientCount }, func() { node.list(b.Addr) }}
 		},
@@ -263,7 +263,7 @@
 				sent[strings.TrimRight(id, "0123456789")]++
 			}
 			if sent["gone"] != 0 || sent["there"] == 0 {
-				t.Errorf("got forwarded requests by client %v, want none of gone and some of there", sent)
+				t.Errorf("got forwarded requests by client %v, want none from \"gone\" and at least one from \"there\"", sent)
 			}
 			if stats := node.Stats(); stats.Served != uint64(sent["there"]) {
 				t.Errorf("got stats %+v, want %d requests served", stats, sent["there"])
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -361,7 +361,8 @@
 	testbed.Receive(t, "the return of Stop", stopped)
 }
 
-// A request that the balancer never answers gets 502 from the front after its deadline, which makes no claim whether it was executed.
+// A request that the balancer never answers gets 502 from the front after its deadline. Status 502 leaves open whether the
+// request was executed, whereas 503 means that a retry is safe.
 func TestRequestWithoutBalancerAnswerFails(t *testing.T) {
 	testbed.Leaks(t)
 	node := startNode(t, nil)
--- a/internal/proxy/requestend_test.go
+++ b/internal/proxy/requestend_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// An endpoint ID moves to a new address while an attempt to the old one is in flight. That attempt completes normally, new attempts go to
-// the new address, and each attempt is counted once.
+// An endpoint moves to a new address under the same ID while an attempt to the old one is in flight. That attempt completes normally, new
+// attempts go to the new address, and each attempt is counted once.
 func TestEndpointMovesToANewAddress(t *testing.T) {
 	testbed.Leaks(t)
 	arrived, release := make(chan string, 9), make(chan struct{})
