--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -474,7 +474,7 @@
 		a := NewAttempt(p.Upstream(peer.Addr, 0), get("/get"), time.Now().Add(testbed.WaitTimeout))
 		r := a.Do(func(int, http.Header, int64) io.Writer { return io.Discard })
 		if r.Result == balancer.Served && !bytes.HasPrefix(response, []byte("HTTP/1.")) {
-			t.Errorf("Do: result Served for invalid response %q", response)
+			t.Errorf("Do: got result Served for invalid response %q, want another result", response)
 		}
 		p.Close()
 		if n := p.budget.Used(); n != 0 {
