--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -55,7 +55,7 @@
 		}
 		for _, s := range u.Servers {
 			if _, ok := u.Endpoints[s.ID]; s.ID == "" || s.Since < 0 || s.State != balancer.Removed && !ok {
-				t.Errorf("Parse returned invalid server %+v: no ID, negative Since or no address", s)
+				t.Errorf("Parse: got server %+v, want an ID, a Since of at least 0 and an address", s)
 			}
 		}
 	})
@@ -240,7 +240,7 @@
 		t.Errorf("next watch called %s, want after=8", c.uri)
 	}
 	if len(h.updates) != 0 {
-		t.Errorf("unexpected update %+v: interrupted watches of a pushed list must not be reported", h.next(t))
+		t.Errorf("got update %+v, want none: interrupted watches of a pushed list are not reported", h.next(t))
 	}
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -249,7 +249,7 @@
 		}
 	}
 	if maxInterval >= notifiedAfter {
-		t.Errorf("maximum poll interval %v leaves no time for a call within %v", maxInterval, notifiedAfter)
+		t.Errorf("got a maximum poll interval of %v, want one that leaves time for a call within %v", maxInterval, notifiedAfter)
 	}
 	if total := agentTimeout + maxRetryPause/2 + maxRetryPause + defaultSilenceTimeout; total >= notifiedAfter {
 		t.Errorf("after a partial response of a pushed list the next one takes up to %v, want less than %v", total, notifiedAfter)
