--- a/cmd/robindrum-node/main_test.go
+++ b/cmd/robindrum-node/main_test.go
@@ -48,8 +48,8 @@
 		"settings":%s}`, listen, backend, settings)
 }
 
-// The programs are run as they are deployed: both respond to requests, and robindrum-node exits with code 0 after SIGTERM and with an
-// error of one line after an invalid configuration.
+// The programs are run as they are deployed: both respond to requests, and robindrum-node exits with code 0 after SIGTERM and with
+// a one-line error after an invalid configuration.
 func TestPrograms(t *testing.T) {
 	t.Run("robindrum-sim", func(t *testing.T) {
 		cmd := exec.Command(filepath.Join(programDir, "robindrum-sim"))
--- a/cmd/robindrum-node/signals_test.go
+++ b/cmd/robindrum-node/signals_test.go
@@ -141,7 +141,7 @@
 	node.waitForExit(t)
 }
 
-// SIGTERM, SIGHUP and SIGTERM arrive in short sequence while requests are in flight. All requests must be answered, and the node must
+// SIGTERM, SIGHUP and SIGTERM arrive in quick succession while requests are in flight. All requests must be answered, and the node must
 // switch to the new discovery address during the shutdown as well: requests avoid the endpoint that the new list marks as draining.
 func TestSIGHUPDuringShutdown(t *testing.T) {
 	received, released := make(chan string, 99), make(chan struct{})
--- a/cmd/robindrum/main_test.go
+++ b/cmd/robindrum/main_test.go
@@ -34,7 +34,7 @@
 			t.Errorf("robindrum-node links %s", line)
 		}
 		if line == "os/exec" { // the platform does not permit a node to start other programs
-			t.Error("robindrum-node links os/exec")
+			t.Error("robindrum-node links os/exec, want it not linked")
 		}
 		for _, name := range []string{"internal/xds", "internal/gateway", "internal/config", "internal/route", "internal/testbed", "internal/demo", "internal/endpoints"} {
 			if strings.HasPrefix(line, "robindrum/"+name) {
@@ -43,12 +43,12 @@
 		}
 	}
 	if !strings.Contains(node, "robindrum/balancer") {
-		t.Error("the dependencies of robindrum-node lack robindrum/balancer, so the list is not valid")
+		t.Error("the dependencies of robindrum-node lack robindrum/balancer, want a list that contains it")
 	}
 	// The gateway has such dependencies, which shows that the check can fail.
 	for _, name := range []string{"google.golang.org/grpc", "google.golang.org/protobuf/proto", "github.com/spf13/cobra", "robindrum/internal/xds", "os/exec"} {
 		if !strings.Contains(dependencies("robindrum"), name+"\n") {
-			t.Errorf("robindrum does not link %s", name)
+			t.Errorf("robindrum does not link %s, want it linked", name)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	}
 }
 
-// Runs a gateway, queries its status, reloads a valid and an invalid configuration file, and stops it.
+// TestServe runs a gateway, queries its status, reloads a valid and an invalid configuration file, and stops the gateway.
 func TestServe(t *testing.T) {
 	testbed.Leaks(t)
 	serverA, err := origin.Start("", nil)
--- a/cmd/robindrum/names_test.go
+++ b/cmd/robindrum/names_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	if b.String() != string(want) {
-		t.Errorf("commands differ from %s:\n%s", path, b.String())
+		t.Errorf("commands differ from %s, got:\n%s", path, b.String())
 	}
 }
 
