--- a/internal/xds/client_test.go
+++ b/internal/xds/client_test.go
@@ -230,7 +230,7 @@
 		newest := ""
 		for _, version := range sink.versions["a"] {
 			if version != "" && version < newest {
-				t.Fatalf("Changed received version %s after version %s", version, newest)
+				t.Fatalf("Changed: got version %s after version %s, want increasing versions", version, newest)
 			}
 			newest = max(newest, version)
 		}
--- a/internal/xds/machine_model_test.go
+++ b/internal/xds/machine_model_test.go
@@ -242,14 +242,14 @@
 					}
 					for n, r := range received {
 						if inUse[typ][n].Version != r.Version {
-							t.Fatalf("%s %s: version is %q according to the changes and %q according to Resources", typ.Short(), n, inUse[typ][n].Version, r.Version)
+							t.Fatalf("%s %s: got version %q from the changes, want %q as in Resources", typ.Short(), n, inUse[typ][n].Version, r.Version)
 						}
 						if _, ok := server.versions[typ][n]; !ok && (typ == ClusterType || delta) {
-							t.Fatalf("%s %s is in use although it was withdrawn", typ.Short(), n)
+							t.Fatalf("%s %s: got it in use after it was withdrawn, want it absent", typ.Short(), n)
 						}
 					}
 					if len(received) != len(inUse[typ]) {
-						t.Fatalf("%s: number of resources in use is %d according to the changes and %d according to Resources", typ.Short(), len(inUse[typ]), len(received))
+						t.Fatalf("%s: got %d resources in use from the changes, want %d as in Resources", typ.Short(), len(inUse[typ]), len(received))
 					}
 					for n, latest := range server.versions[typ] {
 						wanted := typ == ClusterType
@@ -259,11 +259,11 @@
 						r, ok := received[n]
 						switch {
 						case !wanted && ok:
-							t.Fatalf("%s %s is in use although no cluster refers to it", typ.Short(), n)
+							t.Fatalf("%s %s: got it in use although no cluster refers to it, want it removed", typ.Short(), n)
 						case wanted && server.valid[typ][n] && (!ok || contentVersion(r) != latest):
 							t.Fatalf("%s %s: got version %q in use (present: %v), want version %q of the control plane", typ.Short(), n, contentVersion(r), ok, latest)
 						case ok && !server.valid[typ][n] && contentVersion(r) == latest:
-							t.Fatalf("%s %s: an invalid version is in use", typ.Short(), n)
+							t.Fatalf("%s %s: got an invalid version in use, want the last valid one", typ.Short(), n)
 						}
 					}
 				}
--- a/internal/xds/machine_test.go
+++ b/internal/xds/machine_test.go
@@ -108,7 +108,7 @@
 	// A response that contains the same resource twice is rejected.
 	requests, _ = machine.HandleSotW(8*sec, clusterResponse(t, "1", "n6", "b", "b"))
 	if !strings.Contains(requests[0].SotW.GetErrorDetail().GetMessage(), "duplicate resource name") {
-		t.Error("reply to a duplicate resource is not a NACK about the duplicate name")
+		t.Error("reply to a duplicate resource: got no NACK about the duplicate name, want one")
 	}
 	// The first requests of a new stream contain the version in use and no nonce; only the first one contains the node.
 	machine.EndStream()
@@ -245,8 +245,8 @@
 	}
 }
 
-// Whatever a response contains, the first request returned is a reply with its nonce, and the machine does not panic, also not
-// in a later Tick.
+// Whatever a response contains, the first request returned is a reply with the nonce of the response. Neither handling the
+// response nor a later Tick panics.
 func FuzzResponses(f *testing.F) {
 	response := &discoveryv3.DiscoveryResponse{VersionInfo: "1", Nonce: "n", TypeUrl: string(ClusterType)}
 	encoded, err := anypb.New(controlplane.Cluster("a", "b"))
--- a/internal/xds/resource_test.go
+++ b/internal/xds/resource_test.go
@@ -22,7 +22,7 @@
 func unmarshalJSON[M proto.Message](t testing.TB, message M, text string) M {
 	t.Helper()
 	if err := protojson.Unmarshal([]byte(text), message); err != nil {
-		t.Fatalf("error %v in the message %s", err, text)
+		t.Fatalf("unmarshalling: got error %v, want none, for %s", err, text)
 	}
 	return message
 }
