--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("Table: got %+v, want 2 routes with the weights and header condition of the text", r)
 	}
 	if f.Resolve("x") != filepath.Join("dir", "x") || f.Resolve("/x") != "/x" || f.Path() != "dir/gateway.yaml" {
-		t.Error("Resolve must resolve relative paths against dir and keep absolute ones; Path must be dir/gateway.yaml")
+		t.Error("Resolve, Path: want relative paths resolved against dir, absolute paths unchanged, and Path dir/gateway.yaml")
 	}
 	// The output of Print is the same configuration with all defaults written out.
 	text, err := f.Print()
@@ -75,7 +75,7 @@
 	}
 	reparsed, err := Parse("dir/gateway.yaml", text)
 	if err != nil {
-		t.Fatalf("Parse of the output of Print: %v in\n%s", err, text)
+		t.Fatalf("Parse of the output of Print: got error %v, want none, in\n%s", err, text)
 	}
 	reprinted, _ := reparsed.Print()
 	if string(reprinted) != string(text) {
@@ -151,7 +151,7 @@
 		}
 		for i := range errs[1:] {
 			if errs[i].Line > errs[i+1].Line {
-				t.Errorf("%s: errors are not sorted by line:\n%v", name, err)
+				t.Errorf("%s: want errors sorted by line, got\n%v", name, err)
 			}
 		}
 	}
@@ -216,7 +216,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse("f", out); err != nil {
-			t.Fatalf("Parse of the output of Print: %v in\n%s", err, out)
+			t.Fatalf("Parse of the output of Print: got error %v, want none, in\n%s", err, out)
 		}
 	})
 }
@@ -246,7 +246,7 @@
 		}
 	}
 	if _, err := Parse("g.yaml", []byte(strings.Replace(completeFile, "zone: sapporo\n", "", 1)+"zones: {}\n")); err == nil || !strings.Contains(err.Error(), "requires zone, the zone of this gateway") {
-		t.Errorf("zones without zone: got error %v, want that zone is required", err)
+		t.Errorf("zones without zone: got error %v, want one that says that zone is required", err)
 	}
 }
 
--- a/internal/config/listener.go
+++ b/internal/config/listener.go
@@ -21,7 +21,7 @@
 // Admin configures the listener for operators, which has no access control.
 type Admin struct {
 	Address     string `yaml:"address"` // "none": no listener
-	AllowRemote bool   `yaml:"remote"`  // allow an address that is not a loopback address
+	AllowRemote bool   `yaml:"remote"`  // allow an address that is not on loopback, although the listener has no access control
 }
 
 // Log configures the log output.
