--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -46,12 +46,12 @@
 	complete := header + recordLine(2_000_000, 10) + recordLine(1_000_000, 1_500_000) + recordLine(90_000_000, 5) + `{"end":true,"length":95000000,"records":3,"missed":7}` + "\n"
 	c, err := Read("f", strings.NewReader(complete))
 	if err != nil || !c.Complete || c.Truncated || c.Missed != 7 || c.Length != 95*time.Second || len(c.Records) != 3 || c.Records[0].ArrivalMicros != 1_000_000 {
-		t.Errorf("Read of a complete capture: got %+v, error %v", c, err)
+		t.Errorf("Read of a complete capture: got %+v, error %v, want 3 records sorted by arrival, 7 missed requests and a length of 95s", c, err)
 	}
 	for cut := len(header); cut < len(complete); cut++ {
 		c, err := Read("f", strings.NewReader(complete[:cut]))
 		if err != nil || c.Complete || c.Truncated != (complete[cut-1] != '\n') || len(c.Records) != strings.Count(complete[len(header):cut], "\n") {
-			t.Fatalf("Read of a capture truncated to %d bytes: got %+v, error %v", cut, c, err)
+			t.Fatalf("Read of a capture truncated to %d bytes: got %+v, error %v, want an incomplete capture with all complete records", cut, c, err)
 		}
 	}
 }
@@ -77,11 +77,11 @@
 		}
 		c, err := Read("f", bytes.NewReader(out.Bytes()))
 		if err != nil || !c.Complete || len(c.Records) != 2 || c.Gateway != "sapporo" || c.Length != time.Minute {
-			t.Fatalf("Read of the recording: got %+v, error %v\n%s", c, err, out.String())
+			t.Fatalf("Read of the recording: got %+v, error %v, want a complete capture of 1m0s with 2 records from\n%s", c, err, out.String())
 		}
 		first, second := c.Records[0], c.Records[1]
 		if first.Key != second.Key || len(first.Key) != 16 || strings.Contains(out.String(), "4711") || first.ArrivalMicros != 970_000 || first.LatencyMicros != 30_000 || first.Outcome != Rejected || second.BodyBytes != 12 {
-			t.Errorf("got records %+v and %+v", first, second)
+			t.Errorf("got records %+v and %+v, want equal hashed keys, arrival 970000, latency 30000 and outcome refused in the first, and 12 body bytes in the second", first, second)
 		}
 	})
 }
@@ -161,7 +161,7 @@
 		}
 		for i, r := range c.Records {
 			if r.ArrivalMicros < 0 || r.Arrival() > c.Length || i > 0 && r.ArrivalMicros < c.Records[i-1].ArrivalMicros || r.Class == "" {
-				t.Fatalf("invalid record %d: %+v in a capture of %v", i, r, c.Length)
+				t.Fatalf("record %d: got %+v in a capture of %v, want a class and an arrival within the capture, in order of time", i, r, c.Length)
 			}
 		}
 	})
--- a/internal/capture/former_test.go
+++ b/internal/capture/former_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if c.Version != 1 || c.SampleRate != 1 || c.Gateway != "g1" || c.StartedAt.Year() != 2026 || !c.Complete || c.Truncated || c.Missed != 0 || c.Length < 100*time.Millisecond {
-		t.Errorf("unexpected capture: %+v", c)
+		t.Errorf("Open: got %+v, want the complete capture of version 1 from gateway g1, with sample rate 1 and no missed requests", c)
 	}
 	want := []struct {
 		class, method string
