--- a/internal/gateway/capture_test.go
+++ b/internal/gateway/capture_test.go
@@ -87,7 +87,7 @@
 	}
 	for _, secret := range []string{"secret", "who=me", "/pay", "body!", backend.Addr, "127.0.0.1"} {
 		if strings.Contains(string(text), secret) {
-			t.Errorf("the capture contains %q, which it must not:\n%s", secret, text)
+			t.Errorf("capture contains %q, want it absent:\n%s", secret, text)
 		}
 	}
 }
--- a/internal/gateway/locality_test.go
+++ b/internal/gateway/locality_test.go
@@ -120,7 +120,7 @@
 			t.Cleanup(g.Close)
 			t.Cleanup(func() {
 				if t.Failed() {
-					t.Logf("%+v\n%s", g.Status(1).Clusters[0].Zones, log.b.String())
+					t.Logf("zones: %+v\nlog:\n%s", g.Status(1).Clusters[0].Zones, log.b.String())
 				}
 			})
 			testbed.Eventually(t, "the gateway to be ready", g.Ready)
@@ -154,7 +154,7 @@
 			}
 			for _, transition := range [][2]string{{"up", "failing"}, {"failing", "dark"}, {"dark", "returning"}, {"returning", "up"}} {
 				if !log.containsLine("msg=zone", "zone=a", "from="+transition[0], "to="+transition[1], "evidence=", "cluster=c") {
-					t.Errorf("the log has no line for the transition from %s to %s", transition[0], transition[1])
+					t.Errorf("log has no line for the transition from %s to %s, want one", transition[0], transition[1])
 				}
 			}
 			resp, err := http.Get("http://" + g.AdminAddr().String() + "/metrics")
@@ -231,15 +231,15 @@
 			return difference < 0.01 && difference > -0.01
 		}
 	}
-	testbed.Eventually(t, "1.4 times half of the zone", hasShare(0.7))
+	testbed.Eventually(t, "a share of 0.7, 1.4 times the healthy half of the zone", hasShare(0.7))
 	pushResources(t, server, "2", false, assignment(`{"policy":{"overprovisioning_factor":100}}`))
-	testbed.Eventually(t, "half of the zone", hasShare(0.5))
+	testbed.Eventually(t, "a share of 0.5, the healthy half of the zone", hasShare(0.5))
 	pushResources(t, server, "3", false, assignment(`{"policy":{"overprovisioning_factor":300}}`))
-	testbed.Eventually(t, "the whole zone", hasShare(1))
+	testbed.Eventually(t, "a share of 1, since 3 times the healthy half exceeds the zone", hasShare(1))
 	pushResources(t, server, "4", false, assignment(`{"policy":{"overprovisioning_factor":0}}`)) // rejected
 	testbed.Eventually(t, "the update to be rejected", func() bool { return g.Status(1).Clusters[0].RejectedUpdate != "" })
 	pushResources(t, server, "5", false, assignment(`{}`))
-	testbed.Eventually(t, "1.4 times half of the zone again, as configured", hasShare(0.7))
+	testbed.Eventually(t, "a share of 0.7 again, with the configured factor of 1.4", hasShare(0.7))
 }
 
 // A request with an idempotency key that may have been executed is not retried in another zone, even if its own zone is dark
