--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 
 const smallExperiment = "name: small\nlength: 3s\nload: {rate: 100}\n"
 
-// Errors name the file and the field. An experiment that would need too much time or memory is rejected, too.
+// Errors name the file and the field. An experiment that would need too much time or memory is rejected as well.
 func TestInvalidExperimentsAreRejectedWithTheirField(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                              "the file is empty",
@@ -77,11 +77,11 @@
 	first, repeated := simulateText(t, text, 1), simulateText(t, text, 1)
 	var firstJSON, secondJSON bytes.Buffer
 	if err := errors.Join(first.JSON(&firstJSON), repeated.JSON(&secondJSON)); err != nil || firstJSON.String() != secondJSON.String() {
-		t.Errorf("two reports of the same seed differ (error %v)", err)
+		t.Errorf("two reports of the same seed differ, want equal JSON; error %v", err)
 	}
 	other := simulateText(t, text+"seed: 2\n", 1)
 	if reflect.DeepEqual(first.Phases[1].All.Requests, other.Phases[1].All.Requests) && first.Phases[0].All.Requests == other.Phases[0].All.Requests {
-		t.Error("seeds 1 and 2 gave the same number of requests in each phase")
+		t.Error("seeds 1 and 2: got the same number of requests in each phase, want different ones")
 	}
 	both := simulateText(t, text, 2)
 	for i, phase := range both.Phases {
@@ -92,7 +92,7 @@
 }
 
 // Gateways that are restarted together wait for an endpoint source that serves one call at a time. The report measures the time until
-// the last one is ready, and each request has one outcome.
+// the last gateway is ready; without the limit of the source, all gateways would be ready immediately. Each request has one outcome.
 func TestRestartedGatewaysWaitForEndpointSource(t *testing.T) {
 	text := smallExperiment + "length: 8s\nfleet: {connect: 5ms}\ngateways: {number: 20, source: {places: 1, takes: 100ms, patience: 300ms}}\n" +
 		"classes: [{name: buy, effect: keyed, window: 4s}]\nevents: [{at: 1s, do: restart, part: 0.8, down: 200ms}]\nchecks: [{back: 1s}, {connects: 0.001}]\n"
--- a/internal/experiment/loopback_test.go
+++ b/internal/experiment/loopback_test.go
@@ -155,7 +155,7 @@
 				select {
 				case <-gateway.Exited:
 				default:
-					t.Errorf("gateway %d is still running", gateway.number)
+					t.Errorf("gateway %d is still running after the end of the run, want it stopped", gateway.number)
 				}
 			}
 		})
@@ -341,7 +341,7 @@
 		for {
 			arrival, ok := first.take()
 			if other, _ := second.take(); arrival != other {
-				t.Fatalf("arrivals %v and %v of the same seed differ", arrival, other)
+				t.Fatalf("same seed: got arrivals %v and %v, want equal ones", arrival, other)
 			}
 			if !ok {
 				break
--- a/internal/experiment/worker_pool.go
+++ b/internal/experiment/worker_pool.go
@@ -8,7 +8,7 @@
 // workerPool holds the idle workers of a loopback server and the requests that wait for a worker. Each start of the server creates a
 // new pool. Its methods are called with the server's lock held, so that no request is queued while a worker is idle.
 type workerPool struct {
-	idleSince []time.Duration      // one time for each idle worker; work counts from it, so that a late wake-up of a goroutine costs no capacity
+	idleSince []time.Duration      // when each idle worker became idle; its next work may begin at that time, so that a late wake-up of a goroutine costs no capacity
 	waiters   []chan time.Duration // in order of arrival; each has a buffer of one
 }
 
