--- a/tools/measure/capacity.go
+++ b/tools/measure/capacity.go
@@ -268,7 +268,7 @@
 		if full {
 			figures.put("bytes of a member per restarted member", result.RestartBytes, 0)
 		}
-		fmt.Printf("%5d members: times to reach all members: join %v (%d messages dropped), state change %v, one more join %v, leave %v (%d members take it for dead), death %v, new configuration of all %v, restart of a fifth %v; idle windows %d, rollouts %d\n",
+		fmt.Printf("%5d members: times to reach all members: join %v (%d messages dropped), state change %v, one more join %v, leave %v (%d members recorded it as dead), death %v, new configuration of all %v, restart of a fifth %v; idle windows %d, rollouts %d\n",
 			count, result.Join, result.Dropped, result.StateChange, result.JoinOne, result.Leave, result.LeftAsDead, result.Death, result.Rollout, result.Restart, result.Windows, result.Rollouts)
 	}
 	return nil
--- a/tools/measure/capacity_test.go
+++ b/tools/measure/capacity_test.go
@@ -46,7 +46,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			t.Fatalf("the command ended before it was interrupted: %v, stderr %q", err, stderr.String())
+			t.Fatalf("the command ended with error %v before it was interrupted, want it running; stderr %q", err, stderr.String())
 		}
 		if strings.HasPrefix(line, "    2 clusters") {
 			break
@@ -66,7 +66,7 @@
 		t.Errorf("interrupted command: got error %v, stderr %q, want an error and stderr with \"context canceled\"", err, stderr.String())
 	}
 	if !strings.Contains(string(rest), "resident with lists and routes, MB") || !strings.Contains(string(rest), "at 720") {
-		t.Errorf("output after the interrupt lacks the measured figures:\n%s", rest)
+		t.Errorf("output after the interrupt lacks the measured figures, want them in\n%s", rest)
 	}
 	testbed.Eventually(t, "all processes to end", func() bool { return len(children(t, dir)) == 0 })
 	if entries, err := os.ReadDir(dir); err != nil || len(entries) > 0 {
@@ -133,7 +133,7 @@
 	for _, name := range partNames {
 		part, ok := unnamed[name]
 		if !ok {
-			t.Errorf("parts() has no part %q", name)
+			t.Errorf("parts() has no part %q, want one for each name in partNames", name)
 		}
 		if name != "limits" && (len(part.short) < 4 || len(part.full) < 4) {
 			t.Errorf("part %q: got sizes %v and %v, want at least four each to fit a slope", name, part.short, part.full)
@@ -141,7 +141,7 @@
 		delete(unnamed, name)
 	}
 	if len(unnamed) > 0 {
-		t.Errorf("parts missing in partNames: %v", unnamed)
+		t.Errorf("got parts %v that are missing in partNames, want none", unnamed)
 	}
 }
 
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -35,7 +35,7 @@
 	gaps            map[cluster.Fault][]time.Duration
 }
 
-// add adds the result of a schedule. It prints results with a violation and gaps of more than ten leases without an act.
+// add adds the result of a schedule. It prints results with a violation and gaps of more than ten lease lengths without an accepted post.
 func (s *scheduleTotals) add(result cluster.ScheduleResult) {
 	if result.Violated() {
 		s.failed++
