--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -23,7 +23,7 @@
 }
 
 // Auditor is an external service that receives the requests of a post task. It rejects requests with a token lower than the highest
-// token that it has accepted, and records all requests. Its methods may be called by several goroutines at once.
+// token that it has accepted, and records all requests. Its methods are safe for concurrent use.
 type Auditor struct {
 	ExternalService
 	// AcceptAll makes the auditor accept stale tokens, to test that Audit detects them. It must be set before the first post.
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -112,7 +112,7 @@
 	Direct  bool // reached without a relay
 }
 
-// Cluster is a fleet of processes. Its methods may be called by several goroutines at once.
+// Cluster is a fleet of processes. Its methods are safe for concurrent use.
 type Cluster struct {
 	Nodes []*Node
 
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -234,7 +234,7 @@
 		t.Errorf("address of n3 after a conflicting claim: got %s, want %s", m.Address, testCluster.Nodes[3].Address)
 	}
 	if m := testCluster.Nodes[0].member("n7"); m.Name != "" {
-		t.Errorf("n0 lists a member of another fleet: %+v", m)
+		t.Errorf("n0 lists a member of another fleet: got %+v, want none", m)
 	}
 	if status, err := other.Fleet(); err != nil || len(status.Members) != 1 {
 		t.Errorf("members of the other fleet: got %+v, error %v, want only itself", status.Members, err)
--- a/internal/testbed/cluster/linearizability.go
+++ b/internal/testbed/cluster/linearizability.go
@@ -20,8 +20,8 @@
 // leaseModel is the specification of one lease. The only times it knows are those at which operations were called and returned. A
 // lease lasts at least for its length after the call, so another member can be granted it only if its operation returned later.
 //
-// Operations with an unknown outcome are left out, because they could only have kept others from the lease. Releases with an unknown
-// outcome are included.
+// Acquires and renewals with an unknown outcome are left out, because they could only have kept others from the lease. Releases with an
+// unknown outcome are included, because they may have freed the lease for others.
 var leaseModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, _ any) []any {
--- a/internal/testbed/cluster/network.go
+++ b/internal/testbed/cluster/network.go
@@ -36,7 +36,7 @@
 	to   string
 }
 
-// link is one direction between two processes. Its methods may be called by several goroutines at once.
+// link is one direction between two processes. Its methods are safe for concurrent use.
 type link struct {
 	mu      sync.Mutex
 	state   LinkState
--- a/internal/testbed/cluster/node.go
+++ b/internal/testbed/cluster/node.go
@@ -28,8 +28,8 @@
 	currentLink       = "current"
 )
 
-// Node is a member of the fleet. Its directory and addresses stay the same when its process is restarted. Its methods may be called
-// by several goroutines at once, except those that start or stop the process.
+// Node is a member of the fleet. Its directory and addresses stay the same when its process is restarted. Its methods are
+// safe for concurrent use, except those that start or stop the process.
 type Node struct {
 	Number  int
 	Name    string
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -24,8 +24,8 @@
 	Releases   int // releases that began
 	Done       int
 	RolledBack int
-	// Starts is the number of times that supervisors started a version. RepeatedStarts is the number of these after a requested restart
-	// that started the same version again, so that a step of a release was run twice.
+	// Starts is the number of times that supervisors started a version. RepeatedStarts counts the starts of the same
+	// version again after a requested restart, which means that a step of a release was run twice.
 	Starts         int
 	RepeatedStarts int
 }
@@ -39,7 +39,7 @@
 		&r.DrainResult, r.Releases, r.Done, r.RolledBack, r.Starts, r.RepeatedStarts)
 }
 
-// startLog counts the starts that supervisors log. Its methods may be called by several goroutines at once.
+// startLog counts the starts that supervisors log. Its methods are safe for concurrent use.
 type startLog struct {
 	mu             sync.Mutex
 	requestedFrom  map[int]string // version that ended because a restart was requested, by node
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -263,7 +263,7 @@
 	if requests, err := site.Nodes[1].DrainRequests(); err == nil {
 		for _, o := range requests {
 			if o.Restart == "none" {
-				t.Errorf("drain request for a version that does not exist: %+v", o)
+				t.Errorf("got a drain request for a version that does not exist: %+v, want none", o)
 			}
 		}
 	}
--- a/internal/testbed/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -39,8 +39,8 @@
 	Zones []string
 
 	// SharedSubscription makes one gateway subscribe to the control plane for all. DirectAfter is the time without the shared
-	// subscription after which the other gateways open direct streams, and the time over which they spread this. Heartbeat is the
-	// heartbeat interval of the subscription's leader.
+	// subscription after which the other gateways open direct streams. It is also the upper bound of the random additional wait
+	// that spreads the opening of these streams. Heartbeat is the heartbeat interval of the subscription's leader.
 	SharedSubscription bool
 	DirectAfter        time.Duration
 	Heartbeat          time.Duration
--- a/internal/testbed/cluster/voters_test.go
+++ b/internal/testbed/cluster/voters_test.go
@@ -115,15 +115,15 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "n1 to report a voter ID", func() bool { return voter.vote().ID != "" })
-	for range 20 { // the leader may not even contact it: the test is that it never joins
+	for range 20 { // checked repeatedly, because the leader may never contact the voter, so no event shows that it was rejected
 		if status := voter.vote(); status.State == "leader" || status.Fleet == otherVoter.vote().Fleet {
-			t.Fatalf("a voter with another fleet's directory joined: %+v", status)
+			t.Fatalf("voter with another fleet's directory: got %+v, want it not to join", status)
 		}
 		_ = sleep(t.Context(), 20*time.Millisecond)
 	}
 	for _, listed := range otherVoter.vote().Voters {
 		if listed.Name == voter.Name && voter.vote().Unassigned {
-			t.Errorf("voter with another fleet's directory was added: %+v", listed)
+			t.Errorf("voter with another fleet's directory: got it listed as %+v, want it not listed", listed)
 		}
 	}
 	voter.Kill()
--- a/internal/testbed/controlplane/controlplane.go
+++ b/internal/testbed/controlplane/controlplane.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// Stop ends a stall, closes the listener and all streams, and waits until the server has stopped. A stopped control plane stays stopped.
+// Stop ends a stall, closes the listener and all streams, and waits until the server has stopped. It may be called more than once.
 func (s *Server) Stop() {
 	s.Resume()
 	s.mu.Lock()
--- a/internal/testbed/fleet/admission.go
+++ b/internal/testbed/fleet/admission.go
@@ -23,7 +23,7 @@
 }
 
 // NewAIMD returns a function for Options.Admission that gives each gateway a limit of requests in flight with additive increase and
-// multiplicative decrease, as a baseline for comparisons. The limit rises by about one for each limit's worth of in-time responses, and
+// multiplicative decrease, as a baseline for comparisons. The limit rises by about one after as many in-time responses as the limit, and
 // falls by a tenth, at most once per 100 ms, for a late response, a rejection or a failure. No request is queued, and all classes are
 // treated alike.
 func NewAIMD(o Options, initialLimit float64) func(gateway int) (balancer.Admission, error) {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -191,7 +191,7 @@
 		}
 	}
 	if fraction := float64(p.CrossZone) / float64(p.Attempts); fraction < 0.08 || fraction > 0.3 { // seat-hold is 25% of the requests, at half of the gateways: an eighth
-		t.Errorf("%.3f of the attempts cross", fraction)
+		t.Errorf("%.3f of the attempts cross zones, want 0.08 to 0.3", fraction)
 	}
 }
 
@@ -206,7 +206,7 @@
 		t.Errorf("%.3f in time, want at least 0.97", all)
 	}
 	if fraction := float64(p.CrossZone) / float64(p.Attempts); fraction < 0.05 || fraction > 0.35 { // Envoy's overprovisioning rule gives 30% of half the load
-		t.Errorf("%.3f of the attempts cross", fraction)
+		t.Errorf("%.3f of the attempts cross zones, want 0.05 to 0.35", fraction)
 	}
 }
 
--- a/internal/testbed/hollow/fit_test.go
+++ b/internal/testbed/hollow/fit_test.go
@@ -87,7 +87,7 @@
 		"descriptors": {2400, 0, 256 << 30, 1024},
 	} {
 		if err := MembersRequirement(c.members, c.processes).check(c.memory, c.files); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("requirement beyond the limit of %s: got error %v", what, err)
+			t.Errorf("requirement beyond the limit of %s: got error %v, want one that names the limit", what, err)
 		}
 	}
 	if err := MembersRequirement(800, 5).check(24<<30, 20000); err != nil {
@@ -112,7 +112,7 @@
 		t.Cleanup(r.close)
 		rangeCount.Add(^uint32(0)) // the next search begins at the same network
 		if seen[r.net] {
-			t.Errorf("network 127.%d was reserved twice", r.net)
+			t.Errorf("network 127.%d was reserved twice, want different networks", r.net)
 		}
 		seen[r.net] = true
 	}
--- a/internal/testbed/hollow/sizes_test.go
+++ b/internal/testbed/hollow/sizes_test.go
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		if err := SimulatedRequirement(n).Check(); err != nil {
-			t.Errorf("%d members: %v", n, err)
+			t.Errorf("requirement of %d members: got error %v, want none", n, err)
 			break
 		}
 		began := time.Now()
--- a/internal/testbed/proc/proc.go
+++ b/internal/testbed/proc/proc.go
@@ -21,7 +21,7 @@
 	maxLineSize = 1 << 20
 )
 
-// Process is a child process. Its methods may be called by several goroutines at once.
+// Process is a child process. Its methods are safe for concurrent use.
 type Process struct {
 	Name string
 	// Exited is closed when the process has ended and its whole log has been read.
