--- a/internal/demo/lease.go
+++ b/internal/demo/lease.go
@@ -56,7 +56,7 @@
 		Lease:              leaseLength,
 		DirectAfter:        subscribeAfter,
 		Heartbeat:          leaderHeartbeats,
-		Posts:              map[string]*cluster.ExternalService{"beat": &auditor.ExternalService},
+		PostTasks:          map[string]*cluster.ExternalService{"beat": &auditor.ExternalService},
 	})
 	if err != nil {
 		return err
@@ -100,8 +100,8 @@
 
 // awaitPosts waits until there are postsBetween more posts.
 func (s *leaseScene) awaitPosts(ctx context.Context) error {
-	target := len(s.auditor.Acts()) + postsBetween
-	return cluster.Await(ctx, "posts", leaseTimeout, func() bool { return len(s.auditor.Acts()) >= target })
+	target := len(s.auditor.Posts()) + postsBetween
+	return cluster.Await(ctx, "posts", leaseTimeout, func() bool { return len(s.auditor.Posts()) >= target })
 }
 
 // freezeLeaders freezes the gateway that posts and waits until another one posts. If a different gateway leads the subscription, that
@@ -179,9 +179,9 @@
 // audit stops the load, checks the posts and prints the result.
 func (s *leaseScene) audit(out io.Writer) error {
 	failure := s.load.Stop()
-	result := cluster.Audit(s.auditor.Acts())
+	result := cluster.Audit(s.auditor.Posts())
 	fmt.Fprintf(out, "\nrequests %d, failed %d %s\nposts %d under %d tokens: rejected by token %d, accepted out of order %d, begun after the lease ended %d\n",
-		s.load.Requests.Load(), s.load.Failed.Load(), failure, result.Acts, result.Tokens, result.Rejected, result.StaleAccepted, result.AfterLease)
+		s.load.Requests.Load(), s.load.Failed.Load(), failure, result.Posts, result.Tokens, result.Rejected, result.StaleAccepted, result.AfterLease)
 	switch {
 	case result.Violated():
 		return errors.New(result.FirstViolation)
--- a/internal/testbed/cluster/audit.go
+++ b/internal/testbed/cluster/audit.go
@@ -112,8 +112,8 @@
 	return post.Accepted
 }
 
-// Acts returns all recorded posts in the order in which they were received.
-func (a *Auditor) Acts() []Post {
+// Posts returns all recorded posts in the order in which they were received.
+func (a *Auditor) Posts() []Post {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.posts)
@@ -133,7 +133,7 @@
 
 // AuditResult counts posts and the violations of guarantees that Audit found in them.
 type AuditResult struct {
-	Acts     int
+	Posts    int
 	Rejected int
 	// Tokens is the number of different tokens: how many times the lease was granted and then used.
 	Tokens int
@@ -153,7 +153,7 @@
 
 // Add adds the counts of another result.
 func (r *AuditResult) Add(other AuditResult) {
-	r.Acts += other.Acts
+	r.Posts += other.Posts
 	r.Rejected += other.Rejected
 	r.Tokens += other.Tokens
 	r.StaleAccepted += other.StaleAccepted
@@ -179,7 +179,7 @@
 	members := map[uint64]string{}
 	highest := uint64(0)
 	for _, post := range posts {
-		result.Acts++
+		result.Posts++
 		if !post.Accepted {
 			result.Rejected++
 		}
--- a/internal/testbed/cluster/campaign.go
+++ b/internal/testbed/cluster/campaign.go
@@ -22,8 +22,8 @@
 	recoveryPosts = 3
 )
 
-// PlayOptions configure the runs of schedules.
-type PlayOptions struct {
+// ScheduleOptions configure the runs of schedules.
+type ScheduleOptions struct {
 	Binary string
 	// Dir is where temporary directories are created.
 	Dir   string
@@ -40,12 +40,12 @@
 type scheduleRun struct {
 	cluster *Cluster
 	auditor *Auditor
-	options PlayOptions
+	options ScheduleOptions
 	random  *rand.Rand
 }
 
-// Play runs a schedule on a new fleet, and returns when all processes of the fleet have ended. It ends early if ctx ends.
-func Play(ctx context.Context, schedule Schedule, options PlayOptions) ScheduleResult {
+// RunSchedule runs a schedule on a new fleet, and returns when all processes of the fleet have ended. It ends early if ctx ends.
+func RunSchedule(ctx context.Context, schedule Schedule, options ScheduleOptions) ScheduleResult {
 	result := ScheduleResult{Schedule: schedule, Gaps: map[Fault][]time.Duration{}}
 	options.Lease = cmp.Or(options.Lease, defaultScheduleLease)
 	dir, err := os.MkdirTemp(options.Dir, fmt.Sprintf("seed-%d-", schedule.Seed))
@@ -65,7 +65,7 @@
 }
 
 // startRun starts an auditor and a fleet with a post task that sends to it.
-func startRun(dir string, schedule Schedule, options PlayOptions) (*scheduleRun, error) {
+func startRun(dir string, schedule Schedule, options ScheduleOptions) (*scheduleRun, error) {
 	auditor, err := NewAuditor("receiver")
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 		Nodes:     schedule.Nodes,
 		Lease:     options.Lease,
 		Heartbeat: options.Lease / heartbeatsPerLease,
-		Posts:     map[string]*ExternalService{"audit": &auditor.ExternalService},
+		PostTasks: map[string]*ExternalService{"audit": &auditor.ExternalService},
 		Seed:      schedule.Seed,
 	})
 	if err != nil {
@@ -123,15 +123,15 @@
 		stopHistory = stop
 	}
 	for i, fault := range result.Faults {
-		before := len(r.auditor.Acts())
+		before := len(r.auditor.Posts())
 		if err := r.injectAndRecover(ctx, fault); err != nil {
 			result.Err = fmt.Errorf("fault %d, %s: %w", i+1, fault, err)
 			break
 		}
-		result.Gaps[fault] = append(result.Gaps[fault], longestGap(r.auditor.Acts(), max(before-1, 0)))
+		result.Gaps[fault] = append(result.Gaps[fault], longestGap(r.auditor.Posts(), max(before-1, 0)))
 	}
 	operations := stopHistory()
-	result.AuditResult = Audit(r.auditor.Acts())
+	result.AuditResult = Audit(r.auditor.Posts())
 	result.addHistory(operations)
 }
 
@@ -316,7 +316,7 @@
 		return AuditResult{}, 0, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	run, err := startRun(dir, Schedule{Nodes: flappingNodes}, PlayOptions{Binary: binary, Lease: flappingLease})
+	run, err := startRun(dir, Schedule{Nodes: flappingNodes}, ScheduleOptions{Binary: binary, Lease: flappingLease})
 	if err != nil {
 		return AuditResult{}, 0, err
 	}
@@ -324,7 +324,7 @@
 	if err := run.awaitPosts(ctx); err != nil {
 		return AuditResult{}, 0, err
 	}
-	before := len(run.auditor.Acts())
+	before := len(run.auditor.Posts())
 	for range times {
 		holder, _ := run.holder()
 		run.cluster.Isolate(holder, partitioned)
@@ -333,6 +333,6 @@
 		_ = sleep(ctx, flappingHalfTime)
 	}
 	err = run.awaitPosts(ctx)
-	posts := run.auditor.Acts()
+	posts := run.auditor.Posts()
 	return Audit(posts), longestGap(posts, before-1), err
 }
--- a/internal/testbed/cluster/cluster.go
+++ b/internal/testbed/cluster/cluster.go
@@ -47,8 +47,8 @@
 	// MaxLogSize is the maximum size of a voter's log, as in the configuration; empty: 64MiB.
 	MaxLogSize string
 
-	// Posts are post tasks by name: leader-only tasks that send a POST request to an external service once per PostInterval (0: 20 ms).
-	Posts        map[string]*ExternalService
+	// PostTasks are post tasks by name: leader-only tasks that send a POST request to an external service once per PostInterval (0: 20 ms).
+	PostTasks    map[string]*ExternalService
 	PostInterval time.Duration
 	// XDS is the control plane; nil: the configuration has a static cluster.
 	XDS *ExternalService
@@ -142,7 +142,7 @@
 		}
 		c.Nodes = append(c.Nodes, node)
 	}
-	for _, service := range options.Posts {
+	for _, service := range options.PostTasks {
 		c.services = append(c.services, service)
 	}
 	if options.XDS != nil {
--- a/internal/testbed/cluster/cluster_test.go
+++ b/internal/testbed/cluster/cluster_test.go
@@ -102,7 +102,7 @@
 		schedules = append(schedules, Schedule{Seed: uint64(100 + i), Nodes: 3 + i%3, Faults: Faults[i : i+3]})
 	}
 	schedules = append(schedules, DrawSchedule(1), DrawSchedule(2))
-	options := PlayOptions{Binary: binary(t), Dir: t.TempDir(), Lease: testLease, History: true}
+	options := ScheduleOptions{Binary: binary(t), Dir: t.TempDir(), Lease: testLease, History: true}
 	// Run at most half as many schedules as there are CPUs: tests of other packages run at the same time, and some of them check times.
 	slots := make(chan struct{}, max(runtime.GOMAXPROCS(0)/2, 1))
 	var runs sync.WaitGroup
@@ -110,7 +110,7 @@
 		runs.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			if result := Play(t.Context(), schedule, options); result.Violated() || result.Acts < 10 || result.Operations == 0 {
+			if result := RunSchedule(t.Context(), schedule, options); result.Violated() || result.Posts < 10 || result.Operations == 0 {
 				t.Errorf("Play(%v) = %v, want no violation, at least 10 posts and some lease operations", schedule.Faults, &result)
 			}
 		})
@@ -124,7 +124,7 @@
 	testbed.Leaks(t)
 	auditFault := func(f Fault, binary string, acceptAll bool) (sum AuditResult) {
 		for seed := range uint64(3) {
-			run := Play(t.Context(), Schedule{Seed: seed, Nodes: 3, Faults: []Fault{f}}, PlayOptions{Binary: binary, Dir: t.TempDir(), Lease: testLease, AcceptAll: acceptAll})
+			run := RunSchedule(t.Context(), Schedule{Seed: seed, Nodes: 3, Faults: []Fault{f}}, ScheduleOptions{Binary: binary, Dir: t.TempDir(), Lease: testLease, AcceptAll: acceptAll})
 			if run.Err != nil {
 				t.Fatal(run.Err)
 			}
@@ -134,7 +134,7 @@
 		}
 		return sum
 	}
-	if f := auditFault(DelayAct, binary(t), true); f.StaleAccepted == 0 || f.AfterLease != 0 {
+	if f := auditFault(DelayPost, binary(t), true); f.StaleAccepted == 0 || f.AfterLease != 0 {
 		t.Errorf("audit with a receiver that accepts all tokens: got %+v, want StaleAccepted > 0 and AfterLease = 0", f)
 	}
 	if f := auditFault(FreezeLong, binary(t, "faultinjection"), false); f.AfterLease == 0 || f.StaleAccepted != 0 {
--- a/internal/testbed/cluster/configuration.go
+++ b/internal/testbed/cluster/configuration.go
@@ -78,11 +78,11 @@
 
 func (n *Node) writePosts(b *strings.Builder) {
 	options := &n.cluster.options
-	if len(options.Posts) == 0 {
+	if len(options.PostTasks) == 0 {
 		return
 	}
 	b.WriteString("  posts:\n")
-	for name, service := range options.Posts {
+	for name, service := range options.PostTasks {
 		fmt.Fprintf(b, "    - {name: %s, url: \"http://%s/\", every: %v, timeout: 30s}\n", name, n.serviceAddress(service), options.PostInterval)
 	}
 }
--- a/internal/testbed/cluster/drains.go
+++ b/internal/testbed/cluster/drains.go
@@ -162,7 +162,7 @@
 	load := site.StartLoad(scheduleLoad)
 	defer load.Stop()
 	// The observer writes to the result until it is stopped.
-	stopObserver := site.Watch(&result, drainBudget)
+	stopObserver := site.ObserveUnavailable(&result, drainBudget)
 	defer stopObserver()
 	run := &drainRun{
 		site:          site,
--- a/internal/testbed/cluster/faults.go
+++ b/internal/testbed/cluster/faults.go
@@ -18,7 +18,7 @@
 		PartitionHolderInbound:   r.partitionHolderInbound,
 		PartitionHolderFromVoter: r.partitionHolderFromVoter,
 		DelayHolder:              r.delayHolder,
-		DelayAct:                 r.delayPost,
+		DelayPost:                r.delayPost,
 		KillLeader:               r.killLeader,
 		FreezeLeader:             r.freezeLeader,
 		PartitionLeader:          r.partitionLeader,
@@ -88,7 +88,7 @@
 func (r *scheduleRun) partitionHolderOutbound(ctx context.Context) error {
 	holder, token := r.holder()
 	for _, other := range r.cluster.Nodes {
-		r.cluster.Set(holder.Name, other.Name, partitioned)
+		r.cluster.SetLink(holder.Name, other.Name, partitioned)
 	}
 	r.awaitNewerToken(ctx, token, r.handoverTimeout())
 	return nil
@@ -97,7 +97,7 @@
 func (r *scheduleRun) partitionHolderInbound(ctx context.Context) error {
 	holder, token := r.holder()
 	for _, other := range r.cluster.Nodes {
-		r.cluster.Set(other.Name, holder.Name, partitioned)
+		r.cluster.SetLink(other.Name, holder.Name, partitioned)
 	}
 	r.awaitNewerToken(ctx, token, r.handoverTimeout())
 	return nil
@@ -105,7 +105,7 @@
 
 func (r *scheduleRun) partitionHolderFromVoter(ctx context.Context) error {
 	holder, _ := r.holder()
-	r.cluster.SetBoth(holder.Name, r.drawVoter().Name, partitioned)
+	r.cluster.SetLinkBothWays(holder.Name, r.drawVoter().Name, partitioned)
 	_ = sleep(ctx, 2*r.options.Lease)
 	return nil
 }
@@ -122,11 +122,11 @@
 // delayPost holds back posts that the holder has sent until another member holds the lease.
 func (r *scheduleRun) delayPost(ctx context.Context) error {
 	holder, token := r.holder()
-	r.cluster.Set(holder.Name, r.auditor.Name, partitioned)
+	r.cluster.SetLink(holder.Name, r.auditor.Name, partitioned)
 	_ = sleep(ctx, r.options.Lease/10) // for posts to be sent
 	r.cluster.Isolate(holder, partitioned)
 	r.awaitNewerToken(ctx, token, r.handoverTimeout())
-	r.cluster.Set(holder.Name, r.auditor.Name, LinkState{})
+	r.cluster.SetLink(holder.Name, r.auditor.Name, LinkState{})
 	_ = sleep(ctx, r.options.Lease/4)
 	return nil
 }
@@ -185,7 +185,7 @@
 	for _, a := range r.cluster.Nodes {
 		for _, b := range r.cluster.Nodes {
 			if a.Number%2 != b.Number%2 {
-				r.cluster.Set(a.Name, b.Name, partitioned)
+				r.cluster.SetLink(a.Name, b.Name, partitioned)
 			}
 		}
 	}
--- a/internal/testbed/cluster/network.go
+++ b/internal/testbed/cluster/network.go
@@ -118,23 +118,23 @@
 	return c.links[key]
 }
 
-// Set sets the state of the direction between two processes or external services, by name. It does nothing if there is no such link.
-func (c *Cluster) Set(from, to string, state LinkState) {
+// SetLink sets the state of the direction between two processes or external services, by name. It does nothing if there is no such link.
+func (c *Cluster) SetLink(from, to string, state LinkState) {
 	if l := c.links[linkKey{from: from, to: to}]; l != nil {
 		l.set(state)
 	}
 }
 
-// SetBoth sets the state of both directions between two processes or external services, by name.
-func (c *Cluster) SetBoth(a, b string, state LinkState) {
-	c.Set(a, b, state)
-	c.Set(b, a, state)
+// SetLinkBothWays sets the state of both directions between two processes or external services, by name.
+func (c *Cluster) SetLinkBothWays(a, b string, state LinkState) {
+	c.SetLink(a, b, state)
+	c.SetLink(b, a, state)
 }
 
 // Isolate sets the state of both directions between a node and all other nodes. External services stay reachable.
 func (c *Cluster) Isolate(n *Node, state LinkState) {
 	for _, other := range c.Nodes {
-		c.SetBoth(n.Name, other.Name, state)
+		c.SetLinkBothWays(n.Name, other.Name, state)
 	}
 }
 
--- a/internal/testbed/cluster/observe.go
+++ b/internal/testbed/cluster/observe.go
@@ -9,9 +9,9 @@
 // observeInterval is the time between two observations of all gateways.
 const observeInterval = 100 * time.Millisecond
 
-// Watch counts the gateways that are unavailable by plan ten times a second and records the counts in result, until stop is called.
-// budget is the allowed number. stop returns when result is no longer written; it may be called more than once.
-func (s *Site) Watch(result *DrainResult, budget int) (stop func()) {
+// ObserveUnavailable counts the gateways that are unavailable by plan ten times a second and records the counts in result, until stop
+// is called. budget is the allowed number. stop returns when result is no longer written; it may be called more than once.
+func (s *Site) ObserveUnavailable(result *DrainResult, budget int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { s.observe(ctx, result, budget) })
--- a/internal/testbed/cluster/releases.go
+++ b/internal/testbed/cluster/releases.go
@@ -143,7 +143,7 @@
 	load := site.StartLoad(scheduleLoad)
 	defer load.Stop()
 	// The observer writes to the result until it is stopped.
-	stopObserver := site.Watch(&result.DrainResult, drainBudget)
+	stopObserver := site.ObserveUnavailable(&result.DrainResult, drainBudget)
 	defer stopObserver()
 	run := &releaseRun{
 		site:    site,
--- a/internal/testbed/cluster/releases/releases_test.go
+++ b/internal/testbed/cluster/releases/releases_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	defer auditor.Close()
-	site, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: previousBuild, Dir: dir, Gateways: 4, Lease: testLease, Budgets: "[{name: g, most: 1}]", Posts: map[string]*cluster.ExternalService{"audit": &auditor.ExternalService}})
+	site, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: previousBuild, Dir: dir, Gateways: 4, Lease: testLease, Budgets: "[{name: g, most: 1}]", PostTasks: map[string]*cluster.ExternalService{"audit": &auditor.ExternalService}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	if failure := load.Stop(); failure != "" || load.Requests.Load() < 200 {
 		t.Errorf("%d of %d requests failed, first: %s; want 0 of at least 200", load.Failed.Load(), load.Requests.Load(), failure)
 	}
-	if result := cluster.Audit(auditor.Acts()); result.Violated() {
+	if result := cluster.Audit(auditor.Posts()); result.Violated() {
 		t.Error(result.FirstViolation)
 	}
 }
@@ -193,7 +193,7 @@
 		}
 	}()
 	var observed cluster.DrainResult
-	stopWatch := site.Watch(&observed, 1)
+	stopWatch := site.ObserveUnavailable(&observed, 1)
 	releases := func() (list quorum.ReleaseList) {
 		for _, n := range site.Nodes {
 			if n.Up() && n.Get("/fleet/releases", &list) == nil && list.Fresh {
@@ -387,7 +387,7 @@
 	load := site.StartLoad(20)
 	defer load.Stop()
 	var result cluster.DrainResult
-	stopWatch := site.Watch(&result, 2)
+	stopWatch := site.ObserveUnavailable(&result, 2)
 	releases := func() (list quorum.ReleaseList) { _ = site.Nodes[0].Get("/fleet/releases", &list); return list }
 	waitFor(t, "the gateways to be known", func() bool { return len(releases().Gateways) == 5 })
 	plan := &release.Plan{ID: "r", Target: "v2", IsVersionRelease: true, Soak: 200 * time.Millisecond, Grace: 5 * time.Second, Notice: time.Second,
--- a/internal/testbed/cluster/schedule.go
+++ b/internal/testbed/cluster/schedule.go
@@ -21,7 +21,7 @@
 	PartitionHolderInbound   Fault = "holder partitioned in one direction, inbound"
 	PartitionHolderFromVoter Fault = "holder partitioned from one voter"
 	DelayHolder              Fault = "holder delayed so that a renewal takes most of its lease"
-	DelayAct                 Fault = "holder's post delayed until another member holds the lease"
+	DelayPost                Fault = "holder's post delayed until another member holds the lease"
 	KillLeader               Fault = "leader killed"
 	FreezeLeader             Fault = "leader frozen"
 	PartitionLeader          Fault = "leader partitioned"
@@ -36,7 +36,7 @@
 // Faults lists all faults. DrawSchedule draws indexes into it, so its order determines the schedule of a seed.
 var Faults = []Fault{
 	KillHolder, FreezeShort, FreezeLong, PartitionHolder, PartitionHolderOutbound, PartitionHolderInbound, PartitionHolderFromVoter,
-	DelayHolder, DelayAct, KillLeader, FreezeLeader, PartitionLeader, KillMajority, KillAllVoters, EraseVoter, DegradeNetwork,
+	DelayHolder, DelayPost, KillLeader, FreezeLeader, PartitionLeader, KillMajority, KillAllVoters, EraseVoter, DegradeNetwork,
 	SplitFleet, FlapMember,
 }
 
@@ -99,7 +99,7 @@
 // String describes the result for a report.
 func (r *ScheduleResult) String() string {
 	s := fmt.Sprintf("seed %d: %d processes, %d posts, %d tokens, %d rejected; %d accepted with a stale token, %d changes of the member under one token, %d sent after the lease",
-		r.Seed, r.Nodes, r.Acts, r.Tokens, r.Rejected, r.StaleAccepted, r.SharedTokens, r.AfterLease)
+		r.Seed, r.Nodes, r.Posts, r.Tokens, r.Rejected, r.StaleAccepted, r.SharedTokens, r.AfterLease)
 	if r.Operations > 0 {
 		s += fmt.Sprintf("; %d operations, linearizable %v", r.Operations, !r.NotLinearizable)
 	}
@@ -123,8 +123,8 @@
 
 // RunSchedules runs the schedules of seeds, at most parallel at once, and returns when all have ended. It calls report with each
 // result; the calls do not overlap. It starts no further schedules after ctx has ended.
-func RunSchedules(ctx context.Context, seeds []uint64, parallel int, options PlayOptions, report func(ScheduleResult)) {
-	runSeeds(ctx, seeds, parallel, func(seed uint64) ScheduleResult { return Play(ctx, DrawSchedule(seed), options) }, report)
+func RunSchedules(ctx context.Context, seeds []uint64, parallel int, options ScheduleOptions, report func(ScheduleResult)) {
+	runSeeds(ctx, seeds, parallel, func(seed uint64) ScheduleResult { return RunSchedule(ctx, DrawSchedule(seed), options) }, report)
 }
 
 // runSeeds calls runSeed for each seed, at most parallel at once, and report with each result. Calls of report do not overlap.
--- a/internal/testbed/cluster/site.go
+++ b/internal/testbed/cluster/site.go
@@ -48,8 +48,8 @@
 	Variant string
 
 	Lease time.Duration
-	// Posts are post tasks by name: leader-only tasks that send POST requests to an external service.
-	Posts map[string]*ExternalService
+	// PostTasks are post tasks by name: leader-only tasks that send POST requests to an external service.
+	PostTasks map[string]*ExternalService
 	// Budgets is the value of `budgets` in the fleet's configuration; empty: no budgets.
 	Budgets string
 	// ExtraConfig is appended to every gateway's configuration.
@@ -122,7 +122,7 @@
 		Sites:            sites,
 		Lease:            options.Lease,
 		Heartbeat:        options.Lease / heartbeatsPerLease,
-		Posts:            options.Posts,
+		PostTasks:        options.PostTasks,
 		XDS:              &ExternalService{Name: "plane", Address: s.ControlPlane.Addr},
 		Variant:          options.Variant,
 		ExtraFleetConfig: func(int) string { return fleetConfig },
--- a/internal/testbed/cluster/upgrade/upgrade_test.go
+++ b/internal/testbed/cluster/upgrade/upgrade_test.go
@@ -123,7 +123,7 @@
 	}
 	defer auditor.Close()
 	site, err := cluster.NewSite(t.Context(), cluster.SiteOptions{Binary: earlierBuild, Dir: dir, Gateways: 4, Lease: leaseTime, Budgets: "[{name: g, most: 1}]",
-		Posts: map[string]*cluster.ExternalService{"audit": &auditor.ExternalService}})
+		PostTasks: map[string]*cluster.ExternalService{"audit": &auditor.ExternalService}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	if failure := load.Stop(); failure != "" || load.Requests.Load() < 200 {
 		t.Errorf("%d of %d requests failed, first: %s; want 0 of at least 200", load.Failed.Load(), load.Requests.Load(), failure)
 	}
-	if finding := cluster.Audit(auditor.Acts()); finding.Violated() {
+	if finding := cluster.Audit(auditor.Posts()); finding.Violated() {
 		t.Error(finding.FirstViolation)
 	}
 }
--- a/internal/testbed/cluster/voters_test.go
+++ b/internal/testbed/cluster/voters_test.go
@@ -158,7 +158,7 @@
 		t.Fatal(err)
 	}
 	defer auditor.Close()
-	testCluster := startCluster(t, Options{Nodes: 4, MaxLogSize: "1MiB", Posts: map[string]*ExternalService{"audit": &auditor.ExternalService}})
+	testCluster := startCluster(t, Options{Nodes: 4, MaxLogSize: "1MiB", PostTasks: map[string]*ExternalService{"audit": &auditor.ExternalService}})
 	waitFor(t, "acts", func() bool { last, _ := auditor.Last(); return last.Token > 0 })
 	full := testCluster.Nodes[2]
 	full.Kill()
@@ -180,9 +180,9 @@
 	waitFor(t, "n2 to be ready", func() bool { status, err := full.Status(); return err == nil && status.Ready })
 	waitFor(t, "a leader of the quorum", func() bool { return testCluster.Leader() != nil })
 	last, _ := auditor.Last()
-	before := len(auditor.Acts())
-	waitFor(t, "acts", func() bool { return len(auditor.Acts()) > before+20 })
-	if f := Audit(auditor.Acts()); f.Violated() || last.Token == 0 {
+	before := len(auditor.Posts())
+	waitFor(t, "acts", func() bool { return len(auditor.Posts()) > before+20 })
+	if f := Audit(auditor.Posts()); f.Violated() || last.Token == 0 {
 		t.Errorf("Audit: got %+v, last post before with token %d, want no violation and a token above 0", f, last.Token)
 	}
 }
--- a/internal/testbed/fleet/admission_test.go
+++ b/internal/testbed/fleet/admission_test.go
@@ -29,7 +29,7 @@
 
 // withAdmission returns options with one zone and an admission controller per gateway.
 func withAdmission(o Options) Options {
-	o.Zones, o.Mode = []string{"a"}, PriceOnly
+	o.Zones, o.Mode = []string{"a"}, PenaltyOnly
 	if o.Seed == 0 {
 		o.Seed = 1
 	}
--- a/internal/testbed/fleet/options.go
+++ b/internal/testbed/fleet/options.go
@@ -16,8 +16,8 @@
 const (
 	// Tiers gives each gateway a locality.Picker.
 	Tiers Mode = iota
-	// PriceOnly uses all zones and relies on the balancer's cross-zone penalty alone.
-	PriceOnly
+	// PenaltyOnly uses all zones and relies on the balancer's cross-zone penalty alone.
+	PenaltyOnly
 	// Failover uses the gateway's own zone while that has a ready server, and otherwise another zone, without limits.
 	Failover
 )
--- a/internal/testbed/hollow/gateways.go
+++ b/internal/testbed/hollow/gateways.go
@@ -185,15 +185,15 @@
 
 // UpdateCounts summarizes the updates that the gateways received from the subscription of their site.
 type UpdateCounts struct {
-	Delays    []time.Duration // until each gateway accepted its last update, sorted
-	Without   int             // gateways that accepted no update
-	Snapshots int             // accepted since the start
-	Pushes    int             // received since the start, including snapshots and updates that were not accepted
-	Bytes     int64           // of all received updates
+	Delays       []time.Duration // until each gateway accepted its last update, sorted
+	NeverUpdated int             // gateways that accepted no update
+	Snapshots    int             // accepted since the start
+	Pushes       int             // received since the start, including snapshots and updates that were not accepted
+	Bytes        int64           // of all received updates
 }
 
-// Updates returns what the gateways received. Delays and Without consider only updates accepted after since, a reading of fleet.Clock, and
-// delays are measured from it. The other counts include all updates.
+// Updates returns what the gateways received. Delays and NeverUpdated consider only updates accepted after since, a reading of
+// fleet.Clock, and delays are measured from it. The other counts include all updates.
 func (g *Gateways) Updates(since time.Duration) UpdateCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -206,7 +206,7 @@
 			}
 		}
 		if last == 0 {
-			counts.Without++
+			counts.NeverUpdated++
 		} else {
 			counts.Delays = append(counts.Delays, last-since)
 		}
--- a/internal/testbed/hollow/hollow_test.go
+++ b/internal/testbed/hollow/hollow_test.go
@@ -256,7 +256,7 @@
 			t.Errorf("push of %+v: got verdict %s, want %s", c.update, verdict, c.want)
 		}
 	}
-	if counts := g.Updates(0); len(counts.Delays) != 1 || counts.Without != 1 || counts.Snapshots != 1 || counts.Pushes != 5 {
+	if counts := g.Updates(0); len(counts.Delays) != 1 || counts.NeverUpdated != 1 || counts.Snapshots != 1 || counts.Pushes != 5 {
 		t.Errorf("Updates(0) = %+v, want 1 gateway updated and 1 without, 1 snapshot and 5 pushes", counts)
 	}
 	if at, bytes := g.FirstUpdate(gateway.Name); at == 0 || bytes == 0 {
--- a/tools/measure/capacity_subscription.go
+++ b/tools/measure/capacity_subscription.go
@@ -180,7 +180,7 @@
 
 // awaitUpdates waits until every gateway has accepted an update since a time of fleet.Clock.
 func (r *subscriptionSite) awaitUpdates(ctx context.Context, what string, since, timeout time.Duration) error {
-	return cluster.Await(ctx, what, timeout, func() bool { return r.gateways.Updates(since).Without == 0 })
+	return cluster.Await(ctx, what, timeout, func() bool { return r.gateways.Updates(since).NeverUpdated == 0 })
 }
 
 // awaitSettled waits until no further update arrives and returns the delays of the gateways.
--- a/tools/measure/duties.go
+++ b/tools/measure/duties.go
@@ -35,7 +35,7 @@
 	gaps            map[cluster.Fault][]time.Duration
 }
 
-// add adds the result of a schedule. It prints results with a violation and gaps of more than ten leases without an act.
+// add adds the result of a schedule. It prints results with a violation and gaps of more than ten leases without a post.
 func (s *scheduleTotals) add(result cluster.ScheduleResult) {
 	if result.Violated() {
 		s.failed++
@@ -46,7 +46,7 @@
 	for fault, gaps := range result.Gaps {
 		s.gaps[fault] = append(s.gaps[fault], gaps...)
 		if longest := slices.Max(gaps); longest > 10*scheduleLease {
-			fmt.Printf("seed %d: %v without an act after fault %s; all faults: %v\n", result.Seed, longest, fault, result.Faults)
+			fmt.Printf("seed %d: %v without a post after fault %s; all faults: %v\n", result.Seed, longest, fault, result.Faults)
 		}
 	}
 	if result.NotLinearizable {
@@ -58,11 +58,11 @@
 }
 
 func (s *scheduleTotals) print() {
-	fmt.Printf("acts %d, fencing tokens %d, rejected by token %d\n", s.audit.Acts, s.audit.Tokens, s.audit.Rejected)
+	fmt.Printf("posts %d, fencing tokens %d, rejected by token %d\n", s.audit.Posts, s.audit.Tokens, s.audit.Rejected)
 	fmt.Printf("accepted out of order %d, members sharing a token %d, begun after the lease ended %d\n", s.audit.StaleAccepted, s.audit.SharedTokens, s.audit.AfterLease)
 	fmt.Printf("lease operations %d, histories not linearizable %d, not checked in time %d\n", s.operations, s.notLinearizable, s.undecided)
 	fmt.Printf("schedules with violations %d\n\n", s.failed)
-	fmt.Println("time without an act, in lease lengths: n, p50, p99, max")
+	fmt.Println("time without a post, in lease lengths: n, p50, p99, max")
 	for _, fault := range cluster.Faults {
 		gaps := s.gaps[fault]
 		if len(gaps) == 0 {
@@ -92,7 +92,7 @@
 	began := time.Now()
 	schedules = min(schedules, maxSchedules)
 	totals := &scheduleTotals{gaps: map[cluster.Fault][]time.Duration{}}
-	options := cluster.PlayOptions{Binary: b.binary, Dir: b.dir, Lease: scheduleLease, History: true, PreviousBinary: previous}
+	options := cluster.ScheduleOptions{Binary: b.binary, Dir: b.dir, Lease: scheduleLease, History: true, PreviousBinary: previous}
 	cluster.RunSchedules(ctx, seedList(firstSeed, schedules), parallel, options, totals.add)
 	fmt.Printf("%d schedules in %v on %d processors, %d at once; lease %v\n", schedules, time.Since(began).Round(time.Second), runtime.NumCPU(), parallel, scheduleLease)
 	totals.print()
@@ -103,8 +103,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nlease holder isolated for half of each second for a minute, lease 2s: %d acts, %d fencing tokens, longest time without an accepted act %v; accepted out of order %d, begun after the lease ended %d\n",
-		flapped.Acts, flapped.Tokens, longest.Round(time.Millisecond), flapped.StaleAccepted, flapped.AfterLease)
+	fmt.Printf("\nlease holder isolated for half of each second for a minute, lease 2s: %d posts, %d fencing tokens, longest time without an accepted post %v; accepted out of order %d, begun after the lease ended %d\n",
+		flapped.Posts, flapped.Tokens, longest.Round(time.Millisecond), flapped.StaleAccepted, flapped.AfterLease)
 	if err := checkAudit(ctx, b, faultBinary); err != nil {
 		return err
 	}
@@ -123,15 +123,15 @@
 		binary    string
 		acceptAll bool
 	}{
-		{"the receiver accepts every token", cluster.DelayAct, b.binary, true},
+		{"the receiver accepts every token", cluster.DelayPost, b.binary, true},
 		{"a lease holder continues after its lease has ended", cluster.FreezeLong, faultBinary, false},
 	}
 	for _, safeguard := range safeguards {
 		audit := cluster.AuditResult{}
-		options := cluster.PlayOptions{Binary: safeguard.binary, Dir: b.dir, Lease: scheduleLease, AcceptAll: safeguard.acceptAll}
+		options := cluster.ScheduleOptions{Binary: safeguard.binary, Dir: b.dir, Lease: scheduleLease, AcceptAll: safeguard.acceptAll}
 		for seed := range uint64(auditSeeds) {
 			schedule := cluster.Schedule{Seed: seed, Nodes: 3, Faults: []cluster.Fault{safeguard.fault, safeguard.fault}}
-			result := cluster.Play(ctx, schedule, options)
+			result := cluster.RunSchedule(ctx, schedule, options)
 			if result.Err != nil {
 				return result.Err
 			}
--- a/tools/measure/overload.go
+++ b/tools/measure/overload.go
@@ -115,7 +115,7 @@
 		return 0.5
 	}
 	options := fleet.Options{
-		Mode:     fleet.PriceOnly,
+		Mode:     fleet.PenaltyOnly,
 		Zones:    []string{"a"},
 		Gateways: 1,
 		Servers:  2,
@@ -173,7 +173,7 @@
 func simulateBursts(variant admissionVariant, size, workers int) error {
 	class := balancer.Class{Name: burstClass, LatencyObjective: time.Second, Deadline: 15 * time.Second, PriorityWeight: 1}
 	options := fleet.Options{
-		Mode:           fleet.PriceOnly,
+		Mode:           fleet.PenaltyOnly,
 		Zones:          []string{"a"},
 		Gateways:       1,
 		Servers:        burstServers,
--- a/tools/measure/path.go
+++ b/tools/measure/path.go
@@ -50,7 +50,7 @@
 		Lease:        2 * time.Second,
 		Heartbeat:    300 * time.Millisecond,
 		Probe:        time.Second,
-		Posts:        map[string]*cluster.ExternalService{"audit": &auditor.ExternalService},
+		PostTasks:    map[string]*cluster.ExternalService{"audit": &auditor.ExternalService},
 		PostInterval: 100 * time.Millisecond,
 	}, server.Addr)
 	if err != nil {
--- a/tools/measure/zone.go
+++ b/tools/measure/zone.go
@@ -12,7 +12,7 @@
 // simulated, so the figures are the same on every machine.
 func measureZoneLoss(big bool) error {
 	const s = time.Second
-	modes := []fleet.Mode{fleet.Tiers, fleet.PriceOnly, fleet.Failover}
+	modes := []fleet.Mode{fleet.Tiers, fleet.PenaltyOnly, fleet.Failover}
 	type scenario struct {
 		name    string
 		options fleet.Options
